--- a/crates/lagoonline/tests/load_cold.rs
+++ b/crates/lagoonline/tests/load_cold.rs
@@ -1,4 +1,4 @@
-//! What is refused before anything was learned, and after a report that lags.
+//! Refusals before the scheduler has learned anything, and after a lagging report.
 
 use std::sync;
 
@@ -36,9 +36,9 @@
     }
 }
 
-// An idle engine and a first call that allows for a long answer, as most callers do who expect a
-// short one. The caller got "cannot meet the deadline" at once: every token it allowed for was
-// counted at a usual pace, and nothing was ever let in that would have shown otherwise.
+// Guards against refusing the first call on an idle engine with "cannot meet the deadline" because
+// every token that it allows was predicted at a usual speed. Then no answer would ever correct the
+// prediction.
 #[test]
 fn a_first_call_is_not_refused_for_the_tokens_it_allows() {
     let mut scheduler = scheduler();
@@ -46,9 +46,9 @@
     assert!(matches!(verdict, Verdict::Dispatch(_)), "{verdict:?}");
 }
 
-// Four calls fill the engine and end; the report that the last answer carries was made while they
-// ran. The next caller waited before an idle engine and was refused as saturated: the four were
-// taken for other hosts' work, and with nothing sent, no newer report came.
+// Guards against counting own work as that of other hosts. The report that the last answer carries
+// was made while four calls ran that have ended since; the next caller was refused as saturated
+// although the engine was idle, and without a dispatch no newer report arrived.
 #[test]
 fn a_late_report_of_own_work_is_not_other_hosts_work() {
     let mut scheduler = scheduler();
@@ -68,8 +68,9 @@
     assert!(matches!(verdict, Verdict::Dispatch(_)), "{verdict:?}");
 }
 
-// The observer dies after a report of a full engine, whose work is all of other hosts. Once that
-// report is seconds old the engine is asked again; its own refusal is final.
+// Guards against an engine that looks full forever: the observer crashes after a report of a full
+// engine whose work belongs to other hosts. Once the report is seconds old, requests are sent to
+// the engine again, whose own refusal is authoritative.
 #[test]
 fn a_report_that_nothing_follows_stops_counting() {
     let mut scheduler = scheduler();
@@ -83,9 +84,9 @@
     assert!(matches!(wakes[..], [load::Wake::Dispatch(..)]), "{wakes:?}");
 }
 
-// An engine is slower than predicted: its report still shows a long prompt of ours that we take for
-// prefilled, so it counts as another host's. The prompt ends. The next long one waited before the
-// idle engine until it was refused, because nothing took that work off again.
+// Guards against waiting for finished work. An engine slower than predicted reports a long prompt
+// of this host that counts as prefilled already, so it is taken for another host's. After the
+// prompt ended, the next long one waited at the idle engine until it was refused.
 #[test]
 fn a_long_prompt_does_not_wait_for_work_that_is_done() {
     let mut scheduler = scheduler();
--- a/crates/lagoonline/tests/load_fuzz.rs
+++ b/crates/lagoonline/tests/load_fuzz.rs
@@ -1,4 +1,4 @@
-//! Stateful fuzzing of the scheduler before a simple oracle: what it was told and what it said.
+//! Stateful fuzzing of the scheduler against a simple oracle that records calls and results.
 
 use std::collections;
 use std::sync;
@@ -30,7 +30,7 @@
     Fleet { mask: u8 },
 }
 
-/// The steps do not depend on a model's state; the oracle lives beside the scheduler.
+/// The steps don't depend on a model's state; the oracle is part of [`World`].
 struct Steps;
 
 impl ReferenceStateMachine for Steps {
@@ -198,7 +198,7 @@
                 self.scheduler.observe(self.now, &name(upstream), &load);
             }
             Step::Fleet { mask } => {
-                // Marks of upstreams outside the fleet are the data path's to set again.
+                // The data path has to repeat the marks of upstreams that were outside the fleet.
                 self.scheduler.set_fleet(self.now, &fleet(mask), &id::Model::from("m"));
                 for upstream in self.leaving.clone() {
                     self.scheduler.set_leaving(self.now, &upstream, true);
@@ -209,7 +209,7 @@
     }
 
     fn learn_leaving(&mut self, upstream: id::Upstream, number: u8) {
-        // An upstream that left the fleet and came back is known afresh.
+        // An upstream that left the fleet and joined again has no earlier state.
         if number == 2 {
             self.scheduler.set_leaving(self.now, &upstream, true);
             self.leaving.insert(upstream);
@@ -289,7 +289,7 @@
         world.check();
     }
 
-    // All callers' deadlines pass and all work ends: nothing is left behind.
+    // After all deadlines have passed and all work has ended, nothing is left.
     fn teardown(mut world: World) {
         world.now = world.now + Span::from_secs(3_600);
         world.poll();
--- a/crates/lagoonline/tests/load_group.rs
+++ b/crates/lagoonline/tests/load_group.rs
@@ -23,8 +23,9 @@
     id::Upstream::from(format!("e{engine}"))
 }
 
-// Two prompts each need three of four engines. Taken one by one, each could hold two and wait for
-// the other; here the first gets all its engines and the second none until the first ends.
+// Guards against a deadlock of two prompts that each need three of four engines. Taken one by one,
+// each could hold two and wait for the other; the first must get all its engines and the second
+// none until the first ends.
 #[test]
 fn two_large_prompts_do_not_block_each_other() {
     let mut arbiter = arbiter();
@@ -38,8 +39,8 @@
     assert!(matches!(&notices[..], [Notice::Granted(request, _)] if *request == second));
 }
 
-// A member dies while its group runs. The holder is told, and the other members' memory is free
-// for the next prompt at once.
+// Guards against a grant that outlives a failed member: the holder is notified, and the other
+// members' memory is free for the next prompt at once.
 #[test]
 fn a_member_that_dies_ends_the_grant_for_all() {
     let mut arbiter = arbiter();
@@ -51,8 +52,8 @@
     assert!(!arbiter.renew(Moment::START, request));
 }
 
-// The holder dies without a word. Its grant ends with the lease; a holder that was only paused
-// learns it from its next renewal and stops.
+// Guards against a memory leak when the holder crashes: its grant ends with the lease, and a holder
+// that was only paused learns it from its next renewal and stops.
 #[test]
 fn a_holder_that_dies_gives_its_memory_back() {
     let mut arbiter = arbiter();
@@ -64,7 +65,7 @@
     assert_eq!(arbiter.held(), (0, 0));
 }
 
-// A prompt that no set of engines can hold is told so at once and blocks nobody.
+// A prompt that no set of engines can hold is refused at once and doesn't block others.
 #[test]
 fn a_prompt_too_large_for_all_is_refused() {
     let mut arbiter = arbiter();
@@ -97,7 +98,7 @@
     ]
 }
 
-/// What the holders know.
+/// The requests that holders wait for or hold, with their tokens.
 #[derive(Default)]
 struct Holders {
     waiting: collections::BTreeMap<Request, u64>,
@@ -156,8 +157,8 @@
         cases: 256, failure_persistence: None, rng_seed: RngSeed::Fixed(5), ..Config::default()
     })]
 
-    // Prompts come, members die, holders vanish, in any order. Memory held is that of the grants
-    // at each step, and when all leases have run out nothing is held and nobody waits.
+    // Requests arrive, members fail and holders disappear in any order. At each step the memory
+    // held equals that of the grants, and after all leases have expired nothing is held or waits.
     #[test]
     fn nothing_leaks_and_nobody_is_stuck(steps in proptest::collection::vec(step(), 1..80)) {
         let (mut arbiter, mut holders, mut now) = (arbiter(), Holders::default(), Moment::START);
--- a/crates/lagoonline/tests/load_limit.rs
+++ b/crates/lagoonline/tests/load_limit.rs
@@ -1,4 +1,4 @@
-//! Limits that hold over all entry hosts of a zone.
+//! Rate limits across all entry hosts of a zone.
 
 use lagoonline::clock::Moment;
 use lagoonline::id::Customer;
@@ -8,8 +8,8 @@
 const RATE: limit::Rate = limit::Rate { requests: 100.0, tokens: 1e9 };
 const SECONDS: u64 = 20;
 
-/// Requests let in by all hosts when each is asked every millisecond, with reports every
-/// `report_ms` that arrive at once, or never.
+/// Requests admitted by all hosts if each is asked every millisecond and reports are delivered
+/// immediately every `report_ms`, or never.
 fn let_in(hosts: usize, report_ms: Option<u64>) -> u64 {
     let customer = Customer::from("c");
     let new = || limit::Limits::new(u32::try_from(hosts).unwrap());
@@ -38,8 +38,9 @@
     }
 }
 
-// A customer asks every host of the zone far over its limit. All hosts together let in no more
-// than the rate, the burst, and what the others could use within one report's lag.
+// Guards against a limit that is granted once per host: a customer sends far more than its limit
+// through every host. All hosts together admit no more than the rate, the burst, and what the
+// others could use within one report's lag.
 #[rstest]
 #[case::small(3, 250)]
 #[case::slow_reports(3, 1_000)]
@@ -53,7 +54,7 @@
     assert!(count >= rate * SECONDS * 9 / 10, "{count} let in, limit {}", rate * SECONDS);
 }
 
-// One host serves the customer alone: it may use the whole zone's limit.
+// A host that is the only one to serve a customer may use the whole zone's limit.
 #[test]
 fn a_host_alone_may_use_the_whole_limit() {
     let customer = Customer::from("c");
@@ -67,8 +68,9 @@
     assert!((1_990..=2_030).contains(&count), "{count}");
 }
 
-// Hosts hear nothing from each other. Each falls back to its even share after three seconds, so
-// the zone lets in three seconds' worth at every host, then the rate.
+// Guards against exceeding the limit when hosts receive no reports from each other. Each falls back
+// to its even share after three seconds, so the zone admits three seconds' worth at every host,
+// then the rate.
 #[test]
 fn hosts_cut_off_from_each_other_fall_back_to_shares() {
     let count = let_in(4, None);
--- a/crates/lagoonline/tests/load_placement.rs
+++ b/crates/lagoonline/tests/load_placement.rs
@@ -1,4 +1,4 @@
-//! Where requests go at the worst load: each test replays a load pattern on a [`Board`] and checks
+//! Placement under the heaviest load: each test replays a load pattern on a [`Board`] and checks
 //! what callers would get.
 //!
 //! [`Board`]: lagoonline::load::placement::Board
@@ -45,7 +45,7 @@
     board
 }
 
-/// Requests under way, by the order in which they were sent.
+/// A placement state with a clock and a counter of dispatches.
 struct Day {
     board: placement::Board,
     now: Moment,
@@ -100,7 +100,7 @@
         self.board.place(demand, self.now)
     }
 
-    /// Long prompts on all engines, as many as may be read at once.
+    /// Dispatches long prompts until the backlog bound is reached on all engines.
     fn fill_with_reading(&mut self) {
         let mut sent = 0;
         while self.send(133_000, LOOSE).is_ok() {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Places a request and sends it there.
+    /// Places a request and records its dispatch.
     fn send(
         &mut self,
         prompt: u64,
@@ -124,7 +124,7 @@
         Ok((id, placed))
     }
 
-    /// Another host sent a prompt to the engine `first`, which `helpers` help to read.
+    /// Records a dispatch by another host to the engine `first`, with parts prefilled by `helpers`.
     fn begin_elsewhere(
         &mut self,
         first: usize,
@@ -147,7 +147,7 @@
         id
     }
 
-    /// Short answers under way on all engines, all of them writing.
+    /// Dispatches short prompts until `answers` answers are in decode.
     fn burst(&mut self, answers: usize) {
         for _ in 0..answers {
             let (id, _) = self.send(5_000, TIGHT).unwrap();
@@ -162,8 +162,9 @@
     helpers.chain([placed.first.upstream.as_str()]).collect()
 }
 
-/// Long prompts come beside short ones. A long read in a pass delays every writer of its engine, so
-/// a dossier's parts must not lie where short answers are written while other engines are free.
+/// Guards against prefilling long prompts beside short answers. A long prefill in a pass delays
+/// every answer that its engine decodes, so parts must not go where short answers are decoded while
+/// other engines are free.
 #[rstest]
 fn long_reads_keep_away_from_short_answers() {
     let mut day = Day::new(18);
@@ -181,9 +182,10 @@
     assert_eq!(both, 0, "parts are read where short answers are written");
 }
 
-/// A burst of short prompts follows one of long prompts. The long ones are read; their answers are
-/// still written, each on an engine of its own, and bear long pauses. Kept apart for them, eight of
-/// sixteen engines would write one answer each while the others have more than their places.
+/// Guards against engines set aside for a single long answer each. A burst of short prompts follows
+/// one of long prompts, whose prefill is done and whose answers, with a loose gap limit, are in
+/// decode on one engine each. If these engines stayed reserved, eight of sixteen would decode one
+/// answer each while the others have more requests than slots.
 #[rstest]
 fn a_burst_uses_engines_that_only_write_long_answers() {
     let mut day = Day::new(16);
@@ -204,9 +206,9 @@
     assert!(short.values().all(|answers| *answers <= 16), "beyond its places: {short:?}");
 }
 
-/// A host starts while others have requests under way. It is told of each, and of some twice: by
-/// the list when they meet and by themselves. Each counts once; when that host starts again, what
-/// it had under way is gone with its connections.
+/// Guards against counting a dispatch twice. A starting host is told of the dispatches of other
+/// hosts, of some of them both in the list sent on connecting and separately. When such a host
+/// restarts, its dispatches have ended with its connections.
 #[rstest]
 fn what_a_host_has_under_way_can_be_told() {
     let mut day = Day::new(3);
@@ -229,7 +231,7 @@
     assert_eq!(board.works(), 0);
 }
 
-/// A fleet of `engines` with `slots` places each.
+/// A fleet of `engines` with `slots` slots each.
 fn day_with_slots(engines: usize, slots: u32) -> Day {
     let entries: Vec<_> =
         (0..engines).map(|index| routing::Entry { slots, ..entry(index, "a") }).collect();
@@ -239,9 +241,10 @@
     day
 }
 
-/// The mix turns to short prompts while long ones are still read. Of the engines kept for short
-/// answers one has a place but no memory, the others have all places taken. A newcomer waits for an
-/// answer's time behind those; on an idle engine of the other side it is in time.
+/// Guards against sending short prompts to full engines when the mix turns to short prompts while
+/// long ones are still in prefill. Of the engines reserved for short answers one has a slot but no
+/// memory, the others have no free slot. On those a new request waits for the duration of an
+/// answer; on an idle engine of the other side it is in time.
 #[rstest]
 fn a_short_prompt_goes_where_it_has_a_place() {
     let mut day = day_with_slots(8, 4);
@@ -262,10 +265,10 @@
     }
 }
 
-/// Prompts that are each read by sixteen engines come faster than one is read. Parts for others are
-/// read ahead of an engine's own: behind a row of them, an engine's own part is the last of its
-/// prompt, and all others have waited for it. So parts go to engines that have no prompt of their
-/// own to read, though those have a little more of others' to read.
+/// Guards against helper parts on engines with prompts of their own, when prompts that are
+/// prefilled by sixteen engines each arrive faster than one is done. Helper parts go ahead of an
+/// engine's own part, which is then the last of its prompt to finish while all other engines wait.
+/// Parts must go to engines without own prompts, even if those have slightly more parts of others.
 #[rstest]
 fn engines_that_answer_long_prompts_are_not_asked_to_help() {
     let mut day = day_with_slots(32, 10);
@@ -278,9 +281,9 @@
     assert!(answering.count() <= 1, "{placed:?}");
 }
 
-/// Long prompts come one after the other; their answers bear long pauses. An engine makes all steps
-/// of a pass for one answer as for ten, so twenty answers on twenty engines would halve the time in
-/// which those read for others. They are written by few engines, as far as memory allows.
+/// Guards against spreading answers with a loose gap limit over many engines. An engine runs all
+/// steps of a pass for one answer as for ten, so twenty answers on twenty engines would halve the
+/// speed at which those prefill for others. Few engines decode them, as far as memory allows.
 #[rstest]
 fn answers_with_long_pauses_are_written_by_few_engines() {
     let mut day = day_with_slots(60, 10);
@@ -294,9 +297,9 @@
     assert!(firsts.len() <= 6, "written by {firsts:?}");
 }
 
-/// Two prompts are read by sixteen engines each and should both be read by now; only the first one's
-/// caller has a token. The engines of the other have fallen behind, and the next prompt's parts go
-/// elsewhere.
+/// Guards against giving parts to engines that have fallen behind. Two prompts, each prefilled by
+/// sixteen engines, should both be done by now, but only one has its first token. The parts of the
+/// next prompt must avoid the engines of the other one.
 #[rstest]
 fn engines_that_fall_behind_get_fewer_parts() {
     let mut day = day_with_slots(50, 10);
@@ -310,8 +313,9 @@
     assert_eq!(both, 0, "{both} parts on engines that have fallen behind");
 }
 
-/// A hundred engines have seconds of long prompts to read, ninety have nothing. A long prompt that
-/// sixteen engines can read at once is sent at once: it does not wait for the average to fall.
+/// Guards against holding a prompt because of the average backlog: a hundred engines have seconds
+/// of prefill queued, ninety have none. A prompt that sixteen engines can prefill is dispatched at
+/// once.
 #[rstest]
 fn idle_engines_are_used_while_others_are_behind() {
     let mut day = day_with_slots(190, 10);
@@ -322,8 +326,8 @@
     assert!(placed.expected < Span::from_secs(1), "expected after {:?}", placed.expected);
 }
 
-/// Engines of few and of many places, short prompts only, as many as fill half of all places: no
-/// engine gets more than its places, whatever their number.
+/// Guards against exceeding the slots of an engine, for fleets with few and with many slots: short
+/// prompts that fill half of all slots never put more on an engine than it has.
 #[rstest]
 #[case(16, 4)]
 #[case(30, 10)]
@@ -342,9 +346,9 @@
     assert!(taken.values().all(|answers| *answers <= slots), "beyond {slots} places: {taken:?}");
 }
 
-/// The word that a request ended is lost. Its place would count as taken until its caller's time is
-/// over; the host's next list of all that it has under way gives it back. What this host heard of
-/// after that list may have been sent is kept: the list was on its way when it began.
+/// Guards against a slot that stays occupied after the message about the end of a request was lost.
+/// The host's next list of all its dispatches frees it. A dispatch that became known after that
+/// list was made is kept.
 #[rstest]
 fn what_is_no_longer_under_way_is_forgotten() {
     let mut day = Day::new(3);
@@ -362,9 +366,9 @@
     assert!(day.board.keep_only(2, &still, day.now, day.now).is_empty());
 }
 
-/// A quarter of the engines turns four times slower, and reports it. Short prompts sent there would
-/// be late, and so would each long prompt of which one reads a part: neither goes there. Once that
-/// report is old they are tried again, and while no other engine is left they serve all the same.
+/// Guards against using slow engines. A quarter of the engines reports a fourfold slowdown, which
+/// would make short prompts late and every long prompt of which one prefills a part. After the
+/// report expires they are tried again, and they serve if no other engine is left.
 #[rstest]
 fn slow_engines_get_nothing_new() {
     let mut day = Day::new(16);
@@ -393,7 +397,7 @@
     assert!(day.place(5_000, TIGHT, 0).is_ok());
 }
 
-/// The log of a dispatch tells what was believed of the engine that got it and of the next best.
+/// The log of a dispatch shows the estimated state of the chosen engine and of the next best one.
 #[rstest]
 fn a_placement_tells_what_was_believed() {
     let mut day = Day::new(6);
@@ -404,9 +408,9 @@
     assert_eq!(placed.belief.writers as usize, placed.belief.places);
 }
 
-/// One prompt of several engines' memory comes in a burst of short ones. Read at once it would stop
-/// every engine for 1.7 s: hundreds of answers late for one. It waits, and then is asked to come
-/// back; when the burst is over it is served.
+/// Guards against a giant prompt that stalls a burst of short ones: prefilled at once it would stop
+/// every engine for 1.7 s and make hundreds of answers late. It waits, then is refused with a time
+/// to retry, and is served after the burst.
 #[rstest]
 fn a_giant_does_not_stop_a_burst() {
     let mut day = Day::new(18);
@@ -419,8 +423,8 @@
     assert!(day.place(600_000, LOOSE, 0).is_ok());
 }
 
-/// A prompt larger than any engine is held by several: what is reserved and the first engine's own
-/// memory cover it.
+/// A prompt larger than any engine is held by several: the reservations on the helpers and on the
+/// primary cover it.
 #[rstest]
 #[case(300_000)]
 #[case(600_000)]
@@ -434,8 +438,8 @@
     assert!(placed.helpers.len() <= 15);
 }
 
-/// Two dossiers do not fit into one engine. The second must go elsewhere, or it waits in the engine
-/// for seconds until the first has ended.
+/// Guards against two long prompts on one engine that do not fit together: the second would wait in
+/// the engine for seconds until the first has ended.
 #[rstest]
 fn two_long_prompts_do_not_share_an_engine() {
     let mut day = Day::new(6);
@@ -446,9 +450,8 @@
     assert_ne!(one.first.upstream, two.first.upstream);
 }
 
-/// Short prompts come faster than engines write. Once every place is taken the next ones wait for
-/// a moment and are then refused with a time to come back; queued in the engines, all would be
-/// late.
+/// Guards against queueing short prompts in full engines, where all would be late. When every slot
+/// is taken, the next prompt waits briefly and is then refused with a time to retry.
 #[rstest]
 fn short_prompts_beyond_all_places_are_refused() {
     let mut day = Day::new(3);
@@ -461,8 +464,9 @@
     assert!(span > Span::from_millis(500) && span < Span::from_secs(5), "come back in {span:?}");
 }
 
-/// A burst of dossiers. What engines have to read is bounded, so a large one waits at its host while
-/// a smaller one, which earns more for its time, still goes; the bound ends with its patience.
+/// Guards against an unbounded prefill backlog in a burst of long prompts. A large prompt waits at
+/// its host while a smaller one, with more value for its time, is dispatched; the bound on the
+/// large one grows while it waits.
 #[rstest]
 fn a_backlog_lets_small_prompts_pass_large_ones() {
     let mut day = Day::new(18);
@@ -518,9 +522,9 @@
     assert!(matches!(refused, Err(placement::Refusal::Full(..))), "{refused:?}");
 }
 
-/// A zone is cut off: two of its engines cannot be reached. Its others are passed over without a
-/// trial of each, and prompts are read on this side of the cut; when one answers again they are
-/// back.
+/// Guards against trying each engine of a partitioned zone. After two of its engines were
+/// unreachable the others are avoided too, and prompts are prefilled on this side; once one
+/// answers, the zone is used again.
 #[rstest]
 fn a_cut_zone_is_passed_over() {
     let mut day = Day::new(18);
@@ -538,8 +542,8 @@
     assert!(engines(&placed).into_iter().any(|name| zone_of(name) == 1));
 }
 
-/// Two zones cannot reach each other, though this host, in a third, reaches both. A prompt whose
-/// first engine is in one of them is not read in the other: it would be refused.
+/// Guards against helpers that the primary cannot reach: two zones are partitioned from each other,
+/// though this host, in a third zone, reaches both. Such a prompt would be refused.
 #[rstest]
 fn helpers_are_within_reach_of_the_first_engine() {
     let mut day = Day::new(18);
@@ -559,8 +563,8 @@
     assert!(!(zones.contains("b") && zones.contains("c")), "read in {zones:?}");
 }
 
-/// A host fell silent and its words of the end are lost. What it had under way is forgotten when it
-/// must be over, or its engines would look busy for ever.
+/// Guards against engines that look busy forever because a host stopped responding before it
+/// reported the end of its requests. Its dispatches are dropped after their deadline.
 #[rstest]
 fn what_must_be_over_is_forgotten() {
     let mut day = Day::new(3);
@@ -570,9 +574,9 @@
     assert_eq!(day.board.works(), 0);
 }
 
-/// An engine answers every request at once with an error, though its health check is good. It is
-/// always the least busy one, so it would get most requests and fail them; it must get few, and be
-/// tried again once it may work again.
+/// Guards against preferring an engine that answers every request at once with an error although
+/// its health check succeeds. As the least loaded engine it would get and fail most requests; it
+/// must get few, and be tried again later.
 #[rstest]
 fn an_engine_that_errs_is_not_preferred() {
     let mut day = Day::new(9);
@@ -605,8 +609,8 @@
     assert!(tried, "never tried again");
 }
 
-/// Plain services: the least used replica is chosen, one that failed is passed over while another
-/// is left, and one that leaves gets nothing.
+/// Plain services: the least-used replica is chosen, a failed one is avoided while another is left,
+/// and a leaving one gets nothing.
 #[rstest]
 fn calls_go_to_the_least_used_replica() {
     let mut board = placement::Board::new(placement::Settings::default(), id::Zone::from("a"));
@@ -633,7 +637,8 @@
     assert_eq!(board.place(&again, now).unwrap().first.upstream.as_str(), "e00");
 }
 
-/// The published pace predicts a pass: steps of all writers, and the reads that wait for it.
+/// The published profile predicts the prefill time of a prompt, and splitting it into parts keeps
+/// the sum.
 #[rstest]
 #[case(5_000, 26.0)]
 #[case(45_000, 358.0)]
--- a/crates/lagoonline/tests/load_shift.rs
+++ b/crates/lagoonline/tests/load_shift.rs
@@ -31,7 +31,8 @@
     Moment::START + Span::from_secs(seconds)
 }
 
-/// Plays `seconds` from `start`, one decision a second, and lists when engines moved where.
+/// Simulates `seconds` from `start` with one decision per second, and lists the moves with their
+/// times.
 fn play(
     shift: &mut Shift,
     start: u64,
@@ -51,7 +52,7 @@
     moves
 }
 
-// A burst of twenty seconds for another model. No engine moves for it.
+// Guards against moving engines for a burst of twenty seconds.
 #[test]
 fn a_burst_moves_nothing() {
     let mut engines = engines(&["a", "a", "a", "b"]);
@@ -76,8 +77,9 @@
     assert!(gaps.into_iter().all(|gap| gap >= WEIGHT / 1_000), "{moves:?}");
 }
 
-// Demand swings to and fro every minute. No engine that has moved moves again within the time for
-// which it stays, so each loads weights twice in ten minutes at most, not ten times.
+// Guards against repeated moves of an engine when demand swings every minute: an engine that has
+// moved stays for the minimum time, so each loads weights at most twice in ten minutes, not ten
+// times.
 #[test]
 fn swinging_demand_does_not_move_an_engine_back_and_forth() {
     let mut engines = engines(&["a", "a", "b", "b"]);
@@ -101,8 +103,8 @@
     assert!(!moved.is_empty());
 }
 
-// A team's claimed engines were idle and lent out. When its load comes back it has one again
-// within the stated time, though the borrower is busy and has just got it.
+// Guards against a claim that waits for its lent engines: when the team's load returns it has an
+// engine again within the documented time, although the borrower is busy and has just got it.
 #[test]
 fn a_claim_gets_its_engine_back_within_the_stated_time() {
     let mut engines = engines(&["b", "b", "b"]);
@@ -112,8 +114,8 @@
     assert_eq!(moves, [(10, "a".to_owned())]);
 }
 
-// The same while the weight store is busy with a load for a model without a claim: the claim does
-// not wait for it.
+// The same while the weight store is busy with a load for a model without a claim, for which the
+// claim must not wait.
 #[test]
 fn a_claim_does_not_wait_for_the_weight_store() {
     let mut engines = engines(&["b", "b", "b", "c", "c", "c"]);
--- a/crates/lagoonline/tests/load_silence.rs
+++ b/crates/lagoonline/tests/load_silence.rs
@@ -1,4 +1,4 @@
-//! When a call leaves a silent upstream, and what that does to the upstream.
+//! When a call leaves a silent upstream, and how that affects later calls.
 
 use std::sync;
 
@@ -41,9 +41,9 @@
     }
 }
 
-// A call goes to an engine that stays silent. Past the bound it is better off elsewhere, goes to
-// the other engine, and so do the calls of the next second: each try of the silent one would cost
-// a caller seconds.
+// Guards against sending further calls to a silent engine, each of which would cost a caller
+// seconds. After the bound the call is better off elsewhere and goes to another engine, and so do
+// the calls of the next second.
 #[test]
 fn a_silent_engine_gets_nothing_for_a_while() {
     let mut scheduler = scheduler(3);
@@ -61,8 +61,8 @@
     }
 }
 
-// Every engine is silent, as when this host's own network fails. Calls move only as long as the
-// retry budget lasts; then they wait where they are, in place of being refused.
+// Guards against refusing calls when every engine is silent, such as after a failure of this host's
+// own network. Calls move only while the retry budget lasts; then they keep waiting where they are.
 #[test]
 fn calls_stay_when_the_retry_budget_is_spent() {
     let mut scheduler = scheduler(3);
--- a/crates/lagoonline/tests/load_tokens.rs
+++ b/crates/lagoonline/tests/load_tokens.rs
@@ -1,4 +1,4 @@
-//! Bytes for each token of a model, corrected by the engines' counts.
+//! Bytes per token of a model, corrected by the engines' counts.
 
 use std::sync;
 
@@ -14,8 +14,9 @@
     sync::Arc::new(fleet)
 }
 
-// Labels of dense numbers take two bytes a token where the document says four. After some answers
-// prompts are taken for their real length; a new fleet does not undo that, a new estimate does.
+// Guards against planning with a wrong token estimate. The prompts have two bytes per token, the
+// document says four; after some answers the estimate matches. A new fleet keeps that correction, a
+// new configured estimate resets it.
 #[test]
 fn counts_correct_the_estimate_until_the_owner_gives_another() {
     let model = id::Model::from("m");
