--- a/crates/lagoon-gateway/src/forward.rs
+++ b/crates/lagoon-gateway/src/forward.rs
@@ -142,7 +142,7 @@
     let mut lost = false;
     loop {
         let secured = admitted.secure(&avoid).await.map_err(|fault| fault.if_lost(lost))?;
-        let upstream = secured.placement.first.upstream.clone();
+        let upstream = secured.placement.primary.upstream.clone();
         // Upstreams here know a request by its caller's id; an attempt needs none of its own.
         let dispatched = held.dispatch(id::Attempt(0));
         attempts += 1;
@@ -241,12 +241,12 @@
         }
         let unsent = matches!(missed, attempt::Miss::Unsent(_));
         let desk = self.state.desk(&self.service);
-        unsent || desk.is_some_and(|desk| state::lock(&desk).budget.take())
+        unsent || desk.is_some_and(|desk| state::lock(&desk).budget.take_retry())
     }
 
     /// Something of an answer came.
     pub(crate) fn heard(&self, upstream: &id::Upstream) {
-        self.state.with_board(&self.service, |board, now| board.heard(upstream, now));
+        self.state.with_board(&self.service, |board, now| board.record_activity(upstream, now));
     }
 
     /// Sends the request to an upstream and waits for the head of its answer.
@@ -257,7 +257,7 @@
         attempts: u32,
     ) -> Result<Live, attempt::Miss> {
         let place::Secured { placement, id: work_id, underway } = secured;
-        let first = &placement.first;
+        let first = &placement.primary;
         let connect = CONNECT.min(self.left());
         let opened = exchange::Exchange::open(first.address, connect).await;
         let mut exchange = opened.map_err(|failure| {
@@ -268,7 +268,7 @@
         let request = request.map_err(|error| attempt::Miss::Unsent(error.to_string()))?;
         self.log_dispatch(&placement, work_id.number);
         if let Some(desk) = self.state.desk(&self.service) {
-            state::lock(&desk).budget.first_attempt();
+            state::lock(&desk).budget.record_first_attempt();
         }
         let sent = self.state.clock.now();
         let answer = {
@@ -308,10 +308,10 @@
             let ticket = reserved.and_then(|held| held.on(&helper.entry.upstream));
             engine::helper(helper.entry.address, ticket)
         };
-        let own = reserved.and_then(|held| held.on(&placement.first.upstream));
-        let own = own.map(|ticket| engine::helper(placement.first.address, Some(ticket)));
+        let own = reserved.and_then(|held| held.on(&placement.primary.upstream));
+        let own = own.map(|ticket| engine::helper(placement.primary.address, Some(ticket)));
         let dispatch = head::Dispatch {
-            upstream: placement.first.upstream.clone(),
+            upstream: placement.primary.upstream.clone(),
             customer: self.customer.clone(),
             time_left: self.left(),
             rank: self.rank(),
@@ -416,7 +416,8 @@
 
     /// The engine at `address`, which failed to help `first`; it is passed over for a while.
     fn blame(&self, first: &id::Upstream, address: net::SocketAddr) -> Option<id::Upstream> {
-        let helper = self.state.with_board(&self.service, |board, _| board.at(address).cloned());
+        let helper =
+            self.state.with_board(&self.service, |board, _| board.upstream_at(address).cloned());
         let helper = helper.flatten().filter(|helper| helper != first)?;
         self.state.saw(&self.service, word::Seen::unhelped(first, &helper));
         Some(helper)
@@ -432,14 +433,17 @@
         event::Line::new("dispatch")
             .text("request", &self.request.call.request_id)
             .text("route", &self.route.name)
-            .text("upstream", &placement.first.upstream)
+            .text("upstream", &placement.primary.upstream)
             .number("dispatch", number)
             .number("prompt_tokens", self.request.call.prompt_tokens.unwrap_or(0))
             .text("helpers", helpers.join(" "))
             .span("expected_ms", placement.expected)
             .span("left_ms", self.left())
-            .text("believed", placement.belief)
-            .text("believed_next", placement.next.map(|next| next.to_string()).unwrap_or_default())
+            .text("believed", placement.estimate)
+            .text(
+                "believed_next",
+                placement.runner_up.map(|next| next.to_string()).unwrap_or_default(),
+            )
             .info();
     }
 
--- a/crates/lagoon-gateway/src/mesh.rs
+++ b/crates/lagoon-gateway/src/mesh.rs
@@ -274,7 +274,7 @@
 /// Takes in a word of the life `from`, and tells other zones of it where `relays` says so.
 fn take_word(state: &state::State, from: u64, word: word::Word, relays: bool) {
     let service = id::Service::from(word.service.as_str());
-    let id = placement::WorkId { host: word.host.unwrap_or(from), number: word.number };
+    let id = placement::DispatchId { host: word.host.unwrap_or(from), number: word.number };
     let is_own = word.host.is_none();
     let Some(what) = word.what else {
         // A later build's word.
@@ -290,9 +290,9 @@
         _ => {}
     }
     let told = state.with_board(&service, |board, now| match what {
-        word::What::Sent(sent) => board.begin(sent.work(id, now), now),
-        word::What::First(_) => board.first_token(id, now),
-        word::What::Ended(_) => board.end(id, now),
+        word::What::Sent(sent) => board.record_dispatch(sent.work(id, now), now),
+        word::What::First(_) => board.record_first_token(id, now),
+        word::What::Ended(_) => board.record_end(id, now),
         word::What::Reported(report) => {
             let upstream = id::Upstream::from(report.upstream);
             board.set_slowness(&upstream, report.slowness, now);
--- a/crates/lagoon-gateway/src/place.rs
+++ b/crates/lagoon-gateway/src/place.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(crate) struct Secured {
     pub(crate) placement: placement::Placement,
-    pub(crate) id: placement::WorkId,
+    pub(crate) id: placement::DispatchId,
     pub(crate) underway: underway::Underway,
 }
 
@@ -127,10 +127,10 @@
     async fn reserve(
         &self,
         placement: &placement::Placement,
-        id: placement::WorkId,
+        id: placement::DispatchId,
     ) -> Result<Option<reserve::Held>, reserve::Refusal> {
         let helpers = placement.helpers.iter().map(|helper| (&helper.entry, helper.reserve));
-        let wanted: Vec<_> = std::iter::once((&placement.first, placement.reserve))
+        let wanted: Vec<_> = std::iter::once((&placement.primary, placement.reserve))
             .chain(helpers)
             .filter(|(_, tokens)| *tokens > 0)
             .map(|(entry, tokens)| (entry.clone(), tokens))
@@ -139,7 +139,7 @@
             return Ok(None);
         }
         let name = format!("{:x}-{}", self.state.number, id.number);
-        let (first, expected) = (&placement.first, placement.expected);
+        let (first, expected) = (&placement.primary, placement.expected);
         reserve::take(&self.state, &name, first, &wanted, expected).await.map(Some)
     }
 
@@ -150,19 +150,19 @@
         avoid: &[id::Upstream],
         waited: clock::Span,
         due: clock::Moment,
-        turn: placement::WorkId,
+        turn: placement::DispatchId,
     ) -> schedule::Decided {
         let now = self.state.clock.now();
-        let demand = placement::Demand {
-            prompt: self.request.call.prompt_tokens.unwrap_or(0),
-            answer: self.request.call.answer_tokens.unwrap_or(0),
+        let demand = placement::Request {
+            prompt_tokens: self.request.call.prompt_tokens.unwrap_or(0),
+            answer_tokens: self.request.call.answer_tokens.unwrap_or(0),
             target: due.since(now),
-            gap: self.gap(),
+            max_gap: self.gap(),
             waited,
-            turn,
+            waiter: turn,
             zone: &self.state.settings.node.zone,
             avoid,
-            draw: rand::rng().random(),
+            random: rand::rng().random(),
         };
         let asked = schedule::ask(&self.state, &self.service, &demand, self.left()).await;
         if let Some(decided) = asked {
--- a/crates/lagoon-gateway/src/question.rs
+++ b/crates/lagoon-gateway/src/question.rs
@@ -48,20 +48,20 @@
     pub(crate) fn new(
         number: u64,
         service: &id::Service,
-        demand: &placement::Demand<'_>,
+        demand: &placement::Request<'_>,
         left: clock::Span,
     ) -> Question {
         Question {
             number,
             service: service.to_string(),
-            prompt: demand.prompt,
-            answer: demand.answer,
+            prompt: demand.prompt_tokens,
+            answer: demand.answer_tokens,
             target_ms: word::millis(demand.target),
-            gap_ms: word::millis(demand.gap),
+            gap_ms: word::millis(demand.max_gap),
             waited_ms: word::millis(demand.waited),
             left_ms: word::millis(left),
             avoid: demand.avoid.iter().map(ToString::to_string).collect(),
-            turn: demand.turn.number,
+            turn: demand.waiter.number,
         }
     }
 
@@ -72,29 +72,29 @@
         zone: &'a id::Zone,
         avoid: &'a [id::Upstream],
         draw: u64,
-    ) -> placement::Demand<'a> {
-        placement::Demand {
-            prompt: self.prompt,
-            answer: self.answer,
+    ) -> placement::Request<'a> {
+        placement::Request {
+            prompt_tokens: self.prompt,
+            answer_tokens: self.answer,
             target: word::span(self.target_ms),
-            gap: word::span(self.gap_ms),
+            max_gap: word::span(self.gap_ms),
             waited: word::span(self.waited_ms),
-            turn: placement::WorkId { host: asking, number: self.turn },
+            waiter: placement::DispatchId { host: asking, number: self.turn },
             zone,
             avoid,
-            draw,
+            random: draw,
         }
     }
 
     /// What is under way once it is placed as `placed` at `now`.
     pub(crate) fn work(
         &self,
-        id: placement::WorkId,
+        id: placement::DispatchId,
         placed: &placement::Placement,
         now: clock::Moment,
-    ) -> placement::Work {
+    ) -> placement::Dispatch {
         let left = word::span(self.left_ms);
-        placement::Work::new(id, placed, self.prompt, word::span(self.gap_ms), now + left)
+        placement::Dispatch::new(id, placed, self.prompt, word::span(self.gap_ms), now + left)
     }
 }
 
@@ -199,10 +199,10 @@
 impl From<placement::Shortage> for Shortage {
     fn from(shortage: placement::Shortage) -> Shortage {
         match shortage {
-            placement::Shortage::Place => Shortage::Place,
+            placement::Shortage::Slot => Shortage::Place,
             placement::Shortage::Memory => Shortage::Memory,
-            placement::Shortage::Reading => Shortage::Reading,
-            placement::Shortage::Pause => Shortage::Pause,
+            placement::Shortage::Prefill => Shortage::Reading,
+            placement::Shortage::Gap => Shortage::Pause,
         }
     }
 }
@@ -210,10 +210,10 @@
 impl From<Shortage> for placement::Shortage {
     fn from(shortage: Shortage) -> placement::Shortage {
         match shortage {
-            Shortage::Place => placement::Shortage::Place,
+            Shortage::Place => placement::Shortage::Slot,
             Shortage::Memory => placement::Shortage::Memory,
-            Shortage::Reading => placement::Shortage::Reading,
-            Shortage::Pause => placement::Shortage::Pause,
+            Shortage::Reading => placement::Shortage::Prefill,
+            Shortage::Pause => placement::Shortage::Gap,
         }
     }
 }
@@ -268,17 +268,17 @@
             upstream: helper.entry.upstream.to_string(),
             reserve: helper.reserve,
         };
-        let belief = &placement.belief;
+        let belief = &placement.estimate;
         Placed {
-            first: placement.first.upstream.to_string(),
+            first: placement.primary.upstream.to_string(),
             reserve: placement.reserve,
             helpers: placement.helpers.iter().map(helper).collect(),
             expected_ms: word::millis(placement.expected),
             belief: Some(Belief {
-                reading_ms: belief.reading_ms,
-                writers: belief.writers,
-                places: u32::try_from(belief.places).unwrap_or(u32::MAX),
-                heard_ms: word::millis(belief.heard),
+                reading_ms: belief.prefill_ms,
+                writers: belief.decoding,
+                places: u32::try_from(belief.used_slots).unwrap_or(u32::MAX),
+                heard_ms: word::millis(belief.silence),
             }),
         }
     }
@@ -287,25 +287,25 @@
 impl Placed {
     /// The placement, by what `board` knows of the upstreams; `None` where it does not know one or
     /// knows that one is leaving: the list of the host that decided differs from this host's.
-    pub(crate) fn placement(&self, board: &placement::Board) -> Option<placement::Placement> {
+    pub(crate) fn placement(&self, board: &placement::Placer) -> Option<placement::Placement> {
         let entry = |name: &str| board.entry(name).filter(|entry| !entry.leaving).cloned();
         let helper = |helper: &Helper| {
             let entry = entry(&helper.upstream)?;
             Some(placement::Helper { entry, reserve: helper.reserve })
         };
-        let belief = self.belief.as_ref().map(|belief| placement::Belief {
-            reading_ms: belief.reading_ms,
-            writers: belief.writers,
-            places: belief.places as usize,
-            heard: word::span(belief.heard_ms),
+        let belief = self.belief.as_ref().map(|belief| placement::Estimate {
+            prefill_ms: belief.reading_ms,
+            decoding: belief.writers,
+            used_slots: belief.places as usize,
+            silence: word::span(belief.heard_ms),
         });
         Some(placement::Placement {
-            first: entry(&self.first)?,
+            primary: entry(&self.first)?,
             reserve: self.reserve,
             helpers: self.helpers.iter().map(helper).collect::<Option<_>>()?,
             expected: word::span(self.expected_ms),
-            belief: belief.unwrap_or_default(),
-            next: None,
+            estimate: belief.unwrap_or_default(),
+            runner_up: None,
         })
     }
 }
--- a/crates/lagoon-gateway/src/schedule.rs
+++ b/crates/lagoon-gateway/src/schedule.rs
@@ -67,7 +67,7 @@
 /// What was decided for a dispatch, and by whom.
 #[derive(Debug)]
 pub(crate) struct Decided {
-    pub(crate) id: placement::WorkId,
+    pub(crate) id: placement::DispatchId,
     pub(crate) decider: underway::Decider,
     pub(crate) result: Result<placement::Placement, placement::Refusal>,
 }
@@ -77,7 +77,7 @@
 pub(crate) async fn ask(
     state: &state::State,
     service: &id::Service,
-    demand: &placement::Demand<'_>,
+    demand: &placement::Request<'_>,
     left: clock::Span,
 ) -> Option<Decided> {
     for _ in 0..ASKED {
@@ -146,12 +146,12 @@
     let avoid: Vec<_> =
         question.avoid.iter().map(|name| id::Upstream::from(name.as_str())).collect();
     let demand = question.demand(asking, &state.settings.node.zone, &avoid, rand::rng().random());
-    let id = placement::WorkId { host: asking, number: question.number };
+    let id = placement::DispatchId { host: asking, number: question.number };
     let decided = state.with_board(&service, |board, now| {
         let placed = board.place(&demand, now)?;
         let work = question.work(id, &placed, now);
         let sent = word::Sent::new(&work, now);
-        board.begin(work, now);
+        board.record_dispatch(work, now);
         Ok::<_, placement::Refusal>((question::Placed::from(&placed), sent))
     })?;
     Some(match decided {
--- a/crates/lagoon-gateway/src/silence.rs
+++ b/crates/lagoon-gateway/src/silence.rs
@@ -20,25 +20,25 @@
     /// Whether another attempt is within the budget.
     pub(crate) fn has_repeat(&self) -> bool {
         let desk = self.state.desk(&self.service);
-        desk.is_some_and(|desk| state::lock(&desk).budget.has_one())
+        desk.is_some_and(|desk| state::lock(&desk).budget.has_retry())
     }
 
     /// Whether something came of an upstream of late: one that is silent to this request only may
     /// be busy.
     pub(crate) fn is_alive(&self, upstream: &id::Upstream) -> bool {
-        let alive = |board: &mut placement::Board, now| board.is_alive(upstream, ALIVE, now);
+        let alive = |board: &mut placement::Placer, now| board.is_alive(upstream, ALIVE, now);
         self.state.with_board(&self.service, alive).unwrap_or(false)
     }
 
     /// Whether an upstream failed another request and nothing has come of it since.
     pub(crate) fn is_lost(&self, upstream: &id::Upstream) -> bool {
-        let lost = |board: &mut placement::Board, _| board.is_lost(upstream);
+        let lost = |board: &mut placement::Placer, _| board.is_unresponsive(upstream);
         self.state.with_board(&self.service, lost).unwrap_or(false)
     }
 
     /// Whether the upstream has begun a later answer than that of the dispatch `id`.
-    fn is_overtaken(&self, id: placement::WorkId) -> bool {
-        let overtaken = |board: &mut placement::Board, _| board.is_overtaken(id);
+    fn is_overtaken(&self, id: placement::DispatchId) -> bool {
+        let overtaken = |board: &mut placement::Placer, _| board.is_overtaken(id);
         self.state.with_board(&self.service, overtaken).unwrap_or(false)
     }
 
@@ -48,10 +48,10 @@
     pub(crate) fn give_up_after(
         &self,
         placement: &placement::Placement,
-        id: placement::WorkId,
+        id: placement::DispatchId,
         silent: clock::Span,
     ) -> Option<&'static str> {
-        let upstream = &placement.first.upstream;
+        let upstream = &placement.primary.upstream;
         let patience = self.patience(placement.expected);
         if silent < placement.expected + PATIENCE {
             None
--- a/crates/lagoon-gateway/src/state.rs
+++ b/crates/lagoon-gateway/src/state.rs
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(crate) struct Desk {
     /// What is under way on its upstreams.
-    pub(crate) board: placement::Board,
+    pub(crate) board: placement::Placer,
     /// Repeats that are left.
     pub(crate) budget: retry::Budget,
 }
@@ -280,7 +280,7 @@
     /// Tells the board of a service what happened, at this moment; a service that is gone has none.
     pub(crate) fn with_board<Act, Told>(&self, service: &id::Service, act: Act) -> Option<Told>
     where
-        Act: FnOnce(&mut placement::Board, clock::Moment) -> Told,
+        Act: FnOnce(&mut placement::Placer, clock::Moment) -> Told,
     {
         let desk = self.desk(service)?;
         let mut desk = lock(&desk);
@@ -322,9 +322,9 @@
         let known = self.desks.load_full();
         let mut desks = Desks::default();
         for (service, entries) in by_service {
-            let pace = table.service(&service).and_then(|service| service.pace);
+            let profile = table.service(&service).and_then(|service| service.profile);
             let desk = known.get(&service).cloned().unwrap_or_else(|| self.new_desk());
-            lock(&desk).board.set_upstreams(&entries, pace);
+            lock(&desk).board.set_upstreams(&entries, profile);
             desks.insert(service, desk);
         }
         self.desks.store(sync::Arc::new(desks));
@@ -335,12 +335,12 @@
 
     fn new_desk(&self) -> sync::Arc<sync::Mutex<Desk>> {
         let mut board =
-            placement::Board::new(self.settings.tuning.placement, self.settings.node.zone.clone());
+            placement::Placer::new(self.settings.tuning.placement, self.settings.node.zone.clone());
         let mut budget = retry::Budget::default();
         let hosts = self.hosts.load(atomic::Ordering::Relaxed);
-        budget.allow_ratio(self.settings.node.bounds.retry_ratio);
-        budget.share_slack(self.settings.node.bounds.retry_slack, hosts);
-        board.set_deciders(self.deciders.load(atomic::Ordering::Relaxed));
+        budget.set_ratio(self.settings.node.bounds.retry_ratio);
+        budget.set_slack(self.settings.node.bounds.retry_slack, hosts);
+        board.set_placing_hosts(self.deciders.load(atomic::Ordering::Relaxed));
         sync::Arc::new(sync::Mutex::new(Desk { board, budget }))
     }
 
@@ -355,15 +355,15 @@
         let slack = self.settings.node.bounds.retry_slack;
         for desk in self.desks.load().values() {
             let mut desk = lock(desk);
-            desk.budget.share_slack(slack, hosts);
-            desk.board.set_deciders(deciders);
+            desk.budget.set_slack(slack, hosts);
+            desk.board.set_placing_hosts(deciders);
         }
     }
 
     /// The id of a new dispatch.
-    pub(crate) fn next_work(&self) -> placement::WorkId {
+    pub(crate) fn next_work(&self) -> placement::DispatchId {
         let number = self.dispatches.fetch_add(1, atomic::Ordering::Relaxed);
-        placement::WorkId { host: self.number, number }
+        placement::DispatchId { host: self.number, number }
     }
 
     /// Whether the process knows as much as `knowledge`.
--- a/crates/lagoon-gateway/src/stream.rs
+++ b/crates/lagoon-gateway/src/stream.rs
@@ -228,7 +228,7 @@
                     return None;
                 }
             };
-            let upstream = secured.placement.first.upstream.clone();
+            let upstream = secured.placement.primary.upstream.clone();
             let taken =
                 match self.admitted.attempt(secured, self.last_event, self.upstreams + 1).await {
                     Ok(live) => self.admitted.take_answer(live, avoid.len()).await,
--- a/crates/lagoon-gateway/src/told.rs
+++ b/crates/lagoon-gateway/src/told.rs
@@ -44,7 +44,7 @@
         let now = self.clock.now();
         let mut words = Vec::new();
         for (service, desk) in self.desks.load().iter() {
-            for (work, read) in state::lock(desk).board.under_way(&wanted) {
+            for (work, read) in state::lock(desk).board.in_flight(&wanted) {
                 let mut say = |what| words.push(word::Word::about(work.id, service, what));
                 say(word::What::Sent(word::Sent::new(work, now)));
                 if read {
@@ -60,7 +60,7 @@
         let mut numbers: collections::HashMap<u64, Vec<u64>> =
             lives.iter().map(|life| (*life, Vec::new())).collect();
         for desk in self.desks.load().values() {
-            for (work, _) in state::lock(desk).board.under_way(|host| lives.contains(&host)) {
+            for (work, _) in state::lock(desk).board.in_flight(|host| lives.contains(&host)) {
                 numbers.entry(work.id.host).or_default().push(work.id.number);
             }
         }
@@ -144,7 +144,7 @@
             && peers.lives_in(&self.settings.node.zone).contains(&life);
         drop(peers);
         for (service, desk) in self.desks.load().iter() {
-            let over = state::lock(desk).board.keep_only(life, numbers, now.before(span), now);
+            let over = state::lock(desk).board.retain_listed(life, numbers, now.before(span), now);
             for id in over.into_iter().filter(|_| tells) {
                 let ended = word::What::Ended(word::Nothing {});
                 self.say(word::Word::about(id, service, ended), mesh::Reach::Far);
@@ -162,7 +162,7 @@
     }
 
     /// A dispatch of this host will not be made, or is over.
-    pub(crate) fn say_ended(&self, service: &id::Service, id: placement::WorkId) {
+    pub(crate) fn say_ended(&self, service: &id::Service, id: placement::DispatchId) {
         self.tell(word::Word::new(id.number, service, word::What::Ended(word::Nothing {})));
     }
 
--- a/crates/lagoon-gateway/src/underway.rs
+++ b/crates/lagoon-gateway/src/underway.rs
@@ -26,7 +26,7 @@
 pub(crate) struct Underway {
     state: sync::Arc<state::State>,
     service: id::Service,
-    id: placement::WorkId,
+    id: placement::DispatchId,
     read: bool,
     /// Released when the dispatch ends.
     reserved: Option<reserve::Held>,
@@ -46,16 +46,16 @@
     /// The dispatch `id` begins, placed as `placement` by `decider`.
     pub(crate) fn begin(
         admitted: &forward::Admitted,
-        id: placement::WorkId,
+        id: placement::DispatchId,
         placement: &placement::Placement,
         decider: Decider,
     ) -> Underway {
         let now = admitted.state.clock.now();
         let prompt = admitted.request.call.prompt_tokens.unwrap_or(0);
         let until = admitted.deadline;
-        let work = placement::Work::new(id, placement, prompt, admitted.gap(), until);
+        let work = placement::Dispatch::new(id, placement, prompt, admitted.gap(), until);
         let sent = word::Sent::new(&work, now);
-        admitted.state.with_board(&admitted.service, |board, _| board.begin(work, now));
+        admitted.state.with_board(&admitted.service, |board, _| board.record_dispatch(work, now));
         let underway = Underway {
             state: admitted.state.clone(),
             service: admitted.service.clone(),
@@ -75,7 +75,7 @@
         if std::mem::replace(&mut self.read, true) {
             return;
         }
-        self.state.with_board(&self.service, |board, now| board.first_token(self.id, now));
+        self.state.with_board(&self.service, |board, now| board.record_first_token(self.id, now));
         self.tell(word::What::First(word::Nothing {}));
     }
 
@@ -93,7 +93,7 @@
 
 impl Drop for Underway {
     fn drop(&mut self) {
-        self.state.with_board(&self.service, |board, now| board.end(self.id, now));
+        self.state.with_board(&self.service, |board, now| board.record_end(self.id, now));
         self.tell(word::What::Ended(word::Nothing {}));
     }
 }
--- a/crates/lagoon-gateway/src/word.rs
+++ b/crates/lagoon-gateway/src/word.rs
@@ -94,7 +94,7 @@
     }
 
     /// What happened to a dispatch of any host.
-    pub(crate) fn about(id: placement::WorkId, service: &id::Service, what: What) -> Word {
+    pub(crate) fn about(id: placement::DispatchId, service: &id::Service, what: What) -> Word {
         Word { host: Some(id.host), ..Word::new(id.number, service, what) }
     }
 }
@@ -179,15 +179,15 @@
     }
 
     /// Lets `board` know.
-    pub(crate) fn note(&self, board: &mut placement::Board, now: clock::Moment) {
+    pub(crate) fn note(&self, board: &mut placement::Placer, now: clock::Moment) {
         let upstream = id::Upstream::from(self.upstream.as_str());
         match (self.manner(), &self.from) {
-            (Manner::Answered, _) => board.answered(&upstream, now),
-            (Manner::Erred, _) => board.erred(&upstream, now),
-            (Manner::Full, _) => board.full(&upstream, now),
-            (Manner::Failed, None) => board.suspect(&upstream, now),
+            (Manner::Answered, _) => board.record_success(&upstream, now),
+            (Manner::Erred, _) => board.record_error(&upstream, now),
+            (Manner::Full, _) => board.mark_full(&upstream, now),
+            (Manner::Failed, None) => board.record_unreachable(&upstream, now),
             (Manner::Failed, Some(from)) => {
-                board.helper_failed(&id::Upstream::from(from.as_str()), &upstream, now);
+                board.record_helper_failure(&id::Upstream::from(from.as_str()), &upstream, now);
             }
         }
     }
@@ -232,27 +232,27 @@
 
 impl Sent {
     /// What is told of `work` at `now`.
-    pub(crate) fn new(work: &placement::Work, now: clock::Moment) -> Sent {
+    pub(crate) fn new(work: &placement::Dispatch, now: clock::Moment) -> Sent {
         Sent {
-            first: work.first.to_string(),
+            first: work.primary.to_string(),
             helpers: work.helpers.iter().map(ToString::to_string).collect(),
-            held: work.held.clone(),
-            prompt: work.prompt,
-            gap_ms: millis(work.gap),
-            left_ms: millis(work.until.since(now)),
+            held: work.helper_reserves.clone(),
+            prompt: work.prompt_tokens,
+            gap_ms: millis(work.max_gap),
+            left_ms: millis(work.deadline.since(now)),
         }
     }
 
     /// The work that was told of, heard at `now`.
-    pub(crate) fn work(self, id: placement::WorkId, now: clock::Moment) -> placement::Work {
-        placement::Work {
+    pub(crate) fn work(self, id: placement::DispatchId, now: clock::Moment) -> placement::Dispatch {
+        placement::Dispatch {
             id,
-            first: id::Upstream::from(self.first),
+            primary: id::Upstream::from(self.first),
             helpers: self.helpers.into_iter().map(id::Upstream::from).collect(),
-            prompt: self.prompt,
-            held: self.held,
-            gap: span(self.gap_ms),
-            until: now + span(self.left_ms),
+            prompt_tokens: self.prompt,
+            helper_reserves: self.held,
+            max_gap: span(self.gap_ms),
+            deadline: now + span(self.left_ms),
         }
     }
 }
--- a/crates/lagoon-load/src/bench/world/mod.rs
+++ b/crates/lagoon-load/src/bench/world/mod.rs
@@ -167,16 +167,16 @@
                 self.poll(host);
             }
             Event::Spending => self.spending(),
-            Event::Heard { host, spends } => self.limits[host].heard(self.now, &spends),
+            Event::Heard { host, spends } => self.limits[host].apply_report(self.now, &spends),
             Event::Begin => self.begin(),
             Event::Finish => self.finish_fault(),
         }
     }
 
-    fn ask(&self, index: usize) -> load::Ask {
+    fn ask(&self, index: usize) -> load::Request {
         let arrival = &self.arrivals[index];
         let customer = format!("c{}", arrival.customer);
-        load::Ask {
+        load::Request {
             customer: id::Customer::from(customer),
             team: id::Team::from("t"),
             weight: 1,
@@ -326,7 +326,7 @@
             self.hosts[host].finish(self.now, ticket, ending);
             self.refused(index, lagoonline::outcome::Reason::UpstreamFailed);
         } else {
-            let verdict = self.hosts[host].again(self.now, ticket, ending, ask);
+            let verdict = self.hosts[host].retry(self.now, ticket, ending, ask);
             self.verdict(index, verdict);
         }
         self.poll(host);
--- a/crates/lagoon-net/src/entry/desk.rs
+++ b/crates/lagoon-net/src/entry/desk.rs
@@ -45,7 +45,7 @@
         sync::Arc::new(Desk { clock, shard, waiting, changed: async_sync::Notify::new() })
     }
 
-    pub(crate) fn offer(self: &sync::Arc<Self>, ask: load::Ask) -> Offer {
+    pub(crate) fn offer(self: &sync::Arc<Self>, ask: load::Request) -> Offer {
         let mut scheduler = load::lock(&self.shard);
         let verdict = scheduler.offer(self.clock.now(), ask);
         self.settle(scheduler, verdict)
@@ -120,7 +120,7 @@
 
     /// An engine counted `tokens` tokens in a prompt of `bytes` bytes.
     pub(crate) fn counted(&self, bytes: usize, tokens: u64) {
-        load::lock(&self.shard).counted(bytes as u64, tokens);
+        load::lock(&self.shard).record_token_count(bytes as u64, tokens);
     }
 
     pub(crate) fn waiters(&self) -> usize {
@@ -179,13 +179,13 @@
 
     /// Longest silence before the first token and between tokens.
     pub(crate) fn silence(&self) -> (clock::Span, clock::Span) {
-        let usual = load::silence::between(0.0);
+        let usual = load::silence::between_tokens(0.0);
         self.placement.as_ref().map_or((usual, usual), |known| (known.silence, known.gap))
     }
 
     /// Whether another upstream could take the request over from a silent one; never for a place
     /// that was given back.
-    pub(crate) fn is_better_elsewhere(&self, ask: &load::Ask) -> bool {
+    pub(crate) fn is_better_elsewhere(&self, ask: &load::Request) -> bool {
         self.placement.as_ref().is_some_and(|placement| {
             let now = self.desk.clock.now();
             load::lock(&self.desk.shard).is_better_elsewhere(now, placement.ticket, ask)
@@ -216,12 +216,12 @@
     }
 
     /// Ends this attempt and asks for another place.
-    pub(crate) fn again(mut self, ending: load::Ending, ask: load::Ask) -> Offer {
+    pub(crate) fn again(mut self, ending: load::Ending, ask: load::Request) -> Offer {
         let Some(placement) = self.placement.take() else { return self.desk.offer(ask) };
         let desk = self.desk.clone();
         let offer = {
             let mut scheduler = load::lock(&desk.shard);
-            let verdict = scheduler.again(desk.clock.now(), placement.ticket, ending, ask);
+            let verdict = scheduler.retry(desk.clock.now(), placement.ticket, ending, ask);
             desk.settle(scheduler, verdict)
         };
         desk.turn();
@@ -259,7 +259,7 @@
     fn drop(&mut self) {
         let mut scheduler = load::lock(&self.desk.shard);
         if self.desk.waiting().remove(&self.waiter).is_some() {
-            scheduler.leave(self.waiter);
+            scheduler.cancel(self.waiter);
         }
     }
 }
--- a/crates/lagoon-net/src/entry/link/mod.rs
+++ b/crates/lagoon-net/src/entry/link/mod.rs
@@ -136,7 +136,7 @@
             in_force: state.view().fleet.versions.clone(),
         });
         state.link.flush_loads(&handle);
-        let spends = state.limits().report();
+        let spends = state.limits().take_report();
         if !spends.is_empty() || ticks % QUIET_TICKS == 0 {
             sequence += 1;
             handle.spending(spending(&state, &spends, sequence));
@@ -203,7 +203,7 @@
                     tokens: line.tokens,
                 };
                 let spends: Vec<_> = spending.lines.iter().map(spend).collect();
-                state.limits().heard(state.clock.now(), &spends);
+                state.limits().apply_report(state.clock.now(), &spends);
             }
         }
     }
--- a/crates/lagoon-net/src/entry/metrics.rs
+++ b/crates/lagoon-net/src/entry/metrics.rs
@@ -282,9 +282,9 @@
 
     /// The first token of a short prompt came after `span`, from an engine that prefills `rate`
     /// tokens a second.
-    pub(crate) fn short_slowdown(&self, ask: &load::Ask, span: clock::Span, rate: f64) {
+    pub(crate) fn short_slowdown(&self, ask: &load::Request, span: clock::Span, rate: f64) {
         let mut baseline = self.baseline.lock().unwrap_or_else(sync::PoisonError::into_inner);
-        let ratio = baseline.ratio(span, ask.prompt_tokens, rate);
+        let ratio = baseline.record(span, ask.prompt_tokens, rate);
         drop(baseline);
         let labels = ModelLabels { model: ask.model.to_string() };
         self.short_slowdown.get_or_create(&labels).observe(ratio);
--- a/crates/lagoon-net/src/entry/model.rs
+++ b/crates/lagoon-net/src/entry/model.rs
@@ -49,7 +49,7 @@
     let customer = job.call.customer();
     let rate = job.call.rate();
     let tokens = job.ask.prompt_tokens + job.ask.answer_tokens;
-    state.limits().take(state.clock.now(), &customer.name, rate, tokens)?;
+    state.limits().admit(state.clock.now(), &customer.name, rate, tokens)?;
     let (claim, from) = (new_claim(worker, request, &job), job.call.from);
     let mut pull = pull::Pull::new(worker.clone(), job, claim, from);
     let replay = pull.start().await?;
@@ -141,7 +141,7 @@
         return Err(fault.with_detail(detail));
     }
     let prefixes = prompt.prefixes.iter().map(|(hash, bytes)| (*hash, tokens(*bytes)));
-    let ask = load::Ask {
+    let ask = load::Request {
         customer: customer.name.clone(),
         team: customer.team.clone(),
         weight: customer.entry.weight,
--- a/crates/lagoon-net/src/entry/pull/mod.rs
+++ b/crates/lagoon-net/src/entry/pull/mod.rs
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) call: call::Call,
-    pub(crate) ask: load::Ask,
+    pub(crate) ask: load::Request,
     /// Bytes of the prompt, of which its tokens were estimated.
     pub(crate) prompt_bytes: usize,
     pub(crate) desk: std::sync::Arc<desk::Desk>,
--- a/crates/lagoon-net/src/entry/replica.rs
+++ b/crates/lagoon-net/src/entry/replica.rs
@@ -101,12 +101,12 @@
 impl Slot {
     /// It answered, whatever it said.
     pub(crate) fn answered(&self) {
-        self.replica.health().succeeded();
+        self.replica.health().record_success();
     }
 
     /// No answer came, though the caller did its part.
     pub(crate) fn failed(&self, now: clock::Moment) {
-        self.replica.health().failed(now, self.out, self.all, self.far);
+        self.replica.health().record_failure(now, self.out, self.all, self.far);
     }
 }
 
@@ -114,7 +114,7 @@
     fn drop(&mut self) {
         // A call that tried an open circuit and ended without a word, as when its caller left,
         // must not leave it as being tried for ever. After a word this changes nothing.
-        self.replica.health().untold(clock::Moment::START);
+        self.replica.health().record_inconclusive(clock::Moment::START);
         self.replica.give_back();
         self.lobby.freed.notify_one();
     }
@@ -201,7 +201,7 @@
             }
         }
         let (far, _, replica, upstream) = best.ok_or(shortage)?;
-        replica.health().sent();
+        replica.health().record_sent();
         Ok(Slot {
             far,
             all,
--- a/crates/lagoon-net/src/entry/services.rs
+++ b/crates/lagoon-net/src/entry/services.rs
@@ -67,7 +67,7 @@
     }
     let subject = metrics::Subject::of(KIND, service.as_str(), &call.customer().name);
     request.extensions_mut().insert(subject);
-    state.limits().take(state.clock.now(), &call.customer().name, call.rate(), 0)?;
+    state.limits().admit(state.clock.now(), &call.customer().name, call.rate(), 0)?;
     let method = request.method().as_str();
     let repeats = known.idempotent_methods.iter().any(|known| known == method);
     if let (Some(key), false) = (call.key.clone(), repeats) {
--- a/crates/lagoonline/benches/decision.rs
+++ b/crates/lagoonline/benches/decision.rs
@@ -46,8 +46,8 @@
     scheduler
 }
 
-fn asks(size: &Size) -> Vec<load::Ask> {
-    let ask = |index: usize| load::Ask {
+fn asks(size: &Size) -> Vec<load::Request> {
+    let ask = |index: usize| load::Request {
         customer: id::Customer::from(format!("c{index}")),
         team: id::Team::from(format!("t{}", index % 8)),
         weight: 1,
@@ -88,7 +88,7 @@
                 for _ in 0..count {
                     turn += 1;
                     let now = Moment::from_micros(turn as u64 * 1_000);
-                    let ask = load::Ask { arrived: now, ..asks[turn % asks.len()].clone() };
+                    let ask = load::Request { arrived: now, ..asks[turn % asks.len()].clone() };
                     let start = time::Instant::now();
                     let verdict = hint::black_box(scheduler.offer(now, ask));
                     let took = start.elapsed();
@@ -134,7 +134,7 @@
                     spent += took;
                     singles.0.push(took);
                     if let Verdict::Wait(waiter) = verdict {
-                        scheduler.leave(waiter);
+                        scheduler.cancel(waiter);
                     }
                 }
                 spent
@@ -156,7 +156,7 @@
                 turn += 1;
                 let now = Moment::from_micros(turn as u64 * 100);
                 let customer = &asks[turn % asks.len()].customer;
-                hint::black_box(limits.take(now, customer, rate, 1_000).is_ok())
+                hint::black_box(limits.admit(now, customer, rate, 1_000).is_ok())
             });
         });
     }
--- a/crates/lagoonline/src/load/group/arbiter.rs
+++ b/crates/lagoonline/src/load/group/arbiter.rs
@@ -77,15 +77,15 @@
 
 impl Arbiter {
     /// Adds an engine with this much memory for groups.
-    pub fn join(&mut self, upstream: id::Upstream, tokens: u64) {
+    pub fn add_engine(&mut self, upstream: id::Upstream, tokens: u64) {
         self.engines.entry(upstream).or_insert(Engine { tokens, free: tokens });
     }
 
     /// Removes an engine that failed or leaves, and ends the grants that include it.
-    pub fn lose(&mut self, upstream: &id::Upstream) -> Vec<Notice> {
+    pub fn remove_engine(&mut self, upstream: &id::Upstream) -> Vec<Notice> {
         self.engines.remove(upstream);
-        let part = |grant: &Grant| grant.spans.iter().any(|span| span.upstream == *upstream);
-        let ended = self.grants.iter().filter(|(_, grant)| part(grant));
+        let includes = |grant: &Grant| grant.spans.iter().any(|span| span.upstream == *upstream);
+        let ended = self.grants.iter().filter(|(_, grant)| includes(grant));
         let ended: Vec<Request> = ended.map(|(request, _)| *request).collect();
         for request in &ended {
             self.release(*request);
@@ -99,17 +99,17 @@
     /// use lagoonline::clock::Moment;
     /// use lagoonline::load::group::arbiter::{Arbiter, Notice};
     /// let mut arbiter = Arbiter::default();
-    /// arbiter.join("a".into(), 400);
-    /// arbiter.join("b".into(), 400);
-    /// let first = arbiter.ask(600, Moment::from_millis(1_000));
-    /// let second = arbiter.ask(600, Moment::from_millis(1_000));
+    /// arbiter.add_engine("a".into(), 400);
+    /// arbiter.add_engine("b".into(), 400);
+    /// let first = arbiter.request(600, Moment::from_millis(1_000));
+    /// let second = arbiter.request(600, Moment::from_millis(1_000));
     /// assert!(matches!(&arbiter.poll(Moment::START)[..], [Notice::Granted(request, spans)]
     ///     if *request == first && spans.len() == 2));
     /// arbiter.release(first);
     /// assert!(matches!(&arbiter.poll(Moment::START)[..], [Notice::Granted(request, _)]
     ///     if *request == second));
     /// ```
-    pub fn ask(&mut self, tokens: u64, deadline: clock::Moment) -> Request {
+    pub fn request(&mut self, tokens: u64, deadline: clock::Moment) -> Request {
         self.next += 1;
         let request = Request(self.next);
         self.waiting.push_back(Waiting { request, tokens, deadline });
@@ -143,12 +143,12 @@
         let mut notices = self.expire(now);
         while let Some(front) = self.waiting.front() {
             let (request, tokens) = (front.request, front.tokens);
-            if tokens > group::reach(self.engines.values().map(|engine| engine.tokens)) {
+            if tokens > group::capacity(self.engines.values().map(|engine| engine.tokens)) {
                 self.waiting.pop_front();
                 notices.push(Notice::TooLarge(request));
                 continue;
             }
-            let Some(spans) = self.take(tokens) else { break };
+            let Some(spans) = self.allocate(tokens) else { break };
             self.waiting.pop_front();
             let grant = Grant { spans: spans.clone(), expires: now + LEASE };
             self.grants.insert(request, grant);
@@ -187,7 +187,7 @@
     }
 
     /// Allocates memory on as few engines as can hold it, all or nothing.
-    fn take(&mut self, tokens: u64) -> Option<Vec<Span>> {
+    fn allocate(&mut self, tokens: u64) -> Option<Vec<Span>> {
         let names: Vec<id::Upstream> = self.engines.keys().cloned().collect();
         let free = |index: usize| self.engines[&names[index]].free;
         let plan = group::plan(tokens, names.len(), free)?;
--- a/crates/lagoonline/src/load/group/mod.rs
+++ b/crates/lagoonline/src/load/group/mod.rs
@@ -8,12 +8,12 @@
 
 /// Most engines in one group: a prompt of over twice one engine's memory needs three; more add
 /// links.
-pub const MOST: usize = 8;
+pub const MAX_ENGINES: usize = 8;
 
 /// Engines of a group and the tokens that each holds, in the fleet's order.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Plan {
-    spans: [(usize, u64); MOST],
+    spans: [(usize, u64); MAX_ENGINES],
     length: usize,
 }
 
@@ -28,15 +28,15 @@
 ///
 /// ```
 /// use lagoonline::load::group;
-/// assert_eq!(group::reach([5; 20]), 40);
+/// assert_eq!(group::capacity([5; 20]), 40);
 /// ```
-pub fn reach<I>(sizes: I) -> u64
+pub fn capacity<I>(sizes: I) -> u64
 where
     I: IntoIterator<Item = u64>,
 {
     let mut sizes: Vec<u64> = sizes.into_iter().collect();
     sizes.sort_unstable_by(|a, b| b.cmp(a));
-    sizes.into_iter().take(MOST).sum()
+    sizes.into_iter().take(MAX_ENGINES).sum()
 }
 
 /// The fewest engines whose free memory holds `need` tokens; none if they cannot.
@@ -54,7 +54,7 @@
 {
     let mut plan = Plan::default();
     let mut left = need;
-    while left > 0 && plan.length < MOST {
+    while left > 0 && plan.length < MAX_ENGINES {
         let taken = |engine: &usize| plan.spans().iter().any(|(other, _)| other == engine);
         let rest = (0..engines).filter(|engine| !taken(engine));
         let best = rest.max_by_key(|&engine| (free(engine), engines - engine))?;
--- a/crates/lagoonline/src/load/limit.rs
+++ b/crates/lagoonline/src/load/limit.rs
@@ -28,10 +28,10 @@
 /// Burst size, as time at the limit's rate: two bursts of a page that sends its requests together.
 const BURST_SECONDS: f64 = 2.0;
 /// Time without reports after which a host falls back to its share of the rate.
-const SILENCE: clock::Span = clock::Span::from_secs(3);
+const REPORT_TIMEOUT: clock::Span = clock::Span::from_secs(3);
 /// Largest debt, as time at the limit's rate, so that a late report that arrives all at once does
 /// not lock a customer out for long.
-const DEBT_SECONDS: f64 = 10.0;
+const MAX_DEBT_SECONDS: f64 = 10.0;
 
 /// A customer's limits within one zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -67,13 +67,13 @@
 #[derive(Debug, Default)]
 pub struct Limits {
     hosts: u32,
-    heard: clock::Moment,
+    last_report: clock::Moment,
     buckets: collections::HashMap<id::Customer, Bucket>,
-    kept: usize,
+    cleanup_size: usize,
 }
 
 /// Number of buckets from which on those that are full again are dropped.
-const KEPT: usize = 256;
+const MIN_KEPT: usize = 256;
 
 impl Limits {
     /// Limits at one of `hosts` entry hosts of a zone.
@@ -94,18 +94,18 @@
     /// let mut limits = limit::Limits::new(1);
     /// let rate = limit::Rate { requests: 1.0, tokens: 1e6 };
     /// let customer = Customer::from("clerk");
-    /// let mut ask = || limits.take(Moment::START, &customer, rate, 100);
+    /// let mut ask = || limits.admit(Moment::START, &customer, rate, 100);
     /// assert!(ask().is_ok() && ask().is_ok());
     /// assert_eq!(ask().unwrap_err().reason, Reason::OverLimit);
     /// ```
-    pub fn take(
+    pub fn admit(
         &mut self,
         now: clock::Moment,
         customer: &id::Customer,
         rate: Rate,
         tokens: u64,
     ) -> Result<(), outcome::Failure> {
-        self.forget(now);
+        self.drop_full(now);
         let (hosts, share) = (f64::from(self.hosts), self.share(now));
         let bucket = self.buckets.entry(customer.clone()).or_insert(Bucket {
             rate,
@@ -129,7 +129,7 @@
     }
 
     /// Returns what was admitted here since the last call, to be sent to the other hosts.
-    pub fn report(&mut self) -> Vec<Spend> {
+    pub fn take_report(&mut self) -> Vec<Spend> {
         let mut spends = Vec::new();
         for (customer, bucket) in &mut self.buckets {
             let (requests, tokens) = std::mem::take(&mut bucket.unreported);
@@ -142,29 +142,29 @@
 
     /// Subtracts what other hosts of the zone admitted. An empty report still counts as contact
     /// with them.
-    pub fn heard(&mut self, now: clock::Moment, spends: &[Spend]) {
+    pub fn apply_report(&mut self, now: clock::Moment, spends: &[Spend]) {
         let (hosts, share) = (f64::from(self.hosts), self.share(now));
-        self.heard = now;
+        self.last_report = now;
         for spend in spends {
             let Some(bucket) = self.buckets.get_mut(&spend.customer) else { continue };
             bucket.fill(now, hosts, share);
-            let debt = -DEBT_SECONDS;
+            let min_seconds = -MAX_DEBT_SECONDS;
             let requests = bucket.requests - spend.requests as f64;
-            bucket.requests = requests.max(debt * bucket.rate.requests);
+            bucket.requests = requests.max(min_seconds * bucket.rate.requests);
             let tokens = bucket.tokens - spend.tokens as f64;
-            bucket.tokens = tokens.max(debt * bucket.rate.tokens);
+            bucket.tokens = tokens.max(min_seconds * bucket.rate.tokens);
         }
     }
 
     /// Fraction of the zone's rate at which buckets fill here.
     fn share(&self, now: clock::Moment) -> f64 {
-        let silent = self.hosts > 1 && now.since(self.heard) >= SILENCE;
-        if silent { 1.0 / f64::from(self.hosts) } else { 1.0 }
+        let isolated = self.hosts > 1 && now.since(self.last_report) >= REPORT_TIMEOUT;
+        if isolated { 1.0 / f64::from(self.hosts) } else { 1.0 }
     }
 
     /// Drops full buckets without unreported use, each time the number of buckets has doubled.
-    fn forget(&mut self, now: clock::Moment) {
-        if self.buckets.len() < self.kept.max(KEPT) {
+    fn drop_full(&mut self, now: clock::Moment) {
+        if self.buckets.len() < self.cleanup_size.max(MIN_KEPT) {
             return;
         }
         let (hosts, share) = (f64::from(self.hosts), self.share(now));
@@ -172,17 +172,18 @@
             bucket.fill(now, hosts, share);
             bucket.unreported.0 > 0 || !bucket.is_full(hosts)
         });
-        self.kept = 2 * self.buckets.len();
+        self.cleanup_size = 2 * self.buckets.len();
     }
 }
 
 impl Bucket {
     fn fill(&mut self, now: clock::Moment, hosts: f64, share: f64) {
         let seconds = now.since(self.filled).as_secs_f64() * share;
-        let most = BURST_SECONDS / hosts;
-        let requests = (self.rate.requests * most).max(1.0);
+        let max_seconds = BURST_SECONDS / hosts;
+        let requests = (self.rate.requests * max_seconds).max(1.0);
         self.requests = (self.requests + self.rate.requests * seconds).min(requests);
-        self.tokens = (self.tokens + self.rate.tokens * seconds).min(self.rate.tokens * most);
+        self.tokens =
+            (self.tokens + self.rate.tokens * seconds).min(self.rate.tokens * max_seconds);
         self.filled = now;
     }
 
--- a/crates/lagoonline/src/load/outlier.rs
+++ b/crates/lagoonline/src/load/outlier.rs
@@ -12,13 +12,13 @@
 use crate::clock;
 
 /// Consecutive failures that open the circuit.
-const FAILURES: u32 = 3;
+const MAX_FAILURES: u32 = 3;
 /// How long a circuit stays open the first time, in seconds.
-const FIRST_SPAN: u64 = 1;
+const FIRST_OPEN_SECONDS: u64 = 1;
 /// How long a circuit stays open at most, in seconds.
-const LONGEST_SPAN: u64 = 30;
+const MAX_OPEN_SECONDS: u64 = 30;
 /// One in this many upstreams may be out at once; at least one always may.
-const CAP: usize = 3;
+const MAX_OUT_DIVISOR: usize = 3;
 
 /// Whether requests may be sent to an upstream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -29,7 +29,7 @@
     /// No requests before this moment.
     Open(clock::Moment),
     /// One probe request is in flight.
-    Trying,
+    Probing,
 }
 
 /// Health of one upstream, by the results of its requests.
@@ -37,7 +37,7 @@
 pub struct Health {
     circuit: Circuit,
     failures: u32,
-    opened: u32,
+    open_count: u32,
 }
 
 impl Health {
@@ -46,7 +46,7 @@
         match self.circuit {
             Circuit::Closed => true,
             Circuit::Open(until) => until <= now,
-            Circuit::Trying => false,
+            Circuit::Probing => false,
         }
     }
 
@@ -56,21 +56,21 @@
     }
 
     /// Records that a request is sent to it.
-    pub fn sent(&mut self) {
+    pub fn record_sent(&mut self) {
         if self.is_out() {
-            self.circuit = Circuit::Trying;
+            self.circuit = Circuit::Probing;
         }
     }
 
     /// Records a successful answer, which closes the circuit.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Health::default();
     }
 
     /// Records the end of a request that shows nothing about the upstream; a probe may be repeated
     /// at once.
-    pub fn untold(&mut self, now: clock::Moment) {
-        if self.circuit == Circuit::Trying {
+    pub fn record_inconclusive(&mut self, now: clock::Moment) {
+        if self.circuit == Circuit::Probing {
             self.circuit = Circuit::Open(now);
         }
     }
@@ -78,23 +78,23 @@
     /// Records that it was silent for longer than a busy upstream would be; `out` of `all`
     /// upstreams are out already. Its circuit opens at once, because each further attempt costs a
     /// caller seconds.
-    pub fn silent(&mut self, now: clock::Moment, out: usize, all: usize, remote: bool) {
-        self.failures = self.failures.max(FAILURES);
-        self.failed(now, out, all, remote);
+    pub fn record_silence(&mut self, now: clock::Moment, out: usize, all: usize, remote: bool) {
+        self.failures = self.failures.max(MAX_FAILURES);
+        self.record_failure(now, out, all, remote);
     }
 
     /// Records a failure; `out` of `all` upstreams are out already. A remote upstream, which is one
     /// of another zone, is out after its first failure and regardless of the limit: a partitioned
     /// link fails for all upstreams behind it, three timeouts at each of them would use up the
     /// retry budget, and the zone's own upstreams remain.
-    pub fn failed(&mut self, now: clock::Moment, out: usize, all: usize, remote: bool) {
+    pub fn record_failure(&mut self, now: clock::Moment, out: usize, all: usize, remote: bool) {
         self.failures += 1;
-        let capped = !self.is_out() && out >= (all / CAP).max(1);
-        if !remote && (self.failures < FAILURES || capped) {
+        let capped = !self.is_out() && out >= (all / MAX_OUT_DIVISOR).max(1);
+        if !remote && (self.failures < MAX_FAILURES || capped) {
             return;
         }
-        let seconds = (FIRST_SPAN << self.opened.min(5)).min(LONGEST_SPAN);
-        self.opened += 1;
+        let seconds = (FIRST_OPEN_SECONDS << self.open_count.min(5)).min(MAX_OPEN_SECONDS);
+        self.open_count += 1;
         self.circuit = Circuit::Open(now + clock::Span::from_secs(seconds));
     }
 }
--- a/crates/lagoonline/src/load/placement/engine.rs
+++ b/crates/lagoonline/src/load/placement/engine.rs
@@ -1,8 +1,8 @@
 //! State of one upstream, as far as this host knows what is in flight on it.
 
-use super::{Work, WorkId};
+use super::{Dispatch, DispatchId};
 use crate::clock;
-use crate::load::pass;
+use crate::load::profile;
 use crate::routing;
 
 /// Progress of a dispatch on one upstream.
@@ -20,7 +20,7 @@
 /// The share of a dispatch that runs on this upstream.
 #[derive(Clone, Debug, PartialEq)]
 struct Part {
-    work: WorkId,
+    work: DispatchId,
     stage: Stage,
     /// Whether this upstream decodes the answer.
     writes: bool,
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug)]
 pub struct Engine {
     entry: routing::Entry,
-    pace: Option<pass::Pace>,
+    profile: Option<profile::Profile>,
     parts: Vec<Part>,
     advanced: clock::Moment,
     suspect_until: Option<clock::Moment>,
@@ -91,10 +91,10 @@
 }
 
 impl Engine {
-    pub(super) fn new(entry: routing::Entry, pace: Option<pass::Pace>) -> Engine {
+    pub(super) fn new(entry: routing::Entry, profile: Option<profile::Profile>) -> Engine {
         Engine {
             entry,
-            pace,
+            profile,
             parts: Vec::new(),
             advanced: clock::Moment::START,
             suspect_until: None,
@@ -114,8 +114,8 @@
     }
 
     /// Its published performance profile; none for a replica of a plain service.
-    pub fn pace(&self) -> Option<pass::Pace> {
-        self.pace
+    pub fn profile(&self) -> Option<profile::Profile> {
+        self.profile
     }
 
     /// Number of dispatches in flight on it.
@@ -123,32 +123,33 @@
         self.parts.len()
     }
 
-    pub(super) fn update(&mut self, entry: routing::Entry, pace: Option<pass::Pace>) {
+    pub(super) fn update(&mut self, entry: routing::Entry, profile: Option<profile::Profile>) {
         if entry.born != self.entry.born {
             self.parts.clear();
         }
         self.entry = entry;
-        self.pace = pace;
+        self.profile = profile;
     }
 
-    pub(super) fn begin_if_on(&mut self, work: &Work, now: clock::Moment) {
+    pub(super) fn begin_if_on(&mut self, dispatch: &Dispatch, now: clock::Moment) {
         let name = &self.entry.upstream;
-        let writes = work.first == *name;
-        let helper = work.helpers.iter().position(|helper| helper == name);
+        let writes = dispatch.primary == *name;
+        let helper = dispatch.helpers.iter().position(|helper| helper == name);
         if !writes && helper.is_none() {
             return;
         }
         self.advance(now);
-        let parts = work.helpers.len() as u32 + 1;
-        let read = self.pace.map_or(0.0, |pace| pace.part_ms(work.prompt, parts));
-        let elsewhere: u64 = work.held.iter().sum();
+        let parts = dispatch.helpers.len() as u32 + 1;
+        let read =
+            self.profile.map_or(0.0, |profile| profile.part_ms(dispatch.prompt_tokens, parts));
+        let elsewhere: u64 = dispatch.helper_reserves.iter().sum();
         let memory = match helper {
-            Some(index) => work.held.get(index).copied().unwrap_or(0),
-            None => work.prompt.saturating_sub(elsewhere),
+            Some(index) => dispatch.helper_reserves.get(index).copied().unwrap_or(0),
+            None => dispatch.prompt_tokens.saturating_sub(elsewhere),
         };
-        let gap_ms = work.gap.as_secs_f64() * 1e3;
+        let gap_ms = dispatch.max_gap.as_secs_f64() * 1e3;
         self.parts.push(Part {
-            work: work.id,
+            work: dispatch.id,
             stage: Stage::Reading(read),
             whole_ms: read,
             writes,
@@ -157,7 +158,7 @@
         });
     }
 
-    pub(super) fn read_done(&mut self, work: WorkId, now: clock::Moment) {
+    pub(super) fn read_done(&mut self, work: DispatchId, now: clock::Moment) {
         self.advance(now);
         self.hear(now);
         for part in self.parts.iter_mut().filter(|part| part.work == work) {
@@ -166,11 +167,11 @@
     }
 
     /// Whether it currently decodes the answer of `work`.
-    pub(super) fn writes(&self, work: WorkId) -> bool {
+    pub(super) fn writes(&self, work: DispatchId) -> bool {
         self.parts.iter().any(|part| part.work == work && part.stage == Stage::Writing)
     }
 
-    pub(super) fn end(&mut self, work: WorkId, now: clock::Moment) {
+    pub(super) fn end(&mut self, work: DispatchId, now: clock::Moment) {
         self.advance(now);
         self.parts.retain(|part| part.work != work);
     }
@@ -301,16 +302,16 @@
     pub(super) fn pass_ms(&self) -> f64 {
         let context = self.parts.iter().filter(|part| part.stage != Stage::Holding);
         let context = context.map(|part| part.memory).sum();
-        self.pace.map_or(0.0, |pace| pace.pass_ms(self.writers(), context))
+        self.profile.map_or(0.0, |profile| profile.pass_ms(self.writers(), context))
     }
 
     /// The estimate of its state at `now`.
-    pub(super) fn belief(&self, now: clock::Moment) -> super::Belief {
-        super::Belief {
-            reading_ms: self.reading_ms(),
-            writers: self.writers(),
-            places: self.places(),
-            heard: now.since(self.heard),
+    pub(super) fn estimate(&self, now: clock::Moment) -> super::Estimate {
+        super::Estimate {
+            prefill_ms: self.reading_ms(),
+            decoding: self.writers(),
+            used_slots: self.places(),
+            silence: now.since(self.heard),
         }
     }
 
@@ -350,7 +351,7 @@
 
     /// KV memory in tokens that placement may use, which is `share` of the whole.
     pub(super) fn memory(&self, share: f64) -> u64 {
-        self.pace.map_or(0, |pace| (pace.memory_tokens as f64 * share) as u64)
+        self.profile.map_or(0, |profile| (profile.memory_tokens as f64 * share) as u64)
     }
 
     /// Free KV memory in tokens, as far as this host knows.
--- a/crates/lagoonline/src/load/placement/mod.rs
+++ b/crates/lagoonline/src/load/placement/mod.rs
@@ -3,7 +3,7 @@
 //! Load pattern: short prompts mixed with long ones, in proportions that change tenfold within
 //! seconds, arriving through many entry hosts that each see only a part of the traffic.
 //! Least-outstanding balancing would queue a short prompt behind a long one, or two long ones on
-//! one engine. The [`Board`] therefore tracks what all hosts have in flight on each engine, as far
+//! one engine. The [`Placer`] therefore tracks what all hosts have in flight on each engine, as far
 //! as this host has been told, advances it at the engine's published speed, and places a request
 //! where its first token is expected soonest while it delays the fewest other answers. Late or lost
 //! messages from other hosts only cost efficiency, since an engine enforces its own limits.
@@ -12,27 +12,27 @@
 use std::fmt;
 use std::net;
 
-use super::pass;
+use super::profile;
 use crate::clock;
 use crate::id;
 use crate::routing;
 
-mod cut;
 mod engine;
+mod partition;
+mod prefill;
 mod prompt;
-mod reading;
 mod settings;
-mod waiting;
+mod waitlist;
 
-pub use cut::Cuts;
 use engine::Engine;
-use reading::Reading;
+pub use partition::Partitions;
+use prefill::PrefillLoad;
 pub use settings::Settings;
-use waiting::Waiting;
+use waitlist::Waitlist;
 
 /// Identifies a dispatch: the host that sent it, and its sequence number there.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct WorkId {
+pub struct DispatchId {
     /// Number of the host.
     pub host: u64,
     /// Sequence number of the dispatch at that host.
@@ -41,74 +41,75 @@
 
 /// A dispatched request and the load that it puts on upstreams.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Work {
+pub struct Dispatch {
     /// Its identifier.
-    pub id: WorkId,
+    pub id: DispatchId,
     /// The upstream that answers it.
-    pub first: id::Upstream,
+    pub primary: id::Upstream,
     /// The engines that prefill parts of its prompt.
     pub helpers: Vec<id::Upstream>,
     /// Prompt length in tokens; 0 for a call of a plain service.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// KV tokens reserved on each of the first helpers; further helpers have no reservation.
-    pub held: Vec<u64>,
+    pub helper_reserves: Vec<u64>,
     /// Longest pause between two events of the answer that still meets the objective.
-    pub gap: clock::Span,
+    pub max_gap: clock::Span,
     /// Time by which it has ended at the latest.
-    pub until: clock::Moment,
+    pub deadline: clock::Moment,
 }
 
-impl Work {
-    /// The dispatch of a prompt of `prompt` tokens according to the placement `placed`, with the
-    /// gap limit `gap` and the deadline `until`.
+impl Dispatch {
+    /// The dispatch of a prompt of `prompt` tokens according to the placement `placement`, with the
+    /// gap limit `max_gap` and the deadline `deadline`.
     pub fn new(
-        id: WorkId,
-        placed: &Placement,
-        prompt: u64,
-        gap: clock::Span,
-        until: clock::Moment,
-    ) -> Work {
-        let held = placed.helpers.iter().map(|helper| helper.reserve).filter(|held| *held > 0);
-        Work {
+        id: DispatchId,
+        placement: &Placement,
+        prompt_tokens: u64,
+        max_gap: clock::Span,
+        deadline: clock::Moment,
+    ) -> Dispatch {
+        let reserves =
+            placement.helpers.iter().map(|helper| helper.reserve).filter(|reserve| *reserve > 0);
+        Dispatch {
             id,
-            first: placed.first.upstream.clone(),
-            helpers: placed.helpers.iter().map(|help| help.entry.upstream.clone()).collect(),
-            prompt,
-            held: held.collect(),
-            gap,
-            until,
+            primary: placement.primary.upstream.clone(),
+            helpers: placement.helpers.iter().map(|helper| helper.entry.upstream.clone()).collect(),
+            prompt_tokens,
+            helper_reserves: reserves.collect(),
+            max_gap,
+            deadline,
         }
     }
 }
 
 /// A request that needs a placement.
 #[derive(Clone, Debug)]
-pub struct Demand<'a> {
+pub struct Request<'a> {
     /// Prompt length in tokens; 0 for a call of a plain service.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Most tokens that the answer may have.
-    pub answer: u64,
+    pub answer_tokens: u64,
     /// Time left until the first event would be late.
     pub target: clock::Span,
     /// Longest pause between two events of the answer that still meets the objective.
-    pub gap: clock::Span,
+    pub max_gap: clock::Span,
     /// How long it has waited at this host.
     pub waited: clock::Span,
     /// Identifies the request while it waits.
-    pub turn: WorkId,
+    pub waiter: DispatchId,
     /// Zone of this host.
     pub zone: &'a id::Zone,
     /// Upstreams that have already failed this request.
     pub avoid: &'a [id::Upstream],
     /// Random number that breaks ties between equally good choices.
-    pub draw: u64,
+    pub random: u64,
 }
 
 /// The outcome of a placement decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
     /// The upstream that answers the request.
-    pub first: routing::Entry,
+    pub primary: routing::Entry,
     /// KV tokens to reserve on it; 0 for no reservation.
     pub reserve: u64,
     /// Engines that prefill parts of the prompt, in the order in which they are listed in the
@@ -117,30 +118,30 @@
     /// Expected time from now to the first token.
     pub expected: clock::Span,
     /// Estimated state of the chosen upstream, for the log.
-    pub belief: Belief,
+    pub estimate: Estimate,
     /// Estimated state of the second-best upstream, for the log.
-    pub next: Option<Belief>,
+    pub runner_up: Option<Estimate>,
 }
 
 /// Estimated state of an upstream at the time of a placement decision.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Belief {
+pub struct Estimate {
     /// Queued prefill in milliseconds.
-    pub reading_ms: f64,
+    pub prefill_ms: f64,
     /// Number of answers in decode.
-    pub writers: u32,
+    pub decoding: u32,
     /// Slots in use, by answers in prefill or decode.
-    pub places: usize,
+    pub used_slots: usize,
     /// Time since this host last received anything from it.
-    pub heard: clock::Span,
+    pub silence: clock::Span,
 }
 
-impl fmt::Display for Belief {
+impl fmt::Display for Estimate {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Belief { reading_ms, writers, places, heard } = self;
-        let heard_ms = heard.as_millis();
-        write!(formatter, "reads {reading_ms:.0} ms, {writers} writers, {places} places, ")?;
-        write!(formatter, "heard {heard_ms} ms ago")
+        let Estimate { prefill_ms, decoding, used_slots, silence } = self;
+        let silence_ms = silence.as_millis();
+        write!(formatter, "reads {prefill_ms:.0} ms, {decoding} writers, {used_slots} places, ")?;
+        write!(formatter, "heard {silence_ms} ms ago")
     }
 }
 
@@ -175,57 +176,57 @@
 pub enum Shortage {
     /// A free slot.
     #[error("no place")]
-    Place,
+    Slot,
     /// KV memory for the prompt.
     #[error("no memory")]
     Memory,
     /// Prefill capacity within the time limit.
     #[error("too much to read")]
-    Reading,
+    Prefill,
     /// Slack in the gap limits of in-flight answers: the prefill would make more of them late than
     /// the request's own answer is worth.
     #[error("answers under way would be late")]
-    Pause,
+    Gap,
 }
 
 /// A dispatch in flight, and when this host learned of it.
 #[derive(Clone, Debug)]
-struct Begun {
-    work: Work,
-    at: clock::Moment,
+struct Tracked {
+    dispatch: Dispatch,
+    known_since: clock::Moment,
 }
 
 /// Tracks the dispatches in flight on the upstreams of one service and places new requests.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct Placer {
     settings: Settings,
     upstreams: collections::BTreeMap<id::Upstream, Engine>,
-    works: collections::HashMap<WorkId, Begun>,
+    dispatches: collections::HashMap<DispatchId, Tracked>,
     zone: id::Zone,
-    cuts: Cuts,
+    partitions: Partitions,
     /// Recent prefill demand of prompts with loose gap limits.
-    reading: Reading,
+    prefill_load: PrefillLoad,
     /// Prompts that wait for a placement.
-    waiting: Waiting,
+    waitlist: Waitlist,
 }
 
-impl Board {
+impl Placer {
     /// An empty tracker for a host in `zone`.
-    pub fn new(settings: Settings, zone: id::Zone) -> Board {
-        Board { settings, zone, ..Board::default() }
+    pub fn new(settings: Settings, zone: id::Zone) -> Placer {
+        Placer { settings, zone, ..Placer::default() }
     }
 
     /// Replaces the set of upstreams; dispatches in flight are kept.
-    pub fn set_upstreams(&mut self, entries: &[routing::Entry], pace: Option<pass::Pace>) {
+    pub fn set_upstreams(&mut self, entries: &[routing::Entry], profile: Option<profile::Profile>) {
         let names: collections::BTreeSet<_> = entries.iter().map(|entry| &entry.upstream).collect();
         self.upstreams.retain(|name, _| names.contains(name));
         for entry in entries {
             match self.upstreams.get_mut(&entry.upstream) {
-                Some(engine) => engine.update(entry.clone(), pace),
+                Some(engine) => engine.update(entry.clone(), profile),
                 None => {
-                    let mut engine = Engine::new(entry.clone(), pace);
-                    for begun in self.works.values() {
-                        engine.begin_if_on(&begun.work, clock::Moment::START);
+                    let mut engine = Engine::new(entry.clone(), profile);
+                    for tracked in self.dispatches.values() {
+                        engine.begin_if_on(&tracked.dispatch, clock::Moment::START);
                     }
                     self.upstreams.insert(entry.upstream.clone(), engine);
                 }
@@ -234,68 +235,68 @@
     }
 
     /// Number of dispatches in flight.
-    pub fn works(&self) -> usize {
-        self.works.len()
+    pub fn dispatches(&self) -> usize {
+        self.dispatches.len()
     }
 
     /// Records that a request was dispatched.
     ///
     /// Repeated records of one dispatch count once: when two hosts connect, each sends a list of
     /// all its dispatches in flight, and it also announces each dispatch separately.
-    pub fn begin(&mut self, work: Work, now: clock::Moment) {
-        if self.works.contains_key(&work.id) {
+    pub fn record_dispatch(&mut self, dispatch: Dispatch, now: clock::Moment) {
+        if self.dispatches.contains_key(&dispatch.id) {
             return;
         }
-        for name in std::iter::once(&work.first).chain(&work.helpers) {
+        for name in std::iter::once(&dispatch.primary).chain(&dispatch.helpers) {
             if let Some(engine) = self.upstreams.get_mut(name) {
-                engine.begin_if_on(&work, now);
+                engine.begin_if_on(&dispatch, now);
             }
         }
-        self.reading.add(self.loose_read_ms(&work), now);
-        self.works.insert(work.id, Begun { work, at: now });
+        self.prefill_load.add(self.loose_prefill_ms(&dispatch), now);
+        self.dispatches.insert(dispatch.id, Tracked { dispatch, known_since: now });
     }
 
-    /// Milliseconds in which a single engine would prefill the prompt of `work`; 0 if its gap limit
-    /// is tight.
-    fn loose_read_ms(&self, work: &Work) -> f64 {
-        if work.gap <= self.settings.tight_gap {
+    /// Milliseconds in which a single engine would prefill the prompt of `dispatch`; 0 if its gap
+    /// limit is tight.
+    fn loose_prefill_ms(&self, dispatch: &Dispatch) -> f64 {
+        if dispatch.max_gap <= self.settings.tight_gap {
             return 0.0;
         }
-        let pace = self.upstreams.get(&work.first).and_then(Engine::pace);
-        pace.map_or(0.0, |pace| pace.read_ms(work.prompt))
+        let profile = self.upstreams.get(&dispatch.primary).and_then(Engine::profile);
+        profile.map_or(0.0, |profile| profile.prefill_ms(dispatch.prompt_tokens))
     }
 
     /// Sets the number of hosts that place requests, including this one. Each of the others is
     /// assumed to have as many waiting prompts as this one.
-    pub fn set_deciders(&mut self, deciders: usize) {
-        self.waiting.set_deciders(deciders);
+    pub fn set_placing_hosts(&mut self, hosts: usize) {
+        self.waitlist.set_placing_hosts(hosts);
     }
 
-    /// Whether the prompt of `work` has been prefilled.
-    fn is_read(&self, work: &Work) -> bool {
-        self.upstreams.get(&work.first).is_some_and(|engine| engine.writes(work.id))
+    /// Whether the prompt of `dispatch` has been prefilled.
+    fn is_prefilled(&self, dispatch: &Dispatch) -> bool {
+        self.upstreams.get(&dispatch.primary).is_some_and(|engine| engine.writes(dispatch.id))
     }
 
     /// Records the first token of a request, which shows that its prompt has been prefilled.
-    pub fn first_token(&mut self, id: WorkId, now: clock::Moment) {
-        self.each_engine(id, |engine| engine.read_done(id, now));
+    pub fn record_first_token(&mut self, id: DispatchId, now: clock::Moment) {
+        self.for_each_engine(id, |engine| engine.read_done(id, now));
     }
 
     /// Records the end of a request.
-    pub fn end(&mut self, id: WorkId, now: clock::Moment) {
-        self.each_engine(id, |engine| engine.end(id, now));
-        self.works.remove(&id);
+    pub fn record_end(&mut self, id: DispatchId, now: clock::Moment) {
+        self.for_each_engine(id, |engine| engine.end(id, now));
+        self.dispatches.remove(&id);
     }
 
     /// The in-flight dispatches of the hosts that `wanted` selects, each with whether its prompt
     /// has been prefilled.
-    pub fn under_way<Wanted>(&self, wanted: Wanted) -> impl Iterator<Item = (&Work, bool)>
+    pub fn in_flight<Wanted>(&self, wanted: Wanted) -> impl Iterator<Item = (&Dispatch, bool)>
     where
         Wanted: Fn(u64) -> bool,
     {
-        let works = self.works.values().map(|begun| &begun.work);
-        let works = works.filter(move |work| wanted(work.id.host));
-        works.map(|work| (work, self.is_read(work)))
+        let dispatches = self.dispatches.values().map(|tracked| &tracked.dispatch);
+        let dispatches = dispatches.filter(move |dispatch| wanted(dispatch.id.host));
+        dispatches.map(|dispatch| (dispatch, self.is_prefilled(dispatch)))
     }
 
     /// Drops the dispatches of `host` that are not listed in `numbers` and that this host has known
@@ -304,46 +305,49 @@
     ///
     /// Failure answered: the message that a request ended is lost, and its slot would count as used
     /// until the caller's deadline. The complete list of a host corrects all lost messages.
-    pub fn keep_only(
+    pub fn retain_listed(
         &mut self,
         host: u64,
         numbers: &collections::HashSet<u64>,
         before: clock::Moment,
         now: clock::Moment,
-    ) -> Vec<WorkId> {
-        let over = self.works.values().filter(|begun| {
-            let id = begun.work.id;
-            id.host == host && begun.at <= before && !numbers.contains(&id.number)
+    ) -> Vec<DispatchId> {
+        let over = self.dispatches.values().filter(|tracked| {
+            let id = tracked.dispatch.id;
+            id.host == host && tracked.known_since <= before && !numbers.contains(&id.number)
         });
-        let over: Vec<_> = over.map(|begun| begun.work.id).collect();
+        let over: Vec<_> = over.map(|tracked| tracked.dispatch.id).collect();
         for id in &over {
-            self.end(*id, now);
+            self.record_end(*id, now);
         }
         over
     }
 
     /// Drops dispatches past their deadline, such as those of hosts that stopped sending updates.
     pub fn expire(&mut self, now: clock::Moment) {
-        let works = self.works.values().map(|begun| &begun.work);
-        let due: Vec<_> = works.filter(|work| work.until <= now).map(|work| work.id).collect();
+        let dispatches = self.dispatches.values().map(|tracked| &tracked.dispatch);
+        let due: Vec<_> = dispatches
+            .filter(|dispatch| dispatch.deadline <= now)
+            .map(|dispatch| dispatch.id)
+            .collect();
         for id in due {
-            self.end(id, now);
+            self.record_end(id, now);
         }
     }
 
     /// Records that an upstream could not be reached or stopped responding; it is avoided for a
     /// while.
-    pub fn suspect(&mut self, upstream: &id::Upstream, now: clock::Moment) {
+    pub fn record_unreachable(&mut self, upstream: &id::Upstream, now: clock::Moment) {
         let span = self.settings.suspect_span;
         if let Some(engine) = self.upstreams.get_mut(upstream) {
             engine.failed(now, span);
-            self.cuts.failed(&self.zone, &engine.entry().zone, upstream, now);
+            self.partitions.record_failure(&self.zone, &engine.entry().zone, upstream, now);
         }
     }
 
     /// Records that the engine `first` could not reach `helper`, which was to prefill a part of a
     /// prompt.
-    pub fn helper_failed(
+    pub fn record_helper_failure(
         &mut self,
         first: &id::Upstream,
         helper: &id::Upstream,
@@ -353,12 +357,12 @@
         let span = self.settings.suspect_span;
         if let (Some(from), Some(engine)) = (from, self.upstreams.get_mut(helper)) {
             engine.failed(now, span);
-            self.cuts.failed(&from, &engine.entry().zone, helper, now);
+            self.partitions.record_failure(&from, &engine.entry().zone, helper, now);
         }
     }
 
     /// The upstream that listens on `address`.
-    pub fn at(&self, address: net::SocketAddr) -> Option<&id::Upstream> {
+    pub fn upstream_at(&self, address: net::SocketAddr) -> Option<&id::Upstream> {
         let mut entries = self.upstreams.values().map(Engine::entry);
         entries.find(|entry| entry.address == address).map(|entry| &entry.upstream)
     }
@@ -369,7 +373,7 @@
     }
 
     /// Records that data arrived from an upstream.
-    pub fn heard(&mut self, upstream: &id::Upstream, now: clock::Moment) {
+    pub fn record_activity(&mut self, upstream: &id::Upstream, now: clock::Moment) {
         if let Some(engine) = self.upstreams.get_mut(upstream) {
             engine.hear(now);
         }
@@ -390,7 +394,7 @@
     /// The routing entries of the model engines, which are the upstreams with a performance
     /// profile.
     pub fn engines(&self) -> impl Iterator<Item = &routing::Entry> {
-        let engines = self.upstreams.values().filter(|engine| engine.pace().is_some());
+        let engines = self.upstreams.values().filter(|engine| engine.profile().is_some());
         engines.map(Engine::entry)
     }
 
@@ -404,7 +408,7 @@
     ///
     /// Failure answered: an upstream stops responding while it has many requests. Without this
     /// check each request would wait for its own gap limit to pass, which can take seconds.
-    pub fn is_lost(&self, upstream: &id::Upstream) -> bool {
+    pub fn is_unresponsive(&self, upstream: &id::Upstream) -> bool {
         self.upstreams.get(upstream).is_some_and(Engine::is_lost)
     }
 
@@ -414,17 +418,22 @@
     ///
     /// Failure answered: an engine keeps working but never answers some of its requests. Since the
     /// engine is alive, these would be awaited until their callers give up.
-    pub fn is_overtaken(&self, id: WorkId) -> bool {
-        let Some(Begun { work, at }) = self.works.get(&id) else { return false };
-        let passes = |other: &&Begun| {
-            let Work { first, prompt, gap, .. } = &other.work;
-            other.at > *at && *first == work.first && *gap == work.gap && *prompt >= work.prompt
+    pub fn is_overtaken(&self, id: DispatchId) -> bool {
+        let Some(Tracked { dispatch, known_since }) = self.dispatches.get(&id) else {
+            return false;
         };
-        self.works.values().filter(passes).any(|other| self.is_read(&other.work))
+        let passes = |other: &&Tracked| {
+            let Dispatch { primary, prompt_tokens, max_gap, .. } = &other.dispatch;
+            other.known_since > *known_since
+                && *primary == dispatch.primary
+                && *max_gap == dispatch.max_gap
+                && *prompt_tokens >= dispatch.prompt_tokens
+        };
+        self.dispatches.values().filter(passes).any(|other| self.is_prefilled(&other.dispatch))
     }
 
     /// Records that an engine had no memory for a reservation; it counts as full for a short time.
-    pub fn full(&mut self, upstream: &id::Upstream, now: clock::Moment) {
+    pub fn mark_full(&mut self, upstream: &id::Upstream, now: clock::Moment) {
         let until = now + self.settings.full_span;
         if let Some(engine) = self.upstreams.get_mut(upstream) {
             engine.full(until);
@@ -436,65 +445,74 @@
     /// Load pattern: an upstream fails its requests at once although its health check succeeds. It
     /// would always be the least loaded one and attract all requests, so its failure rate counts as
     /// additional delay.
-    pub fn erred(&mut self, upstream: &id::Upstream, now: clock::Moment) {
+    pub fn record_error(&mut self, upstream: &id::Upstream, now: clock::Moment) {
         if let Some(engine) = self.upstreams.get_mut(upstream) {
             engine.erred(now);
         }
     }
 
     /// Records that an upstream answered successfully.
-    pub fn answered(&mut self, upstream: &id::Upstream, now: clock::Moment) {
+    pub fn record_success(&mut self, upstream: &id::Upstream, now: clock::Moment) {
         if let Some(engine) = self.upstreams.get_mut(upstream) {
             engine.answered(now);
-            self.cuts.answered(&self.zone, &engine.entry().zone);
+            self.partitions.record_success(&self.zone, &engine.entry().zone);
         }
     }
 
-    fn each_engine<Act>(&mut self, id: WorkId, mut act: Act)
+    fn for_each_engine<Act>(&mut self, id: DispatchId, mut act: Act)
     where
         Act: FnMut(&mut Engine),
     {
-        let Some(Begun { work, .. }) = self.works.get(&id) else { return };
-        for name in std::iter::once(&work.first).chain(&work.helpers) {
+        let Some(Tracked { dispatch, .. }) = self.dispatches.get(&id) else { return };
+        for name in std::iter::once(&dispatch.primary).chain(&dispatch.helpers) {
             if let Some(engine) = self.upstreams.get_mut(name) {
                 act(engine);
             }
         }
     }
 
-    /// Chooses the upstreams for `demand`.
+    /// Chooses the upstreams for `request`.
     ///
     /// # Errors
     ///
     /// Returns the reason if the request cannot be placed now.
-    pub fn place(&mut self, demand: &Demand<'_>, now: clock::Moment) -> Result<Placement, Refusal> {
+    pub fn place(
+        &mut self,
+        request: &Request<'_>,
+        now: clock::Moment,
+    ) -> Result<Placement, Refusal> {
         for engine in self.upstreams.values_mut() {
             engine.advance(now);
         }
-        let usable = self.usable(demand, now);
+        let usable = self.usable(request, now);
         if usable.is_empty() {
             return Err(Refusal::NoUpstream);
         }
-        let pace = usable.iter().find_map(|engine| engine.pace());
-        match pace {
-            Some(pace) if demand.prompt > 0 => {
-                let placed = self.place_prompt(demand, &usable, pace, now);
+        let profile = usable.iter().find_map(|engine| engine.profile());
+        match profile {
+            Some(profile) if request.prompt_tokens > 0 => {
+                let placed = self.place_prompt(request, &usable, profile, now);
                 let waits = matches!(placed, Err(Refusal::Busy(_)));
-                self.waiting.note(demand.turn, pace.read_ms(demand.prompt), waits, now);
+                self.waitlist.note(
+                    request.waiter,
+                    profile.prefill_ms(request.prompt_tokens),
+                    waits,
+                    now,
+                );
                 placed
             }
-            _ => Ok(self.place_call(demand, &usable, now)),
+            _ => Ok(self.place_call(request, &usable, now)),
         }
     }
 
     /// Upstreams that may be used: those that look healthy, or all if none does.
-    fn usable(&self, demand: &Demand<'_>, now: clock::Moment) -> Vec<&Engine> {
+    fn usable(&self, request: &Request<'_>, now: clock::Moment) -> Vec<&Engine> {
         let open = |engine: &&Engine| {
-            !engine.entry().leaving && !demand.avoid.contains(&engine.entry().upstream)
+            !engine.entry().leaving && !request.avoid.contains(&engine.entry().upstream)
         };
         let all: Vec<&Engine> = self.upstreams.values().filter(open).collect();
         let sound = |engine: &&Engine| {
-            let cut = self.cuts.is_cut(&self.zone, &engine.entry().zone, now);
+            let cut = self.partitions.is_partitioned(&self.zone, &engine.entry().zone, now);
             !engine.is_suspect(now) && !cut && !engine.is_slow(now)
         };
         let mut found: Vec<&Engine> = all.iter().copied().filter(sound).collect();
@@ -506,22 +524,27 @@
 
     /// Places a call of a plain service on the least-used replica, preferring the own zone unless
     /// it is busier.
-    fn place_call(&self, demand: &Demand<'_>, usable: &[&Engine], now: clock::Moment) -> Placement {
+    fn place_call(
+        &self,
+        request: &Request<'_>,
+        usable: &[&Engine],
+        now: clock::Moment,
+    ) -> Placement {
         let cost = |engine: &&&Engine| {
-            let remote = u64::from(engine.entry().zone != *demand.zone);
+            let remote = u64::from(engine.entry().zone != *request.zone);
             let slots = u64::from(engine.entry().slots.max(1));
             let used = engine.works() as u64 * 1_000 / slots;
             let errors = (engine.errors(now) * ERRORS_USED) as u64;
-            (used + remote * REMOTE_USED + errors, spread(demand.draw, engine))
+            (used + remote * REMOTE_USED + errors, spread(request.random, engine))
         };
-        let first = usable.iter().min_by_key(cost).map_or(usable[0], |engine| *engine);
+        let primary = usable.iter().min_by_key(cost).map_or(usable[0], |engine| *engine);
         Placement {
-            first: first.entry().clone(),
+            primary: primary.entry().clone(),
             reserve: 0,
             helpers: Vec::new(),
             expected: clock::Span::ZERO,
-            belief: first.belief(now),
-            next: None,
+            estimate: primary.estimate(now),
+            runner_up: None,
         }
     }
 }
--- a/crates/lagoonline/src/load/placement/cut.rs
+++ b/crates/lagoonline/src/load/placement/partition.rs
@@ -33,9 +33,9 @@
 /// All pairs of zones with recent failures between them.
 ///
 /// ```
-/// use lagoonline::{clock::Moment, id::{Upstream, Zone}, load::placement::Cuts};
+/// use lagoonline::{clock::Moment, id::{Upstream, Zone}, load::placement::Partitions};
 /// let (a, b) = (Zone::from("a"), Zone::from("b"));
-/// let (mut cuts, now) = (Cuts::default(), Moment::from_millis(10));
+/// let (mut cuts, now) = (Partitions::default(), Moment::from_millis(10));
 /// cuts.failed(&a, &b, &Upstream::from("x"), now);
 /// assert!(!cuts.is_cut(&a, &b, now));
 /// cuts.failed(&a, &b, &Upstream::from("y"), now);
@@ -44,7 +44,7 @@
 /// assert!(!cuts.is_cut(&a, &b, now));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Cuts {
+pub struct Partitions {
     pairs: collections::BTreeMap<(id::Zone, id::Zone), Pair>,
 }
 
@@ -52,9 +52,9 @@
     if a <= b { (a.clone(), b.clone()) } else { (b.clone(), a.clone()) }
 }
 
-impl Cuts {
+impl Partitions {
     /// Records that `upstream`, which is in zone `to`, could not be reached from zone `from`.
-    pub fn failed(
+    pub fn record_failure(
         &mut self,
         from: &id::Zone,
         to: &id::Zone,
@@ -78,12 +78,12 @@
     }
 
     /// Records that an upstream of one zone answered the other, which ends the partition.
-    pub fn answered(&mut self, from: &id::Zone, to: &id::Zone) {
+    pub fn record_success(&mut self, from: &id::Zone, to: &id::Zone) {
         self.pairs.remove(&key(from, to));
     }
 
     /// Whether the zones currently count as partitioned from each other.
-    pub fn is_cut(&self, from: &id::Zone, to: &id::Zone, now: clock::Moment) -> bool {
+    pub fn is_partitioned(&self, from: &id::Zone, to: &id::Zone, now: clock::Moment) -> bool {
         if from == to || self.pairs.is_empty() {
             return false;
         }
--- a/crates/lagoonline/src/load/placement/reading.rs
+++ b/crates/lagoonline/src/load/placement/prefill.rs
@@ -12,13 +12,13 @@
 
 /// Exponentially decayed sum of the prefill time of dispatched prompts.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Reading {
+pub(super) struct PrefillLoad {
     /// Decayed sum in milliseconds, as of `at`.
     sum_ms: f64,
     at: clock::Moment,
 }
 
-impl Reading {
+impl PrefillLoad {
     /// Records the dispatch of a prompt that takes `read_ms` milliseconds of prefill on one engine.
     pub(super) fn add(&mut self, read_ms: f64, now: clock::Moment) {
         self.sum_ms = self.left_ms(now) + read_ms;
--- a/crates/lagoonline/src/load/placement/prompt.rs
+++ b/crates/lagoonline/src/load/placement/prompt.rs
@@ -1,9 +1,9 @@
 //! Placement of prompts: enumerates the engines that may be used and the candidate plans, and
 //! weighs the value of each plan against the harm that it does to other requests.
 
-use super::{Board, Demand, Engine, Helper, Placement, Refusal, Shortage, spread};
+use super::{Engine, Helper, Placement, Placer, Refusal, Request, Shortage, spread};
 use crate::clock;
-use crate::load::pass;
+use crate::load::profile;
 
 /// Penalty in milliseconds for a failure rate of one: more than any engine can gain elsewhere.
 const ERRORS_MS: f64 = 1_500.0;
@@ -71,7 +71,7 @@
     (tokens as f64 / UNIT_PROMPT).powf(VALUE_EXPONENT).min(MOST_VALUE)
 }
 
-impl Board {
+impl Placer {
     /// Number of engines, the first by name, that are reserved for answers with a tight gap limit.
     ///
     /// A long prefill in a pass delays every answer that its engine is decoding; if long prompts
@@ -90,14 +90,14 @@
         let engines = usable.len() as f64;
         let each = f64::from(places) / engines.max(1.0) * self.settings.tight_share;
         let wanted = f64::from(tight) / each.max(f64::MIN_POSITIVE);
-        let needed = self.reading.engines(now) / self.settings.read_share;
+        let needed = self.prefill_load.engines(now) / self.settings.read_share;
         let share = (engines / (wanted + needed).max(f64::MIN_POSITIVE)).min(1.0);
         ((wanted * share).ceil() as usize).clamp(1, usable.len())
     }
 
     /// Whether the answer has a tight gap limit.
-    fn is_tight(&self, demand: &Demand<'_>) -> bool {
-        demand.gap <= self.settings.tight_gap
+    fn is_tight(&self, request: &Request<'_>) -> bool {
+        request.max_gap <= self.settings.tight_gap
     }
 
     /// Number of in-flight answers with a tight gap limit.
@@ -108,16 +108,16 @@
 
     pub(super) fn place_prompt(
         &self,
-        demand: &Demand<'_>,
+        request: &Request<'_>,
         usable: &[&Engine],
-        pace: pass::Pace,
+        profile: profile::Profile,
         now: clock::Moment,
     ) -> Result<Placement, Refusal> {
         let division = Division { usable, kept: self.kept_for_tight(usable, now) };
-        if self.is_tight(demand) {
-            self.place_tight(demand, division, pace, now)
+        if self.is_tight(request) {
+            self.place_tight(request, division, profile, now)
         } else {
-            self.place_loose(demand, division, pace, now)
+            self.place_loose(request, division, profile, now)
         }
     }
 
@@ -125,20 +125,22 @@
     /// free.
     fn place_tight(
         &self,
-        demand: &Demand<'_>,
+        request: &Request<'_>,
         division: Division<'_>,
-        pace: pass::Pace,
+        profile: profile::Profile,
         now: clock::Moment,
     ) -> Result<Placement, Refusal> {
         let usable = division.usable;
         if usable.iter().all(|engine| !engine.has_place()) {
-            return Err(self.without_place(demand, pace));
+            return Err(self.without_place(request, profile));
         }
         let all: Vec<usize> = (0..usable.len()).collect();
-        let reading = (pace.read_ms(demand.prompt), self.settings.part_ms);
-        match self.plan(demand, division, &all, reading, now) {
-            Ok(plan) => Ok(placed(demand, usable, pace, &plan, self.settings.reserve_share, now)),
-            Err(Refusal::Busy(_)) => Err(self.without_place(demand, pace)),
+        let reading = (profile.prefill_ms(request.prompt_tokens), self.settings.part_ms);
+        match self.plan(request, division, &all, reading, now) {
+            Ok(plan) => {
+                Ok(placed(request, usable, profile, &plan, self.settings.reserve_threshold, now))
+            }
+            Err(Refusal::Busy(_)) => Err(self.without_place(request, profile)),
             Err(refusal) => Err(refusal),
         }
     }
@@ -147,25 +149,25 @@
     /// isn't negative.
     fn place_loose(
         &self,
-        demand: &Demand<'_>,
+        request: &Request<'_>,
         division: Division<'_>,
-        pace: pass::Pace,
+        profile: profile::Profile,
         now: clock::Moment,
     ) -> Result<Placement, Refusal> {
         let Division { usable, kept } = division;
-        let total_ms = pace.read_ms(demand.prompt);
+        let total_ms = profile.prefill_ms(request.prompt_tokens);
         let part_ms = self.settings.loose_part_ms;
         let wish = self.wish(total_ms, part_ms);
-        self.check_backlog(demand, &usable[kept.min(usable.len() - 1)..], total_ms, wish, now)?;
+        self.check_backlog(request, &usable[kept.min(usable.len() - 1)..], total_ms, wish, now)?;
         let mut best: Option<Plan> = None;
         let mut refusal = Refusal::NoUpstream;
-        let free_ms = self.write_span(pace).as_secs_f64() * 1e3;
+        let free_ms = self.decode_span(profile).as_secs_f64() * 1e3;
         let part_alone_ms = total_ms / wish as f64;
         for side in [Side::Unharmed, Side::Own, Side::Any] {
             let eligible = self.eligible(division, side, total_ms.min(part_ms));
-            match self.plan(demand, division, &eligible, (total_ms, part_ms), now) {
+            match self.plan(request, division, &eligible, (total_ms, part_ms), now) {
                 Ok(mut plan) => {
-                    plan.net = self.net(demand, division, &plan, now);
+                    plan.net = self.net(request, division, &plan, now);
                     if best.as_ref().is_none_or(|best| plan.net > best.net) {
                         best = Some(plan);
                     }
@@ -175,16 +177,16 @@
         }
         match best {
             Some(plan) if plan.net >= 0.0 => {
-                Ok(placed(demand, usable, pace, &plan, self.settings.reserve_share, now))
+                Ok(placed(request, usable, profile, &plan, self.settings.reserve_threshold, now))
             }
             Some(plan) => {
                 let first_ms = plan.expected;
-                Err(self.not_now(demand, Outlook { shortage: Shortage::Pause, free_ms, first_ms }))
+                Err(self.not_now(request, Outlook { shortage: Shortage::Gap, free_ms, first_ms }))
             }
             None => match refusal {
                 Refusal::Busy(shortage) => {
                     let first_ms = part_alone_ms;
-                    Err(self.not_now(demand, Outlook { shortage, free_ms, first_ms }))
+                    Err(self.not_now(request, Outlook { shortage, free_ms, first_ms }))
                 }
                 other => Err(other),
             },
@@ -198,18 +200,18 @@
     /// although the engines work at full capacity. A prompt therefore waits at this host for a slot
     /// as long as it can still be in time, and is then refused, so that accepted prompts are in
     /// time. Within the duration of an average answer every slot becomes free once.
-    fn without_place(&self, demand: &Demand<'_>, pace: pass::Pace) -> Refusal {
-        if demand.waited < demand.target.mul_f64(self.settings.hold_share) {
-            return Refusal::Busy(Shortage::Place);
+    fn without_place(&self, request: &Request<'_>, profile: profile::Profile) -> Refusal {
+        if request.waited < request.target.mul_f64(self.settings.hold_share) {
+            return Refusal::Busy(Shortage::Slot);
         }
-        Refusal::Full(Shortage::Place, self.write_span(pace))
+        Refusal::Full(Shortage::Slot, self.decode_span(profile))
     }
 
     /// How long a full engine takes for an average answer; slots and memory become free within it.
-    fn write_span(&self, pace: pass::Pace) -> clock::Span {
-        let context = u64::from(pace.slots) * pace.usual_prompt;
-        let pass_ms = pace.pass_ms(pace.slots, context);
-        pace.write_span(pace.usual_answer, pass_ms)
+    fn decode_span(&self, profile: profile::Profile) -> clock::Span {
+        let context = u64::from(profile.slots) * profile.mean_prompt;
+        let pass_ms = profile.pass_ms(profile.slots, context);
+        profile.decode_span(profile.mean_answer, pass_ms)
     }
 
     /// Checks whether a prompt with a loose gap limit may add to the prefill backlog of the engines
@@ -224,7 +226,7 @@
     /// prompt count, because in a fleet of hundreds some are idle while others have a long backlog.
     fn check_backlog(
         &self,
-        demand: &Demand<'_>,
+        request: &Request<'_>,
         engines: &[&Engine],
         total_ms: f64,
         wish: usize,
@@ -234,7 +236,7 @@
         reading.sort_by(f64::total_cmp);
         reading.truncate(wish.max(1));
         let backlog = reading.iter().sum::<f64>() / reading.len().max(1) as f64;
-        let waited = demand.waited.as_secs_f64() * 1e3;
+        let waited = request.waited.as_secs_f64() * 1e3;
         let scaled = self.settings.backlog_ms * self.settings.backlog_prompt_ms / total_ms.max(1.0);
         let bound = scaled.clamp(self.settings.backlog_ms / 4.0, self.settings.backlog_ms)
             + waited * self.settings.backlog_growth;
@@ -243,10 +245,10 @@
         }
         let drained_ms = (backlog - bound) / (1.0 + self.settings.backlog_growth);
         let planned = engines.len() as f64 * self.settings.read_share;
-        let pace = self.reading.engines(now).max(planned).max(1.0);
-        let free_ms = drained_ms + self.waiting.ahead_ms(demand.turn, total_ms) / pace;
+        let prefilling = self.prefill_load.engines(now).max(planned).max(1.0);
+        let free_ms = drained_ms + self.waitlist.ahead_ms(request.waiter, total_ms) / prefilling;
         let first_ms = free_ms + bound + total_ms / wish as f64;
-        Err(self.not_now(demand, Outlook { shortage: Shortage::Reading, free_ms, first_ms }))
+        Err(self.not_now(request, Outlook { shortage: Shortage::Prefill, free_ms, first_ms }))
     }
 
     /// Indices of the engines that a plan for a prompt with a loose gap limit may use.
@@ -262,20 +264,20 @@
 
     /// Number of engines that should share a prefill of `total_ms` in parts of `part_ms`.
     fn wish(&self, total_ms: f64, part_ms: f64) -> usize {
-        ((total_ms / part_ms).ceil() as usize).clamp(1, self.settings.helpers + 1)
+        ((total_ms / part_ms).ceil() as usize).clamp(1, self.settings.max_helpers + 1)
     }
 
-    /// The best plan for `demand` that uses only the engines `eligible`.
+    /// The best plan for `request` that uses only the engines `eligible`.
     fn plan(
         &self,
-        demand: &Demand<'_>,
+        request: &Request<'_>,
         division: Division<'_>,
         eligible: &[usize],
         (total_ms, part_ms): (f64, f64),
         now: clock::Moment,
     ) -> Result<Plan, Refusal> {
         let Division { usable, kept } = division;
-        let tight = self.is_tight(demand);
+        let tight = self.is_tight(request);
         if eligible.is_empty() {
             return Err(Refusal::NoUpstream);
         }
@@ -286,15 +288,15 @@
         let open = if open.is_empty() { eligible } else { &open };
         let stray =
             |index: usize| if tight && index >= kept { self.settings.stray_ms } else { 0.0 };
-        let firsts = self.rank(demand, usable, open, |index| {
+        let firsts = self.rank(request, usable, open, |index| {
             let engine = usable[index];
             let errors = engine.errors(now) * ERRORS_MS;
             let opens = !tight && engine.places() == 0;
             let reader = if opens { self.settings.reader_ms } else { 0.0 };
-            let place = engine.crowd_ms() + self.far(demand, engine) + stray(index) + reader;
+            let place = engine.crowd_ms() + self.far(request, engine) + stray(index) + reader;
             self.cost(engine, part_ms) + place + errors
         });
-        let need = demand.prompt + demand.answer;
+        let need = request.prompt_tokens + request.answer_tokens;
         let share = self.settings.memory_share;
         // The primary decodes the answer, so it needs the memory, or helpers that hold the excess.
         let fits = firsts.iter().find(|index| usable[**index].room(share) >= need);
@@ -312,7 +314,7 @@
             }
         };
         let eligible = &self.in_reach(usable, eligible, first, now);
-        for index in self.rank(demand, usable, eligible, |index| {
+        for index in self.rank(request, usable, eligible, |index| {
             let engine = usable[index];
             self.helper_cost(engine, part_ms) + engine.errors(now) * ERRORS_MS + stray(index)
         }) {
@@ -335,12 +337,12 @@
     /// are about to arrive, in units of an answer in time to a prompt of [`UNIT_PROMPT`] tokens.
     fn net(
         &self,
-        demand: &Demand<'_>,
+        request: &Request<'_>,
         Division { usable, kept }: Division<'_>,
         plan: &Plan,
         now: clock::Moment,
     ) -> f64 {
-        let target = demand.target.as_secs_f64() * 1e3;
+        let target = request.target.as_secs_f64() * 1e3;
         let in_time = match plan.expected {
             expected if expected <= target => 1.0,
             expected if expected <= target * TOO_LATE => LATE_VALUE,
@@ -352,9 +354,10 @@
         let tight = self.tight_writers(usable);
         let touched = parts().filter(|index| *index < kept).count() as f64 / kept.max(1) as f64;
         let stall = (plan.part_ms - self.settings.stall_ms).max(0.0) / 1e3;
-        let arrivals = f64::from(tight) / self.settings.tight_life.as_secs_f64() * touched * stall;
+        let arrivals =
+            f64::from(tight) / self.settings.tight_answer_span.as_secs_f64() * touched * stall;
         let served = 1.0 - usable[plan.first].errors(now);
-        value(demand.prompt) * in_time * served - (writers + arrivals) * (1.0 - LATE_VALUE)
+        value(request.prompt_tokens) * in_time * served - (writers + arrivals) * (1.0 - LATE_VALUE)
     }
 
     /// The refusal of a prompt for which engines lack a resource.
@@ -364,9 +367,9 @@
     /// would be refused seconds after it could no longer be in time. It therefore waits only while
     /// it can be in time, and is refused as soon as the prompts ahead of it or the remaining time
     /// show that it cannot, with the time after which the missing resource is expected to be free.
-    fn not_now(&self, demand: &Demand<'_>, outlook: Outlook) -> Refusal {
-        let in_time = outlook.first_ms <= demand.target.as_secs_f64() * 1e3;
-        if in_time && demand.waited < self.settings.patience {
+    fn not_now(&self, request: &Request<'_>, outlook: Outlook) -> Refusal {
+        let in_time = outlook.first_ms <= request.target.as_secs_f64() * 1e3;
+        if in_time && request.waited < self.settings.max_wait {
             return Refusal::Busy(outlook.shortage);
         }
         let free = clock::Span::try_from_secs_f64(outlook.free_ms / 1e3).unwrap_or_default();
@@ -378,7 +381,7 @@
     /// engine, and several prompts would be prefilled in one pass.
     fn rank<Cost>(
         &self,
-        demand: &Demand<'_>,
+        request: &Request<'_>,
         usable: &[&Engine],
         eligible: &[usize],
         cost: Cost,
@@ -387,7 +390,7 @@
         Cost: Fn(usize) -> f64,
     {
         let keyed = eligible.iter().map(|index| {
-            let jitter = spread(demand.draw, usable[*index]) % 1_000;
+            let jitter = spread(request.random, usable[*index]) % 1_000;
             (cost(*index) + jitter as f64 / 1e3 * self.settings.jitter_ms, *index)
         });
         let mut keyed: Vec<(f64, usize)> = keyed.collect();
@@ -406,7 +409,8 @@
     ) -> Vec<usize> {
         let from = &usable[first].entry().zone;
         let others = eligible.iter().copied().filter(|index| {
-            *index != first && !self.cuts.is_cut(from, &usable[*index].entry().zone, now)
+            *index != first
+                && !self.partitions.is_partitioned(from, &usable[*index].entry().zone, now)
         });
         std::iter::once(first).chain(others).collect()
     }
@@ -435,7 +439,7 @@
         by_room.sort_by_key(|index| std::cmp::Reverse(room(index)));
         let mut left = need.saturating_sub(room(&eligible[0]));
         let mut holders = Vec::new();
-        for index in by_room.into_iter().take(self.settings.helpers) {
+        for index in by_room.into_iter().take(self.settings.max_helpers) {
             let part = left.min(room(&index));
             if part == 0 {
                 break;
@@ -469,18 +473,18 @@
         f64::from(engine.harmed(part_ms)) * self.settings.harm_ms
     }
 
-    fn far(&self, demand: &Demand<'_>, engine: &Engine) -> f64 {
-        if engine.entry().zone == *demand.zone { 0.0 } else { self.settings.remote_ms }
+    fn far(&self, request: &Request<'_>, engine: &Engine) -> f64 {
+        if engine.entry().zone == *request.zone { 0.0 } else { self.settings.remote_penalty_ms }
     }
 }
 
 /// Converts a plan into a placement.
 fn placed(
-    demand: &Demand<'_>,
+    request: &Request<'_>,
     usable: &[&Engine],
-    pace: pass::Pace,
+    profile: profile::Profile,
     plan: &Plan,
-    reserve_share: f64,
+    reserve_threshold: f64,
     now: clock::Moment,
 ) -> Placement {
     let helper = |(index, reserve): &(usize, u64)| Helper {
@@ -488,14 +492,14 @@
         reserve: *reserve,
     };
     let held: u64 = plan.helpers.iter().map(|(_, reserve)| reserve).sum();
-    let need = (demand.prompt + demand.answer).saturating_sub(held);
-    let large = need as f64 > pace.memory_tokens as f64 * reserve_share;
+    let need = (request.prompt_tokens + request.answer_tokens).saturating_sub(held);
+    let large = need as f64 > profile.memory_tokens as f64 * reserve_threshold;
     Placement {
-        first: usable[plan.first].entry().clone(),
+        primary: usable[plan.first].entry().clone(),
         reserve: if large { need } else { 0 },
         helpers: plan.helpers.iter().map(helper).collect(),
         expected: clock::Span::try_from_secs_f64(plan.expected / 1e3).unwrap_or_default(),
-        belief: usable[plan.first].belief(now),
-        next: plan.next.map(|index| usable[index].belief(now)),
+        estimate: usable[plan.first].estimate(now),
+        runner_up: plan.next.map(|index| usable[index].estimate(now)),
     }
 }
--- a/crates/lagoonline/src/load/placement/settings.rs
+++ b/crates/lagoonline/src/load/placement/settings.rs
@@ -15,7 +15,7 @@
     pub loose_part_ms: f64,
     /// Most engines that may help with one prompt: one less than the number of names that an engine
     /// accepts, because its own reservation is listed too.
-    pub helpers: usize,
+    pub max_helpers: usize,
     /// Share of an engine's memory that placement may fill; the rest is for answers and for
     /// dispatches that this host has not heard of.
     pub memory_share: f64,
@@ -23,11 +23,11 @@
     /// sent. Otherwise two such prompts, sent at once by hosts that don't know of each other, would
     /// not fit together, and the second would wait for seconds in the engine until the first has
     /// ended.
-    pub reserve_share: f64,
+    pub reserve_threshold: f64,
     /// How long an engine that refused a reservation counts as full.
     pub full_span: clock::Span,
     /// Milliseconds by which an upstream of another zone must be better to be chosen.
-    pub remote_ms: f64,
+    pub remote_penalty_ms: f64,
     /// Longest gap limit that counts as tight: three passes of decode steps with a part of a prompt
     /// in each.
     pub tight_gap: clock::Span,
@@ -49,7 +49,7 @@
     pub stall_ms: f64,
     /// Average duration of an answer with a tight gap limit, from which the arrival rate of short
     /// prompts is estimated by the number in flight.
-    pub tight_life: clock::Span,
+    pub tight_answer_span: clock::Span,
     /// Range in milliseconds of the random jitter between equally good choices.
     pub jitter_ms: f64,
     /// Average prefill backlog per engine, in milliseconds, up to which a long prompt is
@@ -63,7 +63,7 @@
     /// Share of the time left to its first token that a short prompt may wait for a slot.
     pub hold_share: f64,
     /// Longest time that a prompt waits for a smaller prefill backlog.
-    pub patience: clock::Span,
+    pub max_wait: clock::Span,
     /// Milliseconds of delay that one answer made late is worth.
     pub harm_ms: f64,
     /// How long an upstream that failed without a response is avoided.
@@ -75,24 +75,24 @@
         Settings {
             part_ms: 60.0,
             loose_part_ms: 60.0,
-            helpers: 15,
+            max_helpers: 15,
             memory_share: 0.92,
-            reserve_share: 0.25,
+            reserve_threshold: 0.25,
             full_span: clock::Span::from_millis(150),
-            remote_ms: 12.0,
+            remote_penalty_ms: 12.0,
             tight_gap: clock::Span::from_millis(400),
             tight_share: 0.69,
             stray_ms: 120.0,
             reader_ms: 150.0,
             read_share: 0.6,
             stall_ms: 100.0,
-            tight_life: clock::Span::from_millis(1_900),
+            tight_answer_span: clock::Span::from_millis(1_900),
             jitter_ms: 20.0,
             backlog_ms: 200.0,
             backlog_prompt_ms: 1_200.0,
             backlog_growth: 0.12,
             hold_share: 0.3,
-            patience: clock::Span::from_millis(5_000),
+            max_wait: clock::Span::from_millis(5_000),
             harm_ms: 60.0,
             suspect_span: clock::Span::from_secs(1),
         }
--- a/crates/lagoonline/src/load/placement/waiting.rs
+++ b/crates/lagoonline/src/load/placement/waitlist.rs
@@ -2,7 +2,7 @@
 
 use std::collections;
 
-use super::WorkId;
+use super::DispatchId;
 use crate::clock;
 
 /// How long a prompt counts as waiting after the last attempt to place it: several times the
@@ -21,27 +21,27 @@
 
 /// The waiting prompts that this host places.
 #[derive(Clone, Debug)]
-pub(super) struct Waiting {
-    prompts: collections::HashMap<WorkId, Prompt>,
+pub(super) struct Waitlist {
+    prompts: collections::HashMap<DispatchId, Prompt>,
     begun: u64,
     /// Number of hosts that place requests, including this one.
-    deciders: usize,
+    placing_hosts: usize,
 }
 
-impl Default for Waiting {
+impl Default for Waitlist {
     fn default() -> Self {
-        Waiting { prompts: collections::HashMap::new(), begun: 0, deciders: 1 }
+        Waitlist { prompts: collections::HashMap::new(), begun: 0, placing_hosts: 1 }
     }
 }
 
-impl Waiting {
-    pub(super) fn set_deciders(&mut self, deciders: usize) {
-        self.deciders = deciders.max(1);
+impl Waitlist {
+    pub(super) fn set_placing_hosts(&mut self, hosts: usize) {
+        self.placing_hosts = hosts.max(1);
     }
 
     /// Records an attempt to place a prompt with a prefill time of `read_ms`; `waits` tells whether
     /// it was deferred and will be tried again.
-    pub(super) fn note(&mut self, turn: WorkId, read_ms: f64, waits: bool, now: clock::Moment) {
+    pub(super) fn note(&mut self, turn: DispatchId, read_ms: f64, waits: bool, now: clock::Moment) {
         self.prompts.retain(|_, prompt| now.since(prompt.asked) <= ASKED);
         if !waits {
             self.prompts.remove(&turn);
@@ -55,10 +55,10 @@
     /// Total prefill time at all hosts, in milliseconds, of the prompts ahead of one with a prefill
     /// time of `read_ms`: those that began to wait earlier and are not larger, since smaller
     /// prompts overtake larger ones.
-    pub(super) fn ahead_ms(&self, turn: WorkId, read_ms: f64) -> f64 {
+    pub(super) fn ahead_ms(&self, turn: DispatchId, read_ms: f64) -> f64 {
         let order = self.prompts.get(&turn).map_or(u64::MAX, |prompt| prompt.order);
         let ahead = |prompt: &&Prompt| prompt.order < order && prompt.read_ms <= read_ms;
         let ahead_ms: f64 = self.prompts.values().filter(ahead).map(|prompt| prompt.read_ms).sum();
-        ahead_ms * self.deciders as f64
+        ahead_ms * self.placing_hosts as f64
     }
 }
--- a/crates/lagoonline/src/load/pass.rs
+++ b/crates/lagoonline/src/load/profile.rs
@@ -2,7 +2,7 @@
 //! memory.
 //!
 //! An engine works in passes over all its requests. A pass with at least one request in decode runs
-//! [`Pace::stride`] decode steps. Prefill runs between these steps, so a long prefill in a pass
+//! [`Profile::stride`] decode steps. Prefill runs between these steps, so a long prefill in a pass
 //! delays every request in decode on the engine by as much.
 
 use crate::clock;
@@ -10,12 +10,12 @@
 /// Performance figures of a model engine.
 ///
 /// ```
-/// use lagoonline::load::pass::Pace;
-/// let pace = Pace { read_per_ms: 206.0, pairs_ms_per_m: 0.138, ..Pace::default() };
-/// assert_eq!(pace.read_ms(45_000).round(), 358.0);
+/// use lagoonline::load::profile::Profile;
+/// let pace = Profile { prefill_per_ms: 206.0, pairs_ms_per_m: 0.138, ..Profile::default() };
+/// assert_eq!(pace.prefill_ms(45_000).round(), 358.0);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct Profile {
     /// Requests that it processes at once.
     pub slots: u32,
     /// KV memory in tokens.
@@ -26,11 +26,11 @@
     /// Milliseconds of a decode step.
     pub step_ms: f64,
     /// Milliseconds that each request in decode adds to a step.
-    pub writer_ms: f64,
+    pub sequence_ms: f64,
     /// Milliseconds that each thousand tokens of context add to a step.
     pub context_ms_per_k: f64,
     /// Prompt tokens prefilled per millisecond.
-    pub read_per_ms: f64,
+    pub prefill_per_ms: f64,
     /// Milliseconds of attention per million pairs of a prompt token and an earlier one.
     pub pairs_ms_per_m: f64,
     /// Most prompt tokens prefilled in one step.
@@ -40,42 +40,42 @@
     /// Extra milliseconds of a step for a request that several engines prefilled.
     pub hop_ms: f64,
     /// Mean prompt length in tokens.
-    pub usual_prompt: u64,
+    pub mean_prompt: u64,
     /// Mean answer length in tokens.
-    pub usual_answer: u64,
+    pub mean_answer: u64,
 }
 
-impl Default for Pace {
+impl Default for Profile {
     fn default() -> Self {
-        Pace {
+        Profile {
             slots: 16,
             memory_tokens: 232_000,
             stride: 43,
             step_ms: 1.0,
-            writer_ms: 0.002,
+            sequence_ms: 0.002,
             context_ms_per_k: 0.004,
-            read_per_ms: 200.0,
+            prefill_per_ms: 200.0,
             pairs_ms_per_m: 0.14,
             chunk: 2_048,
             report_lag_ms: 200.0,
             hop_ms: 0.1,
-            usual_prompt: 12_000,
-            usual_answer: 1_300,
+            mean_prompt: 12_000,
+            mean_answer: 1_300,
         }
     }
 }
 
-impl Pace {
+impl Profile {
     /// Milliseconds to prefill a prompt of `tokens` on one otherwise idle engine.
-    pub fn read_ms(&self, tokens: u64) -> f64 {
+    pub fn prefill_ms(&self, tokens: u64) -> f64 {
         let tokens = tokens as f64;
         let pairs = tokens * tokens / 2.0 / 1e6;
-        tokens / self.read_per_ms.max(f64::MIN_POSITIVE) + pairs * self.pairs_ms_per_m
+        tokens / self.prefill_per_ms.max(f64::MIN_POSITIVE) + pairs * self.pairs_ms_per_m
     }
 
     /// Milliseconds that each of `parts` engines needs for its part of a prompt of `tokens`.
     pub fn part_ms(&self, tokens: u64, parts: u32) -> f64 {
-        self.read_ms(tokens) / f64::from(parts.max(1))
+        self.prefill_ms(tokens) / f64::from(parts.max(1))
     }
 
     /// Milliseconds of a pass with `writers` requests in decode over `context` tokens in total,
@@ -85,13 +85,13 @@
             return 0.0;
         }
         let step = self.step_ms
-            + self.writer_ms * f64::from(writers)
+            + self.sequence_ms * f64::from(writers)
             + self.context_ms_per_k * context as f64 / 1e3;
         step * f64::from(self.stride)
     }
 
     /// Time to decode an answer of `tokens` if a pass takes `pass_ms`.
-    pub fn write_span(&self, tokens: u64, pass_ms: f64) -> clock::Span {
+    pub fn decode_span(&self, tokens: u64, pass_ms: f64) -> clock::Span {
         let passes = (tokens as f64 / f64::from(self.stride.max(1))).ceil();
         clock::Span::try_from_secs_f64(passes * pass_ms / 1e3).unwrap_or(clock::Span::MAX)
     }
--- a/crates/lagoonline/src/load/queue.rs
+++ b/crates/lagoonline/src/load/queue.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(crate) struct Item {
     pub waiter: scheduler::Waiter,
-    pub ask: scheduler::Ask,
+    pub ask: scheduler::Request,
     /// When it is refused if it still waits.
     pub give_up: clock::Moment,
 }
@@ -36,7 +36,7 @@
 }
 
 /// Cost of a request in tokens; an answer token counts as much as a prompt token.
-pub(crate) fn cost(ask: &scheduler::Ask) -> u64 {
+pub(crate) fn cost(ask: &scheduler::Request) -> u64 {
     ask.prompt_tokens + ask.answer_tokens
 }
 
@@ -166,7 +166,7 @@
 
     /// Tokens by band that are dispatched before the last token of a new request, by rank and fair
     /// share.
-    pub fn tokens_before(&self, band: usize, ask: &scheduler::Ask) -> [u64; BANDS] {
+    pub fn tokens_before(&self, band: usize, ask: &scheduler::Request) -> [u64; BANDS] {
         let mut before = [0; BANDS];
         for (slot, band) in before.iter_mut().zip(&self.bands[..band]) {
             *slot = band.tokens;
@@ -177,7 +177,7 @@
 
     /// Tokens of its own band ahead of a new request: it waits until its customer's requests have
     /// been served in turn, and every other active customer is assumed to keep sending.
-    fn own_band(&self, band: usize, ask: &scheduler::Ask) -> u64 {
+    fn own_band(&self, band: usize, ask: &scheduler::Request) -> u64 {
         let key = self.key(band, ask);
         let band = &self.bands[band];
         let teams = band.turn.active().max(1) as u64;
@@ -191,7 +191,7 @@
 
     /// The last waiter of the customer with the most waiters, if these are more than twice as many
     /// as the asking customer has.
-    pub fn displaced_by(&self, ask: &scheduler::Ask) -> Option<scheduler::Waiter> {
+    pub fn displaced_by(&self, ask: &scheduler::Request) -> Option<scheduler::Waiter> {
         if !self.fair {
             return None;
         }
@@ -205,7 +205,7 @@
         if longer { line.items.back().map(|item| item.waiter) } else { None }
     }
 
-    fn key(&self, band: usize, ask: &scheduler::Ask) -> Key {
+    fn key(&self, band: usize, ask: &scheduler::Request) -> Key {
         if self.fair {
             Key { band, team: ask.team.clone(), customer: ask.customer.clone() }
         } else {
--- a/crates/lagoonline/src/load/shift.rs
+++ b/crates/lagoonline/src/load/rebalance.rs
@@ -6,7 +6,7 @@
 //! store. So a model must need at least one whole engine more than it has, for some time, before
 //! one moves; an engine that has moved stays for a while; weight loads are spread over time at the
 //! store's rate. A team's claim takes precedence: idle capacity may be borrowed, and is ordered
-//! back within [`RETURN`], because a returned engine moves before any other, without hysteresis,
+//! back within [`MAX_RETURN_DELAY`], because a returned engine moves before any other, without hysteresis,
 //! and doesn't wait for weight loads of borrowed engines.
 
 use std::collections;
@@ -15,16 +15,16 @@
 use crate::id;
 
 /// Time for which demand must exceed a model's capacity by an engine: longer than a burst.
-pub const HOLD: clock::Span = clock::Span::from_secs(30);
+pub const MIN_SHORTAGE: clock::Span = clock::Span::from_secs(30);
 /// Time for which an engine stays with the model to which it moved: many times the duration of a
 /// weight load.
-pub const STAY: clock::Span = clock::Span::from_secs(300);
+pub const MIN_STAY: clock::Span = clock::Span::from_secs(300);
 /// Time within which a borrowed engine is ordered back to a claim that needs it.
-pub const RETURN: clock::Span = clock::Span::from_secs(10);
+pub const MAX_RETURN_DELAY: clock::Span = clock::Span::from_secs(10);
 /// Excess of demand over capacity from which a model is short of engines, in engines.
-const SHORT_BY: f64 = 1.0;
+const SHORTAGE_ENGINES: f64 = 1.0;
 /// Engines that a model must keep after giving one away, as a multiple of its demand.
-const SPARE: f64 = 1.25;
+const SPARE_FACTOR: f64 = 1.25;
 
 /// Demand and claims of one model.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -66,19 +66,19 @@
 
 /// Decides the moves of one zone's engines.
 #[derive(Debug)]
-pub struct Shift {
+pub struct Rebalancer {
     /// Rate of the weight store, in bytes per second.
     store_rate: f64,
     short_since: collections::BTreeMap<id::Model, clock::Moment>,
     /// When the store will have served the loads ordered so far.
-    store_free: clock::Moment,
+    store_free_at: clock::Moment,
 }
 
-impl Shift {
+impl Rebalancer {
     /// Creates a planner for a weight store with this rate, in bytes per second.
     pub fn new(store_rate: f64) -> Self {
         let short_since = collections::BTreeMap::new();
-        Shift { store_rate, short_since, store_free: clock::Moment::START }
+        Rebalancer { store_rate, short_since, store_free_at: clock::Moment::START }
     }
 
     /// The next move, if one is due. Must be called again after it was ordered, and every second.
@@ -88,61 +88,61 @@
         demands: &collections::BTreeMap<id::Model, Demand>,
         engines: &[Engine],
     ) -> Option<Move> {
-        let mut short = Vec::new();
+        let mut short_models = Vec::new();
         for (model, demand) in demands {
-            if let Some(returned) = self.is_short(now, model, demand, engines) {
-                short.push((!returned, model, demand));
+            if let Some(returned) = self.shortage(now, model, demand, engines) {
+                short_models.push((!returned, model, demand));
             }
         }
         // Claims first, then by name, so that every steward makes the same decision.
-        short.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)));
-        for (borrowing, model, demand) in short {
+        short_models.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)));
+        for (borrowing, model, demand) in short_models {
             let returned = !borrowing;
-            if borrowing && self.store_free > now {
+            if borrowing && self.store_free_at > now {
                 continue;
             }
-            let Some(engine) = donor(now, model, demands, engines, returned) else { continue };
-            self.ordered(now, model, demand);
+            let Some(engine) = find_donor(now, model, demands, engines, returned) else { continue };
+            self.record_order(now, model, demand);
             return Some(Move { engine: engine.name.clone(), to: model.clone(), returned });
         }
         None
     }
 
     /// Whether the model is short of an engine now, and if so whether its claim is unmet.
-    fn is_short(
+    fn shortage(
         &mut self,
         now: clock::Moment,
         model: &id::Model,
         demand: &Demand,
         engines: &[Engine],
     ) -> Option<bool> {
-        let has = count(model, engines);
-        let wants = demand.engines.ceil() as u32;
-        if has < wants.min(demand.claimed) {
+        let current = engine_count(model, engines);
+        let wanted = demand.engines.ceil() as u32;
+        if current < wanted.min(demand.claimed) {
             return Some(true);
         }
-        if demand.engines < f64::from(has) + SHORT_BY {
+        if demand.engines < f64::from(current) + SHORTAGE_ENGINES {
             self.short_since.remove(model);
             return None;
         }
         let since = *self.short_since.entry(model.clone()).or_insert(now);
-        (now.since(since) >= HOLD).then_some(false)
+        (now.since(since) >= MIN_SHORTAGE).then_some(false)
     }
 
-    fn ordered(&mut self, now: clock::Moment, model: &id::Model, demand: &Demand) {
+    fn record_order(&mut self, now: clock::Moment, model: &id::Model, demand: &Demand) {
         let seconds = demand.weight_bytes as f64 / self.store_rate.max(1.0);
-        self.store_free = self.store_free.max(now) + clock::Span::from_secs_f64(seconds);
+        self.store_free_at = self.store_free_at.max(now) + clock::Span::from_secs_f64(seconds);
         self.short_since.remove(model);
     }
 }
 
-fn count(model: &id::Model, engines: &[Engine]) -> u32 {
+fn engine_count(model: &id::Model, engines: &[Engine]) -> u32 {
     let serving = engines.iter().filter(|engine| engine.model == *model);
     u32::try_from(serving.count()).unwrap_or(u32::MAX)
 }
 
 /// The least busy engine of a model that can give one away.
-fn donor<'a>(
+fn find_donor<'a>(
     now: clock::Moment,
     to: &id::Model,
     demands: &collections::BTreeMap<id::Model, Demand>,
@@ -151,12 +151,12 @@
 ) -> Option<&'a Engine> {
     let can_spare = |engine: &&Engine| {
         let demand = demands.get(&engine.model).copied().unwrap_or_default();
-        let left = count(&engine.model, engines).saturating_sub(1);
+        let left = engine_count(&engine.model, engines).saturating_sub(1);
         let keeps_claim = left >= demand.claimed.min(demand.engines.ceil() as u32);
-        let is_free = f64::from(left) >= demand.engines * SPARE;
-        let rested = now.since(engine.since) >= STAY;
+        let is_free = f64::from(left) >= demand.engines * SPARE_FACTOR;
+        let stayed = now.since(engine.since) >= MIN_STAY;
         let movable = engine.model != *to && !engine.moving;
-        movable && keeps_claim && (returned || (is_free && rested))
+        movable && keeps_claim && (returned || (is_free && stayed))
     };
     engines.iter().filter(can_spare).min_by_key(|engine| (engine.requests, &engine.name))
 }
--- a/crates/lagoonline/src/load/retry.rs
+++ b/crates/lagoonline/src/load/retry.rs
@@ -7,23 +7,23 @@
 //!
 //! No load scenario exhausts the budget, because failing upstreams are avoided at once.
 
-/// Retries added per first attempt unless [`Budget::allow_ratio`] changes it.
-const SHARE: f64 = 0.1;
+/// Retries added per first attempt unless [`Budget::set_ratio`] changes it.
+const DEFAULT_RATIO: f64 = 0.1;
 /// Largest number of retries that can accumulate.
-const BURST: f64 = 10.0;
+const MAX_BURST: f64 = 10.0;
 
 /// Retries that may still be made.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    left: f64,
+    available: f64,
     burst: f64,
     /// Retries added per first attempt.
-    share: f64,
+    ratio: f64,
 }
 
 impl Default for Budget {
     fn default() -> Self {
-        Budget { left: BURST, burst: BURST, share: SHARE }
+        Budget { available: MAX_BURST, burst: MAX_BURST, ratio: DEFAULT_RATIO }
     }
 }
 
@@ -34,7 +34,7 @@
 /// upstream add to the budget too, and starting hosts bring a burst of their own.
 const RATIO_SHARE: f64 = 0.75;
 /// Smallest burst: with less, a host with little traffic could never retry.
-const LEAST_BURST: f64 = 1.0;
+const MIN_BURST: f64 = 1.0;
 
 impl Budget {
     /// Limits the burst so that the bursts of `hosts` hosts together stay within `slack`.
@@ -45,52 +45,52 @@
     ///
     /// ```
     /// let mut budget = lagoonline::load::retry::Budget::default();
-    /// budget.share_slack(200.0, 60);
-    /// assert_eq!((0..100).filter(|_| budget.take()).count(), 2);
+    /// budget.set_slack(200.0, 60);
+    /// assert_eq!((0..100).filter(|_| budget.take_retry()).count(), 2);
     /// ```
-    pub fn share_slack(&mut self, slack: f64, hosts: usize) {
+    pub fn set_slack(&mut self, slack: f64, hosts: usize) {
         let share = slack * SLACK_SHARE / hosts.max(1) as f64;
-        self.burst = share.clamp(LEAST_BURST, BURST);
-        self.left = self.left.min(self.burst);
+        self.burst = share.clamp(MIN_BURST, MAX_BURST);
+        self.available = self.available.min(self.burst);
     }
 
     /// Allows `ratio` retries per request of all hosts.
     ///
     /// ```
     /// let mut budget = lagoonline::load::retry::Budget::default();
-    /// while budget.take() {}
-    /// budget.allow_ratio(0.4);
-    /// for _ in 0..10 { budget.first_attempt(); }
-    /// assert_eq!((0..100).filter(|_| budget.take()).count(), 3);
+    /// while budget.take_retry() {}
+    /// budget.set_ratio(0.4);
+    /// for _ in 0..10 { budget.record_first_attempt(); }
+    /// assert_eq!((0..100).filter(|_| budget.take_retry()).count(), 3);
     /// ```
-    pub fn allow_ratio(&mut self, ratio: f64) {
-        self.share = ratio * RATIO_SHARE;
+    pub fn set_ratio(&mut self, ratio: f64) {
+        self.ratio = ratio * RATIO_SHARE;
     }
 
     /// Records a first attempt.
     ///
     /// ```
     /// let mut budget = lagoonline::load::retry::Budget::default();
-    /// assert_eq!((0..100).filter(|_| budget.take()).count(), 10);
-    /// for _ in 0..100 { budget.first_attempt(); }
-    /// assert_eq!((0..100).filter(|_| budget.take()).count(), 10);
+    /// assert_eq!((0..100).filter(|_| budget.take_retry()).count(), 10);
+    /// for _ in 0..100 { budget.record_first_attempt(); }
+    /// assert_eq!((0..100).filter(|_| budget.take_retry()).count(), 10);
     /// ```
-    pub fn first_attempt(&mut self) {
-        self.left = (self.left + self.share).min(self.burst);
+    pub fn record_first_attempt(&mut self) {
+        self.available = (self.available + self.ratio).min(self.burst);
     }
 
     /// Whether a retry is left.
-    pub fn has_one(&self) -> bool {
+    pub fn has_retry(&self) -> bool {
         // A sum of tenths can be a rounding error below a whole number.
-        self.left >= 1.0 - 1e-9
+        self.available >= 1.0 - 1e-9
     }
 
     /// Takes one retry; returns false if none is left.
-    pub fn take(&mut self) -> bool {
-        if !self.has_one() {
+    pub fn take_retry(&mut self) -> bool {
+        if !self.has_retry() {
             return false;
         }
-        self.left -= 1.0;
+        self.available -= 1.0;
         true
     }
 }
--- a/crates/lagoonline/src/load/scheduler/fleet.rs
+++ b/crates/lagoonline/src/load/scheduler/fleet.rs
@@ -110,7 +110,7 @@
         // All members of a group are in one zone; without engines in this zone a single engine is
         // the limit.
         let locals = self.upstreams[..self.locals].iter().map(|upstream| upstream.kv_tokens);
-        self.memory = group::reach(locals).max(self.largest);
+        self.memory = group::capacity(locals).max(self.largest);
         let delays = self.upstreams[self.locals..].iter().map(|upstream| upstream.delay);
         self.nearest = delays.fold(f64::MAX, f64::min);
     }
--- a/crates/lagoonline/src/load/scheduler/mod.rs
+++ b/crates/lagoonline/src/load/scheduler/mod.rs
@@ -32,7 +32,7 @@
 
 /// A request to be scheduled.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct Request {
     /// Customer that sent the request.
     pub customer: id::Customer,
     /// The customer's team.
@@ -191,8 +191,8 @@
     }
 
     /// Requests a placement for a new request.
-    pub fn offer(&mut self, now: clock::Moment, ask: Ask) -> Verdict {
-        self.budget.first_attempt();
+    pub fn offer(&mut self, now: clock::Moment, ask: Request) -> Verdict {
+        self.budget.record_first_attempt();
         self.share.offered(now, class(&ask), ask.prompt_tokens);
         let cost = queue::cost(&ask);
         self.usage[class(&ask) as usize].record(now, &ask.customer, ask.weight, cost);
@@ -201,16 +201,16 @@
 
     /// Requests another placement after an attempt that ended with `ending` and may be repeated;
     /// takes one retry from the retry budget.
-    pub fn again(
+    pub fn retry(
         &mut self,
         now: clock::Moment,
         ticket: Ticket,
         ending: Ending,
-        ask: Ask,
+        ask: Request,
     ) -> Verdict {
         self.finish(now, ticket, ending);
         let full = self.settings.policy == settings::Policy::Full;
-        if full && self.settings.safeguards.retry_budget && !self.budget.take() {
+        if full && self.settings.safeguards.retry_budget && !self.budget.take_retry() {
             let draw = self.draw();
             return Verdict::Refuse(admit::refusal(outcome::Reason::Saturated, 1.0, draw));
         }
@@ -218,7 +218,7 @@
     }
 
     /// Removes a waiting request whose caller left; its place in the queue is free at once.
-    pub fn leave(&mut self, waiter: Waiter) {
+    pub fn cancel(&mut self, waiter: Waiter) {
         self.queue.remove(waiter);
         let other = |wake: &Wake| !matches!(wake, Wake::Refuse(other, _) if *other == waiter);
         self.displaced.retain(other);
@@ -322,7 +322,7 @@
     }
 
     /// Records that an engine counted `tokens` tokens in a prompt of `bytes` bytes.
-    pub fn counted(&mut self, bytes: u64, tokens: u64) {
+    pub fn record_token_count(&mut self, bytes: u64, tokens: u64) {
         self.ratio.learn(bytes, tokens);
     }
 
@@ -357,22 +357,22 @@
     all: usize,
 ) {
     match ending {
-        Ending::Done { .. } => upstream.health.succeeded(),
-        Ending::Failed => upstream.health.failed(now, out, all, upstream.local.is_none()),
-        Ending::Silent => upstream.health.silent(now, out, all, upstream.local.is_none()),
+        Ending::Done { .. } => upstream.health.record_success(),
+        Ending::Failed => upstream.health.record_failure(now, out, all, upstream.local.is_none()),
+        Ending::Silent => upstream.health.record_silence(now, out, all, upstream.local.is_none()),
         Ending::Full => {
             upstream.full_until = now + FULL_SPAN;
-            upstream.health.untold(now);
+            upstream.health.record_inconclusive(now);
         }
         Ending::Leaving => {
             upstream.leaving = true;
-            upstream.health.untold(now);
+            upstream.health.record_inconclusive(now);
         }
-        Ending::Abandoned => upstream.health.untold(now),
+        Ending::Abandoned => upstream.health.record_inconclusive(now),
     }
 }
 
 /// Length class of a request, by its prompt.
-pub fn class(ask: &Ask) -> document::Class {
+pub fn class(ask: &Request) -> document::Class {
     document::Class::of(ask.prompt_tokens)
 }
--- a/crates/lagoonline/src/load/scheduler/place.rs
+++ b/crates/lagoonline/src/load/scheduler/place.rs
@@ -27,7 +27,11 @@
 const LONG_WEIGHT: f64 = 8.0;
 
 impl scheduler::Scheduler {
-    pub(super) fn enter(&mut self, now: clock::Moment, ask: scheduler::Ask) -> scheduler::Verdict {
+    pub(super) fn enter(
+        &mut self,
+        now: clock::Moment,
+        ask: scheduler::Request,
+    ) -> scheduler::Verdict {
         if !self.upstreams.iter().any(|upstream| !upstream.leaving && !upstream.gone) {
             return self.refuse(outcome::Reason::NoUpstream, 1.0);
         }
@@ -107,7 +111,7 @@
 
     /// Class as which a request is ranked: one class later for customers over their share, and the
     /// same for all requests if the priority safeguard is off.
-    fn rank(&self, now: clock::Moment, ask: &scheduler::Ask) -> document::Class {
+    fn rank(&self, now: clock::Moment, ask: &scheduler::Request) -> document::Class {
         let safeguards = self.settings.safeguards;
         if !self.full() || !safeguards.priority {
             return document::Class::Short;
@@ -119,7 +123,12 @@
         document::Class::ALL[(class as usize + 1).min(document::Class::ALL.len() - 1)]
     }
 
-    fn is_over(&self, now: clock::Moment, class: document::Class, ask: &scheduler::Ask) -> bool {
+    fn is_over(
+        &self,
+        now: clock::Moment,
+        class: document::Class,
+        ask: &scheduler::Request,
+    ) -> bool {
         self.usage[class as usize].is_over(now, &ask.customer, queue::cost(ask))
     }
 
@@ -139,7 +148,7 @@
     fn place(
         &mut self,
         now: clock::Moment,
-        ask: &scheduler::Ask,
+        ask: &scheduler::Request,
         aged: bool,
     ) -> Option<scheduler::Placement> {
         let need = self.need(now, ask);
@@ -176,7 +185,7 @@
     fn is_late(
         &self,
         now: clock::Moment,
-        ask: &scheduler::Ask,
+        ask: &scheduler::Request,
         need: &route::Need,
         route: &route::Route,
     ) -> bool {
@@ -188,7 +197,7 @@
     fn dispatch(
         &mut self,
         now: clock::Moment,
-        ask: &scheduler::Ask,
+        ask: &scheduler::Request,
         need: &route::Need,
         route: route::Route,
         aged: bool,
@@ -198,7 +207,7 @@
         let parts = self.take(now, need, &route);
         if let route::Route::One { index, seconds } = route {
             let upstream = &mut self.upstreams[index];
-            upstream.health.sent();
+            upstream.health.record_sent();
             if need.rank == document::Class::Short {
                 let expected = (seconds - upstream.delay) / upstream.pace.slowness(now);
                 upstream.pace.sent(now, ticket, expected);
@@ -216,7 +225,7 @@
         self.tickets.insert(ticket, work);
         let (route::Route::One { seconds, .. } | route::Route::Group { seconds, .. }) = route;
         let silence = silence::first_token(seconds / self.sure_part(need));
-        let gap = silence::between(self.forecast.gap());
+        let gap = silence::between_tokens(self.forecast.gap());
         scheduler::Placement { ticket, upstream, members, spans, priority, silence, gap }
     }
 
@@ -226,11 +235,11 @@
         &self,
         now: clock::Moment,
         ticket: scheduler::Ticket,
-        ask: &scheduler::Ask,
+        ask: &scheduler::Request,
     ) -> bool {
         let Some(work) = self.tickets.get(&ticket) else { return false };
         let limited = self.full() && self.settings.safeguards.retry_budget;
-        if limited && !self.budget.has_one() {
+        if limited && !self.budget.has_retry() {
             return false;
         }
         let silent = work.parts.first().map(|part| &part.upstream);
@@ -327,7 +336,7 @@
         }
     }
 
-    pub(super) fn need(&self, now: clock::Moment, ask: &scheduler::Ask) -> route::Need {
+    pub(super) fn need(&self, now: clock::Moment, ask: &scheduler::Request) -> route::Need {
         let affinity = self.full() && self.settings.safeguards.affinity;
         let hits = if affinity { self.hits(&ask.prefixes) } else { Default::default() };
         let kv = ask.prompt_tokens + ask.answer_tokens;
--- a/crates/lagoonline/src/load/scheduler/room.rs
+++ b/crates/lagoonline/src/load/scheduler/room.rs
@@ -36,7 +36,7 @@
         &mut self,
         now: clock::Moment,
         band: usize,
-        ask: &scheduler::Ask,
+        ask: &scheduler::Request,
     ) -> Result<clock::Moment, outcome::Failure> {
         if !self.full() {
             return Ok(ask.deadline);
@@ -81,7 +81,7 @@
 
     /// Makes room for `ask` within the bounds of the queue, if necessary by displacing a request of
     /// the customer with the most waiters.
-    pub(super) fn make_room(&mut self, ask: &scheduler::Ask) -> bool {
+    pub(super) fn make_room(&mut self, ask: &scheduler::Request) -> bool {
         let bytes = self.queue.bytes() + ask.bytes;
         if self.queue.len() < self.settings.queue_requests && bytes <= self.settings.queue_bytes {
             return true;
--- a/crates/lagoonline/src/load/silence.rs
+++ b/crates/lagoonline/src/load/silence.rs
@@ -13,11 +13,11 @@
 use crate::clock;
 
 /// Silence in seconds that is always tolerated.
-const LEAST: f64 = 2.0;
+const MIN_SECONDS: f64 = 2.0;
 /// Multiple of the predicted time to the first token.
-const FACTOR: f64 = 4.0;
+const FIRST_TOKEN_FACTOR: f64 = 4.0;
 /// Multiple of the usual time between tokens: the chunks of a long prompt stretch a gap tenfold.
-const GAPS: f64 = 40.0;
+const GAP_FACTOR: f64 = 40.0;
 
 /// Longest silence before a first token that was predicted after `predicted` seconds.
 ///
@@ -26,7 +26,8 @@
 /// assert_eq!(silence::first_token(0.5), Span::from_secs(4));
 /// ```
 pub fn first_token(predicted: f64) -> clock::Span {
-    clock::Span::try_from_secs_f64(LEAST + FACTOR * predicted).unwrap_or(clock::Span::MAX)
+    clock::Span::try_from_secs_f64(MIN_SECONDS + FIRST_TOKEN_FACTOR * predicted)
+        .unwrap_or(clock::Span::MAX)
 }
 
 /// Longest silence within a stream whose tokens usually arrive every `usual` seconds; `usual` is 0
@@ -34,9 +35,9 @@
 ///
 /// ```
 /// use lagoonline::{clock::Span, load::silence};
-/// assert_eq!(silence::between(0.02), Span::from_secs(2));
-/// assert_eq!(silence::between(0.1), Span::from_secs(4));
+/// assert_eq!(silence::between_tokens(0.02), Span::from_secs(2));
+/// assert_eq!(silence::between_tokens(0.1), Span::from_secs(4));
 /// ```
-pub fn between(usual: f64) -> clock::Span {
-    clock::Span::try_from_secs_f64(LEAST.max(GAPS * usual)).unwrap_or(clock::Span::MAX)
+pub fn between_tokens(usual: f64) -> clock::Span {
+    clock::Span::try_from_secs_f64(MIN_SECONDS.max(GAP_FACTOR * usual)).unwrap_or(clock::Span::MAX)
 }
--- a/crates/lagoonline/src/load/slowdown.rs
+++ b/crates/lagoonline/src/load/slowdown.rs
@@ -4,14 +4,14 @@
 //! first tokens of short prompts got slower, but cannot distinguish longer prompts from slower
 //! links. The time on an idle engine is the prefill at the engine's rate plus an overhead of links
 //! and batching that is the same for all prompts; the smallest recent overhead is used for it. With
-//! `RISE` that overhead follows a fleet that became permanently slower within a few thousand
+//! `RISE_FRACTION` that overhead follows a fleet that became permanently slower within a few thousand
 //! prompts, while a busy minute hardly changes it.
 
 use crate::clock;
 
 /// Fraction of the difference by which the overhead rises with each prompt that showed a greater
 /// one.
-const RISE: f64 = 0.001;
+const RISE_FRACTION: f64 = 0.001;
 
 /// Learned smallest overhead of first tokens, in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -27,15 +27,16 @@
     /// ```
     /// use lagoonline::{clock::Span, load::slowdown::Baseline};
     /// let mut baseline = Baseline::default();
-    /// assert_eq!(baseline.ratio(Span::from_millis(120), 1_000, 10_000.0), 1.0);
-    /// let beside_long = baseline.ratio(Span::from_millis(240), 1_000, 10_000.0);
+    /// assert_eq!(baseline.record(Span::from_millis(120), 1_000, 10_000.0), 1.0);
+    /// let beside_long = baseline.record(Span::from_millis(240), 1_000, 10_000.0);
     /// assert!((beside_long - 2.0).abs() < 0.01);
     /// ```
-    pub fn ratio(&mut self, took: clock::Span, tokens: u64, rate: f64) -> f64 {
+    pub fn record(&mut self, took: clock::Span, tokens: u64, rate: f64) -> f64 {
         let (took, prefill) = (took.as_secs_f64(), tokens as f64 / rate.max(1.0));
-        let seen = (took - prefill).max(0.0);
-        let known = self.overhead.unwrap_or(seen);
-        let overhead = if seen < known { seen } else { known + (seen - known) * RISE };
+        let observed = (took - prefill).max(0.0);
+        let known = self.overhead.unwrap_or(observed);
+        let overhead =
+            if observed < known { observed } else { known + (observed - known) * RISE_FRACTION };
         self.overhead = Some(overhead);
         (took / (prefill + overhead).max(f64::MIN_POSITIVE)).max(1.0)
     }
--- a/crates/lagoonline/src/routing/mod.rs
+++ b/crates/lagoonline/src/routing/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::clock;
 use crate::id;
-use crate::load::pass;
+use crate::load::profile;
 
 pub use confirm::Confirmation;
 pub use registry::{Change, Registry, Settings as RegistrySettings};
@@ -99,7 +99,7 @@
     /// Connections that one upstream accepts from all callers together.
     pub connections: u32,
     /// How its model engines work; `None` for a plain service.
-    pub pace: Option<pass::Pace>,
+    pub profile: Option<profile::Profile>,
 }
 
 /// A customer and the keys that name it.
--- a/crates/lagoonline/tests/load_cold.rs
+++ b/crates/lagoonline/tests/load_cold.rs
@@ -21,8 +21,8 @@
     scheduler
 }
 
-fn ask(now: Moment, answer_tokens: u64) -> load::Ask {
-    load::Ask {
+fn ask(now: Moment, answer_tokens: u64) -> load::Request {
+    load::Request {
         customer: id::Customer::from("crew"),
         team: id::Team::from("t"),
         weight: 1,
@@ -90,7 +90,7 @@
 #[test]
 fn a_long_prompt_does_not_wait_for_work_that_is_done() {
     let mut scheduler = scheduler();
-    let long = |now| load::Ask {
+    let long = |now| load::Request {
         prompt_tokens: 300_000,
         deadline: now + Span::from_secs(600),
         ..ask(now, 8)
--- a/crates/lagoonline/tests/load_fuzz.rs
+++ b/crates/lagoonline/tests/load_fuzz.rs
@@ -73,8 +73,8 @@
 struct World {
     scheduler: Scheduler,
     now: Moment,
-    waiting: collections::BTreeMap<Waiter, load::Ask>,
-    running: collections::BTreeMap<Ticket, (id::Upstream, load::Ask)>,
+    waiting: collections::BTreeMap<Waiter, load::Request>,
+    running: collections::BTreeMap<Ticket, (id::Upstream, load::Request)>,
     tickets: collections::BTreeSet<Ticket>,
     leaving: collections::BTreeSet<id::Upstream>,
 }
@@ -127,8 +127,8 @@
         }
     }
 
-    fn ask(&self, customer: u8, tokens: u64, deadline_ms: u64) -> load::Ask {
-        load::Ask {
+    fn ask(&self, customer: u8, tokens: u64, deadline_ms: u64) -> load::Request {
+        load::Request {
             customer: id::Customer::from(format!("c{customer}")),
             team: id::Team::from(format!("t{}", customer % 2)),
             weight: 1 + u32::from(customer),
@@ -167,7 +167,7 @@
                     let (upstream, ask) = self.running.remove(&ticket).unwrap();
                     self.learn_leaving(upstream, number);
                     let ending = ending(number);
-                    let verdict = self.scheduler.again(self.now, ticket, ending, ask.clone());
+                    let verdict = self.scheduler.retry(self.now, ticket, ending, ask.clone());
                     self.verdict(verdict, ask);
                 }
             }
@@ -175,7 +175,7 @@
                 let count = self.waiting.len().max(1);
                 if let Some(&waiter) = self.waiting.keys().nth(pick % count) {
                     self.waiting.remove(&waiter);
-                    self.scheduler.leave(waiter);
+                    self.scheduler.cancel(waiter);
                 }
             }
             Step::Leaving { upstream, leaving } => {
@@ -220,7 +220,7 @@
         self.running.keys().nth(pick % self.running.len().max(1)).copied()
     }
 
-    fn verdict(&mut self, verdict: Verdict, ask: load::Ask) {
+    fn verdict(&mut self, verdict: Verdict, ask: load::Request) {
         match verdict {
             Verdict::Dispatch(placement) => self.dispatched(placement, ask),
             Verdict::Wait(waiter) => assert!(self.waiting.insert(waiter, ask).is_none()),
@@ -228,7 +228,7 @@
         }
     }
 
-    fn dispatched(&mut self, placement: load::Placement, ask: load::Ask) {
+    fn dispatched(&mut self, placement: load::Placement, ask: load::Request) {
         assert!(self.tickets.insert(placement.ticket), "a ticket was given twice");
         assert!(!self.leaving.contains(&placement.upstream), "a leaving upstream got work");
         self.running.insert(placement.ticket, (placement.upstream, ask));
--- a/crates/lagoonline/tests/load_group.rs
+++ b/crates/lagoonline/tests/load_group.rs
@@ -14,7 +14,7 @@
 fn arbiter() -> Arbiter {
     let mut arbiter = Arbiter::default();
     for engine in 0..ENGINES {
-        arbiter.join(name(engine), MEMORY);
+        arbiter.add_engine(name(engine), MEMORY);
     }
     arbiter
 }
@@ -30,7 +30,7 @@
 fn two_large_prompts_do_not_block_each_other() {
     let mut arbiter = arbiter();
     let deadline = Moment::from_millis(60_000);
-    let (first, second) = (arbiter.ask(1_000, deadline), arbiter.ask(1_000, deadline));
+    let (first, second) = (arbiter.request(1_000, deadline), arbiter.request(1_000, deadline));
     let notices = arbiter.poll(Moment::START);
     assert!(matches!(&notices[..], [Notice::Granted(request, _)] if *request == first));
     assert_eq!(arbiter.held(), (1_000, 1_000));
@@ -44,9 +44,9 @@
 #[test]
 fn a_member_that_dies_ends_the_grant_for_all() {
     let mut arbiter = arbiter();
-    let request = arbiter.ask(1_200, Moment::NEVER);
+    let request = arbiter.request(1_200, Moment::NEVER);
     arbiter.poll(Moment::START);
-    let Notice::Ended(ended) = arbiter.lose(&name(0))[0] else { panic!("not ended") };
+    let Notice::Ended(ended) = arbiter.remove_engine(&name(0))[0] else { panic!("not ended") };
     assert_eq!(ended, request);
     assert_eq!(arbiter.held(), (0, 0));
     assert!(!arbiter.renew(Moment::START, request));
@@ -57,7 +57,7 @@
 #[test]
 fn a_holder_that_dies_gives_its_memory_back() {
     let mut arbiter = arbiter();
-    let request = arbiter.ask(900, Moment::NEVER);
+    let request = arbiter.request(900, Moment::NEVER);
     arbiter.poll(Moment::START);
     let later = Moment::START + LEASE;
     assert!(!arbiter.renew(later, request));
@@ -69,7 +69,7 @@
 #[test]
 fn a_prompt_too_large_for_all_is_refused() {
     let mut arbiter = arbiter();
-    let (huge, next) = (arbiter.ask(1_601, Moment::NEVER), arbiter.ask(500, Moment::NEVER));
+    let (huge, next) = (arbiter.request(1_601, Moment::NEVER), arbiter.request(500, Moment::NEVER));
     let notices = arbiter.poll(Moment::START);
     assert_eq!(notices[0], Notice::TooLarge(huge));
     assert!(matches!(notices[1], Notice::Granted(request, _) if request == next));
@@ -131,7 +131,7 @@
     };
     match *step {
         Step::Ask { tokens, wait_ms } => {
-            let request = arbiter.ask(tokens, *now + Span::from_millis(wait_ms));
+            let request = arbiter.request(tokens, *now + Span::from_millis(wait_ms));
             holders.waiting.insert(request, tokens);
         }
         Step::Release { pick: number } => {
@@ -145,8 +145,8 @@
                 arbiter.renew(*now, request);
             }
         }
-        Step::Lose { engine } => holders.hear(arbiter.lose(&name(engine))),
-        Step::Join { engine } => arbiter.join(name(engine), MEMORY),
+        Step::Lose { engine } => holders.hear(arbiter.remove_engine(&name(engine))),
+        Step::Join { engine } => arbiter.add_engine(name(engine), MEMORY),
         Step::Advance { ms } => *now = *now + Span::from_millis(ms),
     }
     holders.hear(arbiter.poll(*now));
--- a/crates/lagoonline/tests/load_limit.rs
+++ b/crates/lagoonline/tests/load_limit.rs
@@ -18,7 +18,7 @@
     for ms in 0..SECONDS * 1_000 {
         let now = Moment::from_millis(ms);
         for host in &mut all {
-            count += u64::from(host.take(now, &customer, RATE, 1).is_ok());
+            count += u64::from(host.admit(now, &customer, RATE, 1).is_ok());
         }
         if report_ms.is_some_and(|period| ms % period == 0) {
             exchange(now, &mut all);
@@ -28,11 +28,11 @@
 }
 
 fn exchange(now: Moment, hosts: &mut [limit::Limits]) {
-    let reports: Vec<_> = hosts.iter_mut().map(limit::Limits::report).collect();
+    let reports: Vec<_> = hosts.iter_mut().map(limit::Limits::take_report).collect();
     for (index, host) in hosts.iter_mut().enumerate() {
         for (other, report) in reports.iter().enumerate() {
             if other != index {
-                host.heard(now, report);
+                host.apply_report(now, report);
             }
         }
     }
@@ -62,8 +62,8 @@
     let mut count = 0;
     for ms in 0..SECONDS * 1_000 {
         let now = Moment::from_millis(ms);
-        count += u64::from(host.take(now, &customer, RATE, 1).is_ok());
-        host.heard(now, &[]);
+        count += u64::from(host.admit(now, &customer, RATE, 1).is_ok());
+        host.apply_report(now, &[]);
     }
     assert!((1_990..=2_030).contains(&count), "{count}");
 }
--- a/crates/lagoonline/tests/load_placement.rs
+++ b/crates/lagoonline/tests/load_placement.rs
@@ -1,7 +1,7 @@
-//! Placement under the heaviest load: each test replays a load pattern on a [`Board`] and checks
+//! Placement under the heaviest load: each test replays a load pattern on a [`Placer`] and checks
 //! what callers would get.
 //!
-//! [`Board`]: lagoonline::load::placement::Board
+//! [`Placer`]: lagoonline::load::placement::Placer
 
 use std::collections;
 use std::net;
@@ -9,15 +9,20 @@
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::id;
-use lagoonline::load::{pass, placement};
+use lagoonline::load::{placement, profile};
 use lagoonline::routing;
 use rstest::rstest;
 
 const TIGHT: Span = Span::from_millis(250);
 const LOOSE: Span = Span::from_millis(1_000);
 
-fn pace() -> pass::Pace {
-    pass::Pace { step_ms: 1.02, read_per_ms: 206.0, pairs_ms_per_m: 0.138, ..Default::default() }
+fn profile() -> profile::Profile {
+    profile::Profile {
+        step_ms: 1.02,
+        prefill_per_ms: 206.0,
+        pairs_ms_per_m: 0.138,
+        ..Default::default()
+    }
 }
 
 fn entry(index: usize, zone: &str) -> routing::Entry {
@@ -37,24 +42,24 @@
 }
 
 /// Engines in three zones, in turn.
-fn board(engines: usize) -> placement::Board {
+fn placer(engines: usize) -> placement::Placer {
     let zones = ["a", "b", "c"];
     let entries: Vec<_> = (0..engines).map(|index| entry(index, zones[index % 3])).collect();
-    let mut board = placement::Board::new(placement::Settings::default(), id::Zone::from("a"));
-    board.set_upstreams(&entries, Some(pace()));
-    board
+    let mut placer = placement::Placer::new(placement::Settings::default(), id::Zone::from("a"));
+    placer.set_upstreams(&entries, Some(profile()));
+    placer
 }
 
 /// A placement state with a clock and a counter of dispatches.
 struct Day {
-    board: placement::Board,
+    placer: placement::Placer,
     now: Moment,
     number: u64,
 }
 
 impl Day {
     fn new(engines: usize) -> Day {
-        Day { board: board(engines), now: Moment::from_millis(10), number: 0 }
+        Day { placer: placer(engines), now: Moment::from_millis(10), number: 0 }
     }
 
     fn pass(&mut self, millis: u64) {
@@ -68,36 +73,36 @@
         waited: u64,
     ) -> Result<placement::Placement, placement::Refusal> {
         let target = if gap == TIGHT { Span::from_millis(300) } else { Span::from_millis(2_500) };
-        self.ask(&placement::Demand {
-            prompt,
+        self.ask(&placement::Request {
+            prompt_tokens: prompt,
             target,
-            gap,
+            max_gap: gap,
             waited: Span::from_millis(waited),
-            ..self.demand()
+            ..self.request()
         })
     }
 
     /// A long prompt that has just arrived.
-    fn demand(&self) -> placement::Demand<'static> {
+    fn request(&self) -> placement::Request<'static> {
         static ZONE: sync::LazyLock<id::Zone> = sync::LazyLock::new(|| id::Zone::from("a"));
-        placement::Demand {
-            prompt: 133_000,
-            answer: 400,
+        placement::Request {
+            prompt_tokens: 133_000,
+            answer_tokens: 400,
             target: Span::from_millis(2_500),
-            gap: LOOSE,
+            max_gap: LOOSE,
             waited: Span::ZERO,
-            turn: placement::WorkId { host: 1, number: self.number },
+            waiter: placement::DispatchId { host: 1, number: self.number },
             zone: &ZONE,
             avoid: &[],
-            draw: self.number,
+            random: self.number,
         }
     }
 
     fn ask(
         &mut self,
-        demand: &placement::Demand<'_>,
+        request: &placement::Request<'_>,
     ) -> Result<placement::Placement, placement::Refusal> {
-        self.board.place(demand, self.now)
+        self.placer.place(request, self.now)
     }
 
     /// Dispatches long prompts until the backlog bound is reached on all engines.
@@ -114,36 +119,37 @@
         &mut self,
         prompt: u64,
         gap: Span,
-    ) -> Result<(placement::WorkId, placement::Placement), placement::Refusal> {
+    ) -> Result<(placement::DispatchId, placement::Placement), placement::Refusal> {
         let placed = self.place(prompt, gap, 0)?;
         self.number += 1;
-        let id = placement::WorkId { host: 1, number: self.number };
-        let until = self.now + Span::from_secs(10);
-        let work = placement::Work::new(id, &placed, prompt, gap, until);
-        self.board.begin(work, self.now);
+        let id = placement::DispatchId { host: 1, number: self.number };
+        let deadline = self.now + Span::from_secs(10);
+        let dispatch = placement::Dispatch::new(id, &placed, prompt, gap, deadline);
+        self.placer.record_dispatch(dispatch, self.now);
         Ok((id, placed))
     }
 
-    /// Records a dispatch by another host to the engine `first`, with parts prefilled by `helpers`.
+    /// Records a dispatch by another host to the engine `primary`, with parts prefilled by
+    /// `helpers`.
     fn begin_elsewhere(
         &mut self,
-        first: usize,
+        primary: usize,
         helpers: Vec<id::Upstream>,
         prompt: u64,
         gap: Span,
-    ) -> placement::WorkId {
+    ) -> placement::DispatchId {
         self.number += 1;
-        let id = placement::WorkId { host: 2, number: self.number };
-        let work = placement::Work {
+        let id = placement::DispatchId { host: 2, number: self.number };
+        let dispatch = placement::Dispatch {
             id,
-            first: name(first),
+            primary: name(primary),
             helpers,
-            prompt,
-            held: Vec::new(),
-            gap,
-            until: self.now + Span::from_secs(10),
+            prompt_tokens: prompt,
+            helper_reserves: Vec::new(),
+            max_gap: gap,
+            deadline: self.now + Span::from_secs(10),
         };
-        self.board.begin(work, self.now);
+        self.placer.record_dispatch(dispatch, self.now);
         id
     }
 
@@ -151,7 +157,7 @@
     fn burst(&mut self, answers: usize) {
         for _ in 0..answers {
             let (id, _) = self.send(5_000, TIGHT).unwrap();
-            self.board.first_token(id, self.now);
+            self.placer.record_first_token(id, self.now);
             self.pass(3);
         }
     }
@@ -159,7 +165,7 @@
 
 fn engines(placed: &placement::Placement) -> collections::BTreeSet<&str> {
     let helpers = placed.helpers.iter().map(|helper| helper.entry.upstream.as_str());
-    helpers.chain([placed.first.upstream.as_str()]).collect()
+    helpers.chain([placed.primary.upstream.as_str()]).collect()
 }
 
 /// Guards against prefilling long prompts beside short answers. A long prefill in a pass delays
@@ -171,9 +177,9 @@
     let mut short = collections::BTreeSet::new();
     for _ in 0..20 {
         let (id, placed) = day.send(5_000, TIGHT).unwrap();
-        short.insert(placed.first.upstream.to_string());
+        short.insert(placed.primary.upstream.to_string());
         day.pass(60);
-        day.board.first_token(id, day.now);
+        day.placer.record_first_token(id, day.now);
     }
     assert!(short.len() <= 4, "short answers are spread over {short:?}");
     let placed = day.place(133_000, LOOSE, 0).unwrap();
@@ -192,15 +198,15 @@
     for _ in 0..8 {
         let (id, _) = day.send(100_000, LOOSE).unwrap();
         day.pass(100);
-        day.board.first_token(id, day.now);
+        day.placer.record_first_token(id, day.now);
     }
     day.pass(4_000);
     let mut short: collections::BTreeMap<String, usize> = collections::BTreeMap::new();
     for _ in 0..150 {
         let (id, placed) = day.send(5_000, TIGHT).unwrap();
         day.pass(10);
-        day.board.first_token(id, day.now);
-        *short.entry(placed.first.upstream.to_string()).or_default() += 1;
+        day.placer.record_first_token(id, day.now);
+        *short.entry(placed.primary.upstream.to_string()).or_default() += 1;
     }
     assert!(short.len() >= 13, "150 short answers on {} of 16 engines: {short:?}", short.len());
     assert!(short.values().all(|answers| *answers <= 16), "beyond its places: {short:?}");
@@ -214,21 +220,22 @@
     let mut day = Day::new(3);
     day.burst(20);
     let of_first = |host| host == 1;
-    let told: Vec<_> = day.board.under_way(of_first).map(|(work, _)| work.clone()).collect();
+    let told: Vec<_> =
+        day.placer.in_flight(of_first).map(|(dispatch, _)| dispatch.clone()).collect();
     assert_eq!(told.len(), 20);
-    assert!(day.board.under_way(of_first).all(|(_, read)| read));
-    assert_eq!(day.board.under_way(|host| host == 2).count(), 0);
-    let mut board = board(3);
-    for work in told.iter().chain(&told) {
-        board.begin(work.clone(), day.now);
+    assert!(day.placer.in_flight(of_first).all(|(_, read)| read));
+    assert_eq!(day.placer.in_flight(|host| host == 2).count(), 0);
+    let mut placer = placer(3);
+    for dispatch in told.iter().chain(&told) {
+        placer.record_dispatch(dispatch.clone(), day.now);
     }
-    assert_eq!(board.works(), 20);
-    for work in &told[..5] {
-        board.end(work.id, day.now);
+    assert_eq!(placer.dispatches(), 20);
+    for dispatch in &told[..5] {
+        placer.record_end(dispatch.id, day.now);
     }
-    assert_eq!(board.works(), 15);
-    board.keep_only(1, &collections::HashSet::new(), day.now, day.now);
-    assert_eq!(board.works(), 0);
+    assert_eq!(placer.dispatches(), 15);
+    placer.retain_listed(1, &collections::HashSet::new(), day.now, day.now);
+    assert_eq!(placer.dispatches(), 0);
 }
 
 /// A fleet of `engines` with `slots` slots each.
@@ -236,8 +243,8 @@
     let entries: Vec<_> =
         (0..engines).map(|index| routing::Entry { slots, ..entry(index, "a") }).collect();
     let mut day = Day::new(1);
-    day.board = placement::Board::new(placement::Settings::default(), id::Zone::from("a"));
-    day.board.set_upstreams(&entries, Some(pass::Pace { slots, ..pace() }));
+    day.placer = placement::Placer::new(placement::Settings::default(), id::Zone::from("a"));
+    day.placer.set_upstreams(&entries, Some(profile::Profile { slots, ..profile() }));
     day
 }
 
@@ -250,7 +257,7 @@
     let mut day = day_with_slots(8, 4);
     let full = |day: &mut Day, first: usize, prompt: u64| {
         let id = day.begin_elsewhere(first, Vec::new(), prompt, TIGHT);
-        day.board.first_token(id, day.now);
+        day.placer.record_first_token(id, day.now);
     };
     full(&mut day, 0, 210_000);
     for engine in 1..5 {
@@ -260,7 +267,7 @@
     }
     for _ in 0..8 {
         let (_, placed) = day.send(5_000, TIGHT).unwrap();
-        assert!(placed.first.upstream.as_str() >= "e05", "sent to {}", placed.first.upstream);
+        assert!(placed.primary.upstream.as_str() >= "e05", "sent to {}", placed.primary.upstream);
         day.pass(30);
     }
 }
@@ -290,9 +297,9 @@
     let mut firsts = collections::BTreeSet::new();
     for _ in 0..20 {
         let (id, placed) = day.send(20_000, LOOSE).unwrap();
-        firsts.insert(placed.first.upstream.to_string());
+        firsts.insert(placed.primary.upstream.to_string());
         day.pass(60);
-        day.board.first_token(id, day.now);
+        day.placer.record_first_token(id, day.now);
     }
     assert!(firsts.len() <= 6, "written by {firsts:?}");
 }
@@ -306,8 +313,8 @@
     let (done, _) = day.send(150_000, LOOSE).unwrap();
     let (_, behind) = day.send(150_000, LOOSE).unwrap();
     day.pass(400);
-    day.board.first_token(done, day.now);
-    day.board.end(done, day.now);
+    day.placer.record_first_token(done, day.now);
+    day.placer.record_end(done, day.now);
     let next = day.place(150_000, LOOSE, 0).unwrap();
     let both = engines(&next).intersection(&engines(&behind)).count();
     assert_eq!(both, 0, "{both} parts on engines that have fallen behind");
@@ -340,8 +347,8 @@
     for _ in 0..engines * slots as usize / 2 {
         let (id, placed) = day.send(2_000, TIGHT).unwrap();
         day.pass(12);
-        day.board.first_token(id, day.now);
-        *taken.entry(placed.first.upstream.to_string()).or_default() += 1;
+        day.placer.record_first_token(id, day.now);
+        *taken.entry(placed.primary.upstream.to_string()).or_default() += 1;
     }
     assert!(taken.values().all(|answers| *answers <= slots), "beyond {slots} places: {taken:?}");
 }
@@ -357,13 +364,13 @@
     day.pass(50);
     let (late, _) = day.send(5_000, TIGHT).unwrap();
     let still = [1, 2].into();
-    let over = day.board.keep_only(1, &still, before, day.now);
+    let over = day.placer.retain_listed(1, &still, before, day.now);
     let numbers: collections::BTreeSet<_> = over.iter().map(|id| id.number).collect();
     assert_eq!(numbers, [3, 4, 5].into());
     let left: collections::BTreeSet<_> =
-        day.board.under_way(|_| true).map(|(work, _)| work.id.number).collect();
+        day.placer.in_flight(|_| true).map(|(dispatch, _)| dispatch.id.number).collect();
     assert_eq!(left, [1, 2, late.number].into());
-    assert!(day.board.keep_only(2, &still, day.now, day.now).is_empty());
+    assert!(day.placer.retain_listed(2, &still, day.now, day.now).is_empty());
 }
 
 /// Guards against using slow engines. A quarter of the engines reports a fourfold slowdown, which
@@ -375,15 +382,18 @@
     let slow = ["e00", "e05", "e10", "e15"];
     let tell = |day: &mut Day, names: &[&str]| {
         for name in names {
-            day.board.set_slowness(&id::Upstream::from(*name), 4.0, day.now);
+            day.placer.set_slowness(&id::Upstream::from(*name), 4.0, day.now);
         }
     };
     tell(&mut day, &slow);
     for _ in 0..40 {
         let (id, placed) = day.send(5_000, TIGHT).unwrap();
-        assert!(!slow.contains(&placed.first.upstream.as_str()), "a short prompt on a slow engine");
+        assert!(
+            !slow.contains(&placed.primary.upstream.as_str()),
+            "a short prompt on a slow engine"
+        );
         day.pass(20);
-        day.board.first_token(id, day.now);
+        day.placer.record_first_token(id, day.now);
     }
     let placed = day.place(133_000, LOOSE, 0).unwrap();
     assert!(engines(&placed).iter().all(|name| !slow.contains(name)), "a part on a slow engine");
@@ -403,9 +413,9 @@
     let mut day = Day::new(6);
     day.burst(13);
     let placed = day.place(5_000, TIGHT, 0).unwrap();
-    let next = placed.next.unwrap();
-    assert!(placed.belief.places <= next.places + 11, "{placed:?}");
-    assert_eq!(placed.belief.writers as usize, placed.belief.places);
+    let next = placed.runner_up.unwrap();
+    assert!(placed.estimate.used_slots <= next.used_slots + 11, "{placed:?}");
+    assert_eq!(placed.estimate.decoding as usize, placed.estimate.used_slots);
 }
 
 /// Guards against a giant prompt that stalls a burst of short ones: prefilled at once it would stop
@@ -419,7 +429,7 @@
     let patience = day.place(600_000, LOOSE, 6_000);
     assert!(matches!(patience, Err(placement::Refusal::Full(..))), "{patience:?}");
     day.pass(11_000);
-    day.board.expire(day.now);
+    day.placer.expire(day.now);
     assert!(day.place(600_000, LOOSE, 0).is_ok());
 }
 
@@ -433,8 +443,8 @@
     let placed = day.place(prompt, LOOSE, 0).unwrap();
     let held: u64 = placed.helpers.iter().map(|helper| helper.reserve).sum();
     assert!(held > 0 && held + placed.reserve >= prompt, "{held} + {}", placed.reserve);
-    assert!(placed.reserve <= pace().memory_tokens);
-    assert!(placed.helpers.iter().all(|helper| helper.reserve <= pace().memory_tokens));
+    assert!(placed.reserve <= profile().memory_tokens);
+    assert!(placed.helpers.iter().all(|helper| helper.reserve <= profile().memory_tokens));
     assert!(placed.helpers.len() <= 15);
 }
 
@@ -447,7 +457,7 @@
     day.pass(2_000);
     let (_, two) = day.send(130_000, LOOSE).unwrap();
     assert!(one.reserve > 0 && two.reserve > 0);
-    assert_ne!(one.first.upstream, two.first.upstream);
+    assert_ne!(one.primary.upstream, two.primary.upstream);
 }
 
 /// Guards against queueing short prompts in full engines, where all would be late. When every slot
@@ -456,7 +466,7 @@
 fn short_prompts_beyond_all_places_are_refused() {
     let mut day = Day::new(3);
     day.burst(48);
-    let no_place = placement::Shortage::Place;
+    let no_place = placement::Shortage::Slot;
     assert_eq!(day.place(5_000, TIGHT, 0), Err(placement::Refusal::Busy(no_place)));
     let Err(placement::Refusal::Full(_, span)) = day.place(5_000, TIGHT, 200) else {
         panic!("not refused");
@@ -476,7 +486,7 @@
         assert!(sent < 50, "no bound on what is read");
     }
     day.pass(60);
-    let reading = placement::Shortage::Reading;
+    let reading = placement::Shortage::Prefill;
     assert_eq!(day.place(350_000, LOOSE, 0), Err(placement::Refusal::Busy(reading)));
     assert!(day.place(40_000, LOOSE, 0).is_ok());
     day.pass(1_500);
@@ -491,13 +501,13 @@
     let mut day = Day::new(18);
     day.fill_with_reading();
     let arrive = |day: &mut Day, number: u64| {
-        let turn = placement::WorkId { host: 1, number: 1_000 + number };
-        let demand = placement::Demand { turn, ..day.demand() };
-        day.ask(&demand)
+        let waiter = placement::DispatchId { host: 1, number: 1_000 + number };
+        let request = placement::Request { waiter, ..day.request() };
+        day.ask(&request)
     };
-    let reading = placement::Shortage::Reading;
+    let reading = placement::Shortage::Prefill;
     assert_eq!(arrive(&mut day, 0), Err(placement::Refusal::Busy(reading)));
-    day.board.set_deciders(deciders);
+    day.placer.set_placing_hosts(deciders);
     let refused = (1..=most).find_map(|number| match arrive(&mut day, number) {
         Err(placement::Refusal::Full(_, span)) => Some(span),
         _ => None,
@@ -513,10 +523,10 @@
 fn a_prompt_that_can_no_longer_be_in_time_is_refused() {
     let mut day = Day::new(18);
     day.fill_with_reading();
-    let late = placement::Demand {
+    let late = placement::Request {
         target: Span::from_millis(50),
         waited: Span::from_millis(100),
-        ..day.demand()
+        ..day.request()
     };
     let refused = day.ask(&late);
     assert!(matches!(refused, Err(placement::Refusal::Full(..))), "{refused:?}");
@@ -529,14 +539,14 @@
 fn a_cut_zone_is_passed_over() {
     let mut day = Day::new(18);
     for name in ["e01", "e04"] {
-        day.board.suspect(&id::Upstream::from(name), day.now);
+        day.placer.record_unreachable(&id::Upstream::from(name), day.now);
     }
     let zone_of = |name: &str| name[1..].parse::<usize>().unwrap() % 3;
     let placed = day.place(133_000, LOOSE, 0).unwrap();
     assert!(engines(&placed).into_iter().all(|name| zone_of(name) != 1));
     day.pass(700);
     for name in ["e07", "e01", "e04"] {
-        day.board.answered(&id::Upstream::from(name), day.now);
+        day.placer.record_success(&id::Upstream::from(name), day.now);
     }
     let placed = day.place(133_000, LOOSE, 0).unwrap();
     assert!(engines(&placed).into_iter().any(|name| zone_of(name) == 1));
@@ -549,16 +559,16 @@
     let mut day = Day::new(18);
     for (first, helper) in [("e01", "e02"), ("e04", "e05")] {
         let (first, helper) = (id::Upstream::from(first), id::Upstream::from(helper));
-        day.board.helper_failed(&first, &helper, day.now);
+        day.placer.record_helper_failure(&first, &helper, day.now);
     }
     let near: Vec<_> = (0..18).step_by(3).map(|index| entry(index, "a").upstream).collect();
-    let demand = placement::Demand { avoid: &near, draw: 3, ..day.demand() };
-    let placed = day.board.place(&demand, day.now).unwrap();
+    let request = placement::Request { avoid: &near, random: 3, ..day.request() };
+    let placed = day.placer.place(&request, day.now).unwrap();
     let zones: collections::BTreeSet<&str> = placed
         .helpers
         .iter()
         .map(|helper| helper.entry.zone.as_str())
-        .chain([placed.first.zone.as_str()])
+        .chain([placed.primary.zone.as_str()])
         .collect();
     assert!(!(zones.contains("b") && zones.contains("c")), "read in {zones:?}");
 }
@@ -570,8 +580,8 @@
     let mut day = Day::new(3);
     day.burst(30);
     day.pass(11_000);
-    day.board.expire(day.now);
-    assert_eq!(day.board.works(), 0);
+    day.placer.expire(day.now);
+    assert_eq!(day.placer.dispatches(), 0);
 }
 
 /// Guards against preferring an engine that answers every request at once with an error although
@@ -585,26 +595,26 @@
     let mut writing = collections::VecDeque::new();
     for _ in 0..200 {
         if writing.len() > 40 {
-            day.board.end(writing.pop_front().unwrap(), day.now);
+            day.placer.record_end(writing.pop_front().unwrap(), day.now);
         }
         let (id, placed) = day.send(5_000, TIGHT).unwrap();
         day.pass(10);
-        if placed.first.upstream == bad {
+        if placed.primary.upstream == bad {
             failed += 1;
-            day.board.erred(&bad, day.now);
-            day.board.end(id, day.now);
+            day.placer.record_error(&bad, day.now);
+            day.placer.record_end(id, day.now);
         } else {
-            day.board.first_token(id, day.now);
-            day.board.answered(&placed.first.upstream, day.now);
+            day.placer.record_first_token(id, day.now);
+            day.placer.record_success(&placed.primary.upstream, day.now);
             writing.push_back(id);
         }
     }
     assert!(failed <= 10, "{failed} of 200 requests went to the engine that fails them");
     day.pass(11_000);
-    day.board.expire(day.now);
+    day.placer.expire(day.now);
     let tried = (0..40).any(|_| {
         let (_, placed) = day.send(5_000, TIGHT).unwrap();
-        placed.first.upstream == bad
+        placed.primary.upstream == bad
     });
     assert!(tried, "never tried again");
 }
@@ -613,28 +623,28 @@
 /// and a leaving one gets nothing.
 #[rstest]
 fn calls_go_to_the_least_used_replica() {
-    let mut board = placement::Board::new(placement::Settings::default(), id::Zone::from("a"));
+    let mut placer = placement::Placer::new(placement::Settings::default(), id::Zone::from("a"));
     let mut entries: Vec<_> = (0..3).map(|index| entry(index, "a")).collect();
     entries[2].leaving = true;
-    board.set_upstreams(&entries, None);
+    placer.set_upstreams(&entries, None);
     let zone = id::Zone::from("a");
-    let demand = placement::Demand {
-        prompt: 0,
-        answer: 0,
+    let request = placement::Request {
+        prompt_tokens: 0,
+        answer_tokens: 0,
         target: Span::from_millis(200),
-        gap: Span::ZERO,
+        max_gap: Span::ZERO,
         waited: Span::ZERO,
-        turn: placement::WorkId { host: 1, number: 7 },
+        waiter: placement::DispatchId { host: 1, number: 7 },
         zone: &zone,
         avoid: &[],
-        draw: 7,
+        random: 7,
     };
     let now = Moment::from_millis(10);
-    board.suspect(&id::Upstream::from("e00"), now);
-    assert_eq!(board.place(&demand, now).unwrap().first.upstream.as_str(), "e01");
+    placer.record_unreachable(&id::Upstream::from("e00"), now);
+    assert_eq!(placer.place(&request, now).unwrap().primary.upstream.as_str(), "e01");
     let avoid = [id::Upstream::from("e01")];
-    let again = placement::Demand { avoid: &avoid, ..demand };
-    assert_eq!(board.place(&again, now).unwrap().first.upstream.as_str(), "e00");
+    let again = placement::Request { avoid: &avoid, ..request };
+    assert_eq!(placer.place(&again, now).unwrap().primary.upstream.as_str(), "e00");
 }
 
 /// The published profile predicts the prefill time of a prompt, and splitting it into parts keeps
@@ -643,7 +653,7 @@
 #[case(5_000, 26.0)]
 #[case(45_000, 358.0)]
 #[case(133_000, 1_866.0)]
-fn reading_takes_as_long_as_published(#[case] prompt: u64, #[case] millis: f64) {
-    assert!((pace().read_ms(prompt) - millis).abs() < 1.0);
-    assert!((pace().part_ms(prompt, 4) * 4.0 - millis).abs() < 1.0);
+fn prefill_takes_as_long_as_published(#[case] prompt: u64, #[case] millis: f64) {
+    assert!((profile().prefill_ms(prompt) - millis).abs() < 1.0);
+    assert!((profile().part_ms(prompt, 4) * 4.0 - millis).abs() < 1.0);
 }
--- a/crates/lagoonline/tests/load_shift.rs
+++ b/crates/lagoonline/tests/load_rebalance.rs
@@ -4,7 +4,7 @@
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::id;
-use lagoonline::load::shift::{self, Demand, Engine, Shift};
+use lagoonline::load::rebalance::{self, Demand, Engine, Rebalancer};
 
 const WEIGHT: u64 = 16_000;
 const RATE: f64 = 1_000.0;
@@ -34,7 +34,7 @@
 /// Simulates `seconds` from `start` with one decision per second, and lists the moves with their
 /// times.
 fn play(
-    shift: &mut Shift,
+    rebalancer: &mut Rebalancer,
     start: u64,
     seconds: u64,
     engines: &mut [Engine],
@@ -42,7 +42,7 @@
 ) -> Vec<(u64, String)> {
     let mut moves = Vec::new();
     for second in start..start + seconds {
-        while let Some(order) = shift.next(at(second), demands, engines) {
+        while let Some(order) = rebalancer.next(at(second), demands, engines) {
             let engine = engines.iter_mut().find(|engine| engine.name == order.engine).unwrap();
             engine.model = order.to.clone();
             engine.since = at(second);
@@ -56,12 +56,12 @@
 #[test]
 fn a_burst_moves_nothing() {
     let mut engines = engines(&["a", "a", "a", "b"]);
-    let mut shift = Shift::new(RATE);
+    let mut rebalancer = Rebalancer::new(RATE);
     let (burst, calm) = (demands(&[("a", 0.5, 0), ("b", 3.0, 0)]), demands(&[("a", 0.5, 0)]));
     for start in [1_000, 1_040, 1_080] {
-        assert_eq!(play(&mut shift, start, 20, &mut engines, &burst), []);
-        assert_eq!(play(&mut shift, start + 20, 20, &mut engines, &calm), []);
-        shift.next(at(start + 39), &demands(&[("b", 0.1, 0)]), &engines);
+        assert_eq!(play(&mut rebalancer, start, 20, &mut engines, &burst), []);
+        assert_eq!(play(&mut rebalancer, start + 20, 20, &mut engines, &calm), []);
+        rebalancer.next(at(start + 39), &demands(&[("b", 0.1, 0)]), &engines);
     }
 }
 
@@ -69,9 +69,9 @@
 #[test]
 fn lasting_demand_moves_engines_within_the_stores_rate() {
     let mut engines = engines(&["a", "a", "a", "a", "a", "b"]);
-    let mut shift = Shift::new(RATE);
+    let mut rebalancer = Rebalancer::new(RATE);
     let demands = demands(&[("a", 0.5, 0), ("b", 4.0, 0)]);
-    let moves = play(&mut shift, 1_000, 300, &mut engines, &demands);
+    let moves = play(&mut rebalancer, 1_000, 300, &mut engines, &demands);
     assert_eq!(moves.len(), 3);
     let gaps = moves.windows(2).map(|pair| pair[1].0 - pair[0].0);
     assert!(gaps.into_iter().all(|gap| gap >= WEIGHT / 1_000), "{moves:?}");
@@ -83,7 +83,7 @@
 #[test]
 fn swinging_demand_does_not_move_an_engine_back_and_forth() {
     let mut engines = engines(&["a", "a", "b", "b"]);
-    let mut shift = Shift::new(RATE);
+    let mut rebalancer = Rebalancer::new(RATE);
     let to_a = demands(&[("a", 3.5, 0), ("b", 0.4, 0)]);
     let to_b = demands(&[("a", 0.4, 0), ("b", 3.5, 0)]);
     let mut moved: collections::BTreeMap<id::Upstream, Moment> = collections::BTreeMap::new();
@@ -91,11 +91,11 @@
         let demands = if minute % 2 == 0 { &to_a } else { &to_b };
         for second in 1_000 + 60 * minute..1_060 + 60 * minute {
             let before: Vec<_> = engines.iter().map(|engine| engine.model.clone()).collect();
-            play(&mut shift, second, 1, &mut engines, demands);
+            play(&mut rebalancer, second, 1, &mut engines, demands);
             let changed = engines.iter().zip(before).filter(|(engine, old)| engine.model != *old);
             for (engine, _) in changed {
                 let last = moved.insert(engine.name.clone(), at(second));
-                let stayed = last.is_none_or(|last| at(second).since(last) >= shift::STAY);
+                let stayed = last.is_none_or(|last| at(second).since(last) >= rebalance::MIN_STAY);
                 assert!(stayed, "{} moved again at {second}", engine.name);
             }
         }
@@ -108,9 +108,10 @@
 #[test]
 fn a_claim_gets_its_engine_back_within_the_stated_time() {
     let mut engines = engines(&["b", "b", "b"]);
-    let mut shift = Shift::new(RATE);
+    let mut rebalancer = Rebalancer::new(RATE);
     let demands = demands(&[("a", 1.0, 1), ("b", 3.0, 1)]);
-    let moves = play(&mut shift, 10, shift::RETURN.as_secs(), &mut engines, &demands);
+    let moves =
+        play(&mut rebalancer, 10, rebalance::MAX_RETURN_DELAY.as_secs(), &mut engines, &demands);
     assert_eq!(moves, [(10, "a".to_owned())]);
 }
 
@@ -119,10 +120,11 @@
 #[test]
 fn a_claim_does_not_wait_for_the_weight_store() {
     let mut engines = engines(&["b", "b", "b", "c", "c", "c"]);
-    let mut shift = Shift::new(1.0);
+    let mut rebalancer = Rebalancer::new(1.0);
     let lent = demands(&[("b", 5.0, 0), ("c", 0.5, 0)]);
-    assert_eq!(play(&mut shift, 1_000, 31, &mut engines, &lent).len(), 1);
+    assert_eq!(play(&mut rebalancer, 1_000, 31, &mut engines, &lent).len(), 1);
     let claimed = demands(&[("a", 1.0, 1), ("b", 5.0, 0), ("c", 0.5, 0)]);
-    let moves = play(&mut shift, 1_031, shift::RETURN.as_secs(), &mut engines, &claimed);
+    let moves =
+        play(&mut rebalancer, 1_031, rebalance::MAX_RETURN_DELAY.as_secs(), &mut engines, &claimed);
     assert_eq!(moves, [(1_031, "a".to_owned())]);
 }
--- a/crates/lagoonline/tests/load_silence.rs
+++ b/crates/lagoonline/tests/load_silence.rs
@@ -19,8 +19,8 @@
     scheduler
 }
 
-fn ask() -> load::Ask {
-    load::Ask {
+fn ask() -> load::Request {
+    load::Request {
         customer: id::Customer::from("crew"),
         team: id::Team::from("t"),
         weight: 1,
@@ -51,7 +51,7 @@
     assert!(first.silence >= Span::from_secs(2) && first.silence < Span::from_secs(10));
     let now = Moment::START + first.silence;
     assert!(scheduler.is_better_elsewhere(now, first.ticket, &ask()));
-    let second = placed(scheduler.again(now, first.ticket, Ending::Silent, ask()));
+    let second = placed(scheduler.retry(now, first.ticket, Ending::Silent, ask()));
     assert_ne!(second.upstream, first.upstream);
     for _ in 0..20 {
         let next = placed(scheduler.offer(now + Span::from_millis(500), ask()));
@@ -70,7 +70,7 @@
     let mut moves = 0;
     let mut now = Moment::START;
     while scheduler.is_better_elsewhere(now, ticket, &ask()) && moves < 100 {
-        ticket = placed(scheduler.again(now, ticket, Ending::Silent, ask())).ticket;
+        ticket = placed(scheduler.retry(now, ticket, Ending::Silent, ask())).ticket;
         moves += 1;
         now = now + Span::from_secs(40);
     }
--- a/crates/lagoonline/tests/load_tokens.rs
+++ b/crates/lagoonline/tests/load_tokens.rs
@@ -24,7 +24,7 @@
     scheduler.set_fleet(Moment::START, &fleet(4.0), &model);
     assert_eq!(scheduler.ratio().tokens(4_000), 1_000);
     for _ in 0..200 {
-        scheduler.counted(4_000, 2_000);
+        scheduler.record_token_count(4_000, 2_000);
     }
     scheduler.set_fleet(Moment::START, &fleet(4.0), &model);
     assert!((1_990..=2_010).contains(&scheduler.ratio().tokens(4_000)));
