--- a/crates/lagoonline/src/control/document/body.rs
+++ b/crates/lagoonline/src/control/document/body.rs
@@ -1,4 +1,4 @@
-//! Contents of a section as plain data.
+//! Parsed contents of a section.
 
 use std::collections;
 use std::net;
@@ -18,34 +18,34 @@
     pub customers: collections::BTreeMap<id::Customer, Customer>,
     /// The team's models.
     pub models: collections::BTreeMap<id::Model, Model>,
-    /// The team's plain services.
+    /// The team's plain services: upstream services other than model engines.
     pub services: collections::BTreeMap<id::Service, Service>,
     /// The team's upstreams.
     pub upstreams: collections::BTreeMap<id::Upstream, Upstream>,
-    /// Engines that the team holds for a model, for which it pays also while they are idle.
+    /// Engines reserved by the team for a model; it is charged for them even while they are idle.
     pub claims: collections::BTreeMap<id::Model, Claim>,
     /// The team's policy.
     pub policy: Policy,
 }
 
-/// A customer: who may call, what, and how much.
+/// A customer with its keys, permissions and limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
-    /// SHA-256 of each key that names this customer.
+    /// SHA-256 of each API key that identifies this customer.
     pub keys: Vec<KeyHash>,
-    /// Models it may use; empty for all.
+    /// Models it may use; empty means all.
     pub models: Vec<id::Model>,
-    /// Services it may use; empty for all.
+    /// Services it may use; empty means all.
     pub services: Vec<id::Service>,
-    /// Its share beside other customers when a queue forms.
+    /// Fair-queueing weight relative to other customers when requests queue up.
     pub weight: u32,
-    /// Requests a second over all entry hosts of a zone.
+    /// Rate limit in requests per second, over all entry hosts of a zone.
     pub requests_per_second: f64,
-    /// Prompt and answer tokens a second over all entry hosts of a zone.
+    /// Rate limit in prompt and answer tokens per second, over all entry hosts of a zone.
     pub tokens_per_second: f64,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that does not specify one.
     pub default_deadline: clock::Span,
-    /// Longest deadline that it may name.
+    /// Longest deadline that a request may specify.
     pub max_deadline: clock::Span,
 }
 
@@ -64,18 +64,18 @@
     }
 }
 
-/// A model that callers can name.
+/// A model that callers can request by name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
-    /// Longest prompt and answer together, in tokens.
+    /// Maximum length of prompt and answer together, in tokens.
     pub max_tokens: u64,
-    /// First estimate of a prompt's bytes for each token; corrected from answers.
+    /// Initial estimate of prompt bytes per token; refined from the token counts of answers.
     pub bytes_per_token: f64,
-    /// KV memory for each token, in bytes.
+    /// KV cache memory per token, in bytes.
     pub kv_bytes_per_token: u64,
-    /// Whether a broken answer may be continued on another engine.
+    /// Whether an interrupted answer may be continued on another engine.
     pub continues: bool,
-    /// Weights to load when an engine shifts to this model, in bytes.
+    /// Size of the weights that an engine loads when it switches to this model, in bytes.
     pub weight_bytes: u64,
 }
 
@@ -91,12 +91,12 @@
     }
 }
 
-/// A plain service that callers can name.
+/// A plain service that callers can request by name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Methods whose calls may run more than once.
+    /// HTTP methods whose calls may be executed more than once.
     pub idempotent_methods: Vec<String>,
-    /// Longest stored answer for replay by idempotency key, in bytes.
+    /// Maximum size of an answer that is stored for replay by idempotency key, in bytes.
     pub max_answer_bytes: u64,
 }
 
@@ -110,33 +110,33 @@
 /// What an upstream serves.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Serves {
-    /// A model engine with the models that it has loaded or may load.
+    /// A model engine, with the models that it has loaded or may load.
     Models(Vec<id::Model>),
     /// A replica of a plain service.
     Service(id::Service),
 }
 
-/// One upstream.
+/// An upstream: a model engine or a replica of a plain service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upstream {
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: id::Zone,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: net::SocketAddr,
-    /// What it serves.
+    /// Models or service that it serves.
     pub serves: Serves,
-    /// What an engine is used for at first.
+    /// Initial role of an engine.
     pub role: engine::Role,
-    /// KV memory of an engine, in tokens.
+    /// KV cache capacity of an engine, in tokens.
     pub kv_tokens: u64,
-    /// Tokens that an engine prefills in a second when it does nothing else: the first estimate,
-    /// until it reports its own.
+    /// Initial estimate of the prefill rate of an otherwise idle engine, in tokens per second;
+    /// used until the engine reports its own.
     pub prefill_rate: f64,
-    /// Requests that an engine batches, or a service handles, at once.
+    /// Number of requests that an engine batches, or a service handles, concurrently.
     pub slots: u32,
-    /// Whether it refuses an order that carries an old fencing number.
+    /// Whether it rejects orders that carry an outdated fencing number.
     pub checks_fence: bool,
-    /// Accelerators that its time is charged for.
+    /// Number of accelerators; its time is charged once for each of them.
     pub accelerators: u32,
 }
 
@@ -156,17 +156,17 @@
     }
 }
 
-/// A team's claim on engines of one model.
+/// A team's reservation of engines for one model.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Claim {
-    /// How many engines, over all zones.
+    /// Number of engines, over all zones.
     pub engines: u32,
 }
 
-/// Upper bounds of the prompt length classes, in tokens; the last class has none.
+/// Inclusive upper bounds of the prompt length classes, in tokens; the last class is unbounded.
 pub const CLASS_BOUNDS: [u64; 3] = [4_096, 32_768, 131_072];
 
-/// Length class of a prompt.
+/// Length class of a prompt, used for scheduling, metrics and objectives.
 ///
 /// ```
 /// use lagoonline::control::document::Class;
@@ -182,21 +182,21 @@
     Medium,
     /// Up to 128k tokens.
     Long,
-    /// More.
+    /// More than 128k tokens.
     Huge,
 }
 
 impl Class {
-    /// All classes, shortest first.
+    /// All classes, in ascending order of length.
     pub const ALL: [Class; 4] = [Class::Short, Class::Medium, Class::Long, Class::Huge];
 
-    /// The class of a prompt of `tokens` tokens.
+    /// Returns the class of a prompt of `tokens` tokens.
     pub fn of(tokens: u64) -> Class {
         let index = CLASS_BOUNDS.iter().position(|&bound| tokens <= bound);
         Class::ALL[index.unwrap_or(CLASS_BOUNDS.len())]
     }
 
-    /// The word used in settings, metrics and reports.
+    /// Returns the name used in settings, metrics and reports.
     pub const fn as_str(self) -> &'static str {
         match self {
             Class::Short => "short",
@@ -207,14 +207,14 @@
     }
 }
 
-/// What a team weighs and promises.
+/// Scheduling weights and service-level objectives of a team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// SHA-256 of each key that may change this section.
+    /// SHA-256 of each key that is authorized to change this section.
     pub team_keys: Vec<KeyHash>,
-    /// Weight of time to first token, by length class (Lakeshore weighs this more).
+    /// Weight of the time to first token, by length class; raised by Lakeshore, for example.
     pub first_token_weight: [f64; 4],
-    /// Weight of the slowdown of short requests (Vatuwaqa weighs this more).
+    /// Weight of the slowdown of short requests; raised by Vatuwaqa, for example.
     pub short_slowdown_weight: f64,
     /// Service-level objectives.
     pub objectives: Vec<Objective>,
@@ -231,30 +231,30 @@
     }
 }
 
-/// What an objective measures.
+/// Measurement that an objective is based on.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Indicator {
-    /// Time to first token of one length class, within the bound.
+    /// Time to first token in one length class is within the bound.
     FirstToken(Class),
-    /// Time between tokens, within the bound.
+    /// Time between tokens is within the bound.
     BetweenTokens,
-    /// Slowdown of short requests beside long ones, as a multiple within the bound.
+    /// Slowdown factor of short requests that run alongside long ones is within the bound.
     ShortSlowdown,
-    /// Answers whole and within their deadline.
+    /// The answer is complete and within its deadline.
     WithinDeadline,
-    /// Requests that did not end as `unknown`.
+    /// The request did not end with outcome `unknown`.
     KnownOutcome,
 }
 
-/// One service-level objective: this share of events must be good.
+/// A service-level objective: the share of good events that a team is promised.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objective {
-    /// Its name in reports.
+    /// Name shown in reports.
     pub name: sync::Arc<str>,
-    /// What is measured.
+    /// Measurement that decides whether an event is good.
     pub indicator: Indicator,
-    /// Bound of a good event: milliseconds, or a multiple for `ShortSlowdown`.
+    /// Upper bound of a good event: milliseconds, or a factor for `ShortSlowdown`.
     pub bound: f64,
-    /// Share of good events that is promised, such as 0.95.
+    /// Promised share of good events, such as 0.95.
     pub target: f64,
 }
--- a/crates/lagoonline/src/control/document/delta.rs
+++ b/crates/lagoonline/src/control/document/delta.rs
@@ -1,9 +1,11 @@
-//! A section's text as a change of the text before it.
+//! Deltas between two versions of a section's text.
 //!
-//! Load pattern: 26,000 customers, 1,400 edits a day, most of one customer. Whole texts of some
-//! 260 KB to each of 350 hosts at each edit are above a node's budget of 3 KB/s on average. What
-//! is sent is made of the texts' bytes, not of their values: operators' spaces and order of fields
-//! are part of the text, and every host must have exactly what was stored.
+//! With 26,000 customers and 1,400 edits a day, most of which change one customer, sending the
+//! whole text of about 260 KB to each of 350 hosts at every edit would exceed a node's network
+//! budget of 3 KB/s on average.
+//!
+//! Deltas operate on the bytes of the texts and not on the parsed values: whitespace and field
+//! order are part of the text, and every host must have exactly the text that was stored.
 
 use std::collections;
 
@@ -11,37 +13,38 @@
 
 use crate::id;
 
-/// Ends a piece: nearly every piece then has one name in it and is found by it.
+/// Delimiter at which texts are split into pieces for matching. Nearly every piece then contains
+/// the name of one entry, which makes it unique and easy to find.
 const PIECE_END: char = '}';
 
-/// One step in making the newer text.
+/// One step in building the newer text.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Bytes of the older text.
+    /// Copies bytes of the older text.
     Copy {
-        /// Where they start.
+        /// Byte offset in the older text.
         start: usize,
-        /// How many.
+        /// Number of bytes.
         length: usize,
     },
-    /// New text.
+    /// Inserts new text.
     Insert(String),
 }
 
-/// How the text of one version is made from that of an earlier one.
+/// Steps that build the text of one version from that of an earlier one.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Delta {
-    /// The earlier version.
+    /// Version that the delta applies to.
     pub from: id::Version,
-    /// The version made.
+    /// Version that the delta produces.
     pub to: id::Version,
-    /// SHA-256 of the text made.
+    /// SHA-256 of the resulting text.
     pub hash: [u8; 32],
     /// The steps, in order.
     pub steps: Vec<Step>,
 }
 
-/// A version with its text.
+/// A version of a section and its text.
 #[derive(Clone, Copy, Debug)]
 pub struct Text<'a> {
     /// The version.
@@ -51,7 +54,7 @@
 }
 
 impl Delta {
-    /// How `new` is made from `old`.
+    /// Computes the delta from `old` to `new`.
     ///
     /// ```
     /// use lagoonline::control::document::{Delta, Text};
@@ -67,8 +70,8 @@
         Delta { from: old.version, to: new.version, hash, steps: steps(old.text, new.text) }
     }
 
-    /// The newer text; `None` when `old` is not the text that the delta was made from, or the
-    /// delta was damaged.
+    /// Builds the newer text; returns `None` if `old` is not the text that the delta was computed
+    /// from or the delta is corrupt.
     pub fn apply(&self, old: &str) -> Option<String> {
         let mut text = String::new();
         for step in &self.steps {
@@ -83,7 +86,7 @@
         (hash == self.hash).then_some(text)
     }
 
-    /// Bytes that it takes to send, about.
+    /// Returns the approximate size in bytes when sent over the network.
     pub fn size(&self) -> usize {
         let step = |step: &Step| match step {
             Step::Copy { .. } => 10,
@@ -93,6 +96,7 @@
     }
 }
 
+/// Computes the steps by matching whole pieces of the two texts.
 fn steps(old: &str, new: &str) -> Vec<Step> {
     let mut places = collections::HashMap::<&str, usize>::new();
     let mut start = 0;
@@ -102,7 +106,7 @@
     }
     let mut steps = Vec::new();
     for piece in new.split_inclusive(PIECE_END) {
-        // Pieces that are alike are taken in the order of the older text.
+        // Of several equal pieces, prefer the one that extends the last copy.
         let following = follows(&steps).filter(|end| old[*end..].starts_with(piece));
         match following.or_else(|| places.get(piece).copied()) {
             Some(start) => copy(&mut steps, start, piece.len()),
@@ -112,7 +116,7 @@
     steps
 }
 
-/// Where the older text goes on after the last copy.
+/// Returns the offset in the older text at which the last copy ends.
 fn follows(steps: &[Step]) -> Option<usize> {
     steps.iter().rev().find_map(|step| match step {
         Step::Copy { start, length } => Some(start + length),
@@ -120,6 +124,7 @@
     })
 }
 
+/// Appends a copy step, or extends the last one if the bytes are contiguous.
 fn copy(steps: &mut Vec<Step>, from: usize, more: usize) {
     if let Some(Step::Copy { start, length }) = steps.last_mut()
         && *start + *length == from
@@ -130,6 +135,7 @@
     steps.push(Step::Copy { start: from, length: more });
 }
 
+/// Appends an insert step, or extends the last one.
 fn insert(steps: &mut Vec<Step>, piece: &str) {
     if let Some(Step::Insert(text)) = steps.last_mut() {
         text.push_str(piece);
--- a/crates/lagoonline/src/control/document/diff.rs
+++ b/crates/lagoonline/src/control/document/diff.rs
@@ -1,17 +1,17 @@
-//! Difference of two sections as lines that an operator can read.
+//! Human-readable difference between two versions of a section.
 
 use std::fmt;
 
 use serde_json::Value;
 
-/// One difference, named by JSON pointer.
+/// One difference, identified by JSON pointer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Line {
-    /// Only the newer text has the value.
+    /// The value exists only in the newer text.
     Added(String, Value),
-    /// Only the older text has the value.
+    /// The value exists only in the older text.
     Removed(String, Value),
-    /// Both have the place, with different values.
+    /// The old and the new value differ.
     Changed(String, Value, Value),
 }
 
@@ -25,7 +25,8 @@
     }
 }
 
-/// Differences from `old` to `new`, in pointer order; a text that is no JSON counts as `null`.
+/// Returns the differences from `old` to `new`, ordered by pointer; a text that is not valid JSON
+/// is treated as `null`.
 ///
 /// ```
 /// use lagoonline::control::document;
@@ -40,6 +41,7 @@
     lines
 }
 
+/// Compares objects field by field, and all other values as a whole.
 fn compare(lines: &mut Vec<Line>, pointer: &str, old: &Value, new: &Value) {
     let (Value::Object(before), Value::Object(after)) = (old, new) else {
         if old != new {
--- a/crates/lagoonline/src/control/document/mod.rs
+++ b/crates/lagoonline/src/control/document/mod.rs
@@ -1,4 +1,7 @@
-//! The operators' document: one section for each team.
+//! The configuration document that operators edit, with one section per team.
+//!
+//! A section is a JSON text with its own version. Stewards store it in the platform's table,
+//! replicate it to every host as a whole or as deltas, and the entry hosts parse it.
 
 mod body;
 mod delta;
--- a/crates/lagoonline/src/control/document/section.rs
+++ b/crates/lagoonline/src/control/document/section.rs
@@ -1,4 +1,4 @@
-//! A section: its text as the team wrote it, its version, and its checked contents.
+//! Sections: the original text, its version and the validated contents.
 
 use std::collections;
 use std::net;
@@ -11,25 +11,26 @@
 use crate::life::claim;
 use crate::port::engine;
 
-/// One version of one team's section.
+/// One version of a team's section.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Section {
-    /// Whose it is.
+    /// Team that owns the section.
     pub team: id::Team,
-    /// Its version.
+    /// Version; 1 for the first one stored.
     pub version: id::Version,
-    /// Its JSON text as stored.
+    /// JSON text exactly as stored.
     pub text: sync::Arc<str>,
-    /// Its contents.
+    /// Parsed contents.
     pub body: body::Body,
 }
 
 impl Section {
-    /// Reads a section's text. Checks that need other sections are made elsewhere.
+    /// Parses and validates a section's text on its own; [`check_whole`](super::check_whole) checks
+    /// it against the other sections.
     ///
     /// # Errors
     ///
-    /// All faults of the text, by JSON pointer within the section.
+    /// Returns all faults of the text, each with its JSON pointer within the section.
     ///
     /// ```
     /// use lagoonline::control::document::Section;
@@ -46,7 +47,7 @@
     }
 }
 
-/// Most characters of a name.
+/// Maximum length of a name, in bytes.
 const NAME_LIMIT: usize = 64;
 
 fn check_name(reader: &check::Reader<'_>, name: &str) {
@@ -56,6 +57,7 @@
     }
 }
 
+/// Reads a map from names to values and checks the names.
 fn named<K, T, Read>(
     reader: &check::Reader<'_>,
     field: &str,
@@ -83,7 +85,8 @@
     }
 }
 
-/// Longest deadline that a document may allow, in milliseconds.
+/// Longest deadline that a section may allow, in milliseconds. A call must not be dispatched under
+/// an idempotency key for longer than the key's record is retained, or it could run twice.
 const DEADLINE_LIMIT_MS: u64 = claim::LONGEST_DEADLINE.as_secs() * 1_000;
 
 fn read_customer(reader: &check::Reader<'_>) -> body::Customer {
@@ -122,7 +125,7 @@
     keys
 }
 
-/// Reads a SHA-256 written as 64 hex digits.
+/// Parses a SHA-256 hash written as 64 hex digits.
 ///
 /// ```
 /// use lagoonline::control::document;
--- a/crates/lagoonline/src/control/document/store.rs
+++ b/crates/lagoonline/src/control/document/store.rs
@@ -1,4 +1,8 @@
-//! Storing a section: compare-and-set on the document, history, and reading back a lost answer.
+//! Storage of sections in the platform's table.
+//!
+//! A put is one transaction that writes the section's row, a history row of the new version and the
+//! head row of the document. If the table's answer is lost, the history row tells whether the put
+//! took effect.
 
 use std::collections;
 
@@ -11,34 +15,35 @@
 use crate::id;
 use crate::port::table;
 
-/// Key of the row that has every section's version; each put checks and writes it.
+/// Key of the head row, which holds the versions of all sections; each put checks and writes it.
 ///
-/// Failure answered: two teams add the same name at once, each checked against a document without
-/// the other. Symptom: one name with two owners. Every put is ordered by this one row.
+/// The head row serializes the puts of all teams. Otherwise two teams could add the same name
+/// concurrently, each checked against a document without the other's change, and the name would
+/// have two owners.
 pub const HEAD_KEY: &str = "document";
 
-/// Times that a put starts again because another team's put came between.
+/// Maximum number of attempts of a put that conflicts with concurrent puts of other teams.
 const ATTEMPTS: usize = 16;
 
-/// The head row: versions of all sections, and the put that wrote them.
+/// Value of the head row: the versions of all sections and the put that wrote them.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Head {
     /// Version of each section.
     pub versions: collections::BTreeMap<id::Team, id::Version>,
-    /// The last put.
+    /// Id of the last put.
     pub put: String,
 }
 
 /// Value of a section's row and of its history rows.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Stored {
-    /// The put that wrote it.
+    /// Id of the put that wrote it.
     pub put: String,
-    /// The section's text.
+    /// JSON text of the section.
     pub text: String,
 }
 
-/// Key of a team's section row.
+/// Returns the key of a team's section row.
 ///
 /// ```
 /// use lagoonline::{control::document, id};
@@ -48,7 +53,7 @@
     format!("section/{team}")
 }
 
-/// Key of a history row; versions sort as numbers.
+/// Returns the key of a history row; the version is zero-padded so that keys sort numerically.
 ///
 /// ```
 /// use lagoonline::{control::document, id};
@@ -59,44 +64,44 @@
     format!("history/{team}/{:010}", version.0)
 }
 
-/// A section that a team wants stored.
+/// A request to store a new version of a section.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Put {
-    /// Whose section.
+    /// Team that owns the section.
     pub team: id::Team,
-    /// The version it was edited from.
+    /// Version that the new text was edited from; 0 if the section does not exist yet.
     pub from: id::Version,
-    /// Names this put.
+    /// Unique id of the put; a retry uses the same id.
     pub put: String,
-    /// The text.
+    /// New JSON text.
     pub text: String,
 }
 
-/// Why a section was not stored.
+/// Reason why a section was not stored.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Refusal {
-    /// The section, or the document with it, has faults.
+    /// The section is invalid, either on its own or together with the other sections.
     #[error("{0}")]
     Faulty(check::Faults),
-    /// The section was changed since the version that was edited.
+    /// The section was changed concurrently, after the version that the put was edited from.
     #[error("version {} is in the table now", version.0)]
     Raced {
-        /// The version in the table.
+        /// Current version in the table.
         version: id::Version,
-        /// What changed since the version that was edited.
+        /// Differences from the edited version to the current one.
         changes: Vec<diff::Line>,
     },
-    /// The table service failed; after `Unknown`, ask again with the same put id.
+    /// The table service failed; after `Unknown`, retry with the same put id.
     #[error(transparent)]
     Table(#[from] table::Error),
 }
 
-/// The document as it stands in the table.
+/// Head of the document with its version in the table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Whole {
-    /// The head.
+    /// Versions of all sections.
     pub head: Head,
-    /// The head row's version: the document's.
+    /// Version of the head row, which is the version of the whole document.
     pub version: u64,
 }
 
@@ -104,11 +109,11 @@
     table::Error::Refused { step, peer: "table".to_owned(), why: error.to_string() }
 }
 
-/// Reads the document's head.
+/// Reads the head row; returns the default if no section has been stored yet.
 ///
 /// # Errors
 ///
-/// As [`table::Table::read`], or `Refused` for a row that is not a head.
+/// Those of [`table::Table::read`], or `Refused` if the row cannot be parsed.
 pub async fn read_head<T>(table: &T) -> Result<Whole, table::Error>
 where
     T: table::Table,
@@ -118,11 +123,11 @@
     Ok(Whole { head, version: row.version })
 }
 
-/// Reads the section row of `team` with its put id; `None` when there is none.
+/// Reads the section row of `team` with its version; returns `None` if there is none.
 ///
 /// # Errors
 ///
-/// As [`table::Table::read`], or `Refused` for a row that is not a section.
+/// Those of [`table::Table::read`], or `Refused` if the row cannot be parsed.
 pub async fn read_section<T>(
     table: &T,
     team: &id::Team,
@@ -148,11 +153,11 @@
     Ok(row.and_then(|row| serde_json::from_str(&row.value).ok()))
 }
 
-/// Checks a put against the document in the table, without storing it.
+/// Validates a put against the document in the table without storing it.
 ///
 /// # Errors
 ///
-/// As [`store`].
+/// Those of [`store`].
 pub async fn check<T>(table: &T, put: &Put) -> Result<(), Refusal>
 where
     T: table::Table,
@@ -160,16 +165,17 @@
     prepare(table, put).await.map(|_| ())
 }
 
-/// Stores `put` as the next version of its section, once.
+/// Stores `put` as the next version of its section, exactly once.
 ///
-/// A put whose answer was lost is told by its id in the history row of the version that it would
-/// have made: that row is written with the section and never again. A transaction that may still
-/// be under way cannot take effect after another of the same version, since both check the head.
+/// A put whose answer was lost is recognized by its id in the history row of the version that it
+/// creates: that row is written together with the section and never overwritten. A delayed
+/// transaction that is still in flight cannot take effect after another one for the same version,
+/// because both check the version of the head row.
 ///
 /// # Errors
 ///
-/// Faults of the section, a race that it lost, or the table's failure. After
-/// [`table::Error::Unknown`] the same put may be stored again without being doubled.
+/// Returns the faults of the section, a conflict with a concurrent put, or the error of the table.
+/// After [`table::Error::Unknown`] the same put can be retried; it is not stored twice.
 pub async fn store<T>(table: &T, put: &Put) -> Result<id::Version, Refusal>
 where
     T: table::Table,
@@ -181,7 +187,7 @@
             Ok(version) => return Ok(version),
             Err(Refusal::Table(table::Error::Conflict { .. })) => {}
             Err(Refusal::Table(error @ table::Error::Unknown { .. })) => lost = Some(error),
-            // A refusal after a lost answer says nothing of the call whose answer was lost.
+            // An error after a lost answer does not tell whether the earlier call took effect.
             Err(Refusal::Table(error)) => return Err(Refusal::Table(lost.unwrap_or(error))),
             Err(refusal) => return Err(refusal),
         }
@@ -196,7 +202,7 @@
 {
     let transaction = match prepare(table, put).await {
         Ok(transaction) => transaction,
-        // An earlier commit of this put may have taken effect since: then it raced with itself.
+        // The conflicting version may be this put itself, stored by an earlier attempt.
         Err(Refusal::Raced { .. }) if is_written(table, put, next).await? => return Ok(next),
         Err(refusal) => return Err(refusal),
     };
@@ -204,6 +210,7 @@
     Ok(next)
 }
 
+/// Returns whether the history row of version `next` was written by `put`.
 async fn is_written<T>(table: &T, put: &Put, next: id::Version) -> Result<bool, table::Error>
 where
     T: table::Table,
@@ -212,6 +219,7 @@
     Ok(written.is_some_and(|stored| stored.put == put.put))
 }
 
+/// Validates `put` against the current document and builds the transaction that stores it.
 async fn prepare<T>(table: &T, put: &Put) -> Result<table::Transaction, Refusal>
 where
     T: table::Table,
@@ -254,6 +262,7 @@
     }
 }
 
+/// Builds the conflict error, with the differences from the edited version to the current one.
 async fn raced<T>(table: &T, put: &Put, version: id::Version) -> Result<Refusal, table::Error>
 where
     T: table::Table,
--- a/crates/lagoonline/src/control/document/whole.rs
+++ b/crates/lagoonline/src/control/document/whole.rs
@@ -1,4 +1,4 @@
-//! Checks that need every section: owned names, references between sections, claims.
+//! Validation across sections: unique names, references between sections, and claims.
 
 use std::collections;
 use std::fmt;
@@ -8,16 +8,17 @@
 use crate::check;
 use crate::id;
 
-/// Checks that `candidate` fits beside the `others`, of which its own team's section is ignored.
+/// Checks `candidate` against the sections of other teams. A section of the candidate's own team
+/// among `others` is ignored, since the candidate replaces it.
 ///
-/// Failure answered: two teams give one name two meanings, or a section names what nobody has.
-/// Symptom: requests of one team go to the upstreams of another, or nowhere. The check runs on
-/// the sections of one document version, and the store compares that version again when it
-/// writes, so no other section can slip in between.
+/// Duplicate names and dangling references would send requests of one team to the upstreams of
+/// another, or nowhere. The check runs on the sections of one document version, and the store
+/// compares that version again when it writes, so no concurrent change of another section goes
+/// unchecked.
 ///
 /// # Errors
 ///
-/// All faults, by JSON pointer within the candidate.
+/// Returns all faults, each with its JSON pointer within the candidate.
 ///
 /// ```
 /// use lagoonline::control::document::{check_whole, Section};
@@ -41,7 +42,7 @@
     whole.finish()
 }
 
-/// What a name stands for; the word is the field of the section.
+/// Kind of entry that a name refers to.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Kind {
     Customer,
@@ -53,6 +54,7 @@
 impl Kind {
     const ALL: [Kind; 4] = [Kind::Customer, Kind::Model, Kind::Service, Kind::Upstream];
 
+    /// Field of the section that holds the entries of this kind.
     const fn field(self) -> &'static str {
         match self {
             Kind::Customer => "customers",
@@ -62,6 +64,7 @@
         }
     }
 
+    /// Singular noun for fault messages.
     const fn word(self) -> &'static str {
         match self {
             Kind::Customer => "customer",
@@ -90,8 +93,9 @@
     }
 }
 
-/// A place in a section that names a model or service.
+/// A reference to a model or service within a section.
 struct Reference<'a> {
+    /// JSON pointer to the reference.
     pointer: String,
     kind: Kind,
     name: &'a str,
@@ -134,6 +138,7 @@
     }
 }
 
+/// State of one validation: the sections and the faults found so far.
 struct Whole<'a> {
     others: Vec<&'a section::Section>,
     candidate: &'a section::Section,
@@ -148,6 +153,7 @@
         self.faults.push(check::Fault { pointer, reason: reason.to_string() });
     }
 
+    /// Checks that no name is defined by a section of another team.
     fn check_owners(&mut self) {
         for kind in Kind::ALL {
             for name in kind.names(&self.candidate.body) {
@@ -160,6 +166,7 @@
         }
     }
 
+    /// Checks that each API key identifies only one customer.
     fn check_keys(&mut self) {
         let mut seen = collections::HashMap::new();
         for other in &self.others {
@@ -177,11 +184,13 @@
         }
     }
 
+    /// Returns whether any section defines the referenced name.
     fn resolves(&self, reference: &Reference<'_>) -> bool {
         reference.kind.has(&self.candidate.body, reference.name)
             || self.others.iter().any(|other| reference.kind.has(&other.body, reference.name))
     }
 
+    /// Checks that the candidate references only names that exist.
     fn check_references(&mut self) {
         for reference in references(&self.candidate.body) {
             if !self.resolves(&reference) {
@@ -191,7 +200,7 @@
         }
     }
 
-    /// A section that drops a name which another team's section uses would break that one.
+    /// Checks that the candidate does not remove a name that another team's section references.
     fn check_removed(&mut self) {
         for other in self.others.clone() {
             for reference in references(&other.body) {
@@ -205,7 +214,8 @@
         }
     }
 
-    /// Claims fit when every claimed engine can be given one of the fleet that serves the model.
+    /// Checks that the claims of all teams can be met at the same time: each claimed engine needs
+    /// a different engine of the fleet that serves the model.
     fn check_claims(&mut self) {
         let candidate = self.candidate;
         let all = || self.others.iter().copied().chain([candidate]);
@@ -250,10 +260,12 @@
     }
 }
 
-/// Most claimed models for which every combination is looked at.
+/// Maximum number of claimed models for which all subsets are checked; their number is exponential.
 const COMBINED_MODELS: usize = 12;
 
-/// A set of models with more claims than engines (Hall's condition), and those engines' number.
+/// Returns a set of models whose claims exceed the number of engines that serve any of them, and
+/// that number (Hall's condition). Beyond [`COMBINED_MODELS`] models, only single models and the
+/// set of all models are checked.
 fn unmet<'a>(
     engines: &[&[id::Model]],
     wanted: &collections::BTreeMap<&'a id::Model, u64>,
--- a/crates/lagoonline/src/control/lease.rs
+++ b/crates/lagoonline/src/control/lease.rs
@@ -1,13 +1,15 @@
-//! Leases with fencing numbers, in rows of the table.
+//! Leases with fencing numbers, stored in rows of the platform's table.
 //!
-//! Load pattern: orders to one engine come from one steward at a time, though processes pause,
-//! answers are lost and the table is out for longer than a lease. Without it two stewards that
-//! each hold themselves the owner would load two models in turn on the same engine.
+//! A lease ensures that only one steward at a time sends orders to an engine, even though processes
+//! may be paused, answers may be lost and the table may be unavailable for longer than a lease.
+//! Without it, two stewards that both consider themselves responsible could alternately load two
+//! models on the same engine.
 //!
-//! Clocks of hosts are never compared. The holder counts from before it sent the write that the
-//! lease rests on; a contender counts from when it first saw that write's row version. It waits
-//! the whole duration and then [`Settings::flight`], the longest time that an order may be under
-//! way, so the last order of the old holder has arrived before the first one of the new.
+//! The clocks of different hosts are never compared. The holder measures the lease from before it
+//! sent the write that acquired or renewed it; a contender measures from when it first saw the row
+//! version of that write. The contender waits for the whole duration plus [`Settings::flight`],
+//! the longest time that an order may be in flight, so that the last order of the old holder has
+//! arrived before the new holder sends its first one.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,14 +17,14 @@
 use crate::id;
 use crate::port::table;
 
-/// Times of a lease.
+/// Timing of a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Time that a lease holds after the write that it rests on was sent.
+    /// Duration of a lease, measured from when the write that acquired or renewed it was sent.
     pub duration: clock::Span,
-    /// Age at which a lease is renewed.
+    /// Age at which the holder renews the lease.
     pub renew: clock::Span,
-    /// Longest time that an order may be under way.
+    /// Longest time that an order may be in flight to the engine.
     pub flight: clock::Span,
 }
 
@@ -36,17 +38,17 @@
     }
 }
 
-/// Value of a lease's row.
+/// Value of a lease row.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct Row {
-    /// `HOST/INCARNATION`; empty when the lease was given back.
+    /// Holder as `HOST/INCARNATION`; empty if the lease was released.
     holder: String,
     fence: id::Fence,
-    /// When the lease ends by the holder's wall clock: for operators only.
+    /// Expiry by the holder's wall clock; informational, for operators only.
     expires_wall_ms: u64,
 }
 
-/// Key of a lease's row.
+/// Returns the key of a lease row.
 ///
 /// ```
 /// use lagoonline::control::lease;
@@ -56,35 +58,36 @@
     format!("lease/{name}")
 }
 
+/// What a contender knows of the lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum State {
-    /// Nothing is known of the row.
+    /// The state of the row is not known.
     Unknown,
-    /// Another holds it, as of this row version, since this moment at the latest.
+    /// Another contender holds the lease; this row version was first seen at `since`.
     Watching { version: u64, since: clock::Moment },
-    /// Held here.
+    /// Held by this contender; the last write was sent at `sent`.
     Held { fence: id::Fence, version: u64, sent: clock::Moment },
 }
 
-/// What a step found.
+/// Result of [`Lease::step`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Status {
-    /// Held here, with this fencing number.
+    /// Held by this contender, with this fencing number.
     Held(id::Fence),
-    /// Held by another, or not free yet.
+    /// Held by another contender, or not yet known to be free.
     Waiting,
 }
 
-/// Leave to send one order, checked last.
+/// Permission to send one order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Permit {
-    /// The number that the order carries.
+    /// Fencing number that the order carries.
     pub fence: id::Fence,
-    /// The order must have been sent before this moment; one sent later is counted as late.
+    /// Time by which the order must have been sent; one sent later is counted as late.
     pub until: clock::Moment,
 }
 
-/// One contender for one lease.
+/// One contender for a lease, whether it holds the lease or not.
 #[derive(Clone, Debug)]
 pub struct Lease<C> {
     name: String,
@@ -99,7 +102,7 @@
 where
     C: clock::Clock,
 {
-    /// A contender that holds nothing yet.
+    /// Creates a contender that does not hold the lease.
     ///
     /// ```
     /// use lagoonline::{clock, control::lease, id};
@@ -112,20 +115,21 @@
         Lease { name, own, settings, clock, state, late }
     }
 
-    /// Leave to send an order now, if enough of the lease is left.
+    /// Returns the permission to send an order now; `None` if the lease is not held or has expired.
     ///
-    /// Ask right before the order is written to its connection: the process may have been paused
-    /// since anything else was checked. What is left open is a pause between this call and the
-    /// write; [`Lease::sent`] counts it afterwards.
+    /// Call this right before the order is written to its connection, because the process may have
+    /// been paused since any earlier check. A pause between this call and the write is not
+    /// prevented, but detected and counted afterwards by [`Lease::sent`].
     pub fn permit(&self) -> Option<Permit> {
         let State::Held { fence, sent, .. } = self.state else { return None };
         let until = sent + self.settings.duration;
         (self.clock.now() < until).then_some(Permit { fence, until })
     }
 
-    /// Tells that the order under `permit` has been written; false, and counted, when that was
-    /// after the lease had ended. An engine that checks fencing numbers refuses such an order
-    /// once the next holder has sent one; for others the next holder repairs it.
+    /// Records that the order under `permit` has been written. Returns false and counts the order
+    /// as late if the lease had expired by then. An engine that checks fencing numbers rejects a
+    /// late order once the next holder has sent one; on other engines the next holder repairs the
+    /// effect.
     pub fn sent(&mut self, permit: &Permit) -> bool {
         let in_time = self.clock.now() < permit.until;
         if !in_time {
@@ -134,16 +138,16 @@
         in_time
     }
 
-    /// Orders that were written after the lease had ended.
+    /// Returns the number of orders that were written after the lease had expired.
     pub fn late(&self) -> u64 {
         self.late
     }
 
-    /// Takes, renews or watches the lease.
+    /// Acquires or renews the lease, or monitors its current holder. To be called regularly.
     ///
     /// # Errors
     ///
-    /// The table's. A lease that is held goes on until it ends by itself.
+    /// Returns the error of the table. A lease that is held remains valid until it expires.
     pub async fn step<T>(&mut self, table: &T) -> Result<Status, table::Error>
     where
         T: table::Table,
@@ -161,12 +165,12 @@
         self.look(table).await
     }
 
-    /// Gives the lease back, so that the next holder need not wait. Orders under way must have
-    /// ended.
+    /// Releases the lease, so that the next holder need not wait for its expiry. No order may be in
+    /// flight any more.
     ///
     /// # Errors
     ///
-    /// The table's; the lease then ends by itself.
+    /// Returns the error of the table; the lease then expires.
     pub async fn release<T>(&mut self, table: &T) -> Result<(), table::Error>
     where
         T: table::Table,
@@ -177,6 +181,7 @@
         table.commit(self.transaction(&row, version)).await.map(|_| ())
     }
 
+    /// Reads the row and acquires the lease if it is free, released or expired.
     async fn look<T>(&mut self, table: &T) -> Result<Status, table::Error>
     where
         T: table::Table,
@@ -185,7 +190,7 @@
             return self.write(table, id::Fence(1), 0).await;
         };
         let Ok(value) = serde_json::from_str::<Row>(&row.value) else {
-            // A row that nobody can read is never taken: its fencing number is not known.
+            // The lease of a malformed row is never acquired: its fencing number is not known.
             return Ok(Status::Waiting);
         };
         let seen = self.clock.now();
@@ -208,6 +213,7 @@
         }
     }
 
+    /// Builds the transaction that replaces version `version` of the row.
     fn transaction(&self, row: &Row, version: u64) -> table::Transaction {
         let key = key(&self.name);
         let value = serde_json::to_string(row).unwrap_or_default();
@@ -217,8 +223,8 @@
         }
     }
 
-    /// Writes the row as the holder. The lease counts from before the write was sent: it may take
-    /// effect at once and be answered late.
+    /// Writes the row with this contender as the holder. The lease is measured from before the
+    /// write is sent, because the write may take effect immediately and be answered late.
     async fn write<T>(
         &mut self,
         table: &T,
@@ -249,9 +255,9 @@
         }
     }
 
-    /// Finds out whether a write whose answer was lost took effect: the row is then at the next
-    /// version, with this holder and number. `None` when that cannot be told now; the lease is
-    /// then no longer than it was.
+    /// Determines whether a write whose answer was lost took effect: the row is then at the next
+    /// version, with this holder and fencing number. Returns `None` if it did not or that cannot be
+    /// determined; the lease is then not extended.
     async fn read_back<T>(
         &mut self,
         table: &T,
--- a/crates/lagoonline/src/control/ledger.rs
+++ b/crates/lagoonline/src/control/ledger.rs
@@ -1,9 +1,10 @@
-//! Whose account each engine-second goes to.
+//! Usage accounting: attributes the time of every engine to teams and customers.
 //!
-//! Every millisecond of every engine goes to exactly one account: work to the customer's team,
-//! idle time to the team whose claim holds the engine, unclaimed idle time to the upstream's
-//! owner, and time that nobody saw is shown as unobserved. Sums of a row equal its wall time, to
-//! the millisecond: shares are apportioned by largest remainder.
+//! Every millisecond of every engine is attributed exactly once: work to the customer's team, idle
+//! time to the team whose claim holds the engine, and unclaimed idle time to the owner of the
+//! upstream. Time in which no steward observed the engine is reported as unobserved. The parts of a
+//! row add up to its wall time to the millisecond, because shares are apportioned by the largest
+//! remainder method.
 
 use std::collections;
 
@@ -14,59 +15,60 @@
 use crate::port::table;
 use crate::view;
 
-/// Length of an interval, in milliseconds.
+/// Length of an accounting interval, in milliseconds.
 pub const INTERVAL_MS: u64 = 60_000;
 
-/// Work for one customer.
+/// Time that an engine worked for one customer within an interval.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Work {
-    /// The customer.
+    /// Customer that the engine worked for; empty if unknown.
     pub customer: id::Customer,
-    /// Its team.
+    /// Team of the customer.
     pub team: id::Team,
-    /// Time, in milliseconds.
+    /// Working time, in milliseconds.
     pub millis: u64,
 }
 
-/// What an engine did for some time.
+/// Activity of an engine during a period.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Activity {
-    /// It worked for customers, in these shares; none known counts as its owner's work.
+    /// Working for customers, in proportion to these weights; attributed to the owner of the engine
+    /// if all weights are 0 or no customer is known.
     Working(Vec<(id::Customer, id::Team, u64)>),
-    /// It had nothing to do.
+    /// No work.
     Idle,
-    /// Nobody saw.
+    /// Not observed by any steward.
     Unobserved,
 }
 
-/// One interval of one engine: the value of a row.
+/// Usage of one engine in one interval, stored as the value of a row.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Row {
-    /// The interval: its start by the wall clock, divided by [`INTERVAL_MS`].
+    /// Interval number: its start in wall clock milliseconds divided by [`INTERVAL_MS`].
     pub interval: u64,
-    /// Accelerators that the time is multiplied by.
+    /// Number of accelerators; reports multiply the times by it.
     pub accelerators: u32,
-    /// The upstream's owner.
+    /// Team that owns the upstream.
     pub owner: id::Team,
-    /// The team whose claim holds the engine; empty for none.
+    /// Team whose claim holds the engine; empty if there is none.
     pub claimant: id::Team,
-    /// Model that it served; empty for none.
+    /// Model that the engine is attributed to; empty if there is none.
     pub model: id::Model,
-    /// Work, by customer.
+    /// Working time by customer.
     pub work: Vec<Work>,
-    /// Idle time, charged to the claimant, or to the owner when there is none, in milliseconds.
+    /// Idle time in milliseconds, charged to the claimant or, if there is none, to the owner.
     pub idle_ms: u64,
-    /// Unobserved time, in milliseconds.
+    /// Unobserved time in milliseconds.
     pub unobserved_ms: u64,
 }
 
 impl Row {
-    /// All time of the row, in milliseconds; [`INTERVAL_MS`] in every finished one.
+    /// Returns the total time in milliseconds; [`INTERVAL_MS`] for every finished row.
     pub fn total_ms(&self) -> u64 {
         self.work.iter().map(|work| work.millis).sum::<u64>() + self.idle_ms + self.unobserved_ms
     }
 
-    /// The team that idle time is charged to.
+    /// Returns the team that idle time is charged to.
     pub fn idle_team(&self) -> &id::Team {
         if self.claimant.as_str().is_empty() { &self.owner } else { &self.claimant }
     }
@@ -103,7 +105,8 @@
     }
 }
 
-/// Splits `total` by `weights` without losing any: the largest remainders get what is left.
+/// Splits `total` in proportion to `weights`, by the largest remainder method: the parts add up to
+/// `total` exactly, unless all weights are 0.
 ///
 /// ```
 /// use lagoonline::control::ledger;
@@ -127,16 +130,19 @@
     parts
 }
 
-/// Follows one engine and closes its intervals.
+/// Accumulates the activity of one engine into rows.
 #[derive(Clone, Debug)]
 pub struct Meter {
+    /// Row of the current interval.
     row: Row,
+    /// Wall clock time up to which activity has been recorded.
     filled_ms: u64,
     finished: Vec<Row>,
 }
 
 impl Meter {
-    /// A meter that starts at `wall_ms`; the interval's time before that was not observed here.
+    /// Creates a meter that starts at `wall_ms`; the part of the interval before that is recorded
+    /// as unobserved.
     pub fn new(wall_ms: u64) -> Self {
         let row = Row { interval: wall_ms / INTERVAL_MS, ..Row::default() };
         let mut meter =
@@ -145,7 +151,8 @@
         meter
     }
 
-    /// Sets whose the engine is from now on; a row is charged as its interval ends.
+    /// Sets the attribution of the engine. It applies to the whole current interval, since a row is
+    /// attributed as of the end of its interval.
     pub fn set_accounts(&mut self, accounts: &Accounts) {
         self.row.accelerators = accounts.accelerators;
         self.row.owner = accounts.owner.clone();
@@ -153,8 +160,8 @@
         self.row.model = accounts.model.clone();
     }
 
-    /// Time went on to `wall_ms`, with the engine doing this. A clock that went back adds nothing
-    /// until it is past where it was.
+    /// Records that the engine was in `activity` up to `wall_ms`. When the wall clock is set back,
+    /// nothing is recorded until it passes the time recorded last.
     pub fn advance(&mut self, wall_ms: u64, activity: &Activity) {
         while self.filled_ms < wall_ms {
             let end = (self.row.interval + 1) * INTERVAL_MS;
@@ -167,6 +174,7 @@
         }
     }
 
+    /// Finishes the current row and starts the one of the next interval.
     fn close(&mut self) {
         let next = Row {
             interval: self.row.interval + 1,
@@ -178,27 +186,28 @@
         self.finished.push(std::mem::replace(&mut self.row, next));
     }
 
-    /// Takes the finished rows, to be written.
+    /// Removes and returns the finished rows, to be written to the table.
     pub fn take(&mut self) -> Vec<Row> {
         std::mem::take(&mut self.finished)
     }
 }
 
-/// Whose an engine's time is.
+/// Teams and model that the time of an engine is attributed to.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Accounts {
-    /// Accelerators.
+    /// Number of accelerators of the engine.
     pub accelerators: u32,
-    /// The upstream's owner.
+    /// Team that owns the upstream.
     pub owner: id::Team,
-    /// The team whose claim holds it; empty for none.
+    /// Team whose claim holds the engine; empty if there is none.
     pub claimant: id::Team,
-    /// Its first model.
+    /// Claimed model or, without a claim, the first model that the engine serves.
     pub model: id::Model,
 }
 
-/// Whose each engine of the fleet is. Claims are given engines so that all are met whenever that
-/// is possible, and the same fleet always gives the same result, on every host.
+/// Returns the attribution of each engine of the fleet. Engines are assigned to claims such that
+/// all claims are met whenever that is possible. The result depends only on the fleet, so every
+/// host computes the same one.
 pub fn accounts(fleet: &view::Fleet) -> collections::BTreeMap<id::Upstream, Accounts> {
     let mut engines: Vec<(&view::Upstream, &[id::Model])> = Vec::new();
     for upstream in &fleet.upstreams {
@@ -224,10 +233,12 @@
     engines.iter().enumerate().map(account).collect()
 }
 
+/// Team and model of the claim that an engine is assigned to, if any.
 type Holder = Option<(id::Team, id::Model)>;
 
-/// Gives each claimed engine to a claim, moving earlier ones where that makes room (augmenting
-/// paths, so that engines of several models are not taken by the wrong claim).
+/// Assigns engines to claims by bipartite matching with augmenting paths: an earlier assignment is
+/// moved to another engine if that makes room, so that an engine that serves several models is not
+/// occupied by the wrong claim.
 fn assign(fleet: &view::Fleet, engines: &[(&view::Upstream, &[id::Model])]) -> Vec<Holder> {
     let mut holders: Vec<Holder> = vec![None; engines.len()];
     for (team, claims) in &fleet.claims {
@@ -241,6 +252,8 @@
     holders
 }
 
+/// Finds an engine for one claimed slot, moving other slots if necessary. `seen` marks the engines
+/// already tried in this search. Returns false if no assignment exists.
 fn place(
     slot: (id::Team, id::Model),
     engines: &[(&view::Upstream, &[id::Model])],
@@ -264,7 +277,7 @@
     false
 }
 
-/// Key of a row; intervals sort as numbers.
+/// Returns the key of a row; the interval is zero-padded so that keys sort numerically.
 ///
 /// ```
 /// use lagoonline::control::ledger;
@@ -275,15 +288,15 @@
     format!("usage/{upstream}/{interval:012}")
 }
 
-/// Writes a row unless the interval has one already.
+/// Writes a row unless the interval already has one.
 ///
-/// Failure answered: the answer to a write is lost and it is repeated, or two stewards both hold
-/// themselves the observer. Symptom: an interval counts twice. Its row is only ever inserted, so
-/// whichever came first stands.
+/// A row is only ever inserted and the first one is kept. Otherwise an interval could be counted
+/// twice, when a write is retried after its answer was lost or when two stewards both consider
+/// themselves the observer of the engine.
 ///
 /// # Errors
 ///
-/// `Refused` or `Unknown`: write it again.
+/// `Refused` or `Unknown`; the write can be retried.
 pub async fn write<T>(table: &T, upstream: &id::Upstream, row: &Row) -> Result<(), table::Error>
 where
     T: table::Table,
@@ -298,18 +311,18 @@
     }
 }
 
-/// What usage is summed by.
+/// Dimension by which usage is aggregated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Grouping {
-    /// The team charged.
+    /// By the team that is charged.
     Team,
-    /// The customer, for work; other time by team.
+    /// Working time by customer, other time by team.
     Customer,
-    /// The model.
+    /// By model.
     Model,
-    /// The upstream.
+    /// By upstream.
     Upstream,
-    /// The day, counted from the Unix epoch.
+    /// By day since the Unix epoch.
     Day,
 }
 
@@ -328,27 +341,28 @@
     }
 }
 
-/// The text is not a grouping.
+/// Error for a text that does not name a [`Grouping`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("usage is by team, customer, model, upstream or day")]
 pub struct BadGrouping;
 
-/// Accelerator-milliseconds of one group.
+/// Usage of one group, in accelerator-milliseconds.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Sum {
-    /// Work.
+    /// Working time.
     pub work_ms: u64,
-    /// Idle time under a claim.
+    /// Idle time of claimed engines.
     pub claimed_idle_ms: u64,
-    /// Idle time without one.
+    /// Idle time of unclaimed engines.
     pub unclaimed_idle_ms: u64,
-    /// Time that nobody saw.
+    /// Unobserved time.
     pub unobserved_ms: u64,
 }
 
 const DAY_MS: u64 = 86_400_000;
 
-/// Sums rows; intervals without a row between an upstream's first and last are unobserved.
+/// Aggregates rows. Missing intervals between the first and the last row of an upstream count as
+/// unobserved.
 pub fn sum<'a, I>(rows: I, grouping: Grouping) -> collections::BTreeMap<String, Sum>
 where
     I: IntoIterator<Item = (&'a id::Upstream, &'a Row)>,
--- a/crates/lagoonline/src/control/membership/group.rs
+++ b/crates/lagoonline/src/control/membership/group.rs
@@ -1,4 +1,4 @@
-//! The members as one steward sees them, and what it does about silence.
+//! One steward's view of the members, and failure detection by heartbeats and votes.
 
 use std::collections;
 
@@ -7,20 +7,22 @@
 use crate::control::owner;
 use crate::id;
 
-/// Times and numbers of the heartbeats.
+/// Settings of heartbeats and failure detection.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Time between two heartbeats to the same neighbour.
+    /// Interval between heartbeats to the same neighbour.
     pub interval: clock::Span,
-    /// Rings that the hosts of a zone stand on; next to each other on one are neighbours, who watch
-    /// each other.
+    /// Number of rings that the hosts of a zone are arranged on. Hosts next to each other on a
+    /// ring are neighbours and monitor each other.
     pub rings: usize,
-    /// Silence after which a host votes against a neighbour: four heartbeats and some delay. At 5%
-    /// loss one is wrong once in 160,000 intervals, and most of the neighbours must be at once.
+    /// Time without a heartbeat after which a host votes against a neighbour: four heartbeat
+    /// intervals plus network delay. At 5% packet loss a vote is wrong once in 160,000 intervals,
+    /// and a member is declared dead only when most of its neighbours are wrong at the same time.
     pub silence: clock::Span,
-    /// Most time between two ticks that counts: beyond it, this process was paused.
+    /// Longest normal time between two ticks. Anything beyond it is treated as a pause of this
+    /// process and not as silence of its neighbours.
     pub longest_tick: clock::Span,
-    /// Time after which a dead member is forgotten.
+    /// Time after which a dead member is removed.
     pub forget: clock::Span,
 }
 
@@ -36,34 +38,42 @@
     }
 }
 
-/// A change of who lives.
+/// A change in the set of live members.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// A member joined, or came back in a new life.
+    /// A member joined, or rejoined with a new incarnation.
     Live(id::Host),
-    /// The majority of a member's neighbours is against it.
+    /// The majority of a member's neighbours voted against it.
     Dead(id::Host),
 }
 
-/// The members as one steward sees them.
+/// Members of the cluster as seen by one steward.
+///
+/// The caller feeds in heartbeats and updates from peers, calls [`Group::tick`] regularly, and
+/// sends the updates that these calls return to its linked peers.
 #[derive(Clone, Debug)]
 pub struct Group {
     own: roster::Member,
     settings: Settings,
     roster: roster::Roster,
+    /// Time of the last heartbeat of each monitored host.
     heard: collections::HashMap<id::Host, clock::Moment>,
+    /// Dead members and the time at which they were declared dead.
     dead: collections::HashMap<id::Host, clock::Moment>,
-    /// Neighbours of each live member; computed again when the live members change.
+    /// Neighbours of each live member; cleared to force a recomputation when live members change.
     neighbours: collections::HashMap<id::Host, Vec<id::Host>>,
-    /// Members that this steward exchanges heartbeats with, in order.
+    /// Members that this steward exchanges heartbeats with, sorted.
     contacts: Vec<id::Host>,
+    /// Members that joined since the last tick.
     joined: Vec<id::Host>,
+    /// Sequence number of the last vote of this steward.
     votes: u64,
+    /// Time of the last tick.
     ticked: clock::Moment,
 }
 
 impl Group {
-    /// A group of this steward alone.
+    /// Creates a group that contains only this steward.
     ///
     /// ```
     /// use lagoonline::clock::Moment;
@@ -90,51 +100,55 @@
         Group { own, settings, roster, heard, dead, neighbours, contacts, joined, votes, ticked }
     }
 
-    /// This steward.
+    /// Returns this steward's own member record.
     pub fn own(&self) -> &roster::Member {
         &self.own
     }
 
-    /// What is known of members and votes.
+    /// Returns the known members and votes.
     pub fn roster(&self) -> &roster::Roster {
         &self.roster
     }
 
-    /// Whether a member is known and not dead.
+    /// Returns whether a member is known and not dead.
     pub fn is_live(&self, host: &id::Host) -> bool {
         self.roster.member(host).is_some() && !self.dead.contains_key(host)
     }
 
-    /// Members that are not dead, this one included.
+    /// Returns the members that are not dead, including this one.
     pub fn live(&self) -> impl Iterator<Item = &roster::Member> {
         self.roster.members().filter(|member| !self.dead.contains_key(&member.host))
     }
 
-    /// Dead members that are not forgotten yet.
+    /// Returns the dead members that have not been removed yet.
     pub fn dead(&self) -> impl Iterator<Item = &roster::Member> {
         self.roster.members().filter(|member| self.dead.contains_key(&member.host))
     }
 
-    /// Names of the live members of `zone`.
+    /// Returns the names of the live members of `zone`.
     pub fn live_in<'a>(&'a self, zone: &'a id::Zone) -> impl Iterator<Item = &'a str> {
         self.live().filter(move |member| member.zone == *zone).map(|member| member.host.as_str())
     }
 
-    /// Whom this steward exchanges heartbeats with, and keeps links with.
+    /// Returns the members that this steward exchanges heartbeats with and keeps links to.
     pub fn contacts(&self) -> &[id::Host] {
         &self.contacts
     }
 
-    /// Failure answered: hosts that choose neighbours freely are chosen unevenly. Symptom: of 39
-    /// hosts one has eight neighbours, and pays twice the budget of heartbeats. On each ring, an
-    /// order by rendezvous of its own, a host has the one before it and the one behind it, so
-    /// nobody has more than two for each ring; rings of different orders make a random graph.
+    /// Returns the hosts of `zone` in the order of ring `number`.
+    ///
+    /// Each ring is ordered by a rendezvous hash of its own. A host's neighbours on a ring are its
+    /// predecessor and its successor, so it has at most two per ring, and several differently
+    /// ordered rings form a random graph. If each host selected its neighbours independently, the
+    /// load would be uneven: of 39 hosts one would have eight neighbours and exceed its heartbeat
+    /// budget twofold.
     fn ring<'a>(&'a self, zone: &'a id::Zone, number: usize) -> Vec<&'a str> {
         let members = self.live_in(zone).collect::<Vec<_>>();
         let count = members.len();
         owner::rank(members, &format!("ring {number}"), count)
     }
 
+    /// Recomputes neighbours and heartbeat peers if the live members have changed.
     fn update_contacts(&mut self) {
         if !self.neighbours.is_empty() {
             return;
@@ -163,14 +177,16 @@
         contacts.extend(self.substitutes());
         contacts.sort();
         contacts.dedup();
-        // Whoever starts to watch a host gives it the whole time from then on.
+        // A host that becomes a peer again starts with a full timeout.
         self.heard.retain(|host, _| contacts.binary_search(host).is_ok());
         (self.neighbours, self.contacts) = (neighbours, contacts);
     }
 
-    /// Failure answered: all neighbours of this host went at once, so it hears nobody's votes and
-    /// finds nobody dead. Symptom: it stays alone with a list of dead hosts. For each host that it
-    /// is against it takes another one as a contact, until one answers.
+    /// Returns extra heartbeat peers, one for each host that this steward has voted against.
+    ///
+    /// If all neighbours of this host fail at once, it receives no votes and cannot declare anyone
+    /// dead, so it would stay isolated with a list of dead hosts. Extra peers are added until one
+    /// of them responds.
     fn substitutes(&self) -> Vec<id::Host> {
         let trusted = |name: &&str| !self.roster.is_against(&self.own.host, &id::Host::from(*name));
         let others = self.live_in(&self.own.zone).filter(|name| *name != self.own.host.as_str());
@@ -184,7 +200,10 @@
         ranked.into_iter().map(id::Host::from).collect()
     }
 
-    /// A heartbeat came from a member in this life.
+    /// Records a heartbeat from the given incarnation of a member and returns the updates to send.
+    ///
+    /// Withdraws this steward's vote against the member, if there is one. Heartbeats of unknown
+    /// members and of other incarnations are ignored.
     pub fn hear(
         &mut self,
         host: &id::Host,
@@ -202,6 +221,7 @@
         vec![self.vote(host, incarnation, false)]
     }
 
+    /// Records a vote by this steward and returns it as an update.
     fn vote(
         &mut self,
         host: &id::Host,
@@ -222,7 +242,7 @@
         news
     }
 
-    /// Takes news from a peer; what of it was new, to be passed on.
+    /// Applies updates from a peer and returns those that were new, to be forwarded.
     pub fn take(&mut self, news: &[roster::News], now: clock::Moment) -> Vec<roster::News> {
         let mut passed = Vec::new();
         for item in news {
@@ -237,6 +257,7 @@
         passed
     }
 
+    /// Marks a member that joined or has a new incarnation as live.
     fn welcome(&mut self, member: &roster::Member, now: clock::Moment) {
         self.heard.insert(member.host.clone(), now);
         self.dead.remove(&member.host);
@@ -244,8 +265,11 @@
         self.neighbours.clear();
     }
 
-    /// Votes against contacts that are silent, counts votes, answers votes against this
-    /// steward, and forgets the long dead.
+    /// Runs one round of failure detection and returns the updates to send and the changes of the
+    /// live members.
+    ///
+    /// Votes against peers whose heartbeats timed out, counts votes, refutes votes against this
+    /// steward, and removes members that have been dead for long enough.
     pub fn tick(&mut self, now: clock::Moment) -> (Vec<roster::News>, Vec<Change>) {
         self.update_contacts();
         self.excuse_pause(now);
@@ -257,8 +281,10 @@
         (news, changes)
     }
 
-    /// Failure answered: this process was paused, and on waking every host looks silent. Symptom:
-    /// one paused host votes against all its neighbours. The time of the pause is taken off.
+    /// Excludes a pause of this process from the heartbeat timeouts of its peers.
+    ///
+    /// Otherwise every peer would appear to have timed out when the process resumes, and a paused
+    /// host would vote against all its neighbours.
     fn excuse_pause(&mut self, now: clock::Moment) {
         let gap = now.since(self.ticked);
         self.ticked = now;
@@ -268,6 +294,7 @@
         }
     }
 
+    /// Votes against the peers whose heartbeats timed out.
     fn vote_on_silent(&mut self, now: clock::Moment) -> Vec<roster::News> {
         let mut silent = Vec::new();
         for host in &self.contacts {
@@ -286,10 +313,10 @@
         silent.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)).collect()
     }
 
-    /// Answers votes against this life with a new one.
+    /// Refutes votes against this incarnation by starting a new one, which invalidates them.
     ///
-    /// Failure answered: the hosts of a zone were cut in two, each half holds the other dead, and
-    /// the votes outlive the cut. Symptom: the halves never join again. A new life voids them.
+    /// Otherwise a zone would never recover from a network partition: each half holds votes
+    /// against the other, and these votes persist after the partition ends.
     fn refute(&mut self) -> Vec<roster::News> {
         let known = self.roster.member(&self.own.host).map(|member| member.incarnation);
         let is_replaced = known.is_some_and(|known| known > self.own.incarnation);
@@ -305,13 +332,16 @@
         self.own.incarnation = id::Incarnation(last.0 + 1);
         let mut news = vec![roster::News::Member(self.own.clone())];
         self.roster.take(&news[0]);
-        // Votes of the earlier life are void; those against hosts that are dead must not be lost.
+        // The new incarnation invalidates all votes cast by the earlier one. Votes against dead
+        // hosts are still needed, so they are cast again.
         news.extend(doubted.iter().map(|(host, life)| self.vote(host, *life, true)));
         news
     }
 
-    /// Neighbours that went at once with a host have no say in it: those that are doubted
-    /// themselves are left out of the count.
+    /// Returns whether the majority of the eligible `neighbours` of `host` voted against it.
+    ///
+    /// Neighbours that have votes against themselves are not eligible: they may have failed
+    /// together with `host` and then cannot vote.
     fn is_condemned(&self, host: &id::Host, neighbours: &[id::Host]) -> bool {
         if !self.roster.is_doubted(host) {
             return false;
@@ -324,6 +354,7 @@
         2 * against.count() > with_say.len()
     }
 
+    /// Counts the votes, marks members as dead and returns the changes since the last tick.
     fn count(&mut self, now: clock::Moment) -> Vec<Change> {
         let joined = std::mem::take(&mut self.joined);
         let mut changes: Vec<_> = joined.into_iter().map(Change::Live).collect();
@@ -343,11 +374,11 @@
         changes
     }
 
-    /// Votes as well against members of the own zone that were counted dead.
+    /// Adds this steward's own votes against members of its zone that it just declared dead.
     ///
-    /// Failure answered: each host counts with its own view of who the neighbours are, which differ
-    /// while many die at once. Symptom: a host that some hold dead, and so no longer watch, stays
-    /// live for ever to the others. With their votes these count it dead too.
+    /// Each host counts votes with its own view of who the neighbours are, and these views differ
+    /// while many members fail at once. Hosts that declared a member dead stop monitoring it, so
+    /// without their votes the member could stay live for ever in the view of the others.
     fn second(&mut self, changes: &[Change]) -> Vec<roster::News> {
         let mut seconded = Vec::new();
         for change in changes {
@@ -361,6 +392,7 @@
         seconded.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)).collect()
     }
 
+    /// Removes the members that have been dead for the configured time.
     fn forget(&mut self, now: clock::Moment) {
         let limit = self.settings.forget;
         let old = self.dead.iter().filter(|(_, since)| now.since(**since) >= limit);
--- a/crates/lagoonline/src/control/membership/mod.rs
+++ b/crates/lagoonline/src/control/membership/mod.rs
@@ -1,13 +1,17 @@
-//! Which stewards live, and who watches whom.
+//! Membership and failure detection of the stewards.
 //!
-//! Load pattern: one datagram in twenty is lost, delays vary, a process may be paused; 20 hosts
-//! fail and 330 restart in a day, sometimes a rack or a zone at once. Heartbeats of everybody to
-//! everybody would cost a host of a 39-host zone several times its whole budget, so each host
-//! exchanges them with a few neighbours only. A host that hears nothing of a neighbour votes
-//! against it; votes reach everybody, and each host counts them by itself: dead is who has the
-//! majority of its neighbours against it. A vote is taken back when its voter hears the host again,
-//! and a host that learns of a vote against it goes on in a new life, which voids the votes; so no
-//! verdict is wrong for good.
+//! Designed for the following conditions: one datagram in twenty is lost, delays vary, and a
+//! process may be paused. 20 hosts fail and 330 restart per day, sometimes a whole rack or zone at
+//! once.
+//!
+//! All-to-all heartbeats would cost a host in a 39-host zone several times its network budget, so
+//! each host exchanges heartbeats with a few neighbours only. A host that receives no heartbeats
+//! from a neighbour votes against it. Votes are propagated to all hosts, and each host counts them
+//! independently: a member is dead when the majority of its neighbours voted against it.
+//!
+//! Wrong decisions are corrected. A voter withdraws its vote when it receives a heartbeat from the
+//! member again, and a host that learns of a vote against itself starts a new incarnation, which
+//! invalidates the votes.
 
 mod group;
 mod roster;
--- a/crates/lagoonline/src/control/membership/roster.rs
+++ b/crates/lagoonline/src/control/membership/roster.rs
@@ -1,58 +1,62 @@
-//! What is known of members and votes; the higher number wins, in whatever order news comes.
+//! The known members and votes.
+//!
+//! Updates may arrive in any order: of two members the higher incarnation is kept, and of two votes
+//! by the same voter the one with the higher incarnation and sequence number.
 
 use std::collections;
 use std::net;
 
 use crate::id;
 
-/// A steward.
+/// A steward process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
-    /// Its host.
+    /// Host that the steward runs on; identifies the member.
     pub host: id::Host,
-    /// Its zone.
+    /// Availability zone of the host.
     pub zone: id::Zone,
-    /// Where it listens, by TCP and UDP.
+    /// Address that it listens on, for both TCP and UDP.
     pub address: net::SocketAddr,
-    /// Its life.
+    /// Incarnation; raised by each restart and to refute votes.
     pub incarnation: id::Incarnation,
 }
 
-/// A watcher's word on a member.
+/// A vote by one member on whether another one has failed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Vote {
-    /// The watcher.
+    /// The voter.
     pub by: id::Host,
-    /// The watcher's life.
+    /// Incarnation of the voter when it voted.
     pub by_incarnation: id::Incarnation,
-    /// Counts the watcher's votes in this life.
+    /// Sequence number of the vote within the voter's incarnation.
     pub number: u64,
     /// The member voted on.
     pub host: id::Host,
-    /// The member's life.
+    /// Incarnation of the member that the vote applies to.
     pub incarnation: id::Incarnation,
-    /// True: silent. False: heard again.
+    /// True when heartbeats timed out; false to withdraw an earlier vote.
     pub against: bool,
 }
 
-/// Something that others should know.
+/// A change that is propagated to the other stewards.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum News {
-    /// A member in a new life.
+    /// A member that is new or has a new incarnation.
     Member(Member),
-    /// A vote.
+    /// A vote, or its withdrawal.
     Vote(Vote),
 }
 
-/// Members and votes.
+/// The known members and the latest vote of each voter on each member.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     members: collections::BTreeMap<id::Host, Member>,
+    /// Votes by the member voted on, then by voter.
     votes: collections::BTreeMap<id::Host, collections::BTreeMap<id::Host, Vote>>,
 }
 
 impl Roster {
-    /// Takes news; false when it is old.
+    /// Applies an update; returns false when it is outdated or about an unknown member.
     pub fn take(&mut self, news: &News) -> bool {
         match news {
             News::Member(member) => self.take_member(member),
@@ -65,7 +69,7 @@
         if known.is_some_and(|known| known.incarnation >= member.incarnation) {
             return false;
         }
-        // Votes against an earlier life say nothing of this one.
+        // Votes against an earlier incarnation do not apply to the new one.
         self.votes.remove(&member.host);
         self.members.insert(member.host.clone(), member.clone());
         true
@@ -85,30 +89,30 @@
         true
     }
 
-    /// The member of this name.
+    /// Returns the member on `host`.
     pub fn member(&self, host: &id::Host) -> Option<&Member> {
         self.members.get(host)
     }
 
-    /// All members, dead ones included.
+    /// Returns all members, including dead ones.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Whether `by` has voted against `host`, in the life that `by` is known in.
+    /// Returns whether the current incarnation of `by` has voted against `host`.
     pub fn is_against(&self, by: &id::Host, host: &id::Host) -> bool {
         let vote = self.votes.get(host).and_then(|votes| votes.get(by));
         let life = self.members.get(by).map(|member| member.incarnation);
         vote.is_some_and(|vote| vote.against && life == Some(vote.by_incarnation))
     }
 
-    /// Whether any member, in the life that it is known in, has voted against `host`.
+    /// Returns whether any member has voted against `host` in its current incarnation.
     pub fn is_doubted(&self, host: &id::Host) -> bool {
         let votes = self.votes.get(host).into_iter().flat_map(collections::BTreeMap::keys);
         votes.into_iter().any(|by| self.is_against(by, host))
     }
 
-    /// Forgets a member and its votes.
+    /// Removes a member, the votes on it and the votes by it.
     pub fn remove(&mut self, host: &id::Host) {
         self.members.remove(host);
         self.votes.remove(host);
@@ -117,7 +121,7 @@
         }
     }
 
-    /// Everything, for a host that knows nothing yet.
+    /// Returns all members and votes as updates, for a peer that has none of them yet.
     pub fn news(&self) -> Vec<News> {
         let members = self.members.values().cloned().map(News::Member);
         let votes = self.votes.values().flat_map(|votes| votes.values());
--- a/crates/lagoonline/src/control/mesh.rs
+++ b/crates/lagoonline/src/control/mesh.rs
@@ -1,17 +1,18 @@
-//! Which stewards keep a link with which.
+//! Topology of the links between stewards.
 //!
-//! Within a zone a host links to its neighbours, so that news crosses a zone in about three steps
-//! at a cost that does not grow with it. Between zones, whose links cost more, only
-//! [`GATEWAYS`] hosts of each zone keep links: with two, a zone stays linked while one restarts.
+//! Within a zone, a host links to its heartbeat peers. An update then crosses a zone in about three
+//! hops, at a cost per host that does not grow with the zone. Links between zones are more
+//! expensive, so only [`GATEWAYS`] hosts of each zone keep them; with two, a zone stays connected
+//! while one of them restarts.
 
 use super::membership;
 use super::owner;
 use crate::id;
 
-/// Hosts of each zone that keep links with other zones.
+/// Number of hosts per zone that keep links to other zones.
 pub const GATEWAYS: usize = 2;
 
-/// Members that the group's own steward should be linked with.
+/// Returns the hosts that this steward should keep links to.
 ///
 /// ```
 /// use lagoonline::{clock, control::{membership, mesh}, id};
@@ -42,7 +43,7 @@
     hosts
 }
 
-/// The hosts of `zone` that keep links with other zones.
+/// Returns the hosts of `zone` that keep links to other zones.
 pub fn gateways(group: &membership::Group, zone: &id::Zone) -> Vec<id::Host> {
     let chosen = owner::rank(group.live_in(zone), "gateway", GATEWAYS);
     chosen.into_iter().map(id::Host::from).collect()
--- a/crates/lagoonline/src/control/mod.rs
+++ b/crates/lagoonline/src/control/mod.rs
@@ -1,4 +1,7 @@
-//! What the control processes agree on: the document, membership, leases, the ledger.
+//! Control plane: the state that the stewards share.
+//!
+//! Covers the configuration document and its replication, membership, leases, orders to engines,
+//! usage accounting, and rate limits for calls to the platform.
 
 pub mod document;
 pub mod lease;
--- a/crates/lagoonline/src/control/order.rs
+++ b/crates/lagoonline/src/control/order.rs
@@ -1,14 +1,15 @@
-//! What to order of an engine: reconciliation of what is wanted with what it says it does.
+//! Reconciliation of an engine's reported state with the state that the document specifies.
 //!
-//! Orders are level triggered. Nothing is remembered of what was sent: each look compares the
-//! engine's own state with the document, so a lost order, a lost answer and a late order of an
-//! earlier holder are all repaired by the same rule at the next look.
+//! Orders are level-triggered. No record is kept of the orders sent: each reconciliation compares
+//! the engine's reported state with the document, so a lost order, a lost answer and a late order
+//! of an earlier lease holder are all corrected by the same rule at the next reconciliation.
 //!
-//! What cannot be guaranteed: an engine that ignores fencing numbers obeys a holder that was
-//! paused between its last check and the write, for as long as that pause was. The next holder
-//! finds the state changed at its next look and orders it back, so the wrong state lasts one look
-//! and one order; each case is counted as [`Decision::Repair`]. Orders that would end streams are
-//! kept off such engines while they serve.
+//! Limitation: an engine that does not check fencing numbers also executes the order of a lease
+//! holder that was paused between its last check of the lease and the write, no matter how long the
+//! pause was. The next holder detects the changed state at its next reconciliation and reverts it,
+//! so the wrong state lasts for one reconciliation interval and one order; each case is reported as
+//! [`Decision::Repair`]. Orders that would terminate streams are not sent to such engines while
+//! they have requests.
 
 use serde::{Deserialize, Serialize};
 
@@ -16,37 +17,38 @@
 use crate::id;
 use crate::port::engine;
 
-/// State that an engine reports of its orders.
+/// State that an engine reports.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Actual {
-    /// The engine's life.
+    /// Incarnation of the engine.
     pub incarnation: u64,
-    /// Model that it serves; empty for none.
+    /// Model that it serves; empty if there is none.
     pub model: String,
-    /// Its adapter.
+    /// Adapter of the model; empty if there is none.
     pub adapter: String,
-    /// Its version.
+    /// Version of the model.
     pub version: String,
-    /// What it is used for.
+    /// Current role.
     pub role: engine::Role,
-    /// Highest fencing number that it obeyed.
+    /// Highest fencing number among the orders that it executed.
     pub fence: id::Fence,
-    /// Whether it is loading.
+    /// Whether it is loading a model.
     pub loading: bool,
 }
 
-/// State that the document wants.
+/// Desired state of an engine according to the document.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Wanted {
-    /// Models that the engine may serve; any of them will do, the first is ordered.
+    /// Models that the engine may serve. Any of them is accepted; if none is loaded, the first one
+    /// is ordered.
     pub models: Vec<id::Model>,
-    /// What it is used for.
+    /// Desired role.
     pub role: engine::Role,
 }
 
 impl Wanted {
-    /// What the document wants of an upstream; `None` for a plain service.
+    /// Returns the desired state of an upstream; `None` for a plain service.
     ///
     /// ```
     /// use lagoonline::control::{document, order};
@@ -66,33 +68,34 @@
     }
 }
 
-/// What else bears on an order.
+/// Conditions under which an order would be sent.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Situation {
-    /// Number of the lease that orders are sent under.
+    /// Fencing number of the lease under which orders are sent.
     pub fence: id::Fence,
-    /// Whether the engine refuses old fencing numbers.
+    /// Whether the engine rejects outdated fencing numbers.
     pub checks_fence: bool,
-    /// Requests that it has.
+    /// Number of requests that the engine is serving.
     pub busy: u32,
 }
 
-/// What to do about one engine.
+/// Result of one reconciliation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// It is as wanted.
+    /// The engine is in the desired state.
     Nothing,
-    /// It is loading, or serves and must not be disturbed.
+    /// No order now: the engine is loading, or has requests that an order would interrupt.
     Wait,
-    /// A higher fencing number has been there: another holds the lease.
+    /// The engine has seen a higher fencing number: another steward holds the lease.
     Superseded,
-    /// Send this.
+    /// Send this order.
     Send(engine::Order),
-    /// Send this; the engine obeyed an order that did not come from the lease that it names.
+    /// Send this order to revert a change. The engine reports the current fencing number but not
+    /// the state ordered under it, so it executed a late order of an earlier lease holder.
     Repair(engine::Order),
 }
 
-/// Decides on one look at an engine.
+/// Compares the desired with the actual state and returns what to do.
 ///
 /// ```
 /// use lagoonline::control::order::{decide, Actual, Decision, Situation, Wanted};
@@ -114,8 +117,8 @@
     }
     let Some(order) = missing(wanted, actual) else { return Decision::Nothing };
     let is_load = matches!(order, engine::Order::Load { .. });
-    // A load ends what the engine serves. Where fencing numbers are ignored, a late one could not
-    // be told from a good one, so none is sent while there is something to lose.
+    // Loading a model terminates the engine's streams. An engine that ignores fencing numbers
+    // cannot tell a late load order from a valid one, so none is sent while it has requests.
     if is_load && situation.busy > 0 && !situation.checks_fence {
         return Decision::Wait;
     }
@@ -126,6 +129,7 @@
     Decision::Send(order)
 }
 
+/// Returns the order that is needed to reach the desired state, if any.
 fn missing(wanted: &Wanted, actual: &Actual) -> Option<engine::Order> {
     let serves = wanted.models.iter().any(|model| model.as_str() == actual.model);
     if !serves {
--- a/crates/lagoonline/src/control/owner.rs
+++ b/crates/lagoonline/src/control/owner.rs
@@ -1,21 +1,21 @@
-//! Who of the live stewards watches an upstream: rendezvous hashing.
+//! Rendezvous hashing: assigns keys, such as upstream names, to live stewards.
 //!
-//! Load pattern: hosts come and go all day. With a table of modulo N every change would move most
-//! upstreams; here a host that leaves moves only its own, one in N.
+//! Hosts join and leave all day. Hashing modulo N would reassign most keys at every change; with
+//! rendezvous hashing only the keys of the host that leaves are reassigned, one in N.
 
-/// Score of `owner` for `thing`; the highest of the live owners wins.
+/// Returns the score of `owner` for `thing`; the live owner with the highest score is chosen.
 fn score(owner: &str, thing: &str) -> u64 {
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
     for byte in owner.bytes().chain([0]).chain(thing.bytes()) {
         hash = (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     }
-    // FNV leaves the high bits of short texts alike; this finish (of splitmix64) spreads them.
+    // FNV-1a mixes the high bits of short texts poorly; the finalizer of splitmix64 fixes that.
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     hash ^ (hash >> 31)
 }
 
-/// The owner of `thing` among the live `owners`; `None` when there are none.
+/// Returns the owner of `thing` among the live `owners`; `None` if there are none.
 ///
 /// ```
 /// use lagoonline::control::owner;
@@ -32,7 +32,7 @@
     owners.into_iter().max_by_key(|owner| (score(owner, thing), *owner))
 }
 
-/// The first `count` owners of `thing`, best first.
+/// Returns the `count` owners with the highest scores for `thing`, in descending order.
 ///
 /// ```
 /// use lagoonline::control::owner;
--- a/crates/lagoonline/src/control/platform/backoff.rs
+++ b/crates/lagoonline/src/control/platform/backoff.rs
@@ -1,17 +1,17 @@
-//! How long to wait before a call is made again.
+//! Exponential backoff with jitter for retried calls.
 
 use crate::clock;
 
-/// Waits that double up to a limit, each drawn anew from the whole interval ("full jitter").
+/// Exponential backoff up to a limit, with each delay drawn from the whole interval ("full
+/// jitter").
 ///
-/// Failure answered: every host saw the outage at the same moment and would come back at the same
-/// moment. Symptom: the platform is overloaded as soon as it answers. A wait drawn from the whole
-/// interval spreads them evenly over it.
+/// All hosts notice an outage at the same time. Without jitter they would also retry at the same
+/// time and overload the platform as soon as it recovers; full jitter spreads the retries evenly.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
-    /// Longest first wait.
+    /// Upper bound of the first delay.
     pub base: clock::Span,
-    /// Longest wait.
+    /// Upper bound of all delays.
     pub limit: clock::Span,
 }
 
@@ -21,11 +21,11 @@
     }
 }
 
-/// Doublings after which the limit holds in any case.
+/// Maximum number of doublings; prevents overflow, since the limit is reached long before.
 const MOST_DOUBLINGS: u32 = 16;
 
 impl Backoff {
-    /// The wait after `failures` in a row; `random` is uniform within 0 to 1.
+    /// Returns the delay after `failures` consecutive failures; `random` is uniform in 0 to 1.
     ///
     /// ```
     /// use lagoonline::{clock, control::platform};
--- a/crates/lagoonline/src/control/platform/breaker.rs
+++ b/crates/lagoonline/src/control/platform/breaker.rs
@@ -1,23 +1,26 @@
-//! Whether the platform is worth calling.
+//! Circuit breaker for calls to the platform.
 
 use crate::clock;
 
-/// Failures in a row after which calls stop: fewer would open it on the loss of a packet or two,
-/// more would hold up a host's work for as many timeouts.
+/// Consecutive failures after which the breaker opens. With fewer, the loss of one or two packets
+/// would open it; with more, the work of a host would be delayed by as many timeouts.
 const OPEN_AFTER: u32 = 5;
 
-/// What the breaker lets through.
+/// State of the breaker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum State {
+    /// All calls are allowed; counts consecutive failures.
     Closed { failures: u32 },
+    /// No call is allowed before `until`.
     Open { until: clock::Moment },
+    /// One trial call is in progress; the next one is allowed at `until`.
     Trial { until: clock::Moment },
 }
 
-/// Stops calls while the platform fails, then lets one through to try.
+/// Circuit breaker: stops calls while the platform fails, and periodically allows one trial call.
 ///
-/// Failure answered: the platform is out and every call waits for its timeout. Symptom: work that
-/// could go on without it stands still, and the platform gets the full load while it recovers.
+/// Without it, every call during an outage would wait for its timeout. This would block work that
+/// does not depend on the platform, and put the full load on the platform while it recovers.
 #[derive(Clone, Debug)]
 pub struct Breaker {
     state: State,
@@ -25,7 +28,7 @@
 }
 
 impl Breaker {
-    /// A closed breaker that stays open for `rest` once it opens.
+    /// Creates a closed breaker that stays open for up to `rest` once it opens.
     ///
     /// ```
     /// use lagoonline::{clock, control::platform};
@@ -45,12 +48,12 @@
         Breaker { state: State::Closed { failures: 0 }, rest }
     }
 
-    /// Whether a call may be made now.
+    /// Returns whether a call may be made now.
     pub fn admit(&mut self, now: clock::Moment) -> bool {
         match self.state {
             State::Closed { .. } => true,
             State::Open { until } | State::Trial { until } if now < until => false,
-            // A trial that never reported back is over after another rest.
+            // A trial call whose result is never recorded expires after `rest`.
             State::Open { .. } | State::Trial { .. } => {
                 self.state = State::Trial { until: now + self.rest };
                 true
@@ -58,12 +61,13 @@
         }
     }
 
-    /// The platform answered, whatever it said.
+    /// Records that the platform answered, whether with success or an error.
     pub fn answered(&mut self) {
         self.state = State::Closed { failures: 0 };
     }
 
-    /// A call failed; `random` within 0 to 1 spreads the next trials of all hosts over half a rest.
+    /// Records that a call failed. `random` in 0 to 1 spreads the next trial calls of all hosts
+    /// over half of `rest`.
     pub fn failed(&mut self, now: clock::Moment, random: f64) {
         let until = now + self.rest.mul_f64(0.5 + 0.5 * random.clamp(0.0, 1.0));
         self.state = match self.state {
--- a/crates/lagoonline/src/control/platform/budget.rs
+++ b/crates/lagoonline/src/control/platform/budget.rs
@@ -1,21 +1,23 @@
-//! How many calls a second one host may make.
+//! Rate limit for the calls of one host.
 
 use crate::clock;
 
-/// A token bucket.
+/// Token bucket that limits the rate of calls.
 ///
-/// The platform takes 2,000 reads and several hundred writes a second over all hosts; each host
-/// gets its share whether the others use theirs or not, so that no agreement is needed.
+/// The platform supports 2,000 reads and several hundred writes per second over all hosts. Each
+/// host gets a fixed share, whether or not the others use theirs, so no coordination is needed.
 #[derive(Clone, Debug)]
 pub struct Budget {
+    /// Calls per second.
     rate: f64,
+    /// Capacity of the bucket, in calls.
     burst: f64,
     tokens: f64,
     filled: clock::Moment,
 }
 
 impl Budget {
-    /// A full bucket of `burst` calls, filled at `rate` calls a second.
+    /// Creates a full bucket of `burst` calls, refilled at `rate` calls per second.
     ///
     /// ```
     /// use lagoonline::{clock, control::platform};
@@ -28,7 +30,7 @@
         Budget { rate, burst, tokens: burst, filled: now }
     }
 
-    /// Takes one call; false when none is left.
+    /// Takes one call from the bucket; returns false if it is empty.
     pub fn take(&mut self, now: clock::Moment) -> bool {
         let filled = now.since(self.filled).as_secs_f64() * self.rate;
         self.tokens = (self.tokens + filled).min(self.burst);
--- a/crates/lagoonline/src/control/platform/mod.rs
+++ b/crates/lagoonline/src/control/platform/mod.rs
@@ -1,7 +1,8 @@
-//! Rules of calling the platform: a budget below its limits, a breaker, and backoff.
+//! Limits for calls to the platform: a rate budget, a circuit breaker and backoff.
 //!
-//! Load pattern: hundreds of hosts share several hundred writes and 2,000 reads a second, and
-//! after an outage all want to catch up at once. Without these rules the recovery is an overload.
+//! Hundreds of hosts share several hundred writes and 2,000 reads per second. After an outage all
+//! of them try to catch up at once; without these limits the platform would be overloaded as soon
+//! as it recovers.
 
 mod backoff;
 mod breaker;
--- a/crates/lagoonline/src/control/spread.rs
+++ b/crates/lagoonline/src/control/spread.rs
@@ -1,8 +1,8 @@
-//! Versions in force here, what others lack, and where a version is in force.
+//! Replication of sections to all hosts, and tracking of the versions that entry hosts apply.
 //!
-//! Load pattern: one change of the document, then every host of every zone within seconds, also
-//! while the platform is out. Without the rule "only higher versions" a host that was cut off
-//! would bring back what others have replaced.
+//! A change of the document reaches every host of every zone within seconds, even while the
+//! platform is unavailable. A replica accepts only higher versions; otherwise a host that was
+//! partitioned would reintroduce sections that others have already replaced.
 
 use std::collections;
 use std::sync;
@@ -10,17 +10,17 @@
 use crate::control::document;
 use crate::id;
 
-/// Versions by team.
+/// Section versions by team.
 pub type Versions = collections::BTreeMap<id::Team, id::Version>;
 
-/// The sections in force at one host.
+/// The sections in force at one host: the newest valid version of each section it received.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     sections: collections::BTreeMap<id::Team, sync::Arc<document::Section>>,
 }
 
 impl Replica {
-    /// Puts `section` in force if its version is higher than the one in force.
+    /// Replaces the section in force if `section` has a higher version; returns whether it did.
     ///
     /// ```
     /// use lagoonline::control::{document::Section, spread::Replica};
@@ -39,27 +39,27 @@
         true
     }
 
-    /// Version in force of a team's section; 0 when there is none.
+    /// Returns the version in force of a team's section; 0 if there is none.
     pub fn version(&self, team: &id::Team) -> id::Version {
         self.sections.get(team).map_or(id::Version(0), |section| section.version)
     }
 
-    /// All versions in force.
+    /// Returns all versions in force.
     pub fn versions(&self) -> Versions {
         self.sections.iter().map(|(team, section)| (team.clone(), section.version)).collect()
     }
 
-    /// The sections in force.
+    /// Returns the sections in force.
     pub fn sections(&self) -> impl Iterator<Item = &sync::Arc<document::Section>> {
         self.sections.values()
     }
 
-    /// One team's section.
+    /// Returns the section in force of one team.
     pub fn section(&self, team: &id::Team) -> Option<&sync::Arc<document::Section>> {
         self.sections.get(team)
     }
 
-    /// Sections that a host with `versions` lacks.
+    /// Returns the sections that are newer than `versions`, as needed by a host that has those.
     pub fn lacking(&self, versions: &Versions) -> Vec<sync::Arc<document::Section>> {
         let newer = |section: &&sync::Arc<document::Section>| {
             versions.get(&section.team).is_none_or(|version| *version < section.version)
@@ -67,12 +67,12 @@
         self.sections.values().filter(newer).cloned().collect()
     }
 
-    /// Whether every version of `versions` or a higher one is in force here.
+    /// Returns whether each of `versions`, or a higher one, is in force here.
     pub fn covers(&self, versions: &Versions) -> bool {
         versions.iter().all(|(team, version)| self.version(team) >= *version)
     }
 
-    /// A hash of the versions in force: hosts with equal hashes need not compare further.
+    /// Returns a hash of the versions in force; hosts with equal hashes need not exchange versions.
     pub fn digest(&self) -> u64 {
         let mut hash = 0xcbf2_9ce4_8422_2325_u64;
         for (team, section) in &self.sections {
@@ -85,49 +85,52 @@
     }
 }
 
-/// What an entry host said of itself last.
+/// Status report of an entry host.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Report {
-    /// Its zone.
+    /// Availability zone of the host.
     pub zone: id::Zone,
-    /// Life of its entry process.
+    /// Incarnation of the entry process.
     pub incarnation: id::Incarnation,
-    /// Counts the reports of that life as its steward passes them on.
+    /// Sequence number within the incarnation, assigned by the steward of the host.
     pub number: u64,
-    /// Whether its steward has had no entry process for so long that nothing can be served there.
+    /// Whether the steward has been without an entry process for so long that the host cannot serve
+    /// any requests.
     pub gone: bool,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
     /// Whether it is shutting down.
     pub draining: bool,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub in_flight: u64,
-    /// Versions that its data path works with.
+    /// Versions that its request path uses.
     pub in_force: Versions,
 }
 
-/// A host where a version is not in force yet.
+/// A host where a version is not yet in force.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Missing {
-    /// The host.
+    /// Name of the host.
     pub host: id::Host,
-    /// Its zone.
+    /// Availability zone of the host.
     pub zone: id::Zone,
-    /// The version that it reported last; 0 when it never did.
+    /// Version that it reported last; 0 if it has not reported one.
     pub version: id::Version,
 }
 
-/// Reports of all entry hosts known.
+/// The latest reports of all known entry hosts.
 #[derive(Clone, Debug, Default)]
 pub struct Board {
     reports: collections::BTreeMap<id::Host, Report>,
 }
 
 impl Board {
-    /// Takes a report; false when it says nothing new but how many requests are under way.
+    /// Applies a report. Returns false if it is outdated or changes nothing except the number of
+    /// requests in flight.
     ///
-    /// A report of an earlier life is dropped, and within one life versions only rise, so reports
-    /// that cross on their way cannot make a version seem lost or a host seem ahead.
+    /// Reports of earlier incarnations are dropped, and so are reports whose versions are lower
+    /// than those known within the same incarnation. Reordered reports therefore cannot make a
+    /// version seem lost or a host seem more recent than it is.
     pub fn take(&mut self, host: &id::Host, report: Report) -> bool {
         let Some(known) = self.reports.get_mut(host) else {
             self.reports.insert(host.clone(), report);
@@ -137,8 +140,8 @@
             return false;
         }
         let same_life = report.incarnation == known.incarnation;
-        // Reports come by several ways: an older one after a newer one would be passed on again as
-        // news, and the newer one after it, without end.
+        // Reports arrive over several paths. If an older report were accepted after a newer one, it
+        // would be forwarded as a change, followed by the newer one again, in an endless loop.
         if same_life && report.number < known.number {
             return false;
         }
@@ -154,22 +157,23 @@
         !same
     }
 
-    /// What a host reported last.
+    /// Returns the latest report of a host.
     pub fn report(&self, host: &id::Host) -> Option<&Report> {
         self.reports.get(host)
     }
 
-    /// Forgets a host that is gone.
+    /// Removes the report of a host that no longer exists.
     pub fn remove(&mut self, host: &id::Host) {
         self.reports.remove(host);
     }
 
-    /// All reports.
+    /// Returns all reports by host.
     pub fn reports(&self) -> impl Iterator<Item = (&id::Host, &Report)> {
         self.reports.iter()
     }
 
-    /// Takes a report that names only the versions that changed in its life.
+    /// Applies a report that lists only the versions that changed since the last report of the same
+    /// incarnation.
     pub fn take_changes(&mut self, host: &id::Host, mut report: Report) -> bool {
         let known = self.reports.get(host);
         let known = known.filter(|known| known.incarnation == report.incarnation);
@@ -180,10 +184,12 @@
         self.take(host, report)
     }
 
-    /// Hosts where `version` of the team's section is not in force: *accepted* is said when this
-    /// is empty. `expected` are hosts known to live that may not have reported yet. Hosts whose
-    /// entry process is gone do not count: nothing is served there, and the next entry process is
-    /// not ready before it has the version.
+    /// Returns the hosts where `version` of the team's section is not yet in force. A version is
+    /// reported to operators as *accepted* when there are none left.
+    ///
+    /// `expected` lists live hosts that may not have reported yet. Hosts without an entry process
+    /// are left out: they serve no requests, and a new entry process does not become ready before
+    /// it has the version.
     ///
     /// ```
     /// use lagoonline::control::spread::{Board, Report};
--- a/crates/lagoonline/src/control/trail.rs
+++ b/crates/lagoonline/src/control/trail.rs
@@ -1,25 +1,25 @@
-//! Recent changes of sections, to be sent in place of whole texts.
+//! Log of recent deltas of sections, which are sent to other hosts instead of whole texts.
 
 use std::collections;
 
 use super::document;
 use crate::id;
 
-/// Changes kept of each section: a host that is further behind gets the whole text. A host that
-/// lost its links for a quarter of an hour of steady edits is not further behind.
+/// Number of deltas kept per section; a host that is further behind gets the whole text. Covers
+/// the steady edits of a quarter of an hour, for a host whose links were down that long.
 const KEPT: usize = 16;
 
-/// A change is worth more than the whole text below this part of it.
+/// Deltas are used only if their size is below the size of the whole text divided by this.
 const WORTH: usize = 2;
 
-/// Recent changes of all sections at one host.
+/// Recent deltas of all sections at one host.
 #[derive(Clone, Debug, Default)]
 pub struct Trail {
     deltas: collections::BTreeMap<id::Team, collections::VecDeque<document::Delta>>,
 }
 
 impl Trail {
-    /// Remembers how `new` came from `old`, the section in force before it.
+    /// Records the delta from `old`, the section previously in force, to `new`.
     pub fn record(&mut self, old: &document::Section, new: &document::Section) {
         let text = |section: &'_ document::Section| (section.version, section.text.clone());
         let ((from, old), (to, text)) = (text(old), text(new));
@@ -32,8 +32,8 @@
         }
     }
 
-    /// The changes that bring a host from version `from` to `section`, if they are known and
-    /// shorter than its text.
+    /// Returns the deltas that lead from version `from` to `section`. Returns none if they are not
+    /// all known or not sufficiently smaller than the whole text.
     ///
     /// ```
     /// use lagoonline::control::{document::Section, trail::Trail};
@@ -69,8 +69,8 @@
     }
 }
 
-/// The text that `deltas` make of the section in force; `None` when they start from another one
-/// or were damaged: then the whole text is to be asked for.
+/// Applies `deltas` to the section in force and returns the resulting text. Returns `None` if they
+/// start from another version or are corrupt; the caller then has to request the whole text.
 pub fn follow(section: Option<&document::Section>, deltas: &[document::Delta]) -> Option<String> {
     let section = section?;
     let (mut version, mut text) = (section.version, section.text.to_string());
