--- a/crates/lagoonline/examples/fleet_size.rs
+++ b/crates/lagoonline/examples/fleet_size.rs
@@ -1,4 +1,6 @@
-//! Memory and time of the document at one host, by number of customers.
+//! Measures memory use and processing time of the document on one host for a number of customers.
+//!
+//! The customers are split over [`TEAMS`] sections of equal size.
 //!
 //! `cargo run --release -p lagoonline --example fleet_size -- 26000`
 
@@ -12,12 +14,14 @@
 
 const TEAMS: usize = 20;
 
+/// Returns the resident memory of this process in KB; 0 if it cannot be read.
 fn resident_kb() -> u64 {
     let text = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with("VmRSS:")).unwrap_or("");
     line.split_whitespace().nth(1).and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
+/// Returns the text of a section in which only the customer in the middle has `weight`.
 fn text(team: usize, customers: usize, weight: u32) -> String {
     let line = |index: usize| {
         let weight = if index == customers / 2 { weight } else { 1 };
@@ -30,6 +34,7 @@
     format!(r#"{{"customers": {{{}}}}}"#, lines.join(", "))
 }
 
+/// Runs `work` and returns its result with the elapsed time in milliseconds.
 fn timed<T, Work>(work: Work) -> (T, f64)
 where
     Work: FnOnce() -> T,
--- a/crates/lagoonline/tests/control/mod.rs
+++ b/crates/lagoonline/tests/control/mod.rs
@@ -1,6 +1,6 @@
-//! A table service in memory with the faults of the real one, for the control tests.
+//! In-memory table service with fault injection, shared by the control plane tests.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses a different part")]
 
 use std::cell;
 use std::collections;
@@ -11,14 +11,14 @@
 
 use lagoonline::port::table;
 
-/// What happens to the next commits.
+/// Fault that is injected into a commit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// It takes effect and its answer is lost.
+    /// The commit takes effect, but its answer is lost.
     LoseAnswer,
-    /// Its answer is lost at once; it takes effect when [`Table::settle`] is called.
+    /// The answer is lost; the commit takes effect later, when [`Table::settle`] is called.
     Delay,
-    /// It is refused: nothing is written.
+    /// The commit is refused and nothing is written.
     Refuse,
 }
 
@@ -31,25 +31,25 @@
     commits: usize,
 }
 
-/// Rows in memory; clones share them. Every call first yields once, so that polls of several
-/// callers interleave.
+/// Table service with rows in memory, which clones share. Every call first yields once, so that
+/// the steps of concurrent callers interleave.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     inner: rc::Rc<cell::RefCell<Inner>>,
 }
 
 impl Table {
-    /// Makes the next commit that reaches the table fail so.
+    /// Queues a fault for the next commit that reaches the table.
     pub fn fail_next(&self, fault: Fault) {
         self.inner.borrow_mut().faults.push_back(fault);
     }
 
-    /// Starts or ends an outage.
+    /// Starts or ends an outage, during which every call is refused.
     pub fn set_down(&self, down: bool) {
         self.inner.borrow_mut().down = down;
     }
 
-    /// Lets delayed commits take effect, as far as their checks hold.
+    /// Applies the delayed commits whose checks still hold.
     pub fn settle(&self) {
         let delayed = std::mem::take(&mut self.inner.borrow_mut().delayed);
         for transaction in delayed {
@@ -57,13 +57,13 @@
         }
     }
 
-    /// All rows whose key starts with `prefix`.
+    /// Returns all rows whose key starts with `prefix`.
     pub fn rows(&self, prefix: &str) -> Vec<table::Row> {
         let inner = self.inner.borrow();
         inner.rows.values().filter(|row| row.key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Commits that took effect.
+    /// Returns the number of commits that took effect.
     pub fn commits(&self) -> usize {
         self.inner.borrow().commits
     }
@@ -129,7 +129,7 @@
     }
 }
 
-/// Is pending at its first poll.
+/// Future that is pending at its first poll and ready at the second.
 #[derive(Default)]
 struct Yield {
     yielded: bool,
@@ -170,13 +170,13 @@
         Yield::default().await;
         self.check_up()?;
         let answer = self.inner.borrow_mut().take(transaction);
-        // The answer is on its way for a while.
+        // The answer is in transit.
         Yield::default().await;
         answer
     }
 }
 
-/// Polls a future to its end; it may only wait for a [`Table`].
+/// Polls a future to completion; it must not wait for anything but a [`Table`].
 pub fn finish<F>(future: F) -> F::Output
 where
     F: future::Future,
--- a/crates/lagoonline/tests/control_delta_fuzz.rs
+++ b/crates/lagoonline/tests/control_delta_fuzz.rs
@@ -1,4 +1,4 @@
-//! Hosts that tell each other of sections by changes, against the exact text of each version.
+//! Replication of sections by deltas, compared with the exact text of each version.
 
 use lagoonline::control::document;
 use lagoonline::control::spread;
@@ -13,19 +13,21 @@
 
 #[derive(Clone, Debug)]
 enum Transition {
-    /// An operator stores the next version: one customer's weight, with other spaces now and then.
+    /// An operator stores the next version with another weight of one customer, sometimes also with
+    /// different whitespace.
     Edit { customer: usize, weight: u32, spaced: bool },
-    /// An operator stores a text in which all customers are named anew, in another order.
+    /// An operator stores the next version with the customers in a different order.
     Rewrite { seed: u32 },
-    /// A host reads the newest version from the table.
+    /// A host reads the latest version from the table.
     Fetch { host: usize },
-    /// A host offers what it has, by changes of the version that the other had then.
+    /// A host sends its version to another one, as deltas from the version that the other has now.
     Offer { from: usize, to: usize },
-    /// The oldest or the newest offer arrives, and goes on being on its way.
+    /// The oldest or the newest offer in flight is delivered. It stays in flight, so it can be
+    /// delivered again.
     Arrive { newest: bool },
-    /// One offer on its way loses a step or gets other text.
+    /// The newest offer in flight loses a step or gets additional text.
     Damage { drops: bool },
-    /// A host is replaced by one that has nothing.
+    /// A host is replaced by one without any sections.
     Replace { host: usize },
 }
 
@@ -84,7 +86,7 @@
 
 struct System {
     lines: Vec<String>,
-    /// Texts of all versions, from 1.
+    /// Texts of all versions, starting with version 1.
     history: Vec<String>,
     hosts: Vec<Host>,
     offers: Vec<Offer>,
@@ -203,14 +205,17 @@
         ..ProptestConfig::default()
     })]
 
-    // Hosts hear of versions late, twice, out of order and damaged, by changes of texts that they
-    // have or no longer have. Whatever a host holds is the exact text of some version.
+    // Hosts receive deltas late, twice, out of order and corrupt, and based on versions that they
+    // may no longer have. Every section that a host accepts must have the exact text of its
+    // version.
     #[test]
     fn a_host_has_only_exact_texts(sequential 50..200 => System);
 }
 
 #[test]
 fn a_change_of_one_customer_is_short_and_two_far_apart_too() {
+    // Three changes in different places of a section with 1,300 customers must not make the delta
+    // cover the unchanged text between them.
     let lines: Vec<_> = (0..1_300).map(|customer| line(customer, 1)).collect();
     let old = text(&lines);
     let mut lines = lines;
--- a/crates/lagoonline/tests/control_document.rs
+++ b/crates/lagoonline/tests/control_document.rs
@@ -1,4 +1,4 @@
-//! The document: whole checks, compare-and-set, lost answers.
+//! The document: validation across sections, concurrent puts, and puts whose answer is lost.
 
 mod control;
 
@@ -87,8 +87,8 @@
 
 #[test]
 fn of_two_operators_that_race_one_wins_and_the_other_sees_what_changed() {
-    // Both operators edit version 1. The first put makes version 2; the second is refused, and
-    // its operator is shown the first one's change. Nothing of the second is stored.
+    // Two operators edit version 1. The first put creates version 2. The second put must be refused
+    // with the differences that the first one made, and nothing of it may be stored.
     let table = Table::default();
     finish(document::store(&table, &put("a", 0, "p0", r#"{"models": {"m": {}}}"#))).unwrap();
     finish(document::store(&table, &put("a", 1, "p1", r#"{"models": {"m": {"max_tokens": 9}}}"#)))
@@ -105,8 +105,8 @@
 #[case::effect_without_answer(Fault::LoseAnswer)]
 #[case::effect_after_the_answer_was_lost(Fault::Delay)]
 fn a_put_whose_answer_was_lost_is_stored_once(#[case] fault: Fault) {
-    // The table takes the put and its answer is lost, or the put takes effect only later. The
-    // operator is told version 1 in the end, and the history has one row.
+    // The answer of the table is lost after the put took effect, or the put takes effect only
+    // later. The operator must get version 1 in both cases, and the history must have a single row.
     let table = Table::default();
     table.fail_next(fault);
     let version = finish(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
@@ -120,8 +120,8 @@
 
 #[test]
 fn a_lost_put_is_found_though_another_team_wrote_after_it() {
-    // The answer to the first put is lost and the operator's program asks again later, when
-    // another version stands in the row: it is told its own version from the history.
+    // The answer to a put is lost, and the operator's program retries it after a later version has
+    // been stored. It must get the version of its own put, which is found in the history.
     let table = Table::default();
     finish(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
     finish(document::store(&table, &put("a", 1, "p1", r#"{"models": {"m": {}}}"#))).unwrap();
@@ -132,8 +132,8 @@
 
 #[test]
 fn two_teams_that_add_one_name_at_once_cannot_both_have_it() {
-    // Both puts are checked against a document without the name. The table takes the first; the
-    // second finds the head changed, checks anew, and is refused by pointer.
+    // Two concurrent puts are both validated against a document without the name. The table accepts
+    // the first one. The second conflicts on the head row, is validated again, and must be refused.
     let table = Table::default();
     let texts = r#"{"models": {"m": {}}}"#;
     let (first, second) = (put("a", 0, "p0", texts), put("b", 0, "p1", texts));
@@ -149,9 +149,9 @@
     assert_eq!(faults.to_string(), "/models/m: belongs to the section of team a");
 }
 
-/// A host that may dispatch under a key for longer than the key's row is kept lets the call run
-/// twice. The longest deadline, an hour of writing after it and an hour for a host that sleeps are
-/// together the least retention that a site may set.
+/// A host that can dispatch a call under an idempotency key for longer than the row of the key is
+/// retained may run the call twice. The longest deadline, one hour of writes after it and one hour
+/// for a suspended host add up to the shortest retention that a site may configure.
 #[rstest]
 #[case(79_200_000, true)]
 #[case(79_200_001, false)]
--- a/crates/lagoonline/tests/control_document_fuzz.rs
+++ b/crates/lagoonline/tests/control_document_fuzz.rs
@@ -1,4 +1,4 @@
-//! Operators, teams and hosts at once, against a linear history of each section.
+//! Concurrent operators, teams and hosts, checked for a linear history of each section.
 
 mod control;
 
@@ -22,7 +22,8 @@
 const HOSTS: usize = 3;
 const TEAMS: [&str; 2] = ["a", "b"];
 
-/// Every put has a text of its own; both teams want the model `shared`.
+/// Returns a text that is unique to the put. Every third one, of either team, defines the model
+/// `shared`.
 fn text(number: u64) -> String {
     let shared = if number.is_multiple_of(3) { r#""shared": {}, "# } else { "" };
     format!(r#"{{"models": {{{shared}"m{number}": {{}}}}}}"#)
@@ -30,28 +31,28 @@
 
 #[derive(Clone, Debug)]
 enum Transition {
-    /// An operator starts a put, edited from the newest version or from one before.
+    /// An operator starts a put that is edited from the latest version or the one before.
     Begin { operator: usize, team: usize, stale: bool },
-    /// An operator's put goes on by one step.
+    /// The put of an operator is polled once.
     Step { operator: usize },
-    /// An operator asks again about its last put, whatever it was told.
+    /// An operator retries its last put unless that was definitively refused.
     Again { operator: usize },
-    /// The next commit fails so.
+    /// The next commit fails with this fault.
     Fail(Fault),
-    /// Commits that were under way take effect.
+    /// Delayed commits take effect.
     Settle,
-    /// The table goes out or comes back.
+    /// An outage of the table starts or ends.
     Down(bool),
-    /// A host reads the table.
+    /// A host reads all sections from the table.
     Fetch { host: usize },
-    /// A host passes on all it has to another.
+    /// A host sends another one the sections that it lacks.
     Gossip { from: usize, to: usize },
-    /// A host sends all it has, and the message stays on its way.
+    /// A host sends all its sections; the message stays in flight.
     Send { from: usize },
-    /// The oldest message on its way arrives.
+    /// The oldest message in flight is delivered.
     Arrive { to: usize },
-    /// A host is replaced by one that has nothing, and takes the maximum of the table and of the
-    /// peers it reaches.
+    /// A host is replaced by one without any sections, which then fetches the latest versions from
+    /// the table and its peers.
     Replace { host: usize },
 }
 
@@ -105,16 +106,16 @@
     operators: collections::BTreeMap<usize, Operator>,
     hosts: Vec<spread::Replica>,
     sent: collections::VecDeque<Vec<sync::Arc<document::Section>>>,
-    /// Puts that were said to be stored, and as what.
+    /// Puts that were reported as stored, with the reported version.
     stored: collections::BTreeMap<String, (id::Team, id::Version)>,
-    /// Puts whose fate was said to be unknown: a later refusal by the table says nothing of the
-    /// earlier try.
+    /// Puts whose outcome was reported as unknown. A later error of the table does not tell whether
+    /// the earlier attempt took effect.
     unknown: collections::BTreeSet<String>,
-    /// Puts that were said not to be stored.
+    /// Puts that were reported as not stored.
     refused: collections::BTreeSet<String>,
-    /// Section texts by team and version, as history first showed them.
+    /// Section texts by history key, as first seen in the history.
     history: rc::Rc<cell::RefCell<collections::BTreeMap<String, String>>>,
-    /// Highest version that any host ever had in force.
+    /// Highest version that was ever in force on any host.
     highest: spread::Versions,
     puts: u64,
 }
@@ -190,6 +191,8 @@
         }
     }
 
+    /// The history has no gaps, is never rewritten, and has each put at most once, as it was
+    /// reported to its operator.
     fn check_history(&self) {
         let mut next = collections::BTreeMap::<String, u64>::new();
         let mut puts = collections::BTreeMap::<String, String>::new();
@@ -213,7 +216,7 @@
         }
     }
 
-    /// The newest sections fit together: no name has two owners.
+    /// The latest sections are valid together: no name has two owners.
     fn check_whole(&self) {
         let mut sections = Vec::new();
         for row in self.table.rows("section/") {
@@ -227,6 +230,7 @@
         }
     }
 
+    /// Every section on a host has the text that the history shows for its version.
     fn check_hosts(&self) {
         let history = self.history.borrow();
         for host in &self.hosts {
@@ -305,9 +309,9 @@
         ..ProptestConfig::default()
     })]
 
-    // Three operators put sections of two teams while answers are lost, writes come late and the
-    // table goes out. Each section's history is one line without gaps, each put is in it at most
-    // once, as what its operator was told; hosts only go forward.
+    // Three operators put sections of two teams while answers are lost, writes are delayed and the
+    // table is unavailable. Each section must have one linear history without gaps, with each put
+    // at most once and as reported to its operator. Versions on a host must never decrease.
     #[test]
     fn each_section_has_one_history(sequential 50..200 => System);
 }
--- a/crates/lagoonline/tests/control_lease.rs
+++ b/crates/lagoonline/tests/control_lease.rs
@@ -1,4 +1,4 @@
-//! Leases under pauses, lost answers and outages: one effective holder.
+//! Leases under pauses, lost answers and outages: there is at most one effective holder.
 
 mod control;
 
@@ -25,8 +25,9 @@
 
 #[test]
 fn the_next_holder_waits_lease_and_flight() {
-    // The holder stops. The next one takes the lease with a higher number, but only after the
-    // lease and the flight time of an order have passed since it first saw the last write.
+    // The holder stops. The next one may acquire the lease, with a higher fencing number, only when
+    // the lease duration and the longest flight time of an order have passed since it first saw the
+    // last write. Otherwise an order of the old holder could arrive after one of the new holder.
     let (table, clock) = (Table::default(), Fake::default());
     let (mut first, mut second) = (contender(0, &clock), contender(1, &clock));
     assert_eq!(finish(first.step(&table)), Ok(lease::Status::Held(id::Fence(1))));
@@ -40,6 +41,7 @@
 
 #[test]
 fn a_renewed_lease_is_not_taken() {
+    // A contender must restart its wait whenever the holder renews the lease.
     let (table, clock) = (Table::default(), Fake::default());
     let (mut first, mut second) = (contender(0, &clock), contender(1, &clock));
     for _ in 0..100 {
@@ -51,8 +53,8 @@
 
 #[test]
 fn a_holder_that_was_paused_has_no_permit() {
-    // The holder is paused for 30 s and goes on believing that it holds the lease. Its clock is
-    // looked at last, so it sends nothing; an order whose write the pause fell into is counted.
+    // The holder is paused for 30 s, past the end of its lease. Afterwards it must get no permit,
+    // and an order whose permit was obtained before the pause must be counted as late.
     let (table, clock) = (Table::default(), Fake::default());
     let mut first = contender(0, &clock);
     finish(first.step(&table)).unwrap();
@@ -65,6 +67,8 @@
 
 #[test]
 fn a_lost_answer_is_read_back() {
+    // The write of the lease took effect but its answer was lost. The holder must find its own row
+    // instead of waiting for its own lease to expire.
     let (table, clock) = (Table::default(), Fake::default());
     let mut first = contender(0, &clock);
     table.fail_next(Fault::LoseAnswer);
@@ -73,8 +77,9 @@
 
 #[test]
 fn an_outage_longer_than_the_lease_ends_it() {
-    // The table is out for longer than the lease. The holder stops sending when the lease ends,
-    // though nobody else can take it; after the outage it takes it anew with a higher number.
+    // The table is unavailable for longer than the lease. The holder must stop sending when the
+    // lease expires, even though nobody else can acquire it. After the outage it acquires the lease
+    // again, with a higher fencing number.
     let (table, clock) = (Table::default(), Fake::default());
     let mut first = contender(0, &clock);
     finish(first.step(&table)).unwrap();
@@ -90,6 +95,7 @@
 
 #[test]
 fn a_lease_given_back_is_taken_at_once() {
+    // A released lease must be free for the next holder without any wait.
     let (table, clock) = (Table::default(), Fake::default());
     let (mut first, mut second) = (contender(0, &clock), contender(1, &clock));
     finish(first.step(&table)).unwrap();
@@ -102,17 +108,17 @@
 
 #[derive(Clone, Debug)]
 enum Transition {
-    /// A contender that is not in a step begins one; one that is goes on by one call.
+    /// A contender starts a step, or continues the current one by one poll.
     Step(usize),
-    /// A contender sends an order if it may.
+    /// A contender sends an order if it has a permit.
     Order(usize),
-    /// Time goes on; whoever is not stepped meanwhile is paused.
+    /// Time advances by this many milliseconds; contenders that are not stepped are paused.
     Advance(u64),
-    /// The next commit fails so.
+    /// The next commit fails with this fault.
     Fail(Fault),
-    /// Commits that were under way take effect.
+    /// Delayed commits take effect.
     Settle,
-    /// The table goes out or comes back.
+    /// An outage of the table starts or ends.
     Down(bool),
 }
 
@@ -147,19 +153,22 @@
 
 type Output = (lease::Lease<Fake>, Result<lease::Status, table::Error>);
 
-/// A contender, or the step that it is in.
+/// A contender, or the step that it is executing.
 enum Contender {
     Idle(Box<lease::Lease<Fake>>),
     Stepping(pin::Pin<Box<dyn future::Future<Output = Output>>>),
 }
 
-/// Orders reach the engine up to the flight time after they were sent. The oracle: no order of a
-/// holder may still be under way when one with a higher number is sent.
+/// Contenders, table and the orders sent. An order may arrive at the engine up to the maximum
+/// flight time after it was sent, so no order of a holder may still be in flight when another
+/// holder sends one.
 struct System {
     table: Table,
     clock: Fake,
     contenders: Vec<Option<Contender>>,
+    /// Fencing number, sender and time of each order sent.
     orders: Vec<(id::Fence, usize, Moment)>,
+    /// Contender that used each fencing number.
     fences: collections::BTreeMap<id::Fence, usize>,
 }
 
@@ -243,9 +252,9 @@
         ..ProptestConfig::default()
     })]
 
-    // Three contenders are paused anywhere, also within a call of the table, whose answers are
-    // lost or late. At no moment may two send, and an order is never sent while one of another
-    // holder can be under way.
+    // Three contenders are paused at any point, also within calls of the table, whose answers are
+    // lost or late. At no time may two contenders have a permit, and no order may be sent while one
+    // of another holder can be in flight.
     #[test]
     fn there_is_one_effective_holder(sequential 50..200 => Test);
 }
--- a/crates/lagoonline/tests/control_ledger.rs
+++ b/crates/lagoonline/tests/control_ledger.rs
@@ -1,4 +1,4 @@
-//! The idle ledger: every millisecond to one account, each interval once.
+//! Usage accounting: every millisecond is attributed once, and every interval is counted once.
 
 mod control;
 
@@ -29,8 +29,8 @@
 
 #[test]
 fn each_claim_gets_an_engine_and_the_rest_is_the_owners() {
-    // Two teams claim one engine of model m each, and only e1 and e2 serve it. e3 is held by no
-    // claim, so its idle time is its owner's.
+    // Two teams claim one engine each for model m, which only e1 and e2 serve. No claim holds e3,
+    // so its idle time must be charged to its owner.
     let accounts = ledger::accounts(&fleet());
     let claimant = |name: &str| accounts[name].claimant.as_str().to_owned();
     let held: collections::BTreeSet<_> = [claimant("e1"), claimant("e2")].into();
@@ -41,6 +41,7 @@
 
 #[test]
 fn a_row_written_again_after_a_lost_answer_counts_once() {
+    // The first write took effect although its answer was lost; the retry must not add to it.
     let table = Table::default();
     let upstream = id::Upstream::from("e");
     let row = ledger::Row { interval: 7, idle_ms: ledger::INTERVAL_MS, ..Default::default() };
@@ -53,7 +54,7 @@
 
 #[test]
 fn a_missing_interval_is_unobserved() {
-    // Nobody wrote intervals 2 and 3: their time is shown as unobserved, not left out.
+    // Intervals 2 and 3 have no rows. Their time must be reported as unobserved and not left out.
     let upstream = id::Upstream::from("e");
     let row =
         |interval| ledger::Row { interval, idle_ms: ledger::INTERVAL_MS, ..Default::default() };
@@ -65,21 +66,21 @@
 
 #[derive(Clone, Debug)]
 enum Transition {
-    /// Time goes on while the engine works for customers, in these shares.
+    /// Time passes while the engine works for customers with these weights.
     Work { millis: u64, weights: Vec<u64> },
-    /// Time goes on while it is idle.
+    /// Time passes while the engine is idle.
     Idle(u64),
-    /// Time goes on and nobody looks.
+    /// Time passes while the engine is not observed.
     Gap(u64),
     /// The wall clock is set back.
     Back(u64),
-    /// Another steward observes it from now on; the first one's open interval is lost.
+    /// Another steward becomes the observer; the open interval of the first one is lost.
     Move,
-    /// Finished rows are written; answers may be lost.
+    /// Finished rows are written; the first answer may be lost.
     Write { lost: bool },
 }
 
-/// The oracle: the wall time, and what a simple sum of the spans gives.
+/// Reference model: the current wall clock time and the highest one so far.
 #[derive(Clone, Debug, Default)]
 struct Reference {
     wall_ms: u64,
@@ -145,7 +146,7 @@
             self.table.fail_next(Fault::LoseAnswer);
         }
         let (table, upstream) = (self.table.clone(), self.upstream.clone());
-        // Those whose answers were lost are written again.
+        // Rows whose answers were lost are written again.
         while !self.pending.is_empty() {
             self.pending.retain(|row| finish(ledger::write(&table, &upstream, row)).is_err());
         }
@@ -223,8 +224,9 @@
         ..ProptestConfig::default()
     })]
 
-    // An engine works, idles, is not seen; the clock is set back; observers change; answers are
-    // lost. Every row adds up to its wall time, and the report to that of all intervals.
+    // An engine works, is idle or is not observed, the wall clock is set back, observers change and
+    // answers are lost. Every row must add up to the length of its interval, and a report to that
+    // of all its intervals.
     #[test]
     fn seconds_are_conserved(sequential 20..100 => Test);
 }
--- a/crates/lagoonline/tests/control_membership.rs
+++ b/crates/lagoonline/tests/control_membership.rs
@@ -1,4 +1,4 @@
-//! Membership under loss, delay, cuts and restarts, in model time.
+//! Membership under packet loss, delay, partitions and restarts, in simulated time.
 
 use std::collections;
 
@@ -11,7 +11,7 @@
 use rand::rngs;
 use rstest::rstest;
 
-/// Time between two ticks of a steward.
+/// Interval between the ticks of a steward.
 const TICK_MS: u64 = 100;
 
 enum Message {
@@ -19,10 +19,11 @@
     News(Vec<membership::News>),
 }
 
-/// Stewards of one zone, in lockstep, with datagrams that are lost and delayed, and links that
-/// are only delayed.
+/// Simulated zone of stewards that run in lockstep. Heartbeat datagrams are lost and delayed;
+/// messages over links are only delayed.
 struct Zone {
     groups: collections::BTreeMap<id::Host, membership::Group>,
+    /// Messages in flight, by delivery time in milliseconds and send order.
     messages: collections::BTreeMap<(u64, u64), (id::Host, Message)>,
     random: rngs::SmallRng,
     now_ms: u64,
@@ -31,10 +32,13 @@
     news: u64,
     loss: f64,
     paused: collections::BTreeSet<id::Host>,
+    /// Hosts on one side of a partition.
     cut: collections::BTreeSet<id::Host>,
+    /// Time in milliseconds, observing host and dead host of each detected failure.
     deaths: Vec<(u64, id::Host, id::Host)>,
+    /// Links that were up at the last update.
     linked: collections::BTreeSet<(id::Host, id::Host)>,
-    /// A link that one side tries beside those with its contacts.
+    /// Additional link that one host opens besides those to its heartbeat peers.
     tried: Option<(id::Host, id::Host)>,
 }
 
@@ -78,7 +82,7 @@
         Moment::from_millis(self.now_ms)
     }
 
-    /// Starts a host in a new life; it exchanges news with every other.
+    /// Starts a host with a new incarnation and exchanges all updates with every other host.
     fn join(&mut self, host: id::Host, incarnation: u64) {
         let now = self.now();
         let settings = membership::Settings::default();
@@ -97,7 +101,7 @@
         self.messages.insert((self.now_ms + delay_ms, self.sent), (to, message));
     }
 
-    /// Passes news on to the links of a host: those it wanted or was wanted for.
+    /// Sends updates over all links of a host, whichever side opened them.
     fn tell(&mut self, from: &id::Host, news: &[membership::News]) {
         if news.is_empty() {
             return;
@@ -109,7 +113,7 @@
         }
     }
 
-    /// Links that are new since the last look: both sides tell all they know.
+    /// Updates the links; over each new link both sides send all they know.
     fn link(&mut self) {
         let mut linked = collections::BTreeSet::new();
         for (host, group) in &self.groups {
@@ -131,6 +135,7 @@
         }
     }
 
+    /// Returns the hosts that `from` has a link to.
     fn links(&self, from: &id::Host) -> Vec<id::Host> {
         let mut found = Vec::new();
         for (one, other) in &self.linked {
@@ -150,7 +155,7 @@
         for key in due.collect::<Vec<_>>() {
             let Some((to, message)) = self.messages.remove(&key) else { continue };
             if self.paused.contains(&to) {
-                // Datagrams that come during a pause are lost; what comes by links waits.
+                // Datagrams that arrive during a pause are lost; messages over links are queued.
                 if let Message::News(_) = message {
                     self.messages.insert((self.now_ms + TICK_MS, key.1), (to, message));
                 }
@@ -196,7 +201,7 @@
             if is_cut || self.random.random_bool(self.loss) {
                 continue;
             }
-            // A delay of a few milliseconds, and now and then of some hundreds.
+            // The delay is a few milliseconds, and occasionally some hundreds.
             let late = self.random.random_bool(0.02);
             let delay = self.random.random_range(if late { 100..600 } else { 1..20 });
             self.send(to, delay, Message::Heartbeat(host.clone(), life));
@@ -210,7 +215,7 @@
         }
     }
 
-    /// Every host holds exactly `hosts` hosts to be live.
+    /// Asserts that every host considers exactly `hosts` hosts live.
     fn assert_agreed(&self, hosts: usize) {
         for (host, group) in &self.groups {
             let live: Vec<_> = group.live().map(|member| member.host.to_string()).collect();
@@ -219,16 +224,16 @@
     }
 }
 
-/// Hosts of the half hour without a death: the target's 39, or fewer where the build is not
-/// optimized and each model minute takes its time. Each host there has the same four neighbours.
+/// Number of hosts in the half-hour simulation: the target of 39, or fewer in an unoptimized build,
+/// where the simulation is slow. In both cases each host has four neighbours.
 const TARGET: usize = if cfg!(debug_assertions) { 13 } else { 39 };
 
 #[rstest]
 #[case::today(3, 1)]
 #[case::target(TARGET, 2)]
 fn at_five_percent_loss_nobody_dies_in_half_an_hour(#[case] hosts: usize, #[case] seed: u64) {
-    // One datagram in twenty is lost and one in fifty is late by up to 0.6 s. Single watchers may
-    // doubt a host for a moment; no majority does, so no upstream changes its observer.
+    // One datagram in twenty is lost and one in fifty is delayed by up to 0.6 s. Single neighbours
+    // may briefly vote against a host, but never a majority, so no upstream changes its observer.
     let mut zone = Zone::new(hosts, 0.05, seed);
     zone.run(30 * 60 * 1_000);
     assert_eq!(zone.deaths, []);
@@ -245,9 +250,10 @@
     #[case] dead: usize,
     #[case] seed: u64,
 ) {
-    // One host, a rack, or most of a zone stop at once, also those that watch each other. All
-    // that remain hold exactly these dead within 3 s (a rack: 6 s, and most: 15 s, since hosts all
-    // of whose neighbours went look for new ones first).
+    // One host, a rack or most of a zone stop at the same time, including hosts that monitor each
+    // other. All remaining hosts must declare exactly these dead within 3 s. The limit is 6 s for a
+    // rack and 15 s for most of a zone, since hosts without any live neighbour first select new
+    // heartbeat peers.
     for offset in 0..6 {
         let mut zone = Zone::new(hosts, 0.05, seed + 100 * offset);
         zone.run(10_000 + offset * 37);
@@ -261,7 +267,7 @@
         };
         zone.run(limit);
         zone.assert_agreed(hosts - dead);
-        // When most go at once, the few that remain may hold each other dead for a moment.
+        // When most hosts stop at once, the remaining ones may briefly declare each other dead.
         let wrong = |(_, _, host): &&(u64, id::Host, id::Host)| zone.groups.contains_key(host);
         assert!(dead > 10 || zone.deaths.iter().filter(wrong).count() == 0);
     }
@@ -269,9 +275,9 @@
 
 #[test]
 fn a_paused_host_comes_back_and_accuses_nobody() {
-    // A host is stopped for 20 s and goes on. The others hold it dead meanwhile. When it wakes,
-    // every host it watches looks silent to it; it must not vote against them, and it is live
-    // again everywhere within seconds.
+    // A host is paused for 20 s and declared dead by the others. When it resumes, the heartbeats of
+    // all its peers appear to have timed out. It must not vote against them, and it must be live
+    // again in every view within seconds.
     let mut zone = Zone::new(9, 0.05, 7);
     zone.run(5_000);
     zone.paused.insert(name(4));
@@ -279,7 +285,7 @@
     zone.paused.clear();
     let woken = zone.now_ms;
     zone.run(300);
-    // A host that was accused would have gone on in a new life.
+    // A host that received a vote would have started a new incarnation.
     let others = zone.groups.values().filter(|group| group.own().host != name(4));
     assert!(others.into_iter().all(|group| group.own().incarnation == id::Incarnation(1)));
     zone.run(5_000);
@@ -290,8 +296,9 @@
 
 #[test]
 fn two_halves_join_again_after_a_cut() {
-    // Half of a zone is cut off for a minute: each half holds the other dead. One link between
-    // them, as the stewards try now and then, brings all back.
+    // A zone is partitioned for a minute and each half declares the other dead. After that, a
+    // single link between the halves, as stewards open them periodically, must make all hosts live
+    // again.
     let mut zone = Zone::new(10, 0.05, 8);
     zone.run(5_000);
     zone.cut = (0..5).map(name).collect();
@@ -305,7 +312,7 @@
 
 #[test]
 fn a_rolling_restart_of_all_hosts_leaves_all_live() {
-    // Every host is replaced in turn, one each second, without waiting for its death to be found.
+    // Hosts are replaced one per second, without waiting until their failure is detected.
     let mut zone = Zone::new(39, 0.05, 9);
     for index in 0..39 {
         zone.groups.remove(&name(index));
@@ -319,8 +326,8 @@
 
 #[test]
 fn a_host_that_leaves_moves_only_its_own_upstreams() {
-    // 133 upstreams over 39 hosts. One host goes: its upstreams, about 3.4, get new owners, and
-    // no other upstream moves.
+    // 133 upstreams are assigned to 39 hosts. When one host leaves, only its upstreams, about 3.4,
+    // get new owners.
     let hosts: Vec<String> = (0..39).map(|index| format!("host-{index}")).collect();
     let upstreams: Vec<String> = (0..133).map(|index| format!("engine-{index}")).collect();
     let owners = |hosts: &[String]| -> Vec<String> {
@@ -338,6 +345,8 @@
 
 #[test]
 fn heartbeats_of_a_host_cost_the_same_in_a_large_zone() {
+    // The heartbeat rate of a host must not grow with the size of the zone, and updates must not be
+    // flooded without a change of members.
     let mut zone = Zone::new(39, 0.05, 10);
     zone.run(60_000);
     let beats = zone.heartbeats as f64 / 39.0 / 60.0;
--- a/crates/lagoonline/tests/control_order.rs
+++ b/crates/lagoonline/tests/control_order.rs
@@ -1,4 +1,4 @@
-//! Orders to engines that check fencing numbers and to those that ignore them.
+//! Reconciliation of engines that check fencing numbers and of engines that ignore them.
 
 use lagoonline::control::order::{self, Actual, Decision, Situation, Wanted};
 use lagoonline::id;
--- a/crates/lagoonline/tests/control_platform.rs
+++ b/crates/lagoonline/tests/control_platform.rs
@@ -1,4 +1,4 @@
-//! What keeps a host's calls to the platform bounded, under a clock that the tests move.
+//! Rate budget, circuit breaker and backoff of calls to the platform, with simulated time.
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::control::platform;
@@ -11,8 +11,8 @@
 #[case::slow(0.5, 1.0)]
 #[case::usual(20.0, 40.0)]
 fn a_budget_lets_through_its_burst_and_then_its_rate(#[case] rate: f64, #[case] burst: f64) {
-    // Calls are tried every 10 ms for 100 s: never more than burst and rate together allow, in
-    // any window from the start, and not less than the rate in the whole.
+    // Calls are attempted every 10 ms for 100 s. At any time, no more calls may have been allowed
+    // than burst and rate permit; in total, at least as many as the rate permits.
     let mut budget = platform::Budget::new(rate, burst, Moment::START);
     let mut let_through = 0.0;
     for step in 0..=10_000_u64 {
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_budget_saves_no_more_than_its_burst() {
-    // A host that made no call for a day may not make a day's calls at once.
+    // A host that made no calls for a day must not make the calls of a whole day at once.
     let mut budget = platform::Budget::new(20.0, 40.0, Moment::START);
     let later = Moment::START + Span::from_secs(86_400);
     let made = (0..1_000).filter(|_| budget.take(later)).count();
@@ -35,9 +35,9 @@
 
 #[test]
 fn a_breaker_tries_once_a_rest_during_an_outage_and_closes_after_it() {
-    // The platform is out for a minute and each call would fail. After five failures one call a
-    // rest goes out, of the hundred that are wanted each second; the first that is answered opens
-    // the way for all.
+    // The platform is unavailable for a minute and every call fails. Of the hundred calls attempted
+    // per second, only one trial call per rest is made after the first five failures. The first
+    // call that is answered closes the breaker.
     let rest = Span::from_secs(1);
     let mut breaker = platform::Breaker::new(rest);
     let mut random = rngs::SmallRng::seed_from_u64(1);
@@ -58,7 +58,7 @@
 
 #[test]
 fn a_breaker_stays_closed_while_calls_fail_now_and_then() {
-    // One call in three fails: there is something to be had, so nothing is held back.
+    // One call in three fails. The platform is usable, so no call may be held back.
     let mut breaker = platform::Breaker::new(Span::from_secs(1));
     for step in 0..300_u64 {
         let now = Moment::from_millis(step * 10);
@@ -73,8 +73,8 @@
 
 #[test]
 fn trials_of_many_hosts_after_an_outage_do_not_come_at_once() {
-    // 350 hosts lose the platform in the same moment. Their next calls are spread over half a rest:
-    // in no 50 ms are there more than a quarter of them.
+    // 350 hosts lose the platform at the same time. Their trial calls must be spread over half a
+    // rest, with no more than a quarter of them in any 50 ms.
     let (rest, hosts) = (Span::from_secs(1), 350);
     let mut random = rngs::SmallRng::seed_from_u64(2);
     let mut times = Vec::new();
