--- a/crates/lagoon-load/tests/examples.rs
+++ b/crates/lagoon-load/tests/examples.rs
@@ -93,7 +93,7 @@
     let mut stored: Vec<document::Section> = Vec::new();
     for team in teams {
         let section = example.section(team);
-        document::check_whole(&stored, &section).unwrap();
+        document::check_document(&stored, &section).unwrap();
         stored.push(section);
     }
     let customers: usize = stored.iter().map(|section| section.body.customers.len()).sum();
--- a/crates/lagoon-net/src/link/client.rs
+++ b/crates/lagoon-net/src/link/client.rs
@@ -7,7 +7,7 @@
 use lagoonline::clock::Clock;
 use lagoonline::control::document;
 use lagoonline::control::platform;
-use lagoonline::control::spread;
+use lagoonline::control::replication;
 use lagoonline::id;
 use lagoonline::view;
 use tokio::sync::mpsc;
@@ -60,7 +60,7 @@
     /// Requests under way.
     pub in_flight: u64,
     /// Versions that its data path works with, on every thread.
-    pub in_force: spread::Versions,
+    pub in_force: replication::Versions,
 }
 
 #[derive(Debug)]
@@ -122,7 +122,7 @@
     settings: settings::Settings,
     shared: sync::Arc<Shared>,
     outgoing: mpsc::Receiver<Option<wire::Body>>,
-    replica: spread::Replica,
+    replica: replication::Replica,
     complete: bool,
 }
 
@@ -141,7 +141,7 @@
         state: sync::Mutex::default(),
     });
     let handle = Handle { shared: shared.clone(), outgoing: sender };
-    let replica = spread::Replica::default();
+    let replica = replication::Replica::default();
     (handle, Task { settings, shared, outgoing, replica, complete: false })
 }
 
@@ -165,7 +165,7 @@
                 Err(error) => log::debug!("{error}"),
             }
             failures += 1;
-            time::sleep(backoff.wait(failures, rand::random())).await;
+            time::sleep(backoff.delay(failures, rand::random())).await;
         }
     }
 
@@ -267,7 +267,7 @@
 
     /// A steward that started anew during an outage may find nobody else who has the sections.
     fn give_back(&self, digest: &wire::Digest) -> Option<wire::Body> {
-        let lacking = self.replica.lacking(&wire::versions(&digest.versions));
+        let lacking = self.replica.newer_than(&wire::versions(&digest.versions));
         if lacking.is_empty() {
             return None;
         }
--- a/crates/lagoon-net/src/operator/client.rs
+++ b/crates/lagoon-net/src/operator/client.rs
@@ -126,7 +126,7 @@
                 outcome => return outcome,
             }
             failures += 1;
-            let wait = backoff.wait(failures, rand::random());
+            let wait = backoff.delay(failures, rand::random());
             if time::Instant::now() + wait >= deadline {
                 break;
             }
--- a/crates/lagoon-net/src/platform/client.rs
+++ b/crates/lagoon-net/src/platform/client.rs
@@ -85,12 +85,12 @@
     }
 
     fn answered(&self) {
-        self.rules().breaker.answered();
+        self.rules().breaker.record_success();
     }
 
     fn failed(&self) {
         let now = self.clock.now();
-        self.rules().breaker.failed(now, rand::random());
+        self.rules().breaker.record_failure(now, rand::random());
     }
 }
 
--- a/crates/lagoon-net/src/steward/beat.rs
+++ b/crates/lagoon-net/src/steward/beat.rs
@@ -58,7 +58,8 @@
     };
     let mut core = context.core.borrow_mut();
     let host = id::Host::from(frame.sender);
-    let news = core.group.hear(&host, id::Incarnation(frame.incarnation), context.clock.now());
+    let news =
+        core.group.record_heartbeat(&host, id::Incarnation(frame.incarnation), context.clock.now());
     core.tell_members(&news, None);
     let Some(wire::Body::Heartbeat(heartbeat)) = frame.body else { return };
     core.take_brief(&host, &heartbeat.loads.unwrap_or_default());
@@ -85,7 +86,7 @@
 
 fn targets(context: &Context) -> Vec<(id::Host, net::SocketAddr)> {
     let core = context.core.borrow();
-    let contacts = core.group.contacts();
+    let contacts = core.group.heartbeat_peers();
     let target = |host: &id::Host| {
         core.group.roster().member(host).map(|member| (host.clone(), member.address))
     };
--- a/crates/lagoon-net/src/steward/calls.rs
+++ b/crates/lagoon-net/src/steward/calls.rs
@@ -5,7 +5,7 @@
 use lagoonline::check;
 use lagoonline::control::document;
 use lagoonline::control::ledger;
-use lagoonline::control::spread;
+use lagoonline::control::replication;
 use lagoonline::id;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -110,21 +110,21 @@
     context.platform.as_ref().ok_or_else(none)
 }
 
-fn refusal(refusal: document::Refusal) -> Failure {
+fn refusal(refusal: document::StoreError) -> Failure {
     let message = refusal.to_string();
     let (code, details) = match refusal {
-        document::Refusal::Faulty(check::Faults(faults)) => {
+        document::StoreError::Invalid(check::Faults(faults)) => {
             let line = |fault: &check::Fault| json!([fault.pointer, fault.reason]);
             ("faulty", json!({ "faults": faults.iter().map(line).collect::<Vec<_>>() }))
         }
-        document::Refusal::Raced { version, changes } => {
+        document::StoreError::Conflict { version, changes } => {
             let changes: Vec<_> = changes.iter().map(ToString::to_string).collect();
             ("raced", json!({ "version": version, "changes": changes }))
         }
-        document::Refusal::Table(lagoonline::port::table::Error::Unknown { .. }) => {
+        document::StoreError::Table(lagoonline::port::table::Error::Unknown { .. }) => {
             ("unknown", serde_json::Value::Null)
         }
-        document::Refusal::Table(_) => ("platform", serde_json::Value::Null),
+        document::StoreError::Table(_) => ("platform", serde_json::Value::Null),
     };
     Failure { code, message, details }
 }
@@ -132,8 +132,8 @@
 fn put_of(call: &wire::Call) -> document::Put {
     document::Put {
         team: id::Team::from(call.team.as_str()),
-        from: id::Version(call.version),
-        put: call.put.clone(),
+        base: id::Version(call.version),
+        id: call.put.clone(),
         text: call.text.clone(),
     }
 }
@@ -201,10 +201,10 @@
     let live = core.group.live().filter(|member| member.zone == *zone);
     let expected = live.map(|member| (member.host.clone(), member.zone.clone()));
     let expected: collections::BTreeMap<_, _> = expected.collect();
-    let reported = core.board.reports().filter(|(host, _)| !expected.contains_key(*host));
+    let reported = core.board.iter().filter(|(host, _)| !expected.contains_key(*host));
     let hosts = expected.len() + reported.count();
     let missing = core.board.missing(team, version, expected);
-    let line = |line: &spread::Missing| (line.host.to_string(), line.version.0);
+    let line = |line: &replication::Missing| (line.host.to_string(), line.version.0);
     ZoneStatus { zone: zone.to_string(), hosts, missing: missing.iter().map(line).collect() }
 }
 
--- a/crates/lagoon-net/src/steward/core/document.rs
+++ b/crates/lagoon-net/src/steward/core/document.rs
@@ -5,10 +5,10 @@
 
 use lagoonline::clock;
 use lagoonline::clock::Clock;
+use lagoonline::control::delta_log;
 use lagoonline::control::document;
 use lagoonline::control::ledger;
-use lagoonline::control::spread;
-use lagoonline::control::trail;
+use lagoonline::control::replication;
 use lagoonline::id;
 use lagoonline::view;
 
@@ -40,7 +40,7 @@
             if self.replica.apply(section) {
                 let new = self.replica.section(&team);
                 if let Some((old, new)) = old.as_deref().zip(new) {
-                    self.trail.record(old, new);
+                    self.delta_log.record(old, new);
                 }
                 log::info!("section {team} version {} is in force", version.0);
                 applied.push(team);
@@ -52,7 +52,7 @@
         self.pull = None;
         Counters::add(&self.counters.sections_applied, applied.len() as u64);
         let merged = view::Fleet::merge(self.replica.sections().map(sync::Arc::as_ref));
-        self.accounts = ledger::accounts(&merged);
+        self.accounts = ledger::attributions(&merged);
         self.fleet = sync::Arc::new(merged);
         self.name_codes();
         let sections = applied.iter().filter_map(|team| self.replica.section(team));
@@ -63,7 +63,7 @@
         let digest = self.digest();
         let replica = self.replica.clone();
         self.send_all(&digest, |name, link| {
-            let lacks = !replica.lacking(&link.versions).is_empty();
+            let lacks = !replica.newer_than(&link.versions).is_empty();
             link.peer.role == wire::Role::Steward && Some(name) != from && lacks
         });
         self.check_complete();
@@ -100,7 +100,7 @@
             return Some(borrow::Cow::Borrowed(&section.text));
         }
         let known = self.replica.section(&id::Team::from(section.team.as_str()));
-        let text = trail::follow(known.map(sync::Arc::as_ref), &wire::deltas(section));
+        let text = delta_log::apply(known.map(sync::Arc::as_ref), &wire::deltas(section));
         text.map(borrow::Cow::Owned)
     }
 
@@ -117,11 +117,11 @@
     fn sections_for(
         &self,
         sections: &[sync::Arc<document::Section>],
-        versions: &spread::Versions,
+        versions: &replication::Versions,
     ) -> Vec<wire::Section> {
         let told = |section: &sync::Arc<document::Section>| {
             let known = versions.get(&section.team).copied().unwrap_or_default();
-            let deltas = self.trail.since(known, section);
+            let deltas = self.delta_log.since(known, section);
             if deltas.is_empty() {
                 return wire::section(section);
             }
@@ -132,7 +132,7 @@
 
     pub(super) fn take_digest(&mut self, digest: &wire::Digest, from: LinkId) {
         let versions = wire::versions(&digest.versions);
-        let lacking = self.replica.lacking(&versions);
+        let lacking = self.replica.newer_than(&versions);
         if let Some(link) = self.links.get_mut(&from) {
             link.versions.clone_from(&versions);
             link.has_digest = true;
@@ -173,7 +173,7 @@
         self.check_complete();
     }
 
-    pub(in crate::steward) fn platform_head(&mut self, versions: spread::Versions) {
+    pub(in crate::steward) fn platform_head(&mut self, versions: replication::Versions) {
         self.platform.head = Some(versions);
         self.check_complete();
     }
--- a/crates/lagoon-net/src/steward/core/message.rs
+++ b/crates/lagoon-net/src/steward/core/message.rs
@@ -28,7 +28,7 @@
 
     fn take_members(&mut self, members: &wire::Members, from: LinkId) {
         let now = self.clock.now();
-        let fresh = self.group.take(&wire::news(members), now);
+        let fresh = self.group.apply(&wire::news(members), now);
         self.removed.retain(|host| !self.group.is_live(host));
         self.tell_members(&fresh, Some(from));
     }
@@ -36,7 +36,7 @@
     /// Passes news of members on to stewards.
     pub(in crate::steward) fn tell_members(
         &mut self,
-        news: &[membership::News],
+        news: &[membership::Update],
         from: Option<LinkId>,
     ) {
         if news.is_empty() {
--- a/crates/lagoon-net/src/steward/core/mod.rs
+++ b/crates/lagoon-net/src/steward/core/mod.rs
@@ -13,12 +13,12 @@
 
 use lagoonline::clock;
 use lagoonline::clock::Clock;
+use lagoonline::control::delta_log;
 use lagoonline::control::ledger;
 use lagoonline::control::membership;
 use lagoonline::control::mesh;
-use lagoonline::control::owner;
-use lagoonline::control::spread;
-use lagoonline::control::trail;
+use lagoonline::control::rendezvous;
+use lagoonline::control::replication;
 use lagoonline::id;
 use lagoonline::port::engine;
 use lagoonline::view;
@@ -113,7 +113,7 @@
 pub(in crate::steward) struct Link {
     pub(in crate::steward) peer: link::Peer,
     sender: mpsc::Sender<wire::Body>,
-    versions: spread::Versions,
+    versions: replication::Versions,
     has_digest: bool,
     is_dialed: bool,
     opened: clock::Moment,
@@ -126,23 +126,23 @@
 /// What the platform said last.
 #[derive(Default)]
 struct Platform {
-    head: Option<spread::Versions>,
+    head: Option<replication::Versions>,
     failed: bool,
 }
 
 /// State of a steward.
 pub(in crate::steward) struct Core {
     pub(in crate::steward) group: membership::Group,
-    pub(in crate::steward) replica: spread::Replica,
-    trail: trail::Trail,
-    pub(in crate::steward) board: spread::Board,
+    pub(in crate::steward) replica: replication::Replica,
+    delta_log: delta_log::DeltaLog,
+    pub(in crate::steward) board: replication::Reports,
     pub(in crate::steward) fleet: view::Shared,
     pub(in crate::steward) counters: sync::Arc<Counters>,
     pub(in crate::steward) complete: bool,
     pub(in crate::steward) loads: collections::BTreeMap<id::Upstream, Observed>,
     pub(in crate::steward) marks: collections::BTreeMap<id::Upstream, wire::Mark>,
     /// Whose the time of each engine is, by the sections in force.
-    pub(in crate::steward) accounts: collections::BTreeMap<id::Upstream, ledger::Accounts>,
+    pub(in crate::steward) accounts: collections::BTreeMap<id::Upstream, ledger::Attribution>,
     /// What was last seen and decided of each engine that orders went to.
     pub(in crate::steward) orders: collections::BTreeMap<id::Upstream, orders::Line>,
     /// Loads that other hosts of the zone are to hear of, and who has told them already.
@@ -186,9 +186,9 @@
         Core {
             spending: spending::Spending::new(own.incarnation),
             group: membership::Group::new(own, settings.membership, now),
-            replica: spread::Replica::default(),
-            trail: trail::Trail::default(),
-            board: spread::Board::default(),
+            replica: replication::Replica::default(),
+            delta_log: delta_log::DeltaLog::default(),
+            board: replication::Reports::default(),
             fleet: view::Shared::default(),
             counters,
             complete: false,
@@ -219,7 +219,7 @@
     /// Whether this steward is the one of its zone that looks after `thing`.
     pub(in crate::steward) fn owns(&self, thing: &str) -> bool {
         let own = &self.group.own();
-        owner::choose(self.group.live_in(&own.zone), thing) == Some(own.host.as_str())
+        rendezvous::choose(self.group.live_in(&own.zone), thing) == Some(own.host.as_str())
     }
 
     /// Takes a new link in, and tells the other side what is known here.
@@ -232,7 +232,7 @@
         self.next_link += 1;
         let name = LinkId(self.next_link);
         let role = peer.role;
-        let (versions, has_digest) = (spread::Versions::new(), false);
+        let (versions, has_digest) = (replication::Versions::new(), false);
         let opened = self.clock.now();
         let link = Link { peer, sender, versions, has_digest, is_dialed, opened };
         self.links.insert(name, link);
@@ -245,7 +245,7 @@
     }
 
     fn greet_steward(&mut self, name: LinkId) {
-        let members = wire::members(&self.group.roster().news());
+        let members = wire::members(&self.group.roster().updates());
         self.send(name, wire::Body::Members(members));
         self.send(name, self.digest());
         self.send(name, self.statuses());
@@ -281,7 +281,7 @@
         let host = id::Host::from(link.peer.sender);
         let Some(report) = self.board.report(&host) else { return };
         log::warn!("entry process of {host} is gone");
-        let report = spread::Report { ready: false, ..report.clone() };
+        let report = replication::Report { ready: false, ..report.clone() };
         self.take_own_report(&host, report);
     }
 
@@ -315,7 +315,7 @@
     /// go, links and the messages on them would grow without end.
     pub(in crate::steward) fn prune(&mut self) {
         let now = self.clock.now();
-        let wanted = mesh::wanted(&self.group);
+        let wanted = mesh::link_targets(&self.group);
         let is_wanted = |link: &Link| wanted.iter().any(|host| link.peer.sender == host.as_str());
         if !self.links.values().any(is_wanted) {
             return;
--- a/crates/lagoon-net/src/steward/core/report.rs
+++ b/crates/lagoon-net/src/steward/core/report.rs
@@ -9,7 +9,7 @@
 
 use lagoonline::clock;
 use lagoonline::clock::Clock;
-use lagoonline::control::spread;
+use lagoonline::control::replication;
 use lagoonline::id;
 
 use super::{Core, LinkId};
@@ -25,22 +25,22 @@
     /// Hosts of whom the others are to hear, and the link that the news came by.
     untold: collections::BTreeMap<id::Host, Option<LinkId>>,
     /// Life and versions told of each host.
-    told: collections::BTreeMap<id::Host, (id::Incarnation, spread::Versions)>,
+    told: collections::BTreeMap<id::Host, (id::Incarnation, replication::Versions)>,
     /// When the own entry process was there last.
     seen: Option<clock::Moment>,
 }
 
 impl Core {
     /// Takes the state of the own entry process.
-    pub(super) fn take_own_report(&mut self, host: &id::Host, report: spread::Report) {
+    pub(super) fn take_own_report(&mut self, host: &id::Host, report: replication::Report) {
         // By the wall clock, so that a steward that started anew goes on above its last number.
         let known = self.board.report(host).map_or(0, |known| known.number);
         let number = self.clock.wall_millis().max(known + 1);
-        self.take_report(host, spread::Report { number, ..report }, None);
+        self.take_report(host, replication::Report { number, ..report }, None);
     }
 
-    fn take_report(&mut self, host: &id::Host, report: spread::Report, from: Option<LinkId>) {
-        if report.zone == *self.zone() && self.board.take_changes(host, report) {
+    fn take_report(&mut self, host: &id::Host, report: replication::Report, from: Option<LinkId>) {
+        if report.zone == *self.zone() && self.board.apply_partial(host, report) {
             self.reports.untold.insert(host.clone(), from);
         }
     }
@@ -54,7 +54,7 @@
 
     /// The states of all entry processes of the zone, for a steward that is new on a link.
     pub(super) fn statuses(&self) -> wire::Body {
-        let reports = self.board.reports().filter(|(_, report)| report.zone == *self.zone());
+        let reports = self.board.iter().filter(|(_, report)| report.zone == *self.zone());
         let statuses = reports.map(|(host, report)| wire::status(host, report)).collect();
         wire::Body::Statuses(wire::Statuses { statuses })
     }
@@ -109,12 +109,15 @@
         let seen = self.reports.seen.unwrap_or(self.began);
         let host = self.group.own().host.clone();
         let known = self.board.report(&host).cloned();
-        if now.since(seen) < ENTRY_TIME || known.as_ref().is_some_and(|known| known.gone) {
+        if now.since(seen) < ENTRY_TIME || known.as_ref().is_some_and(|known| known.entry_down) {
             return;
         }
         log::warn!("no entry process for {} s: this host does not count", ENTRY_TIME.as_secs());
         let zone = self.zone().clone();
-        let known = known.unwrap_or(spread::Report { zone, ..spread::Report::default() });
-        self.take_own_report(&host, spread::Report { ready: false, gone: true, ..known });
+        let known = known.unwrap_or(replication::Report { zone, ..replication::Report::default() });
+        self.take_own_report(
+            &host,
+            replication::Report { ready: false, entry_down: true, ..known },
+        );
     }
 }
--- a/crates/lagoon-net/src/steward/core/traffic.rs
+++ b/crates/lagoon-net/src/steward/core/traffic.rs
@@ -146,7 +146,7 @@
         let marks: Vec<_> = upstreams.map(mark).collect();
         self.take_marks(&marks, None);
         let listed = |host: &id::Host| lines.iter().any(|line| line.name == host.as_str());
-        let reports = self.board.reports().map(|(host, _)| host);
+        let reports = self.board.iter().map(|(host, _)| host);
         let gone = reports.filter(|host| !self.group.is_live(host) && !listed(host));
         for host in gone.cloned().collect::<Vec<_>>() {
             self.board.remove(&host);
--- a/crates/lagoon-net/src/steward/dial.rs
+++ b/crates/lagoon-net/src/steward/dial.rs
@@ -48,7 +48,7 @@
 fn wanted(context: &Context, first: bool) -> Vec<(Option<id::Host>, net::SocketAddr)> {
     let core = context.core.borrow();
     let mut found = Vec::new();
-    for host in mesh::wanted(&core.group) {
+    for host in mesh::link_targets(&core.group) {
         if core.is_linked(&host) || core.dialing.contains(&host) {
             continue;
         }
@@ -90,8 +90,8 @@
 
 /// Takes members that the platform's table names.
 pub(super) fn meet(context: &Context, members: Vec<membership::Member>) {
-    let news: Vec<_> = members.into_iter().map(membership::News::Member).collect();
+    let news: Vec<_> = members.into_iter().map(membership::Update::Member).collect();
     let mut core = context.core.borrow_mut();
-    let fresh = core.group.take(&news, context.clock.now());
+    let fresh = core.group.apply(&news, context.clock.now());
     core.tell_members(&fresh, None);
 }
--- a/crates/lagoon-net/src/steward/fetch.rs
+++ b/crates/lagoon-net/src/steward/fetch.rs
@@ -64,7 +64,7 @@
         let wait = if failures == 0 {
             context.settings.poll.mul_f64(rand::random_range(0.9..1.1))
         } else {
-            backoff.wait(failures, rand::random()).max(context.settings.poll / 2)
+            backoff.delay(failures, rand::random()).max(context.settings.poll / 2)
         };
         tokio::time::sleep(wait).await;
     }
--- a/crates/lagoon-net/src/steward/orders.rs
+++ b/crates/lagoon-net/src/steward/orders.rs
@@ -51,7 +51,7 @@
 struct Target {
     name: id::Upstream,
     address: net::SocketAddr,
-    wanted: order::Wanted,
+    wanted: order::Desired,
     checks_fence: bool,
 }
 
@@ -90,7 +90,7 @@
     let core = context.core.borrow();
     let here = core.fleet.upstreams.iter().filter(|upstream| upstream.entry.zone == *core.zone());
     let target = |upstream: &lagoonline::view::Upstream| {
-        let wanted = order::Wanted::of(&upstream.entry)?;
+        let wanted = order::Desired::of(&upstream.entry)?;
         Some(Target {
             name: upstream.name.clone(),
             address: upstream.entry.address,
@@ -127,7 +127,7 @@
             return false;
         };
         // Without a lease the engine's own number stands in: this only asks whether it is as wanted.
-        let looked = order::Situation { fence: actual.fence, ..self.situation(target) };
+        let looked = order::Context { fence: actual.fence, ..self.situation(target) };
         if order::decide(&target.wanted, &actual, &looked) == order::Decision::Nothing {
             self.note(target, Some(actual), "as wanted", 0, 0);
             return false;
@@ -137,7 +137,7 @@
             self.note(target, Some(actual), "waits for the lease", 0, 0);
             return true;
         };
-        let situation = order::Situation { fence, ..self.situation(target) };
+        let situation = order::Context { fence, ..self.situation(target) };
         match order::decide(&target.wanted, &actual, &situation) {
             order::Decision::Nothing => self.note(target, Some(actual), "as wanted", 0, 0),
             order::Decision::Wait => self.note(target, Some(actual), "waits for the engine", 0, 0),
@@ -157,11 +157,11 @@
         true
     }
 
-    fn situation(&self, target: &Target) -> order::Situation {
+    fn situation(&self, target: &Target) -> order::Context {
         let core = self.context.core.borrow();
         let load = core.loads.get(&target.name).map(|observed| observed.load);
-        let busy = load.map_or(0, |load| load.running + load.waiting);
-        order::Situation { checks_fence: target.checks_fence, busy, ..Default::default() }
+        let in_flight = load.map_or(0, |load| load.running + load.waiting);
+        order::Context { checks_fence: target.checks_fence, in_flight, ..Default::default() }
     }
 
     async fn read(&self, target: &Target) -> Option<order::Actual> {
@@ -186,10 +186,10 @@
         let request = request.set_header("Lagoon-Zone", self.context.settings.zone.as_str());
         let body = Sent { fence: permit.fence, order };
         let sent = request.send_json(&body);
-        let flight = self.context.settings.lease.flight.as_millis();
+        let flight = self.context.settings.lease.max_order_delay.as_millis();
         let flight = time::Millis(u32::try_from(flight).unwrap_or(u32::MAX));
         let answer = time::timeout(flight, sent).await;
-        if !self.lease.sent(&permit) {
+        if !self.lease.record_sent(&permit) {
             let counters = self.context.core.borrow().counters.clone();
             core::Counters::add(&counters.late_orders, 1);
         }
--- a/crates/lagoon-net/src/steward/retain.rs
+++ b/crates/lagoon-net/src/steward/retain.rs
@@ -6,7 +6,7 @@
 use std::collections;
 
 use lagoonline::clock::Clock as _;
-use lagoonline::control::owner;
+use lagoonline::control::rendezvous;
 use lagoonline::life::claim;
 
 use super::Context;
@@ -39,5 +39,6 @@
 fn is_chosen(context: &Context, shard: u8) -> bool {
     let core = context.core.borrow();
     let hosts = core.group.live().map(|member| member.host.as_str());
-    owner::choose(hosts, &format!("claims/{shard:02x}")) == Some(core.group.own().host.as_str())
+    rendezvous::choose(hosts, &format!("claims/{shard:02x}"))
+        == Some(core.group.own().host.as_str())
 }
--- a/crates/lagoon-net/src/steward/settings.rs
+++ b/crates/lagoon-net/src/steward/settings.rs
@@ -159,7 +159,7 @@
     }
     membership::Settings {
         interval: clock::Span::from_millis(interval),
-        silence: clock::Span::from_millis(silence),
+        heartbeat_timeout: clock::Span::from_millis(silence),
         ..usual
     }
 }
--- a/crates/lagoon-net/src/steward/sweep.rs
+++ b/crates/lagoon-net/src/steward/sweep.rs
@@ -58,7 +58,7 @@
         true => owner::Host::Live,
         false => owner::Host::Dead { listed: listed.as_ref().map(|names| names.contains(host)) },
     };
-    let reports = core.board.reports();
+    let reports = core.board.iter();
     reports
         .map(|(host, report)| (host.clone(), owner::Word::new(host, report, known(host))))
         .collect()
@@ -68,7 +68,7 @@
 async fn listed(context: &Context) -> Option<collections::BTreeSet<id::Host>> {
     let all_live = {
         let core = context.core.borrow();
-        core.board.reports().all(|(host, _)| core.group.is_live(host))
+        core.board.iter().all(|(host, _)| core.group.is_live(host))
     };
     let platform = context.platform.as_ref().filter(|_| !all_live)?;
     let lines = platform.list().await.ok()?;
--- a/crates/lagoon-net/src/steward/usage.rs
+++ b/crates/lagoon-net/src/steward/usage.rs
@@ -66,7 +66,7 @@
             continue;
         }
         let meter = meters.entry(name.clone()).or_insert_with(|| ledger::Meter::new(wall_ms));
-        meter.set_accounts(account);
+        meter.set_attribution(account);
         let is_fresh = |seen: &&core::Observed| !was_paused && now.since(seen.read) < stale;
         let seen = core.loads.get(name).filter(is_fresh);
         let activity = match seen {
@@ -75,7 +75,7 @@
             Some(_) => ledger::Activity::Working(core.shares()),
         };
         meter.advance(wall_ms, &activity);
-        finished.extend(meter.take().into_iter().map(|row| (name.clone(), row)));
+        finished.extend(meter.take_finished().into_iter().map(|row| (name.clone(), row)));
     }
 }
 
--- a/crates/lagoon-net/src/steward/zones.rs
+++ b/crates/lagoon-net/src/steward/zones.rs
@@ -6,7 +6,7 @@
 
 use futures_util::future;
 use lagoonline::control::mesh;
-use lagoonline::control::owner;
+use lagoonline::control::rendezvous;
 use lagoonline::id;
 
 use super::Context;
@@ -45,7 +45,7 @@
     let core = context.core.borrow();
     let zones: collections::BTreeSet<_> = core.group.live().map(|member| &member.zone).collect();
     let orderer = |zone: &&id::Zone| {
-        let host = owner::choose(core.group.live_in(zone), super::orders::ORDERER)?;
+        let host = rendezvous::choose(core.group.live_in(zone), super::orders::ORDERER)?;
         let member = core.group.roster().member(&id::Host::from(host))?;
         Some(((*zone).clone(), member.address))
     };
--- a/crates/lagoon-net/src/wire/convert.rs
+++ b/crates/lagoon-net/src/wire/convert.rs
@@ -2,7 +2,7 @@
 
 use lagoonline::control::document;
 use lagoonline::control::membership;
-use lagoonline::control::spread;
+use lagoonline::control::replication;
 use lagoonline::id;
 use lagoonline::port::engine;
 
@@ -15,7 +15,7 @@
 /// let versions = [("a".into(), lagoonline::id::Version(3))].into();
 /// assert_eq!(wire::versions(&wire::team_versions(&versions)), versions);
 /// ```
-pub fn team_versions(versions: &spread::Versions) -> Vec<message::TeamVersion> {
+pub fn team_versions(versions: &replication::Versions) -> Vec<message::TeamVersion> {
     let line = |(team, version): (&id::Team, &id::Version)| message::TeamVersion {
         team: team.to_string(),
         version: version.0,
@@ -24,7 +24,7 @@
 }
 
 /// Versions from a message.
-pub fn versions(lines: &[message::TeamVersion]) -> spread::Versions {
+pub fn versions(lines: &[message::TeamVersion]) -> replication::Versions {
     let pair = |line: &message::TeamVersion| {
         (id::Team::from(line.team.as_str()), id::Version(line.version))
     };
@@ -88,12 +88,12 @@
 }
 
 /// A report of an entry process from its message.
-pub fn report(status: &message::Status) -> spread::Report {
-    spread::Report {
+pub fn report(status: &message::Status) -> replication::Report {
+    replication::Report {
         zone: id::Zone::from(status.zone.as_str()),
         incarnation: id::Incarnation(status.incarnation),
         number: status.number,
-        gone: status.gone,
+        entry_down: status.gone,
         ready: status.ready,
         draining: status.draining,
         in_flight: status.in_flight,
@@ -102,7 +102,7 @@
 }
 
 /// A report of an entry process as a message.
-pub fn status(host: &id::Host, report: &spread::Report) -> message::Status {
+pub fn status(host: &id::Host, report: &replication::Report) -> message::Status {
     message::Status {
         host: host.to_string(),
         zone: report.zone.to_string(),
@@ -112,15 +112,15 @@
         in_flight: report.in_flight,
         in_force: team_versions(&report.in_force),
         number: report.number,
-        gone: report.gone,
+        gone: report.entry_down,
         changes: false,
     }
 }
 
 /// News of members from a message; members whose address is malformed are left out.
-pub fn news(members: &message::Members) -> Vec<membership::News> {
+pub fn news(members: &message::Members) -> Vec<membership::Update> {
     let member = |line: &message::Member| {
-        Some(membership::News::Member(membership::Member {
+        Some(membership::Update::Member(membership::Member {
             host: id::Host::from(line.host.as_str()),
             zone: id::Zone::from(line.zone.as_str()),
             address: line.address.parse().ok()?,
@@ -128,10 +128,10 @@
         }))
     };
     let vote = |line: &message::Vote| {
-        membership::News::Vote(membership::Vote {
-            by: id::Host::from(line.by.as_str()),
-            by_incarnation: id::Incarnation(line.by_incarnation),
-            number: line.number,
+        membership::Update::Vote(membership::Vote {
+            voter: id::Host::from(line.by.as_str()),
+            voter_incarnation: id::Incarnation(line.by_incarnation),
+            sequence: line.number,
             host: id::Host::from(line.host.as_str()),
             incarnation: id::Incarnation(line.incarnation),
             against: line.against,
@@ -142,20 +142,20 @@
 }
 
 /// News of members as a message.
-pub fn members(news: &[membership::News]) -> message::Members {
+pub fn members(news: &[membership::Update]) -> message::Members {
     let mut message = message::Members::default();
     for item in news {
         match item {
-            membership::News::Member(member) => message.members.push(message::Member {
+            membership::Update::Member(member) => message.members.push(message::Member {
                 host: member.host.to_string(),
                 zone: member.zone.to_string(),
                 address: member.address.to_string(),
                 incarnation: member.incarnation.0,
             }),
-            membership::News::Vote(vote) => message.votes.push(message::Vote {
-                by: vote.by.to_string(),
-                by_incarnation: vote.by_incarnation.0,
-                number: vote.number,
+            membership::Update::Vote(vote) => message.votes.push(message::Vote {
+                by: vote.voter.to_string(),
+                by_incarnation: vote.voter_incarnation.0,
+                number: vote.sequence,
                 host: vote.host.to_string(),
                 incarnation: vote.incarnation.0,
                 against: vote.against,
--- a/crates/lagoon-net/tests/control.rs
+++ b/crates/lagoon-net/tests/control.rs
@@ -14,7 +14,7 @@
 use lagoon_standin::engine;
 use lagoon_standin::platform;
 use lagoon_standin::server;
-use lagoonline::control::spread;
+use lagoonline::control::replication;
 use lagoonline::id;
 use sha2::Digest;
 
@@ -24,7 +24,7 @@
 const OPERATOR_KEY: &str = "operators";
 
 /// Fleets that an entry process saw, newest last.
-type Seen = sync::Arc<sync::Mutex<Vec<spread::Versions>>>;
+type Seen = sync::Arc<sync::Mutex<Vec<replication::Versions>>>;
 
 /// Upstreams whose load an entry process heard of.
 type Heard = sync::Arc<sync::Mutex<collections::BTreeSet<String>>>;
@@ -88,7 +88,7 @@
     }
 
     /// The versions that a ready entry process works with.
-    fn last(&self) -> Option<spread::Versions> {
+    fn last(&self) -> Option<replication::Versions> {
         self.seen.lock().unwrap().last().cloned()
     }
 }
--- a/crates/lagoon-net/tests/entry/link.rs
+++ b/crates/lagoon-net/tests/entry/link.rs
@@ -34,8 +34,8 @@
     let limits = platform::Limits::new(settings);
     let put = document::Put {
         team: section.team.clone(),
-        from: id::Version(0),
-        put: "1".repeat(32),
+        base: id::Version(0),
+        id: "1".repeat(32),
         text: section.text.to_string(),
     };
     let system = ntex::rt::System::build().build(ntex::rt::DefaultRuntime);
--- a/crates/lagoonline/examples/fleet_size.rs
+++ b/crates/lagoonline/examples/fleet_size.rs
@@ -7,8 +7,8 @@
 use std::fs;
 use std::time;
 
+use lagoonline::control::delta_log;
 use lagoonline::control::document;
-use lagoonline::control::trail;
 use lagoonline::id;
 use lagoonline::view;
 
@@ -58,11 +58,11 @@
     let (fleet, merge_ms) = timed(|| view::Fleet::merge(&sections));
     let fleet_kb = resident_kb() - start_kb - sections_kb;
     let (edited, parse_ms) = timed(|| parse(0, 2, 2));
-    let mut trail = trail::Trail::default();
-    let ((), record_ms) = timed(|| trail.record(&sections[0], &edited));
-    let deltas = trail.since(id::Version(1), &edited);
+    let mut log = delta_log::DeltaLog::default();
+    let ((), record_ms) = timed(|| log.record(&sections[0], &edited));
+    let deltas = log.since(id::Version(1), &edited);
     let bytes: usize = deltas.iter().map(document::Delta::size).sum();
-    let (made, follow_ms) = timed(|| trail::follow(Some(&sections[0]), &deltas));
+    let (made, follow_ms) = timed(|| delta_log::apply(Some(&sections[0]), &deltas));
     assert_eq!(made.as_deref(), Some(&*edited.text));
     println!(
         "{} customers, section of {} bytes: sections {sections_kb} KB, fleet {fleet_kb} KB, \
--- a/crates/lagoonline/src/control/trail.rs
+++ b/crates/lagoonline/src/control/delta_log.rs
@@ -14,11 +14,11 @@
 
 /// Recent deltas of all sections at one host.
 #[derive(Clone, Debug, Default)]
-pub struct Trail {
+pub struct DeltaLog {
     deltas: collections::BTreeMap<id::Team, collections::VecDeque<document::Delta>>,
 }
 
-impl Trail {
+impl DeltaLog {
     /// Records the delta from `old`, the section previously in force, to `new`.
     pub fn record(&mut self, old: &document::Section, new: &document::Section) {
         let text = |section: &'_ document::Section| (section.version, section.text.clone());
@@ -36,7 +36,7 @@
     /// all known or not sufficiently smaller than the whole text.
     ///
     /// ```
-    /// use lagoonline::control::{document::Section, trail::Trail};
+    /// use lagoonline::control::{document::Section, delta_log::DeltaLog};
     /// use lagoonline::id::{Team, Version};
     /// let text = |weight: u32| {
     ///     let lines = (0..99).map(|n| format!(r#""c{n}": {{"weight": {weight}}}"#));
@@ -47,10 +47,10 @@
     /// };
     /// let old = parse(1, &text(1));
     /// let new = parse(2, &text(1).replace(r#""d": {}"#, r#""d": {"weight": 2}"#));
-    /// let mut trail = Trail::default();
-    /// trail.record(&old, &new);
-    /// assert_eq!(trail.since(Version(1), &new).len(), 1);
-    /// assert_eq!(trail.since(Version(0), &new).len(), 0);
+    /// let mut log = DeltaLog::default();
+    /// log.record(&old, &new);
+    /// assert_eq!(log.since(Version(1), &new).len(), 1);
+    /// assert_eq!(log.since(Version(0), &new).len(), 0);
     /// ```
     pub fn since(&self, from: id::Version, section: &document::Section) -> Vec<document::Delta> {
         let all = self.deltas.get(&section.team);
@@ -71,7 +71,7 @@
 
 /// Applies `deltas` to the section in force and returns the resulting text. Returns `None` if they
 /// start from another version or are corrupt; the caller then has to request the whole text.
-pub fn follow(section: Option<&document::Section>, deltas: &[document::Delta]) -> Option<String> {
+pub fn apply(section: Option<&document::Section>, deltas: &[document::Delta]) -> Option<String> {
     let section = section?;
     let (mut version, mut text) = (section.version, section.text.to_string());
     for delta in deltas.iter().skip_while(|delta| delta.from != section.version) {
--- a/crates/lagoonline/src/control/document/whole.rs
+++ b/crates/lagoonline/src/control/document/consistency.rs
@@ -21,25 +21,28 @@
 /// Returns all faults, each with its JSON pointer within the candidate.
 ///
 /// ```
-/// use lagoonline::control::document::{check_whole, Section};
+/// use lagoonline::control::document::{check_document, Section};
 /// use lagoonline::id::{Team, Version};
 /// let text = r#"{"claims": {"m": {"engines": 0}}}"#;
 /// let candidate = Section::parse(Team::from("a"), Version(1), text).unwrap();
-/// let faults = check_whole([], &candidate).unwrap_err();
+/// let faults = check_document([], &candidate).unwrap_err();
 /// assert_eq!(faults.to_string(), "/claims/m: no section has this model");
 /// ```
-pub fn check_whole<'a, I>(others: I, candidate: &'a section::Section) -> Result<(), check::Faults>
+pub fn check_document<'a, I>(
+    others: I,
+    candidate: &'a section::Section,
+) -> Result<(), check::Faults>
 where
     I: IntoIterator<Item = &'a section::Section>,
 {
     let others = others.into_iter().filter(|section| section.team != candidate.team).collect();
-    let mut whole = Whole { others, candidate, faults: Vec::new() };
-    whole.check_owners();
-    whole.check_keys();
-    whole.check_references();
-    whole.check_removed();
-    whole.check_claims();
-    whole.finish()
+    let mut checker = Checker { others, candidate, faults: Vec::new() };
+    checker.check_owners();
+    checker.check_keys();
+    checker.check_references();
+    checker.check_removed();
+    checker.check_claims();
+    checker.finish()
 }
 
 /// Kind of entry that a name refers to.
@@ -139,13 +142,13 @@
 }
 
 /// State of one validation: the sections and the faults found so far.
-struct Whole<'a> {
+struct Checker<'a> {
     others: Vec<&'a section::Section>,
     candidate: &'a section::Section,
     faults: Vec<check::Fault>,
 }
 
-impl Whole<'_> {
+impl Checker<'_> {
     fn fault<R>(&mut self, pointer: String, reason: R)
     where
         R: fmt::Display,
--- a/crates/lagoonline/src/control/document/mod.rs
+++ b/crates/lagoonline/src/control/document/mod.rs
@@ -4,15 +4,15 @@
 //! replicate it to every host as a whole or as deltas, and the entry hosts parse it.
 
 mod body;
+mod consistency;
 mod delta;
 mod diff;
 mod section;
 mod store;
-mod whole;
 
 pub use body::*;
+pub use consistency::*;
 pub use delta::*;
 pub use diff::*;
 pub use section::*;
 pub use store::*;
-pub use whole::*;
--- a/crates/lagoonline/src/control/document/section.rs
+++ b/crates/lagoonline/src/control/document/section.rs
@@ -25,8 +25,8 @@
 }
 
 impl Section {
-    /// Parses and validates a section's text on its own; [`check_whole`](super::check_whole) checks
-    /// it against the other sections.
+    /// Parses and validates a section's text on its own; [`check_document`](super::check_document)
+    /// checks it against the other sections.
     ///
     /// # Errors
     ///
--- a/crates/lagoonline/src/control/document/store.rs
+++ b/crates/lagoonline/src/control/document/store.rs
@@ -8,9 +8,9 @@
 
 use serde::{Deserialize, Serialize};
 
+use super::consistency;
 use super::diff;
 use super::section;
-use super::whole;
 use crate::check;
 use crate::id;
 use crate::port::table;
@@ -70,22 +70,22 @@
     /// Team that owns the section.
     pub team: id::Team,
     /// Version that the new text was edited from; 0 if the section does not exist yet.
-    pub from: id::Version,
+    pub base: id::Version,
     /// Unique id of the put; a retry uses the same id.
-    pub put: String,
+    pub id: String,
     /// New JSON text.
     pub text: String,
 }
 
 /// Reason why a section was not stored.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Refusal {
+pub enum StoreError {
     /// The section is invalid, either on its own or together with the other sections.
     #[error("{0}")]
-    Faulty(check::Faults),
+    Invalid(check::Faults),
     /// The section was changed concurrently, after the version that the put was edited from.
     #[error("version {} is in the table now", version.0)]
-    Raced {
+    Conflict {
         /// Current version in the table.
         version: id::Version,
         /// Differences from the edited version to the current one.
@@ -98,7 +98,7 @@
 
 /// Head of the document with its version in the table.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Whole {
+pub struct VersionedHead {
     /// Versions of all sections.
     pub head: Head,
     /// Version of the head row, which is the version of the whole document.
@@ -114,13 +114,13 @@
 /// # Errors
 ///
 /// Those of [`table::Table::read`], or `Refused` if the row cannot be parsed.
-pub async fn read_head<T>(table: &T) -> Result<Whole, table::Error>
+pub async fn read_head<T>(table: &T) -> Result<VersionedHead, table::Error>
 where
     T: table::Table,
 {
-    let Some(row) = table.read(HEAD_KEY).await? else { return Ok(Whole::default()) };
+    let Some(row) = table.read(HEAD_KEY).await? else { return Ok(VersionedHead::default()) };
     let head = serde_json::from_str(&row.value).map_err(|error| malformed("read head", &error))?;
-    Ok(Whole { head, version: row.version })
+    Ok(VersionedHead { head, version: row.version })
 }
 
 /// Reads the section row of `team` with its version; returns `None` if there is none.
@@ -158,7 +158,7 @@
 /// # Errors
 ///
 /// Those of [`store`].
-pub async fn check<T>(table: &T, put: &Put) -> Result<(), Refusal>
+pub async fn check<T>(table: &T, put: &Put) -> Result<(), StoreError>
 where
     T: table::Table,
 {
@@ -176,34 +176,34 @@
 ///
 /// Returns the faults of the section, a conflict with a concurrent put, or the error of the table.
 /// After [`table::Error::Unknown`] the same put can be retried; it is not stored twice.
-pub async fn store<T>(table: &T, put: &Put) -> Result<id::Version, Refusal>
+pub async fn store<T>(table: &T, put: &Put) -> Result<id::Version, StoreError>
 where
     T: table::Table,
 {
-    let next = id::Version(put.from.0 + 1);
+    let next = id::Version(put.base.0 + 1);
     let mut lost = None;
     for _ in 0..ATTEMPTS {
         match try_store(table, put, next).await {
             Ok(version) => return Ok(version),
-            Err(Refusal::Table(table::Error::Conflict { .. })) => {}
-            Err(Refusal::Table(error @ table::Error::Unknown { .. })) => lost = Some(error),
+            Err(StoreError::Table(table::Error::Conflict { .. })) => {}
+            Err(StoreError::Table(error @ table::Error::Unknown { .. })) => lost = Some(error),
             // An error after a lost answer does not tell whether the earlier call took effect.
-            Err(Refusal::Table(error)) => return Err(Refusal::Table(lost.unwrap_or(error))),
+            Err(StoreError::Table(error)) => return Err(StoreError::Table(lost.unwrap_or(error))),
             Err(refusal) => return Err(refusal),
         }
     }
     let conflict = table::Error::Conflict { step: "store section" };
-    Err(Refusal::Table(lost.unwrap_or(conflict)))
+    Err(StoreError::Table(lost.unwrap_or(conflict)))
 }
 
-async fn try_store<T>(table: &T, put: &Put, next: id::Version) -> Result<id::Version, Refusal>
+async fn try_store<T>(table: &T, put: &Put, next: id::Version) -> Result<id::Version, StoreError>
 where
     T: table::Table,
 {
     let transaction = match prepare(table, put).await {
         Ok(transaction) => transaction,
         // The conflicting version may be this put itself, stored by an earlier attempt.
-        Err(Refusal::Raced { .. }) if is_written(table, put, next).await? => return Ok(next),
+        Err(StoreError::Conflict { .. }) if is_written(table, put, next).await? => return Ok(next),
         Err(refusal) => return Err(refusal),
     };
     table.commit(transaction).await?;
@@ -216,43 +216,43 @@
     T: table::Table,
 {
     let written = read_history(table, &put.team, next).await?;
-    Ok(written.is_some_and(|stored| stored.put == put.put))
+    Ok(written.is_some_and(|stored| stored.put == put.id))
 }
 
 /// Validates `put` against the current document and builds the transaction that stores it.
-async fn prepare<T>(table: &T, put: &Put) -> Result<table::Transaction, Refusal>
+async fn prepare<T>(table: &T, put: &Put) -> Result<table::Transaction, StoreError>
 where
     T: table::Table,
 {
-    let next = id::Version(put.from.0 + 1);
+    let next = id::Version(put.base.0 + 1);
     let candidate =
-        section::Section::parse(put.team.clone(), next, &put.text).map_err(Refusal::Faulty)?;
-    let mut whole = read_head(table).await?;
-    let current = whole.head.versions.get(&put.team).copied().unwrap_or_default();
-    if current != put.from {
-        return Err(raced(table, put, current).await?);
+        section::Section::parse(put.team.clone(), next, &put.text).map_err(StoreError::Invalid)?;
+    let mut document = read_head(table).await?;
+    let current = document.head.versions.get(&put.team).copied().unwrap_or_default();
+    if current != put.base {
+        return Err(conflict_error(table, put, current).await?);
     }
     let mut others = Vec::new();
-    for team in whole.head.versions.keys().filter(|team| **team != put.team) {
+    for team in document.head.versions.keys().filter(|team| **team != put.team) {
         let Some((version, stored)) = read_section(table, team).await? else { continue };
         others.extend(section::Section::parse(team.clone(), version, &stored.text));
     }
-    whole::check_whole(&others, &candidate).map_err(Refusal::Faulty)?;
-    whole.head.versions.insert(put.team.clone(), next);
-    whole.head.put.clone_from(&put.put);
-    Ok(transaction(put, next, &whole))
+    consistency::check_document(&others, &candidate).map_err(StoreError::Invalid)?;
+    document.head.versions.insert(put.team.clone(), next);
+    document.head.put.clone_from(&put.id);
+    Ok(transaction(put, next, &document))
 }
 
-fn transaction(put: &Put, next: id::Version, whole: &Whole) -> table::Transaction {
+fn transaction(put: &Put, next: id::Version, document: &VersionedHead) -> table::Transaction {
     let text = |value: serde_json::Result<String>| value.unwrap_or_default();
-    let stored = Stored { put: put.put.clone(), text: put.text.clone() };
+    let stored = Stored { put: put.id.clone(), text: put.text.clone() };
     let row = text(serde_json::to_string(&stored));
-    let head = text(serde_json::to_string(&whole.head));
+    let head = text(serde_json::to_string(&document.head));
     let (section, history) = (section_key(&put.team), history_key(&put.team, next));
     table::Transaction {
         checks: vec![
-            table::Check { key: HEAD_KEY.to_owned(), version: whole.version },
-            table::Check { key: section.clone(), version: put.from.0 },
+            table::Check { key: HEAD_KEY.to_owned(), version: document.version },
+            table::Check { key: section.clone(), version: put.base.0 },
         ],
         changes: vec![
             table::Change::Put { key: section, value: row.clone() },
@@ -263,13 +263,17 @@
 }
 
 /// Builds the conflict error, with the differences from the edited version to the current one.
-async fn raced<T>(table: &T, put: &Put, version: id::Version) -> Result<Refusal, table::Error>
+async fn conflict_error<T>(
+    table: &T,
+    put: &Put,
+    version: id::Version,
+) -> Result<StoreError, table::Error>
 where
     T: table::Table,
 {
-    let old = read_history(table, &put.team, put.from).await?;
+    let old = read_history(table, &put.team, put.base).await?;
     let new = read_history(table, &put.team, version).await?;
     let text = |stored: Option<Stored>| stored.map_or_else(|| "{}".to_owned(), |s| s.text);
     let changes = diff::diff(&text(old), &text(new));
-    Ok(Refusal::Raced { version, changes })
+    Ok(StoreError::Conflict { version, changes })
 }
--- a/crates/lagoonline/src/control/lease.rs
+++ b/crates/lagoonline/src/control/lease.rs
@@ -7,9 +7,9 @@
 //!
 //! The clocks of different hosts are never compared. The holder measures the lease from before it
 //! sent the write that acquired or renewed it; a contender measures from when it first saw the row
-//! version of that write. The contender waits for the whole duration plus [`Settings::flight`],
-//! the longest time that an order may be in flight, so that the last order of the old holder has
-//! arrived before the new holder sends its first one.
+//! version of that write. The contender waits for the whole duration plus
+//! [`Settings::max_order_delay`], the longest time that an order may be in flight, so that the last
+//! order of the old holder has arrived before the new holder sends its first one.
 
 use serde::{Deserialize, Serialize};
 
@@ -23,17 +23,17 @@
     /// Duration of a lease, measured from when the write that acquired or renewed it was sent.
     pub duration: clock::Span,
     /// Age at which the holder renews the lease.
-    pub renew: clock::Span,
+    pub renew_after: clock::Span,
     /// Longest time that an order may be in flight to the engine.
-    pub flight: clock::Span,
+    pub max_order_delay: clock::Span,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
             duration: clock::Span::from_secs(10),
-            renew: clock::Span::from_secs(3),
-            flight: clock::Span::from_secs(2),
+            renew_after: clock::Span::from_secs(3),
+            max_order_delay: clock::Span::from_secs(2),
         }
     }
 }
@@ -95,7 +95,7 @@
     settings: Settings,
     clock: C,
     state: State,
-    late: u64,
+    late_orders: u64,
 }
 
 impl<C> Lease<C>
@@ -111,15 +111,15 @@
     /// assert_eq!(lease.permit(), None);
     /// ```
     pub fn new(name: &str, own: id::Owner, settings: Settings, clock: C) -> Self {
-        let (name, state, late) = (name.to_owned(), State::Unknown, 0);
-        Lease { name, own, settings, clock, state, late }
+        let (name, state, late_orders) = (name.to_owned(), State::Unknown, 0);
+        Lease { name, own, settings, clock, state, late_orders }
     }
 
     /// Returns the permission to send an order now; `None` if the lease is not held or has expired.
     ///
     /// Call this right before the order is written to its connection, because the process may have
     /// been paused since any earlier check. A pause between this call and the write is not
-    /// prevented, but detected and counted afterwards by [`Lease::sent`].
+    /// prevented, but detected and counted afterwards by [`Lease::record_sent`].
     pub fn permit(&self) -> Option<Permit> {
         let State::Held { fence, sent, .. } = self.state else { return None };
         let until = sent + self.settings.duration;
@@ -130,17 +130,17 @@
     /// as late if the lease had expired by then. An engine that checks fencing numbers rejects a
     /// late order once the next holder has sent one; on other engines the next holder repairs the
     /// effect.
-    pub fn sent(&mut self, permit: &Permit) -> bool {
+    pub fn record_sent(&mut self, permit: &Permit) -> bool {
         let in_time = self.clock.now() < permit.until;
         if !in_time {
-            self.late += 1;
+            self.late_orders += 1;
         }
         in_time
     }
 
     /// Returns the number of orders that were written after the lease had expired.
-    pub fn late(&self) -> u64 {
-        self.late
+    pub fn late_orders(&self) -> u64 {
+        self.late_orders
     }
 
     /// Acquires or renews the lease, or monitors its current holder. To be called regularly.
@@ -155,7 +155,7 @@
         let now = self.clock.now();
         if let State::Held { fence, version, sent } = self.state {
             let age = now.since(sent);
-            if age < self.settings.renew {
+            if age < self.settings.renew_after {
                 return Ok(Status::Held(fence));
             }
             if age < self.settings.duration {
@@ -200,7 +200,7 @@
         }
         match self.state {
             State::Watching { version, since } if version == row.version => {
-                let wait = self.settings.duration + self.settings.flight;
+                let wait = self.settings.duration + self.settings.max_order_delay;
                 if seen.since(since) < wait {
                     return Ok(Status::Waiting);
                 }
--- a/crates/lagoonline/src/control/ledger.rs
+++ b/crates/lagoonline/src/control/ledger.rs
@@ -153,11 +153,11 @@
 
     /// Sets the attribution of the engine. It applies to the whole current interval, since a row is
     /// attributed as of the end of its interval.
-    pub fn set_accounts(&mut self, accounts: &Accounts) {
-        self.row.accelerators = accounts.accelerators;
-        self.row.owner = accounts.owner.clone();
-        self.row.claimant = accounts.claimant.clone();
-        self.row.model = accounts.model.clone();
+    pub fn set_attribution(&mut self, attribution: &Attribution) {
+        self.row.accelerators = attribution.accelerators;
+        self.row.owner = attribution.owner.clone();
+        self.row.claimant = attribution.claimant.clone();
+        self.row.model = attribution.model.clone();
     }
 
     /// Records that the engine was in `activity` up to `wall_ms`. When the wall clock is set back,
@@ -187,14 +187,14 @@
     }
 
     /// Removes and returns the finished rows, to be written to the table.
-    pub fn take(&mut self) -> Vec<Row> {
+    pub fn take_finished(&mut self) -> Vec<Row> {
         std::mem::take(&mut self.finished)
     }
 }
 
 /// Teams and model that the time of an engine is attributed to.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Accounts {
+pub struct Attribution {
     /// Number of accelerators of the engine.
     pub accelerators: u32,
     /// Team that owns the upstream.
@@ -208,7 +208,7 @@
 /// Returns the attribution of each engine of the fleet. Engines are assigned to claims such that
 /// all claims are met whenever that is possible. The result depends only on the fleet, so every
 /// host computes the same one.
-pub fn accounts(fleet: &view::Fleet) -> collections::BTreeMap<id::Upstream, Accounts> {
+pub fn attributions(fleet: &view::Fleet) -> collections::BTreeMap<id::Upstream, Attribution> {
     let mut engines: Vec<(&view::Upstream, &[id::Model])> = Vec::new();
     for upstream in &fleet.upstreams {
         if let document::Serves::Models(models) = &upstream.entry.serves {
@@ -219,7 +219,7 @@
     let holders = assign(fleet, &engines);
     let account = |(index, (upstream, models)): (usize, &(&view::Upstream, &[id::Model]))| {
         let claim = holders[index].as_ref();
-        let accounts = Accounts {
+        let attribution = Attribution {
             accelerators: upstream.entry.accelerators,
             owner: upstream.team.clone(),
             claimant: claim.map(|(team, _)| team.clone()).unwrap_or_default(),
@@ -228,7 +228,7 @@
                 .or(models.first().cloned())
                 .unwrap_or_default(),
         };
-        (upstream.name.clone(), accounts)
+        (upstream.name.clone(), attribution)
     };
     engines.iter().enumerate().map(account).collect()
 }
@@ -327,16 +327,16 @@
 }
 
 impl std::str::FromStr for Grouping {
-    type Err = BadGrouping;
+    type Err = ParseGroupingError;
 
-    fn from_str(text: &str) -> Result<Self, BadGrouping> {
+    fn from_str(text: &str) -> Result<Self, ParseGroupingError> {
         match text {
             "team" => Ok(Grouping::Team),
             "customer" => Ok(Grouping::Customer),
             "model" => Ok(Grouping::Model),
             "upstream" => Ok(Grouping::Upstream),
             "day" => Ok(Grouping::Day),
-            _ => Err(BadGrouping),
+            _ => Err(ParseGroupingError),
         }
     }
 }
@@ -344,7 +344,7 @@
 /// Error for a text that does not name a [`Grouping`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("usage is by team, customer, model, upstream or day")]
-pub struct BadGrouping;
+pub struct ParseGroupingError;
 
 /// Usage of one group, in accelerator-milliseconds.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
--- a/crates/lagoonline/src/control/membership/group.rs
+++ b/crates/lagoonline/src/control/membership/group.rs
@@ -4,7 +4,7 @@
 
 use super::roster;
 use crate::clock;
-use crate::control::owner;
+use crate::control::rendezvous;
 use crate::id;
 
 /// Settings of heartbeats and failure detection.
@@ -18,12 +18,12 @@
     /// Time without a heartbeat after which a host votes against a neighbour: four heartbeat
     /// intervals plus network delay. At 5% packet loss a vote is wrong once in 160,000 intervals,
     /// and a member is declared dead only when most of its neighbours are wrong at the same time.
-    pub silence: clock::Span,
+    pub heartbeat_timeout: clock::Span,
     /// Longest normal time between two ticks. Anything beyond it is treated as a pause of this
     /// process and not as silence of its neighbours.
-    pub longest_tick: clock::Span,
+    pub max_tick_gap: clock::Span,
     /// Time after which a dead member is removed.
-    pub forget: clock::Span,
+    pub forget_after: clock::Span,
 }
 
 impl Default for Settings {
@@ -31,9 +31,9 @@
         Settings {
             interval: clock::Span::from_millis(500),
             rings: 2,
-            silence: clock::Span::from_millis(2_200),
-            longest_tick: clock::Span::from_millis(250),
-            forget: clock::Span::from_secs(600),
+            heartbeat_timeout: clock::Span::from_millis(2_200),
+            max_tick_gap: clock::Span::from_millis(250),
+            forget_after: clock::Span::from_secs(600),
         }
     }
 }
@@ -77,7 +77,7 @@
     ///
     /// ```
     /// use lagoonline::clock::Moment;
-    /// use lagoonline::control::membership::{Group, Member, News, Settings};
+    /// use lagoonline::control::membership::{Group, Member, Update, Settings};
     /// use lagoonline::id::{Host, Incarnation, Zone};
     /// let member = |name: &str| Member {
     ///     host: Host::from(name),
@@ -86,7 +86,7 @@
     ///     incarnation: Incarnation(1),
     /// };
     /// let mut group = Group::new(member("a"), Settings::default(), Moment::START);
-    /// group.take(&[News::Member(member("b"))], Moment::START);
+    /// group.apply(&[Update::Member(member("b"))], Moment::START);
     /// for millis in (0..3_000).step_by(100) {
     ///     group.tick(Moment::from_millis(millis));
     /// }
@@ -94,7 +94,7 @@
     /// ```
     pub fn new(own: roster::Member, settings: Settings, now: clock::Moment) -> Self {
         let mut roster = roster::Roster::default();
-        roster.take(&roster::News::Member(own.clone()));
+        roster.apply(&roster::Update::Member(own.clone()));
         let (heard, dead, neighbours) = Default::default();
         let (contacts, joined, votes, ticked) = (Vec::new(), Vec::new(), 0, now);
         Group { own, settings, roster, heard, dead, neighbours, contacts, joined, votes, ticked }
@@ -131,7 +131,7 @@
     }
 
     /// Returns the members that this steward exchanges heartbeats with and keeps links to.
-    pub fn contacts(&self) -> &[id::Host] {
+    pub fn heartbeat_peers(&self) -> &[id::Host] {
         &self.contacts
     }
 
@@ -145,7 +145,7 @@
     fn ring<'a>(&'a self, zone: &'a id::Zone, number: usize) -> Vec<&'a str> {
         let members = self.live_in(zone).collect::<Vec<_>>();
         let count = members.len();
-        owner::rank(members, &format!("ring {number}"), count)
+        rendezvous::rank(members, &format!("ring {number}"), count)
     }
 
     /// Recomputes neighbours and heartbeat peers if the live members have changed.
@@ -196,7 +196,8 @@
             return Vec::new();
         }
         let trusted = others.into_iter().filter(trusted);
-        let ranked = owner::rank(trusted, self.own.host.as_str(), self.settings.rings + doubted);
+        let ranked =
+            rendezvous::rank(trusted, self.own.host.as_str(), self.settings.rings + doubted);
         ranked.into_iter().map(id::Host::from).collect()
     }
 
@@ -204,12 +205,12 @@
     ///
     /// Withdraws this steward's vote against the member, if there is one. Heartbeats of unknown
     /// members and of other incarnations are ignored.
-    pub fn hear(
+    pub fn record_heartbeat(
         &mut self,
         host: &id::Host,
         incarnation: id::Incarnation,
         now: clock::Moment,
-    ) -> Vec<roster::News> {
+    ) -> Vec<roster::Update> {
         let Some(member) = self.roster.member(host) else { return Vec::new() };
         if member.incarnation != incarnation || *host == self.own.host {
             return Vec::new();
@@ -227,29 +228,29 @@
         host: &id::Host,
         incarnation: id::Incarnation,
         against: bool,
-    ) -> roster::News {
+    ) -> roster::Update {
         self.votes += 1;
         let vote = roster::Vote {
-            by: self.own.host.clone(),
-            by_incarnation: self.own.incarnation,
-            number: self.votes,
+            voter: self.own.host.clone(),
+            voter_incarnation: self.own.incarnation,
+            sequence: self.votes,
             host: host.clone(),
             incarnation,
             against,
         };
-        let news = roster::News::Vote(vote);
-        self.roster.take(&news);
+        let news = roster::Update::Vote(vote);
+        self.roster.apply(&news);
         news
     }
 
     /// Applies updates from a peer and returns those that were new, to be forwarded.
-    pub fn take(&mut self, news: &[roster::News], now: clock::Moment) -> Vec<roster::News> {
+    pub fn apply(&mut self, news: &[roster::Update], now: clock::Moment) -> Vec<roster::Update> {
         let mut passed = Vec::new();
         for item in news {
-            if !self.roster.take(item) {
+            if !self.roster.apply(item) {
                 continue;
             }
-            if let roster::News::Member(member) = item {
+            if let roster::Update::Member(member) = item {
                 self.welcome(member, now);
             }
             passed.push(item.clone());
@@ -270,7 +271,7 @@
     ///
     /// Votes against peers whose heartbeats timed out, counts votes, refutes votes against this
     /// steward, and removes members that have been dead for long enough.
-    pub fn tick(&mut self, now: clock::Moment) -> (Vec<roster::News>, Vec<Change>) {
+    pub fn tick(&mut self, now: clock::Moment) -> (Vec<roster::Update>, Vec<Change>) {
         self.update_contacts();
         self.excuse_pause(now);
         let mut news = self.vote_on_silent(now);
@@ -288,18 +289,18 @@
     fn excuse_pause(&mut self, now: clock::Moment) {
         let gap = now.since(self.ticked);
         self.ticked = now;
-        let Some(pause) = gap.checked_sub(self.settings.longest_tick) else { return };
+        let Some(pause) = gap.checked_sub(self.settings.max_tick_gap) else { return };
         for heard in self.heard.values_mut() {
             *heard = *heard + pause;
         }
     }
 
     /// Votes against the peers whose heartbeats timed out.
-    fn vote_on_silent(&mut self, now: clock::Moment) -> Vec<roster::News> {
+    fn vote_on_silent(&mut self, now: clock::Moment) -> Vec<roster::Update> {
         let mut silent = Vec::new();
         for host in &self.contacts {
             let heard = *self.heard.entry(host.clone()).or_insert(now);
-            if now.since(heard) < self.settings.silence {
+            if now.since(heard) < self.settings.heartbeat_timeout {
                 continue;
             }
             let member = self.roster.member(host);
@@ -317,7 +318,7 @@
     ///
     /// Otherwise a zone would never recover from a network partition: each half holds votes
     /// against the other, and these votes persist after the partition ends.
-    fn refute(&mut self) -> Vec<roster::News> {
+    fn refute(&mut self) -> Vec<roster::Update> {
         let known = self.roster.member(&self.own.host).map(|member| member.incarnation);
         let is_replaced = known.is_some_and(|known| known > self.own.incarnation);
         if !is_replaced && !self.roster.is_doubted(&self.own.host) {
@@ -330,8 +331,8 @@
         let doubted: Vec<_> = doubted.collect();
         let last = known.unwrap_or_default().max(self.own.incarnation);
         self.own.incarnation = id::Incarnation(last.0 + 1);
-        let mut news = vec![roster::News::Member(self.own.clone())];
-        self.roster.take(&news[0]);
+        let mut news = vec![roster::Update::Member(self.own.clone())];
+        self.roster.apply(&news[0]);
         // The new incarnation invalidates all votes cast by the earlier one. Votes against dead
         // hosts are still needed, so they are cast again.
         news.extend(doubted.iter().map(|(host, life)| self.vote(host, *life, true)));
@@ -379,7 +380,7 @@
     /// Each host counts votes with its own view of who the neighbours are, and these views differ
     /// while many members fail at once. Hosts that declared a member dead stop monitoring it, so
     /// without their votes the member could stay live for ever in the view of the others.
-    fn second(&mut self, changes: &[Change]) -> Vec<roster::News> {
+    fn second(&mut self, changes: &[Change]) -> Vec<roster::Update> {
         let mut seconded = Vec::new();
         for change in changes {
             let Change::Dead(host) = change else { continue };
@@ -394,7 +395,7 @@
 
     /// Removes the members that have been dead for the configured time.
     fn forget(&mut self, now: clock::Moment) {
-        let limit = self.settings.forget;
+        let limit = self.settings.forget_after;
         let old = self.dead.iter().filter(|(_, since)| now.since(**since) >= limit);
         let old: Vec<id::Host> = old.map(|(host, _)| host.clone()).collect();
         for host in old {
--- a/crates/lagoonline/src/control/membership/roster.rs
+++ b/crates/lagoonline/src/control/membership/roster.rs
@@ -25,11 +25,11 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Vote {
     /// The voter.
-    pub by: id::Host,
+    pub voter: id::Host,
     /// Incarnation of the voter when it voted.
-    pub by_incarnation: id::Incarnation,
+    pub voter_incarnation: id::Incarnation,
     /// Sequence number of the vote within the voter's incarnation.
-    pub number: u64,
+    pub sequence: u64,
     /// The member voted on.
     pub host: id::Host,
     /// Incarnation of the member that the vote applies to.
@@ -40,7 +40,7 @@
 
 /// A change that is propagated to the other stewards.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum News {
+pub enum Update {
     /// A member that is new or has a new incarnation.
     Member(Member),
     /// A vote, or its withdrawal.
@@ -57,14 +57,14 @@
 
 impl Roster {
     /// Applies an update; returns false when it is outdated or about an unknown member.
-    pub fn take(&mut self, news: &News) -> bool {
+    pub fn apply(&mut self, news: &Update) -> bool {
         match news {
-            News::Member(member) => self.take_member(member),
-            News::Vote(vote) => self.take_vote(vote),
+            Update::Member(member) => self.apply_member(member),
+            Update::Vote(vote) => self.apply_vote(vote),
         }
     }
 
-    fn take_member(&mut self, member: &Member) -> bool {
+    fn apply_member(&mut self, member: &Member) -> bool {
         let known = self.members.get(&member.host);
         if known.is_some_and(|known| known.incarnation >= member.incarnation) {
             return false;
@@ -75,17 +75,17 @@
         true
     }
 
-    fn take_vote(&mut self, vote: &Vote) -> bool {
+    fn apply_vote(&mut self, vote: &Vote) -> bool {
         let Some(member) = self.members.get(&vote.host) else { return false };
         if vote.incarnation != member.incarnation {
             return false;
         }
         let votes = self.votes.entry(vote.host.clone()).or_default();
-        let order = |vote: &Vote| (vote.by_incarnation, vote.number);
-        if votes.get(&vote.by).is_some_and(|known| order(known) >= order(vote)) {
+        let order = |vote: &Vote| (vote.voter_incarnation, vote.sequence);
+        if votes.get(&vote.voter).is_some_and(|known| order(known) >= order(vote)) {
             return false;
         }
-        votes.insert(vote.by.clone(), vote.clone());
+        votes.insert(vote.voter.clone(), vote.clone());
         true
     }
 
@@ -103,7 +103,7 @@
     pub fn is_against(&self, by: &id::Host, host: &id::Host) -> bool {
         let vote = self.votes.get(host).and_then(|votes| votes.get(by));
         let life = self.members.get(by).map(|member| member.incarnation);
-        vote.is_some_and(|vote| vote.against && life == Some(vote.by_incarnation))
+        vote.is_some_and(|vote| vote.against && life == Some(vote.voter_incarnation))
     }
 
     /// Returns whether any member has voted against `host` in its current incarnation.
@@ -122,9 +122,9 @@
     }
 
     /// Returns all members and votes as updates, for a peer that has none of them yet.
-    pub fn news(&self) -> Vec<News> {
-        let members = self.members.values().cloned().map(News::Member);
+    pub fn updates(&self) -> Vec<Update> {
+        let members = self.members.values().cloned().map(Update::Member);
         let votes = self.votes.values().flat_map(|votes| votes.values());
-        members.chain(votes.cloned().map(News::Vote)).collect()
+        members.chain(votes.cloned().map(Update::Vote)).collect()
     }
 }
--- a/crates/lagoonline/src/control/mesh.rs
+++ b/crates/lagoonline/src/control/mesh.rs
@@ -2,15 +2,15 @@
 //!
 //! Within a zone, a host links to its heartbeat peers. An update then crosses a zone in about three
 //! hops, at a cost per host that does not grow with the zone. Links between zones are more
-//! expensive, so only [`GATEWAYS`] hosts of each zone keep them; with two, a zone stays connected
-//! while one of them restarts.
+//! expensive, so only [`GATEWAYS_PER_ZONE`] hosts of each zone keep them; with two, a zone stays
+//! connected while one of them restarts.
 
 use super::membership;
-use super::owner;
+use super::rendezvous;
 use crate::id;
 
 /// Number of hosts per zone that keep links to other zones.
-pub const GATEWAYS: usize = 2;
+pub const GATEWAYS_PER_ZONE: usize = 2;
 
 /// Returns the hosts that this steward should keep links to.
 ///
@@ -24,11 +24,11 @@
 /// };
 /// let now = clock::Moment::START;
 /// let mut group = membership::Group::new(member("a", "x"), Default::default(), now);
-/// group.take(&[membership::News::Member(member("b", "y"))], now);
-/// assert_eq!(mesh::wanted(&group), [id::Host::from("b")]);
+/// group.apply(&[membership::Update::Member(member("b", "y"))], now);
+/// assert_eq!(mesh::link_targets(&group), [id::Host::from("b")]);
 /// ```
-pub fn wanted(group: &membership::Group) -> Vec<id::Host> {
-    let mut hosts = group.contacts().to_vec();
+pub fn link_targets(group: &membership::Group) -> Vec<id::Host> {
+    let mut hosts = group.heartbeat_peers().to_vec();
     let own = group.own();
     let is_gateway = gateways(group, &own.zone).contains(&own.host);
     if !is_gateway {
@@ -45,6 +45,6 @@
 
 /// Returns the hosts of `zone` that keep links to other zones.
 pub fn gateways(group: &membership::Group, zone: &id::Zone) -> Vec<id::Host> {
-    let chosen = owner::rank(group.live_in(zone), "gateway", GATEWAYS);
+    let chosen = rendezvous::rank(group.live_in(zone), "gateway", GATEWAYS_PER_ZONE);
     chosen.into_iter().map(id::Host::from).collect()
 }
--- a/crates/lagoonline/src/control/mod.rs
+++ b/crates/lagoonline/src/control/mod.rs
@@ -3,13 +3,13 @@
 //! Covers the configuration document and its replication, membership, leases, orders to engines,
 //! usage accounting, and rate limits for calls to the platform.
 
+pub mod delta_log;
 pub mod document;
 pub mod lease;
 pub mod ledger;
 pub mod membership;
 pub mod mesh;
 pub mod order;
-pub mod owner;
 pub mod platform;
-pub mod spread;
-pub mod trail;
+pub mod rendezvous;
+pub mod replication;
--- a/crates/lagoonline/src/control/order.rs
+++ b/crates/lagoonline/src/control/order.rs
@@ -39,7 +39,7 @@
 
 /// Desired state of an engine according to the document.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Wanted {
+pub struct Desired {
     /// Models that the engine may serve. Any of them is accepted; if none is loaded, the first one
     /// is ordered.
     pub models: Vec<id::Model>,
@@ -47,7 +47,7 @@
     pub role: engine::Role,
 }
 
-impl Wanted {
+impl Desired {
     /// Returns the desired state of an upstream; `None` for a plain service.
     ///
     /// ```
@@ -56,12 +56,12 @@
     ///     serves: document::Serves::Models(vec!["m".into()]),
     ///     ..Default::default()
     /// };
-    /// assert_eq!(order::Wanted::of(&upstream).unwrap().models.len(), 1);
+    /// assert_eq!(order::Desired::of(&upstream).unwrap().models.len(), 1);
     /// ```
-    pub fn of(upstream: &document::Upstream) -> Option<Wanted> {
+    pub fn of(upstream: &document::Upstream) -> Option<Desired> {
         match &upstream.serves {
             document::Serves::Models(models) => {
-                Some(Wanted { models: models.clone(), role: upstream.role })
+                Some(Desired { models: models.clone(), role: upstream.role })
             }
             document::Serves::Service(_) => None,
         }
@@ -70,13 +70,13 @@
 
 /// Conditions under which an order would be sent.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Situation {
+pub struct Context {
     /// Fencing number of the lease under which orders are sent.
     pub fence: id::Fence,
     /// Whether the engine rejects outdated fencing numbers.
     pub checks_fence: bool,
     /// Number of requests that the engine is serving.
-    pub busy: u32,
+    pub in_flight: u32,
 }
 
 /// Result of one reconciliation.
@@ -98,44 +98,44 @@
 /// Compares the desired with the actual state and returns what to do.
 ///
 /// ```
-/// use lagoonline::control::order::{decide, Actual, Decision, Situation, Wanted};
+/// use lagoonline::control::order::{decide, Actual, Decision, Context, Desired};
 /// use lagoonline::port::engine::{Order, Role};
-/// let wanted = Wanted { models: vec!["m".into()], role: Role::Mixed };
+/// let desired = Desired { models: vec!["m".into()], role: Role::Mixed };
 /// let Decision::Send(Order::Load { model, .. }) =
-///     decide(&wanted, &Actual::default(), &Situation::default())
+///     decide(&desired, &Actual::default(), &Context::default())
 /// else {
 ///     panic!("no order");
 /// };
 /// assert_eq!(model.as_str(), "m");
 /// ```
-pub fn decide(wanted: &Wanted, actual: &Actual, situation: &Situation) -> Decision {
-    if actual.fence > situation.fence {
+pub fn decide(desired: &Desired, actual: &Actual, context: &Context) -> Decision {
+    if actual.fence > context.fence {
         return Decision::Superseded;
     }
     if actual.loading {
         return Decision::Wait;
     }
-    let Some(order) = missing(wanted, actual) else { return Decision::Nothing };
+    let Some(order) = missing(desired, actual) else { return Decision::Nothing };
     let is_load = matches!(order, engine::Order::Load { .. });
     // Loading a model terminates the engine's streams. An engine that ignores fencing numbers
     // cannot tell a late load order from a valid one, so none is sent while it has requests.
-    if is_load && situation.busy > 0 && !situation.checks_fence {
+    if is_load && context.in_flight > 0 && !context.checks_fence {
         return Decision::Wait;
     }
-    let obeyed_own = actual.fence == situation.fence && situation.fence > id::Fence(0);
-    if obeyed_own && !situation.checks_fence {
+    let obeyed_own = actual.fence == context.fence && context.fence > id::Fence(0);
+    if obeyed_own && !context.checks_fence {
         return Decision::Repair(order);
     }
     Decision::Send(order)
 }
 
 /// Returns the order that is needed to reach the desired state, if any.
-fn missing(wanted: &Wanted, actual: &Actual) -> Option<engine::Order> {
-    let serves = wanted.models.iter().any(|model| model.as_str() == actual.model);
+fn missing(desired: &Desired, actual: &Actual) -> Option<engine::Order> {
+    let serves = desired.models.iter().any(|model| model.as_str() == actual.model);
     if !serves {
-        let model = wanted.models.first()?.clone();
+        let model = desired.models.first()?.clone();
         let (adapter, version) = (String::new(), String::new());
         return Some(engine::Order::Load { model, adapter, version });
     }
-    (wanted.role != actual.role).then_some(engine::Order::Role { role: wanted.role })
+    (desired.role != actual.role).then_some(engine::Order::Role { role: desired.role })
 }
--- a/crates/lagoonline/src/control/platform/backoff.rs
+++ b/crates/lagoonline/src/control/platform/backoff.rs
@@ -30,11 +30,11 @@
     /// ```
     /// use lagoonline::{clock, control::platform};
     /// let backoff = platform::Backoff::default();
-    /// assert_eq!(backoff.wait(1, 1.0), clock::Span::from_millis(100));
-    /// assert_eq!(backoff.wait(3, 0.5), clock::Span::from_millis(200));
-    /// assert_eq!(backoff.wait(60, 1.0), clock::Span::from_secs(5));
+    /// assert_eq!(backoff.delay(1, 1.0), clock::Span::from_millis(100));
+    /// assert_eq!(backoff.delay(3, 0.5), clock::Span::from_millis(200));
+    /// assert_eq!(backoff.delay(60, 1.0), clock::Span::from_secs(5));
     /// ```
-    pub fn wait(&self, failures: u32, random: f64) -> clock::Span {
+    pub fn delay(&self, failures: u32, random: f64) -> clock::Span {
         let doublings = failures.saturating_sub(1).min(MOST_DOUBLINGS);
         let most = self.base.saturating_mul(1 << doublings).min(self.limit);
         most.mul_f64(random.clamp(0.0, 1.0))
--- a/crates/lagoonline/src/control/platform/breaker.rs
+++ b/crates/lagoonline/src/control/platform/breaker.rs
@@ -36,12 +36,12 @@
     /// let mut breaker = platform::Breaker::new(rest);
     /// for _ in 0..5 {
     ///     assert!(breaker.admit(start));
-    ///     breaker.failed(start, 1.0);
+    ///     breaker.record_failure(start, 1.0);
     /// }
     /// assert!(!breaker.admit(start));
     /// assert!(breaker.admit(start + rest), "one trial");
     /// assert!(!breaker.admit(start + rest), "only one");
-    /// breaker.answered();
+    /// breaker.record_success();
     /// assert!(breaker.admit(start + rest));
     /// ```
     pub fn new(rest: clock::Span) -> Self {
@@ -62,13 +62,13 @@
     }
 
     /// Records that the platform answered, whether with success or an error.
-    pub fn answered(&mut self) {
+    pub fn record_success(&mut self) {
         self.state = State::Closed { failures: 0 };
     }
 
     /// Records that a call failed. `random` in 0 to 1 spreads the next trial calls of all hosts
     /// over half of `rest`.
-    pub fn failed(&mut self, now: clock::Moment, random: f64) {
+    pub fn record_failure(&mut self, now: clock::Moment, random: f64) {
         let until = now + self.rest.mul_f64(0.5 + 0.5 * random.clamp(0.0, 1.0));
         self.state = match self.state {
             State::Closed { failures } if failures + 1 < OPEN_AFTER => {
--- a/crates/lagoonline/src/control/owner.rs
+++ b/crates/lagoonline/src/control/rendezvous.rs
@@ -18,12 +18,12 @@
 /// Returns the owner of `thing` among the live `owners`; `None` if there are none.
 ///
 /// ```
-/// use lagoonline::control::owner;
+/// use lagoonline::control::rendezvous;
 /// let three = ["a", "b", "c"];
-/// let chosen = owner::choose(three, "engine-1").unwrap();
+/// let chosen = rendezvous::choose(three, "engine-1").unwrap();
 /// let without = three.into_iter().filter(|name| *name != chosen);
-/// assert_ne!(owner::choose(without, "engine-1").unwrap(), chosen);
-/// assert_eq!(owner::choose([], "engine-1"), None);
+/// assert_ne!(rendezvous::choose(without, "engine-1").unwrap(), chosen);
+/// assert_eq!(rendezvous::choose([], "engine-1"), None);
 /// ```
 pub fn choose<'a, I>(owners: I, thing: &str) -> Option<&'a str>
 where
@@ -35,9 +35,9 @@
 /// Returns the `count` owners with the highest scores for `thing`, in descending order.
 ///
 /// ```
-/// use lagoonline::control::owner;
-/// let two = owner::rank(["a", "b", "c"], "gateway", 2);
-/// assert_eq!(two[0], owner::choose(["a", "b", "c"], "gateway").unwrap());
+/// use lagoonline::control::rendezvous;
+/// let two = rendezvous::rank(["a", "b", "c"], "gateway", 2);
+/// assert_eq!(two[0], rendezvous::choose(["a", "b", "c"], "gateway").unwrap());
 /// assert_eq!(two.len(), 2);
 /// ```
 pub fn rank<'a, I>(owners: I, thing: &str, count: usize) -> Vec<&'a str>
--- a/crates/lagoonline/src/control/spread.rs
+++ b/crates/lagoonline/src/control/replication.rs
@@ -23,7 +23,7 @@
     /// Replaces the section in force if `section` has a higher version; returns whether it did.
     ///
     /// ```
-    /// use lagoonline::control::{document::Section, spread::Replica};
+    /// use lagoonline::control::{document::Section, replication::Replica};
     /// use lagoonline::id::{Team, Version};
     /// let section = |version| Section::parse(Team::from("a"), Version(version), "{}").unwrap();
     /// let mut replica = Replica::default();
@@ -60,7 +60,7 @@
     }
 
     /// Returns the sections that are newer than `versions`, as needed by a host that has those.
-    pub fn lacking(&self, versions: &Versions) -> Vec<sync::Arc<document::Section>> {
+    pub fn newer_than(&self, versions: &Versions) -> Vec<sync::Arc<document::Section>> {
         let newer = |section: &&sync::Arc<document::Section>| {
             versions.get(&section.team).is_none_or(|version| *version < section.version)
         };
@@ -96,7 +96,7 @@
     pub number: u64,
     /// Whether the steward has been without an entry process for so long that the host cannot serve
     /// any requests.
-    pub gone: bool,
+    pub entry_down: bool,
     /// Whether it accepts requests.
     pub ready: bool,
     /// Whether it is shutting down.
@@ -120,18 +120,18 @@
 
 /// The latest reports of all known entry hosts.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct Reports {
     reports: collections::BTreeMap<id::Host, Report>,
 }
 
-impl Board {
+impl Reports {
     /// Applies a report. Returns false if it is outdated or changes nothing except the number of
     /// requests in flight.
     ///
     /// Reports of earlier incarnations are dropped, and so are reports whose versions are lower
     /// than those known within the same incarnation. Reordered reports therefore cannot make a
     /// version seem lost or a host seem more recent than it is.
-    pub fn take(&mut self, host: &id::Host, report: Report) -> bool {
+    pub fn apply(&mut self, host: &id::Host, report: Report) -> bool {
         let Some(known) = self.reports.get_mut(host) else {
             self.reports.insert(host.clone(), report);
             return true;
@@ -168,20 +168,20 @@
     }
 
     /// Returns all reports by host.
-    pub fn reports(&self) -> impl Iterator<Item = (&id::Host, &Report)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&id::Host, &Report)> {
         self.reports.iter()
     }
 
     /// Applies a report that lists only the versions that changed since the last report of the same
     /// incarnation.
-    pub fn take_changes(&mut self, host: &id::Host, mut report: Report) -> bool {
+    pub fn apply_partial(&mut self, host: &id::Host, mut report: Report) -> bool {
         let known = self.reports.get(host);
         let known = known.filter(|known| known.incarnation == report.incarnation);
         for (team, version) in known.into_iter().flat_map(|known| &known.in_force) {
             let newer = report.in_force.entry(team.clone()).or_default();
             *newer = version.max(newer).to_owned();
         }
-        self.take(host, report)
+        self.apply(host, report)
     }
 
     /// Returns the hosts where `version` of the team's section is not yet in force. A version is
@@ -192,11 +192,11 @@
     /// it has the version.
     ///
     /// ```
-    /// use lagoonline::control::spread::{Board, Report};
+    /// use lagoonline::control::replication::{Reports, Report};
     /// use lagoonline::id::{Host, Team, Version, Zone};
-    /// let mut board = Board::default();
-    /// board.take(&Host::from("h"), Report::default());
-    /// let missing = board.missing(&Team::from("a"), Version(1), [(Host::from("i"), Zone::from("z"))]);
+    /// let mut reports = Reports::default();
+    /// reports.apply(&Host::from("h"), Report::default());
+    /// let missing = reports.missing(&Team::from("a"), Version(1), [(Host::from("i"), Zone::from("z"))]);
     /// assert_eq!(missing.len(), 2);
     /// ```
     pub fn missing<I>(&self, team: &id::Team, version: id::Version, expected: I) -> Vec<Missing>
@@ -213,7 +213,8 @@
             let version = in_force(&host);
             Missing { host, zone, version }
         });
-        let is_gone = |host: &id::Host| self.reports.get(host).is_some_and(|report| report.gone);
-        lines.filter(|line| line.version < version && !is_gone(&line.host)).collect()
+        let is_down =
+            |host: &id::Host| self.reports.get(host).is_some_and(|report| report.entry_down);
+        lines.filter(|line| line.version < version && !is_down(&line.host)).collect()
     }
 }
--- a/crates/lagoonline/src/life/owner.rs
+++ b/crates/lagoonline/src/life/owner.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::control::spread;
+use crate::control::replication;
 use crate::id;
 
 /// What the stewards of its zone know of an entry process.
@@ -48,7 +48,7 @@
     /// Derives the word from the last report and what is known of the host.
     ///
     /// ```
-    /// use lagoonline::{control::spread::Report, id::{Host, Incarnation}};
+    /// use lagoonline::{control::replication::Report, id::{Host, Incarnation}};
     /// use lagoonline::life::owner::{self, Sign, Word};
     /// let report = Report { incarnation: Incarnation(7), ready: true, ..Report::default() };
     /// let host = Host::from("suva-1");
@@ -59,7 +59,7 @@
     /// let closed = Report { ready: false, ..report.clone() };
     /// assert_eq!(sign(&closed, owner::Host::Live), Sign::Gone);
     /// ```
-    pub fn new(host: &id::Host, report: &spread::Report, known: Host) -> Self {
+    pub fn new(host: &id::Host, report: &replication::Report, known: Host) -> Self {
         let owner = id::Owner { host: host.clone(), incarnation: report.incarnation };
         let sign = match known {
             Host::Live if report.ready || report.draining => Sign::Serving,
--- a/crates/lagoonline/tests/control_delta_fuzz.rs
+++ b/crates/lagoonline/tests/control_delta_fuzz.rs
@@ -1,8 +1,8 @@
 //! Replication of sections by deltas, compared with the exact text of each version.
 
+use lagoonline::control::delta_log;
 use lagoonline::control::document;
-use lagoonline::control::spread;
-use lagoonline::control::trail;
+use lagoonline::control::replication;
 use lagoonline::id;
 use proptest::prelude::*;
 use proptest::test_runner;
@@ -74,8 +74,8 @@
 
 #[derive(Clone, Default)]
 struct Host {
-    replica: spread::Replica,
-    trail: trail::Trail,
+    replica: replication::Replica,
+    log: delta_log::DeltaLog,
 }
 
 struct Offer {
@@ -107,7 +107,7 @@
         if self.replica.apply(section)
             && let (Some(old), Some(new)) = (old, self.section().cloned())
         {
-            self.trail.record(&old, &new);
+            self.log.record(&old, &new);
         }
     }
 }
@@ -124,7 +124,7 @@
     fn offer(&mut self, from: usize, to: usize) {
         let Some(section) = self.hosts[from].section().cloned() else { return };
         let known = self.hosts[to].replica.version(&team());
-        let deltas = self.hosts[from].trail.since(known, &section);
+        let deltas = self.hosts[from].log.since(known, &section);
         if deltas.is_empty() {
             self.hosts[to].put(section.version, &section.text);
             return;
@@ -136,7 +136,7 @@
         let offer = if newest { self.offers.last() } else { self.offers.first() };
         let Some(offer) = offer else { return };
         let host = &mut self.hosts[offer.to];
-        if let Some(text) = trail::follow(host.section(), &offer.deltas) {
+        if let Some(text) = delta_log::apply(host.section(), &offer.deltas) {
             host.put(offer.version, &text);
         }
     }
--- a/crates/lagoonline/tests/control_document.rs
+++ b/crates/lagoonline/tests/control_document.rs
@@ -7,11 +7,11 @@
 use lagoonline::id;
 use rstest::rstest;
 
-fn put(team: &str, from: u64, name: &str, text: &str) -> document::Put {
+fn put(team: &str, base: u64, id: &str, text: &str) -> document::Put {
     document::Put {
         team: id::Team::from(team),
-        from: id::Version(from),
-        put: name.to_owned(),
+        base: id::Version(base),
+        id: id.to_owned(),
         text: text.to_owned(),
     }
 }
@@ -60,7 +60,7 @@
 fn a_section_that_does_not_fit_is_refused_by_pointer(#[case] text: &str, #[case] faults: &str) {
     let others = [section("fleet", ENGINES)];
     let candidate = section("labels", text);
-    let found = document::check_whole(&others, &candidate).unwrap_err();
+    let found = document::check_document(&others, &candidate).unwrap_err();
     assert_eq!(found.to_string(), faults);
 }
 
@@ -69,8 +69,8 @@
     let others = [section("fleet", ENGINES)];
     let text = r#"{"models": {"k": {}}, "customers": {"d": {"models": ["m", "k"]}},
         "claims": {"m": {"engines": 1}, "n": {"engines": 1}}}"#;
-    assert_eq!(document::check_whole(&others, &section("labels", text)), Ok(()));
-    assert_eq!(document::check_whole(&others, &section("fleet", ENGINES)), Ok(()));
+    assert_eq!(document::check_document(&others, &section("labels", text)), Ok(()));
+    assert_eq!(document::check_document(&others, &section("fleet", ENGINES)), Ok(()));
 }
 
 #[test]
@@ -78,7 +78,7 @@
     let others =
         [section("fleet", ENGINES), section("labels", r#"{"claims": {"m": {"engines": 1}}}"#)];
     let text = r#"{"models": {"n": {}}}"#;
-    let faults = document::check_whole(&others, &section("fleet", text)).unwrap_err();
+    let faults = document::check_document(&others, &section("fleet", text)).unwrap_err();
     assert_eq!(
         faults.to_string(),
         "/models/m: is needed by team labels at /claims/m\n/upstreams: claims of 1 engines for m are above the 0"
@@ -94,7 +94,7 @@
     finish(document::store(&table, &put("a", 1, "p1", r#"{"models": {"m": {"max_tokens": 9}}}"#)))
         .unwrap();
     let lost = finish(document::store(&table, &put("a", 1, "p2", "{}"))).unwrap_err();
-    let document::Refusal::Raced { version, changes } = lost else { panic!("{lost}") };
+    let document::StoreError::Conflict { version, changes } = lost else { panic!("{lost}") };
     assert_eq!(version, id::Version(2));
     let changes: Vec<_> = changes.iter().map(ToString::to_string).collect();
     assert_eq!(changes, ["+ /models/m/max_tokens: 9"]);
@@ -145,7 +145,7 @@
         two = two.or_else(|| control::poll_once(second.as_mut()));
     }
     assert_eq!(one, Some(Ok(id::Version(1))));
-    let Some(Err(document::Refusal::Faulty(faults))) = two else { panic!("{two:?}") };
+    let Some(Err(document::StoreError::Invalid(faults))) = two else { panic!("{two:?}") };
     assert_eq!(faults.to_string(), "/models/m: belongs to the section of team a");
 }
 
--- a/crates/lagoonline/tests/control_document_fuzz.rs
+++ b/crates/lagoonline/tests/control_document_fuzz.rs
@@ -11,7 +11,7 @@
 
 use control::{Fault, Table};
 use lagoonline::control::document;
-use lagoonline::control::spread;
+use lagoonline::control::replication;
 use lagoonline::id;
 use lagoonline::port::table;
 use proptest::prelude::*;
@@ -92,7 +92,7 @@
     }
 }
 
-type Result = std::result::Result<id::Version, document::Refusal>;
+type Result = std::result::Result<id::Version, document::StoreError>;
 
 struct Operator {
     put: document::Put,
@@ -104,7 +104,7 @@
     table: Table,
     down: bool,
     operators: collections::BTreeMap<usize, Operator>,
-    hosts: Vec<spread::Replica>,
+    hosts: Vec<replication::Replica>,
     sent: collections::VecDeque<Vec<sync::Arc<document::Section>>>,
     /// Puts that were reported as stored, with the reported version.
     stored: collections::BTreeMap<String, (id::Team, id::Version)>,
@@ -116,7 +116,7 @@
     /// Section texts by history key, as first seen in the history.
     history: rc::Rc<cell::RefCell<collections::BTreeMap<String, String>>>,
     /// Highest version that was ever in force on any host.
-    highest: spread::Versions,
+    highest: replication::Versions,
     puts: u64,
 }
 
@@ -125,10 +125,10 @@
         let team = id::Team::from(TEAMS[team]);
         let newest = self.table.rows(&document::section_key(&team));
         let newest = newest.first().map_or(0, |row| row.version);
-        let from = id::Version(if stale { newest.saturating_sub(1) } else { newest });
+        let base = id::Version(if stale { newest.saturating_sub(1) } else { newest });
         self.puts += 1;
-        let (put, text) = (format!("put-{}", self.puts), text(self.puts));
-        self.start(operator, document::Put { team, from, put, text });
+        let (id, text) = (format!("put-{}", self.puts), text(self.puts));
+        self.start(operator, document::Put { team, base, id, text });
     }
 
     fn start(&mut self, operator: usize, put: document::Put) {
@@ -146,15 +146,15 @@
         let put = found.put.clone();
         match result {
             Ok(version) => {
-                let known = self.stored.insert(put.put, (put.team.clone(), version));
+                let known = self.stored.insert(put.id, (put.team.clone(), version));
                 assert!(known.is_none_or(|known| known == (put.team, version)));
             }
-            Err(document::Refusal::Table(table::Error::Unknown { .. })) => {
-                self.unknown.insert(put.put);
+            Err(document::StoreError::Table(table::Error::Unknown { .. })) => {
+                self.unknown.insert(put.id);
             }
-            Err(document::Refusal::Table(_)) if self.was_tried(&put.put) => {}
+            Err(document::StoreError::Table(_)) if self.was_tried(&put.id) => {}
             Err(_) => {
-                self.refused.insert(put.put);
+                self.refused.insert(put.id);
             }
         }
     }
@@ -165,7 +165,7 @@
 
     fn again(&mut self, operator: usize) {
         let Some(found) = self.operators.get(&operator) else { return };
-        if found.running.is_none() && !self.refused.contains(&found.put.put) {
+        if found.running.is_none() && !self.refused.contains(&found.put.id) {
             let put = found.put.clone();
             self.start(operator, put);
         }
@@ -185,7 +185,7 @@
     }
 
     fn gossip(&mut self, from: usize, to: usize) {
-        let lacking = self.hosts[from].lacking(&self.hosts[to].versions());
+        let lacking = self.hosts[from].newer_than(&self.hosts[to].versions());
         for section in lacking {
             self.hosts[to].apply((*section).clone());
         }
@@ -226,7 +226,7 @@
             sections.push(document::Section::parse(team, version, &stored.text).unwrap());
         }
         for section in &sections {
-            document::check_whole(&sections, section).unwrap();
+            document::check_document(&sections, section).unwrap();
         }
     }
 
@@ -247,11 +247,11 @@
     type Reference = Reference;
 
     fn init_test(_: &Reference) -> System {
-        System { hosts: vec![spread::Replica::default(); HOSTS], ..System::default() }
+        System { hosts: vec![replication::Replica::default(); HOSTS], ..System::default() }
     }
 
     fn apply(mut system: System, _: &Reference, transition: Transition) -> System {
-        let before: Vec<_> = system.hosts.iter().map(spread::Replica::versions).collect();
+        let before: Vec<_> = system.hosts.iter().map(replication::Replica::versions).collect();
         let mut replaced = None;
         match transition {
             Transition::Begin { operator, team, stale } => system.begin(operator, team, stale),
@@ -275,7 +275,7 @@
                 }
             }
             Transition::Replace { host } => {
-                system.hosts[host] = spread::Replica::default();
+                system.hosts[host] = replication::Replica::default();
                 replaced = Some(host);
                 (0..HOSTS).for_each(|from| system.gossip(from, host));
                 system.fetch(host);
@@ -285,7 +285,7 @@
             let is_newcomer = replaced == Some(host);
             assert!(is_newcomer || system.hosts[host].covers(before), "host {host} went back");
         }
-        for versions in system.hosts.iter().map(spread::Replica::versions) {
+        for versions in system.hosts.iter().map(replication::Replica::versions) {
             for (team, version) in versions {
                 let highest = system.highest.entry(team).or_default();
                 *highest = version.max(*highest);
--- a/crates/lagoonline/tests/control_lease.rs
+++ b/crates/lagoonline/tests/control_lease.rs
@@ -61,8 +61,8 @@
     let permit = first.permit().unwrap();
     clock.advance(Span::from_secs(30));
     assert_eq!(first.permit(), None);
-    assert!(!first.sent(&permit));
-    assert_eq!(first.late(), 1);
+    assert!(!first.record_sent(&permit));
+    assert_eq!(first.late_orders(), 1);
 }
 
 #[test]
@@ -195,11 +195,11 @@
     fn order(&mut self, index: usize) {
         let Some(Contender::Idle(lease)) = &mut self.contenders[index] else { return };
         let Some(permit) = lease.permit() else { return };
-        assert!(lease.sent(&permit));
+        assert!(lease.record_sent(&permit));
         let now = self.clock.now();
         let holder = *self.fences.entry(permit.fence).or_insert(index);
         assert_eq!(holder, index, "number {} has two holders", permit.fence.0);
-        let flight = lease::Settings::default().flight;
+        let flight = lease::Settings::default().max_order_delay;
         for (fence, other, sent) in &self.orders {
             let is_over = *sent + flight <= now;
             assert!(*other == index || is_over, "an order of {other} is still under way");
--- a/crates/lagoonline/tests/control_ledger.rs
+++ b/crates/lagoonline/tests/control_ledger.rs
@@ -31,12 +31,12 @@
 fn each_claim_gets_an_engine_and_the_rest_is_the_owners() {
     // Two teams claim one engine each for model m, which only e1 and e2 serve. No claim holds e3,
     // so its idle time must be charged to its owner.
-    let accounts = ledger::accounts(&fleet());
-    let claimant = |name: &str| accounts[name].claimant.as_str().to_owned();
+    let attributions = ledger::attributions(&fleet());
+    let claimant = |name: &str| attributions[name].claimant.as_str().to_owned();
     let held: collections::BTreeSet<_> = [claimant("e1"), claimant("e2")].into();
     assert_eq!(held, ["other".to_owned(), "owner".to_owned()].into());
     assert_eq!(claimant("e3"), "");
-    assert_eq!(accounts["e3"].owner.as_str(), "owner");
+    assert_eq!(attributions["e3"].owner.as_str(), "owner");
 }
 
 #[test]
@@ -141,7 +141,7 @@
     }
 
     fn write(&mut self, lost: bool) {
-        self.pending.extend(self.meter.take());
+        self.pending.extend(self.meter.take_finished());
         if lost && !self.pending.is_empty() {
             self.table.fail_next(Fault::LoseAnswer);
         }
--- a/crates/lagoonline/tests/control_membership.rs
+++ b/crates/lagoonline/tests/control_membership.rs
@@ -4,7 +4,7 @@
 
 use lagoonline::clock::Moment;
 use lagoonline::control::membership;
-use lagoonline::control::owner;
+use lagoonline::control::rendezvous;
 use lagoonline::id;
 use rand::Rng;
 use rand::SeedableRng;
@@ -16,7 +16,7 @@
 
 enum Message {
     Heartbeat(id::Host, id::Incarnation),
-    News(Vec<membership::News>),
+    Updates(Vec<membership::Update>),
 }
 
 /// Simulated zone of stewards that run in lockstep. Heartbeat datagrams are lost and delayed;
@@ -88,10 +88,10 @@
         let settings = membership::Settings::default();
         let own = member(host.clone(), incarnation);
         let mut group = membership::Group::new(own, settings, now);
-        let news = group.roster().news();
+        let news = group.roster().updates();
         for other in self.groups.values_mut() {
-            group.take(&other.roster().news(), now);
-            other.take(&news, now);
+            group.apply(&other.roster().updates(), now);
+            other.apply(&news, now);
         }
         self.groups.insert(host, group);
     }
@@ -102,14 +102,14 @@
     }
 
     /// Sends updates over all links of a host, whichever side opened them.
-    fn tell(&mut self, from: &id::Host, news: &[membership::News]) {
+    fn tell(&mut self, from: &id::Host, news: &[membership::Update]) {
         if news.is_empty() {
             return;
         }
         for to in self.links(from) {
             self.news += 1;
             let delay = self.random.random_range(1..40);
-            self.send(to, delay, Message::News(news.to_vec()));
+            self.send(to, delay, Message::Updates(news.to_vec()));
         }
     }
 
@@ -121,7 +121,7 @@
                 self.groups.contains_key(other)
                     && self.cut.contains(other) == self.cut.contains(host)
             };
-            let others = group.contacts().iter().filter(|other| reached(other));
+            let others = group.heartbeat_peers().iter().filter(|other| reached(other));
             linked.extend(others.map(|other| (host.clone(), other.clone())));
         }
         linked.extend(self.tried.clone());
@@ -129,8 +129,8 @@
         self.linked = linked;
         for (one, other) in fresh {
             for (from, to) in [(&one, &other), (&other, &one)] {
-                let news = self.groups[from].roster().news();
-                self.send(to.clone(), 20, Message::News(news));
+                let news = self.groups[from].roster().updates();
+                self.send(to.clone(), 20, Message::Updates(news));
             }
         }
     }
@@ -156,7 +156,7 @@
             let Some((to, message)) = self.messages.remove(&key) else { continue };
             if self.paused.contains(&to) {
                 // Datagrams that arrive during a pause are lost; messages over links are queued.
-                if let Message::News(_) = message {
+                if let Message::Updates(_) = message {
                     self.messages.insert((self.now_ms + TICK_MS, key.1), (to, message));
                 }
                 continue;
@@ -177,8 +177,10 @@
         let now = self.now();
         let Some(group) = self.groups.get_mut(to) else { return };
         let news = match message {
-            Message::Heartbeat(from, incarnation) => group.hear(&from, incarnation, now),
-            Message::News(news) => group.take(&news, now),
+            Message::Heartbeat(from, incarnation) => {
+                group.record_heartbeat(&from, incarnation, now)
+            }
+            Message::Updates(news) => group.apply(&news, now),
         };
         self.tell(to, &news);
     }
@@ -187,7 +189,7 @@
         let (now, now_ms) = (self.now(), self.now_ms);
         let group = self.groups.get_mut(host).unwrap();
         let (news, changes) = group.tick(now);
-        let (contacts, life) = (group.contacts().to_vec(), group.own().incarnation);
+        let (contacts, life) = (group.heartbeat_peers().to_vec(), group.own().incarnation);
         for change in changes {
             if let membership::Change::Dead(dead) = change {
                 self.deaths.push((now_ms, host.clone(), dead));
@@ -332,7 +334,7 @@
     let upstreams: Vec<String> = (0..133).map(|index| format!("engine-{index}")).collect();
     let owners = |hosts: &[String]| -> Vec<String> {
         let names = || hosts.iter().map(String::as_str);
-        upstreams.iter().map(|name| owner::choose(names(), name).unwrap().to_owned()).collect()
+        upstreams.iter().map(|name| rendezvous::choose(names(), name).unwrap().to_owned()).collect()
     };
     let before = owners(&hosts);
     let most = hosts.iter().map(|host| before.iter().filter(|owner| *owner == host).count()).max();
--- a/crates/lagoonline/tests/control_order.rs
+++ b/crates/lagoonline/tests/control_order.rs
@@ -1,12 +1,12 @@
 //! Reconciliation of engines that check fencing numbers and of engines that ignore them.
 
-use lagoonline::control::order::{self, Actual, Decision, Situation, Wanted};
+use lagoonline::control::order::{self, Actual, Context, Decision, Desired};
 use lagoonline::id;
 use lagoonline::port::engine;
 use rstest::rstest;
 
-fn wanted() -> Wanted {
-    Wanted { models: vec!["m".into(), "n".into()], role: engine::Role::Long }
+fn desired() -> Desired {
+    Desired { models: vec!["m".into(), "n".into()], role: engine::Role::Long }
 }
 
 fn load() -> engine::Order {
@@ -17,39 +17,35 @@
     Actual { model: model.to_owned(), role, fence: id::Fence(fence), ..Actual::default() }
 }
 
-fn situation(checks_fence: bool, busy: u32) -> Situation {
-    Situation { fence: id::Fence(5), checks_fence, busy }
+fn context(checks_fence: bool, in_flight: u32) -> Context {
+    Context { fence: id::Fence(5), checks_fence, in_flight }
 }
 
 #[rstest]
-#[case::as_wanted(actual("n", engine::Role::Long, 4), situation(true, 0), Decision::Nothing)]
-#[case::other_model(actual("x", engine::Role::Long, 4), situation(true, 3), Decision::Send(load()))]
+#[case::as_wanted(actual("n", engine::Role::Long, 4), context(true, 0), Decision::Nothing)]
+#[case::other_model(actual("x", engine::Role::Long, 4), context(true, 3), Decision::Send(load()))]
 #[case::other_role(
     actual("m", engine::Role::Short, 4),
-    situation(false, 3),
+    context(false, 3),
     Decision::Send(engine::Order::Role { role: engine::Role::Long })
 )]
-#[case::newer_holder(actual("x", engine::Role::Long, 6), situation(true, 0), Decision::Superseded)]
-#[case::serving_and_unfenced(
-    actual("x", engine::Role::Long, 4),
-    situation(false, 1),
-    Decision::Wait
-)]
+#[case::newer_holder(actual("x", engine::Role::Long, 6), context(true, 0), Decision::Superseded)]
+#[case::serving_and_unfenced(actual("x", engine::Role::Long, 4), context(false, 1), Decision::Wait)]
 #[case::late_order_obeyed(
     actual("x", engine::Role::Long, 5),
-    situation(false, 0),
+    context(false, 0),
     Decision::Repair(load())
 )]
 fn a_look_at_an_engine_gives_one_decision(
     #[case] actual: Actual,
-    #[case] situation: Situation,
+    #[case] context: Context,
     #[case] decision: Decision,
 ) {
-    assert_eq!(order::decide(&wanted(), &actual, &situation), decision);
+    assert_eq!(order::decide(&desired(), &actual, &context), decision);
 }
 
 #[test]
 fn a_loading_engine_is_left_alone() {
     let actual = Actual { loading: true, ..actual("x", engine::Role::Long, 5) };
-    assert_eq!(order::decide(&wanted(), &actual, &situation(true, 0)), Decision::Wait);
+    assert_eq!(order::decide(&desired(), &actual, &context(true, 0)), Decision::Wait);
 }
--- a/crates/lagoonline/tests/control_platform.rs
+++ b/crates/lagoonline/tests/control_platform.rs
@@ -46,13 +46,13 @@
         let now = Moment::from_millis(step * 10);
         if breaker.admit(now) {
             made += 1;
-            breaker.failed(now, random.random());
+            breaker.record_failure(now, random.random());
         }
     }
     assert!((5 + 59..=5 + 121).contains(&made), "{made} calls");
     let back = Moment::from_millis(60_000) + rest;
     assert!(breaker.admit(back));
-    breaker.answered();
+    breaker.record_success();
     assert!((0..100).all(|_| breaker.admit(back)));
 }
 
@@ -64,9 +64,9 @@
         let now = Moment::from_millis(step * 10);
         assert!(breaker.admit(now));
         if step.is_multiple_of(3) {
-            breaker.failed(now, 0.5);
+            breaker.record_failure(now, 0.5);
         } else {
-            breaker.answered();
+            breaker.record_success();
         }
     }
 }
@@ -81,7 +81,7 @@
     for _ in 0..hosts {
         let mut breaker = platform::Breaker::new(rest);
         for _ in 0..5 {
-            breaker.failed(Moment::START, random.random());
+            breaker.record_failure(Moment::START, random.random());
         }
         let first = (0..=100_u64).find(|step| breaker.admit(Moment::from_millis(step * 10)));
         times.push(first.unwrap() * 10);
@@ -102,8 +102,8 @@
     #[case] most: u64,
 ) {
     let backoff = platform::Backoff::default();
-    assert_eq!(backoff.wait(failures, 0.0), Span::ZERO);
-    assert_eq!(backoff.wait(failures, 0.5), Span::from_millis(most / 2));
-    assert_eq!(backoff.wait(failures, 1.0), Span::from_millis(most));
-    assert_eq!(backoff.wait(failures, 7.0), Span::from_millis(most));
+    assert_eq!(backoff.delay(failures, 0.0), Span::ZERO);
+    assert_eq!(backoff.delay(failures, 0.5), Span::from_millis(most / 2));
+    assert_eq!(backoff.delay(failures, 1.0), Span::from_millis(most));
+    assert_eq!(backoff.delay(failures, 7.0), Span::from_millis(most));
 }
