--- a/crates/lagoon-net/src/engine/event.rs
+++ b/crates/lagoon-net/src/engine/event.rs
@@ -1,4 +1,4 @@
-//! Events of an engine's stream, read in place: a token's text is never decoded on the way.
+//! Parser for the events of an engine's stream. A token's text is never decoded.
 
 use std::borrow;
 
@@ -13,57 +13,57 @@
 /// Longest event, in bytes.
 const EVENT_LIMIT: usize = 1 << 20;
 
-/// Why a stream cannot be read further.
+/// Reason why a stream cannot be read any further.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Broken {
-    /// It ended without an end mark.
+    /// The stream ended without an end event.
     #[error("cut before its end")]
     Cut,
     /// The connection failed.
     #[error("connection failed: {0}")]
     Connection(String),
-    /// Nothing came for longer than the decisions allow.
+    /// No data arrived for longer than the silence limit.
     #[error("silent for too long")]
     Silent,
-    /// An event that is none.
+    /// An event cannot be parsed.
     #[error("not an event: {0}")]
     Malformed(String),
-    /// A chunk that is not this answer's next one.
+    /// A chunk is not the next one of this response.
     #[error("{0}")]
     Violation(#[from] stream::Violation),
-    /// The engine gave up the attempt.
+    /// The engine aborted the attempt.
     #[error("the engine gave up: {0}")]
     GivenUp(String),
 }
 
-/// One event.
+/// An event of a stream.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// A token.
     Chunk {
-        /// The attempt it belongs to.
+        /// The attempt that the chunk belongs to.
         attempt: id::Attempt,
-        /// Its number.
+        /// Index of the chunk in the response.
         number: u64,
-        /// Its text as a JSON text, quotes included.
+        /// The token's text as a JSON string, including the quotes.
         text: &'a RawValue,
     },
-    /// The end mark.
+    /// The end of the response.
     End {
-        /// The attempt it belongs to.
+        /// The attempt that the event belongs to.
         attempt: id::Attempt,
-        /// The number that the next chunk would have had.
+        /// The index that the next chunk would have had.
         count: u64,
-        /// Prompt tokens by the engine's count.
+        /// Prompt tokens as counted by the engine.
         prompt_tokens: u64,
-        /// Of these, found in the prefix cache.
+        /// Prompt tokens that were found in the prefix cache.
         cached_tokens: u64,
         /// The engine's load.
         load: Option<engine::Load>,
     },
-    /// The engine gave up.
+    /// The engine aborted the attempt.
     Error {
-        /// Its word for why.
+        /// Reason given by the engine.
         code: String,
     },
 }
@@ -89,7 +89,7 @@
     error: Option<borrow::Cow<'a, str>>,
 }
 
-/// A stream of events as it arrives.
+/// An event stream that is being received.
 #[derive(Debug)]
 pub struct Events {
     payload: http::Payload,
@@ -102,12 +102,13 @@
         Events { payload, rest: util::Bytes::new(), load }
     }
 
-    /// The load that came with the answer's head; once.
+    /// Returns the load from the response head; `None` from the second call on.
     pub fn take_load(&mut self) -> Option<engine::Load> {
         self.load.take()
     }
 
-    /// The next bytes that hold whole events; what a read brought together stays together.
+    /// Returns the next bytes that consist of complete events. Events that arrive in one read are
+    /// returned together.
     ///
     /// # Errors
     ///
@@ -131,7 +132,8 @@
         }
     }
 
-    /// Copies only when an event was split over two reads.
+    /// Appends a chunk to the incomplete event before it. Copies only when an event is split over
+    /// two reads.
     fn join(&mut self, chunk: util::Bytes) -> util::Bytes {
         if self.rest.is_empty() {
             return chunk;
@@ -144,7 +146,7 @@
     }
 }
 
-/// The events of one batch.
+/// Parses the events of one batch.
 ///
 /// ```
 /// use lagoon_net::engine;
--- a/crates/lagoon-net/src/engine/mod.rs
+++ b/crates/lagoon-net/src/engine/mod.rs
@@ -1,4 +1,5 @@
-//! Adapter for model engines: the one place that knows how they speak (see docs/PROTOCOLS.md).
+//! Client for model engines. This module is the only one that knows their interface, which
+//! docs/PROTOCOLS.md describes.
 
 mod event;
 
@@ -13,48 +14,48 @@
 
 pub use event::{Broken, Event, Events, events};
 
-/// What an engine is asked to generate.
+/// Parameters of an attempt to generate a response.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// This dispatch.
+    /// Id of this dispatch.
     pub attempt: id::Attempt,
-    /// Who asks.
+    /// The entry host that sends the request.
     pub owner: id::Owner,
-    /// Zone of the asking entry host.
+    /// Zone of that entry host.
     pub zone: id::Zone,
     /// Time left until the deadline.
     pub left: clock::Span,
-    /// Higher goes first.
+    /// Priority; higher values are served first.
     pub priority: u8,
-    /// The model.
+    /// The model to use.
     pub model: id::Model,
-    /// Most answer tokens.
+    /// Most tokens to generate.
     pub answer_tokens: u64,
-    /// Answer tokens that the caller has already, for a continuation.
+    /// Number of answer tokens that the caller already has, for a continuation.
     pub skip: u64,
-    /// Reservations of a group, as its header has them; empty for none.
+    /// Value of the `Lagoon-Group` header; empty without a group.
     pub group: String,
     /// The caller's JSON body, shared and not copied.
     pub body: util::Bytes,
 }
 
-/// The engine's word that an attempt did not run and will not.
+/// Reason why the engine refused an attempt, which did not run and will not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// No place now.
+    /// The engine has no free capacity.
     Full,
-    /// It is leaving.
+    /// The engine is leaving.
     Leaving,
-    /// It does not serve the model.
+    /// The engine does not serve the model.
     UnknownModel,
-    /// The prompt does not fit it.
+    /// The prompt does not fit on the engine.
     TooLong,
-    /// The attempt was seen, or cancelled, before.
+    /// The engine has seen or cancelled this attempt before.
     AttemptExists,
 }
 
 impl Refusal {
-    /// The word in the engine's answer, also used in metrics.
+    /// Returns the error code in the engine's response, which is also a metric label.
     pub const fn as_str(self) -> &'static str {
         match self {
             Refusal::Full => "full",
@@ -77,10 +78,10 @@
     }
 }
 
-/// Why no answer began.
+/// Reason why no response started.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Failure {
-    /// No connection came about, so no byte was sent.
+    /// No connection was established, so no byte was sent.
     #[error("no connection: {0}")]
     Unsent(String),
     /// The engine refused the attempt.
@@ -89,16 +90,16 @@
     /// The engine has no such stream.
     #[error("no such stream")]
     NoStream,
-    /// Anything else: the attempt may run.
+    /// Any other failure: the attempt may run.
     #[error("lost: {0}")]
     Lost(String),
 }
 
-/// Whether `error` proves that no byte of a request left this host.
+/// Returns whether `error` proves that no byte of a request left this host.
 ///
-/// Failure answered: a broken connection is taken for one that never came about, and a call that
-/// ran is told as not run. Only errors of connecting itself count; ntex also reports a connection
-/// that closed before its answer as `Disconnected(None)`, which does not.
+/// Guards against reporting a call that ran as not run, by mistaking a connection that broke for
+/// one that was never established. Only errors of the connect step itself count; ntex also reports
+/// a connection that closed before its response as `Disconnected(None)`, which does not.
 pub(crate) fn is_unsent(error: &client::error::ClientError) -> bool {
     use client::error::{ClientError, ConnectError};
     let ClientError::Connect(error) = error else { return false };
@@ -120,19 +121,19 @@
     )
 }
 
-/// Milliseconds for a `Lagoon-Deadline-Ms` header.
+/// Returns the value of a `Lagoon-Deadline-Ms` header.
 pub(crate) fn millis(span: clock::Span) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Longest refusal that is read.
+/// Longest refusal that is read, in bytes.
 const REFUSAL_LIMIT: usize = 16 << 10;
 
 /// Starts an attempt on the engine at `address`.
 ///
 /// # Errors
 ///
-/// Why no answer began.
+/// The reason why no response started.
 pub async fn generate(
     client: &client::Client,
     address: net::SocketAddr,
@@ -158,11 +159,11 @@
     open(answer, order.attempt).await
 }
 
-/// Resumes an attempt's stream from chunk `from`; it is `owner`'s from then on.
+/// Resumes an attempt's stream at chunk `from`. The stream belongs to `owner` from then on.
 ///
 /// # Errors
 ///
-/// Why no answer began.
+/// The reason why no response started.
 pub async fn resume(
     client: &client::Client,
     address: net::SocketAddr,
@@ -175,7 +176,7 @@
     open(request.header("Lagoon-Owner", owner.to_string()).send().await, attempt).await
 }
 
-/// Stops an attempt and frees its memory; true once the engine said so.
+/// Cancels an attempt and frees its memory. Returns whether the engine acknowledged it.
 pub async fn cancel(
     client: &client::Client,
     address: net::SocketAddr,
@@ -190,13 +191,13 @@
 /// A reservation of KV memory.
 #[derive(Clone, Debug)]
 pub struct Reservation {
-    /// Its name, new for each.
+    /// Id of the reservation, new for each.
     pub id: id::Attempt,
-    /// Who holds it.
+    /// The entry host that holds it.
     pub owner: id::Owner,
-    /// KV tokens.
+    /// Reserved memory, in KV tokens.
     pub tokens: u64,
-    /// When the engine drops it by itself.
+    /// Time after which the engine drops the reservation by itself.
     pub ttl: clock::Span,
 }
 
@@ -204,7 +205,7 @@
 ///
 /// # Errors
 ///
-/// `Refused(Full)` when it has too little, `Lost` when the reservation may stand.
+/// `Refused(Full)` when the engine has too little, `Lost` when the reservation may have been made.
 pub async fn reserve(
     client: &client::Client,
     address: net::SocketAddr,
@@ -227,7 +228,7 @@
     }
 }
 
-/// Frees a reservation; true once the engine said so.
+/// Releases a reservation. Returns whether the engine acknowledged it.
 pub async fn release(
     client: &client::Client,
     address: net::SocketAddr,
@@ -244,10 +245,10 @@
     holdings: Vec<engine::Holding>,
 }
 
-/// Longest list of holdings that is read, in bytes: some 8,000 of them.
+/// Longest list of holdings that is read, in bytes: about 8,000 entries.
 const HOLDINGS_LIMIT: usize = 1 << 20;
 
-/// All that the engine at `address` holds; `None` when it does not say.
+/// Returns everything that the engine at `address` holds; `None` when it cannot be read.
 pub async fn holdings(
     client: &client::Client,
     address: net::SocketAddr,
--- a/crates/lagoon-net/src/entry/body.rs
+++ b/crates/lagoon-net/src/entry/body.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's body, bounded in size and in silence.
+//! Reading request bodies with limits on their size and on the time between chunks.
 
 use std::cell;
 
@@ -11,7 +11,7 @@
 use super::fault;
 use super::settings;
 
-/// Collects a body into one buffer, which is shared from then on and not copied again.
+/// Reads a body into one buffer, which is then shared and not copied again.
 pub(crate) async fn collect(
     limits: &settings::Limits,
     headers: &http::HeaderMap,
@@ -36,18 +36,18 @@
     }
 }
 
-/// Longest silence of a refused caller while the rest of its body is read away.
+/// Longest pause between chunks while the rest of a refused caller's body is discarded.
 const DISCARD_SILENCE: clock::Span = clock::Span::from_secs(1);
-/// Longest time for which that is done.
+/// Longest total time spent on discarding a body.
 const DISCARD_TIME: clock::Span = clock::Span::from_secs(5);
 
-/// A caller's body that may not have been read yet.
+/// A request body that may not have been read yet.
 ///
-/// Failure answered: a call is refused by its head, as for a wrong key or a drain, while its long
-/// body still arrives. Symptom: this side closes with bytes unread, the kernel resets the
-/// connection, and the caller sees a broken pipe in place of the refusal. [`Unread::discard`]
-/// reads the body away first, bounded in size and time; beyond the bounds the caller is one that
-/// sends more than it may or not at all.
+/// Guards against lost refusals: a call is refused because of its head, as for a wrong key or
+/// during a drain, while its long body is still arriving. If this side closes the connection with
+/// unread bytes, the kernel resets it and the caller sees a broken pipe instead of the refusal.
+/// [`Unread::discard`] reads the body first, with limits on size and time; a caller beyond these
+/// limits sends more than it may or has stopped sending.
 #[derive(Debug)]
 pub(crate) struct Unread(cell::RefCell<Option<http::Payload>>);
 
@@ -56,12 +56,13 @@
         Unread(cell::RefCell::new(Some(payload)))
     }
 
-    /// The body, for its one reader.
+    /// Returns the body to its only reader.
     pub(crate) fn take(&self) -> http::Payload {
         self.0.borrow_mut().take().unwrap_or(http::Payload::None)
     }
 
-    /// Reads away what nobody took, unless it is announced as longer than `most` bytes.
+    /// Reads and discards the body if it was not taken, unless its announced length exceeds `most`
+    /// bytes.
     pub(crate) async fn discard(&self, headers: &http::HeaderMap, most: usize) {
         if content_length(headers).is_some_and(|length| length > most as u64) {
             return;
@@ -82,7 +83,7 @@
     }
 }
 
-/// The length that the caller announced.
+/// Returns the value of the `Content-Length` header.
 pub(crate) fn content_length(headers: &http::HeaderMap) -> Option<u64> {
     headers.get("content-length")?.to_str().ok()?.parse().ok()
 }
--- a/crates/lagoon-net/src/entry/call.rs
+++ b/crates/lagoon-net/src/entry/call.rs
@@ -1,4 +1,5 @@
-//! What the head of a caller's request says: who asks, until when, under which names.
+//! Parsing and authentication of a request's head: customer, deadline, idempotency key and resume
+//! position.
 
 use std::sync;
 
@@ -17,25 +18,26 @@
 use super::fault;
 use super::state;
 
-/// Longest `X-Request-Id` that is echoed.
+/// Longest `X-Request-Id` that is echoed, in bytes.
 const REQUEST_ID_LIMIT: usize = 128;
-/// Longest `Idempotency-Key`.
+/// Longest `Idempotency-Key`, in bytes.
 const KEY_LIMIT: usize = 255;
 
-/// A request whose caller is known.
+/// Parsed head of an authenticated request.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) view: sync::Arc<state::View>,
     pub(crate) customer: view::CustomerIndex,
     pub(crate) arrived: clock::Moment,
     pub(crate) deadline: clock::Moment,
+    /// Value of the `Idempotency-Key` header.
     pub(crate) key: Option<String>,
-    /// Number of the first chunk wanted.
+    /// Index of the first chunk that the caller wants.
     pub(crate) from: u64,
 }
 
 impl Call {
-    /// Reads a request's head.
+    /// Authenticates the caller and parses the head.
     pub(crate) fn read(
         state: &state::State,
         arrived: clock::Moment,
@@ -54,12 +56,13 @@
         &self.view.fleet.customers[self.customer.0 as usize]
     }
 
-    /// The customer's limits over the zone.
+    /// Returns the rate limits of the customer for the whole zone.
     pub(crate) fn rate(&self) -> limit::Rate {
         let entry = &self.customer().entry;
         limit::Rate { requests: entry.requests_per_second, tokens: entry.tokens_per_second }
     }
 
+    /// Returns the time left until the deadline.
     pub(crate) fn left(&self, state: &state::State) -> clock::Span {
         self.deadline.since(state.clock.now())
     }
@@ -123,13 +126,13 @@
     })
 }
 
-/// A fault of the caller's request, with what is wrong in it.
+/// Creates the error for a malformed request; `detail` says what is wrong with it.
 pub(crate) fn malformed(detail: String) -> fault::Fault {
     let failure = outcome::Failure::new(Reason::Malformed, Step::Read, Outcome::NotRun);
     fault::Fault { failure, detail }
 }
 
-/// The caller's own request id, or a new one.
+/// Returns the caller's request id if it is usable, or a new one.
 pub(crate) fn request_id(headers: &http::HeaderMap) -> String {
     let given = headers.get("x-request-id").and_then(|value| value.to_str().ok());
     let usable = |id: &&str| {
@@ -138,7 +141,7 @@
     given.filter(usable).map_or_else(|| new_attempt().to_string(), str::to_owned)
 }
 
-/// A new attempt's id.
+/// Returns a new random attempt id.
 pub(crate) fn new_attempt() -> id::Attempt {
     id::Attempt(rand::random())
 }
--- a/crates/lagoon-net/src/entry/cancel.rs
+++ b/crates/lagoon-net/src/entry/cancel.rs
@@ -1,10 +1,10 @@
-//! Cancels and releases, repeated until the engine acknowledges them.
+//! Sends cancels and releases, and repeats them until the engine acknowledges them.
 //!
-//! Failure answered: a cancel is lost, or its engine is cut off for a while. Symptom: an attempt
-//! that nobody reads holds a place in the batch and KV memory. A [`Guard`] whose attempt did not
-//! end hands it over when dropped, on every path, a panic's included; the control thread repeats
-//! the cancel at the pace of `lagoonline::life::reap::Cancels`, until the engine acknowledges it or
-//! has dropped the stream by its own expiry.
+//! Guards against leaked engine resources: if a cancel is lost, or its engine is unreachable for a
+//! while, an attempt that nobody reads keeps its slot in the batch and its KV memory. A [`Guard`]
+//! whose attempt did not end submits a cancel when it is dropped, on every path including a panic.
+//! The control thread repeats the cancel at the pace of `lagoonline::life::reap::Cancels` until the
+//! engine acknowledges it or has expired the stream by itself.
 
 use std::cell;
 use std::net;
@@ -22,23 +22,23 @@
 use super::state;
 use crate::engine;
 
-/// Time between two looks at what is to be repeated.
+/// Interval at which pending cancels are checked for their next send time.
 const TICK: clock::Span = clock::Span::from_millis(25);
-/// How long an engine may take to acknowledge.
+/// Time for an engine to acknowledge a cancel.
 const PATIENCE: clock::Span = clock::Span::from_secs(2);
-/// Most cancels that are pending; one more is counted and dropped.
+/// Most cancels that may be pending; further ones are counted and dropped.
 const PENDING_LIMIT: i64 = 100_000;
 
-/// What an engine holds that is to be given back.
+/// Something that an engine holds for this host.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Holding {
-    /// An attempt's stream.
+    /// The stream of an attempt.
     Stream(id::Attempt),
-    /// A reservation of a group.
+    /// A KV memory reservation of a group.
     Reservation(id::Attempt),
 }
 
-/// A holding to be given back.
+/// A holding to be released.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) struct Pending {
     address: net::SocketAddr,
@@ -52,7 +52,7 @@
     async_sync::mpsc::unbounded_channel()
 }
 
-/// Gives its holding back when dropped, unless it ended by itself.
+/// Releases its holding when dropped, unless disarmed.
 #[derive(Debug)]
 pub(crate) struct Guard {
     state: sync::Arc<state::State>,
@@ -68,7 +68,7 @@
         Guard { state: state.clone(), pending: Some(Pending { address, holding }) }
     }
 
-    /// The attempt ended by itself, or never began.
+    /// Disarms the guard because the attempt ended by itself or never began.
     pub(crate) fn disarm(&mut self) {
         self.pending = None;
     }
--- a/crates/lagoon-net/src/entry/claims.rs
+++ b/crates/lagoon-net/src/entry/claims.rs
@@ -1,11 +1,11 @@
-//! Keyed calls that may not repeat: the key is claimed before dispatch, the answer stored for
-//! replay.
+//! Service calls with an idempotency key whose method is not idempotent. The key is claimed before
+//! dispatch, and the response is stored for replay.
 //!
-//! Failure answered: a caller loses its answer and asks again, perhaps at another entry host.
-//! Symptom: a filing is made twice. The call goes out only with a ticket of
-//! `lagoonline::life::claim`, and runs in a task of its own: a caller that leaves does not end it,
-//! so the answer is there when it asks again. Storing and freeing go on after the caller has its
-//! answer, and a drain waits for them.
+//! Guards against duplicate execution: a caller that loses its response retries, perhaps at another
+//! entry host, and the call (for example a booking) runs twice. A call is dispatched only with a
+//! ticket of `lagoonline::life::claim`. It runs in a task of its own, so a caller that disconnects
+//! does not end it and finds the response when it retries. Storing the response and releasing the
+//! key continue after the caller has its response, and a drain waits for them.
 
 use std::rc;
 
@@ -30,15 +30,15 @@
 use super::worker;
 use crate::platform;
 
-/// The claims of one worker thread.
+/// Client for the idempotency claims of one worker thread.
 pub(crate) type Claims = claim::Claims<platform::Client, platform::Client, clock::Host>;
 
-/// Tries to store an answer, a second apart: an outage that lasts longer leaves the key as one
-/// that may have run.
+/// Tries to store a response, [`RETRY_PAUSE`] apart. After a longer platform outage the key stays
+/// in the state "may have run".
 const STORE_TRIES: u32 = 10;
 const PAUSE: clock::Span = clock::Span::from_secs(1);
 
-/// Claims through the platform of the settings, if there is one.
+/// Opens the claims on the configured platform; `None` without a platform.
 pub(crate) async fn open(state: &state::State) -> Option<Claims> {
     let limits = state.platform.clone()?;
     let client = platform::Client::new(limits, state.settings.zone.as_str()).await;
@@ -47,21 +47,23 @@
     Some(claim::Claims::new(client.clone(), client, state.clock, settings))
 }
 
-/// A keyed call.
+/// A call with an idempotency key.
 pub(crate) struct Keyed {
     pub(crate) worker: rc::Rc<worker::Worker>,
     pub(crate) call: call::Call,
     pub(crate) key: String,
     pub(crate) request: web::HttpRequest,
     pub(crate) service: id::Service,
+    /// Path and query to forward.
     pub(crate) target: String,
     pub(crate) request_id: String,
-    /// Longest answer that is kept, in bytes.
+    /// Longest response that is accepted and stored, in bytes.
     pub(crate) max_answer: u64,
+    /// Keeps the call counted as in progress while its response is being stored.
     pub(crate) active: rc::Rc<state::Active>,
 }
 
-/// Answers a keyed call.
+/// Handles a call with an idempotency key.
 pub(crate) async fn answer(
     keyed: Keyed,
     payload: http::Payload,
@@ -73,7 +75,7 @@
     let (sender, receiver) = async_sync::oneshot::channel();
     drop(ntex::rt::spawn(async move {
         let result = keyed.run(claims, payload).await;
-        // Nobody listens when the caller left; the answer is stored all the same.
+        // The receiver is gone when the caller disconnected; the response is stored anyway.
         let _left = sender.send(result);
     }));
     let gone = |_| Err(fault::new(Reason::Internal, Step::Claim, Outcome::Unknown));
@@ -96,13 +98,14 @@
                 state.metrics.claim("replayed");
                 Ok(self.head(answer.status, &answer.content_type).body(answer.body.to_vec()))
             }
-            // Both are for calls that may repeat.
+            // Both occur only for calls that may be repeated.
             claim::Begin::Unclaimed | claim::Begin::Running(_) => {
                 Err(fault::new(Reason::EarlierUnknown, Step::Claim, Outcome::Unknown))
             }
         }
     }
 
+    /// Returns the claim to request for this call.
     fn ask(&self, body: &[u8]) -> claim::Ask {
         let path = format!("/services/{}{}", self.service, self.target);
         claim::Ask {
@@ -117,6 +120,7 @@
         }
     }
 
+    /// Claims the key, or finds what is recorded under it.
     async fn begin(&self, claims: &Claims, body: &[u8]) -> Result<claim::Begin, fault::Fault> {
         let (ask, own) = (self.ask(body), claims.clone());
         let mut begin = Box::pin(async move { own.begin(ask).await });
@@ -125,7 +129,8 @@
         let result = match result {
             Ok(result) => result,
             Err(stop) => {
-                // The claim may still come about: it is freed, since nothing was dispatched.
+                // The claim may still be written, so it is released afterwards: nothing was
+                // dispatched.
                 let claims = claims.clone();
                 drop(ntex::rt::spawn(async move {
                     match begin.await {
@@ -147,6 +152,7 @@
         })
     }
 
+    /// Sends the call, and afterwards stores its response, releases the key or marks it as lost.
     async fn dispatch(
         self,
         claims: Claims,
@@ -189,6 +195,7 @@
         }
     }
 
+    /// Sends the call once and reads the whole response.
     async fn send(&self, body: util::Bytes) -> Result<claim::Answer, fault::Fault> {
         let job = services::Job {
             worker: self.worker.clone(),
@@ -234,7 +241,7 @@
         head
     }
 
-    /// Does something that the caller need not wait for, and a drain does.
+    /// Runs `work` in the background. The caller does not wait for it, but a drain does.
     fn after<Work, Done>(&self, claims: Claims, work: Work)
     where
         Work: FnOnce(Claims) -> Done + 'static,
@@ -248,7 +255,7 @@
     }
 }
 
-/// Stores an answer; true once it stands.
+/// Stores a response for replay and returns whether it was stored.
 pub(crate) async fn store(claims: &Claims, sent: claim::Sent, answer: claim::Answer) -> bool {
     let (mut sent, mut answer) = (sent, answer);
     for _ in 0..STORE_TRIES {
@@ -261,7 +268,8 @@
     false
 }
 
-/// Frees a key whose claim may yet land; a drain need not wait, since retention frees it too.
+/// Releases a key whose claim may still be written. A drain does not wait for this, because the
+/// retention period frees the key as well.
 async fn settle(claims: &Claims, abandoned: Option<claim::Abandoned>) {
     let Some(abandoned) = abandoned else { return };
     while !claims.settle(&abandoned).await {
--- a/crates/lagoon-net/src/entry/desk.rs
+++ b/crates/lagoon-net/src/entry/desk.rs
@@ -1,10 +1,10 @@
-//! Places and waiting for them: one desk for each model, over its scheduler.
+//! Admission queue of each model: hands out upstream slots and lets requests wait for them.
 //!
-//! Failure answered: a caller leaves, or a handler panics, between getting a place and reporting
-//! its end. Symptom: the engine's slot stays taken until the process restarts. [`Place`] and
-//! [`Seat`] give back what they hold when dropped, and a place travels to its waiter as such, so a
-//! waiter that is gone when its turn comes gives it back too. That is enough because nothing else
-//! holds a ticket.
+//! Guards against leaked slots: if a caller disconnects or a handler panics between acquiring a
+//! slot and reporting its end, the engine's slot would stay taken until the process restarts.
+//! [`Slot`] and [`Queued`] release what they hold when dropped. A slot is sent to its waiter as a
+//! [`Slot`], so it is also released if the waiter is gone by then. Nothing else holds a scheduler
+//! ticket.
 
 use std::collections;
 use std::mem;
@@ -17,22 +17,27 @@
 use lagoonline::outcome;
 use tokio::sync as async_sync;
 
+/// The result that a waiting request gets: a slot or a refusal.
 type Turn = Result<Place, outcome::Failure>;
 
-/// Scheduler of one model with the requests that wait for it.
+/// The scheduler of one model together with the requests that wait in it.
 #[derive(Debug)]
 pub(crate) struct Desk {
     clock: clock::Host,
     shard: sync::Arc<sync::Mutex<load::Scheduler>>,
     waiting: sync::Mutex<collections::HashMap<load::Waiter, async_sync::oneshot::Sender<Turn>>>,
+    /// Notified when a request starts to wait, since that may bring the next wake time forward.
     changed: async_sync::Notify,
 }
 
-/// Answer to an offer.
+/// Decision on a request.
 #[derive(Debug)]
 pub(crate) enum Offer {
+    /// A slot on an upstream.
     Place(Place),
+    /// The request waits in the queue.
     Wait(Seat),
+    /// The request is refused.
     Refuse(outcome::Failure),
 }
 
@@ -45,13 +50,15 @@
         sync::Arc::new(Desk { clock, shard, waiting, changed: async_sync::Notify::new() })
     }
 
+    /// Asks the scheduler for a slot. If none is free, the request waits or is refused.
     pub(crate) fn offer(self: &sync::Arc<Self>, ask: load::Ask) -> Offer {
         let mut scheduler = load::lock(&self.shard);
         let verdict = scheduler.offer(self.clock.now(), ask);
         self.settle(scheduler, verdict)
     }
 
-    /// The seat is entered under the scheduler's lock, so that no turn can come before it.
+    /// Turns a verdict into a decision. A waiting request is registered under the scheduler's lock,
+    /// so that it cannot be granted a slot before it is registered.
     fn settle(
         self: &sync::Arc<Self>,
         scheduler: sync::MutexGuard<'_, load::Scheduler>,
@@ -81,7 +88,7 @@
         Place { desk: self.clone(), placement: Some(placement) }
     }
 
-    /// Hands out the places and refusals that are due.
+    /// Sends the slots and refusals that are due to the requests waiting for them.
     pub(crate) fn turn(self: &sync::Arc<Self>) {
         let mut due = Vec::new();
         {
@@ -96,7 +103,7 @@
                 due.push((waiting.remove(&waiter), turn));
             }
         }
-        // Outside the locks: a turn whose waiter is gone is dropped here and gives its place back.
+        // Outside the locks: a slot whose waiter is gone is dropped here, which releases it.
         for (sender, turn) in due {
             if let Some(sender) = sender {
                 let _gone = sender.send(turn);
@@ -113,12 +120,13 @@
         load::lock(&self.shard).observe(self.clock.now(), upstream, load);
     }
 
-    /// Bytes for each token of the model's prompts.
+    /// Returns the current estimate of prompt bytes per token.
     pub(crate) fn ratio(&self) -> load::tokens::Ratio {
         load::lock(&self.shard).ratio()
     }
 
-    /// An engine counted `tokens` tokens in a prompt of `bytes` bytes.
+    /// Updates the bytes per token estimate: an engine counted `tokens` in a prompt of `bytes`
+    /// bytes.
     pub(crate) fn counted(&self, bytes: usize, tokens: u64) {
         load::lock(&self.shard).counted(bytes as u64, tokens);
     }
@@ -127,12 +135,12 @@
         self.waiting().len()
     }
 
-    /// Places that were given out and not given back.
+    /// Returns the number of slots in use.
     pub(crate) fn dispatched(&self) -> usize {
         load::lock(&self.shard).dispatched()
     }
 
-    /// Gives out due turns until the desk is dropped.
+    /// Wakes requests that are due until the queue is dropped.
     pub(crate) async fn keep(desk: sync::Weak<Desk>) {
         while let Some(desk) = desk.upgrade() {
             let now = desk.clock.now();
@@ -145,12 +153,12 @@
     }
 }
 
-/// Keeps a wake in the past from spinning.
+/// Lower bound of the sleep, so that a wake time in the past does not cause a busy loop.
 const SHORTEST_PAUSE: clock::Span = clock::Span::from_millis(1);
-/// How long a desk that was replaced may live on.
+/// Upper bound of the sleep, and so of the time that a replaced queue stays in memory.
 const LONGEST_PAUSE: clock::Span = clock::Span::from_secs(1);
 
-/// A place on an upstream; dropped without a word, it counts as abandoned.
+/// A slot on an upstream. Dropping it without [`Slot::finish`] reports the attempt as abandoned.
 #[derive(Debug)]
 pub(crate) struct Place {
     desk: sync::Arc<Desk>,
@@ -170,21 +178,22 @@
         self.placement.as_ref().map_or(0, |placement| placement.priority)
     }
 
-    /// The engines of a group with the tokens of each; empty when one engine holds the prompt.
+    /// Returns the engines of a group with the tokens on each; empty when one engine holds the
+    /// prompt.
     pub(crate) fn group(&self) -> Vec<(&id::Upstream, u64)> {
         let Some(placement) = &self.placement else { return Vec::new() };
         let names = std::iter::once(&placement.upstream).chain(&placement.members);
         names.zip(placement.spans.iter().copied()).collect()
     }
 
-    /// Longest silence before the first token and between tokens.
+    /// Returns the longest accepted silence before the first token and between tokens.
     pub(crate) fn silence(&self) -> (clock::Span, clock::Span) {
         let usual = load::silence::between(0.0);
         self.placement.as_ref().map_or((usual, usual), |known| (known.silence, known.gap))
     }
 
-    /// Whether another upstream could take the request over from a silent one; never for a place
-    /// that was given back.
+    /// Returns whether another upstream could take the request from a silent one; false for a slot
+    /// that was released.
     pub(crate) fn is_better_elsewhere(&self, ask: &load::Ask) -> bool {
         self.placement.as_ref().is_some_and(|placement| {
             let now = self.desk.clock.now();
@@ -192,6 +201,7 @@
         })
     }
 
+    /// Reports to the scheduler that the first token arrived.
     pub(crate) fn first_token(&self) {
         if let Some(placement) = &self.placement {
             let now = self.desk.clock.now();
@@ -199,12 +209,14 @@
         }
     }
 
-    /// Gives the place back; what is left names no upstream and may ask again.
+    /// Releases the slot. The value that is returned names no upstream; it can still request
+    /// another slot.
     pub(crate) fn detached(mut self) -> Place {
         self.give_back(load::Ending::Abandoned);
         self
     }
 
+    /// Releases the slot and reports how the attempt ended.
     pub(crate) fn finish(mut self, ending: load::Ending) {
         self.give_back(ending);
     }
@@ -215,7 +227,7 @@
         self.desk.turn();
     }
 
-    /// Ends this attempt and asks for another place.
+    /// Ends this attempt and requests another slot.
     pub(crate) fn again(mut self, ending: load::Ending, ask: load::Ask) -> Offer {
         let Some(placement) = self.placement.take() else { return self.desk.offer(ask) };
         let desk = self.desk.clone();
@@ -235,7 +247,7 @@
     }
 }
 
-/// A waiting request; dropped, it leaves the queue.
+/// A waiting request. Dropping it removes it from the queue.
 #[derive(Debug)]
 pub(crate) struct Seat {
     desk: sync::Arc<Desk>,
@@ -244,7 +256,7 @@
 }
 
 impl Seat {
-    /// The place or the refusal, once it is this request's turn.
+    /// Waits for a slot or a refusal.
     pub(crate) async fn turn(mut self) -> Turn {
         let turn = mem::replace(&mut self.turn, async_sync::oneshot::channel().1);
         let gone = || {
--- a/crates/lagoon-net/src/entry/fault.rs
+++ b/crates/lagoon-net/src/entry/fault.rs
@@ -1,4 +1,4 @@
-//! Failures on their way to a caller, as the error object, its status and its headers.
+//! Errors that are reported to a caller: the error object, HTTP status and headers.
 
 use lagoonline::clock;
 use lagoonline::outcome;
@@ -7,7 +7,7 @@
 use ntex::web;
 use serde_json::json;
 
-/// A failure with words for the caller.
+/// A failure with additional detail for the caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Fault {
     pub(crate) failure: outcome::Failure,
@@ -24,7 +24,7 @@
     }
 }
 
-/// When a caller may ask again after a refusal that names no time.
+/// `Retry-After` of a refusal that has no retry time of its own.
 const USUAL_RETRY: clock::Span = clock::Span::from_secs(1);
 
 impl Fault {
@@ -42,13 +42,13 @@
         Fault { detail: detail.into(), ..self }
     }
 
-    /// The same fault with the outcome that the request's life gives.
+    /// Replaces the outcome by the one that the request's state machine gives.
     pub(crate) fn with_outcome(mut self, outcome: Outcome) -> Fault {
         self.failure.outcome = outcome;
         self
     }
 
-    /// The error object as JSON.
+    /// Returns the error object as JSON.
     pub(crate) fn object(&self) -> String {
         let failure = &self.failure;
         let mut message = failure.to_string();
@@ -66,8 +66,8 @@
         object.to_string()
     }
 
-    /// The whole answer. The connection is closed when `close` says so, or when the rest of the
-    /// caller's body was not read.
+    /// Builds the error response. The connection is closed if `close` is set, or if the rest of the
+    /// request body was not read.
     pub(crate) fn answer(&self, request_id: &str, close: bool) -> web::HttpResponse {
         let status = http::StatusCode::from_u16(self.failure.reason.status());
         let status = status.unwrap_or(http::StatusCode::INTERNAL_SERVER_ERROR);
@@ -93,7 +93,7 @@
     span.as_millis().div_ceil(1_000).max(1).try_into().unwrap_or(u64::MAX)
 }
 
-/// The `type` that model clients know.
+/// Returns the error `type` of the OpenAI API.
 fn kind(reason: Reason) -> &'static str {
     match reason {
         Reason::Unauthenticated => "authentication_error",
--- a/crates/lagoon-net/src/entry/group.rs
+++ b/crates/lagoon-net/src/entry/group.rs
@@ -1,9 +1,10 @@
-//! Reservations for a prompt that no single engine holds.
+//! Reservations for a prompt that does not fit on a single engine.
 //!
-//! Failure answered: two such prompts each reserve half of what they need and neither starts.
-//! Members are reserved in the placement's order, which is the fleet's, and all or nothing: the
-//! first refusal drops the reservations made so far, and each gives itself back when dropped. Their
-//! expiry, a little after the deadline, covers a host that dies in between.
+//! Guards against a deadlock: two such prompts could each reserve half of the memory they need, and
+//! neither would start. Members are reserved in the order of the placement, which is that of the
+//! fleet, and all or nothing: the first refusal drops the reservations made so far, and each is
+//! released when dropped. Their expiry shortly after the deadline covers a host that dies in
+//! between.
 
 use std::sync;
 
@@ -16,10 +17,10 @@
 use super::state;
 use crate::engine;
 
-/// Time by which a reservation outlives its request's deadline.
+/// Time that a reservation outlives its request's deadline.
 const MARGIN: clock::Span = clock::Span::from_secs(5);
 
-/// Reservations on all engines of a group, given back when dropped.
+/// Reservations on all engines of a group, released when dropped.
 #[derive(Debug)]
 pub(crate) struct Group {
     /// Value of the `Lagoon-Group` header.
@@ -27,10 +28,10 @@
     _guards: Vec<cancel::Guard>,
 }
 
-/// One engine of a group with its tokens.
+/// An engine of a group and the number of tokens that it holds.
 pub(crate) type Member<'a> = (&'a id::Upstream, u64);
 
-/// Reserves at every member, or at none.
+/// Reserves memory on every member or on none.
 pub(crate) async fn reserve(
     state: &sync::Arc<state::State>,
     client: &client::Client,
@@ -47,7 +48,8 @@
         let (id, address) = (call::new_attempt(), known.entry.address);
         let (owner, ttl) = (state.owner.clone(), left + MARGIN);
         let reservation = engine::Reservation { id, owner, tokens: *tokens, ttl };
-        // Before it is sent: a reservation whose answer is lost is given back too.
+        // Created before the request is sent, so that a reservation whose response is lost is
+        // released too.
         guards.push(cancel::Guard::new(state, address, cancel::Holding::Reservation(id)));
         engine::reserve(client, address, &state.settings.zone, &reservation).await?;
         parts.push(format!("{id}@{address}"));
--- a/crates/lagoon-net/src/entry/limit.rs
+++ b/crates/lagoon-net/src/entry/limit.rs
@@ -1,4 +1,4 @@
-//! Ends a wait at the deadline, or when a drain is cut short.
+//! Runs a future until the request's deadline or until a drain is cut short.
 
 use std::future;
 use std::sync;
@@ -10,14 +10,17 @@
 use super::fault;
 use super::state;
 
-/// Why a wait ended without its result.
+/// Reason why a future was stopped before it completed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Stop {
+    /// The request's deadline passed.
     Deadline,
+    /// The drain was cut short.
     Abort,
 }
 
 impl Stop {
+    /// Returns the error for a request that was interrupted during `step`.
     pub(crate) fn fault(self, step: Step, outcome: Outcome) -> fault::Fault {
         let reason = match self {
             Stop::Deadline => Reason::DeadlinePassed,
@@ -27,7 +30,7 @@
     }
 }
 
-/// Waits for `work` until `deadline`.
+/// Runs `work` until it completes, `deadline` passes or the drain is aborted.
 pub(crate) async fn within<F>(
     state: &sync::Arc<state::State>,
     deadline: clock::Moment,
--- a/crates/lagoon-net/src/entry/link/mod.rs
+++ b/crates/lagoon-net/src/entry/link/mod.rs
@@ -1,6 +1,6 @@
-//! What the data path says to its steward and hears from it.
+//! Exchanges load, rate limit usage and leaving marks between the data path and its steward.
 //!
-//! Nothing here is on a request's path: loads and spending are gathered and sent by a timer.
+//! Requests never wait for this link: loads and usage are collected and sent by a timer.
 
 use std::collections;
 use std::sync;
@@ -18,15 +18,17 @@
 use crate::link;
 use crate::wire;
 
-/// Time between two looks at what there is to say.
+/// Interval of the reports to the steward.
 const TICK: clock::Span = clock::Span::from_millis(250);
-/// Ticks after which a host that let nothing in says so, for others to know that it can be heard.
+/// Ticks between usage reports of a host that admits no requests. Other hosts learn from them that
+/// this host can be reached.
 const QUIET_TICKS: u64 = 4;
 
-/// The data path's end of the link.
+/// The data path's side of the link.
 #[derive(Debug, Default)]
 pub(crate) struct Link {
     handle: Option<link::Handle>,
+    /// Whether the steward has confirmed that the sections are complete; never reset.
     complete: atomic::AtomicBool,
     seen: sync::Mutex<Seen>,
     marks: sync::Mutex<leaving::Marks>,
@@ -34,12 +36,15 @@
 
 #[derive(Debug, Default)]
 struct Seen {
+    /// Loads since the last report.
     loads: collections::HashMap<id::Upstream, engine::Load>,
+    /// Last known incarnation of each upstream.
     incarnations: collections::HashMap<id::Upstream, u64>,
 }
 
 impl Link {
-    /// A link to the steward of the settings; without one it says and hears nothing.
+    /// Opens the link to the configured steward. Without a steward the link sends and receives
+    /// nothing.
     pub(crate) fn open(
         settings: &settings::Settings,
         incarnation: id::Incarnation,
@@ -58,12 +63,13 @@
         (Link { handle: Some(handle), ..Link::default() }, Some(task))
     }
 
-    /// Whether the sections in force are the highest versions in reach.
+    /// Returns whether the steward has confirmed that the sections in force are the newest ones
+    /// available.
     pub(crate) fn is_complete(&self) -> bool {
         self.complete.load(atomic::Ordering::Acquire)
     }
 
-    /// Time since the steward was heard of; `None` without a steward.
+    /// Returns the time since the last message of the steward; `None` without a steward.
     pub(crate) fn view_age(&self) -> Option<clock::Span> {
         self.handle.as_ref()?.view_age()
     }
@@ -72,7 +78,7 @@
         self.seen.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// A load that came with an answer, to be passed on.
+    /// Records a load that came with a response, for the next report.
     pub(crate) fn saw_load(&self, upstream: &id::Upstream, load: &engine::Load) {
         if self.handle.is_none() {
             return;
@@ -82,7 +88,8 @@
         seen.loads.insert(upstream.clone(), *load);
     }
 
-    /// An upstream refused work because it leaves; told at once, so that others stop too.
+    /// Reports an upstream that refused work because it is leaving. This is sent at once, so that
+    /// other hosts stop using it too.
     pub(crate) fn saw_leaving(&self, upstream: &id::Upstream) {
         let seen = self.seen().incarnations.get(upstream).copied();
         let incarnation = self.refused(upstream, seen.map(id::Incarnation)).0;
@@ -90,7 +97,7 @@
         handle.mark(wire::Mark { upstream: upstream.to_string(), incarnation, leaving: true });
     }
 
-    /// Records a refusal; returns the life that it is taken to speak of, 0 when none is known.
+    /// Records a refusal. Returns the incarnation that it applies to, 0 when none is known.
     fn refused(&self, upstream: &id::Upstream, seen: Option<id::Incarnation>) -> id::Incarnation {
         let mut marks = self.marks();
         if let Some(incarnation) = seen {
@@ -100,10 +107,10 @@
         marks.mark(upstream).unwrap_or_default().incarnation
     }
 
-    /// Whether the upstream leaves, if a sign changed that.
+    /// Merges a mark. Returns whether the upstream is leaving, or `None` if nothing changed.
     ///
-    /// Failure answered: a steward that did not take in this host's refusal, as after a restart,
-    /// says that the upstream is live. Symptom: a leaving upstream gets new work again.
+    /// Guards against a steward that did not record this host's refusal, for example after a
+    /// restart, and reports the upstream as live: a leaving upstream would get new work again.
     fn merge(&self, upstream: &id::Upstream, mark: leaving::Mark) -> Option<bool> {
         let mut marks = self.marks();
         marks.merge(upstream, mark)?;
@@ -166,7 +173,7 @@
     }
 }
 
-/// Takes the steward's updates into the shared state.
+/// Applies the steward's updates to the shared state.
 pub(crate) struct Sink(pub(crate) sync::Arc<state::State>);
 
 impl link::Sink for Sink {
--- a/crates/lagoon-net/src/entry/link/tests.rs
+++ b/crates/lagoon-net/src/entry/link/tests.rs
@@ -1,4 +1,4 @@
-//! Marks as an entry host keeps them.
+//! Leaving marks of an entry host.
 
 use lagoonline::id::{Incarnation, Upstream};
 use lagoonline::life::leaving::Mark;
@@ -9,9 +9,9 @@
     Mark { incarnation: Incarnation(incarnation), leaving }
 }
 
-/// A leaving upstream refused this host, then its steward restarts and, from a stale list, says
-/// that the upstream is live in the same life. The host sends it nothing new all the same, until
-/// a new life is named.
+/// A leaving upstream refuses a call of this host. Its steward restarts and reports, from a stale
+/// list, the upstream as live in the same incarnation. The host must not send it new work before a
+/// new incarnation is reported.
 #[test]
 fn a_stale_steward_does_not_end_a_refusal() {
     let (link, upstream) = (Link::default(), Upstream::from("engine"));
@@ -22,8 +22,8 @@
     assert_eq!(link.merge(&upstream, mark(6, false)), Some(false));
 }
 
-/// The refusal comes before any life is known, as from a plain service: the first life that is
-/// named is the one that refused.
+/// An upstream refuses a call before any incarnation of it is known, as a plain service does. The
+/// refusal applies to the first incarnation that is reported.
 #[test]
 fn a_refusal_before_any_life_is_known_counts() {
     let (link, upstream) = (Link::default(), Upstream::from("runner"));
--- a/crates/lagoon-net/src/entry/metrics.rs
+++ b/crates/lagoon-net/src/entry/metrics.rs
@@ -1,7 +1,7 @@
 //! Metrics of an entry host; docs/METRICS.md lists them.
 //!
-//! Label sets are bounded: models and zones come from the document, customers have a fixed cap
-//! and an `other` line, and no histogram has a customer label.
+//! The number of label sets is bounded: models and zones come from the document, customers beyond a
+//! fixed number share the label `other`, and no histogram has a customer label.
 
 use std::collections;
 use std::fmt;
@@ -22,15 +22,15 @@
 use prometheus_client::metrics::histogram;
 use prometheus_client::registry;
 
-/// Customers with a line of their own in each counter.
+/// Number of customers that get a label value of their own.
 const CUSTOMER_LINES: usize = 20;
-/// Upper bounds of histogram buckets, in seconds: 10 ms to 10 minutes.
+/// Upper bounds of latency buckets, in seconds: 10 ms to 10 minutes.
 const BOUNDS: [f64; 18] = [
     0.01, 0.02, 0.035, 0.058, 0.1, 0.2, 0.35, 0.49, 0.75, 1.0, 2.0, 5.0, 10.0, 20.0, 60.0, 120.0,
     300.0, 600.0,
 ];
 
-/// Upper bounds of the slowdown's buckets.
+/// Upper bounds of the slowdown buckets.
 const RATIOS: [f64; 12] = [1.05, 1.1, 1.2, 1.3, 1.5, 2.0, 3.0, 5.0, 8.0, 15.0, 30.0, 100.0];
 
 fn new_histogram() -> histogram::Histogram {
@@ -70,22 +70,22 @@
     reason: &'static str,
 }
 
-/// Whose request, and for what: the labels that it is counted under when it ends.
+/// Labels under which a request is counted when it ends.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Subject {
     kind: &'static str,
-    /// The model or service, empty while it is not known to exist.
+    /// Name of the model or service; empty until it is known to exist.
     name: String,
     customer: Option<id::Customer>,
 }
 
 impl Subject {
-    /// A request of which no more is known than its path.
+    /// Labels of a request of which only the path is known.
     pub(crate) fn new(kind: &'static str) -> Subject {
         Subject { kind, ..Subject::default() }
     }
 
-    /// A request for a model or service that exists, of a known customer.
+    /// Labels of a request for an existing model or service from a known customer.
     pub(crate) fn of(kind: &'static str, name: &str, customer: &id::Customer) -> Subject {
         Subject { kind, name: name.to_owned(), customer: Some(customer.clone()) }
     }
@@ -110,7 +110,7 @@
     }
 }
 
-/// All metrics, cheap to share.
+/// All metrics of an entry host.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: registry::Registry,
@@ -129,6 +129,7 @@
     section_version: family::Family<TeamLabels, gauge::Gauge>,
     pub(crate) view_age: gauge::Gauge<f64, atomic::AtomicU64>,
     customers: Counters<CustomerLabels>,
+    /// Customers that have a label value of their own.
     customer_lines: sync::Mutex<collections::HashSet<id::Customer>>,
     tokens: Counters<ModelLabels>,
     prompt_tokens: Counters<ModelLabels>,
@@ -137,11 +138,12 @@
     between_tokens: Histograms<ModelLabels>,
     completion: Histograms<CompletionLabels>,
     short_slowdown: Histograms<ModelLabels>,
+    /// Learned minimum overhead of a first token beyond its prefill time.
     baseline: sync::Mutex<slowdown::Baseline>,
 }
 
 impl Metrics {
-    /// Metrics of an entry host in `zone`.
+    /// Creates and registers the metrics of an entry host in `zone`.
     pub(crate) fn new(zone: &id::Zone) -> Self {
         let histograms = new_histogram as fn() -> histogram::Histogram;
         let mut metrics = Metrics {
@@ -224,7 +226,7 @@
         registry.register_with_unit("completion", "To the whole answer", seconds(), completion);
     }
 
-    /// Lists every known cause from the start, so that a rate can be taken over its first count.
+    /// Creates the counters of all known causes, so that a rate includes their first increment.
     fn begin(&self) {
         let reasons = outcome::Reason::ALL.map(outcome::Reason::as_str);
         start(&self.refusals, &reasons);
@@ -239,19 +241,19 @@
         start(&self.cancels, &["acknowledged", "repeated", "given_up", "dropped"]);
     }
 
-    /// All metrics as OpenMetrics text.
+    /// Returns all metrics as OpenMetrics text.
     pub(crate) fn encode(&self) -> Result<String, fmt::Error> {
         let mut text = String::new();
         encoding::text::encode(&mut text, &self.registry)?;
         Ok(text)
     }
 
-    /// A request ended with its answer.
+    /// Counts a request that ended with a response.
     pub(crate) fn done(&self, subject: &Subject, outcome: outcome::Outcome) {
         self.ended(subject, outcome.as_str(), "");
     }
 
-    /// A request ended with a failure.
+    /// Counts a request that ended with a failure.
     pub(crate) fn failed(&self, subject: &Subject, failure: &outcome::Failure) {
         let cause = failure.reason.as_str();
         self.ended(subject, failure.outcome.as_str(), cause);
@@ -269,7 +271,7 @@
         }
     }
 
-    /// The customer's own line, or that of all beyond the cap.
+    /// Returns the customer's own label value, or `other` beyond the limit.
     fn line(&self, customer: &id::Customer) -> String {
         let lines = &self.customer_lines;
         let mut lines = lines.lock().unwrap_or_else(sync::PoisonError::into_inner);
@@ -280,8 +282,8 @@
         if lines.contains(customer) { customer.to_string() } else { "other".to_owned() }
     }
 
-    /// The first token of a short prompt came after `span`, from an engine that prefills `rate`
-    /// tokens a second.
+    /// Records the slowdown of a short prompt: its first token arrived after `span` from an engine
+    /// that prefills `rate` tokens per second.
     pub(crate) fn short_slowdown(&self, ask: &load::Ask, span: clock::Span, rate: f64) {
         let mut baseline = self.baseline.lock().unwrap_or_else(sync::PoisonError::into_inner);
         let ratio = baseline.ratio(span, ask.prompt_tokens, rate);
@@ -336,7 +338,7 @@
         self.first_token.get_or_create(&labels).observe(span.as_secs_f64());
     }
 
-    /// `count` tokens came together, `span` after those before them.
+    /// Records `count` tokens that arrived together, `span` after the previous ones.
     pub(crate) fn tokens(&self, model: &id::Model, count: u64, span: Option<clock::Span>) {
         let labels = ModelLabels { model: model.to_string() };
         self.tokens.get_or_create(&labels).inc_by(count);
--- a/crates/lagoon-net/src/entry/mod.rs
+++ b/crates/lagoon-net/src/entry/mod.rs
@@ -1,9 +1,10 @@
-//! Data path of an entry host: callers' HTTP in, upstreams' HTTP out.
+//! Data path of an entry host: accepts HTTP calls and forwards them to upstreams.
 //!
-//! `server` listens and drains, `call` reads a request's head, `model` and `services` answer the
-//! two kinds of calls, `desk` waits for places, `pull` follows one model call through dispatch,
-//! resumption and continuation, `relay` streams to the caller, `cancel` repeats cancels. Decisions
-//! are made in `lagoonline::load` and `lagoonline::life`.
+//! `server` listens and drains, `call` parses a request's head, `model` and `services` handle the
+//! two kinds of calls, `admission` queues requests for upstream slots, `generation` runs one model
+//! call through dispatch, resumption and continuation, `relay` streams to the caller, and `cancel`
+//! repeats cancels until they are acknowledged. Scheduling and request states are decided in
+//! `lagoonline::load` and `lagoonline::life`.
 
 mod body;
 mod call;
--- a/crates/lagoon-net/src/entry/model.rs
+++ b/crates/lagoon-net/src/entry/model.rs
@@ -1,4 +1,4 @@
-//! Model calls: completions, chat completions and the list of models.
+//! Handlers for model calls: completions, chat completions and the list of models.
 
 use std::rc;
 use std::sync;
@@ -22,7 +22,7 @@
 use super::state;
 use super::worker;
 
-/// Answers a model call.
+/// Handles a completion or chat completion call.
 pub(crate) async fn answer(
     worker: &rc::Rc<worker::Worker>,
     form: prompt::Form,
@@ -95,7 +95,7 @@
     Ok(answer.content_type("application/json").body(json))
 }
 
-/// The claim of a keyed call, when there is a platform to record it.
+/// Returns the idempotency claim of a call that has a key, if there is a platform to record it on.
 fn new_claim(worker: &worker::Worker, request: &web::HttpRequest, job: &pull::Job) -> pull::Claim {
     match (&job.call.key, &worker.claims) {
         (Some(key), Some(claims)) => pull::Claim::Wanted(Box::new(pull::Wanted {
@@ -107,7 +107,7 @@
     }
 }
 
-/// What a replayed answer says of its length.
+/// Returns the usage of a replayed response.
 fn replay_usage(
     pull: &pull::Pull,
     found: Option<(u64, u64)>,
@@ -158,7 +158,7 @@
     Ok(pull::Job { call, ask, prompt_bytes, desk, continues, body })
 }
 
-/// The models that the caller may use.
+/// Lists the models that the caller may use.
 pub(crate) fn list(
     state: &state::State,
     request: &web::HttpRequest,
--- a/crates/lagoon-net/src/entry/prompt.rs
+++ b/crates/lagoon-net/src/entry/prompt.rs
@@ -1,4 +1,4 @@
-//! What has to be known of a model call's JSON body, found without building a tree of it.
+//! Extracts the fields of a model call's JSON body that scheduling needs, without building a tree.
 
 use std::borrow;
 
@@ -6,7 +6,7 @@
 
 /// Interval of prefix hashes, in bytes of prompt text.
 const PREFIX_STEP: usize = 4_096;
-/// Answer tokens of a call that names no bound.
+/// Limit on answer tokens of a call that gives none.
 const DEFAULT_ANSWER_TOKENS: u64 = 1_024;
 
 #[derive(serde::Deserialize)]
@@ -25,7 +25,7 @@
     messages: Option<&'a RawValue>,
 }
 
-/// The parts of a call that decisions need.
+/// The fields of a call that scheduling needs.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Prompt {
     pub(crate) model: String,
@@ -37,14 +37,16 @@
     pub(crate) prefixes: Vec<(u64, usize)>,
 }
 
-/// Which of the two calls a body belongs to.
+/// The API endpoint that a body was sent to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Form {
+    /// `/v1/completions`, with a `prompt`.
     Text,
+    /// `/v1/chat/completions`, with `messages`.
     Chat,
 }
 
-/// Finds the parts of `body`; serde checks that it is JSON and UTF-8 on the way.
+/// Parses `body`. Serde also checks that it is valid JSON and UTF-8.
 pub(crate) fn scan(form: Form, body: &[u8]) -> Result<Prompt, String> {
     let fields: Fields<'_> = serde_json::from_slice(body).map_err(|error| error.to_string())?;
     let (name, prompt) = match form {
@@ -71,7 +73,7 @@
     }
 }
 
-/// Hashes the prompt as engines do: texts one after the other, with nothing between them.
+/// Hashes the prompt in the same way as engines do: all texts concatenated without a separator.
 fn hash(prompt: &str) -> (usize, Vec<(u64, usize)>) {
     let mut hasher = Hasher { hash: FNV_BASIS, bytes: 0, prefixes: Vec::new() };
     hasher.value(prompt);
@@ -97,7 +99,8 @@
 }
 
 impl Hasher {
-    /// Takes in a JSON text, or an array of texts, messages or parts; anything else has no text.
+    /// Hashes a JSON string, or an array of strings, messages or parts; any other value has no
+    /// text.
     fn value(&mut self, json: &str) {
         match json.as_bytes().first() {
             Some(b'"') => self.json_text(json),
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Only a text with escapes has to be decoded.
+    /// Decodes the string only if it contains escapes.
     fn json_text(&mut self, json: &str) {
         let text = &json[1..json.len() - 1];
         if text.as_bytes().contains(&b'\\') {
--- a/crates/lagoon-net/src/entry/pull/dispatch.rs
+++ b/crates/lagoon-net/src/entry/pull/dispatch.rs
@@ -1,4 +1,4 @@
-//! Getting a place and an answer that begins, over as many attempts as may be made.
+//! Acquires a slot and dispatches the call until a response starts or the attempts are used up.
 
 use std::future;
 use std::pin;
@@ -21,12 +21,14 @@
 use crate::entry::limit;
 
 impl Pull {
+    /// Dispatches the call until a response starts. Fails when the attempts are used up or the call
+    /// must not be dispatched again.
     pub(super) async fn open(
         &mut self,
         mut held: request::Held,
         mut offer: desk::Offer,
     ) -> Result<Opened, fault::Fault> {
-        // Counts rounds, not dispatches: a group that cannot be reserved is never dispatched.
+        // Counts rounds, not dispatches: a round whose group reservation fails dispatches nothing.
         for round in 1.. {
             let place = match self.seat(offer).await {
                 Ok(place) => place,
@@ -51,6 +53,7 @@
         Err(fault::new(Reason::Internal, Step::Dispatch, held.end()))
     }
 
+    /// Returns the slot of a decision, waiting for it if necessary.
     async fn seat(&self, offer: desk::Offer) -> Result<desk::Place, fault::Fault> {
         let seat = match offer {
             desk::Offer::Place(place) => return Ok(place),
@@ -64,6 +67,7 @@
         }
     }
 
+    /// Makes one attempt: reserves memory for a group, claims the key and sends the call.
     async fn dispatch(
         &mut self,
         held: request::Held,
@@ -143,7 +147,7 @@
         self.after(dispatched, place, failure)
     }
 
-    /// Where a dispatch that got no answer leads: back to held, or to the caller.
+    /// Decides whether a failed dispatch is retried or reported to the caller.
     fn after(
         &self,
         dispatched: request::Dispatched,
@@ -186,7 +190,8 @@
         }
     }
 
-    /// Waits for the head of an answer; none when the engine is silent and another could answer.
+    /// Waits for the response head. Returns `None` when the engine has been silent for too long and
+    /// another upstream could take the request.
     async fn head<F>(
         &self,
         place: &desk::Place,
@@ -215,7 +220,8 @@
         }
     }
 
-    /// Reserves memory on the engines of a group; most prompts need none.
+    /// Reserves KV memory on the engines of a group. Returns `None` for a prompt that one engine
+    /// holds, which is the usual case.
     async fn reserve(&self, place: &desk::Place) -> Result<Option<group::Group>, Unreserved> {
         let members = place.group();
         if members.is_empty() {
@@ -229,6 +235,7 @@
         result.map(Some).map_err(Unreserved::Engine)
     }
 
+    /// Builds the request of an attempt.
     fn order(
         &self,
         attempt: id::Attempt,
@@ -251,38 +258,43 @@
     }
 }
 
-/// Failure answered: a caller comes back for the rest of its stream, which is gone, and gets the
-/// rest of another answer to its prompt. Symptom: a text that is no answer at all, and looks whole.
-/// Where the model does not allow continuing elsewhere, the caller is told, and asks again for all
-/// of it.
+/// Error for a stream that can neither be resumed nor continued.
+///
+/// Guards against a caller that resumes a stream which no longer exists and gets the rest of a
+/// different response to the same prompt: the joined text would look complete but be wrong. Where
+/// the model does not allow continuing on another engine, the caller gets this error and has to
+/// request the whole response again.
 fn torn(outcome: Outcome, upstream: &id::Upstream) -> fault::Fault {
     let fault = fault::new(Reason::UpstreamFailed, Step::Dispatch, outcome);
     fault.at(upstream.as_str()).with_detail("the stream that was named is gone")
 }
 
-/// Why there is no group.
+/// Reason why no group was reserved.
 enum Unreserved {
+    /// The deadline passed or the drain was cut short.
     Stop(limit::Stop),
+    /// An engine of the group refused or could not be reached.
     Engine(engine::Failure),
 }
 
-/// What came of all attempts.
+/// Result of all attempts.
 pub(super) enum Opened {
     Open(Box<Open>),
-    /// Nothing was sent: something stands under the call's key.
+    /// Nothing was sent, because the call's idempotency key is already in use.
     Found(request::Held, desk::Place, key::Found),
 }
 
 #[derive(Debug)]
 enum Sent {
     Open(Box<Open>),
-    /// Something stands under the call's key.
+    /// The call's idempotency key is already in use.
     Found(request::Held, desk::Place, key::Found),
-    /// Held again: the place to give back, how its attempt ended, and the metric's word for it.
+    /// The call may be dispatched again. Holds the slot to release, how its attempt ended, and the
+    /// value of the `cause` label of the retry metric.
     Back(request::Held, desk::Place, load::Ending, &'static str),
 }
 
-/// Where a dispatch leads whose fate is not known.
+/// Decides whether a dispatch whose result is unknown is retried or reported to the caller.
 fn back_lost(
     dispatched: request::Dispatched,
     place: desk::Place,
@@ -296,6 +308,7 @@
     Ok(Sent::Back(lost, place, ending, cause))
 }
 
+/// Returns the error for a call whose attempts are used up, by how the last one ended.
 fn exhausted(ending: load::Ending) -> Reason {
     match ending {
         load::Ending::Full => Reason::Saturated,
--- a/crates/lagoon-net/src/entry/pull/key.rs
+++ b/crates/lagoon-net/src/entry/pull/key.rs
@@ -1,9 +1,10 @@
-//! Idempotency keys of model calls: replay, and taking over a stream from another entry host.
+//! Idempotency keys of model calls: replaying a stored response and taking over a running stream.
 //!
-//! Failure answered: a caller's entry host dies in mid-stream, and its next one prefills a million
-//! tokens again. The claim's row names the engine and the attempt, so a caller that comes back
-//! with its key gets that stream from the position it names. A model call may run more than once,
-//! so a key that cannot be claimed costs the replay, never the answer.
+//! Guards against repeated work when an entry host fails during a stream: without a claim the next
+//! host would prefill the whole prompt (up to a million tokens) again. The row of the claim names
+//! the engine and the attempt, so a caller that retries with its key gets the same stream from the
+//! position it asks for. Model calls may run more than once, so a key that cannot be claimed only
+//! loses the replay; the call is still served.
 
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
@@ -21,37 +22,39 @@
 use crate::entry::limit;
 use crate::entry::state;
 
-/// How far a call's claim has come.
+/// State of the idempotency claim of a call.
 #[derive(Debug, Default)]
 pub(crate) enum Claim {
-    /// Without a key, or with the platform out of reach.
+    /// No key was given, or the platform cannot be reached.
     #[default]
     None,
-    /// To be claimed when the first engine is known.
+    /// The key is claimed once the first engine has been chosen.
     Wanted(Box<Wanted>),
-    /// Claimed; nothing is on its way.
+    /// The key is claimed; nothing is dispatched.
     Ticket(Box<claims::Claims>, claim::Ticket),
-    /// Claimed and dispatched.
+    /// The key is claimed and the call is dispatched.
     Sent(Box<claims::Claims>, claim::Sent),
 }
 
-/// A key that is to be claimed.
+/// A key that has not been claimed yet.
 #[derive(Debug)]
 pub(crate) struct Wanted {
     pub(crate) claims: claims::Claims,
     pub(crate) key: String,
-    /// From `claim::body_hash`.
+    /// Fingerprint of the request body, from `claim::body_hash`.
     pub(crate) body: String,
 }
 
-/// What stands under a key already.
+/// What is already recorded under a key.
 #[derive(Debug)]
 pub(super) enum Found {
+    /// A stored response.
     Answer(claim::Answer),
+    /// A stream of another attempt.
     Running(Box<Wanted>, claim::Running),
 }
 
-/// An answer as it is kept for replay.
+/// A response as it is stored for replay.
 #[derive(serde::Deserialize, serde::Serialize)]
 struct Kept<'a> {
     prompt_tokens: u64,
@@ -59,10 +62,11 @@
     tokens: Vec<&'a serde_json::value::RawValue>,
 }
 
-/// Content type of a [`Kept`] answer.
+/// Content type of a [`StoredAnswer`].
 const KEPT_TYPE: &str = "application/json";
 
 impl Pull {
+    /// Returns the claim to request for this call.
     fn ask(&self, wanted: &Wanted, upstream: &id::Upstream, token: id::Attempt) -> claim::Ask {
         claim::Ask {
             customer: self.job.ask.customer.clone(),
@@ -76,8 +80,8 @@
         }
     }
 
-    /// Records where the call goes, before it is sent; what stands under its key, if it is not
-    /// to be sent.
+    /// Records the engine and the attempt under the call's key before the call is sent. Returns
+    /// what is already recorded there if the call must not be sent.
     pub(super) async fn claim(
         &mut self,
         upstream: &id::Upstream,
@@ -102,7 +106,7 @@
                 };
             }
             Claim::Ticket(claims, ticket) => (claims, ticket),
-            // A call that may repeat goes out again under the same claim.
+            // A call that may be repeated is dispatched again under the same claim.
             Claim::Sent(claims, sent) => (claims, sent.refused()),
         };
         let work = claims.retarget(&mut ticket, upstream.clone(), attempt);
@@ -111,6 +115,7 @@
         self.sent(claims, ticket)
     }
 
+    /// Marks the claim as dispatched; fails if the ticket has expired.
     fn sent(
         &mut self,
         claims: Box<claims::Claims>,
@@ -127,8 +132,8 @@
         }
     }
 
-    /// Takes over the stream that runs under this call's key; false when it is gone, and the key
-    /// is then this call's.
+    /// Takes over the stream that is already running under this call's key. Returns the request
+    /// when the stream is gone; the key is then claimed for this call.
     pub(super) async fn take_over(
         &mut self,
         held: request::Held,
@@ -151,7 +156,8 @@
             };
             if let Ok(events) = events {
                 state.metrics.resume("taken_over");
-                // Its first entry host may still serve it: this one never cancels it.
+                // The entry host that started the stream may still serve it, so this host never
+                // cancels it.
                 let holding = cancel::Holding::Stream(attempt);
                 let mut cancel = cancel::Guard::new(&state, address, holding);
                 cancel.disarm();
@@ -182,7 +188,7 @@
         Ok(Some(held))
     }
 
-    /// Keeps the whole answer for replay, in the background; a drain waits for it.
+    /// Stores the whole response for replay, in the background; a drain waits for it.
     pub(super) fn keep(&mut self, prompt_tokens: u64) {
         let Claim::Sent(claims, sent) = std::mem::take(&mut self.claim) else { return };
         let Some(tokens) = self.kept.take() else { return };
@@ -203,8 +209,8 @@
     }
 }
 
-/// Hands the tokens of a kept answer from number `from` on to `sink`; prompt tokens and the count
-/// of all tokens, or `None` when the kept text is not an answer.
+/// Passes the tokens of a stored response to `sink`, starting at index `from`. Returns the number
+/// of prompt tokens and of all answer tokens, or `None` when the stored text cannot be parsed.
 pub(crate) fn replay<S>(answer: &claim::Answer, from: u64, sink: &mut S) -> Option<(u64, u64)>
 where
     S: crate::entry::render::Sink,
--- a/crates/lagoon-net/src/entry/pull/mend.rs
+++ b/crates/lagoon-net/src/entry/pull/mend.rs
@@ -1,4 +1,5 @@
-//! What to do about a stream that broke off or is silent: take it up again, or go elsewhere.
+//! Recovery of a stream that broke off or is silent: resume it on its engine, or move the call to
+//! another engine.
 
 use std::mem;
 
@@ -13,34 +14,35 @@
 use crate::entry::fault;
 use crate::entry::limit;
 
-/// Tries to take a broken stream up again on its own engine before going elsewhere.
+/// Attempts to resume a broken stream at the same chunk before the call moves to another engine.
 const RESUMES: u32 = 3;
-/// The same for a stream that is silent.
+/// Attempts to resume a silent stream at the same chunk.
 const SILENT_RESUMES: u32 = 1;
-/// Pause before the second such try; it grows by as much with each.
+/// Pause before the second attempt to resume; it grows by the same amount with each further one.
 const RESUME_PAUSE: clock::Span = clock::Span::from_millis(20);
 
-/// What came of taking a stream up again.
+/// Result of resuming a stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Resumed {
-    /// It goes on.
+    /// The stream continues.
     On,
-    /// The engine did not say.
+    /// The engine did not respond in time.
     Silent,
-    /// The engine has it no longer.
+    /// The engine no longer has the stream.
     Gone,
 }
 
 impl Open {
-    /// Whether taking up a silent stream again is still worth a try: a connection may be dead
-    /// while its engine lives, but once shows that.
+    /// Returns whether to resume a silent stream. One attempt is enough to find out whether only
+    /// the connection is dead while the engine still works.
     fn may_resume_silent(&self) -> bool {
         self.begun && self.resumed != (self.checker.next(), SILENT_RESUMES)
     }
 }
 
 impl Pull {
-    /// What a silence leads to: a broken stream where something can be done about it.
+    /// Handles a silence that has lasted too long. Returns an error only if the stream can be
+    /// resumed or another engine could take the call.
     pub(super) fn silent(&mut self) -> Result<Option<End>, engine::Broken> {
         let now = self.worker.state.clock.now();
         let Stage::Open(open) = &mut self.stage else { return Err(engine::Broken::Cut) };
@@ -51,14 +53,14 @@
         Ok(None)
     }
 
-    /// Whether the call may leave its silent engine for another one that could take it.
+    /// Returns whether the call may move and another engine could take it from its silent one.
     fn is_better_elsewhere(&self) -> bool {
         let Stage::Open(open) = &self.stage else { return false };
         let may_move = self.delivered == 0 || self.job.continues;
         may_move && open.place.is_better_elsewhere(&self.job.ask)
     }
 
-    /// Takes a broken answer up again: on its own engine, or elsewhere.
+    /// Recovers from a broken stream: resumes it on its engine, or dispatches the call again.
     pub(super) async fn mend(&mut self, broken: engine::Broken) -> Result<(), fault::Fault> {
         let Stage::Open(mut open) = mem::replace(&mut self.stage, Stage::Over) else {
             return Ok(());
@@ -122,7 +124,8 @@
         let offer = place.again(ending, self.job.ask.clone());
         match self.open(held, offer).await? {
             dispatch::Opened::Open(open) => self.stage = Stage::Open(open),
-            // Its key is this call's since its first dispatch.
+            // The first dispatch of this call has already claimed the key, so nothing else can be
+            // there.
             dispatch::Opened::Found(held, ..) => {
                 return Err(fault::new(Reason::Internal, Step::Claim, held.end()));
             }
@@ -130,7 +133,7 @@
         Ok(())
     }
 
-    /// Takes the same attempt's stream up where it broke off.
+    /// Resumes the stream of the same attempt at the next chunk.
     async fn resume(&self, open: &mut Open) -> Result<Resumed, limit::Stop> {
         let state = &self.worker.state;
         let (attempt, from) = (open.answering.attempt(), open.checker.next());
--- a/crates/lagoon-net/src/entry/pull/mod.rs
+++ b/crates/lagoon-net/src/entry/pull/mod.rs
@@ -1,7 +1,7 @@
-//! One model call on its way: dispatch, reading the answer, resuming and continuing it.
+//! Runs one model call: dispatches it, reads the tokens, and resumes or retries a broken stream.
 //!
-//! What the caller is told is derived from `lagoonline::life::request` alone. Dropping a
-//! [`Pull`] at any point gives its place back and cancels its attempt.
+//! The outcome that the caller is told comes from `lagoonline::life::request` alone. Dropping a
+//! [`Generation`] at any point releases its slot and cancels its attempt.
 
 mod dispatch;
 mod key;
@@ -32,14 +32,15 @@
 
 pub(crate) use key::{Claim, Wanted, replay};
 
-/// What a model call needs on its way.
+/// Input of a model call.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) call: call::Call,
     pub(crate) ask: load::Ask,
-    /// Bytes of the prompt, of which its tokens were estimated.
+    /// Length of the prompt in bytes, from which its token count was estimated.
     pub(crate) prompt_bytes: usize,
     pub(crate) desk: std::sync::Arc<desk::Desk>,
+    /// Whether the model allows a response to be continued on another engine.
     pub(crate) continues: bool,
     pub(crate) body: ntex::util::Bytes,
 }
@@ -50,17 +51,17 @@
     }
 }
 
-/// What the engine said at the end.
+/// Summary that the engine sends at the end of a response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct End {
     pub(crate) answer_tokens: u64,
     pub(crate) prompt_tokens: u64,
     pub(crate) cached_tokens: u64,
-    /// What the caller is told, by the request's life.
+    /// Outcome that the caller is told.
     pub(crate) outcome: Outcome,
 }
 
-/// An attempt whose answer is arriving.
+/// The response stream of the current attempt.
 #[derive(Debug)]
 struct Open {
     answering: request::Answering,
@@ -68,22 +69,23 @@
     checker: stream::Checker,
     place: desk::Place,
     cancel: cancel::Guard,
+    /// Keeps the reservations of a group until the attempt ends.
     _group: Option<group::Group>,
     address: std::net::SocketAddr,
-    /// Number of the chunk that the last resumption asked for, and how often it was asked for.
+    /// Chunk number that the last resumption asked for, and how many times it did.
     ///
-    /// Failure answered: an engine breaks each resumption at the same chunk. Symptom: the stream
-    /// is taken up again for ever without a token. Only a few go without one, then the
-    /// attempt is given up.
+    /// Guards against an engine that breaks each resumption at the same chunk: the stream would be
+    /// resumed forever without a token. After a few resumptions without a token the attempt is
+    /// given up.
     resumed: (u64, u32),
-    /// When it was sent, or its last tokens came, or its silence was last looked at.
+    /// When the attempt was sent, its last tokens arrived, or its silence was last handled.
     heard: clock::Moment,
-    /// Whether a token of this attempt came.
+    /// Whether this attempt delivered a token.
     begun: bool,
 }
 
 impl Open {
-    /// When its silence has lasted too long.
+    /// Returns the time from which the stream counts as silent for too long.
     fn patience(&self) -> clock::Moment {
         let (first, gap) = self.place.silence();
         self.heard + if self.begun { gap } else { first }
@@ -92,27 +94,32 @@
 
 #[derive(Debug)]
 enum Stage {
+    /// Not dispatched.
     Held(request::Held),
+    /// A response is being received.
     Open(Box<Open>),
+    /// Completed, failed or abandoned.
     Over,
 }
 
-/// A model call under way.
+/// A model call in progress.
 #[derive(Debug)]
 pub(crate) struct Pull {
     worker: rc::Rc<worker::Worker>,
     job: Job,
     stage: Stage,
-    /// Tokens handed over so far.
+    /// Number of answer tokens that the caller has, including those before a resumption.
     delivered: u64,
+    /// When the last tokens arrived.
     last: Option<clock::Moment>,
     claim: Claim,
-    /// Tokens so far, each followed by a comma, when they are kept for replay.
+    /// JSON texts of all tokens so far, each followed by a comma, if the response is to be stored
+    /// for replay.
     kept: Option<String>,
 }
 
 impl Pull {
-    /// A call whose caller has the first `from` tokens already.
+    /// Creates a call whose caller already has the first `from` tokens.
     pub(crate) fn new(worker: rc::Rc<worker::Worker>, job: Job, claim: Claim, from: u64) -> Pull {
         let stage = Stage::Held(request::Held::new(request::Repeat::Allowed));
         let keeps = from == 0 && matches!(claim, Claim::Wanted(_));
@@ -124,7 +131,7 @@
         &self.job
     }
 
-    /// Gives up; what the caller would be told.
+    /// Abandons the call and returns the outcome for the caller.
     pub(crate) fn leave(&mut self) -> Outcome {
         match mem::replace(&mut self.stage, Stage::Over) {
             Stage::Held(held) => held.end(),
@@ -133,13 +140,13 @@
         }
     }
 
-    /// Waits for a place and for the answer to begin; the answer that stands under the call's
-    /// key, if there is one.
+    /// Waits for a slot and for the response to start. Returns the stored response instead if there
+    /// is one under the call's idempotency key.
     pub(crate) async fn start(&mut self) -> Result<Option<claim::Answer>, fault::Fault> {
         let Stage::Held(mut held) = mem::replace(&mut self.stage, Stage::Over) else {
             return Ok(None);
         };
-        // Once for what stands under the key, once more when that was gone.
+        // Runs twice at most: a second time when the stream recorded under the key is gone.
         loop {
             let offer = self.job.desk.offer(self.job.ask.clone());
             match self.open(held, offer).await? {
@@ -160,7 +167,8 @@
         }
     }
 
-    /// Hands the next tokens to `sink`; the end, once the whole answer was checked.
+    /// Passes the next tokens to `sink`. Returns the summary once the response is complete and
+    /// checked.
     pub(crate) async fn next<S>(&mut self, sink: &mut S) -> Result<Option<End>, fault::Fault>
     where
         S: render::Sink,
@@ -195,6 +203,8 @@
         }
     }
 
+    /// Checks the events of a batch and passes their tokens to `sink`. Returns the summary if the
+    /// batch has the end event.
     fn take<S>(&mut self, batch: &[u8], sink: &mut S) -> Result<Option<End>, engine::Broken>
     where
         S: render::Sink,
@@ -229,6 +239,7 @@
         Ok(found)
     }
 
+    /// Records the tokens that arrived since `before` tokens had been delivered.
     fn measure(&mut self, before: u64) {
         let came = self.delivered - before;
         if came == 0 {
@@ -258,6 +269,7 @@
         }
     }
 
+    /// Releases the slot of a complete response, stores the response and records its metrics.
     fn complete(&mut self, mut end: End) -> End {
         if let Stage::Open(mut open) = mem::replace(&mut self.stage, Stage::Over) {
             open.cancel.disarm();
--- a/crates/lagoon-net/src/entry/queue.rs
+++ b/crates/lagoon-net/src/entry/queue.rs
@@ -1,4 +1,4 @@
-//! The `queue` settings: which policy decides at this host, and its thresholds.
+//! Reads the `queue` object of the settings: the scheduling policy of this host and its limits.
 
 use lagoonline::check;
 use lagoonline::clock;
@@ -8,14 +8,14 @@
 
 use super::settings;
 
-/// Longest delay or cost of another zone, in milliseconds.
+/// Highest delay or cost that may be configured for another zone, in milliseconds.
 const LONGEST_DELAY: u64 = 60_000;
-/// Longest time that a request may wait at this host, in milliseconds.
+/// Highest queue wait that may be configured, in milliseconds (one day).
 const LONGEST_WAIT: u64 = 86_400_000;
-/// Highest weight.
+/// Highest weight that may be configured.
 const HIGHEST_WEIGHT: f64 = 1e6;
 
-/// Reads the `queue` object; what it leaves out is as in [`load::Settings`].
+/// Reads the `queue` object. Fields that are absent get the default of [`load::Settings`].
 pub(crate) fn read(reader: &check::Reader<'_>, zone: &id::Zone) -> load::Settings {
     let usual = load::Settings { zone: zone.clone(), ..load::Settings::default() };
     let hosts = reader.number("hosts_in_zone", u64::from(usual.hosts_in_zone), 1..=10_000);
@@ -47,7 +47,7 @@
     }
 }
 
-/// One of the words of `all`; the first when absent.
+/// Reads one of the words of `all`, or the default when the field is absent.
 fn read_word<T, Word>(reader: &check::Reader<'_>, name: &str, all: &[T], word: Word) -> T
 where
     T: Copy + Default,
@@ -63,7 +63,8 @@
     })
 }
 
-/// Time by which the wait in another zone must be shorter: its delay and its cost.
+/// Reads how much shorter the wait in another zone must be for a request to go there: the sum of
+/// the network delay and the configured cost.
 fn read_distance(reader: &check::Reader<'_>) -> clock::Span {
     let delay = settings::read_span(reader, "delay_ms", clock::Span::ZERO, 0, LONGEST_DELAY);
     let cost = settings::read_span(reader, "cost_ms", clock::Span::ZERO, 0, LONGEST_DELAY);
--- a/crates/lagoon-net/src/entry/relay.rs
+++ b/crates/lagoon-net/src/entry/relay.rs
@@ -1,11 +1,10 @@
-//! Streams an answer to its caller, with bounded buffers and a visible end.
+//! Streams a response to its caller with bounded buffers and an explicit end.
 //!
-//! Failure answered: a stream that broke off ends like a whole one, or a slow caller makes this
-//! host buffer without bound. The answer's task fills a bounded channel, and while it is full the
-//! engine's connection is not read. How the stream ended travels beside the channel, so it
-//! reaches the caller also when the channel is full; a task that ends without a word, as by a
-//! panic, cuts the connection. That is enough because only [`Ending::Whole`] ends the body
-//! normally.
+//! Guards against a broken stream that looks complete, and against a slow caller that makes this
+//! host buffer without limit. A task fills a bounded channel; while the channel is full, the
+//! engine's connection is not read. The end of the stream is stored outside the channel, so that it
+//! reaches the caller even when the channel is full. If the task ends without storing one, as after
+//! a panic, the connection is cut. Only [`Ending::Whole`] ends the body normally.
 
 use std::cell;
 use std::pin;
@@ -28,14 +27,17 @@
 
 #[derive(Debug)]
 enum Ending {
+    /// The stream has not ended, or its task ended without storing an ending.
     Open,
+    /// The response is complete.
     Whole,
+    /// The response failed; holds the error event that is sent last.
     Failed(util::Bytes),
 }
 
 type Shared = rc::Rc<cell::RefCell<Ending>>;
 
-/// The body of a streamed answer.
+/// Body of a streamed response.
 #[derive(Debug)]
 pub(crate) struct Feed {
     batches: async_sync::mpsc::Receiver<util::Bytes>,
@@ -68,7 +70,7 @@
     }
 }
 
-/// Sends the rest of `pull` to the body that is returned.
+/// Starts a task that sends the remaining tokens of `generation` to the returned body.
 pub(crate) fn start(
     state: std::sync::Arc<state::State>,
     pull: pull::Pull,
@@ -101,7 +103,7 @@
 }
 
 impl Relay {
-    /// Returns how long the caller may take to read the rest.
+    /// Relays the response. Returns how long the caller may take to read the rest.
     async fn run(mut self) -> clock::Span {
         let sender = self.sender.clone();
         let ended = tokio::select! {
@@ -148,7 +150,7 @@
     }
 }
 
-/// What the end of an answer says of its length.
+/// Returns the usage for the end of a response.
 pub(crate) fn usage(pull: &pull::Pull, end: pull::End) -> render::Usage {
     render::Usage {
         prompt_tokens: end.prompt_tokens,
--- a/crates/lagoon-net/src/entry/render.rs
+++ b/crates/lagoon-net/src/entry/render.rs
@@ -1,7 +1,7 @@
-//! Answers in the form that model clients know.
+//! Response formats of the OpenAI API.
 //!
-//! A token's text stays the JSON text that the engine wrote: it is copied once, into the bytes
-//! that go to the caller, and never decoded.
+//! The text of a token stays in the JSON encoding of the engine. It is copied once, into the bytes
+//! that are sent to the caller, and never decoded.
 
 use lagoonline::id;
 use ntex::util;
@@ -10,16 +10,17 @@
 
 use super::prompt;
 
-/// Takes the tokens of an answer in order.
+/// Receives the tokens of a response in order.
 pub(crate) trait Sink {
     fn token(&mut self, text: &RawValue);
 }
 
-/// What an answer ends with.
+/// Usage at the end of a response.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Usage {
     pub(crate) prompt_tokens: u64,
     pub(crate) answer_tokens: u64,
+    /// Whether the response ended because it reached its token limit.
     pub(crate) cut_by_limit: bool,
 }
 
@@ -37,7 +38,7 @@
     }
 }
 
-/// What all parts of one answer have in common.
+/// Fields that all chunks of one response share.
 #[derive(Clone, Debug)]
 pub(crate) struct Title {
     pub(crate) form: prompt::Form,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Everything of a streamed chunk up to its choices. Model names are checked to hold no
+    /// Returns a streamed chunk up to its choices. Model names are validated to contain no
     /// character that JSON escapes.
     fn head(&self) -> String {
         let object = match self.form {
@@ -70,7 +71,7 @@
     }
 }
 
-/// Writes server-sent events; tokens that came together leave together.
+/// Writes server-sent events. Tokens that arrive together are sent together.
 #[derive(Debug)]
 pub(crate) struct Writer {
     title: Title,
@@ -99,12 +100,12 @@
         Writer { title, prefix, suffix, buffer }
     }
 
-    /// What was written since the last call.
+    /// Returns the bytes written since the last call.
     pub(crate) fn take(&mut self) -> util::Bytes {
         self.buffer.take()
     }
 
-    /// Writes the end of a whole answer.
+    /// Writes the end of a complete response.
     pub(crate) fn finish(&mut self, usage: Usage, outcome_event: bool) {
         let reason = usage.finish_reason();
         let choice = match self.title.form {
@@ -125,7 +126,7 @@
         self.buffer.extend_from_slice(b"data: [DONE]\n\n");
     }
 
-    /// Writes the end of an answer that failed: no `[DONE]` follows.
+    /// Writes the end of a failed response, which has no `[DONE]` event.
     pub(crate) fn fail(&mut self, object: &str) {
         self.buffer.extend_from_slice(b"event: error\ndata: ");
         self.buffer.extend_from_slice(object.as_bytes());
@@ -143,10 +144,10 @@
     }
 }
 
-/// Gathers an answer that is not streamed.
+/// Collects a response that is not streamed.
 #[derive(Debug, Default)]
 pub(crate) struct Gather {
-    /// JSON text without its quotes.
+    /// JSON encoding of the text without the quotes.
     text: String,
 }
 
@@ -158,7 +159,7 @@
 }
 
 impl Gather {
-    /// The answer as JSON.
+    /// Returns the response as JSON.
     pub(crate) fn finish(&self, title: &Title, usage: Usage) -> String {
         let (object, opening, closing) = match title.form {
             prompt::Form::Text => ("text_completion", "\"text\":\"", "\",\"logprobs\":null"),
--- a/crates/lagoon-net/src/entry/replica.rs
+++ b/crates/lagoon-net/src/entry/replica.rs
@@ -1,15 +1,16 @@
-//! Which replica of a plain service gets a call.
+//! Chooses the replica of a plain service for each call.
 //!
-//! Pattern answered: calls of unlike length over few replicas. Each call goes to the replica with
-//! the fewest calls of this host under way, the own zone first. A call that finds every replica's
-//! slots taken waits for one, first come first served; newcomers do not pass those that wait. The
-//! wait is bounded in time and number, so that what cannot be served soon is told so.
+//! Calls differ much in duration, and a service has few replicas. Each call goes to the replica
+//! with the fewest calls of this host in progress, with replicas of the own zone first. A call that
+//! finds all slots taken waits in first-in, first-out order, and new calls do not overtake waiting
+//! ones. The wait is limited in time and in number, so that a call which cannot be served soon is
+//! refused.
 //!
-//! Pattern answered: a replica that loses every answer ends its calls at once, so it has the fewest
-//! under way and gets them all. Symptom: 745 bookings in 15 s ended as unknown while the other
-//! replicas stood idle. Three losses in a row open its circuit, as for an engine
-//! (`lagoonline::load::outlier`); one call tries it again later. That is enough because at most a
-//! third of a service's replicas, and at least one, may be out.
+//! Guards against a replica that fails every call at once: it would always have the fewest calls in
+//! progress and attract all of them. In one such case 745 calls (bookings) in 15 s ended as unknown
+//! while the other replicas were idle. Three lost responses in a row open the replica's circuit, as
+//! for an engine (`lagoonline::load::outlier`); a single call probes it later. At most a third of a
+//! service's replicas, and at least one, may be ejected.
 
 use std::collections;
 use std::net;
@@ -25,6 +26,7 @@
 
 #[derive(Debug, Default)]
 struct Replica {
+    /// Slots in use.
     outstanding: atomic::AtomicU32,
     leaving: atomic::AtomicBool,
     health: sync::Mutex<outlier::Health>,
@@ -35,7 +37,7 @@
         self.health.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Takes one of `slots`; how many were taken before.
+    /// Takes one of `slots`. Returns how many were taken before, or `None` when all are.
     fn take(&self, slots: u32) -> Option<u32> {
         let more = |taken| (taken < slots).then_some(taken + 1);
         let (set, get) = (atomic::Ordering::Relaxed, atomic::Ordering::Relaxed);
@@ -47,18 +49,20 @@
     }
 }
 
-/// Calls of one service that wait for a slot.
+/// Queue of the calls that wait for a slot of one service.
 #[derive(Debug, Default)]
 struct Lobby {
+    /// Notified when a slot is released.
     freed: async_sync::Notify,
+    /// Number of waiting calls.
     waiting: atomic::AtomicUsize,
 }
 
-/// How often a waiting call looks by itself: slots also come with a new document, and of slots
-/// that are freed at once a wake may be lost.
+/// Interval at which a waiting call checks by itself: slots also appear with a new document, and a
+/// wakeup may be lost when several slots are released at once.
 const RECHECK: clock::Span = clock::Span::from_millis(50);
 
-/// A waiting call's turn; it leaves the queue when dropped.
+/// A waiting call. Dropping it removes it from the queue.
 #[derive(Debug)]
 pub(crate) struct Turn(sync::Arc<Lobby>);
 
@@ -72,39 +76,39 @@
 impl Drop for Turn {
     fn drop(&mut self) {
         self.0.waiting.fetch_sub(1, atomic::Ordering::Relaxed);
-        // The wake that this call took and did not use is the next one's.
+        // Passes a wakeup that this call may have received and not used to the next one.
         self.0.freed.notify_one();
     }
 }
 
-/// Calls under way at each replica of this host's view.
+/// Slots in use at each replica of this host's view.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Replicas {
     replicas: collections::HashMap<id::Upstream, sync::Arc<Replica>>,
     lobbies: collections::HashMap<id::Service, sync::Arc<Lobby>>,
 }
 
-/// One call's place at a replica, free again when dropped.
+/// A slot at a replica, released when dropped.
 #[derive(Debug)]
 pub(crate) struct Slot {
     replica: sync::Arc<Replica>,
     lobby: sync::Arc<Lobby>,
     pub(crate) upstream: id::Upstream,
     pub(crate) address: net::SocketAddr,
-    /// Whether it is in another zone.
+    /// Whether the replica is in another zone.
     far: bool,
-    /// Replicas of the service, and those of them whose circuit was not closed.
+    /// Replicas of the service, and how many of them have a circuit that is not closed.
     all: usize,
     out: usize,
 }
 
 impl Slot {
-    /// It answered, whatever it said.
+    /// Records that the replica responded, with whatever status.
     pub(crate) fn answered(&self) {
         self.replica.health().succeeded();
     }
 
-    /// No answer came, though the caller did its part.
+    /// Records that no response arrived although the caller sent its whole request.
     pub(crate) fn failed(&self, now: clock::Moment) {
         self.replica.health().failed(now, self.out, self.all, self.far);
     }
@@ -112,18 +116,19 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        // A call that tried an open circuit and ended without a word, as when its caller left,
-        // must not leave it as being tried for ever. After a word this changes nothing.
+        // A probe of an open circuit that ended without a result, as when its caller disconnected,
+        // must not leave the circuit in the probing state forever. This has no effect after a
+        // result.
         self.replica.health().untold(clock::Moment::START);
         self.replica.give_back();
         self.lobby.freed.notify_one();
     }
 }
 
-/// Why there is no slot.
+/// Reason why no slot is available.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Shortage {
-    /// No replica is known, or all are leaving.
+    /// No replica is known, or all are leaving, out of service or already tried.
     None,
     /// All slots are taken.
     Full,
@@ -150,7 +155,8 @@
         }
     }
 
-    /// Joins those that wait for a slot of the service; none when `most` do already.
+    /// Adds a call to those that wait for a slot of the service. Returns `None` when `most` wait
+    /// already.
     pub(crate) fn wait(&self, service: &id::Service, most: usize) -> Option<Turn> {
         let lobby = self.lobbies.get(service)?;
         let turn = Turn(lobby.clone());
@@ -158,8 +164,8 @@
         (before < most).then_some(turn)
     }
 
-    /// Takes a slot at a replica that is not among `tried`; `waited` says that it is this call's
-    /// turn before newcomers.
+    /// Takes a slot at a replica that is not in `tried`. `waited` is set for a call from the queue,
+    /// which goes before new calls.
     pub(crate) fn take(
         &self,
         fleet: &view::Fleet,
--- a/crates/lagoon-net/src/entry/server.rs
+++ b/crates/lagoon-net/src/entry/server.rs
@@ -1,4 +1,4 @@
-//! The listening side: worker threads, routes, drain.
+//! HTTP server of an entry host: worker threads, routing and drain.
 
 use std::io;
 use std::net;
@@ -29,14 +29,15 @@
 use super::state;
 use super::worker;
 
-/// How long answers that are complete may take to leave when the server stops.
+/// Time for sending complete responses when the server stops.
 const FLUSH: ntex::time::Seconds = ntex::time::Seconds(5);
-/// Time between two looks at a shutdown under way.
+/// Interval at which the progress of a drain is checked.
 const DRAIN_TICK: clock::Span = clock::Span::from_millis(10);
-/// How long failures told at the grace limit may take to be written.
+/// Time for sending error responses after a drain was cut short, and for outstanding cancels to be
+/// acknowledged at the end of every drain.
 const LAST_WORDS: clock::Span = clock::Span::from_millis(500);
 
-/// A running entry host. Dropping it leaves the server running; call [`Running::drain`].
+/// A running entry host. Dropping this value leaves the server running; call [`Running::drain`].
 #[derive(Debug)]
 pub struct Running {
     handle: Handle,
@@ -50,43 +51,43 @@
     state: sync::Arc<state::State>,
 }
 
-/// What requests hold; all zero when none is under way.
+/// Number of resources that requests hold; all zero when no request is in progress.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Held {
-    /// Places on upstreams.
+    /// Slots on upstreams.
     pub places: usize,
-    /// Turns in queues.
+    /// Requests waiting in queues.
     pub waiting: usize,
-    /// Cancels not acknowledged yet.
+    /// Cancels that engines have not acknowledged.
     pub cancels: usize,
 }
 
 /// How a server ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ending {
-    /// Every request that was let in ended by itself.
+    /// Every accepted request ran to its end.
     Clean,
-    /// The drain was cut short; so many requests failed by it.
+    /// The drain was cut short, which failed this number of requests.
     Cut(usize),
 }
 
 impl Running {
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> net::SocketAddr {
         self.handle.address
     }
 
-    /// A handle to control it by.
+    /// Returns a handle that controls this server.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Starts a drain: unready, then no new requests, then the end.
+    /// Starts a drain: the host reports unready, then refuses new requests, then stops.
     pub fn drain(&self) {
         self.handle.drain();
     }
 
-    /// Waits for the end.
+    /// Waits until the server has stopped.
     ///
     /// # Errors
     ///
@@ -102,27 +103,27 @@
 }
 
 impl Handle {
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Starts a drain.
+    /// Starts a drain; see [`Running::drain`].
     pub fn drain(&self) {
         self.state.advance(state::Phase::Unready);
     }
 
-    /// Ends at once: requests under way fail, and their callers are told so.
+    /// Stops at once: requests in progress fail, and their callers get an error.
     pub fn abort(&self) {
         self.state.advance(state::Phase::Aborting);
     }
 
-    /// Requests under way.
+    /// Returns the number of requests in progress.
     pub fn active(&self) -> usize {
         self.state.active()
     }
 
-    /// What requests hold now: places on upstreams, turns in queues, cancels not acknowledged.
+    /// Returns the number of resources that requests hold now.
     pub fn held(&self) -> Held {
         let view = self.state.view();
         let desks = || view.desks.values();
@@ -133,22 +134,22 @@
         }
     }
 
-    /// The host and its incarnation, as upstreams know it.
+    /// Returns the host and its incarnation, as they are sent to upstreams.
     pub fn owner(&self) -> &id::Owner {
         &self.state.owner
     }
 
-    /// Puts sections in force; one whose version is not above the one in force is passed over.
+    /// Applies sections. A section whose version is not above the current one is ignored.
     pub fn install(&self, sections: Vec<document::Section>) {
         self.state.install(sections);
     }
 
-    /// Marks an upstream as leaving, or takes the mark back for a new incarnation.
+    /// Sets whether an upstream is leaving; `false` is for a new incarnation of it.
     pub fn set_leaving(&self, upstream: &id::Upstream, leaving: bool) {
         self.state.set_leaving(upstream, leaving);
     }
 
-    /// Takes in a load report of an engine.
+    /// Applies a load report of an engine to the queues of all models.
     pub fn observe(&self, upstream: &id::Upstream, load: &lagoonline::port::engine::Load) {
         for desk in self.state.view().desks.values() {
             desk.observe(upstream, load);
@@ -233,7 +234,7 @@
 /// Returns when the server may stop.
 async fn drain_all(state: &sync::Arc<state::State>) {
     let mut phase = state.watch_phase();
-    // The sender is in `state`, so the wait ends only by a change.
+    // `state` owns the sender, so the wait ends only when the phase changes.
     reach(&mut phase, state::Phase::Unready).await;
     log::info!("draining with {} requests under way", state.active());
     if shut_down(state, &mut phase).await {
@@ -241,7 +242,7 @@
         state.advance(state::Phase::Aborting);
         let _timeout = tokio::time::timeout(LAST_WORDS, idle(state)).await;
     }
-    // Cancels of the requests that failed just now are still on their way.
+    // The cancels of requests that were just aborted may not be acknowledged yet.
     let settled = async {
         while state.metrics.cancels_pending.get() > 0 {
             tokio::time::sleep(clock::Span::from_millis(10)).await;
@@ -251,7 +252,7 @@
     log::info!("drained");
 }
 
-/// Follows the shutdown from its first signal to its end; whether requests were cut.
+/// Runs the drain from its start to its end. Returns whether requests were cut.
 async fn shut_down(
     state: &state::State,
     phase: &mut tokio::sync::watch::Receiver<state::Phase>,
@@ -275,12 +276,13 @@
     }
 }
 
-/// Waits for a phase. The value that was seen is let go at once: it holds the channel's lock.
+/// Waits until `wanted` or a later phase is reached. The returned value is dropped at once because
+/// it holds the channel's lock.
 async fn reach(phase: &mut tokio::sync::watch::Receiver<state::Phase>, wanted: state::Phase) {
     drop(phase.wait_for(|phase| *phase >= wanted).await);
 }
 
-/// Waits until no request is under way.
+/// Waits until no request is in progress.
 async fn idle(state: &state::State) {
     drop(state.watch_active().wait_for(|count| *count == 0).await);
 }
--- a/crates/lagoon-net/src/entry/services.rs
+++ b/crates/lagoon-net/src/entry/services.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services: any method, bodies streamed both ways.
+//! Calls of plain services: any method, with bodies streamed in both directions.
 
 use std::io;
 use std::rc;
@@ -27,25 +27,27 @@
 use super::worker;
 use crate::service;
 
-/// Path before a service's name.
+/// Path prefix before the service's name.
 const PREFIX: &str = "/services/";
-/// Answers up to this length are taken in whole, so that their head can say `done`.
+/// Responses up to this many bytes are read completely before their head is sent, so that the head
+/// can carry the outcome `done`.
 const WHOLE_ANSWER: usize = 256 << 10;
 
-/// A piece of an answer's body.
+/// A chunk of a response body.
 type Chunk = Result<util::Bytes, rc::Rc<dyn std::error::Error>>;
 
-/// A service call under way.
+/// A service call in progress.
 pub(crate) struct Job {
     pub(crate) worker: rc::Rc<worker::Worker>,
     pub(crate) call: call::Call,
     pub(crate) request: web::HttpRequest,
     pub(crate) service: id::Service,
+    /// Path and query to forward.
     pub(crate) target: String,
     pub(crate) body: source::Source,
 }
 
-/// Answers a service call.
+/// Handles a service call.
 pub(crate) async fn answer(
     worker: &rc::Rc<worker::Worker>,
     request: &web::HttpRequest,
@@ -92,7 +94,7 @@
     job.pass(answer, answering, slot, active, request_id).await
 }
 
-/// The service's name, and the path and query that it gets.
+/// Splits the path into the service's name and the path and query to forward.
 fn split(request: &web::HttpRequest) -> (String, String) {
     let uri = request.uri();
     let rest = uri.path().strip_prefix(PREFIX).unwrap_or_default();
@@ -101,7 +103,7 @@
     (name.to_owned(), format!("/{path}{query}"))
 }
 
-/// How the metrics call such requests.
+/// Value of the `kind` label for service calls.
 const KIND: &str = "service";
 
 impl Job {
@@ -109,6 +111,7 @@
         metrics::Subject::of(KIND, self.service.as_str(), &self.call.customer().name)
     }
 
+    /// Dispatches the call, and retries it on other replicas while that is safe and possible.
     pub(crate) async fn send(
         &self,
         mut held: request::Held,
@@ -170,8 +173,8 @@
         }
     }
 
-    /// A slot at a replica not among `tried`, if need be after a bounded wait; `last` is what
-    /// the caller is told when there is no such replica.
+    /// Acquires a slot at a replica that is not in `tried`, after a bounded wait if all are full.
+    /// Returns `last` when there is no such replica.
     async fn slot(
         &self,
         tried: &[id::Upstream],
@@ -206,6 +209,7 @@
         }
     }
 
+    /// Sends one attempt to a replica and waits for the head of the response.
     async fn dispatch(
         &self,
         slot: &replica::Slot,
@@ -221,10 +225,11 @@
             target: &self.target,
             headers: self.request.headers(),
         };
-        // Every call on a connection of its own: one that waits in a pool may close just now.
+        // Each call gets a new connection: a pooled one may be closed by the service just now.
         service::call(&self.worker.once, slot.address, call, self.body.open()).await
     }
 
+    /// Forwards a response to the caller: short ones as a whole, others as a stream.
     async fn pass(
         &self,
         answer: client::ClientResponse,
@@ -265,7 +270,7 @@
             state.metrics.done(&self.subject(), outcome);
             head.set_header("Lagoon-Outcome", outcome.as_str());
             return Ok(match length {
-                // The length is that of the body which a GET would have had.
+                // A response to HEAD announces the length of the body that GET would return.
                 Some(length) if bodyless => {
                     head.body(http_body::SizedStream::new(length, stream::empty::<Chunk>()))
                 }
@@ -283,7 +288,7 @@
         })
     }
 
-    /// Passes the answer on as it comes; an answer that breaks off cuts the caller's connection.
+    /// Streams the response to the caller. If it breaks off, the caller's connection is cut.
     fn stream(
         &self,
         payload: http::Payload,
@@ -327,7 +332,7 @@
     }
 }
 
-/// A whole answer; `None` when it breaks off or has more than `limit` bytes.
+/// Reads a whole response; `None` when it breaks off or is longer than `limit` bytes.
 pub(crate) async fn whole(payload: &mut http::Payload, limit: usize) -> Option<util::Bytes> {
     let mut body = util::BytesMut::new();
     while let Some(chunk) = payload.recv().await {
--- a/crates/lagoon-net/src/entry/settings.rs
+++ b/crates/lagoon-net/src/entry/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry host: one JSON file, checked whole before anything starts.
+//! Settings of an entry host: one JSON file, fully validated before anything starts.
 
 use std::fs;
 use std::net;
@@ -16,32 +16,33 @@
 use crate::platform;
 use crate::wire;
 
-/// Bounds on what a caller may send and how long it may take.
+/// Limits on the size and duration of callers' requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// Longest request head, in bytes.
     pub head_bytes: usize,
-    /// Most headers of a request.
+    /// Most headers in a request.
     pub headers: usize,
-    /// Longest body of a model call, in bytes; it is kept whole in memory until it is sent on.
+    /// Longest body of a model call, in bytes. It is kept in memory until it is dispatched.
     pub body_bytes: usize,
-    /// Longest body of a service call, in bytes; it passes as it comes.
+    /// Longest body of a service call, in bytes. It is streamed.
     pub service_body_bytes: u64,
-    /// Longest time for a request's head.
+    /// Timeout for receiving a request's head.
     pub head_timeout: clock::Span,
-    /// Longest silence of a caller within its body.
+    /// Longest pause between two chunks of a request body.
     pub body_timeout: clock::Span,
-    /// How long an idle connection is kept.
+    /// How long an idle connection is kept open.
     pub keep_alive: clock::Span,
-    /// How long a caller may take to read what is left of an answer after its deadline.
+    /// How long a caller may take after its deadline to read the rest of a response.
     pub linger: clock::Span,
     /// Longest wait of a service call for a replica with a free slot.
     pub service_wait: clock::Span,
-    /// Most calls of one service that wait so.
+    /// Most calls of one service that may wait for a slot.
     pub service_waiting: usize,
     /// Most dispatches of one request.
     pub attempts: u32,
-    /// Batches of a streamed answer that wait for a slow caller before the engine has to wait.
+    /// Batches of a streamed response that are buffered for a slow caller before reading from the
+    /// engine pauses.
     pub stream_batches: usize,
 }
 
@@ -67,34 +68,35 @@
 /// Settings of an entry host.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where callers connect; port 0 lets the kernel choose.
+    /// Address for callers; with port 0 the kernel chooses a port.
     pub listen: net::SocketAddr,
-    /// Worker threads.
+    /// Number of worker threads.
     pub workers: usize,
     /// Name of this entry host.
     pub host: id::Host,
-    /// Its availability zone.
+    /// Availability zone of this host.
     pub zone: id::Zone,
-    /// Its region.
+    /// Region of this host.
     pub region: id::Region,
-    /// The steward that sections come from; without one the sections below are all there is.
+    /// Address of the steward that provides sections. Without a steward, only `sections` below are
+    /// used.
     pub steward: Option<net::SocketAddr>,
-    /// The fleet's key, which the steward has too.
+    /// Shared key of the fleet, which the steward must have too.
     pub key: wire::Key,
-    /// The platform, for idempotency keys; without one, keyed calls that may not repeat are
-    /// refused.
+    /// The platform that stores idempotency keys. Without one, calls that have a key and may not be
+    /// repeated are refused.
     pub platform: Option<platform::Settings>,
     /// Sections in force at the start.
     pub sections: Vec<document::Section>,
-    /// Bounds on callers.
+    /// Limits on requests.
     pub limits: Limits,
-    /// How long a drain shows the host as unready before new requests are refused.
+    /// How long a drain reports the host as unready before it refuses new requests.
     pub unready: clock::Span,
-    /// Longest drain; requests still running then fail.
+    /// Longest drain; requests still in progress after it fail.
     pub grace: clock::Span,
-    /// Queue bounds and the like.
+    /// Scheduling policy and queue limits.
     pub load: load::Settings,
-    /// Logs of the program.
+    /// Log settings.
     pub logs: logs::Settings,
 }
 
@@ -119,23 +121,23 @@
     }
 }
 
-/// Why a settings file cannot be used.
+/// Error while loading a settings file.
 #[derive(Debug, thiserror::Error)]
 #[error("{file}: {cause}")]
 pub struct Unusable {
-    /// The file.
+    /// The file that cannot be used.
     pub file: path::PathBuf,
     /// What is wrong with it.
     pub cause: Cause,
 }
 
-/// What is wrong with a file.
+/// Reason why a file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum Cause {
     /// It cannot be read.
     #[error("{0}")]
     Unreadable(std::io::Error),
-    /// Its contents are refused.
+    /// Its contents are invalid.
     #[error("{0}")]
     Refused(check::Faults),
 }
@@ -145,7 +147,7 @@
     ///
     /// # Errors
     ///
-    /// The file with all its faults, each with its JSON pointer.
+    /// The file with everything that is wrong in it, each entry with its JSON pointer.
     pub fn load(file: &path::Path) -> Result<Settings, Unusable> {
         let text = read_file(file)?;
         let refuse = |faults| Unusable { file: file.to_owned(), cause: Cause::Refused(faults) };
@@ -156,11 +158,11 @@
         Ok(settings)
     }
 
-    /// Reads settings; the second part is the path of a document file, if one is named.
+    /// Parses settings. The second value is the path of a document file, if one is named.
     ///
     /// # Errors
     ///
-    /// All faults of the text, by JSON pointer.
+    /// Everything that is wrong in the text, each entry with its JSON pointer.
     ///
     /// ```
     /// use lagoon_net::entry::Settings;
@@ -214,11 +216,11 @@
         .map_err(|faults| Unusable { file: file.to_owned(), cause: Cause::Refused(faults) })
 }
 
-/// Reads a whole document: `{"sections": {TEAM: {"version": N, ...}}}`.
+/// Parses a whole document: `{"sections": {TEAM: {"version": N, ...}}}`.
 ///
 /// # Errors
 ///
-/// All faults of all sections, by JSON pointer.
+/// Everything that is wrong in any section, each entry with its JSON pointer.
 ///
 /// ```
 /// use lagoon_net::entry;
@@ -294,7 +296,7 @@
     (settings, (!document.is_empty()).then(|| path::PathBuf::from(document)))
 }
 
-/// With a steward there must be a key.
+/// Reads the fleet's key, which is required if there is a steward.
 fn read_key(reader: &check::Reader<'_>) -> String {
     if reader.has("steward") { reader.required("key") } else { reader.text("key", "") }
 }
--- a/crates/lagoon-net/src/entry/source.rs
+++ b/crates/lagoon-net/src/entry/source.rs
@@ -1,4 +1,4 @@
-//! The body of a service call on its way from the caller to the service.
+//! Body of a service call, forwarded from the caller to the service.
 
 use std::cell;
 use std::io;
@@ -16,13 +16,13 @@
 use super::fault;
 use super::state;
 
-/// The caller's body: passed on as it comes, and therefore once.
+/// A request body. A streamed body is not buffered and can therefore be sent only once.
 #[derive(Clone)]
 pub(crate) struct Source(rc::Rc<Inner>);
 
 struct Inner {
     payload: cell::RefCell<Option<http::Payload>>,
-    /// The whole body, when it was read before; it can be sent any number of times.
+    /// The whole body if it was read beforehand; it can be sent any number of times.
     whole: Option<util::Bytes>,
     empty: bool,
     length: Option<u64>,
@@ -53,7 +53,7 @@
         Ok(Source(rc::Rc::new(inner)))
     }
 
-    /// A body that was read before.
+    /// Creates a body from bytes that were read beforehand.
     pub(crate) fn whole(state: &sync::Arc<state::State>, body: util::Bytes) -> Source {
         Source(rc::Rc::new(Inner {
             payload: cell::RefCell::default(),
@@ -65,12 +65,12 @@
         }))
     }
 
-    /// Whether a further dispatch would send the same body.
+    /// Returns whether another dispatch would send the same body.
     pub(crate) fn is_untouched(&self) -> bool {
         self.0.empty || self.0.whole.is_some() || self.0.payload.borrow().is_some()
     }
 
-    /// What the caller did wrong while its body was passed on.
+    /// Returns the caller's error that ended the body early, if any.
     pub(crate) fn fault(&self) -> Option<fault::Fault> {
         self.0.fault.borrow().clone()
     }
--- a/crates/lagoon-net/src/entry/state.rs
+++ b/crates/lagoon-net/src/entry/state.rs
@@ -1,4 +1,4 @@
-//! What the worker threads of an entry host share.
+//! State that is shared by the worker threads of an entry host.
 
 use std::collections;
 use std::sync;
@@ -22,19 +22,19 @@
 use super::settings;
 use crate::platform;
 
-/// How far the shutdown of this host has come.
+/// Phase of the shutdown of this host.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Phase {
     Serving,
-    /// `/readyz` says no; requests are still let in, for balancers that have not looked yet.
+    /// `/readyz` fails, but requests are still accepted: load balancers may not have polled it yet.
     Unready,
-    /// New requests are refused, those under way go on.
+    /// New requests are refused; requests in progress continue.
     Draining,
-    /// Requests under way fail.
+    /// Requests in progress fail.
     Aborting,
 }
 
-/// All sections in force, and the desks of their models.
+/// Snapshot of all sections in force, with the queues of their models.
 #[derive(Debug, Default)]
 pub(crate) struct View {
     pub(crate) fleet: view::Shared,
@@ -53,17 +53,23 @@
     pub(crate) cancels: cancel::Sender,
     pub(crate) link: link::Link,
     pub(crate) platform: Option<sync::Arc<platform::Limits>>,
+    /// Rate limits of the customers.
     limits: sync::Mutex<limit::Limits>,
     view: ArcSwap<View>,
+    /// The newest known section of each team.
     sections: sync::Mutex<collections::BTreeMap<id::Team, document::Section>>,
+    /// When the fleet last changed: the age of the view when there is no steward.
     changed: sync::Mutex<clock::Moment>,
+    /// Sends new queues to the control thread, which wakes their requests.
     desks: async_sync::mpsc::UnboundedSender<sync::Weak<desk::Desk>>,
     phase: async_sync::watch::Sender<Phase>,
+    /// Number of requests in progress.
     active: async_sync::watch::Sender<usize>,
+    /// Number of requests that failed because the drain was cut short.
     failed_drain: atomic::AtomicUsize,
 }
 
-/// Receiving ends of the work that the control thread does for the others.
+/// Receivers of the work that the control thread does for the worker threads.
 #[derive(Debug)]
 pub(crate) struct Chores {
     pub(crate) desks: async_sync::mpsc::UnboundedReceiver<sync::Weak<desk::Desk>>,
@@ -74,7 +80,8 @@
 impl State {
     pub(crate) fn new(mut settings: settings::Settings) -> (sync::Arc<State>, Chores) {
         settings.load.zone = settings.zone.clone();
-        // With one seed for all, the hosts of a zone draw the same upstreams at the same time.
+        // With the same seed everywhere, the hosts of a zone would pick the same upstreams at the
+        // same time.
         settings.load.seed = rand::random();
         let clock = clock::Host::default();
         let incarnation = id::Incarnation(clock.wall_millis());
@@ -109,8 +116,8 @@
         self.view.load_full()
     }
 
-    /// Puts sections in force; one whose version is not above the one in force is passed over, so
-    /// that a late or replayed message never takes a section back.
+    /// Applies sections. A section whose version is not above the current one is ignored, so that a
+    /// late or replayed message cannot revert it.
     pub(crate) fn install(&self, sections: Vec<document::Section>) {
         let held = &self.sections;
         let mut held = held.lock().unwrap_or_else(sync::PoisonError::into_inner);
@@ -123,9 +130,10 @@
         self.put(sync::Arc::new(view::Fleet::merge(held.values())));
     }
 
-    /// Works with `fleet` from now on.
+    /// Replaces the fleet of the current view.
     pub(crate) fn put(&self, fleet: view::Shared) {
-        // Held to the end: of two changes at once, the later one keeps the desks of the first.
+        // Held until the new view is stored: of two concurrent changes, the later one must keep the
+        // queues that the earlier one created.
         let mut changed = self.changed.lock().unwrap_or_else(sync::PoisonError::into_inner);
         for (team, version) in &fleet.versions {
             self.metrics.set_version(team, *version);
@@ -142,6 +150,7 @@
         *changed = now;
     }
 
+    /// Returns the queues of all models; those of models that remain are kept.
     fn desks(
         &self,
         old: &View,
@@ -152,7 +161,7 @@
             let kept = old.desks.get(model).cloned();
             let desk = kept.unwrap_or_else(|| {
                 let desk = desk::Desk::new(self.clock, shard.clone());
-                // The control thread ends only with the process, so the receiver is there.
+                // The control thread runs as long as the process, so the receiver exists.
                 let _ended = self.desks.send(sync::Arc::downgrade(&desk));
                 desk
             });
@@ -169,12 +178,13 @@
         view.replicas.set_leaving(upstream, leaving);
     }
 
-    /// Customers' limits. One lock for all: it is held for a map lookup once a request.
+    /// Rate limits of the customers. A single lock is enough: each request holds it for one map
+    /// lookup.
     pub(crate) fn limits(&self) -> sync::MutexGuard<'_, limit::Limits> {
         self.limits.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Whether the balancer may send callers here.
+    /// Returns whether load balancers may send requests to this host.
     pub(crate) fn is_ready(&self) -> bool {
         self.phase() == Phase::Serving && self.link.is_complete()
     }
@@ -187,7 +197,7 @@
         self.phase.subscribe()
     }
 
-    /// Goes on to `phase`; never back.
+    /// Advances to `phase`; an earlier phase than the current one is ignored.
     pub(crate) fn advance(&self, phase: Phase) {
         self.phase.send_if_modified(|current| {
             let later = *current < phase;
@@ -205,7 +215,7 @@
         self.active.subscribe()
     }
 
-    /// Requests that failed because the drain was cut short.
+    /// Returns the number of requests that failed because the drain was cut short.
     pub(crate) fn aborted(&self) -> usize {
         self.failed_drain.load(atomic::Ordering::Relaxed)
     }
@@ -214,7 +224,7 @@
         self.failed_drain.fetch_add(1, atomic::Ordering::Relaxed);
     }
 
-    /// Refreshes the gauges that are read only when asked for.
+    /// Updates the gauges that are computed only when the metrics are read.
     pub(crate) fn refresh(&self) {
         let changed = *self.changed.lock().unwrap_or_else(sync::PoisonError::into_inner);
         let age = self.link.view_age().unwrap_or_else(|| self.clock.now().since(changed));
@@ -225,7 +235,7 @@
     }
 }
 
-/// Counts a request as under way until dropped.
+/// Counts a request as in progress until dropped.
 #[derive(Debug)]
 pub(crate) struct Active(sync::Arc<State>);
 
--- a/crates/lagoon-net/src/entry/worker.rs
+++ b/crates/lagoon-net/src/entry/worker.rs
@@ -1,4 +1,4 @@
-//! What one worker thread has of its own: its connections to upstreams.
+//! Per-thread state of a worker: its connections to upstreams.
 
 use std::sync;
 
@@ -8,18 +8,18 @@
 use super::claims;
 use super::state;
 
-/// One worker thread.
+/// State of one worker thread.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub(crate) state: sync::Arc<state::State>,
-    /// Connections that are used again.
+    /// Client with a connection pool.
     pub(crate) client: client::Client,
-    /// A new connection for each call.
+    /// Client that opens a new connection for each call.
     ///
-    /// Failure answered: a call that may not repeat goes out on a connection that the service is
-    /// just closing, and ends as unknown though nothing is wrong.
+    /// Guards against a call that may not be repeated going out on a pooled connection which the
+    /// service is just closing: it would end as unknown although nothing is wrong.
     pub(crate) once: client::Client,
-    /// Idempotency keys, when there is a platform.
+    /// Idempotency claims; `None` without a platform.
     pub(crate) claims: Option<claims::Claims>,
 }
 
@@ -33,11 +33,11 @@
 
 /// Most connections of one worker's pool.
 ///
-/// Not 0, which means no limit: ntex then never wakes the calls that wait while another connection
-/// to the same upstream is being opened, and they hang until their deadline.
+/// Not 0, which means no limit: in that case ntex never wakes calls that wait while another
+/// connection to the same upstream is being opened, and they hang until their deadline.
 const CONNECTIONS: usize = 1 << 20;
 
-/// A client without limits of its own: deadlines and queues are ours.
+/// Creates a client without timeouts: deadlines and queues are enforced by this crate.
 pub(crate) async fn new_client(keep_alive: u16) -> client::Client {
     let connector = client::Connector::new().limit(CONNECTIONS);
     let connector = connector.keep_alive(ntex::time::Seconds(keep_alive));
--- a/crates/lagoon-net/src/lib.rs
+++ b/crates/lagoon-net/src/lib.rs
@@ -1,8 +1,8 @@
-//! Adapters of lagoonline: callers, upstreams, the platform, and its own processes.
+//! Network adapters of lagoonline: callers, upstreams, the platform and its own processes.
 //!
-//! Everything that guesses a foreign interface stays in one module each: `engine` for model
-//! engines, `service` for plain services, `platform` for the table service, the object store and
-//! the list of hosts.
+//! Each foreign interface is implemented in one module, so that a wrong assumption about it has to
+//! be corrected in one place: `engine` for model engines, `service` for plain services, `platform`
+//! for the table service, the object store and the list of hosts.
 //!
 //! ```
 //! use lagoon_net::wire;
--- a/crates/lagoon-net/src/service/mod.rs
+++ b/crates/lagoon-net/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! Adapter for plain services: the caller's request as it came, and the answer as it comes.
+//! Client for plain services: forwards a caller's request unchanged and streams the response.
 
 use std::net;
 
@@ -10,7 +10,7 @@
 
 use crate::engine;
 
-/// Headers that belong to one connection, or to lagoonline itself, and are not passed on.
+/// Headers that apply to one connection, or to lagoonline itself, and are not forwarded.
 const HOP_BY_HOP: [&str; 12] = [
     "authorization",
     "connection",
@@ -26,19 +26,19 @@
     "upgrade",
 ];
 
-/// Whether the header is passed on.
+/// Returns whether the header is forwarded.
 pub(crate) fn passes(name: &http::header::HeaderName) -> bool {
     !HOP_BY_HOP.contains(&name.as_str())
 }
 
-/// What a service is asked.
+/// Parameters of a call to a service.
 #[derive(Debug)]
 pub struct Call<'a> {
-    /// This dispatch.
+    /// Id of this dispatch.
     pub attempt: id::Attempt,
-    /// Who asks.
+    /// The entry host that sends the call.
     pub owner: &'a id::Owner,
-    /// Zone of the asking entry host.
+    /// Zone of that entry host.
     pub zone: &'a id::Zone,
     /// Time left until the deadline.
     pub left: clock::Span,
@@ -50,25 +50,25 @@
     pub headers: &'a http::HeaderMap,
 }
 
-/// Why there is no answer.
+/// Reason why there is no response.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Failure {
-    /// No connection came about, so no byte was sent.
+    /// No connection was established, so no byte was sent.
     #[error("no connection: {0}")]
     Unsent(String),
-    /// The service's word that the call did not run.
+    /// The service states that the call did not run.
     #[error("refused")]
     Refused,
-    /// Anything else: the call may have run.
+    /// Any other failure: the call may have run.
     #[error("lost: {0}")]
     Lost(String),
 }
 
-/// Sends a call with its body and waits for the head of the answer.
+/// Sends a call with its body and waits for the head of the response.
 ///
 /// # Errors
 ///
-/// Why there is no answer.
+/// The reason why there is no response.
 pub async fn call(
     client: &client::Client,
     address: net::SocketAddr,
--- a/crates/lagoon-net/tests/entry/bad_input.rs
+++ b/crates/lagoon-net/tests/entry/bad_input.rs
@@ -1,4 +1,4 @@
-//! Callers that send what they should not: each gets a clear error, and nothing is left behind.
+//! Malformed and incomplete requests: each gets a clear error, and no resource is leaked.
 
 use std::io::Write as _;
 
@@ -128,8 +128,8 @@
     host.finish();
 }
 
-// Many callers vanish at every stage at once: with half a head, half a body, while waiting, in
-// mid-stream. Nothing stays held, and the host still answers.
+// Many callers disconnect at every stage at once: after half a head, after half a body, while
+// queued and in mid-stream. No resource stays held, and the host still serves calls.
 #[test]
 fn callers_that_vanish_leave_nothing() {
     let engine = lagoon_standin::engine::Settings { decode_ms: 200.0, ..host::quick() };
--- a/crates/lagoon-net/tests/entry/claims.rs
+++ b/crates/lagoon-net/tests/entry/claims.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys over sockets, with the stand-in platform.
+//! Idempotency keys over real sockets, with the stand-in platform.
 
 use std::io::Write as _;
 use std::sync;
@@ -41,8 +41,8 @@
     host.exchange(&host::request("POST", "/services/pickup/x", headers, body))
 }
 
-// A crew books, loses the answer and books again with the same key. It gets the same answer, and
-// the runner saw one booking. Another body with the key is refused as never run.
+// A crew books, loses the response and books again with the same key. It gets the same response,
+// and the runner received one booking. A different body with the same key is refused as not run.
 #[test]
 fn a_key_books_once() {
     let (host, calls, table) = start(Runner::Answer);
@@ -60,8 +60,8 @@
     host.finish();
 }
 
-// The runner reads the booking and closes. The crew hears `unknown`, and asking again with the
-// key hears so too: nothing is sent again.
+// The runner reads the booking and closes the connection. The caller gets `unknown`, also when it
+// retries with the key: the booking is not sent again.
 #[test]
 fn a_lost_booking_is_not_sent_again() {
     let (host, calls, _table) = start(Runner::CloseAfterReading);
@@ -74,7 +74,8 @@
     host.finish();
 }
 
-// The runner says that the booking did not run. The key is free again, and asking again sends it.
+// The runner refuses the booking as not run. The key is released, and a retry sends the booking
+// again.
 #[test]
 fn a_refused_booking_frees_its_key() {
     let (host, calls, table) = start(Runner::RefuseAsNotRun);
@@ -88,8 +89,8 @@
     host.finish();
 }
 
-// The crew closes its connection before the answer. The booking runs to its end all the same, so
-// that the crew finds its answer under the key.
+// The crew disconnects before the response. The booking still runs to its end, so that a retry with
+// the key finds the response.
 #[test]
 fn a_caller_that_leaves_finds_its_answer() {
     let (host, calls, table) = start(Runner::Answer);
@@ -106,7 +107,7 @@
     host.finish();
 }
 
-/// One entry host before an engine and the table service.
+/// Starts one entry host with an engine and the table service.
 pub fn start_one(engine: engine::Settings, continues: bool) -> (host::Host, Table) {
     let table = start_table();
     let platform = platform::Settings { address: table.address(), ..platform::Settings::default() };
@@ -114,7 +115,7 @@
     (host::Host::start_with(vec![engine], continues, with_platform), table)
 }
 
-/// Two entry hosts before the same engine and table service.
+/// Starts two entry hosts that share an engine and the table service.
 fn start_two(engine: engine::Settings) -> (host::Host, host::Host, Table) {
     let table = start_table();
     let platform = platform::Settings { address: table.address(), ..platform::Settings::default() };
@@ -129,9 +130,9 @@
     (first, second, table)
 }
 
-// A caller has 5 tokens of its answer from one entry host and goes on at another with its key. It
-// gets the tokens from number 5 on, of the same attempt: the engine ran one. When the answer has
-// ended it is kept: asking once more gives all of it, and the engine still ran one attempt.
+// A caller has 5 tokens of a response from one entry host and resumes at another with its key. It
+// gets the tokens from index 5 on, of the same attempt. The finished response is stored: another
+// call with the key returns all of it, and the engine still ran a single attempt.
 #[test]
 fn another_host_takes_a_stream_over() {
     let slow = engine::Settings { decode_ms: 1_000.0, ..host::quick() };
@@ -158,8 +159,8 @@
     second.finish();
 }
 
-// The stream that the row names is gone with its engine's memory. The caller gets a new answer
-// under its key.
+// The stream that the claim's row names was lost with its engine's memory. The caller gets a new
+// response under its key.
 #[test]
 fn a_stream_that_is_gone_runs_again() {
     let (first, second, _table) = start_two(host::quick());
--- a/crates/lagoon-net/tests/entry/drain.rs
+++ b/crates/lagoon-net/tests/entry/drain.rs
@@ -1,4 +1,4 @@
-//! Shutting an entry host down.
+//! Shutdown of an entry host.
 
 use std::io::Read as _;
 use std::io::Write as _;
@@ -22,8 +22,8 @@
     stream
 }
 
-// A drain begins in mid-stream. A connection that was idle gets 503 with `draining` and is
-// closed; the stream goes on to `[DONE]`; then the server ends by itself.
+// A drain starts while a stream is running. An idle connection gets 503 with `draining` and is
+// closed; the stream continues to `[DONE]`; then the server stops by itself.
 #[test]
 fn a_drain_cuts_nothing() {
     let host = host::Host::start(vec![slow()]);
@@ -46,8 +46,8 @@
     assert_eq!(host.running.wait().unwrap(), entry::Ending::Clean);
 }
 
-// The grace limit passes, or a second signal comes, in mid-stream. The caller sees an `error`
-// event that says `draining`, no `[DONE]`, and the engine has its memory back.
+// The grace limit passes, or a second signal arrives, while a stream is running. The caller gets an
+// `error` event with the code `draining` and no `[DONE]`, and the engine's memory is freed.
 #[rstest::rstest]
 #[case::grace(false)]
 #[case::second_signal(true)]
--- a/crates/lagoon-net/tests/entry/host.rs
+++ b/crates/lagoon-net/tests/entry/host.rs
@@ -1,4 +1,4 @@
-//! One entry host beside stand-in engines, and a caller that speaks plain bytes.
+//! Test fixture: one entry host with stand-in engines, and an HTTP client that writes raw bytes.
 
 use std::io;
 use std::io::Read as _;
@@ -14,13 +14,14 @@
 use serde_json::json;
 use sha2::Digest as _;
 
-/// Caller key of the customer `crew`.
+/// API key of the customer `crew`.
 pub const KEY: &str = "crew-key";
 /// KV memory of each engine, in tokens.
 pub const KV_TOKENS: u64 = 2_000_000;
-/// Prefill rate of each engine, in tokens a second: what [`quick`] ones have at least.
+/// Configured prefill rate of each engine, in tokens per second; those of [`quick`] are at least as
+/// fast.
 pub const PREFILL_RATE: f64 = 1e6;
-/// Longest time that any wait of a test takes.
+/// Timeout of every wait in the tests.
 pub const PATIENCE: time::Duration = time::Duration::from_secs(20);
 
 pub struct Host {
@@ -33,12 +34,12 @@
     hash.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Engines that answer quickly.
+/// Settings of an engine that responds quickly.
 pub fn quick() -> engine::Settings {
     engine::Settings { time_scale: 50.0, kv_tokens: KV_TOKENS, ..engine::Settings::default() }
 }
 
-/// A section with the customer `crew`, the model `model`, and these upstreams.
+/// Returns a section with the customer `crew`, the model `model` and these upstreams.
 pub fn section(
     engines: &[net::SocketAddr],
     services: &[(&str, net::SocketAddr)],
@@ -68,7 +69,7 @@
     document::Section::parse(id::Team::from("tin"), version, &text.to_string()).unwrap()
 }
 
-/// Settings with the full policy.
+/// Returns settings with the full scheduling policy.
 pub fn settings(sections: Vec<document::Section>) -> entry::Settings {
     let limits = entry::Limits {
         body_timeout: time::Duration::from_millis(300),
@@ -101,7 +102,7 @@
         Host { running: entry::start(change(settings)).unwrap(), engines }
     }
 
-    /// A host whose document gives each engine this KV memory.
+    /// Starts a host whose document gives each engine `kv_tokens` of KV memory.
     pub fn start_sized(engines: Vec<engine::Settings>, kv_tokens: u64) -> Host {
         Host::start_with(engines, true, |settings| {
             let resized = settings.sections.iter().map(|section| {
@@ -121,14 +122,14 @@
         connect(self.address())
     }
 
-    /// Sends these bytes and reads until the host closes the connection.
+    /// Sends raw bytes and reads until the host closes the connection.
     pub fn exchange(&self, bytes: &[u8]) -> String {
         let mut stream = self.connect();
         stream.write_all(bytes).unwrap();
         read_all(&mut stream)
     }
 
-    /// Posts a JSON body on a connection of its own.
+    /// Posts a JSON body on a new connection.
     pub fn post(&self, path: &str, headers: &str, body: &str) -> String {
         self.exchange(&request("POST", path, headers, body))
     }
@@ -137,7 +138,7 @@
         self.exchange(&request("GET", "/metrics", "", ""))
     }
 
-    /// Ends the host and checks that nothing is left of its requests.
+    /// Stops the host and checks that its requests released everything.
     pub fn finish(self) {
         let handle = self.running.handle();
         wait_until("nothing is held", || {
@@ -155,7 +156,7 @@
     stream
 }
 
-/// A request of the customer `crew` after which the connection is closed.
+/// Returns a request of the customer `crew` that asks for the connection to be closed.
 pub fn request(method: &str, path: &str, headers: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     let head = format!(
@@ -165,7 +166,7 @@
     [head.as_bytes(), body.as_bytes()].concat()
 }
 
-/// Everything until the other side closes; a reset ends it too.
+/// Reads until the other side closes or resets the connection.
 pub fn read_all(stream: &mut net::TcpStream) -> String {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4_096];
@@ -180,7 +181,7 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// A completion's body.
+/// Returns the body of a completion call.
 pub fn completion(prompt: &str, tokens: u64, stream: bool) -> String {
     json!({"model": "model", "prompt": prompt, "max_tokens": tokens, "stream": stream}).to_string()
 }
@@ -189,7 +190,7 @@
     answer.get(9..12).unwrap_or("none")
 }
 
-/// Waits until `met` says so.
+/// Polls `met` until it returns true; panics with `what` after [`PATIENCE`].
 pub fn wait_until<Met>(what: &str, mut met: Met)
 where
     Met: FnMut() -> bool,
--- a/crates/lagoon-net/tests/entry/leaving.rs
+++ b/crates/lagoon-net/tests/entry/leaving.rs
@@ -1,4 +1,4 @@
-//! Upstreams that leave, as two entry hosts with their stewards hear of it.
+//! Upstreams that leave, as two entry hosts learn it through their stewards.
 
 use std::sync::atomic;
 use std::thread;
@@ -17,9 +17,9 @@
 use crate::link;
 
 const HOSTS: [&str; 2] = ["suva-1", "suva-2"];
-/// By then what was on its way has arrived; twice the time that is promised.
+/// Time after which no call may be sent to the leaving engine: twice the promised time.
 const SETTLED: time::Duration = time::Duration::from_secs(4);
-/// Slow enough for the customer's rate.
+/// Pause between two calls, long enough to stay below the customer's rate limit.
 const PACE: time::Duration = time::Duration::from_millis(40);
 const WATCHED: time::Duration = time::Duration::from_secs(3);
 
@@ -67,7 +67,8 @@
         self.hosts.push(host::Host { running: running.unwrap(), engines: Vec::new() });
     }
 
-    /// Everything that was sent to the first engine: what it took, and what it refused as leaving.
+    /// Returns the number of calls sent to the first engine: those it accepted and those it refused
+    /// as leaving.
     fn sent(&self) -> usize {
         let refused: usize = self.hosts.iter().map(refused).sum();
         self.engines[0].node().record().attempts.len() + refused
@@ -81,7 +82,7 @@
     }
 }
 
-/// Calls of a host that were refused as leaving.
+/// Returns the number of a host's calls that were refused as leaving.
 fn refused(host: &host::Host) -> usize {
     let metrics = host.metrics();
     let name = "lagoon_attempts_total{cause=\"leaving\"} ";
@@ -95,8 +96,8 @@
     thread::sleep(PACE);
 }
 
-/// Tells callers to stop, also when a check fails: threads that go on calling keep the scope, and
-/// so the failure, from ever being seen.
+/// Stops the calling threads when dropped, also when an assertion fails: threads that keep calling
+/// would keep the scope open, and the failure would never be reported.
 struct Stop<'a>(&'a atomic::AtomicBool);
 
 impl Drop for Stop<'_> {
@@ -105,10 +106,10 @@
     }
 }
 
-/// Callers call both hosts all the time, and each gets its answer. One engine is to leave: the
-/// platform's list says so, or the engine itself when it is called, or that is heard of from the
-/// other host. Soon no call goes there, also when the list is stale and says live again, and also
-/// with the platform down; and calls go there again once it is back in a new life.
+/// Both hosts are called continuously, and every call must succeed. One engine starts to leave. The
+/// hosts learn it from the platform's list, from a refusal by the engine, or from the other host.
+/// Soon no call is sent to it, also while a stale list reports it as live and while the platform is
+/// down. Once the engine is back with a new incarnation it gets calls again.
 #[rstest]
 #[case(Sign::List, false)]
 #[case(Sign::Refusal, false)]
@@ -145,7 +146,8 @@
             Sign::Refusal | Sign::Peer => leaving.leave(),
         }
         while began.elapsed() < SETTLED {
-            // The word of the first host alone; the second one's calls come later.
+            // Only the first host's refusal can spread the news: the second host does not call
+            // until later.
             second.fetch_or(began.elapsed() > SETTLED / 2, atomic::Ordering::Relaxed);
             let now = site.sent();
             if now != sent {
--- a/crates/lagoon-net/tests/entry/link.rs
+++ b/crates/lagoon-net/tests/entry/link.rs
@@ -1,4 +1,4 @@
-//! An entry host beside its steward.
+//! An entry host with its steward.
 
 use std::net;
 
@@ -28,7 +28,7 @@
     steward::start(settings).unwrap()
 }
 
-/// Stores a section as an operator's program does.
+/// Stores a section in the same way as the operator's program.
 pub fn store(platform: net::SocketAddr, section: &document::Section) {
     let settings = platform::Settings { address: platform, ..platform::Settings::default() };
     let limits = platform::Limits::new(settings);
@@ -46,9 +46,9 @@
     assert_eq!(stored.unwrap(), id::Version(1));
 }
 
-// A host whose steward was never heard of is not ready: its balancer sends it no callers. It
-// becomes ready once the steward says that its sections are the highest in reach, and serves the
-// model that they name.
+// A host that never reached its steward is not ready, so a load balancer sends it no calls. It
+// becomes ready once the steward reports that its sections are the newest available, and then
+// serves the model that they define.
 #[test]
 fn is_ready_once_its_view_is_complete() {
     let standin = lagoon_standin::platform::start(Default::default()).unwrap();
--- a/crates/lagoon-net/tests/entry/main.rs
+++ b/crates/lagoon-net/tests/entry/main.rs
@@ -1,4 +1,4 @@
-//! An entry host over real sockets, beside stand-in engines and services.
+//! Tests of an entry host over real sockets, with stand-in engines and services.
 
 mod bad_input;
 mod claims;
--- a/crates/lagoon-net/tests/entry/metrics.rs
+++ b/crates/lagoon-net/tests/entry/metrics.rs
@@ -1,4 +1,4 @@
-//! docs/METRICS.md against what a host exposes.
+//! Compares docs/METRICS.md with the metrics that a host exposes.
 
 use std::collections;
 
@@ -32,7 +32,7 @@
     host.finish();
 }
 
-/// A customer beyond the cap shares the line `other`, and no histogram names a customer.
+/// Customers beyond the limit share the label `other`, and no histogram has a customer label.
 #[test]
 fn histograms_have_no_customers() {
     let host = host::Host::start(vec![host::quick()]);
--- a/crates/lagoon-net/tests/entry/model.rs
+++ b/crates/lagoon-net/tests/entry/model.rs
@@ -1,4 +1,4 @@
-//! Model calls that nothing disturbs.
+//! Model calls without faults.
 
 use rstest::rstest;
 use serde_json::Value;
@@ -55,7 +55,7 @@
     host.finish();
 }
 
-/// A body of more than 8 MB arrives at the engine whole: the engine counts its tokens.
+/// A prompt of a million tokens reaches the engine complete: the engine counts its tokens.
 #[test]
 fn passes_a_million_tokens() {
     let engine = lagoon_standin::engine::Settings { time_scale: 10_000.0, ..host::quick() };
@@ -67,7 +67,7 @@
     host.finish();
 }
 
-/// More requests than the engine has slots wait their turn and all end whole.
+/// Requests beyond the engine's slots wait in the queue, and all of them succeed.
 #[test]
 fn queues_what_does_not_fit() {
     let host = host::Host::start(vec![host::quick()]);
@@ -85,9 +85,9 @@
     host.finish();
 }
 
-// A prompt of over twice one engine's memory. The entry host reserves memory on three engines and
-// sends the prompt with their reservations; the caller sees a whole answer, and afterwards every
-// engine has all memory back.
+// The prompt needs more than twice the memory of one engine. The entry host reserves memory on
+// three engines and sends the prompt with these reservations. The caller gets a complete response,
+// and afterwards the memory of every engine is freed.
 #[test]
 fn a_group_holds_what_no_engine_can() {
     let small = lagoon_standin::engine::Settings {
--- a/crates/lagoon-net/tests/entry/refuse.rs
+++ b/crates/lagoon-net/tests/entry/refuse.rs
@@ -1,15 +1,15 @@
-//! Refusals of calls whose long bodies still arrive.
+//! Refusals of calls whose long bodies are still arriving.
 
 use std::io::Write as _;
 
 use super::host;
 
-/// Bytes of a million-token prompt's body.
+/// Length of a million-token prompt's body, in bytes.
 const BODY: usize = 4 << 20;
 
-/// A caller with a wrong key sends a million-token prompt. It is refused by its head while the
-/// body still arrives; were the connection closed at once, the kernel would reset it, and the
-/// caller would see a broken pipe and never learn why.
+/// A caller with a wrong key sends a million-token prompt and is refused because of its head while
+/// the body is still arriving. If the host closed the connection at once, the kernel would reset
+/// it, and the caller would see a broken pipe instead of the refusal.
 #[test]
 fn a_refusal_reaches_a_caller_that_is_still_sending() {
     let host = host::Host::start(vec![host::quick()]);
--- a/crates/lagoon-net/tests/entry/runner.rs
+++ b/crates/lagoon-net/tests/entry/runner.rs
@@ -1,4 +1,4 @@
-//! A runner of a plain service that does one thing with every call.
+//! Stand-in for a replica of a plain service ("runner") that treats every call in the same way.
 
 use std::io::Read as _;
 use std::io::Write as _;
@@ -7,20 +7,21 @@
 use std::thread;
 use std::time;
 
-/// What the runner does with a call.
+/// What the runner does with every call.
 #[derive(Clone, Copy)]
 pub enum Runner {
     Answer,
-    /// Like `Answer`, after a while.
+    /// Like `Answer`, after a delay.
     AnswerSlowly,
-    /// The head of a long body, as an answer to HEAD.
+    /// Responds as to HEAD: the head of a long body, without the body.
     AnswerHead,
     AnswerOtherAttempt,
     CloseAfterReading,
     RefuseAsNotRun,
 }
 
-/// A runner that takes one call on each connection; the heads and bodies that it read.
+/// Starts a runner that accepts one call per connection. Returns its address and the calls that it
+/// read.
 pub fn start(runner: Runner) -> (net::SocketAddr, sync::Arc<sync::Mutex<Vec<String>>>) {
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -63,7 +64,7 @@
     }
 }
 
-/// A call's head in lower case and its body, whether chunked or not.
+/// Reads a call and returns its head in lower case and its body, chunked or not.
 pub fn read_call(stream: &mut net::TcpStream) -> String {
     let mut bytes = Vec::new();
     let mut buffer = [0; 65_536];
--- a/crates/lagoon-net/tests/entry/service.rs
+++ b/crates/lagoon-net/tests/entry/service.rs
@@ -1,4 +1,4 @@
-//! Plain services: what is passed on, and what a caller is told when it fails.
+//! Plain services: what is forwarded, and what the caller gets when a call fails.
 
 use std::io::Write as _;
 use std::net;
@@ -51,8 +51,9 @@
     host.finish();
 }
 
-// The runner reads a booking and closes the connection. Nobody here can tell whether it ran, so
-// the caller hears `unknown` and the booking is not sent again; a GET is sent to the other one.
+// The runner reads a booking and closes the connection, or responds for another attempt. Whether
+// the call ran cannot be known, so the caller gets `unknown`. A POST is not sent again; a GET is
+// retried on the other runner.
 #[rstest]
 #[case("POST", Runner::CloseAfterReading, 1)]
 #[case("POST", Runner::AnswerOtherAttempt, 1)]
@@ -70,8 +71,8 @@
     host.finish();
 }
 
-// No connection comes about, or the runner says that the call did not run: the caller hears
-// `not-run`, which is true.
+// No connection can be established, or the runner refuses the call as not run: the caller gets
+// `not-run`.
 #[rstest]
 #[case(true)]
 #[case(false)]
@@ -85,9 +86,9 @@
     host.finish();
 }
 
-// A caller sends half of a booking and then nothing, or closes. The runner may have seen the half,
-// so the caller, if it is still there, hears 408 with `unknown`; the runner's connection is cut,
-// so it cannot take the half for a whole.
+// A caller sends half of a booking and then stops or disconnects. The runner may have received that
+// half, so a caller that is still connected gets 408 with `unknown`. The connection to the runner
+// is cut, so that the runner cannot take the half for a complete body.
 #[rstest]
 #[case::silent(false)]
 #[case::gone(true)]
@@ -115,8 +116,8 @@
     host.finish();
 }
 
-// Without a table service the key cannot be recorded. The booking is not sent, and the caller
-// hears that it did not run and when to come back.
+// Without a table service the key cannot be recorded. The booking is not sent, and the caller gets
+// `not-run` and a time to retry.
 #[test]
 fn a_keyed_booking_needs_the_platform() {
     let (address, calls) = start(Runner::Answer);
@@ -130,7 +131,7 @@
     host.finish();
 }
 
-/// A host before one runner with one slot.
+/// Starts a host with one runner that has one slot.
 fn start_narrow(address: net::SocketAddr, service_wait: time::Duration) -> host::Host {
     let section = host::section(&[], &[("pickup", address)], true);
     let narrow = r#""service":"pickup","slots":1"#;
@@ -150,8 +151,8 @@
     })
 }
 
-// Six crews call a runner with one slot at once. Five got 503 although the runner would have been
-// free within a second; now they wait their turn and all are served.
+// Six crews call a runner with one slot at once. Without a queue five of them would get 503
+// although the runner is free within a second; they wait instead, and all are served.
 #[test]
 fn calls_wait_for_a_free_slot() {
     let (address, calls) = start(Runner::AnswerSlowly);
@@ -163,8 +164,8 @@
     host.finish();
 }
 
-// The same without a wait: who finds no slot is told at once that the call did not run, and when
-// to come back.
+// The same without waiting: a call that finds no slot is refused at once with `not-run` and a time
+// to retry.
 #[test]
 fn a_wait_for_a_slot_is_bounded() {
     let (address, calls) = start(Runner::AnswerSlowly);
@@ -181,7 +182,7 @@
     host.finish();
 }
 
-/// The head that HEAD gets names the length that GET would have had.
+/// The response to HEAD announces the length that a response to GET would have.
 #[test]
 fn an_answer_to_head_keeps_its_length() {
     let (address, _calls) = start(Runner::AnswerHead);
@@ -193,10 +194,10 @@
     host.finish();
 }
 
-/// One of three replicas reads every booking and closes. It ends its calls at once, so it always
-/// has the fewest under way: without a circuit every booking goes there and ends as unknown. Three
-/// callers hear `unknown`, and on a machine so slow that the circuit is tried again meanwhile one
-/// or two more; the others get their answers from the other two replicas.
+/// One of three replicas reads every booking and closes the connection. Since its calls end at once
+/// it always has the fewest in progress: without a circuit breaker it would get every booking, and
+/// all would end as unknown. Three callers get `unknown`, or up to five on a machine so slow that
+/// the circuit is probed meanwhile; the others are served by the other two replicas.
 #[test]
 fn a_replica_that_loses_every_answer_is_left_alone() {
     let runners = [Runner::CloseAfterReading, Runner::Answer, Runner::Answer].map(start);
--- a/crates/lagoon-net/tests/entry/settings.rs
+++ b/crates/lagoon-net/tests/entry/settings.rs
@@ -1,4 +1,4 @@
-//! What the settings file says of the decisions.
+//! Parsing of the `queue` object in the settings file.
 
 use std::time;
 
--- a/crates/lagoon-net/tests/entry/silence.rs
+++ b/crates/lagoon-net/tests/entry/silence.rs
@@ -1,4 +1,4 @@
-//! Engines that accept a call and then say nothing.
+//! Engines that accept a call and then send nothing.
 
 use std::io::Read as _;
 use std::io::Write as _;
@@ -8,7 +8,7 @@
 
 use crate::host;
 
-/// Longer than any deadline here.
+/// Freeze time in milliseconds, longer than any deadline in these tests.
 const FROZEN: u64 = 600_000;
 
 fn frozen() -> engine::Faults {
@@ -24,16 +24,17 @@
     record.bytes_reserved > record.bytes_returned
 }
 
-// One of two engines takes calls and never begins an answer (frozen), or its link drops all that
-// it says (cut). Callers whose calls went there waited until their deadline, beside an idle
-// engine. Now the silence is noticed, the call is cancelled there and the other engine answers.
+// One of two engines accepts calls and never starts a response (frozen), or its link drops all its
+// responses (cut). Without detection, callers would wait until their deadline while the other
+// engine is idle. The silence is detected, the call is cancelled there, and the other engine serves
+// it.
 #[rstest]
 #[case::frozen(frozen())]
 #[case::cut(cut())]
 fn a_silent_engine_does_not_hold_calls(#[case] faults: engine::Faults) {
     let host = host::Host::start(vec![host::quick(); 2]);
     host.engines[0].node().set_faults(faults);
-    // On a busy machine six calls may come one after the other and all go to the other engine.
+    // On a busy machine the six calls may run one after the other and all use the other engine.
     host::wait_until("a call went to the silent engine, which was noticed", || {
         std::thread::scope(|scope| {
             let calls: Vec<_> = (0..6)
@@ -54,8 +55,8 @@
     host.finish();
 }
 
-// The engine freezes in mid-stream. The stream is taken up again there once, stays silent, and
-// goes on at the other engine: the caller sees each of its tokens once, and `[DONE]`.
+// The engine freezes while a stream is running. The host resumes the stream there once, finds it
+// still silent, and continues on the other engine: the caller gets each token once, and `[DONE]`.
 #[test]
 fn a_stream_goes_on_elsewhere_when_its_engine_freezes() {
     let slow = engine::Settings { decode_ms: 1_000.0, ..host::quick() };
@@ -75,8 +76,8 @@
     host.finish();
 }
 
-// The only engine freezes for a while. Nobody else could answer, so the call stays where it is,
-// and the caller gets its answer when the engine goes on.
+// The only engine freezes for a while. No other engine could serve the call, so it stays where it
+// is, and the caller gets the response when the engine continues.
 #[test]
 fn a_call_waits_for_its_engine_when_there_is_no_other() {
     let host = host::Host::start(vec![host::quick()]);
--- a/crates/lagoon-net/tests/entry/stream.rs
+++ b/crates/lagoon-net/tests/entry/stream.rs
@@ -1,4 +1,4 @@
-//! Streams that break, cross, are cancelled or read slowly.
+//! Streams that break, mix up attempts, are cancelled or are read slowly.
 
 use std::io::Read as _;
 use std::io::Write as _;
@@ -17,8 +17,8 @@
     host
 }
 
-// The connection breaks every few chunks, or carries one twice. The caller sees each of its 40 tokens once and `[DONE]`: the entry host reads nothing more from the
-// connection and takes the stream up again at the next number.
+// The connection breaks every few chunks, or repeats a chunk. The entry host stops reading it and
+// resumes the stream at the next chunk: the caller gets each of the 40 tokens once, and `[DONE]`.
 #[rstest]
 #[case(engine::Faults { cut_after_chunks: 15, ..engine::Faults::default() })]
 #[case(engine::Faults { repeat_chunks: 7, ..engine::Faults::default() })]
@@ -30,9 +30,9 @@
     host.finish();
 }
 
-// Each time that the engine sends chunk 7 it names another attempt. The caller sees the tokens
-// before it, then an `error` event: the chunk is never delivered, and the resumptions that bring
-// it again come to an end.
+// Whenever the engine sends chunk 7 it names another attempt. The caller gets the tokens before it
+// and then an `error` event: the chunk is never delivered, and the number of resumptions that bring
+// it again is limited.
 #[test]
 fn a_crossed_chunk_never_reaches_the_caller() {
     let faults = engine::Faults { cross_chunks: 7, ..engine::Faults::default() };
@@ -45,8 +45,8 @@
     host.finish();
 }
 
-// The engine dies after the first tokens. The caller sees the rest from the other engine, each
-// token once, since the continuation starts after those that it has.
+// The engine dies after the first tokens. The other engine continues after the tokens that the
+// caller has: the caller gets each token once.
 #[test]
 fn continues_on_another_engine() {
     let slow = engine::Settings { decode_ms: 500.0, ..host::quick() };
@@ -66,15 +66,15 @@
     host.finish();
 }
 
-/// Cancels to a dead engine are repeated; once it is back it acknowledges them.
+/// Brings dead engines back, so that they acknowledge the cancels that are repeated until then.
 fn revive(host: &host::Host) {
     for engine in &host.engines {
         engine.node().set_faults(engine::Faults::default());
     }
 }
 
-// As above, but the model must not be continued elsewhere. The caller sees an `error` event with
-// the outcome `unknown` and no `[DONE]`.
+// As above, but the model must not be continued on another engine. The caller gets an `error` event
+// with the outcome `unknown` and no `[DONE]`.
 #[test]
 fn fails_clearly_where_it_must_not_continue() {
     let slow = engine::Settings { decode_ms: 500.0, ..host::quick() };
@@ -95,8 +95,8 @@
     host.finish();
 }
 
-// The caller closes its connection in mid-stream. The engine hears a cancel at once and has its
-// memory back long before the answer would have ended.
+// The caller disconnects while its stream is running. The engine is sent a cancel at once and frees
+// the memory long before the response would have ended.
 #[test]
 fn a_caller_that_leaves_frees_the_engine() {
     let slow = engine::Settings { decode_ms: 1_000.0, ..host::quick() };
@@ -115,7 +115,7 @@
     host.finish();
 }
 
-// As above for an answer that is not streamed, while the engine still works on it.
+// As above for a response that is not streamed, while the engine is still generating it.
 #[test]
 fn a_caller_that_leaves_before_its_answer_frees_the_engine() {
     let slow = engine::Settings { decode_ms: 1_000.0, ..host::quick() };
@@ -133,7 +133,7 @@
     host.finish();
 }
 
-// The engine loses the first cancels. They are repeated until it takes one.
+// The engine loses the first cancels. They are repeated until the engine acknowledges one.
 #[test]
 fn cancels_are_repeated() {
     let slow = engine::Settings { decode_ms: 1_000.0, ..host::quick() };
@@ -157,9 +157,9 @@
     host.finish();
 }
 
-// The caller reads nothing of a long answer. The entry host stops reading the engine, so no more
-// than the socket buffers and its bounded channel are on the way; at the deadline the engine
-// hears a cancel, and the place is free.
+// The caller does not read a long response. The entry host stops reading from the engine, so that
+// only the socket buffers and the bounded channel hold data. At the deadline the engine is sent a
+// cancel, and the slot is released.
 #[test]
 fn a_caller_that_reads_nothing_ends_at_its_deadline() {
     let fast = engine::Settings { decode_ms: 1.0, ..host::quick() };
@@ -179,9 +179,9 @@
     host.finish();
 }
 
-// As above, but the caller never reads at all and keeps its connection. Its request failed at the
-// deadline, yet counted as under way until the caller closed, and a drain waited for it. Now the
-// connection is closed shortly after the deadline.
+// As above, but the caller never reads at all and keeps its connection open. The request failed at
+// its deadline, but would count as in progress until the caller disconnects, and a drain would wait
+// for it. The host closes the connection shortly after the deadline.
 #[test]
 fn a_caller_that_never_reads_is_cut_off() {
     let fast = engine::Settings { decode_ms: 1.0, ..host::quick() };
--- a/crates/lagoon-net/tests/entry/takeover.rs
+++ b/crates/lagoon-net/tests/entry/takeover.rs
@@ -1,7 +1,7 @@
-//! A caller whose entry host died comes back with its key at another.
+//! A caller whose entry host died retries with its idempotency key at another host.
 //!
-//! The dead host is what it leaves: a claim's row in the table, and a stream on the engine that
-//! nobody reads.
+//! The dead host is represented by what it left behind: the row of a claim in the table, and a
+//! stream on the engine that nobody reads.
 
 use std::io::{Read as _, Write as _};
 use std::time;
@@ -24,7 +24,7 @@
     call: String,
 }
 
-/// Starts a host, and leaves what another one left that died while it served `prompt`.
+/// Starts a host, with the claim and the stream of another host that died while it served `prompt`.
 fn leave(prompt: &str, stream: bool, continues: bool, scale: f64) -> Left {
     let settings = engine::Settings { time_scale: scale, resume_ms: 600_000, ..host::quick() };
     let (host, rows) = claims::start_one(settings, continues);
@@ -49,7 +49,7 @@
         call.len()
     );
     dying.write_all(head.as_bytes()).unwrap();
-    // It dies with the answer's head and some tokens read.
+    // The other host dies after it has read the response head and some tokens.
     let (mut read, mut buffer) = (0, [0; 1_024]);
     while read < 1_000 {
         read += dying.read(&mut buffer).unwrap();
@@ -72,9 +72,9 @@
     text.split_whitespace().count() as u64
 }
 
-/// The caller gets the rest of its answer from the position that it names, or all of it when it
-/// names none, streamed or not. The engine ran one attempt, which is the new host's now, and gives
-/// its memory back.
+/// The caller gets the rest of its response from the position that it asks for, or all of it
+/// without a position, streamed or not. The engine ran a single attempt, which now belongs to the
+/// new host, and frees its memory.
 #[rstest]
 #[case(true, Some(5))]
 #[case(true, None)]
@@ -93,9 +93,9 @@
     left.host.finish();
 }
 
-/// The engine has restarted as well, so the stream is gone. A caller that names no position gets a
-/// new answer; one that does gets it continued where its model allows that, and else a clear
-/// failure, since the rest of another answer is not the rest of its own.
+/// The engine has restarted too, so the stream is gone. A caller without a position gets a new
+/// response. One with a position gets the response continued where the model allows that and an
+/// error otherwise, since the rest of a different response does not fit the part it has.
 #[rstest]
 #[case(None, false, "200")]
 #[case(Some(5), true, "200")]
@@ -121,7 +121,7 @@
     left.host.finish();
 }
 
-/// Seconds from the call to its first token.
+/// Returns the seconds from the call to its first token.
 fn first_token(host: &host::Host, headers: &str, call: &str) -> f64 {
     let began = time::Instant::now();
     let mut stream = host.connect();
@@ -137,9 +137,9 @@
     first
 }
 
-/// The prompt has a million tokens, which the engine prefilled for the host that died. Taken over,
-/// its answer goes on without a second prefill; another caller's prompt of that length shows what
-/// one costs.
+/// The engine prefilled a million-token prompt for the host that died. After the takeover the
+/// response continues without a second prefill; another caller's prompt of the same length shows
+/// how long that would take.
 #[test]
 fn a_million_tokens_are_not_prefilled_again() {
     let prompt = "a".repeat(4 * 1_000_000);
@@ -155,8 +155,8 @@
     left.host.finish();
 }
 
-/// A steward that finds the dead host's stream on the engine gives its memory back. One that was
-/// taken over is being read, so the engine has to know its new owner.
+/// A steward frees the memory of streams that belong to a dead host. A stream that was taken over
+/// is being read, so the engine must have recorded its new owner.
 #[test]
 fn its_stream_is_the_new_hosts() {
     let left = leave("tin", true, false, 0.5);
