--- a/crates/lagoon-net/src/engine/event.rs
+++ b/crates/lagoon-net/src/engine/event.rs
@@ -15,10 +15,10 @@
 
 /// Reason why a stream cannot be read any further.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-pub enum Broken {
+pub enum StreamError {
     /// The stream ended without an end event.
     #[error("cut before its end")]
-    Cut,
+    Truncated,
     /// The connection failed.
     #[error("connection failed: {0}")]
     Connection(String),
@@ -33,7 +33,7 @@
     Violation(#[from] stream::Violation),
     /// The engine aborted the attempt.
     #[error("the engine gave up: {0}")]
-    GivenUp(String),
+    Aborted(String),
 }
 
 /// An event of a stream.
@@ -113,12 +113,12 @@
     /// # Errors
     ///
     /// The connection ended or failed, or an event is too long.
-    pub async fn batch(&mut self) -> Result<util::Bytes, Broken> {
+    pub async fn batch(&mut self) -> Result<util::Bytes, StreamError> {
         loop {
             let chunk = match self.payload.recv().await {
                 Some(Ok(chunk)) => chunk,
-                Some(Err(error)) => return Err(Broken::Connection(error.to_string())),
-                None => return Err(Broken::Cut),
+                Some(Err(error)) => return Err(StreamError::Connection(error.to_string())),
+                None => return Err(StreamError::Truncated),
             };
             let mut whole = self.join(chunk);
             if let Some(end) = whole.windows(2).rposition(|pair| pair == b"\n\n") {
@@ -126,7 +126,7 @@
                 return Ok(whole);
             }
             if whole.len() > EVENT_LIMIT {
-                return Err(Broken::Malformed("too long".to_owned()));
+                return Err(StreamError::Malformed("too long".to_owned()));
             }
             self.rest = whole;
         }
@@ -154,19 +154,20 @@
 /// let events: Vec<_> = engine::events(batch).collect();
 /// assert!(matches!(events[0], Ok(engine::Event::Chunk { number: 0, .. })));
 /// ```
-pub fn events(batch: &[u8]) -> impl Iterator<Item = Result<Event<'_>, Broken>> {
+pub fn events(batch: &[u8]) -> impl Iterator<Item = Result<Event<'_>, StreamError>> {
     let lines = batch.split(|byte| *byte == b'\n');
     lines.filter_map(|line| line.strip_prefix(b"data: ")).map(parse)
 }
 
-fn parse(line: &[u8]) -> Result<Event<'_>, Broken> {
-    let malformed = |error: serde_json::Error| Broken::Malformed(error.to_string());
+fn parse(line: &[u8]) -> Result<Event<'_>, StreamError> {
+    let malformed = |error: serde_json::Error| StreamError::Malformed(error.to_string());
     let raw: Raw<'_> = serde_json::from_slice(line).map_err(malformed)?;
     if let Some(code) = raw.error {
         return Ok(Event::Error { code: code.into_owned() });
     }
     let attempt = raw.a.parse();
-    let attempt = attempt.map_err(|error: id::BadAttempt| Broken::Malformed(error.to_string()))?;
+    let attempt =
+        attempt.map_err(|error: id::BadAttempt| StreamError::Malformed(error.to_string()))?;
     if raw.end {
         return Ok(Event::End {
             attempt,
@@ -180,6 +181,6 @@
         (Some(number), Some(text)) if text.get().starts_with('"') => {
             Ok(Event::Chunk { attempt, number, text })
         }
-        _ => Err(Broken::Malformed("neither a chunk nor an end mark".to_owned())),
+        _ => Err(StreamError::Malformed("neither a chunk nor an end mark".to_owned())),
     }
 }
--- a/crates/lagoon-net/src/engine/mod.rs
+++ b/crates/lagoon-net/src/engine/mod.rs
@@ -12,11 +12,11 @@
 use ntex::http;
 use ntex::util;
 
-pub use event::{Broken, Event, Events, events};
+pub use event::{Event, Events, StreamError, events};
 
 /// Parameters of an attempt to generate a response.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct Request {
     /// Id of this dispatch.
     pub attempt: id::Attempt,
     /// The entry host that sends the request.
@@ -24,7 +24,7 @@
     /// Zone of that entry host.
     pub zone: id::Zone,
     /// Time left until the deadline.
-    pub left: clock::Span,
+    pub time_left: clock::Span,
     /// Priority; higher values are served first.
     pub priority: u8,
     /// The model to use.
@@ -32,7 +32,7 @@
     /// Most tokens to generate.
     pub answer_tokens: u64,
     /// Number of answer tokens that the caller already has, for a continuation.
-    pub skip: u64,
+    pub skip_tokens: u64,
     /// Value of the `Lagoon-Group` header; empty without a group.
     pub group: String,
     /// The caller's JSON body, shared and not copied.
@@ -137,26 +137,26 @@
 pub async fn generate(
     client: &client::Client,
     address: net::SocketAddr,
-    order: &Order,
+    parameters: &Request,
 ) -> Result<Events, Failure> {
     let mut request = client
         .post(format!("http://{address}/generate"))
         .header("Content-Type", "application/json")
-        .header("Lagoon-Attempt", order.attempt.to_string())
-        .header("Lagoon-Owner", order.owner.to_string())
-        .header("Lagoon-Zone", order.zone.as_str())
-        .header("Lagoon-Deadline-Ms", millis(order.left))
-        .header("Lagoon-Priority", u64::from(order.priority))
-        .header("Lagoon-Model", order.model.as_str())
-        .header("Lagoon-Answer-Tokens", order.answer_tokens);
-    if order.skip > 0 {
-        request = request.header("Lagoon-Skip-Tokens", order.skip);
+        .header("Lagoon-Attempt", parameters.attempt.to_string())
+        .header("Lagoon-Owner", parameters.owner.to_string())
+        .header("Lagoon-Zone", parameters.zone.as_str())
+        .header("Lagoon-Deadline-Ms", millis(parameters.time_left))
+        .header("Lagoon-Priority", u64::from(parameters.priority))
+        .header("Lagoon-Model", parameters.model.as_str())
+        .header("Lagoon-Answer-Tokens", parameters.answer_tokens);
+    if parameters.skip_tokens > 0 {
+        request = request.header("Lagoon-Skip-Tokens", parameters.skip_tokens);
     }
-    if !order.group.is_empty() {
-        request = request.header("Lagoon-Group", order.group.as_str());
+    if !parameters.group.is_empty() {
+        request = request.header("Lagoon-Group", parameters.group.as_str());
     }
-    let answer = request.send_body(order.body.clone()).await;
-    open(answer, order.attempt).await
+    let answer = request.send_body(parameters.body.clone()).await;
+    open(answer, parameters.attempt).await
 }
 
 /// Resumes an attempt's stream at chunk `from`. The stream belongs to `owner` from then on.
--- a/crates/lagoon-net/src/entry/mod.rs
+++ b/crates/lagoon-net/src/entry/mod.rs
@@ -31,5 +31,5 @@
 mod state;
 mod worker;
 
-pub use server::{Ending, Handle, Held, Running, start};
-pub use settings::{Cause, Limits, Settings, Unusable, parse_document};
+pub use server::{Ending, Handle, Resources, Running, start};
+pub use settings::{Cause, Limits, LoadError, Settings, parse_document};
--- a/crates/lagoon-net/src/entry/pull/dispatch.rs
+++ b/crates/lagoon-net/src/entry/pull/dispatch.rs
@@ -241,17 +241,17 @@
         attempt: id::Attempt,
         place: &desk::Place,
         group: Option<&group::Group>,
-    ) -> engine::Order {
+    ) -> engine::Request {
         let state = &self.worker.state;
-        engine::Order {
+        engine::Request {
             attempt,
             owner: state.owner.clone(),
             zone: state.settings.zone.clone(),
-            left: self.job.call.left(state),
+            time_left: self.job.call.left(state),
             priority: place.priority(),
             model: self.job.ask.model.clone(),
             answer_tokens: self.job.ask.answer_tokens,
-            skip: self.delivered,
+            skip_tokens: self.delivered,
             group: group.map(|group| group.header.clone()).unwrap_or_default(),
             body: self.job.body.clone(),
         }
--- a/crates/lagoon-net/src/entry/pull/mend.rs
+++ b/crates/lagoon-net/src/entry/pull/mend.rs
@@ -43,12 +43,12 @@
 impl Pull {
     /// Handles a silence that has lasted too long. Returns an error only if the stream can be
     /// resumed or another engine could take the call.
-    pub(super) fn silent(&mut self) -> Result<Option<End>, engine::Broken> {
+    pub(super) fn silent(&mut self) -> Result<Option<End>, engine::StreamError> {
         let now = self.worker.state.clock.now();
-        let Stage::Open(open) = &mut self.stage else { return Err(engine::Broken::Cut) };
+        let Stage::Open(open) = &mut self.stage else { return Err(engine::StreamError::Truncated) };
         open.heard = now;
         if open.may_resume_silent() || self.is_better_elsewhere() {
-            return Err(engine::Broken::Silent);
+            return Err(engine::StreamError::Silent);
         }
         Ok(None)
     }
@@ -61,18 +61,18 @@
     }
 
     /// Recovers from a broken stream: resumes it on its engine, or dispatches the call again.
-    pub(super) async fn mend(&mut self, broken: engine::Broken) -> Result<(), fault::Fault> {
+    pub(super) async fn mend(&mut self, broken: engine::StreamError) -> Result<(), fault::Fault> {
         let Stage::Open(mut open) = mem::replace(&mut self.stage, Stage::Over) else {
             return Ok(());
         };
         let metrics = &self.worker.state.metrics;
-        if let engine::Broken::Violation(violation) = &broken {
+        if let engine::StreamError::Violation(violation) = &broken {
             metrics.chunk_refused(violation_name(violation));
         }
-        let mut silent = broken == engine::Broken::Silent;
+        let mut silent = broken == engine::StreamError::Silent;
         let resumes = match broken {
-            engine::Broken::GivenUp(_) => false,
-            engine::Broken::Silent => open.may_resume_silent(),
+            engine::StreamError::Aborted(_) => false,
+            engine::StreamError::Silent => open.may_resume_silent(),
             _ => true,
         };
         if resumes {
--- a/crates/lagoon-net/src/entry/pull/mod.rs
+++ b/crates/lagoon-net/src/entry/pull/mod.rs
@@ -205,11 +205,11 @@
 
     /// Checks the events of a batch and passes their tokens to `sink`. Returns the summary if the
     /// batch has the end event.
-    fn take<S>(&mut self, batch: &[u8], sink: &mut S) -> Result<Option<End>, engine::Broken>
+    fn take<S>(&mut self, batch: &[u8], sink: &mut S) -> Result<Option<End>, engine::StreamError>
     where
         S: render::Sink,
     {
-        let Stage::Open(open) = &mut self.stage else { return Err(engine::Broken::Cut) };
+        let Stage::Open(open) = &mut self.stage else { return Err(engine::StreamError::Truncated) };
         let mut found = None;
         for event in engine::events(batch) {
             match event? {
@@ -233,7 +233,7 @@
                     found =
                         Some(End { answer_tokens: count, prompt_tokens, cached_tokens, outcome });
                 }
-                engine::Event::Error { code } => return Err(engine::Broken::GivenUp(code)),
+                engine::Event::Error { code } => return Err(engine::StreamError::Aborted(code)),
             }
         }
         Ok(found)
--- a/crates/lagoon-net/src/entry/server.rs
+++ b/crates/lagoon-net/src/entry/server.rs
@@ -53,11 +53,11 @@
 
 /// Number of resources that requests hold; all zero when no request is in progress.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Held {
+pub struct Resources {
     /// Slots on upstreams.
-    pub places: usize,
+    pub slots: usize,
     /// Requests waiting in queues.
-    pub waiting: usize,
+    pub queued: usize,
     /// Cancels that engines have not acknowledged.
     pub cancels: usize,
 }
@@ -124,12 +124,12 @@
     }
 
     /// Returns the number of resources that requests hold now.
-    pub fn held(&self) -> Held {
+    pub fn resources(&self) -> Resources {
         let view = self.state.view();
         let desks = || view.desks.values();
-        Held {
-            places: desks().map(|desk| desk.dispatched()).sum(),
-            waiting: desks().map(|desk| desk.waiters()).sum(),
+        Resources {
+            slots: desks().map(|desk| desk.dispatched()).sum(),
+            queued: desks().map(|desk| desk.waiters()).sum(),
             cancels: usize::try_from(self.state.metrics.cancels_pending.get()).unwrap_or(0),
         }
     }
--- a/crates/lagoon-net/src/entry/services.rs
+++ b/crates/lagoon-net/src/entry/services.rs
@@ -220,7 +220,7 @@
             attempt,
             owner: &state.owner,
             zone: &state.settings.zone,
-            left: self.call.left(state),
+            time_left: self.call.left(state),
             method: self.request.method().clone(),
             target: &self.target,
             headers: self.request.headers(),
--- a/crates/lagoon-net/src/entry/settings.rs
+++ b/crates/lagoon-net/src/entry/settings.rs
@@ -124,7 +124,7 @@
 /// Error while loading a settings file.
 #[derive(Debug, thiserror::Error)]
 #[error("{file}: {cause}")]
-pub struct Unusable {
+pub struct LoadError {
     /// The file that cannot be used.
     pub file: path::PathBuf,
     /// What is wrong with it.
@@ -148,9 +148,9 @@
     /// # Errors
     ///
     /// The file with everything that is wrong in it, each entry with its JSON pointer.
-    pub fn load(file: &path::Path) -> Result<Settings, Unusable> {
+    pub fn load(file: &path::Path) -> Result<Settings, LoadError> {
         let text = read_file(file)?;
-        let refuse = |faults| Unusable { file: file.to_owned(), cause: Cause::Refused(faults) };
+        let refuse = |faults| LoadError { file: file.to_owned(), cause: Cause::Refused(faults) };
         let (mut settings, document) = Settings::parse(&text).map_err(refuse)?;
         if let Some(path) = document {
             settings.sections.extend(load_document(&path)?);
@@ -205,15 +205,15 @@
     check::Faults(vec![check::Fault { pointer: String::new(), reason: error.to_string() }])
 }
 
-fn read_file(file: &path::Path) -> Result<String, Unusable> {
-    let unreadable = |error| Unusable { file: file.to_owned(), cause: Cause::Unreadable(error) };
+fn read_file(file: &path::Path) -> Result<String, LoadError> {
+    let unreadable = |error| LoadError { file: file.to_owned(), cause: Cause::Unreadable(error) };
     fs::read_to_string(file).map_err(unreadable)
 }
 
-fn load_document(file: &path::Path) -> Result<Vec<document::Section>, Unusable> {
+fn load_document(file: &path::Path) -> Result<Vec<document::Section>, LoadError> {
     let text = read_file(file)?;
     parse_document(&text)
-        .map_err(|faults| Unusable { file: file.to_owned(), cause: Cause::Refused(faults) })
+        .map_err(|faults| LoadError { file: file.to_owned(), cause: Cause::Refused(faults) })
 }
 
 /// Parses a whole document: `{"sections": {TEAM: {"version": N, ...}}}`.
--- a/crates/lagoon-net/src/service/mod.rs
+++ b/crates/lagoon-net/src/service/mod.rs
@@ -41,7 +41,7 @@
     /// Zone of that entry host.
     pub zone: &'a id::Zone,
     /// Time left until the deadline.
-    pub left: clock::Span,
+    pub time_left: clock::Span,
     /// The caller's method.
     pub method: http::Method,
     /// Path and query after `/services/NAME`, beginning with `/`.
@@ -85,7 +85,7 @@
         .set_header("Lagoon-Attempt", call.attempt.to_string())
         .set_header("Lagoon-Owner", call.owner.to_string())
         .set_header("Lagoon-Zone", call.zone.as_str())
-        .set_header("Lagoon-Deadline-Ms", engine::millis(call.left));
+        .set_header("Lagoon-Deadline-Ms", engine::millis(call.time_left));
     let answer = match request.send_body(body).await {
         Ok(answer) => answer,
         Err(error) if engine::is_unsent(&error) => return Err(Failure::Unsent(error.to_string())),
--- a/crates/lagoon-net/tests/engine_events.rs
+++ b/crates/lagoon-net/tests/engine_events.rs
@@ -19,7 +19,7 @@
 }
 
 /// Reads a batch as the data path does; the texts that passed their check, or why it stopped.
-fn read(batch: &[u8]) -> Result<Vec<String>, engine::Broken> {
+fn read(batch: &[u8]) -> Result<Vec<String>, engine::StreamError> {
     let mut checker = stream::Checker::new(ATTEMPT);
     let mut texts = Vec::new();
     for event in engine::events(batch) {
@@ -29,7 +29,7 @@
                 texts.push(serde_json::from_str(text.get()).unwrap());
             }
             engine::Event::End { attempt, count, .. } => checker.end(attempt, count)?,
-            engine::Event::Error { code } => return Err(engine::Broken::GivenUp(code)),
+            engine::Event::Error { code } => return Err(engine::StreamError::Aborted(code)),
         }
     }
     Ok(texts)
--- a/crates/lagoon-net/tests/entry/host.rs
+++ b/crates/lagoon-net/tests/entry/host.rs
@@ -142,7 +142,7 @@
     pub fn finish(self) {
         let handle = self.running.handle();
         wait_until("nothing is held", || {
-            handle.active() == 0 && handle.held() == entry::Held::default()
+            handle.active() == 0 && handle.resources() == entry::Resources::default()
         });
         self.running.drain();
         assert_eq!(self.running.wait().unwrap(), entry::Ending::Clean);
