--- a/crates/lagoonline/src/check.rs
+++ b/crates/lagoonline/src/check.rs
@@ -1,4 +1,5 @@
-//! Reading checked JSON: every fault of a text is found in one pass and named by JSON pointer.
+//! Reads JSON with validation: all errors of a text are found in one pass and located by JSON
+//! pointer.
 
 use std::cell;
 use std::collections;
@@ -7,12 +8,12 @@
 
 use serde_json::Value;
 
-/// One thing wrong with a JSON text.
+/// A single validation error in a JSON text.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Fault {
     /// JSON pointer (RFC 6901) to the offending value; empty for the whole text.
     pub pointer: String,
-    /// What is wrong with it.
+    /// What is wrong with the value.
     pub reason: String,
 }
 
@@ -23,7 +24,7 @@
     }
 }
 
-/// All faults of one JSON text, in pointer order.
+/// All validation errors of a JSON text, in pointer order.
 #[derive(Clone, Debug, Default, Eq, PartialEq, thiserror::Error)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -37,7 +38,8 @@
     }
 }
 
-/// Reads one JSON object field by field and collects faults.
+/// Reads the fields of a JSON object and collects the errors. Fields that are never read are
+/// reported as unknown.
 #[derive(Debug)]
 pub struct Reader<'a> {
     fields: Option<&'a serde_json::Map<String, Value>>,
@@ -46,11 +48,11 @@
     faults: &'a cell::RefCell<Vec<Fault>>,
 }
 
-/// Parses `text` and reads its top object with `read`.
+/// Parses `text` and reads its top-level object with `read`.
 ///
 /// # Errors
 ///
-/// All faults found: bad JSON, wrong types, values out of range, fields that nobody asked for.
+/// Returns all errors found: invalid JSON, wrong types, values out of range, unknown fields.
 ///
 /// ```
 /// use lagoonline::check;
@@ -71,11 +73,11 @@
     }
 }
 
-/// Reads the parsed object `value` with `read`.
+/// Reads the already parsed object `value` with `read`.
 ///
 /// # Errors
 ///
-/// As [`parse`], without bad JSON.
+/// Same as [`parse`], except for invalid JSON.
 ///
 /// ```
 /// use lagoonline::check;
@@ -134,17 +136,17 @@
         format!("{}/{}", self.pointer, name.replace('~', "~0").replace('/', "~1"))
     }
 
-    /// JSON pointer of the object being read.
+    /// Returns the JSON pointer of the object being read.
     pub fn pointer(&self) -> &str {
         &self.pointer
     }
 
-    /// Whether the field is there.
+    /// Returns whether the field is present.
     pub fn has(&self, name: &str) -> bool {
         self.get(name).is_some()
     }
 
-    /// Records a fault of the field `name`.
+    /// Records an error about the field `name`.
     pub fn fault<R>(&self, name: &str, reason: R)
     where
         R: Into<String>,
@@ -153,7 +155,7 @@
         self.faults.borrow_mut().push(fault);
     }
 
-    /// Records a fault of one item of the array in the field `name`.
+    /// Records an error about one item of the array in the field `name`.
     pub fn fault_item<R>(&self, name: &str, index: usize, reason: R)
     where
         R: Into<String>,
@@ -162,7 +164,7 @@
         self.faults.borrow_mut().push(Fault { pointer, reason: reason.into() });
     }
 
-    /// Records a fault of the object itself.
+    /// Records an error about the object itself.
     pub fn fault_here<R>(&self, reason: R)
     where
         R: Into<String>,
@@ -183,7 +185,7 @@
         picked
     }
 
-    /// A whole number within `range`, or `default` when the field is absent.
+    /// Returns an integer within `range`, or `default` if the field is absent.
     pub fn number(&self, name: &str, default: u64, range: ops::RangeInclusive<u64>) -> u64 {
         let Some(number) = self.typed(name, "a whole number", Value::as_u64) else {
             return default;
@@ -195,7 +197,7 @@
         number
     }
 
-    /// A number within `range`, or `default` when the field is absent.
+    /// Returns a number within `range`, or `default` if the field is absent.
     pub fn float(&self, name: &str, default: f64, range: ops::RangeInclusive<f64>) -> f64 {
         let Some(number) = self.typed(name, "a number", Value::as_f64) else {
             return default;
@@ -207,17 +209,17 @@
         number
     }
 
-    /// True or false, or `default` when the field is absent.
+    /// Returns a boolean, or `default` if the field is absent.
     pub fn flag(&self, name: &str, default: bool) -> bool {
         self.typed(name, "true or false", Value::as_bool).unwrap_or(default)
     }
 
-    /// A text, or `default` when the field is absent.
+    /// Returns a string, or `default` if the field is absent.
     pub fn text(&self, name: &str, default: &str) -> String {
         self.typed(name, "a text", Value::as_str).unwrap_or(default).to_owned()
     }
 
-    /// A text that must be there and not be empty.
+    /// Returns a string that must be present and not empty.
     pub fn required(&self, name: &str) -> String {
         let text = self.text(name, "");
         if text.is_empty() && self.get(name).is_none_or(Value::is_string) {
@@ -226,7 +228,8 @@
         text
     }
 
-    /// A value parsed from a text, such as a socket address; absent gives `None`.
+    /// Returns a value parsed from a string, such as a socket address, or `None` if the field is
+    /// absent.
     pub fn parsed<T>(&self, name: &str, kind: &str) -> Option<T>
     where
         T: std::str::FromStr,
@@ -234,7 +237,7 @@
         self.typed(name, kind, |value| value.as_str()?.parse().ok())
     }
 
-    /// As [`Reader::parsed`], but it must be there; `default` stands in after a fault.
+    /// Like [`Reader::parsed`], but the field must be present; returns `default` after an error.
     pub fn required_parsed<T>(&self, name: &str, kind: &str, default: T) -> T
     where
         T: std::str::FromStr,
@@ -245,7 +248,7 @@
         self.parsed(name, kind).unwrap_or(default)
     }
 
-    /// An array of texts; empty when absent.
+    /// Returns an array of strings; empty if the field is absent.
     pub fn texts(&self, name: &str) -> Vec<String> {
         let items = self.typed(name, "an array", Value::as_array);
         let mut texts = Vec::new();
@@ -258,7 +261,7 @@
         texts
     }
 
-    /// An object read with `read`; `None` when absent.
+    /// Returns an object read with `read`, or `None` if the field is absent.
     pub fn child<T, Read>(&self, name: &str, read: Read) -> Option<T>
     where
         Read: FnOnce(&Reader<'_>) -> T,
@@ -267,7 +270,8 @@
         Some(Reader::enter(value, self.join(name), self.faults, read))
     }
 
-    /// An object whose field names are data, each value read with `read`; empty when absent.
+    /// Returns the entries of an object with arbitrary field names, each value read with `read`;
+    /// empty if the field is absent.
     pub fn map<T, Read>(&self, name: &str, mut read: Read) -> Vec<(String, T)>
     where
         Read: FnMut(&str, &Reader<'_>) -> T,
@@ -283,7 +287,8 @@
         result
     }
 
-    /// An array of objects, each read with `read`; empty when absent.
+    /// Returns the items of an array of objects, each read with `read`; empty if the field is
+    /// absent.
     pub fn list<T, Read>(&self, name: &str, mut read: Read) -> Vec<T>
     where
         Read: FnMut(&Reader<'_>) -> T,
--- a/crates/lagoonline/src/clock.rs
+++ b/crates/lagoonline/src/clock.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as plain numbers, so that every decision can be tested with a fake clock.
+//! Monotonic time as plain numbers, so that time-dependent logic can be tested with a fake clock.
 
 use std::ops;
 use std::sync::atomic;
@@ -8,7 +8,7 @@
 
 /// A point on one process's monotonic clock, in microseconds since that process started.
 ///
-/// Moments of two processes cannot be compared; what crosses a wire is the time left.
+/// Moments of different processes cannot be compared; messages carry the remaining time instead.
 ///
 /// ```
 /// use lagoonline::clock::{Moment, Span};
@@ -20,37 +20,37 @@
 pub struct Moment(u64);
 
 impl Moment {
-    /// The first moment of the process.
+    /// The moment at which the process started.
     pub const START: Moment = Moment(0);
-    /// A moment that never comes.
+    /// A moment that is never reached.
     pub const NEVER: Moment = Moment(u64::MAX);
 
-    /// A moment `micros` microseconds after the start.
+    /// Returns the moment `micros` microseconds after the start.
     pub const fn from_micros(micros: u64) -> Self {
         Moment(micros)
     }
 
-    /// A moment `millis` milliseconds after the start.
+    /// Returns the moment `millis` milliseconds after the start.
     pub const fn from_millis(millis: u64) -> Self {
         Moment(millis * 1_000)
     }
 
-    /// Microseconds since the start.
+    /// Returns the microseconds since the start.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Milliseconds since the start, rounded down.
+    /// Returns the milliseconds since the start, rounded down.
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Time from `earlier` to `self`; zero when `earlier` is the later of the two.
+    /// Returns the time from `earlier` to `self`, or zero if `earlier` is the later of the two.
     pub const fn since(self, earlier: Moment) -> Span {
         Span::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The moment `span` earlier, or the first one.
+    /// Returns the moment `span` earlier, or [`Moment::START`] if there is none.
     ///
     /// ```
     /// use lagoonline::clock::{Moment, Span};
@@ -70,16 +70,16 @@
     }
 }
 
-/// Where the time comes from.
+/// A source of time.
 pub trait Clock: Clone + Send + Sync + 'static {
-    /// The current moment of this process's monotonic clock.
+    /// Returns the current moment of this process's monotonic clock.
     fn now(&self) -> Moment;
 
-    /// Milliseconds since the Unix epoch by the host's wall clock, which may jump.
+    /// Returns the milliseconds since the Unix epoch on the host's wall clock, which may jump.
     fn wall_millis(&self) -> u64;
 }
 
-/// The host's clocks.
+/// The monotonic and wall clock of the operating system.
 ///
 /// ```
 /// use lagoonline::clock::{Clock, Host};
@@ -109,7 +109,7 @@
     }
 }
 
-/// A clock that moves only when told to; clones share the same time.
+/// A clock for tests that only moves when advanced; clones share the same time.
 ///
 /// ```
 /// use lagoonline::clock::{Clock, Fake, Moment, Span};
--- a/crates/lagoonline/src/id.rs
+++ b/crates/lagoonline/src/id.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things; each its own type, so that they cannot be mixed up.
+//! Identifiers, each with its own type so that they cannot be confused.
 
 use std::borrow;
 use std::fmt;
@@ -14,7 +14,7 @@
         pub struct $name(sync::Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -53,23 +53,23 @@
 }
 
 name! {
-    /// A team: the owner of one section of the document.
+    /// A team, the owner of one section of the document.
     Team
 }
 name! {
-    /// A customer: the holder of caller keys, limits and a deadline.
+    /// A customer, the holder of caller keys, limits and a deadline.
     Customer
 }
 name! {
-    /// A model, as callers name it.
+    /// A model, by the name that callers use.
     Model
 }
 name! {
-    /// A plain service, as callers name it in `/services/NAME/`.
+    /// A plain service, by the name that callers use in `/services/NAME/`.
     Service
 }
 name! {
-    /// A route: requests of one host under one path prefix.
+    /// A route: requests to one host under one path prefix.
     Route
 }
 name! {
@@ -81,7 +81,7 @@
     Zone
 }
 name! {
-    /// A region: availability zones with cheap links between them.
+    /// A region: availability zones connected by cheap links.
     Region
 }
 name! {
@@ -89,21 +89,22 @@
     Host
 }
 
-/// Which life of a process: higher is later. Made from the wall clock at start by adapters.
+/// Incarnation of a process; a restarted process has a higher one. Adapters derive it from the wall
+/// clock at start.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// Version of one team's section: 0 before the first, then counted up by one.
+/// Version of a team's section: 0 before the first, then incremented by one.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(transparent)]
 pub struct Version(pub u64);
 
-/// Fencing number of a lease: higher is later.
+/// Fencing number of a lease; a later lease has a higher one.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -122,7 +123,7 @@
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Attempt(pub u128);
 
-/// Hex digits of an attempt's written form.
+/// Number of hex digits in the text form of an attempt.
 const ATTEMPT_DIGITS: usize = 32;
 
 impl fmt::Display for Attempt {
@@ -147,7 +148,7 @@
     }
 }
 
-/// Who holds something on an upstream: an entry host in one of its lives.
+/// The owner of a resource on an upstream: an entry host in one of its incarnations.
 ///
 /// ```
 /// use lagoonline::id::{Host, Incarnation, Owner};
@@ -157,9 +158,9 @@
 /// ```
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Owner {
-    /// The entry host's name.
+    /// Name of the entry host.
     pub host: Host,
-    /// Its life.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
 }
 
--- a/crates/lagoonline/src/lib.rs
+++ b/crates/lagoonline/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions and state machines of a serving layer for prompts of very unlike lengths.
+//! Decision logic and state machines of a serving layer for prompts of very different lengths.
 //!
-//! Nothing here opens a socket, reads a clock or starts a task: time and randomness are passed
-//! in, foreign systems are reached through the traits of [`port`]. The adapters live in the crate
+//! Nothing here opens a socket, reads a clock or starts a task: time and randomness are passed in,
+//! and external systems are accessed through the traits in [`port`]. The adapters are in the crate
 //! `lagoon-net`.
 //!
 //! ```
--- a/crates/lagoonline/src/life/claim/decision.rs
+++ b/crates/lagoonline/src/life/claim/decision.rs
@@ -1,4 +1,4 @@
-//! What a claim row means for a request with its key.
+//! Decides how a keyed request proceeds, given the claim row of its key.
 
 use super::record;
 use super::ticket;
@@ -7,26 +7,27 @@
 use crate::life::safeguard;
 use crate::port::table;
 
-/// What to do with a request, by the row of its key.
+/// How to proceed with a request, given the row of its key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// The row may be written over at this version; 0: there is none.
+    /// The key is free: the row may be overwritten at this version, where 0 means that it is
+    /// absent.
     Free(u64),
-    /// This request's own claim stands, at this version.
+    /// The row holds this request's own claim, at this version.
     Mine(u64),
-    /// The key was used with another body.
+    /// The key was used with a different body.
     Reused,
-    /// An earlier request may have run or be running, and may not be repeated.
+    /// An earlier non-repeatable request may have run or may still be running.
     Unknown,
     /// An earlier repeatable request may be running.
     Running(ticket::Running),
-    /// An earlier request ran; its answer is kept.
+    /// An earlier request completed and its answer is stored.
     Replay(record::Record),
-    /// The row cannot be read as a claim: it counts as one that may have run.
+    /// The row cannot be parsed as a claim. It is treated like a claim that may have run.
     Unreadable,
 }
 
-/// Decides; `row` is what a read of the key gave.
+/// Returns how `request` proceeds; `row` is the result of reading its key.
 ///
 /// ```
 /// use lagoonline::life::{claim::{decide, Ask, Verdict}, request::Repeat, safeguard};
@@ -70,9 +71,9 @@
     }
 }
 
-/// Failure answered: a holder is thought dead, its claim is taken over, and its call, which was
-/// on its way, runs as well. No sign of death proves that nothing was sent, so nothing but the
-/// holder's own word (`released`) frees the key of a call that may not repeat.
+/// A non-repeatable call must not run twice. If the claim of a host that seems dead were taken
+/// over, its call, already dispatched, could run as well. No sign of a host's death proves that
+/// nothing was sent, so only the claim holder itself frees such a key, by writing `released`.
 fn may_have_run(version: u64, ask: &record::Ask, safeguards: safeguard::Set) -> Verdict {
     let repeatable = ask.repeat == request::Repeat::Allowed;
     if repeatable || !safeguards.has(safeguard::Safeguard::NoTakeover) {
--- a/crates/lagoonline/src/life/claim/driver.rs
+++ b/crates/lagoonline/src/life/claim/driver.rs
@@ -1,4 +1,4 @@
-//! Writes claim rows through the ports; every await is one call of a port.
+//! Reads and writes claim rows through the ports. Each await is a single port call.
 
 use bytes::Bytes;
 
@@ -14,36 +14,38 @@
 use crate::port::objects;
 use crate::port::table;
 
-/// How a keyed request goes on.
+/// How a keyed request proceeds.
 #[derive(Debug)]
 pub enum Begin {
-    /// It has the key: dispatch it.
+    /// The request holds the key and may be dispatched.
     Run(ticket::Ticket),
-    /// A repeatable request, with the platform out of reach: run it without a claim.
+    /// The request is repeatable and the platform is unreachable: run it without a claim.
     Unclaimed,
-    /// A repeatable request runs elsewhere: resume its stream, or [`Claims::take_over`].
+    /// A repeatable request with this key is running elsewhere: resume its stream, or call
+    /// [`Claims::take_over`].
     Running(ticket::Running),
-    /// It ran before: this is its answer, whole.
+    /// The request ran before; this is its complete answer.
     Replay(record::Answer),
 }
 
-/// A claim given up whose commit may have landed or may yet land. It was never dispatched and,
-/// its ticket being gone, never can be. Give it to [`Claims::settle`] until that says `true`.
+/// A claim that was given up but whose commit may have been applied, or may be applied later. Its
+/// request was never dispatched and cannot be, as its ticket no longer exists. Call
+/// [`Claims::settle`] until it returns `true`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Abandoned {
     row: String,
     record: record::Record,
     deadline: clock::Moment,
-    /// The highest version that one of its commits may still match.
+    /// The highest row version that one of its pending commits may still match.
     last: u64,
 }
 
-/// Why a keyed request does not run.
+/// Why a keyed request was not run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
-    /// What the caller is told.
+    /// The failure reported to the caller.
     pub failure: outcome::Failure,
-    /// To be settled in the background.
+    /// A claim to settle in the background.
     pub abandoned: Option<Abandoned>,
 }
 
@@ -53,16 +55,16 @@
     }
 }
 
-/// An answer that is not stored yet: try [`Claims::finish`] again with its parts.
+/// An answer that could not be stored. Pass its parts to [`Claims::finish`] again.
 #[derive(Debug)]
 pub struct Unstored {
-    /// The claim.
+    /// The claim that the answer belongs to.
     pub sent: ticket::Sent,
-    /// Its answer, which its own caller has.
+    /// The answer, already delivered to the claim's own caller.
     pub answer: record::Answer,
 }
 
-/// How a rewrite of one's own row ended.
+/// The result of rewriting a claim row owned by this host.
 enum Written {
     Yes,
     Superseded,
@@ -70,7 +72,7 @@
     Unsure { last: u64 },
 }
 
-/// The idempotency keys of one entry host.
+/// Manages the idempotency keys of one entry host.
 #[derive(Clone, Debug)]
 pub struct Claims<T, O, C> {
     table: T,
@@ -85,26 +87,26 @@
     O: objects::Objects,
     C: clock::Clock,
 {
-    /// Claims through these ports.
+    /// Creates the manager on top of the given ports.
     pub fn new(table: T, objects: O, clock: C, settings: settings::Settings) -> Self {
         Claims { table, objects, clock, settings }
     }
 
-    /// Claims the key, or says why not. One write when the key is new.
+    /// Claims the key of `request`, or reports why it cannot. A new key takes one write.
     ///
     /// # Errors
     ///
-    /// `KeyReused`, `EarlierUnknown`, or `PlatformDown`; in each this request did not run, and the
-    /// outcome is `unknown` where an earlier one with its key may have.
+    /// `KeyReused`, `EarlierUnknown` or `PlatformDown`. The request itself did not run in any of
+    /// these cases; the outcome is `unknown` if an earlier request with the same key may have run.
     pub async fn begin(&self, ask: record::Ask) -> Result<Begin, Box<Refusal>> {
         self.claim(ask, 0, 0).await
     }
 
-    /// Claims the key of a repeatable call whose stream cannot be resumed.
+    /// Takes over the key of a repeatable call whose stream cannot be resumed.
     ///
     /// # Errors
     ///
-    /// As [`Claims::begin`].
+    /// Same as [`Claims::begin`].
     pub async fn take_over(
         &self,
         ask: record::Ask,
@@ -117,7 +119,8 @@
         self.claim(ask, over, over).await
     }
 
-    /// `at` is the version to write over; `over` a running claim's version that may be taken.
+    /// `at` is the row version to overwrite. A running claim at version `replaceable` may be
+    /// replaced.
     async fn claim(&self, ask: record::Ask, mut at: u64, over: u64) -> Result<Begin, Box<Refusal>> {
         let row = self.row(&ask);
         let record = self.record(&ask, claimed(&ask, ask.token));
@@ -126,7 +129,7 @@
         for _ in 0..self.settings.rounds {
             match self.commit(&row, &record, at).await {
                 Ok(version) => return Ok(Begin::Run(self.ticket(ask, row, version))),
-                // Reads may still be served, and the row may hold the answer.
+                // Reads may still work, and the row may hold the answer.
                 Err(table::Error::Refused { .. }) => refused = true,
                 Err(table::Error::Conflict { .. }) => {}
                 Err(table::Error::Unknown { .. }) => {
@@ -152,7 +155,7 @@
         self.give_up(&ask, row, record, unsure)
     }
 
-    /// The key is not this request's.
+    /// Handles a key that is held by another request.
     async fn other(&self, verdict: decision::Verdict) -> Result<Begin, Box<Refusal>> {
         match verdict {
             decision::Verdict::Reused => {
@@ -167,8 +170,8 @@
         }
     }
 
-    /// Failure answered: a commit without an answer is taken for one that failed, and lands later
-    /// on a request that ran all the same. Here no ticket comes about, so nothing is dispatched.
+    /// A commit without a reply may still be applied later. The claim is given up without a ticket,
+    /// so the request cannot be dispatched and `not-run` stays true.
     fn give_up(
         &self,
         ask: &record::Ask,
@@ -199,7 +202,7 @@
                 }
             },
         };
-        // An object can be gone or replaced by its retention while its row is being read.
+        // The object may have been deleted or replaced by retention since the row was read.
         let whole = body.len() as u64 == bytes && record::sha256(&body) == sha256;
         if !whole && self.settings.safeguards.has(safeguard::Safeguard::AnswerCheck) {
             return Err(failure(outcome::Reason::EarlierUnknown, outcome::Outcome::Unknown).into());
@@ -207,7 +210,8 @@
         Ok(Begin::Replay(record::Answer { status, content_type, body }))
     }
 
-    /// Records where a repeatable call was sent instead, so that its stream can be taken over.
+    /// Records the upstream and attempt that a repeatable call was redirected to, so that its
+    /// stream can be taken over.
     pub async fn retarget(
         &self,
         ticket: &mut ticket::Ticket,
@@ -216,13 +220,14 @@
     ) {
         ticket.ask.upstream = upstream;
         let state = claimed(&ticket.ask, attempt);
-        // Not knowing is harmless: later writes find the version by the claim's name.
+        // An unconfirmed write is harmless: later writes look up the current version by the claim's
+        // token.
         self.rewrite(ticket, state).await;
     }
 
-    /// The request did not run and never will: frees its key.
+    /// Frees the key of a request that did not run and never will.
     ///
-    /// The caller may be told `not-run` before this ends: the ticket is gone.
+    /// The caller may be told `not-run` before this completes, because the ticket is consumed.
     pub async fn release(&self, ticket: ticket::Ticket) -> Option<Abandoned> {
         match self.rewrite(&ticket, record::State::Released).await {
             Written::Yes | Written::Superseded | Written::TooLate => None,
@@ -233,19 +238,21 @@
         }
     }
 
-    /// The request may have run and its answer will not come. If this cannot be written the row
-    /// stays `claimed`, which means the same to others.
+    /// Records that the request may have run and that its answer is lost. If the write fails the
+    /// row stays `claimed`, which other hosts treat the same way.
     pub async fn lose(&self, sent: ticket::Sent) {
         let keep = self.settings.safeguards.has(safeguard::Safeguard::UnknownKept);
         let state = if keep { record::State::Unknown } else { record::State::Released };
         self.rewrite(&sent.0, state).await;
     }
 
-    /// Stores the answer for replay; a long one as an object, written before the row names it.
+    /// Stores the answer for replay. A long body is stored as an object before the row refers to
+    /// it.
     ///
     /// # Errors
     ///
-    /// What to try again; until it is stored, callers with this key hear `EarlierUnknown`.
+    /// Returns the parts to retry with. Until the answer is stored, requests with this key get
+    /// `EarlierUnknown`.
     pub async fn finish(
         &self,
         sent: ticket::Sent,
@@ -277,11 +284,12 @@
         Some(record::Kept::Object(key))
     }
 
-    /// One try to free the key of a claim that was given up; `true` when nothing is left to do.
-    /// Try about once a second.
+    /// Makes one attempt to free the key of an abandoned claim; returns `true` when nothing is left
+    /// to do. Call it about once a second.
     ///
-    /// Failure answered: the lost commit lands after all, and the key answers 409 until retention
-    /// ends. A `released` row above every version that the commit can match shuts it out.
+    /// Without this, a delayed commit could still be applied and the key would answer 409 until its
+    /// retention ends. A `released` row with a version above every version that the commit can
+    /// match blocks it.
     pub async fn settle(&self, abandoned: &Abandoned) -> bool {
         if !self.settings.safeguards.has(safeguard::Safeguard::Settle) {
             return true;
@@ -307,7 +315,7 @@
         self.commit(&abandoned.row, &tombstone, version).await.is_ok()
     }
 
-    /// Writes one's own row; `Unsure` when no round got an answer.
+    /// Overwrites this claim's own row; returns `Unknown` if no attempt got a definite reply.
     async fn rewrite(&self, ticket: &ticket::Ticket, state: record::State) -> Written {
         let record = self.record(&ticket.ask, state);
         let mut at = ticket.version;
@@ -335,10 +343,11 @@
         Written::Unsure { last: at }
     }
 
-    /// Failure answered: a host pauses for longer than retention, its row is deleted and another
-    /// host's claim stands at the same version number; the first resumes, frees "its" key, and a
-    /// third host runs the call again. Past its patience a host writes nothing; the row then
-    /// counts as one that may have run until retention ends.
+    /// Returns whether the row must no longer be written. If a host pauses for longer than the
+    /// retention, its row is deleted and another host's claim may have the same version number; on
+    /// resuming, the first host would free that key and a third host would run the call again.
+    /// After the grace time a host writes nothing, and its row counts as one that may have run
+    /// until its retention ends.
     fn is_too_late(&self, deadline: clock::Moment) -> bool {
         self.clock.now() >= deadline + self.settings.patience
             && self.settings.safeguards.has(safeguard::Safeguard::WriteDeadline)
--- a/crates/lagoonline/src/life/claim/mod.rs
+++ b/crates/lagoonline/src/life/claim/mod.rs
@@ -1,9 +1,9 @@
-//! Idempotency keys: a row in the table service, written before dispatch.
+//! Idempotency keys, stored as rows of the table service that are written before dispatch.
 //!
-//! Failure answered: a caller that lost its answer asks again, perhaps at another entry host, and
-//! a filing is made twice. [`Claims::begin`] gives a [`Ticket`] only to the one request whose row
-//! is known to stand in the table, and a keyed call is dispatched only by [`Ticket::dispatch`].
-//! The rules, and why they are enough, are in `docs/design/idempotency.md`.
+//! A caller that lost its answer retries, perhaps at another entry host, and without a claim the
+//! call would run twice. [`Claims::begin`] returns a [`Ticket`] only to the one request whose row
+//! is known to be in the table, and a keyed call is dispatched only through [`Ticket::dispatch`].
+//! The rules and the argument for their correctness are in `docs/design/idempotency.md`.
 
 mod decision;
 mod driver;
--- a/crates/lagoonline/src/life/claim/record.rs
+++ b/crates/lagoonline/src/life/claim/record.rs
@@ -1,4 +1,4 @@
-//! What a claim row holds.
+//! Contents of a claim row.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -8,28 +8,28 @@
 use crate::id;
 use crate::life::request;
 
-/// A keyed request that wants to run.
+/// A request with an idempotency key that is to be run.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// Who asks: the scope of the key.
+    /// The calling customer, which is the scope of the key.
     pub customer: id::Customer,
-    /// The caller's key.
+    /// The idempotency key sent by the caller.
     pub key: String,
-    /// From [`body_hash`].
+    /// Hash of the request, from [`body_hash`].
     pub body: String,
     /// Whether the call may run more than once.
     pub repeat: request::Repeat,
-    /// Names this claim; fresh for each request.
+    /// Identifies this claim; unique to each request.
     pub token: id::Attempt,
-    /// The upstream it is to go to.
+    /// The upstream that the request is to be sent to.
     pub upstream: id::Upstream,
-    /// When the request ends at the latest, by this process's monotonic clock.
+    /// When the request ends at the latest, on this process's monotonic clock.
     pub deadline: clock::Moment,
-    /// Wall time now, in milliseconds since the Unix epoch; only retention goes by it.
+    /// Current wall time in milliseconds since the Unix epoch; used for retention only.
     pub wall_ms: u64,
 }
 
-/// A whole answer, as it is replayed.
+/// A complete answer for replay.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Answer {
     /// The HTTP status.
@@ -40,58 +40,58 @@
     pub body: Bytes,
 }
 
-/// Where a stored answer's body is.
+/// Where the body of a stored answer is kept.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kept {
-    /// In the row.
+    /// In the row itself.
     Inline(String),
     /// In the object store, under this key.
     Object(String),
 }
 
-/// How far the claim's request came.
+/// Progress of the claim's request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "state")]
 pub enum State {
-    /// It may have been dispatched.
+    /// The request may have been dispatched.
     Claimed {
-        /// The attempt on its way, 32 hex digits.
+        /// The attempt in flight, as 32 hex digits.
         attempt: String,
-        /// The upstream it goes to.
+        /// The upstream that it was sent to.
         upstream: id::Upstream,
     },
-    /// It ran and its answer is kept.
+    /// The request ran and its answer is stored.
     Done {
         /// The HTTP status.
         status: u16,
         /// The `Content-Type`.
         content_type: String,
-        /// The body's place.
+        /// Location of the body.
         kept: Kept,
-        /// The body's length.
+        /// Length of the body in bytes.
         bytes: u64,
-        /// The body's SHA-256 in hex digits.
+        /// SHA-256 of the body in hex digits.
         sha256: String,
     },
-    /// It may have run; its answer is lost.
+    /// The request may have run; its answer is lost.
     Unknown,
-    /// It did not run and never will: the key is free.
+    /// The request did not run and never will, so the key is free.
     Released,
 }
 
 /// The value of a claim row, as JSON.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// Names the claim, 32 hex digits.
+    /// Identifies the claim, as 32 hex digits.
     pub token: String,
-    /// From [`body_hash`].
+    /// Hash of the request, from [`body_hash`].
     pub body: String,
-    /// `HOST/INCARNATION` of the entry host that wrote it.
+    /// The entry host that wrote the row, as `HOST/INCARNATION`.
     pub holder: String,
-    /// Wall time of the claim in milliseconds since the Unix epoch; retention counts from it.
+    /// Wall time of the claim in milliseconds since the Unix epoch; start of the retention time.
     pub written_ms: u64,
-    /// How far it came.
+    /// Progress of the request.
     #[serde(flatten)]
     pub state: State,
 }
@@ -104,7 +104,7 @@
     hex(&sha2::Sha256::digest(bytes))
 }
 
-/// Hash of what makes two requests the same: method, path with query, and body.
+/// Returns a hash of the parts that identify a request: method, path with query, and body.
 ///
 /// ```
 /// use lagoonline::life::claim::body_hash;
@@ -119,7 +119,8 @@
     hex(&hash.finalize())
 }
 
-/// Key of the claim's row; the caller's key is hashed, so that it cannot name another's row.
+/// Returns the key of a claim's row. The caller's key is hashed so that it cannot be crafted to
+/// address another customer's row.
 ///
 /// ```
 /// use lagoonline::{id::Customer, life::claim::row_key};
@@ -131,7 +132,7 @@
     format!("{}{customer}/{hash}", shard_prefix(shard(key)))
 }
 
-/// The shard of a key's row, by the key's hash: the sweep is divided by shards.
+/// Returns the shard of a key's row, derived from the key's hash. Rows are swept shard by shard.
 ///
 /// ```
 /// use lagoonline::{id::Customer, life::claim::{row_key, shard}};
--- a/crates/lagoonline/src/life/claim/settings.rs
+++ b/crates/lagoonline/src/life/claim/settings.rs
@@ -1,39 +1,40 @@
-//! Limits of the claims.
+//! Limits for idempotency claims.
 
 use crate::clock;
 use crate::id;
 use crate::life::safeguard;
 
-/// Limits of the claims.
+/// Limits for idempotency claims.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The entry host, in this life.
+    /// This entry host and its incarnation.
     pub owner: id::Owner,
-    /// Longest answer body kept in the row, in bytes; longer ones are objects.
+    /// Longest answer body stored in the row, in bytes; longer ones are stored as objects.
     pub inline_bytes: usize,
-    /// Commits tried for one change of a row before it is given up.
+    /// Number of commits attempted for one row change before it is given up.
     pub rounds: u32,
-    /// How long after the request's deadline its row may still be written; hours less than
-    /// retention.
+    /// How long after a request's deadline its row may still be written. Must be hours shorter than
+    /// the retention.
     pub patience: clock::Span,
-    /// When a caller refused for the platform's sake is told to come back.
+    /// `Retry-After` for requests refused because the platform is unreachable.
     pub retry_after: clock::Span,
-    /// All but in tests of the oracle.
+    /// Safeguards in force; all of them outside of mutation tests.
     pub safeguards: safeguard::Set,
 }
 
-/// Three commits ride out a lost answer and a lost race; more would add load to an outage.
+/// Three commits cover one lost reply and one lost race; more would add load during an outage.
 const ROUNDS: u32 = 3;
-/// Shortest retention of claims that a site may set.
+/// Shortest claim retention that a site may configure.
 pub const LEAST_RETENTION: clock::Span = clock::Span::from_secs(24 * 3_600);
-/// Longest deadline that a document may allow. A row is written until `PATIENCE` after it, and as
-/// much again is left for a host that sleeps or a commit that is late, before retention can end:
-/// else a host dispatches, or frees, a key whose row is gone, and the call runs twice.
+/// Longest deadline that a document may configure. A row is written until `WRITE_GRACE` after the
+/// deadline, and the same time again is left for a suspended host or a delayed commit before the
+/// retention can end. Otherwise a host could dispatch, or free, a key whose row has been deleted,
+/// and the call would run twice.
 pub const LONGEST_DEADLINE: clock::Span =
     LEAST_RETENTION.saturating_sub(PATIENCE.saturating_mul(2));
-/// An outage of the platform may last this long before an answer stays unstored.
+/// A platform outage may last this long before an answer is left unstored.
 const PATIENCE: clock::Span = clock::Span::from_secs(3_600);
-/// Most bookings answer in less; it keeps a scanned row small.
+/// Covers most booking answers and keeps scanned rows small.
 const INLINE_BYTES: usize = 4_096;
 
 impl Default for Settings {
--- a/crates/lagoonline/src/life/claim/sweep.rs
+++ b/crates/lagoonline/src/life/claim/sweep.rs
@@ -1,34 +1,36 @@
-//! Removes claims whose retention has ended, a bounded number of rows at a time.
+//! Deletes claims past their retention time, a bounded number of rows at a time.
 //!
-//! Load pattern: millions of rows, of which a pass reads all. One steward that did so alone would
-//! spend 80 KB a second on it. The rows are in [`SHARDS`] shards, each swept by a steward of its
-//! own, and shards take turns by the wall clock, so that the fleet as a whole makes one read in
-//! [`Sweep::pace`] with nothing agreed on. Two sweepers of a shard at once cost reads, never a row
-//! that is still in use: each row is deleted only at the version that was read.
+//! The table holds millions of rows and one sweep reads them all; a single steward doing so would
+//! read 80 KB per second. Rows are therefore divided into [`SHARDS`] shards, each swept by one
+//! steward, and the shards are scheduled by the wall clock, so that the whole fleet makes one read
+//! per [`SweepSettings::interval`] without coordination. Two stewards sweeping the same shard cost
+//! extra reads but never delete a row that is in use: each row is deleted only at the version that
+//! was read.
 
 use super::record;
 use super::settings;
 use crate::clock;
 use crate::port::table;
 
-/// Shards of the claim rows.
+/// Number of shards that claim rows are divided into.
 pub const SHARDS: u64 = 256;
 
 /// Limits of a sweep.
 #[derive(Clone, Debug)]
 pub struct Sweep {
-    /// How long a claim is kept, at least [`settings::LEAST_RETENTION`]; a day covers a caller's
+    /// How long a claim is kept, at least [`settings::MIN_RETENTION`]; one day covers a caller's
     /// retries after an outage.
     pub retention: clock::Span,
-    /// Rows read and at most deleted in one step: one read and one write.
+    /// Most rows read and deleted in one step, which is one read and one write.
     pub batch: usize,
-    /// Time between two steps of the whole fleet.
+    /// Time between two steps across the whole fleet.
     pub pace: clock::Span,
 }
 
-/// One read and one commit of this many rows.
+/// Rows per read and commit.
 const BATCH: usize = 200;
-/// Twice as many rows as are written at 90 keyed calls a second, for one read in 2,000.
+/// Scans rows at twice the rate at which 90 keyed calls per second add them; this takes one of
+/// every 2,000 reads.
 const PACE: clock::Span = clock::Span::from_secs(1);
 
 impl Default for Sweep {
@@ -37,7 +39,7 @@
     }
 }
 
-/// The shard whose turn it is, and the time until the next turn.
+/// Returns the shard to sweep at this wall time, and the time until the next one.
 ///
 /// ```
 /// use lagoonline::{clock::Span, life::claim::turn};
@@ -50,7 +52,7 @@
     (shard, clock::Span::from_millis(pace - wall_ms % pace))
 }
 
-/// Goes through the claim rows of a shard in the order of their keys, again and again.
+/// Scans the claim rows of one shard in key order, repeatedly.
 #[derive(Clone, Debug)]
 pub struct Sweeper {
     settings: Sweep,
@@ -59,16 +61,16 @@
 }
 
 impl Sweeper {
-    /// Starts before the first row of `shard`.
+    /// Creates a sweeper positioned before the first row of `shard`.
     pub fn new(settings: Sweep, shard: u8) -> Self {
         Sweeper { settings, prefix: record::shard_prefix(shard), after: String::new() }
     }
 
-    /// One read and at most one write; returns the rows deleted.
+    /// Makes one read and at most one write; returns the number of deleted rows.
     ///
     /// # Errors
     ///
-    /// Those of the table; the next step goes on from the same place.
+    /// Returns the table's error; the next step resumes from the same position.
     pub async fn step<T>(&mut self, table: &T, wall_ms: u64) -> Result<usize, table::Error>
     where
         T: table::Table,
--- a/crates/lagoonline/src/life/claim/ticket.rs
+++ b/crates/lagoonline/src/life/claim/ticket.rs
@@ -1,11 +1,13 @@
-//! A claim that stands, as types: only its holder may dispatch, and only once at a time.
+//! Typestates of an established claim: only its holder may dispatch, and only one attempt at a
+//! time.
 
 use super::record;
 use crate::clock;
 use crate::id;
 use crate::life::safeguard;
 
-/// The right to dispatch under a key: the row is known to stand, and nothing is on its way.
+/// The right to dispatch a request under its key. The row is known to be in the table and no
+/// attempt is in flight.
 #[derive(Debug)]
 pub struct Ticket {
     pub(super) ask: record::Ask,
@@ -14,7 +16,7 @@
     pub(super) safeguards: safeguard::Set,
 }
 
-/// The deadline has passed: the ticket is to be released.
+/// The deadline has passed, so the ticket must be released.
 #[derive(Debug)]
 pub struct Expired(pub Box<Ticket>);
 
@@ -22,29 +24,29 @@
 #[derive(Debug)]
 pub struct Sent(pub(super) Ticket);
 
-/// A repeatable call with this key that may be running: where its stream can be resumed.
+/// A repeatable call with the same key that may be running, and where its stream can be resumed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Running {
     /// The attempt to resume.
     pub attempt: id::Attempt,
-    /// The engine it runs on.
+    /// The engine that the attempt runs on.
     pub upstream: id::Upstream,
-    /// Who dispatched it, as `HOST/INCARNATION`.
+    /// The entry host that dispatched it, as `HOST/INCARNATION`.
     pub holder: String,
-    /// The row's version, for [`super::Claims::take_over`].
+    /// Version of the row, for [`super::Claims::take_over`].
     pub version: u64,
 }
 
 impl Ticket {
-    /// Call this before the first byte may leave.
+    /// Marks the request as sent; call this before the first byte may leave.
     ///
-    /// Failure answered: a host pauses after its claim, its row's retention ends, another host
-    /// claims and runs, and the first resumes and runs it again. Deadlines are hours shorter than
-    /// retention, so a ticket that is used before its deadline still has its row.
+    /// A host may pause after claiming the key until the row's retention ends and another host
+    /// claims and runs the call. Deadlines are hours shorter than the retention, so a ticket used
+    /// before its deadline still has its row, and the call cannot run twice.
     ///
     /// # Errors
     ///
-    /// The ticket back, when its deadline has passed.
+    /// Returns the ticket if its deadline has passed.
     pub fn dispatch(self, now: clock::Moment) -> Result<Sent, Expired> {
         let late = now >= self.ask.deadline;
         if late && self.safeguards.has(safeguard::Safeguard::DispatchDeadline) {
@@ -53,19 +55,19 @@
         Ok(Sent(self))
     }
 
-    /// The claim's name.
+    /// Returns the token that identifies the claim.
     pub fn token(&self) -> id::Attempt {
         self.ask.token
     }
 }
 
 impl Sent {
-    /// The upstream proved that this dispatch did not and will not run.
+    /// Returns the ticket after the upstream proved that this dispatch did not and will not run.
     pub fn refused(self) -> Ticket {
         self.0
     }
 
-    /// The claim's name.
+    /// Returns the token that identifies the claim.
     pub fn token(&self) -> id::Attempt {
         self.0.ask.token
     }
--- a/crates/lagoonline/src/life/drain.rs
+++ b/crates/lagoonline/src/life/drain.rs
@@ -1,25 +1,25 @@
-//! An entry host's shutdown: nothing in progress is cut before the limit.
+//! Graceful shutdown of an entry host: nothing in progress is cut before the time limit.
 //!
-//! Failure answered: the balancer goes on sending for a while after a host says that it is not
-//! ready, and closing its listener at once resets those callers. So the host first says that it is
-//! not ready and goes on serving, closing each connection after its answer; then takes no new
-//! connections and waits for what is under way. A second signal, or the limit, ends it, and each
-//! caller still waiting hears a clear failure.
+//! A load balancer keeps sending for a while after a host reports not ready, and closing the
+//! listener at once would reset those connections. The host therefore first reports not ready while
+//! it continues to serve, closing each connection after its answer; then it accepts no new
+//! connections and waits for the requests in flight. A second signal, or the time limit, ends the
+//! shutdown, and each caller still waiting gets a clear error.
 
 use crate::clock;
 
-/// How long each part may take.
+/// Time limits of the shutdown phases.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// From not ready to no new connections.
+    /// From the first signal, when the host reports not ready, until it accepts no new connections.
     pub unready: clock::Span,
-    /// From the first signal to the end at the latest; at least the longest deadline.
+    /// From the first signal until the process ends at the latest; at least the longest deadline.
     pub grace: clock::Span,
 }
 
-/// Two readiness probes of a balancer that probes each second, and one to spare.
+/// Two probes of a load balancer that probes readiness once a second, and one to spare.
 const UNREADY: clock::Span = clock::Span::from_secs(3);
-/// An answer of a million-token prompt takes minutes.
+/// Answering a million-token prompt takes minutes.
 const GRACE: clock::Span = clock::Span::from_secs(3_600);
 
 impl Default for Settings {
@@ -28,23 +28,23 @@
     }
 }
 
-/// How far the shutdown is.
+/// Phase of the shutdown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// All is served.
+    /// No shutdown was requested; everything is served.
     Serving,
-    /// Not ready, yet all is served; connections close after their answer.
+    /// Reports not ready but serves everything; connections close after their answer.
     Unready,
-    /// No new connections or requests; those under way go on.
+    /// Accepts no new connections or requests; those in flight continue.
     Draining,
-    /// Over: requests still under way fail with `Draining`, then the process exits.
+    /// Requests still in flight fail with `Draining`, then the process exits.
     Ended {
-        /// Whether requests were under way.
+        /// Whether requests were in flight.
         cut: bool,
     },
 }
 
-/// The shutdown.
+/// State machine of the shutdown.
 ///
 /// ```
 /// use lagoonline::{clock::Moment, life::drain::{Drain, State}};
@@ -67,12 +67,13 @@
 }
 
 impl Drain {
-    /// Serving.
+    /// Creates a host that is serving.
     pub fn new(settings: Settings) -> Self {
         Drain { settings, state: State::Serving, since: clock::Moment::START }
     }
 
-    /// SIGTERM or an operator's `drain`, with `open` requests under way; the second one ends it.
+    /// Handles SIGTERM or an operator's `drain` while `open` requests are in flight; the second one
+    /// ends the shutdown.
     pub fn signal(&mut self, now: clock::Moment, open: usize) -> State {
         self.state = match self.state {
             State::Serving => {
@@ -85,7 +86,8 @@
         self.state
     }
 
-    /// Call it often, and when a request ends; `open` requests are under way.
+    /// Advances the state while `open` requests are in flight; call it often, and whenever a
+    /// request ends.
     pub fn tick(&mut self, now: clock::Moment, open: usize) -> State {
         let elapsed = now.since(self.since);
         if self.state == State::Unready && elapsed >= self.settings.unready {
@@ -100,23 +102,23 @@
         self.state
     }
 
-    /// How far it is.
+    /// Returns the current phase.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// What `/readyz` says.
+    /// Returns whether `/readyz` reports ready.
     pub fn is_ready(&self) -> bool {
         self.state == State::Serving
     }
 
-    /// Whether the listener accepts, and a request that comes on an open connection is served;
-    /// otherwise it is refused with `Draining`, `not-run`.
+    /// Returns whether the listener accepts connections, and requests on open connections are
+    /// served; otherwise they are refused with `Draining`, `not-run`.
     pub fn accepts(&self) -> bool {
         matches!(self.state, State::Serving | State::Unready)
     }
 
-    /// Whether an answer closes its connection.
+    /// Returns whether a connection is closed after its answer.
     pub fn closes_connections(&self) -> bool {
         self.state != State::Serving
     }
--- a/crates/lagoonline/src/life/fingerprint.rs
+++ b/crates/lagoonline/src/life/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same request, whatever ids they bear.
+//! Identity of a request's content, independent of its request id.
 
 use std::fmt;
 use std::ops;
@@ -6,14 +6,14 @@
 
 use sha2::Digest as _;
 
-/// Bytes of a digest that are kept: too many for two requests to share by chance, or for a caller
-/// to find a body that bears the fingerprint of another request.
+/// Digest length in bytes: enough to rule out chance collisions, and a caller finding a body with
+/// the fingerprint of another request.
 const DIGEST: usize = 16;
 
 /// The identity of a request: its customer, path and query, and body.
 ///
-/// The length of the body comes first in the order, so that a table of fingerprints can tell
-/// without any hashing that it holds none of a certain length.
+/// The body length is the most significant part of the order, so a lookup by length tells without
+/// hashing that a set holds no fingerprint of that length.
 ///
 /// ```
 /// use lagoonline::life::fingerprint::Fingerprint;
@@ -28,14 +28,14 @@
     digest: [u8; DIGEST],
 }
 
-/// A text or bytes that are no fingerprint.
+/// Text or bytes that do not form a fingerprint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("not a fingerprint")]
 pub struct Malformed;
 
 impl Fingerprint {
-    /// The fingerprint of a request of `customer` (empty for none) to `target`, path and query, with
-    /// `body`. Takes time in proportion to the body.
+    /// Computes the fingerprint of a request by `customer` (empty if there is none) to `target`,
+    /// its path and query, with `body`. Takes time proportional to the body length.
     pub fn new(customer: &str, target: &str, body: &[u8]) -> Fingerprint {
         let mut hash = sha2::Sha256::new();
         for part in [customer.as_bytes(), target.as_bytes(), body] {
@@ -47,7 +47,7 @@
         Fingerprint { length: length(body), digest }
     }
 
-    /// All fingerprints of requests whose body has `length` bytes.
+    /// Returns the range of all fingerprints of requests whose body has `length` bytes.
     ///
     /// ```
     /// use lagoonline::life::fingerprint::Fingerprint;
@@ -59,21 +59,21 @@
         first..=Fingerprint { length, digest: [u8::MAX; DIGEST] }
     }
 
-    /// Length of the body, in bytes.
+    /// Returns the length of the body in bytes.
     pub const fn length(&self) -> u64 {
         self.length
     }
 
-    /// The digest of customer, target and body.
+    /// Returns the digest of customer, target and body.
     pub const fn digest(&self) -> &[u8] {
         &self.digest
     }
 
-    /// The fingerprint with these parts, as another host told them.
+    /// Builds a fingerprint from its parts, as received from another host.
     ///
     /// # Errors
     ///
-    /// The digest has another length.
+    /// Fails if the digest does not have the right length.
     ///
     /// ```
     /// use lagoonline::life::fingerprint::Fingerprint;
--- a/crates/lagoonline/src/life/leaving.rs
+++ b/crates/lagoonline/src/life/leaving.rs
@@ -1,11 +1,11 @@
-//! Which upstreams get no new work because they are leaving.
+//! Tracks the upstreams that are leaving and must get no new work.
 //!
-//! Failure answered: the platform's list lags, so a leaving upstream gets new work, or a list that
-//! is older than the sign says `live` again and the mark flaps. Each upstream has one mark, the
-//! pair (incarnation, leaving), and all signs are merged by taking the greater: a later life
-//! before an earlier, leaving before live within a life. That is enough because merging commutes
-//! and repeats without effect, so entry hosts that heard the same signs, in any order and from
-//! any source, have the same mark, and only a new life ends one.
+//! The platform's host list lags: a leaving upstream could still get work, or an older list could
+//! report `live` again and the state would flap. Each upstream therefore has one mark, the pair
+//! (incarnation, leaving), and all signs are merged by taking the greater mark: a later incarnation
+//! wins over an earlier one, and leaving wins over live within an incarnation. Merging is
+//! commutative and idempotent, so entry hosts that received the same signs, in any order and from
+//! any source, have the same mark, and only a new incarnation clears it.
 
 use std::collections;
 
@@ -13,12 +13,12 @@
 use crate::life::safeguard;
 use crate::port::hosts;
 
-/// What is known of an upstream's latest life.
+/// Whether the latest known incarnation of an upstream is leaving.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Mark {
-    /// That life.
+    /// The latest known incarnation.
     pub incarnation: id::Incarnation,
-    /// It gets no new work.
+    /// Whether it gets no new work.
     pub leaving: bool,
 }
 
@@ -36,19 +36,20 @@
 #[derive(Clone, Debug, Default)]
 pub struct Marks {
     marks: collections::BTreeMap<id::Upstream, Mark>,
-    /// Refused before any life of theirs was known: the first life heard of is the one meant.
+    /// Upstreams that refused work before any incarnation of theirs was known. The refusal applies
+    /// to the first incarnation that becomes known.
     unnamed: collections::BTreeSet<id::Upstream>,
     safeguards: safeguard::Set,
 }
 
 impl Marks {
-    /// With all safeguards but those missing in `safeguards`.
+    /// Creates an empty set of marks with the given safeguards in force.
     pub fn new(safeguards: safeguard::Set) -> Self {
         Marks { safeguards, ..Marks::default() }
     }
 
-    /// Takes in a peer's word, or a life that a load report names; returns the mark when it
-    /// changed, to be passed on to peers at once.
+    /// Merges a mark received from a peer, or an incarnation named in a load report. Returns the
+    /// mark if it changed; it should then be sent to peers at once.
     pub fn merge(&mut self, upstream: &id::Upstream, mark: Mark) -> Option<Mark> {
         let known = self.marks.get(upstream).copied();
         let unnamed = self.unnamed.remove(upstream);
@@ -61,7 +62,7 @@
         Some(mark)
     }
 
-    /// Takes in the platform's list; returns the marks that changed.
+    /// Merges the platform's host list; returns the marks that changed.
     pub fn listed(&mut self, lines: &[hosts::Line]) -> Vec<(id::Upstream, Mark)> {
         let merge = |line: &hosts::Line| {
             let upstream = id::Upstream::from(line.name.as_str());
@@ -72,7 +73,8 @@
         lines.iter().filter_map(merge).collect()
     }
 
-    /// The upstream itself refused work as leaving, in the life that its last load report named.
+    /// Records that the upstream itself refused work because it is leaving; this applies to the
+    /// incarnation named in its last load report.
     pub fn refused(&mut self, upstream: &id::Upstream) -> Option<Mark> {
         match self.marks.get(upstream).copied() {
             Some(known) => self.merge(upstream, Mark { leaving: true, ..known }),
@@ -83,23 +85,23 @@
         }
     }
 
-    /// Whether it gets no new work.
+    /// Returns whether the upstream gets no new work.
     pub fn is_leaving(&self, upstream: &id::Upstream) -> bool {
         let leaving = self.marks.get(upstream).is_some_and(|mark| mark.leaving);
         leaving || self.unnamed.contains(upstream)
     }
 
-    /// The mark of an upstream of which a life is known.
+    /// Returns the mark of an upstream, or `None` if no incarnation of it is known.
     pub fn mark(&self, upstream: &id::Upstream) -> Option<Mark> {
         self.marks.get(upstream).copied()
     }
 
-    /// Every mark, for a peer that has just connected.
+    /// Iterates over all marks, to send them to a newly connected peer.
     pub fn iter(&self) -> impl Iterator<Item = (&id::Upstream, Mark)> {
         self.marks.iter().map(|(upstream, mark)| (upstream, *mark))
     }
 
-    /// Forgets upstreams that the document no longer names.
+    /// Drops upstreams that the document no longer names.
     pub fn retain<F>(&mut self, keep: F)
     where
         F: Fn(&id::Upstream) -> bool,
--- a/crates/lagoonline/src/life/mod.rs
+++ b/crates/lagoonline/src/life/mod.rs
@@ -1,4 +1,5 @@
-//! The life of a request: what was sent, what may have run, what the caller is told.
+//! Request lifecycle: at-most-once dispatch, idempotency keys, cleanup of engine memory, quarantine
+//! and shutdown.
 
 pub mod claim;
 pub mod drain;
--- a/crates/lagoonline/src/life/owner.rs
+++ b/crates/lagoonline/src/life/owner.rs
@@ -1,51 +1,52 @@
-//! What is known of the process that owns a holding, in words that zones can tell each other.
+//! Liveness of the entry processes that own resources on engines, in a form that zones exchange.
 //!
-//! Failure answered: a steward that restarts, or is cut off, looks like an entry process that
-//! died. Symptom: streams that are being read break off. So a process counts as gone only by the
-//! word of its own live steward, which sees its connection close, or once the platform's list no
-//! longer has a host that its neighbours hold to be dead. Anything else is unsure, and a new life
-//! of the process proves the old one dead in any case.
+//! A steward that restarts or is cut off looks like an entry process that died, and treating it so
+//! would interrupt streams that are being read. A process therefore counts as gone only if its own
+//! live steward, which sees its connection close, says so, or if its host is considered dead by its
+//! neighbours and is no longer in the platform's list. Otherwise its state is unsure. A new
+//! incarnation of the process proves the old one dead in any case.
 
 use serde::{Deserialize, Serialize};
 
 use crate::control::spread;
 use crate::id;
 
-/// What the stewards of its zone know of an entry process.
+/// Liveness of an entry process, as known to the stewards of its zone.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Sign {
-    /// Its steward hears it.
+    /// Its steward receives its reports.
     Serving,
-    /// Its steward lives and does not hear it, or its host is dead and no longer listed.
+    /// Its steward is alive and receives no reports from it, or its host is dead and no longer
+    /// listed.
     Gone,
-    /// Its steward is not heard, and the platform lists the host or is out of reach.
+    /// Its steward is unreachable, and the platform lists the host or cannot be reached.
     Unsure,
 }
 
-/// What is known of an entry process's host.
+/// State of the host that an entry process runs on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Host {
-    /// Its steward is heard.
+    /// Its steward is reachable.
     Live,
-    /// Its steward is not heard.
+    /// Its steward is not reachable.
     Dead {
-        /// Whether the platform's list has it; `None` when the list cannot be read.
+        /// Whether the platform lists the host; `None` if the list cannot be read.
         listed: Option<bool>,
     },
 }
 
-/// The word of a zone on one of its owners.
+/// Status of an owner, as reported by its zone.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Word {
-    /// The host's latest life, as `HOST/INCARNATION`.
+    /// The host's latest incarnation, as `HOST/INCARNATION`.
     pub owner: String,
-    /// What is known of it.
+    /// Its liveness.
     pub sign: Sign,
 }
 
 impl Word {
-    /// Derives the word from the last report and what is known of the host.
+    /// Derives the status from the last report of the process and the state of its host.
     ///
     /// ```
     /// use lagoonline::{control::spread::Report, id::{Host, Incarnation}};
--- a/crates/lagoonline/src/life/quarantine/evidence.rs
+++ b/crates/lagoonline/src/life/quarantine/evidence.rs
@@ -1,4 +1,4 @@
-//! Crashes, and the requests that were under way where they happened.
+//! Upstream crashes, and the requests that were in flight on the upstreams that crashed.
 
 use std::collections;
 
@@ -13,19 +13,19 @@
     upstream: id::Upstream,
     at: clock::Moment,
     suspects: collections::BTreeMap<Fingerprint, Weight>,
-    /// A request in quarantine was under way there: it says nothing of the others.
+    /// A quarantined request was in flight there, so the crash is no evidence against the others.
     explained: bool,
 }
 
-/// All that speaks for and against requests that are not in quarantine.
+/// The evidence for and against requests that are not in quarantine.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Evidence {
     settings: Settings,
     crashes: collections::BTreeMap<u64, Crash>,
     next: u64,
-    /// Numbers of the crashes that each suspect was at, in order.
+    /// Ids of the crashes that each suspect was involved in, in order.
     suspects: collections::BTreeMap<Fingerprint, Vec<u64>>,
-    /// When requests were last answered whole.
+    /// When each request was last answered completely.
     trusted: collections::BTreeMap<Fingerprint, clock::Moment>,
 }
 
@@ -34,7 +34,7 @@
         Evidence { settings, ..Evidence::default() }
     }
 
-    /// Whether a request with a body of this length is a suspect, or was trusted.
+    /// Returns whether a suspected or trusted request has a body of this length.
     pub(super) fn knows_length(&self, length: u64) -> bool {
         let range = Fingerprint::of_length(length);
         self.suspects.range(range.clone()).next().is_some()
@@ -45,7 +45,7 @@
         self.suspects.len()
     }
 
-    /// Takes in that `suspects` were under way at `upstream` when it crashed.
+    /// Records that `suspects` were in flight at `upstream` when it crashed.
     pub(super) fn add(
         &mut self,
         upstream: &id::Upstream,
@@ -69,7 +69,8 @@
         }
     }
 
-    /// The number of the crash of `upstream` that is reported now.
+    /// Returns the id of the crash that a report about `upstream` made now belongs to; reports
+    /// within the dedup window share one id.
     fn number(&mut self, upstream: &id::Upstream, now: clock::Moment) -> u64 {
         let same = self.settings.same;
         let recent = self.crashes.iter().rev().take_while(|(_, crash)| now.since(crash.at) < same);
@@ -85,7 +86,8 @@
         number
     }
 
-    /// The request was answered whole; whether that is news.
+    /// Records that the request was answered completely; returns whether other hosts should be
+    /// told.
     pub(super) fn trust(&mut self, request: &Fingerprint, now: clock::Moment) -> bool {
         let was_suspect = self.drop_suspect(request);
         let before = self.trusted.get(request).copied();
@@ -109,7 +111,7 @@
         true
     }
 
-    /// The request is in quarantine: it explains the crashes that it was at.
+    /// Marks the crashes that the now quarantined request was involved in as explained by it.
     pub(super) fn explain(&mut self, request: &Fingerprint) {
         for number in self.suspects.remove(request).unwrap_or_default() {
             if let Some(crash) = self.crashes.get_mut(&number) {
@@ -119,14 +121,15 @@
         }
     }
 
-    /// Crashes that speak against `request` and are not explained.
+    /// Returns the unexplained crashes that `request` was involved in.
     fn open<'a>(&'a self, request: &Fingerprint) -> impl Iterator<Item = &'a Crash> + use<'a> {
         let numbers = self.suspects.get(request).into_iter().flatten();
         let crashes = numbers.filter_map(|number| self.crashes.get(number));
         crashes.filter(|crash| !crash.explained)
     }
 
-    /// How much `crashes` speak against `request`; of those together the one that does most.
+    /// Sums the weight of `crashes` against `request`; of crashes within one correlation window
+    /// only the heaviest counts.
     fn weigh<'a, Crashes>(&self, request: &Fingerprint, crashes: Crashes) -> usize
     where
         Crashes: Iterator<Item = &'a Crash>,
@@ -145,19 +148,20 @@
         sum + together
     }
 
-    /// How much is proof.
+    /// Returns the weight that counts as proof.
     fn proof(&self) -> usize {
         self.settings.crashes * Weight::Begun.points()
     }
 
-    /// Whether all that other hosts have to tell of the crashes so far is known.
+    /// Returns whether enough time has passed since the last crash for all hosts to have reported
+    /// on it.
     pub(super) fn is_settled(&self, now: clock::Moment) -> bool {
         let last = self.crashes.last_key_value();
         last.is_none_or(|(_, crash)| now.since(crash.at) >= self.settings.settle)
     }
 
-    /// How long a decision on `request` must wait for what other hosts have to tell, if the crashes
-    /// so far would be enough.
+    /// Returns how long a decision on `request` must wait for other hosts' reports, if the crashes
+    /// so far would be sufficient proof; `None` if they are not, or if no wait is needed.
     pub(super) fn unsettled(
         &self,
         request: &Fingerprint,
@@ -171,11 +175,11 @@
         (until > now).then(|| until.since(now))
     }
 
-    /// The request against which most speaks, if that is proof.
+    /// Returns the request with the most evidence against it, if that is sufficient proof.
     ///
-    /// `on_probation` tells of a request whose quarantine has lapsed: one more crash proves it
-    /// again. For others a crash proves nothing as long as another suspect was at all the same
-    /// crashes: either may be the cause, and the next crash tells them apart.
+    /// `on_probation` tells whether a request has had a quarantine that expired: one more crash is
+    /// enough for it. For other requests crashes prove nothing while another suspect was involved
+    /// in all of them: either may be the cause, and a later crash tells them apart.
     pub(super) fn proven<Probation>(
         &self,
         on_probation: Probation,
@@ -197,7 +201,7 @@
         proven.max_by_key(|(_, weight)| *weight).map(|(request, _)| request)
     }
 
-    /// Whether another suspect was at all the settled crashes that `request` was at.
+    /// Returns whether another suspect was involved in all settled crashes of `request`.
     fn has_rival(&self, request: &Fingerprint, now: clock::Moment) -> bool {
         let mut crashes =
             self.open(request).filter(|crash| now.since(crash.at) >= self.settings.settle);
@@ -210,16 +214,16 @@
         !rivals.is_empty()
     }
 
-    /// Upstreams whose crashes speak against `request`.
+    /// Returns the upstreams whose unexplained crashes involved `request`.
     pub(super) fn upstreams(&self, request: &Fingerprint) -> Vec<id::Upstream> {
         self.open(request).map(|crash| crash.upstream.clone()).collect()
     }
 
-    /// Forgets what is old; of too many suspects first those with the fewest crashes, and of these
-    /// the oldest.
+    /// Drops expired evidence. If there are too many suspects, those with the fewest crashes are
+    /// dropped first, and among these the oldest.
     pub(super) fn expire(&mut self, now: clock::Moment) {
         let Settings { memory, trust, most, most_crashes, .. } = self.settings;
-        // A flood of suspects that are answered must not grow without bound: the later half stays.
+        // Bounds memory when many suspects are answered: only the more recent half is kept.
         let trust = if self.trusted.len() > most { trust / 2 } else { trust };
         self.trusted.retain(|_, at| now.since(*at) < trust);
         let before = self.crashes.len();
--- a/crates/lagoonline/src/life/quarantine/mod.rs
+++ b/crates/lagoonline/src/life/quarantine/mod.rs
@@ -1,19 +1,24 @@
-//! Requests that crash the upstreams which begin to run them, and where they are refused.
+//! Refuses requests that crash the upstreams that start to run them.
 //!
-//! Load pattern: a request crashes each upstream that begins to run it, and comes again and again,
-//! under new ids and at any host. Each time it is placed beside the answers of others, which end
-//! with the upstream, are sent again and fall with the next one, until most of the fleet is down.
+//! A request that crashes every upstream that starts it is retried under new ids and at any host.
+//! Each time it interrupts the other requests on that upstream, which are retried and interrupted
+//! again at the next one, until most of the fleet is down.
 //!
-//! A request is known by its [`Fingerprint`]. Hosts tell each other which requests had just begun
-//! at an upstream that crashed. One that was at [`Settings::crashes`] crashes which nothing else
-//! explains is refused for a while; one that may still have waited its turn, at twice as many. Each of these keeps others from being refused in its place:
+//! A request is identified by its [`Fingerprint`]. Hosts tell each other which requests had just
+//! started on an upstream that crashed. A request involved in [`Settings::required_crashes`]
+//! crashes that nothing else explains is refused for a while; a request that may still have been
+//! queued needs twice as many. The following rules keep other requests from being refused by
+//! mistake:
 //!
-//! - crashes at one moment count once (a rack);
-//! - a request that is answered whole is no suspect (popular requests lie on many upstreams);
-//! - a crash that a request in quarantine was at says nothing of those beside it;
-//! - where two suspects were at the same crashes, the next crash decides between them.
+//! - crashes at the same time count once (a rack failure);
+//! - a request that is answered completely is not a suspect (popular requests run on many
+//!   upstreams);
+//! - a crash that involved a quarantined request is no evidence against the others;
+//! - while two suspects were involved in the same crashes neither is refused, until a later crash
+//!   tells them apart.
 //!
-//! A quarantine lapses. After it, one crash is enough for the next, which is twice as long.
+//! A quarantine expires. After that a single crash is enough for the next one, which lasts twice as
+//! long.
 
 mod evidence;
 mod record;
@@ -26,39 +31,39 @@
 use crate::id;
 use crate::life::fingerprint::Fingerprint;
 
-/// What holds for a request that is about to be sent.
+/// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Standing {
     /// It may be sent.
     Free,
-    /// A decision on it is due after this time.
+    /// The decision is due after this time, once other hosts have reported on the last crash.
     Undecided(clock::Span),
-    /// It is refused.
+    /// It is refused under this record.
     Held(Record),
 }
 
-/// How far an upstream was with a request when its connection broke.
+/// How far an upstream had got with a request when its connection broke.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Progress {
-    /// Nothing tells: its answer comes as a whole.
+    /// Unknown, because the answer is sent as a whole.
     Unknown,
-    /// The answer had not begun.
+    /// The answer had not started.
     Waiting,
-    /// The answer had begun.
+    /// The answer had started.
     Begun {
-        /// For so long.
+        /// Time since the answer started.
         span: clock::Span,
-        /// So many of its events came.
+        /// Number of answer events received.
         events: u64,
     },
 }
 
-/// How much a crash speaks against a request that was under way.
+/// Weight of a crash as evidence against a request that was in flight.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Weight {
-    /// It may still have waited its turn: it takes twice as many crashes.
+    /// The request may still have been queued: it takes twice as many crashes to prove.
     Waiting,
-    /// The upstream had just begun with it.
+    /// The upstream had just started the request.
     Begun,
 }
 
@@ -71,25 +76,25 @@
     }
 }
 
-/// A request under way at an upstream that crashed.
+/// A request that was in flight at an upstream when it crashed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Suspect {
-    /// The request.
+    /// The request's identity.
     pub fingerprint: Fingerprint,
-    /// How much that speaks against it.
+    /// Weight of the evidence against it.
     pub weight: Weight,
 }
 
-/// A request that has been put in quarantine, and the upstreams that crashed under it.
+/// A decision to quarantine a request, with the upstreams that crashed while running it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
-    /// What other hosts are told.
+    /// The record to share with other hosts.
     pub record: Record,
-    /// The upstreams.
+    /// The upstreams that crashed.
     pub upstreams: Vec<id::Upstream>,
 }
 
-/// Suspects, and the requests that are refused.
+/// Tracks suspected requests and the requests in quarantine.
 ///
 /// ```
 /// use lagoonline::clock::{Moment, Span};
@@ -114,7 +119,7 @@
     settings: Settings,
     evidence: evidence::Evidence,
     records: record::Records,
-    /// There is evidence that was not judged, or not with all that other hosts had to tell.
+    /// There is evidence that has not been evaluated, or not yet with all reports of other hosts.
     unjudged: bool,
 }
 
@@ -125,20 +130,21 @@
 }
 
 impl Quarantine {
-    /// With other settings.
+    /// Creates a quarantine with the given settings.
     pub fn new(settings: Settings) -> Quarantine {
         let evidence = evidence::Evidence::new(settings);
         Quarantine { settings, evidence, records: record::Records::default(), unjudged: false }
     }
 
-    /// Whether anything is known of a request whose body has `length` bytes: if not, its fingerprint
-    /// need not be worked out.
+    /// Returns whether a suspected, trusted or quarantined request has a body of `length` bytes. If
+    /// not, the fingerprint of such a request need not be computed.
     pub fn knows_length(&self, length: u64) -> bool {
         self.records.knows_length(length) || self.evidence.knows_length(length)
     }
 
-    /// How much a crash of its upstream speaks against a request; `None` for one that ran too long: a
-    /// lethal request ends the upstream that begins to run it.
+    /// Returns the weight of a crash against a request that had made this progress, or `None` if it
+    /// had run for too long to be suspected: a lethal request crashes an upstream as soon as it
+    /// starts.
     pub fn weight(&self, progress: Progress) -> Option<Weight> {
         match progress {
             Progress::Unknown | Progress::Begun { events: 0, .. } => Some(Weight::Begun),
@@ -147,7 +153,7 @@
         }
     }
 
-    /// `suspects` were under way at `upstream` when it crashed.
+    /// Records that `suspects` were in flight at `upstream` when it crashed.
     pub fn crashed(&mut self, upstream: &id::Upstream, suspects: &[Suspect], now: clock::Moment) {
         let held = |suspect: &Suspect| {
             let record = self.records.get(&suspect.fingerprint);
@@ -159,8 +165,9 @@
         self.unjudged = true;
     }
 
-    /// A request was answered whole, so that it does not crash what runs it. What other hosts are to
-    /// be told: whether that is news, and the end of its quarantine if it was in one.
+    /// Records that a request was answered completely, which shows that it does not crash
+    /// upstreams. Returns whether other hosts should be told, and the record that ends its
+    /// quarantine if it was in one.
     pub fn answered(
         &mut self,
         request: &Fingerprint,
@@ -170,7 +177,7 @@
         (self.evidence.trust(request, now) || released.is_some(), released)
     }
 
-    /// What holds for a request that is about to be sent.
+    /// Returns whether a request may be sent.
     pub fn standing(&self, request: &Fingerprint, now: clock::Moment) -> Standing {
         if let Some(record) = self.records.get(request).filter(|record| record.holds(now)) {
             return Standing::Held(*record);
@@ -179,7 +186,7 @@
         unsettled.map_or(Standing::Free, Standing::Undecided)
     }
 
-    /// Puts in quarantine what is proven to crash upstreams.
+    /// Quarantines the requests that are proven to crash upstreams.
     pub fn judge(&mut self, now: clock::Moment) -> Vec<Verdict> {
         let mut verdicts = Vec::new();
         while self.unjudged {
@@ -214,7 +221,7 @@
         record
     }
 
-    /// Ends the quarantine of a request; `None` if it is in none.
+    /// Ends the quarantine of a request; returns `None` if it is not in quarantine.
     pub fn release(&mut self, request: &Fingerprint, now: clock::Moment) -> Option<Record> {
         let known = self.records.get(request).filter(|record| record.holds(now))?;
         let record = Record { version: known.version + 1, times: 0, released: true, ..*known };
@@ -222,7 +229,8 @@
         Some(record)
     }
 
-    /// Takes in a verdict of another host, or one kept at the platform; whether it is news.
+    /// Merges a record received from another host or read from the platform; returns whether it is
+    /// newer than the known one.
     pub fn merge(&mut self, record: Record, now: clock::Moment) -> bool {
         let is_news = self.records.merge(record);
         if is_news && record.holds(now) {
@@ -231,22 +239,23 @@
         is_news
     }
 
-    /// Verdicts that other hosts are to know.
+    /// Returns the records that have not expired, for sharing with other hosts.
     pub fn records(&self, now: clock::Moment) -> impl Iterator<Item = &Record> {
         self.records.current(now)
     }
 
-    /// Differs between hosts that know different verdicts; 0 where there are none.
+    /// Returns a checksum of the records that differs between hosts with different records; 0 if
+    /// there are none.
     pub fn checksum(&self, now: clock::Moment) -> u64 {
         self.records.checksum(now)
     }
 
-    /// Requests that were under way at crashes and are not in quarantine.
+    /// Returns the number of suspected requests that are not in quarantine.
     pub fn suspects(&self) -> usize {
         self.evidence.suspects()
     }
 
-    /// Forgets what is old.
+    /// Drops expired evidence and records.
     pub fn expire(&mut self, now: clock::Moment) {
         self.evidence.expire(now);
         self.records.expire(self.settings.hold, self.settings.most, now);
--- a/crates/lagoonline/src/life/quarantine/record.rs
+++ b/crates/lagoonline/src/life/quarantine/record.rs
@@ -1,37 +1,38 @@
-//! Verdicts, as hosts tell each other and keep them at the platform.
+//! Quarantine records, as shared between hosts and stored at the platform.
 
 use std::collections;
 
 use crate::clock;
 use crate::life::fingerprint::Fingerprint;
 
-/// Multiplier that spreads versions over all bits of a checksum.
+/// Multiplier that spreads the version over all bits of the checksum.
 const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A verdict on a request. Of two on the same request the one with the higher version holds.
+/// The quarantine state of a request. Of two records of the same request the one with the higher
+/// version is valid.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Record {
-    /// The request.
+    /// The request's identity.
     pub fingerprint: Fingerprint,
-    /// Grows with each verdict on it.
+    /// Increases with each change to the request's quarantine.
     pub version: u32,
-    /// How often it was in quarantine.
+    /// Number of times the request was quarantined since its last release.
     pub times: u32,
-    /// Crashes that were its doing, as far as they proved it.
+    /// Number of crashes counted as evidence when it was quarantined.
     pub crashes: u32,
-    /// When it lapses.
+    /// When the quarantine expires.
     pub until: clock::Moment,
-    /// An operator, or an answer, ended it early.
+    /// Whether it was ended early, by an operator or by a complete answer.
     pub released: bool,
 }
 
 impl Record {
-    /// Whether the request is in quarantine at `now`.
+    /// Returns whether the request is in quarantine at `now`.
     pub fn holds(&self, now: clock::Moment) -> bool {
         !self.released && self.until > now
     }
 
-    /// Whether it has lapsed: other hosts need not know of it.
+    /// Returns whether the quarantine has expired, so that other hosts need not know of it.
     fn is_past(&self, now: clock::Moment) -> bool {
         self.until <= now
     }
@@ -44,7 +45,7 @@
     }
 }
 
-/// The verdicts that are known.
+/// All known quarantine records, by request.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Records(collections::BTreeMap<Fingerprint, Record>);
 
@@ -57,7 +58,7 @@
         self.0.range(Fingerprint::of_length(length)).next().is_some()
     }
 
-    /// Takes in a verdict; whether it is newer than what was known.
+    /// Merges a record; returns whether it is newer than the known one.
     pub(super) fn merge(&mut self, record: Record) -> bool {
         let known = self.0.get(&record.fingerprint);
         let is_news = known.is_none_or(|known| record.version > known.version);
@@ -67,18 +68,18 @@
         is_news
     }
 
-    /// Those that have not lapsed.
+    /// Returns the records that have not expired.
     pub(super) fn current(&self, now: clock::Moment) -> impl Iterator<Item = &Record> {
         self.0.values().filter(move |record| !record.is_past(now))
     }
 
-    /// Differs between hosts that know different verdicts; 0 where there are none.
+    /// Returns a checksum that differs between hosts with different records; 0 if there are none.
     pub(super) fn checksum(&self, now: clock::Moment) -> u64 {
         self.current(now).fold(0, |sum, record| sum ^ record.checksum())
     }
 
-    /// Forgets verdicts `span` after they lapsed, and those that lapse first where there are more
-    /// than `most`.
+    /// Drops records `span` after they expire, and the earliest to expire while there are more than
+    /// `max_entries`.
     pub(super) fn expire(&mut self, span: clock::Span, most: usize, now: clock::Moment) {
         self.0.retain(|_, record| record.until + span > now);
         while self.0.len() > most {
--- a/crates/lagoonline/src/life/quarantine/settings.rs
+++ b/crates/lagoonline/src/life/quarantine/settings.rs
@@ -1,34 +1,34 @@
-//! Figures of the quarantine.
+//! Settings of the quarantine.
 
 use crate::clock;
 
-/// What proves that a request crashes upstreams, and what follows.
+/// What counts as proof that a request crashes upstreams, and how long it is then refused.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Crashes, each at a moment of its own, that prove it.
+    /// Number of crashes at different times that prove it.
     pub crashes: usize,
-    /// Time since an upstream began to answer a request within which its crash may be the
-    /// request's doing, also where events of the answer came.
+    /// Time after an answer started during which a crash of the upstream counts against the request
+    /// even if events of the answer were received.
     pub begin: clock::Span,
-    /// Time after a crash in which hosts tell what they had under way there. Judged earlier, a
-    /// request that fell with a lethal one would look alone.
+    /// Time after a crash during which hosts report what they had in flight there. If evaluated
+    /// earlier, a request that merely ran beside a lethal one could look like the only suspect.
     pub settle: clock::Span,
-    /// Crashes within this of each other are one piece of evidence: a rack that goes down ends
-    /// several upstreams at once, and a request of which many copies are under way lies on each.
+    /// Crashes within this time of each other count as one. A rack failure takes down several
+    /// upstreams at once, and a request with many copies in flight runs on each of them.
     pub together: clock::Span,
-    /// Reports of a crash of one upstream within this are about the same crash.
+    /// Crash reports about one upstream within this time refer to the same crash.
     pub same: clock::Span,
-    /// How long a suspicion is kept.
+    /// How long evidence against a request is kept.
     pub memory: clock::Span,
-    /// How long a request that was answered whole is no suspect again.
+    /// How long a request that was answered completely is not suspected again.
     pub trust: clock::Span,
-    /// Length of the first quarantine; each further one is twice as long.
+    /// Duration of the first quarantine; each further one lasts twice as long.
     pub hold: clock::Span,
-    /// Length of the longest.
+    /// Upper bound on the duration of a quarantine.
     pub longest_hold: clock::Span,
-    /// Most suspects, and most requests in quarantine, that are remembered.
+    /// Maximum number of suspects, and of quarantine records, kept in memory.
     pub most: usize,
-    /// Most crashes that are remembered.
+    /// Maximum number of crashes kept in memory.
     pub most_crashes: usize,
 }
 
--- a/crates/lagoonline/src/life/reap.rs
+++ b/crates/lagoonline/src/life/reap.rs
@@ -1,10 +1,10 @@
-//! Returns engine memory: cancels that are repeated, and a sweep of what dead owners left.
+//! Frees engine memory: retries cancels, and releases what dead owners left behind.
 //!
-//! Failure answered: a cancel is lost, or an entry host dies between two steps of a handover.
-//! Symptom: an engine's memory shrinks until it refuses work. A cancel is repeated until the
-//! engine acknowledges it, and whatever an engine lists for an owner that is dead
-//! is released. That is enough because every holding names its owner and an engine's list is
-//! complete; the engine's own expiry stands behind both.
+//! If a cancel is lost, or an entry host dies between two steps of a handover, memory stays
+//! allocated on the engine until it refuses work. A cancel is therefore repeated until the engine
+//! acknowledges it, and whatever an engine lists for a dead owner is released. This covers every
+//! case because every holding names its owner and an engine's list is complete; the engine's own
+//! expiry is the last resort.
 
 use std::collections;
 
@@ -14,24 +14,26 @@
 use crate::life::safeguard;
 use crate::port::engine;
 
-/// Pace of repeated cancels.
+/// Retry policy for cancels.
 #[derive(Clone, Debug)]
 pub struct Pace {
-    /// Time to the first repetition; doubles with each.
+    /// Delay before the first retry; doubles with each retry.
     pub first: clock::Span,
-    /// Longest time between two.
+    /// Upper bound of the delay.
     pub most: clock::Span,
-    /// Time after which a cancel is given up: the engine's own expiry has come by then.
+    /// Time after which a cancel is given up, because the engine's own expiry has freed the memory
+    /// by then.
     pub limit: clock::Span,
-    /// All but in tests of the oracle.
+    /// Safeguards in force; all of them outside of mutation tests.
     pub safeguards: safeguard::Set,
 }
 
-/// A lost packet costs the engine's place no longer than this.
+/// Bounds how long a lost packet keeps memory on the engine occupied.
 const FIRST: clock::Span = clock::Span::from_millis(50);
-/// An engine that comes back is relieved within this; 1,000 cancels are then 50 calls a second.
+/// An engine that becomes reachable again gets its cancels within this time; 1,000 pending cancels
+/// then cause 50 calls per second.
 const MOST: clock::Span = clock::Span::from_secs(20);
-/// Longer than a long prompt's deadline and the time for which engines keep finished streams.
+/// Longer than the deadline of a long prompt and the time for which engines keep finished streams.
 const LIMIT: clock::Span = clock::Span::from_secs(3_600);
 
 impl Default for Pace {
@@ -47,7 +49,7 @@
     until: clock::Moment,
 }
 
-/// Cancels that are not acknowledged yet, each named by a key.
+/// Cancels that have not been acknowledged yet, by key.
 ///
 /// ```
 /// use lagoonline::{clock::{Moment, Span}, life::reap::{Cancels, Pace}};
@@ -70,18 +72,19 @@
 where
     K: Clone + Ord,
 {
-    /// None yet.
+    /// Creates an empty queue.
     pub fn new(pace: Pace) -> Self {
         Cancels { pace, open: collections::BTreeMap::new() }
     }
 
-    /// A cancel to send at once and until it is acknowledged.
+    /// Adds a cancel, to be sent at once and retried until it is acknowledged.
     pub fn add(&mut self, key: K, now: clock::Moment) {
         let next = Next { at: now, wait: self.pace.first, until: now + self.pace.limit };
         self.open.entry(key).or_insert(next);
     }
 
-    /// The cancels to send now; `jitter`, about 1, stretches the time to their next repetition.
+    /// Returns the cancels to send now and schedules their next retry; `jitter`, around 1, scales
+    /// the delay.
     pub fn due(&mut self, now: clock::Moment, jitter: f64) -> Vec<K> {
         let most = self.pace.most;
         let due = self.open.iter_mut().filter(|(_, next)| next.at <= now);
@@ -98,47 +101,52 @@
         sent
     }
 
-    /// The engine answered 200; false when that is not news.
+    /// Removes a cancel that the engine acknowledged with status 200; returns false if it was not
+    /// pending.
     pub fn acknowledged(&mut self, key: &K) -> bool {
         self.open.remove(key).is_some()
     }
 
-    /// Gives up those that are past their limit; how many.
+    /// Gives up the cancels that have reached their maximum age; returns their number.
     pub fn expire(&mut self, now: clock::Moment) -> usize {
         let before = self.open.len();
         self.open.retain(|_, next| now < next.until);
         before - self.open.len()
     }
 
-    /// Whether all are acknowledged or given up.
+    /// Returns whether no cancel is pending.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 }
 
-/// When an owner counts as dead.
+/// Rules by which an owner counts as dead.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// An owner of which nothing was heard for this long is dead.
+    /// An owner without a sign of life for this long is dead.
     pub silence: clock::Span,
-    /// A host that was silent for this long no longer counts in the share below.
+    /// A host without a sign of life for this long no longer counts in
+    /// [`Settings::min_heard_share`].
     pub forget: clock::Span,
-    /// Unless more than this share of hosts is heard, the sweeper takes itself for the one cut off.
+    /// Unless heartbeats arrive from more than this share of the hosts, the reaper assumes that it
+    /// is itself cut off.
     pub heard_share: f64,
-    /// How long a dead owner's stream is left to a caller that comes back for it elsewhere.
+    /// How long a dead owner's stream is kept for a caller that resumes it at another entry host.
     pub takeover: clock::Span,
-    /// All but in tests of the oracle.
+    /// Safeguards in force; all of them outside of mutation tests.
     pub safeguards: safeguard::Set,
 }
 
-/// Thirty heartbeats at one a second, and longer than a host that is merely slow.
+/// Thirty heartbeats at one per second, and longer than a merely slow host stays silent.
 const SILENCE: clock::Span = clock::Span::from_secs(30);
-/// Longer than a usual partition; 20 hosts a day fail for good.
+/// Longer than a usual network partition; 20 hosts per day fail permanently.
 const FORGET: clock::Span = clock::Span::from_secs(3_600);
-/// A rack is fewer than half of a zone's hosts, a cut takes all but the sweeper's own.
+/// A rack holds less than half of a zone's hosts, whereas a network cut removes all but the
+/// reaper's own.
 const HEARD_SHARE: f64 = 0.5;
 
-/// A client's first few retries; a host that restarts at once proves its streams dead at once.
+/// Covers a client's first few retries; a host that restarts at once proves its streams dead at
+/// once.
 const TAKEOVER: clock::Span = clock::Span::from_secs(15);
 
 impl Default for Settings {
@@ -156,15 +164,15 @@
 #[derive(Clone, Copy, Debug)]
 struct Life {
     incarnation: id::Incarnation,
-    /// The last sign of life.
+    /// The last sign of life of any kind.
     heard: clock::Moment,
-    /// The last heartbeat; none for an owner known only from holdings.
+    /// The last heartbeat; `None` for an owner known only from holdings or from another zone.
     beat: Option<clock::Moment>,
-    /// Judged by the word of another zone, not by heartbeats.
+    /// Whether its liveness is reported by another zone instead of by heartbeats.
     apart: bool,
 }
 
-/// Decides which holdings no live owner can use.
+/// Decides which holdings on engines have no live owner.
 ///
 /// ```
 /// use lagoonline::{clock::{Moment, Span}, id::Owner, life::reap::{Settings, Sweep}};
@@ -182,26 +190,26 @@
 pub struct Sweep {
     settings: Settings,
     lives: collections::BTreeMap<id::Host, Life>,
-    /// Ids that each engine listed last time.
+    /// Holding ids in each engine's previous list.
     listed: collections::BTreeMap<id::Upstream, collections::BTreeSet<String>>,
-    /// When each of them was first seen to be a dead owner's.
+    /// When each of these holdings was first found to have a dead owner.
     over: collections::BTreeMap<id::Upstream, collections::BTreeMap<String, clock::Moment>>,
 }
 
 impl Sweep {
-    /// Knows nobody yet.
+    /// Creates a reaper that knows no owners yet.
     pub fn new(settings: Settings) -> Self {
         Sweep { settings, ..Sweep::default() }
     }
 
-    /// A heartbeat, or a peer's word of one.
+    /// Records a heartbeat, received directly or reported by a peer.
     pub fn heard(&mut self, owner: &id::Owner, now: clock::Moment) {
         self.alive(owner, now, Some(now));
     }
 
-    /// The word of another zone's steward that the owner lives there.
+    /// Records that the steward of another zone reports the owner as alive there.
     ///
-    /// Such owners do not count in the share of hosts heard: that is of heartbeats.
+    /// Such owners do not count in the share of heard hosts, which covers heartbeats only.
     pub fn told(&mut self, owner: &id::Owner, now: clock::Moment) {
         self.alive(owner, now, None);
         if let Some(life) = self.lives.get_mut(&owner.host) {
@@ -209,11 +217,11 @@
         }
     }
 
-    /// Nobody in reach can tell whether the owner lives, as when its availability zone is cut off:
-    /// what it holds is left to the engine's own expiry.
+    /// Records that the owner's liveness cannot be determined, for example because its availability
+    /// zone is cut off. What it holds is left to the engine's own expiry.
     ///
-    /// Failure answered: a zone cut off from the sweeper's is taken for dead. Symptom: streams
-    /// that the engine still serves to it, by a way that is not cut, break off. Such owners do not
+    /// Without this, a zone cut off from the reaper's zone would be taken for dead, and streams
+    /// that engines still deliver to it over another path would be interrupted. Such owners do not
     /// count as silent.
     pub fn unsure(&mut self, owner: &id::Owner, now: clock::Moment) {
         if self.settings.safeguards.has(safeguard::Safeguard::UnsureOwner) {
@@ -221,8 +229,9 @@
         }
     }
 
-    /// The word of its zone's steward that the owner's process is gone, or not known there. It
-    /// counts as dead after the same silence: the process may only have lost its steward.
+    /// Records that the steward of the owner's zone reports the process as gone or unknown there.
+    /// It counts as dead only after the usual timeout, because the process may merely have lost its
+    /// steward.
     pub fn gone(&mut self, owner: &id::Owner, now: clock::Moment) {
         let known = self.lives.get(&owner.host);
         if known.is_none_or(|known| known.incarnation < owner.incarnation) {
@@ -233,8 +242,8 @@
         }
     }
 
-    /// Takes in the word of the owner's zone: of the sweeper's own, whose hosts it hears, or of
-    /// another.
+    /// Applies the status of an owner reported by its zone. `is_own` is set for the reaper's own
+    /// zone, whose hosts send it heartbeats.
     pub fn take(&mut self, word: &owner::Word, is_own: bool, now: clock::Moment) {
         let Ok(owner) = word.owner.parse::<id::Owner>() else { return };
         match word.sign {
@@ -245,8 +254,8 @@
         }
     }
 
-    /// Owners among `holdings` to ask other zones about: those never heard of, and those of which
-    /// nothing was heard for half of the silence after which they count as dead.
+    /// Returns the owners among `holdings` to ask other zones about: unknown ones, and those
+    /// without a sign of life for half of the timeout after which they count as dead.
     pub fn questions(
         &self,
         holdings: &[engine::Holding],
@@ -273,10 +282,12 @@
         }
     }
 
-    /// The ids to release of what `upstream` lists at `now`; ask again until they are gone.
+    /// Returns the ids to release among the holdings that `upstream` lists at `now`. They are
+    /// returned again until the engine no longer lists them.
     ///
-    /// A holding that was not there before is a sign of its owner's life, as is the first sight
-    /// of its owner: a sweeper that has just started releases nothing for `silence`.
+    /// A holding that is new in the list is a sign of life of its owner, as is the first holding
+    /// seen of an owner, so a newly started reaper releases nothing for
+    /// [`Settings::owner_timeout`].
     pub fn releases(
         &mut self,
         upstream: &id::Upstream,
@@ -303,8 +314,9 @@
         due.map(|(holding, _)| holding.id.clone()).collect()
     }
 
-    /// Failure answered: a host restarts at once, its old streams are proven dead at once, and a
-    /// caller that comes back for one a second later has its million tokens prefilled again.
+    /// Returns whether a dead owner's holding may be released now. A host that restarts at once
+    /// proves its old streams dead at once; without the delay a caller that resumes one a second
+    /// later would have its million tokens prefilled again.
     fn is_due(&self, holding: &engine::Holding, since: clock::Moment, now: clock::Moment) -> bool {
         match holding.kind {
             engine::Kind::Stream => now.since(since) >= self.settings.takeover,
@@ -328,11 +340,12 @@
             || !self.settings.safeguards.has(safeguard::Safeguard::OwnerSilence)
     }
 
-    /// Failure answered: the sweeper is cut off, takes everyone for dead and releases streams
-    /// that are being read. Symptom: a zone's answers break off at once. When most hosts fall
-    /// silent together, the sweeper waits until they are heard or forgotten. Only heartbeats count
-    /// here, and only those of half the silence: all hosts' last ones before a cut are about
-    /// equally old, and must all have dropped out when the first of them counts as silent.
+    /// Returns whether the reaper itself seems to be cut off. In that case it would take all hosts
+    /// for dead and release streams that are being read, interrupting the answers of a whole zone
+    /// at once. When most hosts become silent together, the reaper therefore waits until they are
+    /// heard again or forgotten. Only heartbeats within half of the timeout count: before a cut the
+    /// last heartbeats of all hosts are about equally old, and all of them must have dropped out by
+    /// the time the first host counts as dead.
     fn is_cut_off(&self, now: clock::Moment) -> bool {
         let recent = self.settings.silence / 2;
         let fresh = |beat: clock::Moment| now.since(beat) <= recent;
@@ -344,7 +357,7 @@
     }
 }
 
-/// Bytes that an entry host reserved on engines, less those returned.
+/// Bytes that an entry host has reserved on engines, and how many of them were returned.
 ///
 /// ```
 /// use lagoonline::life::reap::Ledger;
@@ -364,7 +377,7 @@
 }
 
 impl Ledger {
-    /// A holding came about; saying so again changes nothing.
+    /// Records a reservation; recording it again has no effect.
     pub fn reserved(&mut self, id: &str, bytes: u64) {
         if !self.open.contains_key(id) {
             self.open.insert(id.to_owned(), bytes);
@@ -372,22 +385,22 @@
         }
     }
 
-    /// A holding is gone; saying so again changes nothing.
+    /// Records that a reservation was returned; recording it again has no effect.
     pub fn returned(&mut self, id: &str) {
         self.returned += self.open.remove(id).unwrap_or(0);
     }
 
-    /// Bytes reserved since the start.
+    /// Returns the bytes reserved since the start.
     pub fn total_reserved(&self) -> u64 {
         self.reserved
     }
 
-    /// Bytes returned since the start.
+    /// Returns the bytes returned since the start.
     pub fn total_returned(&self) -> u64 {
         self.returned
     }
 
-    /// Bytes reserved and not returned; comes to zero when the host is idle.
+    /// Returns the bytes reserved and not returned yet; zero when the host is idle.
     pub fn outstanding(&self) -> u64 {
         self.reserved.saturating_sub(self.returned)
     }
--- a/crates/lagoonline/src/life/request.rs
+++ b/crates/lagoonline/src/life/request.rs
@@ -1,10 +1,10 @@
-//! One request's life as types: a call that may not repeat has no second dispatch to make.
+//! Typestates of a request that ensure that a non-repeatable call is dispatched at most once.
 //!
-//! Failure answered: a non-idempotent call whose answer is lost is sent again, and runs twice.
-//! Symptom: a filing is fined twice. [`Dispatched`] is consumed by what happens to it, and only
-//! [`Dispatched::refused`], which takes an upstream's proof that it did not run, and
-//! [`Lost::again`], which checks that the call may repeat, lead back to [`Held`]. That is enough
-//! because [`Held::dispatch`] is the only way to an attempt, and `Held` cannot be copied.
+//! If a non-idempotent call were sent again after its answer was lost, it would run twice: a filing
+//! would be fined twice. [`Dispatched`] is consumed by each event. Only [`Dispatched::refused`],
+//! which requires proof from the upstream that it did not run the call, and [`Lost::retry`], which
+//! checks that the call may repeat, lead back to [`Pending`]. This is sufficient because
+//! [`Pending::dispatch`] is the only way to start an attempt and `Pending` cannot be copied.
 //!
 //! ```
 //! use lagoonline::{id::Attempt, life::request::{Held, Repeat}, outcome::Outcome};
@@ -13,7 +13,7 @@
 //! assert_eq!(lost.again().unwrap_err(), Outcome::Unknown);
 //! ```
 //!
-//! A second dispatch of what was dispatched does not compile:
+//! Dispatching a request again while an attempt is in flight does not compile:
 //!
 //! ```compile_fail,E0382
 //! use lagoonline::{id::Attempt, life::request::{Held, Repeat}};
@@ -28,49 +28,50 @@
 /// Whether the call may run more than once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Repeat {
-    /// Non-idempotent: at most once.
+    /// A non-idempotent call, which runs at most once.
     Never,
-    /// Idempotent, such as a model call.
+    /// An idempotent call, such as a model call.
     Allowed,
 }
 
-/// A request no byte of which is on its way to an upstream now.
+/// A request with no attempt in flight.
 #[derive(Debug)]
 pub struct Held {
     repeat: Repeat,
     attempts: u32,
-    /// An earlier attempt may have run.
+    /// Whether an earlier attempt may have run.
     may_have_run: bool,
 }
 
 impl Held {
-    /// A request that was never dispatched.
+    /// Creates a request that has not been dispatched.
     pub fn new(repeat: Repeat) -> Self {
         Held { repeat, attempts: 0, may_have_run: false }
     }
 
-    /// Attempts made so far.
+    /// Returns the number of attempts made so far.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// Whether the call may run more than once.
+    /// Returns whether the call may run more than once.
     pub fn repeat(&self) -> Repeat {
         self.repeat
     }
 
-    /// Call this before the first byte may leave for the upstream.
+    /// Starts an attempt; call this before the first byte may leave for the upstream.
     pub fn dispatch(self, attempt: id::Attempt) -> Dispatched {
         Dispatched { attempt, held: Held { attempts: self.attempts + 1, ..self } }
     }
 
-    /// Gives up: what the caller is told.
+    /// Gives up and returns the outcome to report to the caller.
     pub fn end(self) -> outcome::Outcome {
         if self.may_have_run { outcome::Outcome::Unknown } else { outcome::Outcome::NotRun }
     }
 }
 
-/// A request some byte of which may have reached an upstream; no answer yet.
+/// A request with an attempt in flight that has not been answered yet. The upstream may have
+/// received some of it.
 #[derive(Debug)]
 pub struct Dispatched {
     attempt: id::Attempt,
@@ -78,23 +79,23 @@
 }
 
 impl Dispatched {
-    /// The attempt on its way.
+    /// Returns the attempt in flight.
     pub fn attempt(&self) -> id::Attempt {
         self.attempt
     }
 
-    /// The upstream proved that this attempt did not and will not run: it refused it in its own
-    /// words, or no connection to it came about.
+    /// Handles proof that this attempt did not and will not run: the upstream refused it
+    /// explicitly, or no connection to it was established.
     pub fn refused(self) -> Held {
         self.held
     }
 
-    /// The answer has begun.
+    /// Handles the start of the answer.
     pub fn answering(self) -> Answering {
         Answering { attempt: self.attempt, held: self.held }
     }
 
-    /// No answer will come: the connection broke, or the deadline passed.
+    /// Handles the loss of the answer: the connection broke or the deadline passed.
     pub fn lost(self) -> Lost {
         Lost { held: Held { may_have_run: true, ..self.held } }
     }
@@ -108,35 +109,35 @@
 }
 
 impl Answering {
-    /// The attempt that answers.
+    /// Returns the attempt that is being answered.
     pub fn attempt(&self) -> id::Attempt {
         self.attempt
     }
 
-    /// The whole answer was checked and delivered.
+    /// Ends the request after the whole answer was checked and delivered.
     pub fn complete(self) -> outcome::Outcome {
         outcome::Outcome::Done
     }
 
-    /// The answer broke off or broke the protocol. The same attempt may be resumed where it runs:
-    /// that is no new dispatch.
+    /// Handles an answer that broke off or violated the protocol. The same attempt may still be
+    /// resumed where it runs, which is not a new dispatch.
     pub fn broken(self) -> Lost {
         Lost { held: Held { may_have_run: true, ..self.held } }
     }
 }
 
-/// A request that may have run and whose answer will not come from that attempt.
+/// A request whose attempt may have run but will deliver no answer.
 #[derive(Debug)]
 pub struct Lost {
     held: Held,
 }
 
 impl Lost {
-    /// Back to held for another attempt.
+    /// Returns the request for another attempt.
     ///
     /// # Errors
     ///
-    /// The outcome to tell the caller, when the call may not repeat.
+    /// Returns the outcome to report to the caller if the call must not repeat.
     pub fn again(self) -> Result<Held, outcome::Outcome> {
         match self.held.repeat {
             Repeat::Allowed => Ok(self.held),
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Gives up: what the caller is told.
+    /// Gives up and returns the outcome to report to the caller.
     pub fn end(self) -> outcome::Outcome {
         self.held.end()
     }
--- a/crates/lagoonline/src/life/safeguard.rs
+++ b/crates/lagoonline/src/life/safeguard.rs
@@ -1,16 +1,17 @@
-//! The list of safeguards, so that tests can show that the oracle notices each one's absence.
+//! Safeguards that tests can disable one at a time, to show that the test oracle detects the
+//! absence of each.
 //!
-//! No settings file reaches this: [`Set::default`] has all of them, and only tests call
-//! [`Set::without`]. What each one prevents is in `docs/design/outcomes.md`.
+//! No settings file can change them: [`Set::default`] enables all, and only tests call
+//! [`Set::without`]. `docs/design/outcomes.md` describes what each one prevents.
 
-/// One safeguard of the state machines in [`crate::life`].
+/// A safeguard of the state machines in [`crate::lifecycle`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Safeguard {
-    /// A claim is written only over the row version that was decided on.
+    /// A claim is written only over the row version that the decision was based on.
     VersionCheck,
-    /// A claim whose commit got no answer is read back before dispatch.
+    /// A claim whose commit got no reply is read back before it is dispatched.
     ReadBack,
-    /// A key that comes with another body is refused.
+    /// A key that is reused with a different body is refused.
     BodyMatch,
     /// A non-idempotent call never takes over a claim that may have been dispatched.
     NoTakeover,
@@ -18,28 +19,28 @@
     UnknownKept,
     /// The row's key contains the customer.
     CustomerScope,
-    /// A stored answer is replayed only if its length and hash are right.
+    /// A stored answer is replayed only if its length and hash match.
     AnswerCheck,
-    /// A claim is not dispatched after its deadline.
+    /// A request is not dispatched after its deadline.
     DispatchDeadline,
-    /// A host writes to a claim's row only until well before its retention ends.
+    /// A claim's row is written only until well before its retention ends.
     WriteDeadline,
-    /// A claim that was given up is settled, so that its key is free again.
+    /// An abandoned claim is settled so that its key becomes free again.
     Settle,
-    /// A cancel is repeated until acknowledged.
+    /// A cancel is repeated until it is acknowledged.
     CancelRepeat,
-    /// An owner is dead only after a silence.
+    /// An owner counts as dead only after a timeout without a sign of life.
     OwnerSilence,
-    /// A sweeper that hears few hosts releases nothing of theirs.
+    /// A reaper that receives few heartbeats releases nothing on account of missing ones.
     CutOffSweeper,
-    /// An owner that nobody in reach can judge is not dead.
+    /// An owner whose liveness cannot be determined does not count as dead.
     UnsureOwner,
-    /// A sign that is older than a leaving mark does not end it.
+    /// A sign older than a leaving mark does not clear it.
     StaleMark,
 }
 
 impl Safeguard {
-    /// Every safeguard.
+    /// All safeguards.
     pub const ALL: [Safeguard; 15] = [
         Safeguard::VersionCheck,
         Safeguard::ReadBack,
@@ -71,13 +72,13 @@
 }
 
 impl Set {
-    /// All but one: for tests of the oracle.
+    /// Disables a single safeguard, for tests of the oracle.
     #[doc(hidden)]
     pub fn without(missing: Safeguard) -> Self {
         Set { missing: Some(missing) }
     }
 
-    /// Whether this one is in force.
+    /// Returns whether this safeguard is in force.
     pub fn has(self, safeguard: Safeguard) -> bool {
         self.missing != Some(safeguard)
     }
--- a/crates/lagoonline/src/life/stream.rs
+++ b/crates/lagoonline/src/life/stream.rs
@@ -1,49 +1,50 @@
-//! Checks the chunks of one answer: whole, in order, and this attempt's own.
+//! Checks that the chunks of an answer are complete, in order, and belong to the current attempt.
 //!
-//! Failure answered: an upstream or a connection reused too early delivers a late, crossed,
-//! repeated or cut chunk. Symptom: a caller reads another's answer, or half of its own that looks
-//! whole. Each chunk names its attempt and its number, and the end mark names the count; anything
-//! but the one expected chunk is a [`Violation`], after which nothing more of that connection is
-//! read. That is enough because the caller is sent a chunk only after it passed here.
+//! An upstream, or a connection that was reused too early, may deliver a late, foreign, repeated or
+//! truncated chunk. The caller would then read part of another answer, or half of its own that
+//! looks complete. Each chunk carries its attempt and number, and the end mark carries the number
+//! of chunks; anything other than the expected chunk is a [`Violation`], after which the connection
+//! is not read any further. This is sufficient because a chunk is sent to the caller only after it
+//! passed this check.
 
 use crate::id;
 
-/// Why a connection cannot be trusted any more.
+/// Why a connection can no longer be trusted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Violation {
-    /// A chunk of another attempt.
+    /// The chunk belongs to another attempt.
     #[error("a chunk of another attempt")]
     Crossed,
-    /// A chunk that came before.
+    /// The chunk was received before.
     #[error("chunk {got} came again, {expected} was expected")]
     Repeated {
-        /// Its number.
+        /// Number of the received chunk.
         got: u64,
-        /// The number expected.
+        /// Number of the expected chunk.
         expected: u64,
     },
-    /// A chunk is missing before this one.
+    /// At least one chunk is missing before this one.
     #[error("chunk {got} came, {expected} was expected")]
     Gap {
-        /// Its number.
+        /// Number of the received chunk.
         got: u64,
-        /// The number expected.
+        /// Number of the expected chunk.
         expected: u64,
     },
-    /// The end mark's count differs from the chunks that came.
+    /// The count in the end mark differs from the number of received chunks.
     #[error("the end mark counts {counted} chunks, {came} came")]
     Count {
-        /// The end mark's count.
+        /// The count in the end mark.
         counted: u64,
-        /// Chunks that came.
+        /// Number of received chunks.
         came: u64,
     },
-    /// A chunk after the end mark.
+    /// The chunk arrived after the end mark.
     #[error("a chunk after the end mark")]
     AfterEnd,
 }
 
-/// Follows one answer, also over a resumption on the same upstream.
+/// Checks the chunks of one answer, which may be resumed on the same upstream.
 ///
 /// ```
 /// use lagoonline::id::Attempt;
@@ -62,31 +63,32 @@
 }
 
 impl Checker {
-    /// Expects chunk 0 of `attempt`.
+    /// Creates a checker that expects chunk 0 of `attempt`.
     pub fn new(attempt: id::Attempt) -> Self {
         Checker { attempt, next: 0, complete: false }
     }
 
-    /// Expects chunk `next` of `attempt`, as after a takeover from another entry host.
+    /// Creates a checker that expects chunk `next` of `attempt`, for example after a takeover from
+    /// another entry host.
     pub fn starting_at(attempt: id::Attempt, next: u64) -> Self {
         Checker { attempt, next, complete: false }
     }
 
-    /// Number of the next chunk: where to resume.
+    /// Returns the number of the next chunk, which is where to resume.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Whether the end mark came and its count was right.
+    /// Returns whether the end mark was received and its count was right.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Checks one chunk; deliver it only after `Ok`.
+    /// Checks a chunk. It may be delivered only if the result is `Ok`.
     ///
     /// # Errors
     ///
-    /// The violation; the connection must not be read further.
+    /// Returns the violation, after which the connection must not be read any further.
     pub fn chunk(&mut self, attempt: id::Attempt, number: u64) -> Result<(), Violation> {
         self.check_owner(attempt)?;
         let expected = self.next;
@@ -104,7 +106,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Checker::chunk`].
+    /// Same as [`Checker::chunk`].
     pub fn end(&mut self, attempt: id::Attempt, counted: u64) -> Result<(), Violation> {
         self.check_owner(attempt)?;
         if counted != self.next {
--- a/crates/lagoonline/src/outcome.rs
+++ b/crates/lagoonline/src/outcome.rs
@@ -1,22 +1,22 @@
-//! What a caller is told at the end of a request, and the error that carries it.
+//! Outcomes reported to callers, and the error type that carries them.
 
 use std::fmt;
 
 use crate::clock;
 
-/// What is known of a request's effect at its end.
+/// What is known at the end of a request about whether it ran.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Outcome {
     /// The whole answer was delivered.
     Done,
-    /// No byte of the request can have reached an upstream that acts on it.
+    /// No part of the request can have reached an upstream that acts on it.
     NotRun,
-    /// The request may have run; nobody here can tell.
+    /// The request may have run; this cannot be determined.
     Unknown,
 }
 
 impl Outcome {
-    /// The word of the `Lagoon-Outcome` header.
+    /// Returns the value of the `Lagoon-Outcome` header.
     pub const fn as_str(self) -> &'static str {
         match self {
             Outcome::Done => "done",
@@ -32,22 +32,22 @@
     }
 }
 
-/// The step of a request's path at which an error arose.
+/// The step of request processing in which an error arose.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Step {
-    /// Reading the caller's head and body.
+    /// Reading the request head and body.
     Read,
-    /// Matching the caller's key.
+    /// Identifying the customer by the caller's key.
     Authenticate,
-    /// Deciding whether to let the request in.
+    /// Deciding whether to admit the request.
     Admit,
-    /// Waiting for a place.
+    /// Waiting in the queue for capacity.
     Queue,
     /// Choosing an upstream.
     Route,
-    /// Recording the idempotency key.
+    /// Claiming the idempotency key.
     Claim,
-    /// Sending to the upstream.
+    /// Sending the request to the upstream.
     Dispatch,
     /// Receiving the answer.
     Stream,
@@ -56,7 +56,7 @@
 }
 
 impl Step {
-    /// The word used in errors, logs and metrics.
+    /// Returns the name used in errors, logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Step::Read => "read",
@@ -72,51 +72,51 @@
     }
 }
 
-/// Why a request failed; each has one HTTP status.
+/// Why a request failed. Each reason has one HTTP status.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Reason {
-    /// The request cannot be understood.
+    /// The request could not be parsed.
     Malformed,
-    /// No key, or one that matches nobody.
+    /// The caller sent no key or an unknown one.
     Unauthenticated,
     /// The customer may not use this model or service.
     Forbidden,
-    /// No model or service of this name.
+    /// No model or service has this name.
     UnknownName,
-    /// The caller was too slow to send its request.
+    /// The caller took too long to send its request.
     SlowCaller,
-    /// The key was used before with another body.
+    /// The idempotency key was used before with a different body.
     KeyReused,
-    /// An earlier request with this key may have run.
+    /// An earlier request with this idempotency key may have run.
     EarlierUnknown,
-    /// Longer than the model or any group of engines can hold.
+    /// The prompt is longer than the model, or any group of engines, can hold.
     TooLong,
-    /// The customer or its team is over its limit.
+    /// The customer or its team has exceeded its limit.
     OverLimit,
-    /// It could not be answered within its deadline.
+    /// The request could not be answered within its deadline.
     CannotMeetDeadline,
     /// The queue is full.
     Saturated,
     /// This entry host is shutting down.
     Draining,
-    /// No upstream in reach serves it.
+    /// No upstream for the request is reachable.
     NoUpstream,
-    /// The platform is needed for this request and cannot be reached.
+    /// The request needs the platform, which is unreachable.
     PlatformDown,
     /// The deadline passed.
     DeadlinePassed,
     /// The upstream failed or broke its protocol.
     UpstreamFailed,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerLeft,
-    /// Upstreams crashed under this request, wherever it was sent.
+    /// Upstreams crashed while running this request, so it is refused.
     Quarantined,
-    /// A fault of our own.
+    /// An internal error.
     Internal,
 }
 
 impl Reason {
-    /// Every reason, for metrics that list them all from the start.
+    /// All reasons, so that metrics can list every one from the start.
     pub const ALL: [Reason; 19] = [
         Reason::Malformed,
         Reason::Unauthenticated,
@@ -139,7 +139,7 @@
         Reason::Internal,
     ];
 
-    /// The word of the error's `code` and of the metric's label.
+    /// Returns the name used for the error's `code` and the metric label.
     pub const fn as_str(self) -> &'static str {
         match self {
             Reason::Malformed => "malformed",
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Whether the caller's own doing made the request fail, so that it says nothing of the
+    /// Returns whether the caller caused the failure, in which case it does not count against the
     /// service.
     pub const fn blames_caller(self) -> bool {
         match self {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// The HTTP status told to the caller.
+    /// Returns the HTTP status for the caller.
     pub const fn status(self) -> u16 {
         match self {
             Reason::Malformed => 400,
@@ -215,7 +215,7 @@
     }
 }
 
-/// A request that did not end with its answer.
+/// Error of a request that did not end with its answer.
 ///
 /// ```
 /// use lagoonline::outcome::{Failure, Outcome, Reason, Step};
@@ -226,19 +226,19 @@
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{}: {}{} ({outcome})", step.as_str(), reason.as_str(), At(peer))]
 pub struct Failure {
-    /// Why.
+    /// Why the request failed.
     pub reason: Reason,
-    /// Where on the request's path.
+    /// The step in which it failed.
     pub step: Step,
-    /// The upstream or platform part involved, empty when none was.
+    /// The upstream or platform component involved; empty if there was none.
     pub peer: String,
-    /// What is known of the effect.
+    /// Whether the request may have run.
     pub outcome: Outcome,
-    /// When asking again is worthwhile, for refusals.
+    /// For a refusal, the time after which a retry is worthwhile.
     pub retry_after: Option<clock::Span>,
 }
 
-/// Writes ` at PEER`, or nothing for an empty peer.
+/// Displays as ` at PEER`, or as nothing if the peer is empty.
 struct At<'a>(&'a str);
 
 impl fmt::Display for At<'_> {
@@ -248,12 +248,12 @@
 }
 
 impl Failure {
-    /// A failure without a peer and without a time to come back.
+    /// Creates a failure without a peer and without a retry time.
     pub fn new(reason: Reason, step: Step, outcome: Outcome) -> Self {
         Failure { reason, step, peer: String::new(), outcome, retry_after: None }
     }
 
-    /// The same failure, naming the peer at which it arose.
+    /// Sets the peer at which the failure arose.
     pub fn at<P>(self, peer: P) -> Self
     where
         P: Into<String>,
@@ -261,7 +261,7 @@
         Failure { peer: peer.into(), ..self }
     }
 
-    /// The same failure, telling the caller when to come back.
+    /// Sets the time after which the caller should retry.
     pub fn retry_after(self, span: clock::Span) -> Self {
         Failure { retry_after: Some(span), ..self }
     }
--- a/crates/lagoonline/src/port/engine.rs
+++ b/crates/lagoonline/src/port/engine.rs
@@ -1,94 +1,94 @@
-//! What a model engine says of itself, and what can be asked of it besides answers.
+//! Reports of a model engine, and the commands that it accepts apart from requests.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id;
 
-/// Load as an engine reports it; it lags.
+/// Load reported by an engine. It lags behind the actual load.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Load {
-    /// Streams in the batch.
+    /// Number of streams in the batch.
     pub running: u32,
-    /// Requests accepted and not yet in the batch.
+    /// Number of requests accepted but not in the batch yet.
     pub waiting: u32,
-    /// Prompt tokens accepted and not yet prefilled.
+    /// Number of prompt tokens accepted but not prefilled yet.
     pub prefill_tokens: u64,
-    /// Free KV memory, in tokens.
+    /// Free KV cache memory, in tokens.
     pub kv_free_tokens: u64,
-    /// All KV memory, in tokens.
+    /// Total KV cache memory, in tokens.
     pub kv_tokens: u64,
-    /// Tokens that the engine prefills in a second when it does nothing else.
+    /// Prefill speed in tokens per second while the engine does nothing else.
     pub prefill_rate: f64,
-    /// Counts the reports of this incarnation.
+    /// Number of this report within the incarnation.
     pub sequence: u64,
-    /// The engine's life.
+    /// The engine's incarnation.
     pub incarnation: u64,
 }
 
-/// One change of an engine's prefix cache. A jump in `sequence` means that events were lost.
+/// A change of an engine's prefix cache. A gap in `sequence` means that events were lost.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CacheEvent {
-    /// Counts the events of this incarnation, from 1.
+    /// Number of this event within the incarnation, starting at 1.
     pub sequence: u64,
-    /// Hash of the prompt prefix, as the adapter computes it.
+    /// Hash of the prompt prefix, as computed by the adapter.
     pub prefix: u64,
-    /// Its length in tokens.
+    /// Length of the prefix in tokens.
     pub tokens: u64,
-    /// True when cached, false when evicted.
+    /// Whether the prefix was cached (true) or evicted (false).
     pub cached: bool,
 }
 
-/// What an engine holds for an owner.
+/// The kind of a resource that an engine holds for an owner.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
     /// A running or finished stream with its KV cache.
     Stream,
-    /// Memory reserved for a span of a group.
+    /// Memory reserved for a part of a prompt that a group of engines processes.
     Reservation,
-    /// KV cache kept for another engine to import.
+    /// KV cache kept until another engine imports it.
     Export,
 }
 
-/// One thing that an engine holds, with its owner and expiry.
+/// A resource that an engine holds, with its owner and expiry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Holding {
-    /// The attempt or reservation it belongs to, as 32 hex digits.
+    /// The attempt or reservation that it belongs to, as 32 hex digits.
     pub id: String,
-    /// `HOST/INCARNATION` of the entry host it is held for.
+    /// The entry host that it is held for, as `HOST/INCARNATION`.
     pub owner: String,
-    /// What it is.
+    /// The kind of resource.
     pub kind: Kind,
-    /// Its memory, in bytes.
+    /// Memory that it occupies, in bytes.
     pub bytes: u64,
-    /// Milliseconds until the engine drops it by itself.
+    /// Milliseconds until the engine releases it on its own.
     pub expires_ms: u64,
 }
 
-/// An order to an engine; repeating one has no further effect.
+/// A command to an engine. Repeating one has no further effect.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "do")]
 pub enum Order {
-    /// Load a model, with its adapter and version.
+    /// Loads a model with the given adapter and version.
     Load {
-        /// The model's name.
+        /// Name of the model.
         model: id::Model,
-        /// Its adapter, empty for none.
+        /// Name of the adapter; empty if there is none.
         #[serde(default)]
         adapter: String,
-        /// Its version.
+        /// Version of the model.
         #[serde(default)]
         version: String,
     },
-    /// Change what the engine is used for.
+    /// Changes the role of the engine.
     Role {
         /// The new role.
         role: Role,
     },
 }
 
-/// What an engine is used for.
+/// Which prompts an engine is used for.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
--- a/crates/lagoonline/src/port/hosts.rs
+++ b/crates/lagoonline/src/port/hosts.rs
@@ -1,38 +1,38 @@
-//! The platform's list of live and leaving hosts; it lags, so it is a hint.
+//! The platform's list of live and leaving hosts. It lags and is used only as a hint.
 
 use std::future;
 
 use super::table;
 use crate::id;
 
-/// What the list says of a host.
+/// State of a host in the list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
     /// In service.
     Live,
-    /// About to leave: no new work.
+    /// About to leave; it gets no new work.
     Leaving,
 }
 
-/// One line of the list.
+/// An entry of the list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Line {
     /// Name of the upstream or entry host.
     pub name: String,
     /// Its availability zone.
     pub zone: id::Zone,
-    /// Which life of it the line speaks of.
+    /// The incarnation that the entry refers to.
     pub incarnation: id::Incarnation,
     /// Its state.
     pub state: State,
 }
 
-/// Reads the list.
+/// Read access to the list.
 pub trait Hosts {
-    /// The list as the platform has it now.
+    /// Returns the platform's current list.
     ///
     /// # Errors
     ///
-    /// `Refused` or `Unknown`.
+    /// Returns `Refused` or `Unknown`.
     fn list(&self) -> impl future::Future<Output = Result<Vec<Line>, table::Error>>;
 }
--- a/crates/lagoonline/src/port/mod.rs
+++ b/crates/lagoonline/src/port/mod.rs
@@ -1,6 +1,7 @@
-//! What the decisions need of the outside, as traits; adapters and fakes implement them.
+//! Traits through which the decision logic accesses external systems. They are implemented by
+//! adapters, and by fakes in tests.
 //!
-//! Futures of these traits need not be `Send`: each worker thread has a runtime of its own.
+//! The futures need not be `Send`, because each worker thread has its own runtime.
 
 pub mod engine;
 pub mod hosts;
--- a/crates/lagoonline/src/port/objects.rs
+++ b/crates/lagoonline/src/port/objects.rs
@@ -6,20 +6,20 @@
 
 use super::table;
 
-/// Whole objects by key; a put replaces the object and may be repeated.
+/// Storage of whole objects by key. Storing an object replaces it and may be repeated.
 pub trait Objects {
     /// Stores `body` under `key`.
     ///
     /// # Errors
     ///
-    /// As of the table service: `Refused` or `Unknown`.
+    /// Returns `Refused` or `Unknown`, as for the table service.
     fn put(&self, key: &str, body: Bytes)
     -> impl future::Future<Output = Result<(), table::Error>>;
 
-    /// Reads the object under `key`; `None` when there is none.
+    /// Reads the object under `key`; returns `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// As [`Objects::put`].
+    /// Same as [`Objects::put`].
     fn get(&self, key: &str) -> impl future::Future<Output = Result<Option<Bytes>, table::Error>>;
 }
--- a/crates/lagoonline/src/port/table.rs
+++ b/crates/lagoonline/src/port/table.rs
@@ -2,97 +2,97 @@
 
 use std::future;
 
-/// A row's value and its version.
+/// A row with its version.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Row {
-    /// The row's key.
+    /// Key of the row.
     pub key: String,
-    /// The row's value: a JSON text.
+    /// Value of the row, as JSON text.
     pub value: String,
-    /// Counts the writes of this row; 0 stands for a row that does not exist.
+    /// Number of writes to the row; 0 stands for a row that does not exist.
     pub version: u64,
 }
 
-/// A condition that a transaction needs: the row is at this version (0: absent).
+/// A precondition of a transaction: the row must be at this version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Check {
-    /// The row's key.
+    /// Key of the row.
     pub key: String,
-    /// The version it must be at.
+    /// The required version; 0 requires that the row does not exist.
     pub version: u64,
 }
 
-/// One change of a transaction.
+/// A change made by a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
     /// Writes the row.
     Put {
-        /// The row's key.
+        /// Key of the row.
         key: String,
-        /// Its new value: a JSON text.
+        /// New value of the row, as JSON text.
         value: String,
     },
     /// Removes the row.
     Delete {
-        /// The row's key.
+        /// Key of the row.
         key: String,
     },
 }
 
-/// Changes that take effect together if every check holds.
+/// Changes that are applied together if all checks hold.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Transaction {
-    /// All must hold.
+    /// Preconditions, all of which must hold.
     pub checks: Vec<Check>,
-    /// All take effect, or none does.
+    /// Changes, of which either all are applied or none.
     pub changes: Vec<Change>,
 }
 
-/// Why a call of the table service did not give its answer.
+/// Why a call to the table service failed.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// A check did not hold; nothing was written.
+    /// A check did not hold, so nothing was written.
     #[error("{step}: a row has changed")]
     Conflict {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
     },
-    /// The call cannot have taken effect: it was refused or never sent.
+    /// The call was refused or never sent, so it cannot have taken effect.
     #[error("{step}: refused by {peer}: {why}")]
     Refused {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// The table service's address.
+        /// Address of the table service.
         peer: String,
-        /// Its answer, or what prevented the call.
+        /// The service's answer, or what prevented the call.
         why: String,
     },
-    /// The answer was lost: the call may or may not have taken effect, or may yet do so.
+    /// The answer was lost. The call may have taken effect, or may still do so later.
     #[error("{step}: no answer from {peer}: {why}")]
     Unknown {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// The table service's address.
+        /// Address of the table service.
         peer: String,
-        /// What was seen.
+        /// How the answer was lost.
         why: String,
     },
 }
 
-/// Reads and conditional writes of rows. Reads see every write that was answered before.
+/// Reads and conditional writes of rows. A read sees every write that was confirmed before it.
 pub trait Table {
-    /// Reads one row; `None` when there is none.
+    /// Reads a row; returns `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// `Refused` or `Unknown`; a read has no effect in either case.
+    /// Returns `Refused` or `Unknown`; the read has no effect in either case.
     fn read(&self, key: &str) -> impl future::Future<Output = Result<Option<Row>, Error>>;
 
     /// Reads up to `limit` rows whose key starts with `prefix` and is greater than `after`.
     ///
     /// # Errors
     ///
-    /// As [`Table::read`].
+    /// Same as [`Table::read`].
     fn scan(
         &self,
         prefix: &str,
@@ -100,12 +100,12 @@
         limit: usize,
     ) -> impl future::Future<Output = Result<Vec<Row>, Error>>;
 
-    /// Carries out a transaction; the answer has the new version of each changed row, in order.
+    /// Executes a transaction; returns the new version of each changed row, in order.
     ///
     /// # Errors
     ///
-    /// `Conflict` when a check failed, `Refused` when nothing can have been written, `Unknown`
-    /// when that cannot be told.
+    /// Returns `Conflict` if a check failed, `Refused` if nothing can have been written, and
+    /// `Unknown` if the result is not known.
     fn commit(
         &self,
         transaction: Transaction,
--- a/crates/lagoonline/src/routing/confirm.rs
+++ b/crates/lagoonline/src/routing/confirm.rs
@@ -1,11 +1,11 @@
-//! Until when the version in force is known to be the newest.
+//! Tracks until when the version in force is known to be the newest.
 //!
-//! Failure answered: a key is taken away while this host is cut off, frozen or turned away by the
-//! platform, and its holder is served on for as long as that lasts. A version counts as the newest
-//! only up to the last moment at which the platform is known to have held no later one; a request
-//! with a key is let in only within a bound after that moment. That is enough because a key taken
-//! away later than that moment was valid within the bound, whatever this host did since. The
-//! clock must count time in which the host is suspended.
+//! If a key is revoked while this host is cut off, suspended or refused by the platform, its holder
+//! must not be served for as long as that lasts. A version counts as the newest only up to the last
+//! moment at which the platform is known to have had no later one, and requests with a key are
+//! admitted only within a bound after that moment. This is sufficient because a key revoked after
+//! that moment was valid within the bound, whatever happened to this host since. The clock must
+//! keep counting while the host is suspended.
 
 use crate::clock;
 
@@ -27,17 +27,18 @@
 }
 
 impl Confirmation {
-    /// The version in force was the newest at `at`; earlier news than the last is passed over.
+    /// Records that the version in force was the newest at `at`; moments earlier than the last are
+    /// ignored.
     pub fn confirm(&mut self, at: clock::Moment) {
         self.at = self.at.max(Some(at));
     }
 
-    /// Time since the last confirmation; `None` before the first.
+    /// Returns the time since the last confirmation, or `None` before the first.
     pub fn age(&self, now: clock::Moment) -> Option<clock::Span> {
         self.at.map(|at| now.since(at))
     }
 
-    /// Whether it is at most `bound` old.
+    /// Returns whether the last confirmation is at most `bound` old.
     pub fn is_fresh(&self, now: clock::Moment, bound: clock::Span) -> bool {
         self.age(now).is_some_and(|age| age <= bound)
     }
--- a/crates/lagoonline/src/routing/mod.rs
+++ b/crates/lagoonline/src/routing/mod.rs
@@ -1,8 +1,8 @@
-//! Where a request may go: routes by host and path prefix, the services behind them, and the
-//! customers who may use them.
+//! Routing of requests: routes by host and path prefix, the services behind them, and the customers
+//! allowed to use them.
 //!
-//! A [`Desired`] is one version of what the operators want, as an adapter read it; a [`Table`] is
-//! the same, indexed for lookups by request.
+//! A [`Desired`] is one version of the configuration set by operators, as read by an adapter; a
+//! [`Table`] is the same, indexed for lookups by request.
 
 mod confirm;
 mod registry;
@@ -22,24 +22,24 @@
 pub use source::{Peer, Settings as SourceSettings, Source, Sources};
 pub use table::{Match, Table};
 
-/// What may be done again with a request.
+/// How a request is answered, and whether it may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
-    /// May run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// May run at most once.
+    /// The request may run at most once.
     Once,
-    /// Answered by a series of numbered events.
+    /// The request is answered by a stream of numbered events.
     Stream {
-        /// Whether another upstream may go on after the last event that was delivered.
+        /// Whether another upstream may continue after the last delivered event.
         resumable: bool,
-        /// Longest pause between events for which the answer is still in time.
+        /// Longest pause between events for the answer to count as in time.
         gap: clock::Span,
     },
 }
 
 impl Kind {
-    /// Whether a second run does no harm.
+    /// Returns whether running the request again does no harm.
     ///
     /// ```
     /// use lagoonline::{clock::Span, routing::Kind};
@@ -55,74 +55,74 @@
     }
 }
 
-/// A part of a route's requests that goes to one service.
+/// A share of a route's traffic that goes to one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Share {
-    /// The service.
+    /// The service that receives the traffic.
     pub service: id::Service,
-    /// Its part, relative to the other shares of the route.
+    /// Weight relative to the other shares of the route.
     pub weight: u32,
 }
 
-/// Requests of one host under one path prefix.
+/// A route: requests to one host under one path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, for logs and metrics.
+    /// Name, used in logs and metrics.
     pub name: id::Route,
     /// Value of the `Host` header, in lower case.
     pub host: String,
-    /// Path prefix; begins and ends with a slash.
+    /// Path prefix, which begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether and how requests may be retried.
     pub kind: Kind,
-    /// Longest time to a final answer.
+    /// Maximum time until the final answer.
     pub timeout: clock::Span,
-    /// Time within which the answer (for a stream: its first event) is in time.
+    /// Time within which the answer, or the first event of a stream, counts as in time.
     pub target: clock::Span,
-    /// Rank among requests, 0 first.
+    /// Priority of its requests; 0 is the highest.
     pub priority: u32,
-    /// Where requests go; never empty.
+    /// Services that receive its requests; never empty.
     pub shares: Vec<Share>,
-    /// Most upstreams that one request may run on.
+    /// Maximum number of upstreams that one request may run on.
     pub attempts: u32,
-    /// Whether it is served without a customer's key.
+    /// Whether requests are served without a customer's key.
     pub public: bool,
 }
 
 /// A group of upstreams that serve the same requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: id::Service,
     /// Path of its health check.
     pub health_path: String,
-    /// Connections that one upstream accepts from all callers together.
+    /// Number of connections that each upstream accepts from all callers together.
     pub connections: u32,
-    /// How its model engines work; `None` for a plain service.
+    /// Speed model of its engines; `None` for a plain service.
     pub pace: Option<pass::Pace>,
 }
 
-/// A customer and the keys that name it.
+/// A customer and its keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
-    /// The customer's name.
+    /// Name of the customer.
     pub name: id::Customer,
-    /// Keys of its callers.
+    /// Keys that identify the customer's callers.
     pub keys: Vec<String>,
-    /// Rank of its requests, 0 first; where given, goes before the route's.
+    /// Priority of its requests, where 0 is the highest; overrides the priority of the route.
     pub priority: Option<u32>,
 }
 
-/// What callers may send, and how slowly.
+/// Limits on the size and timing of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head to arrive.
+    /// Maximum time for a request head to arrive.
     pub head_timeout: clock::Span,
-    /// Longest time without a request on an open connection.
+    /// Maximum time without a request on an open connection.
     pub idle_timeout: clock::Span,
 }
 
@@ -137,36 +137,36 @@
     }
 }
 
-/// One version of all that operators want.
+/// One version of the configuration set by operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Desired {
-    /// Higher is later.
+    /// A later version has a higher number.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
     /// All services.
     pub services: Vec<Service>,
-    /// Bounds on callers.
+    /// Limits on requests.
     pub limits: Limits,
-    /// Customers with keys; `None` where no key is asked for.
+    /// Customers and their keys; `None` if no keys are required.
     pub customers: Option<Vec<Customer>>,
 }
 
-/// One upstream as it registered itself.
+/// An upstream, as it registered itself at the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its name; a new life mostly has a new one.
+    /// Name of the upstream; a restarted process usually has a new one.
     pub upstream: id::Upstream,
     /// The service it belongs to.
     pub service: id::Service,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: net::SocketAddr,
     /// Its availability zone.
     pub zone: id::Zone,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
     /// Whether it is leaving and must get no new work.
     pub leaving: bool,
-    /// Start of this life, in Unix milliseconds; 0 where it does not say.
+    /// Start time of this incarnation in Unix milliseconds; 0 if unknown.
     pub born: u64,
 }
--- a/crates/lagoonline/src/routing/registry.rs
+++ b/crates/lagoonline/src/routing/registry.rs
@@ -1,10 +1,11 @@
-//! Which upstreams there are, from the entries that they keep at the platform.
+//! Registry of upstreams, built from their registrations at the platform.
 //!
-//! Failure answered: while the platform is out, entries lapse though their upstreams live. A host
-//! that drops them at the platform's return has nobody to send to for seconds. So an entry that
-//! vanished in or just after an outage stays in use for [`Settings::return_span`], in which a
-//! living upstream is back, and is dropped after it. An entry that vanishes at any other time is
-//! dropped at once, and one that says it is leaving gets nothing new from then on.
+//! During an outage of the platform, registrations expire although their upstreams are alive. A
+//! host that dropped these upstreams when the platform recovers would have no upstream to send to
+//! for seconds. A registration that vanishes during or just after an outage therefore stays in use
+//! for [`Settings::recovery_grace`], within which a live upstream registers again. One that
+//! vanishes at any other time is dropped at once, and one that is marked as leaving gets no new
+//! requests from then on.
 
 use std::collections;
 
@@ -12,23 +13,23 @@
 use crate::clock;
 use crate::id;
 
-/// A change of one entry.
+/// A change of one registration.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// The entry as it is now.
+    /// The registration was added or updated.
     Put(Entry),
-    /// The entry is no longer there, or no longer names an upstream that can be used.
+    /// The registration was deleted, or no longer describes a usable upstream.
     Removed(id::Upstream),
 }
 
-/// How long entries that vanished are believed.
+/// How long registrations that vanished stay in use.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// After an outage, how long a vanished entry stays in use.
+    /// How long after an outage a vanished registration stays in use.
     pub return_span: clock::Span,
 }
 
-/// Living upstreams are back about two seconds after the platform's return.
+/// Live upstreams register again about two seconds after the platform recovers.
 const RETURN_SPAN: clock::Span = clock::Span::from_millis(2_300);
 
 impl Default for Settings {
@@ -37,7 +38,7 @@
     }
 }
 
-/// All entries.
+/// All registrations.
 ///
 /// ```
 /// use lagoonline::{clock::Moment, routing::Registry};
@@ -49,23 +50,24 @@
 pub struct Registry {
     settings: Settings,
     entries: collections::BTreeMap<id::Upstream, Entry>,
-    /// Entries that vanished around an outage, and until when they stay in use.
+    /// Registrations that vanished around an outage, and until when they stay in use.
     lapsed: collections::BTreeMap<id::Upstream, clock::Moment>,
     returned: Option<clock::Moment>,
 }
 
 impl Registry {
-    /// With other settings.
+    /// Creates a registry with the given settings.
     pub fn new(settings: Settings) -> Registry {
         Registry { settings, ..Registry::default() }
     }
 
-    /// The platform answers again after an outage; call it before the changes that it brings.
+    /// Records that the platform has recovered from an outage; call this before applying the
+    /// changes that it reports.
     pub fn returned(&mut self, now: clock::Moment) {
         self.returned = Some(now);
     }
 
-    /// Takes in one change.
+    /// Applies a single change.
     pub fn apply(&mut self, change: Change, now: clock::Moment) {
         match change {
             Change::Put(entry) => {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Takes in all entries, read at once.
+    /// Replaces all registrations with a complete list read at `now`.
     pub fn reset(&mut self, entries: Vec<Entry>, now: clock::Moment) {
         let listed: collections::BTreeSet<_> =
             entries.iter().map(|entry| entry.upstream.clone()).collect();
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Drops entries that lapsed and did not come back; whether there were any.
+    /// Drops vanished registrations whose grace time is over; returns whether there were any.
     pub fn expire(&mut self, now: clock::Moment) -> bool {
         let due: Vec<_> = self.lapsed.iter().filter(|(_, until)| **until <= now).collect();
         let due: Vec<_> = due.into_iter().map(|(name, _)| name.clone()).collect();
@@ -101,7 +103,7 @@
         !due.is_empty()
     }
 
-    /// The entries in use, leaving ones included.
+    /// Returns the registrations in use, including those of leaving upstreams.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
--- a/crates/lagoonline/src/routing/roster.rs
+++ b/crates/lagoonline/src/routing/roster.rs
@@ -1,12 +1,13 @@
-//! Which host of a zone does what one host can do for all of them: it places their requests, asks
-//! the zone's engines for load reports, and tells other zones what is under way.
+//! Determines, without coordination, the host of each zone that acts for the others: it schedules
+//! their requests, polls the zone's engines for load reports, and tells other zones what is in
+//! flight.
 //!
-//! Load pattern: hundreds of entry hosts, each with a request or two a second. Where each tells
-//! each other of every dispatch, a host hears as many words as all hosts together send; where each
-//! finds out by itself which engines fail, a crash is met by hundreds of requests. So in a zone of
-//! some size the first live host, by size and name, schedules for the others. Nobody is elected and
-//! nothing is agreed on: two hosts that both schedule cost efficiency only, and a host that gets no
-//! answer asks the next one and then decides by itself.
+//! There are hundreds of entry hosts with one or two requests per second each. If every host told
+//! every other of each dispatch, each would receive as many messages as all hosts send together; if
+//! every host detected failing engines on its own, a crash would affect hundreds of requests. In a
+//! zone above a certain size the first live host, ordered by size and name, therefore schedules for
+//! the others. There is no agreement protocol: two hosts that both schedule only cost efficiency,
+//! and a host that gets no answer asks the next one and finally decides on its own.
 
 use std::cmp;
 use std::collections;
@@ -14,31 +15,32 @@
 use crate::clock;
 use crate::id;
 
-/// Figures of the choice.
+/// Settings of the roster.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Hosts of a zone from which on one schedules for the others. In a smaller zone each host
-    /// hears so much of the others that it decides as well by itself.
+    /// Minimum number of hosts in a zone for one of them to schedule for the others. In a smaller
+    /// zone each host receives enough information about the others to decide equally well on its
+    /// own.
     pub least_hosts: u64,
-    /// Live hosts of a zone that know all that is under way: the one that schedules, and those
-    /// that follow when it ends.
+    /// Number of live hosts of a zone that know everything in flight: the scheduler and its
+    /// successors.
     pub candidates: usize,
-    /// Most hosts to which heartbeats go, so that a zone most of whose hosts are gone does not make
-    /// the others knock at all of them.
+    /// Maximum number of hosts that heartbeats are sent to, so that a zone that lost most of its
+    /// hosts does not make the remaining ones contact all of them.
     pub most_watched: usize,
-    /// Time without an answer to a heartbeat from which a host counts as gone: with two heartbeats
-    /// within it, one that is lost changes nothing.
+    /// Time without an answer to a heartbeat after which a host counts as dead. It covers two
+    /// heartbeats, so that a single lost one has no effect.
     pub silence: clock::Span,
-    /// How long a host that left a question unanswered, or turned it down, is not asked again.
+    /// How long a host that did not answer a question, or declined it, is not asked again.
     pub pass_over: clock::Span,
-    /// Longest pause between two calls of a platform that fails, at a host of a small zone: it is
-    /// back well within the bounds after an outage.
+    /// Maximum pause between two calls to a failing platform, for a host of a small zone. Short
+    /// enough to be back well within the bounds after an outage.
     pub pause_alone: clock::Span,
-    /// The same at one of the first hosts of a large zone, whom the others ask.
+    /// Maximum pause for one of the first hosts of a large zone, which the others ask.
     pub pause_first: clock::Span,
-    /// The same at the others.
+    /// Maximum pause for the other hosts of a large zone.
     pub pause_other: clock::Span,
-    /// How long a host of another zone counts as there after it was heard of.
+    /// How long a host of another zone counts as alive after it was last heard.
     pub heard: clock::Span,
 }
 
@@ -58,29 +60,29 @@
     }
 }
 
-/// A host as its own row at the platform, or its own word, tells.
+/// Attributes of a host, from its row at the platform or its own messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Standing {
-    /// Its zone.
+    /// Availability zone of the host.
     pub zone: id::Zone,
-    /// Part of a processor core that it has: larger hosts come first.
+    /// Number of processor cores, possibly a fraction; larger hosts rank first.
     pub cores: f64,
 }
 
-/// The order in which hosts of a zone, each with its part of a processor core, do something for the
-/// others: the largest first, by name among equals.
+/// Orders the hosts of a zone, given with their processor cores, by rank: the largest first, then
+/// by name.
 pub(super) fn by_rank(a: (&id::Host, f64), b: (&id::Host, f64)) -> cmp::Ordering {
     b.1.total_cmp(&a.1).then_with(|| a.0.cmp(b.0))
 }
 
-/// What is known of another host.
+/// What is known about another host.
 #[derive(Clone, Debug)]
 struct Known {
     standing: Standing,
     /// When its row was first seen.
     since: clock::Moment,
     heard: Option<clock::Moment>,
-    /// When the first heartbeat was sent to it that it has not answered.
+    /// When the first heartbeat that it has not answered was sent.
     unanswered: Option<clock::Moment>,
     passed_over: Option<clock::Moment>,
 }
@@ -90,7 +92,7 @@
         Known { standing, since, heard: None, unanswered: None, passed_over: None }
     }
 
-    /// How long nothing has come from it.
+    /// Returns the time since the host was last heard, or since it was first seen.
     fn silence(&self, now: clock::Moment) -> clock::Span {
         now.since(self.heard.map_or(self.since, |heard| heard.max(self.since)))
     }
@@ -108,7 +110,7 @@
     }
 }
 
-/// The hosts, in the order in which those of a zone schedule for each other.
+/// All known hosts, ranked within each zone by the order in which they become its scheduler.
 ///
 /// ```
 /// use lagoonline::{clock::Moment, id::{Host, Zone}, routing::{Roster, RosterSettings, Standing}};
@@ -127,15 +129,15 @@
     settings: Settings,
     own: id::Host,
     standing: Standing,
-    /// When this host began to listen to others.
+    /// When this host started to listen to others.
     started: clock::Moment,
     hosts: collections::BTreeMap<id::Host, Known>,
-    /// Names by zone, in order of rank; this host's own among them.
+    /// Host names by zone in order of rank, including this host's own.
     ranks: collections::BTreeMap<id::Zone, Vec<id::Host>>,
 }
 
 impl Roster {
-    /// The roster of the host `own`, which knows of no other yet at `now`.
+    /// Creates the roster of the host `own`, which knows no other hosts at `now`.
     pub fn new(
         settings: Settings,
         own: id::Host,
@@ -146,7 +148,7 @@
         Roster { settings, own, standing, started: now, hosts: Default::default(), ranks }
     }
 
-    /// There is a host, or it changed.
+    /// Adds or updates a host.
     pub fn set(&mut self, host: id::Host, standing: Standing, now: clock::Moment) {
         if host == self.own {
             return;
@@ -159,18 +161,19 @@
         self.sort();
     }
 
-    /// A host is no longer there.
+    /// Removes a host.
     pub fn remove(&mut self, host: &id::Host) {
         if self.hosts.remove(host).is_some() {
             self.sort();
         }
     }
 
-    /// Hosts of this host's zone that have been silent for longer than `span`, where it is for this
-    /// host to forget them: every host of a zone tells the first one that it is there.
+    /// Returns the hosts of this host's zone that have been silent for longer than `span`, if it is
+    /// up to this host to remove them. Every host of a zone sends heartbeats to the first one,
+    /// which can therefore tell.
     ///
-    /// Failure answered: hosts are replaced under new names each day. After a year, each host would
-    /// read and rank tens of thousands that are gone, and share what all may do with them.
+    /// Hosts are replaced under new names every day. Without this, after a year each host would
+    /// read and rank tens of thousands of dead hosts, and divide shared limits among them.
     pub fn gone(&self, span: clock::Span, now: clock::Moment) -> Vec<id::Host> {
         if !self.leads(now) {
             return Vec::new();
@@ -181,13 +184,13 @@
         gone.map(|(host, _)| host.clone()).collect()
     }
 
-    /// All hosts, this one included.
+    /// Returns the number of known hosts, including this one.
     pub fn count(&self) -> usize {
         self.hosts.len() + 1
     }
 
-    /// Hosts that decide where requests go: one of each zone that shares its decisions, and all of
-    /// the others.
+    /// Returns the number of hosts that make scheduling decisions: one for each zone with a
+    /// scheduler, and all hosts of the other zones.
     pub fn deciders(&self) -> usize {
         let of_zone = |(zone, hosts): (&id::Zone, &Vec<id::Host>)| {
             if self.is_shared(zone) { 1 } else { hosts.len() }
@@ -195,7 +198,7 @@
         self.ranks.iter().map(of_zone).sum()
     }
 
-    /// Something came from a host.
+    /// Records a message from a host.
     pub fn heard(&mut self, host: &id::Host, now: clock::Moment) {
         if let Some(known) = self.hosts.get_mut(host) {
             known.heard = Some(now);
@@ -203,36 +206,38 @@
         }
     }
 
-    /// A heartbeat goes to a host, which answers it.
+    /// Records that a heartbeat was sent to a host, which is expected to answer it.
     pub fn asked(&mut self, host: &id::Host, now: clock::Moment) {
         if let Some(known) = self.hosts.get_mut(host) {
             known.unanswered.get_or_insert(now);
         }
     }
 
-    /// A host left a question unanswered, or turned it down.
+    /// Records that a host did not answer a question or declined it, so that it is skipped for a
+    /// while.
     pub fn passed(&mut self, host: &id::Host, now: clock::Moment) {
         if let Some(known) = self.hosts.get_mut(host) {
             known.passed_over = Some(now + self.settings.pass_over);
         }
     }
 
-    /// Zone of another host.
+    /// Returns the zone of another host.
     pub fn zone(&self, host: &id::Host) -> Option<&id::Zone> {
         self.hosts.get(host).map(|known| &known.standing.zone)
     }
 
-    /// Whether one host of `zone` schedules for the others.
+    /// Returns whether `zone` is large enough for one of its hosts to schedule for the others.
     pub fn is_shared(&self, zone: &id::Zone) -> bool {
         self.ranks.get(zone).is_some_and(|hosts| hosts.len() as u64 >= self.settings.least_hosts)
     }
 
-    /// Whether one host of this host's zone schedules for the others.
+    /// Returns whether this host's zone is large enough for one of its hosts to schedule for the
+    /// others.
     pub fn is_own_shared(&self) -> bool {
         self.is_shared(&self.standing.zone)
     }
 
-    /// The host to ask where a request goes; `None` where this host decides by itself.
+    /// Returns the host to ask where to send a request, or `None` if this host decides on its own.
     pub fn scheduler(&self, now: clock::Moment) -> Option<id::Host> {
         if !self.is_own_shared() {
             return None;
@@ -242,22 +247,23 @@
         candidates.find(|host| open(host)).filter(|host| **host != self.own).cloned()
     }
 
-    /// Whether this host is the first live one of its zone.
+    /// Returns whether this host is the first live host of its zone.
     pub fn leads(&self, now: clock::Moment) -> bool {
         self.candidates(now).next().is_none_or(|host| *host == self.own)
     }
 
-    /// Whether this host is one of those of its zone that know all that is under way: in a small
-    /// zone each of them.
+    /// Returns whether this host is among the hosts of its zone that know everything in flight; in
+    /// a small zone all hosts are.
     pub fn is_candidate(&self, now: clock::Moment) -> bool {
         !self.is_own_shared() || self.candidates(now).any(|host| *host == self.own)
     }
 
-    /// Longest pause between two calls of a platform that fails.
+    /// Returns the maximum pause between two calls to a failing platform.
     ///
-    /// Load pattern: the platform is out for seconds, and two hundred hosts call it again and again
-    /// until it is back. The first hosts of each zone are enough to find that out; the others ask
-    /// them each second, and call the platform seldom, for the case that it turns only those away.
+    /// During a platform outage of several seconds, two hundred hosts would call it repeatedly
+    /// until it is back. The first hosts of each zone are enough to detect its recovery. The others
+    /// ask them every second and call the platform only rarely, in case it refuses only those
+    /// hosts.
     pub fn longest_pause(&self, now: clock::Moment) -> clock::Span {
         match (self.is_own_shared(), self.is_candidate(now)) {
             (false, _) => self.settings.pause_alone,
@@ -266,11 +272,11 @@
         }
     }
 
-    /// The other hosts of this zone to which heartbeats go: the first ones, until there are enough
-    /// live ones among them.
+    /// Returns the other hosts of this zone that heartbeats are sent to: in order of rank, until
+    /// there are enough live ones among them.
     ///
-    /// Failure answered: the largest hosts of a zone are killed together. Hosts that are gone stay
-    /// watched, so that they are found when they are back, and those next in rank take over.
+    /// If the largest hosts of a zone are killed together, the next in rank take over, while the
+    /// dead ones still get heartbeats so that their return is noticed.
     pub fn watched(&self, now: clock::Moment) -> Vec<id::Host> {
         let mut live = 0;
         let mut watched = Vec::new();
@@ -286,7 +292,7 @@
         watched
     }
 
-    /// The hosts of this zone that are to know what is under way.
+    /// Returns the hosts of this zone that must be told what is in flight.
     pub fn near(&self, now: clock::Moment) -> Vec<id::Host> {
         if self.is_own_shared() {
             return self.watched(now);
@@ -294,12 +300,13 @@
         self.ranked(&self.standing.zone).filter(|host| **host != self.own).cloned().collect()
     }
 
-    /// The hosts of other zones that are to know what is under way: all of a small zone; of a large
-    /// one the first, and any that was heard of, since only hosts that schedule speak across zones.
+    /// Returns the hosts of other zones that must be told what is in flight: all hosts of a small
+    /// zone; of a large zone the first ones and every host heard from, since only schedulers send
+    /// messages across zones.
     ///
-    /// Failure answered: the first hosts of all zones are killed at once, and those that take over
-    /// do not know of each other. Of a zone that is not heard of more hosts are told, until one
-    /// that schedules there answers.
+    /// If the first hosts of all zones are killed at once, their successors do not know of each
+    /// other. For a zone that is not heard from, more hosts are therefore told until its scheduler
+    /// answers.
     pub fn far(&self, now: clock::Moment) -> Vec<id::Host> {
         let mut far = Vec::new();
         for (zone, hosts) in &self.ranks {
@@ -321,8 +328,9 @@
         far
     }
 
-    /// Whether this host asks the engines of `zone` for their reports: the first live host of the
-    /// zone does, and for a zone none of whose hosts is heard of that of the first zone by name.
+    /// Returns whether this host polls the engines of `zone` for load reports. The first live host
+    /// of a zone does so. If no host of a zone is heard from, the first live host of the first
+    /// other zone by name does it instead.
     pub fn asks(&self, zone: &id::Zone, now: clock::Moment) -> bool {
         if !self.leads(now) {
             return false;
@@ -332,12 +340,12 @@
         }
         let heard = |zone: &id::Zone| self.ranked(zone).any(|host| self.is_heard(host, now));
         let first = self.ranks.keys().find(|zone| **zone == self.standing.zone || heard(zone));
-        // Before that all other zones are unheard of.
+        // Before this time no host of another zone can have been heard.
         let listened = now.since(self.started) > self.settings.heard;
         listened && !heard(zone) && first == Some(&self.standing.zone)
     }
 
-    /// The first live hosts of this zone, this one perhaps among them.
+    /// Returns the first live hosts of this zone, which may include this one.
     fn candidates(&self, now: clock::Moment) -> impl Iterator<Item = &id::Host> {
         let ranked = self.ranked(&self.standing.zone);
         ranked.filter(move |host| self.is_live(host, now)).take(self.settings.candidates)
@@ -368,18 +376,19 @@
     }
 }
 
-/// When this host asks the engines of each zone for their reports.
+/// Schedule by which this host polls the engines of each zone for load reports.
 ///
-/// Failure answered: the host that asks is killed. The next one must not wait for a turn of its own:
-/// it asks as soon as it counts itself the first, so that an engine that turned slow meanwhile is
-/// known of within two seconds.
+/// When the polling host is killed, its successor polls as soon as it becomes the first live host
+/// instead of waiting for a full period, so that an engine that became slow in the meantime is
+/// detected within two seconds.
 #[derive(Clone, Debug, Default)]
 pub struct Rounds {
     next: collections::BTreeMap<id::Zone, clock::Moment>,
 }
 
 impl Rounds {
-    /// Those of `zones` whose engines this host asks at `now`; again after `period`.
+    /// Returns those of `zones` whose engines this host polls at `now`; each is due again after
+    /// `period`.
     ///
     /// ```
     /// use lagoonline::{clock::{Moment, Span}, id::{Host, Zone}};
--- a/crates/lagoonline/src/routing/source.rs
+++ b/crates/lagoonline/src/routing/source.rs
@@ -1,11 +1,12 @@
-//! From whom a host learns what the platform holds: from the platform itself, or from the one host
-//! of its zone that reads for the others.
+//! Selects where a host reads the platform's state from: the platform itself, or the one host of
+//! its zone that reads it for the others.
 //!
-//! Load pattern: a zone of twenty entry hosts, each of which watches the platform's tables. The
-//! same rows are read twenty times a second or more, each call is paid for, and a platform that
-//! comes back after an outage meets all of them. So the first host in an order that all know reads,
-//! and the others ask it. Nobody is elected: a host that gets no good answer reads for itself at
-//! once and looks for another reader later. Two hosts that both read cost calls, never a promise.
+//! If each of a zone's twenty entry hosts watched the platform's tables, the same rows would be
+//! read twenty times a second or more, each call would be paid for, and a platform that recovers
+//! from an outage would be hit by all hosts at once. Therefore the first host, in an order known to
+//! all, reads the tables and the others ask it. There is no election: a host that gets no useful
+//! answer reads the platform itself at once and looks for another reader later. If two hosts both
+//! read the platform, this costs calls but does no harm.
 
 use std::collections;
 
@@ -13,23 +14,25 @@
 use crate::clock;
 use crate::id;
 
-/// Figures of the choice.
+/// Settings of the reader selection.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Hosts of a zone from which on one reads for the others. In a smaller zone the calls saved
-    /// are worth less than the second that a silent reader costs the others.
+    /// Minimum number of hosts in a zone for one of them to read for the others. In a smaller zone
+    /// the saved calls are worth less than the second that an unresponsive reader costs the others.
     pub least_hosts: u64,
-    /// How long a host that gave no good answer is passed over. Within it a killed host is started
-    /// again and has read everything.
+    /// How long a host that did not answer is skipped. A killed host is restarted and has read the
+    /// whole state within this time.
     pub pass_over: clock::Span,
-    /// How long a host that does not read now is passed over: when a reader ends, all others learn
-    /// of it within moments, and the next one in order then reads.
+    /// How long a host that is not reading is skipped. Short, because when a reader stops all
+    /// others notice it at about the same time, and the next one in order then starts to read.
     pub pass_over_idle: clock::Span,
-    /// Part of the bound on changes up to which what a host knows may be old while it looks for
-    /// another reader: the rest is for the question that it asks then and for its own reading.
+    /// While looking for another reader, a host's state may be at most this share of the allowed
+    /// propagation time old. The rest is needed for the last question asked and for reading the
+    /// platform itself.
     pub look_share: f64,
-    /// Hosts passed over at a time after which this one reads for itself: while the platform is
-    /// out nobody can answer, and asking all of a large zone would only be noise.
+    /// Number of hosts skipped at a time after which a host reads the platform itself. During a
+    /// platform outage no host can answer, and asking every host of a large zone would only add
+    /// load.
     pub most_passed: usize,
 }
 
@@ -46,12 +49,12 @@
 }
 
 impl Settings {
-    /// Age of what a host knows up to which it looks for another reader before it reads for itself,
-    /// where a change must be in force within `apply`.
+    /// Returns the maximum age of a host's state at which it still looks for another reader instead
+    /// of reading the platform itself, given that changes must take effect within `apply`.
     ///
-    /// Failure answered: the platform turns away the first hosts of a zone, which tell the others
-    /// that they know nothing new. A host that waited for them would go on by an old version though
-    /// the platform would have told it the new one.
+    /// If the platform refuses only the first hosts of a zone, these report to the others that
+    /// nothing is new. A host that relied on them would keep using an old version although the
+    /// platform would give it the new one.
     ///
     /// ```
     /// use lagoonline::{clock::Span, routing::SourceSettings};
@@ -63,23 +66,23 @@
     }
 }
 
-/// Another host of the same zone, as its own row at the platform tells.
+/// Another host of the same zone, as described by its row at the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Peer {
-    /// Part of a processor core that it has: the largest host reads.
+    /// Number of processor cores, possibly a fraction; the largest host reads.
     pub cores: f64,
 }
 
-/// Where news of the platform comes from.
+/// Where a host reads the platform's state from.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Source {
-    /// This host reads for itself, and answers others that ask.
+    /// The platform itself; the host also answers other hosts that ask.
     Platform,
-    /// Another host reads.
+    /// Another host of the zone, which reads the platform.
     Peer(id::Host),
 }
 
-/// The order in which the hosts of a zone read for each other.
+/// Selects the source for one host.
 ///
 /// ```
 /// use lagoonline::{clock::Moment, id::Host, routing::{Peer, Source, SourceSettings, Sources}};
@@ -102,7 +105,7 @@
 }
 
 impl Sources {
-    /// The choice of the host `own`, which has `cores`.
+    /// Creates the selector of the host `own`, which has `cores`.
     pub fn new(settings: Settings, own: id::Host, cores: f64) -> Sources {
         Sources {
             settings,
@@ -113,34 +116,34 @@
         }
     }
 
-    /// There is another host in the zone, or it changed.
+    /// Adds or updates another host of the zone.
     pub fn set_peer(&mut self, host: id::Host, peer: Peer) {
         self.peers.insert(host, peer);
     }
 
-    /// A host is no longer there.
+    /// Removes a host.
     pub fn remove_peer(&mut self, host: &id::Host) {
         self.peers.remove(host);
         self.passed.remove(host);
     }
 
-    /// A host said that it does not read now.
+    /// Records that a host reported that it is not reading the platform.
     pub fn idle(&mut self, host: &id::Host, now: clock::Moment) {
         self.passed.insert(host.clone(), now + self.settings.pass_over_idle);
     }
 
-    /// A host gave no answer.
+    /// Records that a host did not answer.
     pub fn failed(&mut self, host: &id::Host, now: clock::Moment) {
         self.passed.insert(host.clone(), now + self.settings.pass_over);
     }
 
-    /// The platform does not answer this host: others may still be answered.
+    /// Records that the platform did not answer this host, although it may still answer others.
     pub fn platform_failed(&mut self, now: clock::Moment) {
         self.failed(&self.own.clone(), now);
     }
 
-    /// Whether this host is to read for itself, whatever the others know: it is the first in order
-    /// that is not passed over, or its zone is small.
+    /// Returns whether this host must read the platform whatever the others know: it is the first
+    /// host in order that is not skipped, or its zone is small.
     pub fn is_first(&self, now: clock::Moment) -> bool {
         self.is_small()
             || self
@@ -149,8 +152,8 @@
                 .is_none_or(|(host, _)| host == &self.own)
     }
 
-    /// Whom to ask next: the first in order that is not passed over; the platform itself when that
-    /// is this host, when all are passed over, or in a small zone.
+    /// Returns the source to read next: the first host in order that is not skipped, or the
+    /// platform itself if that is this host, if all are skipped, or if the zone is small.
     pub fn next(&self, now: clock::Moment) -> Source {
         if self.is_small() {
             return Source::Platform;
@@ -171,7 +174,7 @@
         self.passed.get(host).is_none_or(|until| *until <= now)
     }
 
-    /// All hosts of the zone, the largest first.
+    /// Returns all hosts of the zone, the largest first.
     fn order(&self) -> impl Iterator<Item = (&id::Host, f64)> {
         let own = (&self.own, self.cores);
         let peers = self.peers.iter().map(|(host, peer)| (host, peer.cores));
--- a/crates/lagoonline/src/routing/table.rs
+++ b/crates/lagoonline/src/routing/table.rs
@@ -1,4 +1,4 @@
-//! Lookups by request: the route with the longest prefix, and the customer of a key.
+//! Lookup of a request's route by longest prefix, and of the customer by key.
 
 use std::collections;
 use std::sync;
@@ -6,7 +6,7 @@
 use super::{Customer, Desired, Limits, Route, Service};
 use crate::id;
 
-/// One version of the routes, indexed.
+/// An indexed version of the routing configuration.
 #[derive(Debug, Default)]
 pub struct Table {
     version: u64,
@@ -17,19 +17,19 @@
     customers: Option<collections::HashMap<String, sync::Arc<Customer>>>,
 }
 
-/// What the table says of a request's key.
+/// Result of looking up a request's key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Match {
-    /// No key is asked for.
+    /// No key is required.
     Open,
-    /// The key is this customer's.
+    /// The key belongs to this customer.
     Customer(sync::Arc<Customer>),
-    /// No customer holds the key, or there was none.
+    /// The key is missing or belongs to no customer.
     Unknown,
 }
 
 impl Table {
-    /// Indexes `desired`.
+    /// Builds the index of `desired`.
     ///
     /// ```
     /// use lagoonline::routing;
@@ -56,34 +56,34 @@
         }
     }
 
-    /// The version it was made of.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Bounds on callers.
+    /// Returns the limits on requests.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// The route of a request: among those of its host the one with the longest prefix that begins
-    /// the path. A port in `host` is passed over.
+    /// Returns the route of a request: the one for its host with the longest prefix that matches
+    /// the path. A port in `host` is ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&sync::Arc<Route>> {
         let host = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
         self.hosts.get(&host)?.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The service of this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &id::Service) -> Option<&sync::Arc<Service>> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Returns all services.
     pub fn services(&self) -> impl Iterator<Item = &sync::Arc<Service>> {
         self.services.values()
     }
 
-    /// Whose the key of a request on `route` is.
+    /// Returns the customer that the key of a request on `route` belongs to.
     pub fn customer(&self, route: &Route, key: Option<&str>) -> Match {
         let Some(customers) = &self.customers else { return Match::Open };
         if let Some(customer) = key.and_then(|key| customers.get(key)) {
@@ -104,7 +104,8 @@
     keys
 }
 
-/// The share of `route` that a request goes to; `draw` is uniform over all numbers.
+/// Returns the share of `route` that a request goes to; `draw` must be uniformly distributed over
+/// all `u64` values.
 fn share(route: &Route, draw: u64) -> &super::Share {
     let total: u64 = route.shares.iter().map(|share| u64::from(share.weight)).sum();
     let mut left = if total == 0 { 0 } else { draw % total };
@@ -118,11 +119,12 @@
 }
 
 impl Route {
-    /// The service that one request goes to; `draw` is uniform over all numbers.
+    /// Returns the service that a request goes to; `draw` must be uniformly distributed over all
+    /// `u64` values.
     ///
     /// # Panics
     ///
-    /// When the route has no share.
+    /// Panics if the route has no shares.
     pub fn service(&self, draw: u64) -> &id::Service {
         &share(self, draw).service
     }
--- a/crates/lagoonline/src/view.rs
+++ b/crates/lagoonline/src/view.rs
@@ -1,4 +1,4 @@
-//! What an entry host works on: all sections in force, merged, and what is known of upstreams.
+//! The merged view of all sections in force that an entry host works with.
 
 use std::collections;
 use std::sync;
@@ -14,52 +14,52 @@
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CustomerIndex(pub u32);
 
-/// A customer and the team that owns it.
+/// A customer with its owning team.
 #[derive(Clone, Debug)]
 pub struct Customer {
-    /// Its name.
+    /// Name of the customer.
     pub name: id::Customer,
-    /// Its team.
+    /// The team that owns it.
     pub team: id::Team,
-    /// What the section says of it.
+    /// Its entry in the team's section.
     pub entry: document::Customer,
 }
 
-/// An upstream and the team that owns it.
+/// An upstream with its owning team.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// Its name.
+    /// Name of the upstream.
     pub name: id::Upstream,
-    /// Its team.
+    /// The team that owns it.
     pub team: id::Team,
-    /// What the section says of it.
+    /// Its entry in the team's section.
     pub entry: document::Upstream,
 }
 
-/// All sections in force at one moment, merged and indexed; shared and never changed.
+/// All sections in force at one time, merged and indexed. Immutable and shared.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    /// Version of each team's section in force.
+    /// The version in force of each team's section.
     pub versions: collections::BTreeMap<id::Team, id::Version>,
-    /// Every customer.
+    /// All customers.
     pub customers: Vec<Customer>,
-    /// Every upstream.
+    /// All upstreams.
     pub upstreams: Vec<Upstream>,
-    /// Every model.
+    /// All models by name.
     pub models: collections::BTreeMap<id::Model, document::Model>,
-    /// Every plain service.
+    /// All plain services by name.
     pub services: collections::BTreeMap<id::Service, document::Service>,
-    /// Each team's policy.
+    /// The policy of each team.
     pub policies: collections::BTreeMap<id::Team, document::Policy>,
-    /// Each team's claims.
+    /// The capacity claims of each team, by model.
     pub claims: collections::BTreeMap<id::Team, collections::BTreeMap<id::Model, document::Claim>>,
     keys: collections::HashMap<document::KeyHash, CustomerIndex>,
     upstream_names: collections::HashMap<id::Upstream, UpstreamIndex>,
 }
 
 impl Fleet {
-    /// Merges sections; where two give the same name, the team first in order keeps it, though
-    /// the document's checks refuse that.
+    /// Merges sections. If two define the same name, the first team in alphabetical order wins,
+    /// although validation of the document rejects such duplicates.
     ///
     /// ```
     /// use lagoonline::control::document::Section;
@@ -122,15 +122,16 @@
         }
     }
 
-    /// The customer that the SHA-256 of a caller key names.
+    /// Returns the customer identified by the SHA-256 hash of a caller key.
     ///
-    /// The lookup goes by hash of a hash, so its time says nothing of a key; the stored hash is
-    /// compared once more in constant time by the caller's adapter.
+    /// The lookup uses a hash of the key's hash, so its timing reveals nothing about the key. The
+    /// adapter compares the stored hash once more in constant time.
     pub fn customer(&self, key: &document::KeyHash) -> Option<&Customer> {
         self.customers.get(self.customer_index(key)?.0 as usize)
     }
 
-    /// Index of that customer, for what keeps a request with its fleet.
+    /// Returns the index of the customer identified by a key hash, for data that is kept together
+    /// with its fleet.
     ///
     /// ```
     /// use lagoonline::control::document::Section;
@@ -147,13 +148,13 @@
         self.keys.get(key).copied()
     }
 
-    /// The upstream of this name.
+    /// Returns the upstream with this name.
     pub fn upstream(&self, name: &id::Upstream) -> Option<&Upstream> {
         let index = self.upstream_names.get(name)?;
         self.upstreams.get(index.0 as usize)
     }
 
-    /// Upstreams that serve the model.
+    /// Returns the upstreams that serve the model.
     pub fn engines<'a>(&'a self, model: &'a id::Model) -> impl Iterator<Item = &'a Upstream> {
         self.upstreams.iter().filter(move |upstream| match &upstream.entry.serves {
             document::Serves::Models(models) => models.contains(model),
@@ -161,7 +162,7 @@
         })
     }
 
-    /// Replicas of the service.
+    /// Returns the replicas of the service.
     pub fn replicas<'a>(&'a self, service: &'a id::Service) -> impl Iterator<Item = &'a Upstream> {
         self.upstreams.iter().filter(move |upstream| match &upstream.entry.serves {
             document::Serves::Models(_) => false,
@@ -170,5 +171,5 @@
     }
 }
 
-/// A fleet shared by the threads of a process.
+/// A fleet shared between the threads of a process.
 pub type Shared = sync::Arc<Fleet>;
--- a/crates/lagoonline/tests/check.rs
+++ b/crates/lagoonline/tests/check.rs
@@ -1,4 +1,5 @@
-//! Checked JSON and the document's sections: all faults at once, and no text makes a panic.
+//! Validated JSON and document sections: all errors are reported at once, and no input causes a
+//! panic.
 
 use lagoonline::control::document;
 use lagoonline::id;
--- a/crates/lagoonline/tests/life_drain.rs
+++ b/crates/lagoonline/tests/life_drain.rs
@@ -1,4 +1,4 @@
-//! An entry host's shutdown, step by step.
+//! Graceful shutdown of an entry host.
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::life::drain::{Drain, Settings, State};
@@ -15,14 +15,14 @@
     Signal,
 }
 
-/// After the first signal, with two requests under way, a host is not ready, closes connections
-/// after their answers, and then:
+/// After the first signal, with two requests in flight, a host reports not ready and closes
+/// connections after their answers. Then:
 ///
-/// - the balancer goes on sending for two probes; callers that it sends are served as before, and
-///   nobody is reset or refused;
-/// - a caller that reads a long stream gets it to its end; only then does the process exit;
-/// - a second signal ends it, with a clear failure to callers still served, and so does the limit,
-///   also where the host was never ticked between; what comes later changes nothing.
+/// - the load balancer keeps sending for two probes, and its requests are served as before instead
+///   of being reset or refused;
+/// - a caller that reads a long stream receives it completely before the process exits;
+/// - a second signal ends the shutdown with a clear error to callers still being served, and so
+///   does the time limit, even if `tick` was not called in between; later events change nothing.
 #[rstest]
 #[case::balancer(&[(2_999, Event::Tick, 0, State::Unready), (3_000, Event::Tick, 2, State::Draining)])]
 #[case::stream(&[(99_999, Event::Tick, 1, State::Draining), (99_999, Event::Tick, 0, CLEAN)])]
@@ -45,7 +45,7 @@
     }
 }
 
-/// A host that was told nothing serves for ever.
+/// A host that gets no signal keeps serving.
 #[test]
 fn serves_without_a_signal() {
     let mut drain = Drain::default();
--- a/crates/lagoonline/tests/life_fuzz/machine.rs
+++ b/crates/lagoonline/tests/life_fuzz/machine.rs
@@ -1,4 +1,4 @@
-//! The steps, and how each is carried out.
+//! The steps of the claim machine and their execution.
 
 use std::cell::Cell;
 
@@ -10,7 +10,7 @@
 use super::platform::Fault;
 use super::world::{Call, HOSTS, World};
 
-/// What happens next.
+/// One step of a test run.
 #[derive(Clone, Debug)]
 pub enum Step {
     Call {
@@ -33,15 +33,16 @@
     Pause(usize),
     Resume(usize),
     Advance(u64),
-    /// More than the retention passes.
+    /// Time passes until the retention of all rows has ended.
     Retain,
     Sweep,
-    /// A host is paused until its rows are swept and one of its calls is asked for again elsewhere.
+    /// A host is paused until its rows have been swept and one of its calls is retried at another
+    /// host.
     Oversleep(usize),
     Damage(usize),
 }
 
-/// What a test run did.
+/// Counters of a test run, used to check that it covered enough cases.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     pub calls: u64,
@@ -123,7 +124,8 @@
         oracle::check(world);
     }
 
-    /// The faults end; everything must come to rest, and what was late lands at the worst time.
+    /// Ends all faults and lets every task finish; then applies all delayed writes, at the worst
+    /// possible time.
     fn teardown(mut world: World) {
         let outside = world.outside.clone();
         outside.platform.heal();
--- a/crates/lagoonline/tests/life_fuzz/main.rs
+++ b/crates/lagoonline/tests/life_fuzz/main.rs
@@ -1,6 +1,6 @@
 //! Stateful fuzzing of claims, engine memory, leaving marks and streams against simple oracles.
 //!
-//! `LAGOON_FUZZ_CASES` and `LAGOON_FUZZ_SEED` change the number of cases and the seed.
+//! `LAGOON_FUZZ_CASES` and `LAGOON_FUZZ_SEED` override the number of cases and the seed.
 
 mod machine;
 mod marks;
@@ -24,7 +24,7 @@
 const SEED: u64 = 20_261_202;
 const CLAIM_STEPS: ops::Range<usize> = 20..80;
 const OTHER_STEPS: ops::Range<usize> = 20..120;
-/// Cases within which the absence of a safeguard must be noticed.
+/// Number of cases within which a missing safeguard must be detected.
 const MUTANT_CASES: u32 = 6_000;
 const MUTANT_SHRINKS: u32 = 200;
 
@@ -33,7 +33,7 @@
     static SAFEGUARDS: Cell<Set> = Cell::new(Set::default());
 }
 
-/// The safeguards of this test.
+/// Returns the safeguards in force in this test.
 fn safeguards() -> Set {
     SAFEGUARDS.get()
 }
@@ -42,13 +42,13 @@
     STEPS.set(STEPS.get() + 1);
 }
 
-/// What a machine's steps are drawn from.
+/// A set of steps for a state machine.
 pub trait Steps: Clone + fmt::Debug + 'static {
-    /// One step of any kind.
+    /// Strategy that generates one step of any kind.
     fn steps() -> BoxedStrategy<Self>;
 }
 
-/// Steps in any order: the oracles, not a reference state, say what holds.
+/// Runs steps in any order. There is no reference state; the oracles check the results.
 pub struct Script<S>(marker::PhantomData<S>);
 
 impl<S> ReferenceStateMachine for Script<S>
@@ -98,7 +98,8 @@
     result.map_err(|error| error.to_string())
 }
 
-/// Whether all `usual` cases, or as many as were asked for, were run.
+/// Runs `usual` cases, or the number from the environment; returns whether at least `usual` were
+/// run.
 fn holds<M, S>(usual: u32, steps: ops::Range<usize>) -> bool
 where
     M: StateMachineTest<Reference = Script<S>>,
@@ -167,7 +168,8 @@
     assert!(result.is_err(), "no case noticed that {missing:?} was missing");
 }
 
-/// The checker's safeguards are its single checks: each is left out by the consumer in turn.
+/// Each check of the stream checker is a safeguard. The consumer ignores one of them at a time, and
+/// the oracle must detect it.
 #[rstest]
 fn oracle_notices_ignored(
     #[values(
--- a/crates/lagoonline/tests/life_fuzz/marks.rs
+++ b/crates/lagoonline/tests/life_fuzz/marks.rs
@@ -1,4 +1,4 @@
-//! Two entry hosts that hear of leaving upstreams from three sources, late and in any order.
+//! Two entry hosts that learn of leaving upstreams from three sources, with delay and in any order.
 
 use lagoonline::id;
 use lagoonline::life::leaving;
@@ -10,23 +10,23 @@
 
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// The upstream begins to leave.
+    /// The upstream starts to leave.
     Leave,
-    /// A new life of it starts.
+    /// The upstream restarts with a new incarnation.
     Restart,
-    /// A host reads the platform's list as it was some changes ago.
+    /// A host reads a version of the platform's list that is `age` changes old.
     List { host: usize, age: usize },
-    /// A host dispatches and, if it is leaving, hears so.
+    /// A host dispatches a request and is refused if the upstream is leaving.
     Dispatch { host: usize },
-    /// A word of one host reaches the other, perhaps late, perhaps again.
+    /// A mark sent by one host reaches the other, possibly late or repeatedly.
     Peer { host: usize, pick: usize },
 }
 
-/// The upstream as it is, and all that was ever said of it.
+/// The upstream's history and all marks that were ever sent.
 pub struct World {
     truth: Vec<leaving::Mark>,
     marks: Vec<leaving::Marks>,
-    /// What each host knows of the upstream's lives by first-hand signs: the oracle's own notes.
+    /// The signs that each host has received, recorded independently for the oracle.
     signs: Vec<Vec<leaving::Mark>>,
     words: Vec<leaving::Mark>,
 }
@@ -67,8 +67,8 @@
         self.signs[host].push(mark);
     }
 
-    /// The oracle: no dispatch to a life of which this host has had a sign of leaving, unless a
-    /// later life was heard of.
+    /// The oracle: a host must not dispatch to an incarnation that it knows to be leaving, unless
+    /// it has heard of a later incarnation.
     fn dispatch(&mut self, host: usize) {
         let latest = self.signs[host].iter().map(|mark| mark.incarnation).max();
         let left = |mark: &leaving::Mark| mark.leaving && Some(mark.incarnation) == latest;
@@ -83,7 +83,7 @@
                 self.signs[host].push(leaving::Mark { incarnation: known, leaving: true });
             } else {
                 assert!(self.marks[host].is_leaving(&upstream()));
-                // The life is learnt at once from the refused connection's load report.
+                // The load report of the refused connection names the incarnation right away.
                 let now = self.now();
                 self.words.extend(self.marks[host].merge(&upstream(), now));
                 self.signs[host].push(now);
@@ -132,7 +132,7 @@
         world
     }
 
-    /// After every word has reached every host, all hosts agree.
+    /// Once every mark has reached every host, all hosts agree.
     fn teardown(mut world: World) {
         for host in 0..HOSTS {
             for word in world.words.clone() {
