--- a/crates/lagoonline/tests/life_fuzz/memory.rs
+++ b/crates/lagoonline/tests/life_fuzz/memory.rs
@@ -1,7 +1,7 @@
-//! Entry hosts that die, pause and are cut off, engines that lose cancels, and a sweeper.
+//! Entry hosts that die, pause or are cut off, engines that lose cancels, and a reaper.
 //!
-//! The engines here never expire anything by themselves, so that only the sweep and the cancels
-//! bring memory back.
+//! The engines in this test have no expiry of their own, so memory is returned only by cancels and
+//! by the reaper.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use proptest::prelude::*;
 use proptest_state_machine::StateMachineTest;
 
-/// The last two are of another zone, heard of by its word only.
+/// The last two hosts are in another zone and known only from its reports.
 const HOSTS: usize = 6;
 const OWN_ZONE: usize = 4;
 const ENGINES: usize = 2;
@@ -25,18 +25,18 @@
         engine: usize,
         bytes: u64,
     },
-    /// The host cancels one of its holdings; the request, or its answer, may be lost.
+    /// The host cancels one of its holdings; the cancel or its acknowledgement may be lost.
     Cancel {
         pick: usize,
     },
     Lose(bool),
     Crash(usize),
-    /// The host dies and nothing takes its place.
+    /// The host dies and is not replaced.
     Die(usize),
     RestartEngine(usize),
-    /// The sweeper hears no host.
+    /// Heartbeats of all other hosts stop reaching the reaper.
     CutOff(bool),
-    /// The other zone is out of the sweeper's reach.
+    /// The other zone becomes unreachable for the reaper.
     CutZone(bool),
     Pass {
         seconds: u64,
@@ -101,7 +101,7 @@
 }
 
 fn cancels() -> reap::Cancels<(usize, u128)> {
-    // These engines have no expiry to wait for.
+    // The engines in this test have no expiry that would limit the retries.
     let limit = Span::from_secs(1_000_000);
     let safeguards = super::safeguards();
     reap::Cancels::new(reap::Pace { limit, safeguards, ..reap::Pace::default() })
@@ -161,7 +161,8 @@
         gone.into_iter().for_each(|id| self.give_back(id));
     }
 
-    /// A second: heartbeats, due cancels, one sweep of each engine.
+    /// Advances time by one second: heartbeats, due cancels, and one pass of the reaper over each
+    /// engine.
     fn second(&mut self) {
         self.now = self.now + BEAT;
         for number in 0..HOSTS {
@@ -170,7 +171,7 @@
             }
             self.send_cancels(number);
         }
-        // The sweeper's own host always hears itself.
+        // The reaper's own host always receives its own heartbeat.
         self.sweep.heard(&owner(0, self.hosts[0].incarnation), self.now);
         for engine in 0..ENGINES {
             self.sweep_engine(engine);
@@ -189,7 +190,7 @@
         }
     }
 
-    /// The word of an owner's zone, if it can be had.
+    /// Delivers the status of an owner from its zone, if the zone can be reached.
     fn answer(&mut self, owner: &id::Owner) {
         let number = (0..HOSTS).find(|number| name_of(*number) == owner.host).expect("a host");
         let host = &self.hosts[number];
@@ -250,7 +251,7 @@
                 let host = &mut world.hosts[host];
                 *host = Host { incarnation: host.incarnation + 1, alive: true, cancels: cancels() };
             }
-            // At most one host is dead for good: more together look like a cut.
+            // At most one host is dead at a time, because several would look like a network cut.
             Step::Die(host) if world.hosts.iter().all(|host| host.alive) => {
                 world.hosts[host].alive = false;
             }
@@ -263,7 +264,8 @@
         world
     }
 
-    /// Faults end, hosts cancel what they hold: within a minute and a half nothing is left.
+    /// All faults end and the hosts cancel what they hold; after a minute and a half nothing may be
+    /// left.
     fn teardown(mut world: World) {
         world.lose = false;
         world.cut_off = false;
--- a/crates/lagoonline/tests/life_fuzz/oracle.rs
+++ b/crates/lagoonline/tests/life_fuzz/oracle.rs
@@ -1,4 +1,4 @@
-//! Compares what ran with what callers were told; knows nothing of claims.
+//! Compares what ran with what callers were told, without any knowledge of claims.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,11 @@
 use super::upstream::Run;
 use super::world::{Case, Task, Told, World};
 
-/// A key may run again after its retention, which counts from a claim up to a deadline earlier.
+/// Time after which a key may run again: the retention, less the deadline, as retention counts from
+/// the claim.
 const KEPT: clock::Span = clock::Span::from_secs(23 * 3_600);
 
-/// Holds at every moment.
+/// Invariants that hold after every step.
 pub fn check(world: &World) {
     let runs = world.outside.upstream.runs();
     check_once(&runs);
@@ -39,7 +40,7 @@
     }
 }
 
-/// The caller of a host that runs hears by the deadline what the request's state says then.
+/// A caller whose host is running must be answered by its deadline.
 fn check_waiting(world: &World, task: &Task) {
     let overdue = world.outside.clock.now() >= task.case.deadline;
     let is_served = !task.crashed && !world.paused[task.case.host];
@@ -65,7 +66,7 @@
     }
 }
 
-/// Holds once every fault is over and every task has ended.
+/// Invariants that hold once all faults are over and all tasks have ended.
 pub fn check_end(world: &World) {
     check(world);
     assert!(world.is_idle(), "a task never ends");
@@ -78,8 +79,8 @@
     }
 }
 
-/// A call that may not repeat and was never dispatched may hold its key only if its host died
-/// meanwhile, its patience passed, or a sweep removed the row that shut out its late commit.
+/// A non-repeatable call that was never dispatched may hold its key only if its host died, its
+/// write grace passed, or a sweep deleted the row that blocked its delayed commit.
 fn check_row(world: &World, value: &str) {
     let record: claim::Record = serde_json::from_str(value).expect("a claim row");
     if !matches!(record.state, claim::State::Claimed { .. }) {
--- a/crates/lagoonline/tests/life_fuzz/platform.rs
+++ b/crates/lagoonline/tests/life_fuzz/platform.rs
@@ -1,4 +1,4 @@
-//! A fake table and object store whose calls stop before and after their effect.
+//! A fake table and object store whose calls can be interrupted before and after they take effect.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -10,17 +10,17 @@
 use lagoonline::life::claim;
 use lagoonline::port::{objects, table};
 
-/// What happens to the next call.
+/// A fault injected into the next call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
     LoseAnswer,
     LoseRequest,
-    /// The answer is lost and the effect comes later.
+    /// The answer is lost and the effect is delayed.
     Late,
     Refuse,
 }
 
-/// Faults to come, and how many came.
+/// Queued faults, and the number of faults already injected.
 #[derive(Default)]
 pub struct Faults {
     pub queue: VecDeque<Fault>,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Takes one of what is late.
+/// Removes one of the delayed effects.
 pub fn take<L>(late: &mut Vec<L>, pick: usize) -> Option<L> {
     (!late.is_empty()).then(|| late.remove(pick % late.len()))
 }
@@ -53,7 +53,7 @@
 #[derive(Clone, Default)]
 pub struct Platform(Rc<RefCell<State>>);
 
-/// Lets other calls go first.
+/// Yields to other calls once.
 pub async fn pause() {
     let mut paused = false;
     future::poll_fn(|_| {
@@ -116,16 +116,17 @@
         state.faults.queue.clear();
     }
 
-    /// A late transaction takes effect, if its checks still hold.
+    /// Applies a delayed transaction if its checks still hold.
     pub fn land(&self, pick: usize) {
         let mut state = self.0.borrow_mut();
         if let Some(transaction) = take(&mut state.late, pick) {
-            // A check that fails by now is what it is for.
+            // The checks are supposed to reject transactions that are outdated by now.
             let _ = state.apply(&transaction);
         }
     }
 
-    /// More than an hour passes: what was sent before has landed by now or never will.
+    /// Drops delayed transactions and fails pending calls; used when more than an hour passes, by
+    /// which time they have either been applied or never will be.
     pub fn forget_late(&self) {
         let mut state = self.0.borrow_mut();
         state.late.clear();
@@ -144,7 +145,8 @@
         self.0.borrow().late.len()
     }
 
-    /// Tokens of late claims whose keys have rows, which they cannot replace.
+    /// Returns the tokens of delayed claims that can no longer be applied because their keys have
+    /// rows.
     pub fn late_over_rows(&self) -> BTreeSet<String> {
         let state = self.0.borrow();
         let changes = state.late.iter().flat_map(|transaction| &transaction.changes);
--- a/crates/lagoonline/tests/life_fuzz/scenarios.rs
+++ b/crates/lagoonline/tests/life_fuzz/scenarios.rs
@@ -1,4 +1,4 @@
-//! Single histories of a key, step by step.
+//! Specific sequences of events on a single key.
 
 use std::future::Future;
 use std::pin::pin;
@@ -53,9 +53,9 @@
     }
 }
 
-/// A caller loses its entry host in the middle of a long answer and asks again elsewhere with the
-/// same key. The row tells the new host the engine and the attempt to resume there; and if the
-/// stream is gone, the new host takes the claim, and the old one's writes no longer count.
+/// A caller loses its entry host in the middle of a long answer and retries at another host with
+/// the same key. The row must tell the new host which engine and attempt to resume; if the stream
+/// is gone, the new host takes over the claim, and writes of the old host have no effect any more.
 #[test]
 fn a_running_stream_is_found_by_its_key() {
     let (platform, clock) = (Platform::default(), clock::Fake::default());
@@ -75,9 +75,9 @@
     assert_eq!((running.attempt, running.upstream.as_str()), (id::Attempt(9), "engine-4"));
 }
 
-/// A call ran and its caller has the answer, but the platform is down when it is to be stored.
-/// The next caller with the key hears `unknown`, never a second run; once the store is back, it
-/// gets the whole answer.
+/// A call ran and its caller has the answer, but the platform is down when the answer is to be
+/// stored. The next request with the key must get `unknown` instead of running again, and the
+/// complete answer once it has been stored.
 #[test]
 fn an_unstored_answer_is_unknown_until_it_is_stored() {
     let (platform, clock) = (Platform::default(), clock::Fake::default());
@@ -99,8 +99,8 @@
     }
 }
 
-/// The platform answers none of the claim's commits, and the caller hears `not-run`. The commits
-/// land a second later; the host settles the row, so the caller's next try runs.
+/// The platform confirms none of the claim's commits, and the caller is told `not-run`. A delayed
+/// commit is applied later; the host must settle the row so that the caller's next retry can run.
 #[test]
 fn a_late_claim_does_not_hold_its_key() {
     let (platform, clock) = (Platform::default(), clock::Fake::default());
@@ -120,8 +120,8 @@
     ticket(wait(claims.begin(ask(3, never))));
 }
 
-/// The sweep removes rows once their retention has ended and not before, page by page, one read
-/// and at most one write a step.
+/// The sweep must delete rows only after their retention has ended, batch by batch, with one read
+/// and at most one write per step.
 #[test]
 fn retention_ends_after_its_time() {
     let (platform, clock) = (Platform::default(), clock::Fake::default());
@@ -141,7 +141,7 @@
     assert!(platform.values().is_empty());
 }
 
-/// Two customers choose the same key; neither reads or blocks the other's.
+/// Two customers use the same key; neither may read or block the other's claim.
 #[test]
 fn a_key_belongs_to_its_customer() {
     let key = |customer: &str| life::claim::row_key(&id::Customer::from(customer), "k");
--- a/crates/lagoonline/tests/life_fuzz/streams.rs
+++ b/crates/lagoonline/tests/life_fuzz/streams.rs
@@ -1,4 +1,4 @@
-//! One caller's stream over connections that cut, cross, repeat and drop chunks.
+//! A stream over connections that break, mix up, repeat and lose chunks.
 
 use std::cell::Cell;
 
@@ -11,7 +11,7 @@
 const OTHER: Attempt = Attempt(2);
 const WHOLE: u64 = 12;
 
-/// A check that the consumer leaves out.
+/// A check that the consumer ignores.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ignore {
     Nothing,
@@ -31,25 +31,25 @@
 
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// Chunks come as they should.
+    /// The next chunks arrive in order.
     Next(u64),
     /// Chunks are lost on the way.
     Skip(u64),
-    /// An earlier chunk comes again.
+    /// An earlier chunk arrives again.
     Again(u64),
     Crossed,
-    /// The end mark, right or too early.
+    /// The end mark arrives, at the right time or too early.
     End,
-    /// The connection is cut and the stream resumed where the checker says.
+    /// The connection breaks and the stream is resumed at the checker's position.
     Resume,
-    /// Another entry host takes over at the position that the caller names.
+    /// Another entry host takes over at the position that the caller reports.
     Takeover,
 }
 
-/// The engine's connection, and what the caller has.
+/// The engine's connection, and the chunks delivered to the caller.
 pub struct World {
     checker: Checker,
-    /// The next number that the engine sends.
+    /// Number of the next chunk that the engine sends.
     sending: u64,
     poisoned: bool,
     got: Vec<(Attempt, u64)>,
@@ -147,7 +147,8 @@
         world
     }
 
-    /// The caller has its own chunks, each once and in order, and all when it is told so.
+    /// The caller gets only its own chunks, each once and in order, and all of them if told that
+    /// the answer is complete.
     fn check_invariants(world: &World, (): &()) {
         let expected = (0..world.got.len() as u64).map(|number| (OWN, number));
         assert!(world.got.iter().copied().eq(expected), "got {:?}", world.got);
--- a/crates/lagoonline/tests/life_fuzz/upstream.rs
+++ b/crates/lagoonline/tests/life_fuzz/upstream.rs
@@ -1,4 +1,4 @@
-//! A fake upstream that records what ran.
+//! A fake upstream that records the calls it ran.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,11 +9,11 @@
 use super::platform::{Fault, Faults, pause, take};
 use super::world::Call;
 
-/// One execution.
+/// One execution of a call.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub call: Call,
-    /// When the entry host dispatched it.
+    /// When the entry host dispatched the call.
     pub dispatched: clock::Moment,
     pub answer: Bytes,
 }
--- a/crates/lagoonline/tests/life_fuzz/world.rs
+++ b/crates/lagoonline/tests/life_fuzz/world.rs
@@ -1,4 +1,4 @@
-//! Entry hosts as tasks that go on only when the fuzz says so.
+//! Entry hosts as tasks that make progress only when the test polls them.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,11 +17,11 @@
 use super::upstream::{Failed, Upstream};
 
 pub const HOSTS: usize = 3;
-/// After so many an undisturbed call has run, and its answer is not stored yet.
+/// Number of polls after which an undisturbed call has run but its answer is not stored yet.
 const POLLS: usize = 4;
 const DEADLINE: clock::Span = clock::Span::from_secs(10);
 
-/// What a caller sends.
+/// A call sent by a caller.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub number: u32,
@@ -31,7 +31,7 @@
     pub never: bool,
 }
 
-/// What a caller heard.
+/// The answer that a caller received.
 #[derive(Clone, Debug)]
 pub struct Told {
     pub outcome: outcome::Outcome,
@@ -48,7 +48,7 @@
 }
 
 impl Case {
-    /// The first word is the one that the caller hears.
+    /// Records the answer for the caller; only the first one counts.
     fn tell(&self, outcome: outcome::Outcome, answer: Option<Bytes>, replayed: bool) {
         self.told.borrow_mut().get_or_insert(Told { outcome, answer, replayed });
     }
@@ -56,13 +56,13 @@
 
 type Claims = claim::Claims<Platform, Platform, clock::Fake>;
 
-/// What the entry hosts share with the fuzz.
+/// External systems shared by the entry hosts and the test.
 #[derive(Clone, Default)]
 pub struct Outside {
     pub platform: Platform,
     pub upstream: Upstream,
     pub clock: clock::Fake,
-    /// Claims that were dispatched.
+    /// Tokens of the claims that were dispatched.
     pub dispatched: Rc<RefCell<BTreeSet<id::Attempt>>>,
 }
 
@@ -71,7 +71,8 @@
     pub token: id::Attempt,
     future: Option<Pin<Box<dyn Future<Output = ()>>>>,
     pub crashed: bool,
-    /// Its patience passed before it ended, or retention before its late commit landed.
+    /// Whether its write grace passed before it ended, or the retention passed before its delayed
+    /// commit was applied.
     pub overslept: bool,
 }
 
@@ -80,7 +81,7 @@
     pub tasks: Vec<Task>,
     pub incarnations: [u64; HOSTS],
     pub paused: [bool; HOSTS],
-    /// Customer and key of calls that were let in, by token.
+    /// Index of each call's task, by claim token.
     pub tokens: BTreeMap<String, usize>,
     safeguards: safeguard::Set,
     sweepers: [claim::Sweeper; 2],
@@ -131,7 +132,7 @@
         });
     }
 
-    /// Lets one of the unfinished tasks go on.
+    /// Polls one of the unfinished tasks.
     pub fn poll(&mut self, pick: usize, times: usize) {
         let paused = self.paused;
         let ready = |task: &Task| task.future.is_some() && !paused[task.case.host];
@@ -145,8 +146,8 @@
         }
     }
 
-    /// A caller of the paused `host` goes to the next one and is being served there when `host`
-    /// wakes to hear that the upstream had refused.
+    /// Retries a call of the paused `host` at the next host. While that one serves the call, `host`
+    /// resumes and learns that the upstream refused its own attempt.
     pub fn ask_again(&mut self, host: usize) {
         let open = |task: &&Task| task.future.is_some() && task.case.host == host;
         let Some(call) = self.tasks.iter().find(open).map(|task| task.case.call.clone()) else {
@@ -183,7 +184,7 @@
         self.wake_overdue();
     }
 
-    /// Timers of running hosts wake what is overdue.
+    /// Polls overdue tasks, as the timers of running hosts would.
     fn wake_overdue(&mut self) {
         let (now, paused) = (self.outside.clock.now(), self.paused);
         let due = |task: &&mut Task| now >= task.case.deadline && !paused[task.case.host];
@@ -196,8 +197,9 @@
         }
     }
 
-    /// A sweep that removes the row which shuts out a late commit of a claim lets that commit hold
-    /// the key for one more retention: a stated limit, so these calls, and no others, are excused.
+    /// A sweep may delete the row that blocks a delayed commit of a claim, so that the commit holds
+    /// the key for one more retention. This is a documented limit; only the affected calls are
+    /// exempt.
     pub fn sweep(&mut self) {
         let before = self.outside.platform.late_over_rows();
         let now = self.outside.clock.wall_millis();
@@ -230,7 +232,8 @@
     future.poll(&mut Context::from_waker(&noop_waker()))
 }
 
-/// The entry host's timer: `None` at the deadline, as `work` stands then.
+/// The entry host's timer: returns the result of `work`, or `None` if it is still pending at the
+/// deadline.
 async fn within<F>(outside: &Outside, case: &Case, mut work: Pin<&mut F>) -> Option<F::Output>
 where
     F: Future,
@@ -243,7 +246,7 @@
     timed.await
 }
 
-/// What the entry host's adapter does with one call.
+/// Handles one call as the entry host's adapter does.
 async fn serve(claims: Claims, outside: Outside, case: Rc<Case>, token: id::Attempt) {
     let Some(key) = case.call.key else {
         let held = request::Held::new(repeat(&case.call));
@@ -261,7 +264,7 @@
     };
     let mut begin = Box::pin(async {
         match claims.begin(ask.clone()).await {
-            // This fake engine keeps no streams to resume.
+            // This fake engine has no streams that could be resumed.
             Ok(claim::Begin::Running(running)) => claims.take_over(ask, &running).await,
             begun => begun,
         }
@@ -293,7 +296,7 @@
     if call.never { request::Repeat::Never } else { request::Repeat::Allowed }
 }
 
-/// Goes on until the row is settled: the caller has its answer long before.
+/// Retries until the row is settled; the caller was answered long before.
 async fn settle(claims: &Claims, abandoned: Option<claim::Abandoned>) {
     while let Some(abandoned) = &abandoned {
         if claims.settle(abandoned).await {
@@ -360,7 +363,7 @@
     }
 }
 
-/// A call without a claim: once, or again where it may repeat.
+/// Runs a call without a claim: once, or again if it may repeat.
 async fn unclaimed(outside: &Outside, case: &Case, mut held: request::Held) {
     loop {
         let now = outside.clock.now();
@@ -372,7 +375,7 @@
         let mut call = Box::pin(outside.upstream.call(&case.call, now));
         let Some(result) = within(outside, case, call.as_mut()).await else {
             case.tell(dispatched.lost().end(), None, false);
-            // The upstream does not hear that its caller left.
+            // The upstream does not notice that its caller has left.
             return drop(call.await);
         };
         match result {
--- a/crates/lagoonline/tests/life_quarantine.rs
+++ b/crates/lagoonline/tests/life_quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused because they crash upstreams, and which never are.
+//! Requests that crash upstreams must be refused, and no others.
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::id::Upstream;
@@ -6,14 +6,14 @@
 use lagoonline::life::quarantine::{Progress, Quarantine, Settings, Standing, Suspect, Weight};
 use rstest::rstest;
 
-/// Time between two crashes, longer than other hosts take to tell.
+/// Time between two crashes, longer than other hosts need to report.
 const APART: Span = Span::from_millis(400);
 
 fn request(name: &str) -> Fingerprint {
     Fingerprint::new("acme", "/talk/a", name.as_bytes())
 }
 
-/// A quarantine, and the time there.
+/// A quarantine and its current time.
 struct World {
     quarantine: Quarantine,
     now: Moment,
@@ -25,7 +25,7 @@
         World { quarantine: Quarantine::default(), now: Moment::START, crashes: 0 }
     }
 
-    /// The next upstream crashes under `requests`, which it had just begun.
+    /// Crashes the next upstream while it has just started `requests`.
     fn crash(&mut self, requests: &[&str]) {
         self.crash_with(requests, Weight::Begun);
     }
@@ -42,7 +42,7 @@
         self.quarantine.expire(self.now);
     }
 
-    /// Crashes one after the other, each judged once all is told.
+    /// Crashes upstreams one after the other, evaluating each crash once all reports are in.
     fn crashes_apart(&mut self, crashes: &[&[&str]]) {
         for requests in crashes {
             self.crash(requests);
@@ -56,7 +56,7 @@
     }
 }
 
-/// Guards against refusing a request before three crashes, or not after them.
+/// A request must be refused after three crashes, and not earlier.
 #[rstest]
 #[case(2, false)]
 #[case(3, true)]
@@ -68,7 +68,7 @@
     assert_eq!(world.is_held("lethal"), held);
 }
 
-/// Guards against refusing a request that waited in the queues of engines which crashed.
+/// A request that was only queued on the engines that crashed needs twice as many crashes.
 #[rstest]
 fn waiting_at_crashes_is_half_the_proof() {
     let mut world = World::new();
@@ -80,7 +80,7 @@
     }
 }
 
-/// Guards against suspecting requests that had run well when their engine crashed.
+/// Requests that had been running well when their engine crashed must not be suspected.
 #[rstest]
 #[case::queued(Progress::Waiting, Some(Weight::Waiting))]
 #[case::booking(Progress::Unknown, Some(Weight::Begun))]
@@ -94,7 +94,7 @@
     assert_eq!(Quarantine::default().weight(progress), weight);
 }
 
-/// Guards against sending a request on while other hosts may still tell what lay beside it.
+/// A request must not be sent while other hosts may still report what else was in flight.
 #[rstest]
 fn a_request_at_three_crashes_waits_for_the_decision() {
     let mut world = World::new();
@@ -106,7 +106,7 @@
     assert!(world.quarantine.judge(world.now).is_empty());
 }
 
-/// Guards against refusing those that fall with a lethal request, again and again.
+/// Requests that repeatedly run beside a lethal one must not be refused.
 #[rstest]
 fn a_request_beside_a_lethal_one_is_not_refused() {
     let mut world = World::new();
@@ -121,7 +121,7 @@
     assert!(world.is_held("lethal") && !world.is_held("beside"));
 }
 
-/// Guards against blaming either of two requests for crashes that both were at.
+/// Neither of two requests may be refused for crashes that both were involved in.
 #[rstest]
 fn of_two_suspects_at_the_same_crashes_neither_is_refused() {
     let mut world = World::new();
@@ -132,7 +132,7 @@
     assert!(world.is_held("one") && !world.is_held("other"));
 }
 
-/// Guards against refusing a request with many copies because a rack went down under them.
+/// A request with many copies must not be refused because a rack with several upstreams failed.
 #[rstest]
 fn a_rack_that_goes_down_is_one_crash() {
     let mut world = World::new();
@@ -146,7 +146,7 @@
     assert!(!world.is_held("popular"));
 }
 
-/// Guards against refusing a popular request that lies on most upstreams and is answered by others.
+/// A popular request that runs on most upstreams must not be refused while others answer it.
 #[rstest]
 fn a_request_that_is_answered_is_no_suspect() {
     let mut world = World::new();
@@ -158,7 +158,7 @@
     assert!(world.is_held("lethal") && !world.is_held("popular"));
 }
 
-/// Guards against a wrong verdict that stands though the request was answered.
+/// A complete answer must end a quarantine that was imposed by mistake, also on other hosts.
 #[rstest]
 fn an_answer_ends_a_quarantine() {
     let mut world = World::new();
@@ -170,7 +170,7 @@
     assert!(!world.is_held("lucky") && !other.is_held("lucky"));
 }
 
-/// Guards against a request that crashes upstreams anew after each quarantine, three at a time.
+/// A request must not need three crashes again after each quarantine.
 #[rstest]
 fn after_a_quarantine_one_crash_is_enough_for_a_longer_one() {
     let mut world = World::new();
@@ -184,7 +184,7 @@
     assert!(world.is_held("lethal") && !world.is_held("beside"));
 }
 
-/// Guards against an old verdict of another host that undoes a release.
+/// An older record of another host must not undo a release.
 #[rstest]
 fn the_later_verdict_holds_in_any_order() {
     let mut world = World::new();
@@ -202,7 +202,7 @@
     );
 }
 
-/// Guards against reports of one crash by several hosts that count as several crashes.
+/// Reports by several hosts about one crash must not count as several crashes.
 #[rstest]
 fn a_crash_that_several_hosts_report_counts_once() {
     let mut world = World::new();
@@ -215,7 +215,7 @@
     assert!(world.quarantine.judge(world.now).is_empty());
 }
 
-/// Guards against memory that grows with each different request of a caller that crashes engines.
+/// Memory must stay bounded when a caller crashes engines with ever new requests.
 #[rstest]
 fn a_flood_of_lethal_requests_is_bounded() {
     let settings = Settings { most: 100, most_crashes: 50, ..Settings::default() };
@@ -234,7 +234,7 @@
     assert_eq!(world.quarantine.records(world.now).count(), 100);
 }
 
-/// Guards against work for each request while nothing is suspected.
+/// Requests must not be fingerprinted while no request of their length is suspected.
 #[rstest]
 fn a_request_of_another_length_is_not_looked_at() {
     let mut world = World::new();
--- a/crates/lagoonline/tests/life_quarantine_fuzz.rs
+++ b/crates/lagoonline/tests/life_quarantine_fuzz.rs
@@ -1,5 +1,5 @@
-//! Hosts that share evidence and verdicts by words which are lost now and then, against counts of
-//! what happened to each request.
+//! Hosts that share evidence and records over lossy messages, checked against independent counts of
+//! each request's crashes.
 
 use std::collections;
 
@@ -13,22 +13,23 @@
 
 const HOSTS: usize = 3;
 const REQUESTS: usize = 6;
-/// Crashes that prove a request lethal.
+/// Number of crashes that prove a request lethal.
 const PROOF: usize = 3;
 
 #[derive(Clone, Debug)]
 enum Transition {
-    /// An upstream crashes under the requests of which a bit is set; one host is not told.
+    /// An upstream crashes with the requests in the bit set in flight; one host does not get the
+    /// report.
     Crash { requests: u8, deaf: usize },
-    /// A request is answered whole at a host; another is not told.
+    /// A request is answered completely at a host; another host does not get the report.
     Answer { request: usize, host: usize, deaf: usize },
-    /// Time passes, and the hosts judge.
+    /// Time passes, and the hosts evaluate the evidence.
     Pass { millis: u64 },
-    /// An operator ends a quarantine at a host.
+    /// An operator ends a quarantine at one host.
     Release { request: usize, host: usize },
-    /// A host is replaced by one that knows nothing.
+    /// A host is replaced by one without any state.
     Replace { host: usize },
-    /// Two hosts whose checksums differ tell each other their verdicts.
+    /// Two hosts whose checksums differ exchange their records.
     Compare { one: usize, other: usize },
 }
 
@@ -69,7 +70,7 @@
     hosts: Vec<Quarantine>,
     now: Moment,
     crashes: u64,
-    /// Crashes that each request was at.
+    /// Number of crashes that each request was involved in.
     met: collections::BTreeMap<usize, usize>,
 }
 
@@ -175,8 +176,8 @@
         ..ProptestConfig::default()
     })]
 
-    // No request is refused that was at fewer than three crashes, or whose answer or release the
-    // host knows; hosts that compared their verdicts agree.
+    // A request must not be refused after fewer than three crashes, nor at a host that knows of its
+    // answer or release; hosts that have exchanged their records must agree.
     #[test]
     fn verdicts_are_proven_and_agreed_on(sequential 20..120 => System);
 }
--- a/crates/lagoonline/tests/life_reap.rs
+++ b/crates/lagoonline/tests/life_reap.rs
@@ -1,4 +1,4 @@
-//! When a dead owner's holdings are released, by kind.
+//! Release of a dead owner's holdings, by kind.
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::id::{Owner, Upstream};
@@ -6,9 +6,9 @@
 use lagoonline::port::engine::{Holding, Kind};
 use rstest::rstest;
 
-/// An entry host restarts. A caller that comes back elsewhere within the time for taking over
-/// finds its stream on the engine; once it is taken over it is a live owner's and stays. What no
-/// caller can come back for is released at once.
+/// An entry host restarts. A caller that retries at another host within the takeover window must
+/// still find its stream on the engine. Once taken over, the stream has a live owner and is kept.
+/// Holdings that no caller can resume are released at once.
 #[rstest]
 #[case(Kind::Reservation, &[true, true])]
 #[case(Kind::Export, &[true, true])]
--- a/crates/lagoonline/tests/life_regressions.rs
+++ b/crates/lagoonline/tests/life_regressions.rs
@@ -1,4 +1,4 @@
-//! One test for each fault that the fuzzing found.
+//! Regression tests for bugs found by fuzzing.
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::id::{Incarnation, Owner, Upstream};
@@ -14,9 +14,10 @@
     engine::Holding { id, owner, kind, bytes: 1, expires_ms: 1 }
 }
 
-/// Callers get `no upstream` although an engine is in service. The engine refuses as leaving
-/// before any life of it is known, its life is then named with the mark, and it restarts: the new
-/// life took on the old refusal as well, because the first naming did not use it up.
+/// Callers got `no upstream` although an engine was in service. The engine refused work as leaving
+/// before any incarnation of it was known, the incarnation then became known together with the
+/// mark, and the engine restarted. The old refusal was applied to the new incarnation as well,
+/// because the first incarnation had not consumed it.
 #[test]
 fn a_refusal_marks_one_life_only() {
     let (mut marks, engine) = (leaving::Marks::default(), Upstream::from("e"));
@@ -28,8 +29,8 @@
     assert!(!marks.is_leaving(&engine));
 }
 
-/// A caller's stream breaks off though its entry host is well. A sweeper that is cut off from its
-/// start knows the other host only by its stream; half of two hosts heard was taken for enough.
+/// A stream was interrupted although its entry host was healthy. A reaper that was cut off from its
+/// start knew the other host only by its stream, and hearing one of two hosts counted as enough.
 #[test]
 fn a_sweeper_that_hears_only_itself_releases_nothing() {
     let mut sweep = reap::Sweep::new(reap::Settings::default());
@@ -43,9 +44,9 @@
     }
 }
 
-/// Callers' streams break off all over a zone for one second, half a minute after the sweeper was
-/// cut off. The host whose last heartbeat was the oldest counted as silent while the others, also
-/// cut off, still counted as heard.
+/// Streams all over a zone were interrupted for one second, half a minute after the reaper was cut
+/// off. The host with the oldest last heartbeat counted as dead while the other hosts, also cut
+/// off, still counted as heard.
 #[test]
 fn hosts_fall_silent_together() {
     let mut sweep = reap::Sweep::new(reap::Settings::default());
--- a/crates/lagoonline/tests/routing.rs
+++ b/crates/lagoonline/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes, customers, the list of upstreams, and how long a version counts as the newest.
+//! Routes, customers, the upstream registry, freshness of the configuration, and reader selection.
 
 use std::net;
 
@@ -80,8 +80,9 @@
     routing::Change::Removed(id::Upstream::from(name))
 }
 
-/// The platform was out and its entries lapsed. Its first answer lacks a living upstream, which is
-/// back two seconds later; dropping it at once would leave callers without anybody to serve them.
+/// Registrations expired during an outage of the platform. Its first answer lacks a live upstream,
+/// which registers again two seconds later; if it were dropped at once, callers would have no
+/// upstream.
 #[rstest]
 fn an_entry_that_lapsed_in_an_outage_stays_until_it_can_be_back() {
     let mut registry = routing::Registry::default();
@@ -94,8 +95,9 @@
     assert_eq!(registry.entries().count(), 0);
 }
 
-/// The platform came back three seconds ago. An entry that vanishes now has not lapsed: its
-/// upstream left without a word, and a request sent to it would come after the bound on leaving.
+/// The platform recovered three seconds ago. A registration that vanishes now did not expire in the
+/// outage: its upstream left without notice, and a request sent to it would violate the bound on
+/// leaving upstreams.
 #[rstest]
 fn an_entry_that_vanishes_after_the_return_is_dropped_at_once() {
     let mut registry = routing::Registry::default();
@@ -105,7 +107,7 @@
     assert_eq!(registry.entries().count(), 0);
 }
 
-/// An upstream that said that it leaves is not kept for its return.
+/// An upstream that announced that it is leaving must not be kept after an outage.
 #[rstest]
 fn a_leaving_entry_is_not_kept() {
     let mut registry = routing::Registry::default();
@@ -138,7 +140,7 @@
     routing::Source::Peer(id::Host::from(name))
 }
 
-/// All hosts of a zone know the same hosts: exactly one of them reads the platform.
+/// All hosts of a zone know the same hosts, so exactly one of them reads the platform.
 #[rstest]
 fn one_host_of_a_zone_reads() {
     let names = ["a", "b", "c", "d"];
@@ -150,8 +152,8 @@
     assert_eq!(sources("b", &["a"]).next(Moment::START), routing::Source::Platform);
 }
 
-/// The reader dies, and the host after it in the order too. Each is passed over for three seconds
-/// from its own failure, and asked again after that.
+/// The reader dies, and then the next host in order. Each is skipped for three seconds from its own
+/// failure and then asked again.
 #[rstest]
 fn readers_that_fail_are_passed_over_for_a_while() {
     let mut sources = sources("c", &["a", "b", "d"]);
@@ -162,8 +164,8 @@
     assert_eq!(sources.next(Moment::from_millis(3_000)), peer("a"));
 }
 
-/// The platform turns this host away and serves the others: the host asks them though it is the
-/// first in the order.
+/// The platform refuses this host but serves the others, so the host asks them although it is the
+/// first in order.
 #[rstest]
 fn a_host_that_the_platform_turns_away_asks_another() {
     let mut sources = sources("a", &["b", "c"]);
@@ -172,8 +174,8 @@
     assert_eq!(sources.next(Moment::from_millis(3_000)), routing::Source::Platform);
 }
 
-/// The platform is out, so no host of a zone of nine can answer. A host asks a few of them and no
-/// more, else all would ask all for as long as the outage lasts.
+/// During a platform outage no host of a zone of nine can answer. A host must ask only a few
+/// others; otherwise all hosts would ask each other for the whole outage.
 #[rstest]
 fn a_host_asks_only_a_few_that_cannot_answer() {
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
@@ -187,9 +189,9 @@
     assert_eq!(asked, 5);
 }
 
-/// The platform turns away the hosts that the others ask. Those look for a reader in vain; what they
-/// know may be as old as the span for looking when they ask the last host, whose answer takes up to
-/// [`ASK`], and is then read anew, well within the bound.
+/// The platform refuses the hosts that the others ask, which then search for a reader in vain.
+/// Their state may be as old as the search span when they ask the last host, whose answer takes up
+/// to [`ASK`]. Reading the platform itself must still be possible within the bound.
 #[rstest]
 #[case(2_000)]
 #[case(4_000)]
@@ -200,7 +202,7 @@
     assert!(look + ASK < apply, "{look:?} of {apply:?}");
 }
 
-/// In a small zone every host reads for itself, the smallest too: it waits for nobody.
+/// In a small zone every host reads the platform itself, even the smallest.
 #[rstest]
 fn each_host_of_a_small_zone_reads() {
     let now = Moment::from_millis(10);
--- a/crates/lagoonline/tests/routing_roster.rs
+++ b/crates/lagoonline/tests/routing_roster.rs
@@ -1,5 +1,5 @@
-//! Who does what at many hosts: a model of zones of hosts that send each other heartbeats, with
-//! hosts that die, freeze, are cut off and come back. Each host has only what it heard.
+//! Simulates zones of hosts that send each other heartbeats and that die, are cut off and recover,
+//! to check which host schedules and polls. Each host knows only what it received.
 
 use std::collections;
 
@@ -8,17 +8,17 @@
 use lagoonline::routing;
 use rstest::rstest;
 
-/// When the model begins.
+/// Start time of the simulation.
 const START: Moment = Moment::from_millis(10);
-/// Time between two heartbeats, and between two steps of the model.
+/// Time between two heartbeats.
 const BEAT: Span = Span::from_millis(300);
 const STEP: Span = Span::from_millis(100);
-/// Time between two reports of an engine.
+/// Time between two load reports of an engine.
 const PERIOD: Span = Span::from_secs(1);
-/// An engine is to be asked at least this often, whatever dies.
+/// An engine must be polled at least this often, whichever hosts fail.
 const LONGEST_GAP: Span = Span::from_secs(2);
 
-/// One host of the model.
+/// A simulated host.
 struct Host {
     name: id::Host,
     zone: id::Zone,
@@ -30,12 +30,12 @@
 struct Fleet {
     hosts: Vec<Host>,
     zones: Vec<id::Zone>,
-    /// Zones that reach no other.
+    /// Zones that are cut off from all others.
     cut: collections::BTreeSet<id::Zone>,
     now: Moment,
-    /// When the engines of each zone were asked, and by which host.
+    /// When each zone's engines were polled, and by which host.
     asked: collections::BTreeMap<id::Zone, Vec<(Moment, id::Host)>>,
-    /// Heartbeats and their answers that were sent.
+    /// Number of heartbeats and answers sent.
     sent: usize,
 }
 
@@ -44,7 +44,7 @@
 }
 
 impl Fleet {
-    /// `count` hosts in `zones` zones that all know of each other.
+    /// Creates `count` hosts in `zones` zones, all of which know each other.
     fn new(count: usize, zones: usize) -> Fleet {
         let zones: Vec<_> = (0..zones).map(|zone| id::Zone::from(format!("z{zone}"))).collect();
         let named: Vec<_> = (0..count)
@@ -78,7 +78,7 @@
         to.runs && !(apart && (self.cut.contains(&from.zone) || self.cut.contains(&to.zone)))
     }
 
-    /// Lets the fleet run for `span`.
+    /// Advances the simulation by `span`.
     fn run(&mut self, span: Span) {
         let until = self.now + span;
         while self.now < until {
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Checks how often the engines of each zone were asked between `from` and now. Those of a zone
-    /// that is cut off are asked from within.
+    /// Checks how often each zone's engines were polled between `from` and now. The engines of a
+    /// zone that is cut off are polled from within it.
     fn check(&self, from: Moment) {
         for zone in &self.zones {
             let asked: Vec<_> = self.asked[zone].iter().map(|(at, _)| *at).collect();
@@ -159,8 +159,8 @@
     }
 }
 
-/// Three, forty and two hundred hosts in their zones; nothing happens. Each zone's engines are asked
-/// once a second by one host, and what a host sends to be known does not grow with the fleet.
+/// With 3, 40 and 200 hosts and no failures, each zone's engines must be polled once per second by
+/// a single host, and the number of heartbeats per host must not grow with the fleet.
 #[rstest]
 #[case(3, 3)]
 #[case(40, 5)]
@@ -178,9 +178,9 @@
     assert!(each <= 30.0, "{each} heartbeats a second and host");
 }
 
-/// The hosts that ask are killed, one in a zone, then the three largest of each, then every other
-/// host, and come back. The engines of each zone are asked all the while: an engine that turns slow
-/// meanwhile is known of.
+/// The polling host of each zone is killed, then the three largest hosts of each zone, then every
+/// other host; later they return. Each zone's engines must be polled all the time, so that an
+/// engine that becomes slow is detected.
 #[rstest]
 #[case(3, 1)]
 #[case(40, 5)]
@@ -191,7 +191,7 @@
         [|index, zones| index < zones, |index, zones| index < 3 * zones, |index, _| index % 2 == 0];
     for (case, dies) in killed.into_iter().enumerate() {
         if hosts == 3 && case == 1 {
-            // Nobody would be left.
+            // No host would be left.
             continue;
         }
         let mut fleet = Fleet::new(hosts, zones);
@@ -206,8 +206,8 @@
     }
 }
 
-/// All hosts of a zone lose power. Its engines still serve callers of other zones, so the first
-/// other zone asks them; when the hosts are back, their own zone does again.
+/// All hosts of a zone lose power while its engines still serve callers of other zones. The first
+/// other zone must poll them until the hosts of their own zone are back.
 #[rstest]
 fn engines_of_a_zone_without_hosts_are_asked_from_another() {
     let mut fleet = Fleet::new(40, 5);
@@ -231,8 +231,8 @@
     assert_eq!(others.count(), 0);
 }
 
-/// A zone is cut off and returns. Its own first host goes on asking its engines; the others find the
-/// engines unheard of and ask them in vain, by one host.
+/// A zone is cut off and returns. Its own first host keeps polling its engines; a single host of
+/// the other zones tries to poll them as well, without success.
 #[rstest]
 fn a_cut_off_zone_asks_its_own_engines() {
     let mut fleet = Fleet::new(195, 5);
@@ -263,9 +263,10 @@
     roster
 }
 
-/// The host that schedules leaves a question unanswered. The next question goes to the second at
-/// once, then to the third, then this host decides by itself: no request waits for the dead twice.
-/// After a second the first one is asked again, unless its heartbeats are unanswered too.
+/// The scheduler does not answer a question. The next question goes to the second host at once,
+/// then to the third, and then this host decides on its own, so that no request waits for a dead
+/// host twice. After a second the first host is asked again, unless it does not answer heartbeats
+/// either.
 #[rstest]
 fn a_silent_scheduler_is_passed_over() {
     let mut roster = roster(9, 20);
@@ -284,8 +285,8 @@
     assert_eq!(first(&roster, now).as_deref(), Some("h00"));
 }
 
-/// In a zone of few hosts each decides by itself and tells all others; one that is itself the first
-/// of a large zone asks nobody.
+/// In a zone of few hosts each decides on its own and tells all others; the first host of a large
+/// zone asks no other.
 #[rstest]
 #[case(9, 5)]
 #[case(0, 20)]
@@ -297,8 +298,8 @@
     assert_eq!(near, if hosts < 6 { hosts - 1 } else { 2 });
 }
 
-/// Of another zone's hosts those are told that may schedule there: all of a small zone, the first
-/// three of a large one, and any that speaks, which took over after the loss of those.
+/// In other zones, the hosts that may schedule must be told what is in flight: all hosts of a small
+/// zone, the first three of a large one, and any host heard from, which took over after a failure.
 #[rstest]
 fn hosts_that_may_schedule_are_told() {
     let zone = id::Zone::from("z");
@@ -325,8 +326,8 @@
     assert!(far(&roster).contains(&"l07".to_owned()));
 }
 
-/// The platform is out. Of a zone of forty hosts three call it often, so that it is known at once
-/// when it is back; all forty together call it no more than twenty times a second.
+/// During a platform outage, three hosts of a zone of forty call the platform often, so that its
+/// recovery is noticed at once, while all forty together make no more than twenty calls per second.
 #[rstest]
 fn few_hosts_call_a_platform_that_is_out() {
     let now = START;
@@ -338,7 +339,7 @@
     assert!(roster(4, 5).longest_pause(now) <= Span::from_millis(400), "of a small zone");
 }
 
-/// Guards against rows of replaced hosts that are kept, read and ranked for ever.
+/// Rows of replaced hosts must not be kept, read and ranked forever.
 #[rstest]
 fn silent_hosts_are_forgotten_by_the_first_of_their_zone() {
     const GONE: Span = Span::from_secs(600);
