--- a/crates/lagoon-burn/src/indicator.rs
+++ b/crates/lagoon-burn/src/indicator.rs
@@ -112,7 +112,7 @@
 /// Requests that failed by their caller's own doing say nothing of the service.
 fn is_callers_doing(reason: &str) -> bool {
     let reasons = outcome::Reason::ALL.into_iter();
-    reasons.filter(|reason| reason.blames_caller()).any(|known| known.as_str() == reason)
+    reasons.filter(|reason| reason.is_caller_fault()).any(|known| known.as_str() == reason)
 }
 
 fn outcomes<Good>(
--- a/crates/lagoon-gateway/src/admit.rs
+++ b/crates/lagoon-gateway/src/admit.rs
@@ -35,9 +35,9 @@
     };
     let key = request.call.key.as_deref();
     let customer = match table.customer(route, key) {
-        routing::Match::Open => None,
-        routing::Match::Customer(customer) => Some(customer.name.clone()),
-        routing::Match::Unknown => {
+        routing::KeyMatch::Open => None,
+        routing::KeyMatch::Customer(customer) => Some(customer.name.clone()),
+        routing::KeyMatch::Unknown => {
             return Err(unknown(state, age, Reason::Unauthenticated, "no customer holds this key"));
         }
     };
--- a/crates/lagoon-gateway/src/crash.rs
+++ b/crates/lagoon-gateway/src/crash.rs
@@ -12,7 +12,7 @@
 
 use lagoonline::clock;
 use lagoonline::id;
-use lagoonline::life::{fingerprint, quarantine};
+use lagoonline::lifecycle::{fingerprint, quarantine};
 
 use crate::event;
 use crate::forward;
--- a/crates/lagoon-gateway/src/forward.rs
+++ b/crates/lagoon-gateway/src/forward.rs
@@ -8,7 +8,7 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::{fingerprint, quarantine, request};
+use lagoonline::lifecycle::{fingerprint, quarantine, request};
 use lagoonline::load::placement;
 use lagoonline::outcome::{Outcome, Reason, Step};
 use lagoonline::routing;
@@ -135,7 +135,7 @@
     caller: Caller,
     may_have_run: &mut bool,
 ) -> Result<web::HttpResponse, answer::Fault> {
-    let mut held = request::Held::new(admitted.repeat());
+    let mut held = request::Pending::new(admitted.repeat());
     let mut avoid = Vec::new();
     let mut attempts = 0;
     let mut refusals = 0;
@@ -166,7 +166,7 @@
             }
             attempt::Miss::Lost(detail) => {
                 lost = true;
-                dispatched.lost().again().map_err(|outcome| attempt::failed(outcome, detail))?
+                dispatched.lost().retry().map_err(|outcome| attempt::failed(outcome, detail))?
             }
         };
         *may_have_run = lost;
--- a/crates/lagoon-gateway/src/hosts.rs
+++ b/crates/lagoon-gateway/src/hosts.rs
@@ -79,7 +79,7 @@
     let mut client = client::Client::new(state.settings.node.store);
     loop {
         tokio::time::sleep(span.mul_f64(rand::rng().random_range(0.2..0.3))).await;
-        let gone = state::lock(&state.peers).roster.gone(span, state.clock.now());
+        let gone = state::lock(&state.peers).roster.expired(span, state.clock.now());
         for host in gone {
             let call = store::remove(TABLE, host.as_str());
             match client.call(&call, WRITE).await {
@@ -149,7 +149,7 @@
         }
     }
     let peers = state::lock(&state.peers);
-    let (hosts, deciders) = (peers.roster.count(), peers.roster.deciders());
+    let (hosts, deciders) = (peers.roster.count(), peers.roster.placing_hosts());
     drop(peers);
     state.set_hosts(hosts, deciders);
 }
@@ -161,7 +161,7 @@
     let read = text.map(|text| serde_json::from_slice::<Row>(text));
     match read {
         Some(Ok(peer)) => {
-            let standing = routing::Standing { zone: peer.zone.clone(), cores: peer.cores };
+            let standing = routing::HostInfo { zone: peer.zone.clone(), cores: peer.cores };
             state::lock(&state.peers).set(&host, standing, peer.address, state.clock.now());
             if peer.zone == state.settings.node.zone {
                 let known = routing::Peer { cores: peer.cores };
--- a/crates/lagoon-gateway/src/mesh.rs
+++ b/crates/lagoon-gateway/src/mesh.rs
@@ -127,9 +127,9 @@
     let own = collections::HashSet::from([state.number]);
     let datagram = state.heartbeat(state.numbers(&own), true);
     let mut peers = state::lock(&state.peers);
-    let near = peers.roster.near(now);
+    let near = peers.roster.zone_peers(now);
     for host in &near {
-        peers.roster.asked(host, now);
+        peers.roster.record_heartbeat_sent(host, now);
     }
     let addresses: Vec<_> = near.iter().filter_map(|host| peers.address(host)).collect();
     drop(peers);
@@ -143,8 +143,8 @@
 fn beat_far(state: &state::State) {
     let now = state.clock.now();
     let peers = state::lock(&state.peers);
-    let shared = peers.roster.is_own_shared();
-    if shared && !peers.roster.leads(now) {
+    let shared = peers.roster.own_zone_has_scheduler();
+    if shared && !peers.roster.is_leader(now) {
         return;
     }
     let mut lives = collections::HashSet::from([state.number]);
@@ -199,7 +199,7 @@
     let now = state.clock.now();
     if let Some(beat) = &batch.beat {
         let standing =
-            routing::Standing { zone: id::Zone::from(beat.zone.as_str()), cores: beat.cores };
+            routing::HostInfo { zone: id::Zone::from(beat.zone.as_str()), cores: beat.cores };
         let host = id::Host::from(beat.host.as_str());
         state::lock(&state.peers).set(&host, standing, from, now);
     }
--- a/crates/lagoon-gateway/src/peers.rs
+++ b/crates/lagoon-gateway/src/peers.rs
@@ -51,11 +51,11 @@
     pub(crate) fn set(
         &mut self,
         host: &id::Host,
-        standing: routing::Standing,
+        standing: routing::HostInfo,
         address: net::SocketAddr,
         now: clock::Moment,
     ) {
-        self.roster.set(host.clone(), standing, now);
+        self.roster.upsert(host.clone(), standing, now);
         let before = self.addresses.insert(host.clone(), address);
         if let Some(before) = before.filter(|before| *before != address) {
             self.names.remove(&before);
@@ -79,7 +79,7 @@
         now: clock::Moment,
     ) -> Met {
         if let Some(host) = self.names.get(&address) {
-            self.roster.heard(host, now);
+            self.roster.record_contact(host, now);
         }
         let before = self.lives.insert(address, Life { number, at: now });
         match before {
@@ -121,12 +121,12 @@
 
     /// Where the hosts of this zone hear words that are to know what is under way.
     pub(crate) fn near(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
-        self.roster.near(now).iter().filter_map(|host| self.address(host)).collect()
+        self.roster.zone_peers(now).iter().filter_map(|host| self.address(host)).collect()
     }
 
     /// Where those of other zones do.
     pub(crate) fn far(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
-        self.roster.far(now).iter().filter_map(|host| self.address(host)).collect()
+        self.roster.remote_peers(now).iter().filter_map(|host| self.address(host)).collect()
     }
 
     /// The host that is to be asked where a request goes.
--- a/crates/lagoon-gateway/src/quarantine/mod.rs
+++ b/crates/lagoon-gateway/src/quarantine/mod.rs
@@ -1,5 +1,5 @@
 //! Requests that crash upstreams: what this host sees, hears and tells of them, and the check that
-//! each request passes before it is sent. [`lagoonline::life::quarantine`] decides.
+//! each request passes before it is sent. [`lagoonline::lifecycle::quarantine`] decides.
 
 mod operator;
 mod rows;
@@ -13,7 +13,7 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::{fingerprint, quarantine};
+use lagoonline::lifecycle::{fingerprint, quarantine};
 use lagoonline::outcome::{Reason, Step};
 use rand::seq::IndexedRandom;
 
@@ -59,13 +59,13 @@
         let fingerprint = self.fingerprint();
         loop {
             let now = self.state.clock.now();
-            let standing = state::lock(&self.state.keeper.quarantine).standing(&fingerprint, now);
+            let standing = state::lock(&self.state.keeper.quarantine).status(&fingerprint, now);
             match standing {
-                quarantine::Standing::Free => return Ok(()),
-                quarantine::Standing::Undecided(span) => {
+                quarantine::Status::Allowed => return Ok(()),
+                quarantine::Status::Pending(span) => {
                     tokio::time::sleep(span + server::TICK).await;
                 }
-                quarantine::Standing::Held(record) => return Err(held(&record, now)),
+                quarantine::Status::Quarantined(record) => return Err(held(&record, now)),
             }
         }
     }
@@ -73,7 +73,7 @@
     /// Whether there may be evidence or a verdict on the request.
     fn is_noted(&self) -> bool {
         let length = u64::try_from(self.request.body.len()).unwrap_or(u64::MAX);
-        state::lock(&self.state.keeper.quarantine).knows_length(length)
+        state::lock(&self.state.keeper.quarantine).has_length(length)
     }
 
     /// The request was answered whole.
@@ -96,7 +96,7 @@
 }
 
 fn held(record: &quarantine::Record, now: clock::Moment) -> answer::Fault {
-    let left = record.until.since(now);
+    let left = record.expires_at.since(now);
     let (fingerprint, crashes) = (&record.fingerprint, record.crashes);
     let detail = format!("{fingerprint}: {crashes} upstreams crashed under this request");
     answer::Fault::not_run(Reason::Quarantined, Step::Admit, detail).after(left)
@@ -120,7 +120,7 @@
         if suspects.is_empty() {
             return;
         }
-        quarantine.crashed(upstream, &suspects, self.clock.now());
+        quarantine.record_crash(upstream, &suspects, self.clock.now());
         drop(quarantine);
         let what = words::What::Crashed(Crashed::new(upstream, &suspects));
         self.tell(words::Word::new(0, service, what));
@@ -132,7 +132,7 @@
             Ok(suspects) => {
                 let upstream = id::Upstream::from(crashed.upstream.as_str());
                 let now = self.clock.now();
-                state::lock(&self.keeper.quarantine).crashed(&upstream, &suspects, now);
+                state::lock(&self.keeper.quarantine).record_crash(&upstream, &suspects, now);
             }
             Err(error) => unreadable(error),
         }
@@ -168,7 +168,7 @@
             .text("source", source)
             .number("version", record.version)
             .number("released", record.released)
-            .span("left_ms", record.until.since(now))
+            .span("left_ms", record.expires_at.since(now))
             .info();
         self.sum_up();
     }
@@ -176,7 +176,8 @@
     /// The request was answered; whether that is news.
     fn clear(&self, fingerprint: &fingerprint::Fingerprint) -> bool {
         let now = self.clock.now();
-        let (is_news, released) = state::lock(&self.keeper.quarantine).answered(fingerprint, now);
+        let (is_news, released) =
+            state::lock(&self.keeper.quarantine).record_answer(fingerprint, now);
         if let Some(record) = released {
             self.announce(&record);
         }
@@ -206,7 +207,7 @@
         let judges = state::lock(&self.peers).roster.is_candidate(now);
         let mut quarantine = state::lock(&self.keeper.quarantine);
         quarantine.expire(now);
-        let verdicts = if judges { quarantine.judge(now) } else { Vec::new() };
+        let verdicts = if judges { quarantine.evaluate(now) } else { Vec::new() };
         drop(quarantine);
         for verdict in &verdicts {
             let upstreams: Vec<_> = verdict.upstreams.iter().map(id::Upstream::as_str).collect();
@@ -214,8 +215,8 @@
                 .text("fingerprint", verdict.record.fingerprint)
                 .text("upstreams", upstreams.join(" "))
                 .number("crashes", verdict.record.crashes)
-                .number("times", verdict.record.times)
-                .span("left_ms", verdict.record.until.since(now))
+                .number("times", verdict.record.occurrences)
+                .span("left_ms", verdict.record.expires_at.since(now))
                 .warn();
             self.announce(&verdict.record);
         }
@@ -232,7 +233,7 @@
         let now = self.clock.now();
         let quarantine = state::lock(&self.keeper.quarantine);
         let checksum = quarantine.checksum(now);
-        let held = quarantine.records(now).filter(|record| record.holds(now)).count();
+        let held = quarantine.records(now).filter(|record| record.is_active(now)).count();
         let suspects = quarantine.suspects();
         drop(quarantine);
         self.keeper.checksum.store(checksum, atomic::Ordering::Relaxed);
--- a/crates/lagoon-gateway/src/quarantine/operator.rs
+++ b/crates/lagoon-gateway/src/quarantine/operator.rs
@@ -1,7 +1,7 @@
 //! What operators ask of the quarantine, at the address of readiness.
 
 use lagoonline::clock::Clock as _;
-use lagoonline::life::fingerprint;
+use lagoonline::lifecycle::fingerprint;
 use ntex::http;
 use ntex::web;
 use serde_json::json;
@@ -29,12 +29,12 @@
 
 fn list(state: &state::State) -> web::HttpResponse {
     let now = state.clock.now();
-    let verdict = |record: &lagoonline::life::quarantine::Record| {
+    let verdict = |record: &lagoonline::lifecycle::quarantine::Record| {
         json!({
             "fingerprint": record.fingerprint.to_string(),
             "crashes": record.crashes,
-            "times": record.times,
-            "left_s": record.until.since(now).as_secs(),
+            "times": record.occurrences,
+            "left_s": record.expires_at.since(now).as_secs(),
             "released": record.released,
         })
     };
--- a/crates/lagoon-gateway/src/quarantine/rows.rs
+++ b/crates/lagoon-gateway/src/quarantine/rows.rs
@@ -9,7 +9,7 @@
 use lagoon_platform::store;
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
-use lagoonline::life::{fingerprint, quarantine};
+use lagoonline::lifecycle::{fingerprint, quarantine};
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
@@ -53,7 +53,7 @@
     failures = 0;
     loop {
         pause(&state, failures).await;
-        if !state::lock(&state.peers).roster.leads(state.clock.now()) {
+        if !state::lock(&state.peers).roster.is_leader(state.clock.now()) {
             continue;
         }
         failures = match write(&state, &mut client, &mut stored).await {
@@ -69,7 +69,7 @@
 /// Waits longer after each further failure, up to what a platform that is out bears; drawn from a
 /// range, so that hosts which lost it together do not call it together.
 async fn pause(state: &state::State, failures: u32) {
-    let longest = state::lock(&state.peers).roster.longest_pause(state.clock.now());
+    let longest = state::lock(&state.peers).roster.max_retry_pause(state.clock.now());
     let span = PAUSE.saturating_mul(1_u32.checked_shl(failures).unwrap_or(u32::MAX));
     let span = span.min(longest.max(PAUSE));
     tokio::time::sleep(span.mul_f64(rand::rng().random_range(0.7..1.3))).await;
@@ -106,9 +106,9 @@
             let record = quarantine::Record {
                 fingerprint,
                 version: row.version,
-                times: row.times,
+                occurrences: row.times,
                 crashes: row.crashes,
-                until: state.clock.now() + clock::Span::from_millis(left),
+                expires_at: state.clock.now() + clock::Span::from_millis(left),
                 released: row.released,
             };
             state.merge(record, "platform");
@@ -150,11 +150,11 @@
 }
 
 fn row(state: &state::State, record: &quarantine::Record) -> Row {
-    let left = record.until.since(state.clock.now()).as_millis();
+    let left = record.expires_at.since(state.clock.now()).as_millis();
     let left = u64::try_from(left).unwrap_or(u64::MAX);
     Row {
         version: record.version,
-        times: record.times,
+        times: record.occurrences,
         crashes: record.crashes,
         until_ms: state.clock.wall_millis().saturating_add(left),
         released: record.released,
--- a/crates/lagoon-gateway/src/quarantine/word.rs
+++ b/crates/lagoon-gateway/src/quarantine/word.rs
@@ -2,8 +2,8 @@
 
 use lagoonline::clock;
 use lagoonline::id;
-use lagoonline::life::fingerprint;
-use lagoonline::life::quarantine;
+use lagoonline::lifecycle::fingerprint;
+use lagoonline::lifecycle::quarantine;
 
 /// A request's fingerprint.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -106,11 +106,11 @@
 
 impl Verdict {
     pub(crate) fn new(record: &quarantine::Record, now: clock::Moment) -> Verdict {
-        let left = record.until.since(now).as_millis();
+        let left = record.expires_at.since(now).as_millis();
         Verdict {
             request: Some(Identity::new(&record.fingerprint)),
             version: record.version,
-            times: record.times,
+            times: record.occurrences,
             crashes: record.crashes,
             left_ms: u64::try_from(left).unwrap_or(u64::MAX),
             released: record.released,
@@ -130,9 +130,9 @@
         Ok(quarantine::Record {
             fingerprint: request.fingerprint()?,
             version: self.version,
-            times: self.times,
+            occurrences: self.times,
             crashes: self.crashes,
-            until: now + clock::Span::from_millis(self.left_ms),
+            expires_at: now + clock::Span::from_millis(self.left_ms),
             released: self.released,
         })
     }
--- a/crates/lagoon-gateway/src/relay/follow.rs
+++ b/crates/lagoon-gateway/src/relay/follow.rs
@@ -46,11 +46,11 @@
 pub(crate) async fn run(state: sync::Arc<state::State>) {
     let node = &state.settings.node;
     let settings = routing::SourceSettings {
-        least_hosts: state.settings.tuning.relay_hosts,
+        min_hosts: state.settings.tuning.relay_hosts,
         ..routing::SourceSettings::default()
     };
-    let look = settings.look_span(node.bounds.apply);
-    let mut sources = routing::Sources::new(settings, node.host.clone(), node.cpu_share);
+    let look = settings.search_span(node.bounds.apply);
+    let mut sources = routing::SourceSelector::new(settings, node.host.clone(), node.cpu_share);
     let mut known = collections::BTreeMap::new();
     loop {
         update(&mut sources, &mut known, &state.members);
@@ -66,7 +66,7 @@
                 tokio::time::sleep(SEARCH).await;
                 let age = feed::age(&state, state.feed.listed_at());
                 if age.is_none_or(|age| age > super::STALE) {
-                    sources.platform_failed(state.clock.now());
+                    sources.record_platform_failure(state.clock.now());
                 }
             }
             routing::Source::Peer(host) => {
@@ -86,12 +86,17 @@
 }
 
 /// Turns away from a reader.
-fn leave(state: &state::State, sources: &mut routing::Sources, host: &id::Host, ended: &Ended) {
+fn leave(
+    state: &state::State,
+    sources: &mut routing::SourceSelector,
+    host: &id::Host,
+    ended: &Ended,
+) {
     let now = state.clock.now();
     match ended {
         Ended::Outranked => {}
-        Ended::NotReading => sources.idle(host, now),
-        Ended::Silent(_) => sources.failed(host, now),
+        Ended::NotReading => sources.record_idle(host, now),
+        Ended::Silent(_) => sources.record_failure(host, now),
     }
 }
 
@@ -106,7 +111,7 @@
 }
 
 /// Takes over which hosts there are.
-fn update(sources: &mut routing::Sources, known: &mut Known, members: &Members) {
+fn update(sources: &mut routing::SourceSelector, known: &mut Known, members: &Members) {
     let now = state::lock(members).clone();
     for gone in known.keys().filter(|host| !now.contains_key(*host)) {
         sources.remove_peer(gone);
@@ -142,7 +147,7 @@
 /// does not read.
 async fn ask(
     state: &state::State,
-    sources: &mut routing::Sources,
+    sources: &mut routing::SourceSelector,
     known: &mut Known,
     host: &id::Host,
     member: Member,
@@ -189,15 +194,15 @@
 fn take_in(state: &state::State, news: message::News, asked: clock::Moment) {
     if let Some(returned) = news.returned_ms {
         let age = clock::Span::from_millis(returned);
-        feed::platform_returned(state, state.clock.now().before(age));
+        feed::platform_returned(state, state.clock.now().saturating_sub(age));
     }
     if let Some(table) = news.desired {
-        let at = asked.before(clock::Span::from_millis(table.age_ms));
+        let at = asked.saturating_sub(clock::Span::from_millis(table.age_ms));
         let rows = state::lock(&state.feed.desired).take(table.into_part());
         feed::take_desired(state, &rows, at);
     }
     if let Some(table) = news.upstreams {
-        let at = asked.before(clock::Span::from_millis(table.age_ms));
+        let at = asked.saturating_sub(clock::Span::from_millis(table.age_ms));
         let rows = state::lock(&state.feed.upstreams).take(table.into_part());
         feed::take_upstreams(state, &rows, at);
     }
--- a/crates/lagoon-gateway/src/report.rs
+++ b/crates/lagoon-gateway/src/report.rs
@@ -35,7 +35,7 @@
 
 /// Asks engines for their reports for as long as the process runs.
 pub(crate) async fn run(state: sync::Arc<state::State>) {
-    let mut rounds = routing::Rounds::default();
+    let mut rounds = routing::PollSchedule::default();
     loop {
         tokio::time::sleep(LOOK.mul_f64(rand::rng().random_range(0.9..1.1))).await;
         if state.phase() > state::Phase::Serving {
@@ -48,9 +48,12 @@
 }
 
 /// The engines that this host asks now.
-fn due(state: &state::State, rounds: &mut routing::Rounds) -> Vec<(id::Service, routing::Entry)> {
+fn due(
+    state: &state::State,
+    rounds: &mut routing::PollSchedule,
+) -> Vec<(id::Service, routing::Registration)> {
     let now = state.clock.now();
-    if !state::lock(&state.peers).roster.leads(now) {
+    if !state::lock(&state.peers).roster.is_leader(now) {
         return Vec::new();
     }
     let mut engines = state.engines();
@@ -61,7 +64,7 @@
     engines
 }
 
-async fn ask(state: sync::Arc<state::State>, service: id::Service, entry: routing::Entry) {
+async fn ask(state: sync::Arc<state::State>, service: id::Service, entry: routing::Registration) {
     let report = match fetch(&entry).await {
         Ok(report) => report,
         Err(error) => {
@@ -90,7 +93,7 @@
 /// # Errors
 ///
 /// There is no answer in time, or it is no report.
-pub(crate) async fn fetch(entry: &routing::Entry) -> Result<engine::Report, String> {
+pub(crate) async fn fetch(entry: &routing::Registration) -> Result<engine::Report, String> {
     let request = hyper::Request::get(engine::REPORT_PATH)
         .header("host", entry.address.to_string())
         .body(exchange::Payload::default())
--- a/crates/lagoon-gateway/src/reserve.rs
+++ b/crates/lagoon-gateway/src/reserve.rs
@@ -50,7 +50,7 @@
 pub(crate) struct Ticket {
     /// Its name at the engine.
     pub(crate) id: String,
-    entry: routing::Entry,
+    entry: routing::Registration,
     tokens: u64,
     /// When an order to reserve was last sent that is not answered.
     unsure: sync::Arc<sync::Mutex<Option<clock::Moment>>>,
@@ -133,8 +133,8 @@
 pub(crate) async fn take(
     state: &sync::Arc<state::State>,
     name: &str,
-    first: &routing::Entry,
-    wanted: &[(routing::Entry, u64)],
+    first: &routing::Registration,
+    wanted: &[(routing::Registration, u64)],
     expected: clock::Span,
 ) -> Result<Held, Refusal> {
     let mut ordered = wanted.to_vec();
@@ -165,7 +165,7 @@
 /// Renews `tickets`, that of the engine `first` before the others, while the reservations are held.
 async fn renew(
     state: sync::Arc<state::State>,
-    first: routing::Entry,
+    first: routing::Registration,
     tickets: Vec<Ticket>,
     held: sync::Weak<Quiet>,
 ) {
@@ -195,7 +195,7 @@
 /// The engine `first` gave no word: nothing more was renewed.
 async fn renew_all(
     state: &state::State,
-    first: &routing::Entry,
+    first: &routing::Registration,
     tickets: &[Ticket],
     held: &sync::Weak<Quiet>,
 ) -> Result<(), String> {
@@ -262,7 +262,7 @@
     }
 }
 
-async fn order(entry: &routing::Entry, body: Vec<u8>) -> Result<u16, exchange::Failure> {
+async fn order(entry: &routing::Registration, body: Vec<u8>) -> Result<u16, exchange::Failure> {
     let text = String::from_utf8_lossy(&body).into_owned();
     let request = hyper::Request::post(engine::ORDER_PATH)
         .header("host", entry.address.to_string())
--- a/crates/lagoon-gateway/src/schedule.rs
+++ b/crates/lagoon-gateway/src/schedule.rs
@@ -120,7 +120,7 @@
 }
 
 fn pass_over(state: &state::State, host: &id::Host, why: &str) {
-    state::lock(&state.peers).roster.passed(host, state.clock.now());
+    state::lock(&state.peers).roster.skip(host, state.clock.now());
     state.metrics.schedulers_passed.inc();
     event::Line::new("scheduler_passed").text("host", host).text("why", why).info();
 }
--- a/crates/lagoon-gateway/src/settings.rs
+++ b/crates/lagoon-gateway/src/settings.rs
@@ -64,7 +64,7 @@
             upstreams_wait: clock::Span::from_millis(2_500),
             upstreams_pause: clock::Span::from_millis(1_200),
             hosts_wait: clock::Span::from_millis(20_000),
-            relay_hosts: routing::SourceSettings::default().least_hosts,
+            relay_hosts: routing::SourceSettings::default().min_hosts,
             reader_wait: clock::Span::from_millis(1_000),
             reader_pause: clock::Span::from_millis(400),
             hosts_pause: clock::Span::from_millis(5_000),
--- a/crates/lagoon-gateway/src/state.rs
+++ b/crates/lagoon-gateway/src/state.rs
@@ -132,9 +132,9 @@
         let (words, receiver) = mpsc::channel(WORDS);
         let clock = crate::Boot::default();
         let node = &settings.node;
-        let standing = routing::Standing { zone: node.zone.clone(), cores: node.cpu_share };
+        let standing = routing::HostInfo { zone: node.zone.clone(), cores: node.cpu_share };
         let roster = routing::RosterSettings {
-            least_hosts: settings.tuning.relay_hosts,
+            min_hosts: settings.tuning.relay_hosts,
             ..routing::RosterSettings::default()
         };
         let roster = routing::Roster::new(roster, node.host.clone(), standing, clock.now());
@@ -205,7 +205,7 @@
 
     /// The platform answers again since `at`.
     pub(crate) fn platform_returned(&self, at: clock::Moment) {
-        lock(&self.registry).returned(at);
+        lock(&self.registry).record_recovery(at);
     }
 
     /// Takes in changes of the list of upstreams.
@@ -263,7 +263,7 @@
     }
 
     /// The model engines of all services.
-    pub(crate) fn engines(&self) -> Vec<(id::Service, routing::Entry)> {
+    pub(crate) fn engines(&self) -> Vec<(id::Service, routing::Registration)> {
         let mut engines = Vec::new();
         for (service, desk) in self.desks.load().iter() {
             let desk = lock(desk);
@@ -312,7 +312,7 @@
     fn refresh_desks(&self) {
         let Some(table) = self.table() else { return };
         let registry = lock(&self.registry);
-        let mut by_service: collections::HashMap<id::Service, Vec<routing::Entry>> =
+        let mut by_service: collections::HashMap<id::Service, Vec<routing::Registration>> =
             table.services().map(|service| (service.name.clone(), Vec::new())).collect();
         for entry in registry.entries() {
             if let Some(entries) = by_service.get_mut(&entry.service) {
--- a/crates/lagoon-gateway/src/stream.rs
+++ b/crates/lagoon-gateway/src/stream.rs
@@ -14,7 +14,7 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::quarantine;
+use lagoonline::lifecycle::quarantine;
 use lagoonline::outcome::Reason;
 use lagoonline::routing;
 use ntex::util;
--- a/crates/lagoon-gateway/src/told.rs
+++ b/crates/lagoon-gateway/src/told.rs
@@ -21,13 +21,13 @@
         let zone = &self.settings.node.zone;
         let peers = state::lock(&self.peers);
         let roster = &peers.roster;
-        if !roster.is_own_shared() {
+        if !roster.own_zone_has_scheduler() {
             drop(peers);
             return self.under_way(|host| host == self.number);
         }
-        let follows = peers.is_among(address, &roster.watched(now));
+        let follows = peers.is_among(address, &roster.heartbeat_targets(now));
         let near = peers.is_in(address, zone);
-        if !roster.is_candidate(now) || near && !follows || !near && !roster.leads(now) {
+        if !roster.is_candidate(now) || near && !follows || !near && !roster.is_leader(now) {
             return Vec::new();
         }
         let mut lives = peers.lives_in(zone);
@@ -119,8 +119,8 @@
     pub(crate) fn relays_for(&self, address: net::SocketAddr) -> bool {
         let now = self.clock.now();
         let peers = state::lock(&self.peers);
-        let shared = peers.roster.is_own_shared();
-        shared && peers.roster.leads(now) && peers.is_in(address, &self.settings.node.zone)
+        let shared = peers.roster.own_zone_has_scheduler();
+        shared && peers.roster.is_leader(now) && peers.is_in(address, &self.settings.node.zone)
     }
 
     /// A life of a host ended: what it had under way is over.
@@ -138,13 +138,14 @@
     ) {
         let now = self.clock.now();
         let peers = state::lock(&self.peers);
-        let shared = peers.roster.is_own_shared();
+        let shared = peers.roster.own_zone_has_scheduler();
         let tells = shared
-            && peers.roster.leads(now)
+            && peers.roster.is_leader(now)
             && peers.lives_in(&self.settings.node.zone).contains(&life);
         drop(peers);
         for (service, desk) in self.desks.load().iter() {
-            let over = state::lock(desk).board.keep_only(life, numbers, now.before(span), now);
+            let over =
+                state::lock(desk).board.keep_only(life, numbers, now.saturating_sub(span), now);
             for id in over.into_iter().filter(|_| tells) {
                 let ended = word::What::Ended(word::Nothing {});
                 self.say(word::Word::about(id, service, ended), mesh::Reach::Far);
@@ -156,7 +157,8 @@
     /// others, that host tells other zones.
     pub(crate) fn tell(&self, word: word::Word) {
         let peers = state::lock(&self.peers);
-        let near = peers.roster.is_own_shared() && !peers.roster.leads(self.clock.now());
+        let near =
+            peers.roster.own_zone_has_scheduler() && !peers.roster.is_leader(self.clock.now());
         drop(peers);
         self.say(word, if near { mesh::Reach::Near } else { mesh::Reach::All });
     }
@@ -180,7 +182,7 @@
     /// host had to find out by itself, each crash would cost hundreds of requests.
     pub(crate) fn saw(&self, service: &id::Service, seen: word::Seen) {
         self.with_board(service, |board, now| seen.note(board, now));
-        if state::lock(&self.peers).roster.is_own_shared() {
+        if state::lock(&self.peers).roster.own_zone_has_scheduler() {
             let word = word::Word::new(0, service, word::What::Seen(seen));
             self.say(word, mesh::Reach::Near);
         }
--- a/crates/lagoon-gateway/src/watch.rs
+++ b/crates/lagoon-gateway/src/watch.rs
@@ -176,7 +176,7 @@
 }
 
 fn longest_pause(state: &state::State) -> clock::Span {
-    state::lock(&state.peers).roster.longest_pause(state.clock.now())
+    state::lock(&state.peers).roster.max_retry_pause(state.clock.now())
 }
 
 /// Keeps the desired state in force, while this host reads for itself.
--- a/crates/lagoon-net/src/engine/event.rs
+++ b/crates/lagoon-net/src/engine/event.rs
@@ -8,7 +8,7 @@
 use ntex::util;
 use serde_json::value::RawValue;
 
-use lagoonline::life::stream;
+use lagoonline::lifecycle::stream;
 
 /// Longest event, in bytes.
 const EVENT_LIMIT: usize = 1 << 20;
@@ -164,7 +164,8 @@
         return Ok(Event::Error { code: code.into_owned() });
     }
     let attempt = raw.a.parse();
-    let attempt = attempt.map_err(|error: id::BadAttempt| Broken::Malformed(error.to_string()))?;
+    let attempt =
+        attempt.map_err(|error: id::ParseAttemptError| Broken::Malformed(error.to_string()))?;
     if raw.end {
         return Ok(Event::End {
             attempt,
--- a/crates/lagoon-net/src/entry/cancel.rs
+++ b/crates/lagoon-net/src/entry/cancel.rs
@@ -3,7 +3,7 @@
 //! Failure answered: a cancel is lost, or its engine is cut off for a while. Symptom: an attempt
 //! that nobody reads holds a place in the batch and KV memory. A [`Guard`] whose attempt did not
 //! end hands it over when dropped, on every path, a panic's included; the control thread repeats
-//! the cancel at the pace of `lagoonline::life::reap::Cancels`, until the engine acknowledges it or
+//! the cancel at the pace of `lagoonline::lifecycle::reap::CancelQueue`, until the engine acknowledges it or
 //! has dropped the stream by its own expiry.
 
 use std::cell;
@@ -14,7 +14,7 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::reap;
+use lagoonline::lifecycle::reap;
 use ntex::client;
 use rand::Rng as _;
 use tokio::sync as async_sync;
@@ -90,7 +90,7 @@
     }
 }
 
-type Cancels = rc::Rc<cell::RefCell<reap::Cancels<Pending>>>;
+type Cancels = rc::Rc<cell::RefCell<reap::CancelQueue<Pending>>>;
 
 /// Sends cancels until the process ends.
 pub(crate) async fn run(
@@ -98,7 +98,8 @@
     client: client::Client,
     mut receiver: Receiver,
 ) {
-    let cancels = Cancels::new(cell::RefCell::new(reap::Cancels::new(reap::Pace::default())));
+    let cancels =
+        Cancels::new(cell::RefCell::new(reap::CancelQueue::new(reap::RetryPolicy::default())));
     loop {
         let is_idle = cancels.borrow().is_empty();
         tokio::select! {
@@ -134,7 +135,7 @@
     };
     if tokio::time::timeout(PATIENCE, give_back).await != Ok(true) {
         state.metrics.cancel("repeated");
-    } else if cancels.borrow_mut().acknowledged(&pending) {
+    } else if cancels.borrow_mut().acknowledge(&pending) {
         end(state, "acknowledged");
     }
 }
--- a/crates/lagoon-net/src/entry/claims.rs
+++ b/crates/lagoon-net/src/entry/claims.rs
@@ -3,7 +3,7 @@
 //!
 //! Failure answered: a caller loses its answer and asks again, perhaps at another entry host.
 //! Symptom: a filing is made twice. The call goes out only with a ticket of
-//! `lagoonline::life::claim`, and runs in a task of its own: a caller that leaves does not end it,
+//! `lagoonline::lifecycle::claim`, and runs in a task of its own: a caller that leaves does not end it,
 //! so the answer is there when it asks again. Storing and freeing go on after the caller has its
 //! answer, and a drain waits for them.
 
@@ -12,8 +12,8 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::claim;
-use lagoonline::life::request;
+use lagoonline::lifecycle::claim;
+use lagoonline::lifecycle::request;
 use lagoonline::outcome::{Outcome, Reason, Step};
 use ntex::http;
 use ntex::util;
@@ -31,7 +31,7 @@
 use crate::platform;
 
 /// The claims of one worker thread.
-pub(crate) type Claims = claim::Claims<platform::Client, platform::Client, clock::Host>;
+pub(crate) type Claims = claim::Claims<platform::Client, platform::Client, clock::System>;
 
 /// Tries to store an answer, a second apart: an outage that lasts longer leaves the key as one
 /// that may have run.
@@ -103,12 +103,12 @@
         }
     }
 
-    fn ask(&self, body: &[u8]) -> claim::Ask {
+    fn ask(&self, body: &[u8]) -> claim::Request {
         let path = format!("/services/{}{}", self.service, self.target);
-        claim::Ask {
+        claim::Request {
             customer: self.call.customer().name.clone(),
             key: self.key.clone(),
-            body: claim::body_hash(self.request.method().as_str(), &path, body),
+            body_hash: claim::body_hash(self.request.method().as_str(), &path, body),
             repeat: request::Repeat::Never,
             token: call::new_attempt(),
             upstream: id::Upstream::default(),
@@ -179,7 +179,7 @@
                 state.metrics.claim(if ran { "lost" } else { "released" });
                 self.after(claims, move |claims| async move {
                     if ran {
-                        claims.lose(sent).await;
+                        claims.mark_unknown(sent).await;
                     } else {
                         settle(&claims, claims.release(sent.refused()).await).await;
                     }
@@ -198,7 +198,7 @@
             target: self.target.clone(),
             body: source::Source::whole(&self.worker.state, body),
         };
-        let held = request::Held::new(request::Repeat::Never);
+        let held = request::Pending::new(request::Repeat::Never);
         let (answer, answering, slot) = job.send(held).await?;
         let (status, kind) = (answer.status().as_u16(), answer.header("content-type"));
         let kind = kind.and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
--- a/crates/lagoon-net/src/entry/desk.rs
+++ b/crates/lagoon-net/src/entry/desk.rs
@@ -22,7 +22,7 @@
 /// Scheduler of one model with the requests that wait for it.
 #[derive(Debug)]
 pub(crate) struct Desk {
-    clock: clock::Host,
+    clock: clock::System,
     shard: sync::Arc<sync::Mutex<load::Scheduler>>,
     waiting: sync::Mutex<collections::HashMap<load::Waiter, async_sync::oneshot::Sender<Turn>>>,
     changed: async_sync::Notify,
@@ -38,7 +38,7 @@
 
 impl Desk {
     pub(crate) fn new(
-        clock: clock::Host,
+        clock: clock::System,
         shard: sync::Arc<sync::Mutex<load::Scheduler>>,
     ) -> sync::Arc<Desk> {
         let waiting = sync::Mutex::default();
--- a/crates/lagoon-net/src/entry/link/mod.rs
+++ b/crates/lagoon-net/src/entry/link/mod.rs
@@ -9,7 +9,7 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::leaving;
+use lagoonline::lifecycle::leaving;
 use lagoonline::load::limit;
 use lagoonline::port::engine;
 
@@ -96,7 +96,7 @@
         if let Some(incarnation) = seen {
             marks.merge(upstream, leaving::Mark { incarnation, leaving: false });
         }
-        marks.refused(upstream);
+        marks.record_refusal(upstream);
         marks.mark(upstream).unwrap_or_default().incarnation
     }
 
--- a/crates/lagoon-net/src/entry/link/tests.rs
+++ b/crates/lagoon-net/src/entry/link/tests.rs
@@ -1,7 +1,7 @@
 //! Marks as an entry host keeps them.
 
 use lagoonline::id::{Incarnation, Upstream};
-use lagoonline::life::leaving::Mark;
+use lagoonline::lifecycle::leaving::Mark;
 
 use super::Link;
 
--- a/crates/lagoon-net/src/entry/mod.rs
+++ b/crates/lagoon-net/src/entry/mod.rs
@@ -3,7 +3,7 @@
 //! `server` listens and drains, `call` reads a request's head, `model` and `services` answer the
 //! two kinds of calls, `desk` waits for places, `pull` follows one model call through dispatch,
 //! resumption and continuation, `relay` streams to the caller, `cancel` repeats cancels. Decisions
-//! are made in `lagoonline::load` and `lagoonline::life`.
+//! are made in `lagoonline::load` and `lagoonline::lifecycle`.
 
 mod body;
 mod call;
--- a/crates/lagoon-net/src/entry/model.rs
+++ b/crates/lagoon-net/src/entry/model.rs
@@ -5,7 +5,7 @@
 
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::claim;
+use lagoonline::lifecycle::claim;
 use lagoonline::load;
 use lagoonline::outcome::{Outcome, Reason, Step};
 use ntex::web;
--- a/crates/lagoon-net/src/entry/pull/dispatch.rs
+++ b/crates/lagoon-net/src/entry/pull/dispatch.rs
@@ -6,8 +6,8 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::request;
-use lagoonline::life::stream;
+use lagoonline::lifecycle::request;
+use lagoonline::lifecycle::stream;
 use lagoonline::load;
 use lagoonline::outcome::{Outcome, Reason, Step};
 
@@ -23,7 +23,7 @@
 impl Pull {
     pub(super) async fn open(
         &mut self,
-        mut held: request::Held,
+        mut held: request::Pending,
         mut offer: desk::Offer,
     ) -> Result<Opened, fault::Fault> {
         // Counts rounds, not dispatches: a group that cannot be reserved is never dispatched.
@@ -66,7 +66,7 @@
 
     async fn dispatch(
         &mut self,
-        held: request::Held,
+        held: request::Pending,
         place: desk::Place,
     ) -> Result<Sent, fault::Fault> {
         let worker = self.worker.clone();
@@ -270,16 +270,16 @@
 pub(super) enum Opened {
     Open(Box<Open>),
     /// Nothing was sent: something stands under the call's key.
-    Found(request::Held, desk::Place, key::Found),
+    Found(request::Pending, desk::Place, key::Found),
 }
 
 #[derive(Debug)]
 enum Sent {
     Open(Box<Open>),
     /// Something stands under the call's key.
-    Found(request::Held, desk::Place, key::Found),
+    Found(request::Pending, desk::Place, key::Found),
     /// Held again: the place to give back, how its attempt ended, and the metric's word for it.
-    Back(request::Held, desk::Place, load::Ending, &'static str),
+    Back(request::Pending, desk::Place, load::Ending, &'static str),
 }
 
 /// Where a dispatch leads whose fate is not known.
@@ -289,7 +289,7 @@
     ending: load::Ending,
     cause: &'static str,
 ) -> Result<Sent, fault::Fault> {
-    let lost = dispatched.lost().again().map_err(|outcome| {
+    let lost = dispatched.lost().retry().map_err(|outcome| {
         let fault = fault::new(Reason::UpstreamFailed, Step::Dispatch, outcome);
         fault.at(place.upstream().as_str())
     })?;
--- a/crates/lagoon-net/src/entry/pull/key.rs
+++ b/crates/lagoon-net/src/entry/pull/key.rs
@@ -7,9 +7,9 @@
 
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::claim;
-use lagoonline::life::request;
-use lagoonline::life::stream;
+use lagoonline::lifecycle::claim;
+use lagoonline::lifecycle::request;
+use lagoonline::lifecycle::stream;
 use lagoonline::outcome::{Outcome, Reason, Step};
 
 use super::{Open, Pull, Stage};
@@ -63,11 +63,11 @@
 const KEPT_TYPE: &str = "application/json";
 
 impl Pull {
-    fn ask(&self, wanted: &Wanted, upstream: &id::Upstream, token: id::Attempt) -> claim::Ask {
-        claim::Ask {
+    fn ask(&self, wanted: &Wanted, upstream: &id::Upstream, token: id::Attempt) -> claim::Request {
+        claim::Request {
             customer: self.job.ask.customer.clone(),
             key: wanted.key.clone(),
-            body: wanted.body.clone(),
+            body_hash: wanted.body.clone(),
             repeat: request::Repeat::Allowed,
             token,
             upstream: upstream.clone(),
@@ -131,11 +131,11 @@
     /// is then this call's.
     pub(super) async fn take_over(
         &mut self,
-        held: request::Held,
+        held: request::Pending,
         place: desk::Place,
         wanted: Box<Wanted>,
         running: claim::Running,
-    ) -> Result<Option<request::Held>, fault::Fault> {
+    ) -> Result<Option<request::Pending>, fault::Fault> {
         let state = self.worker.state.clone();
         let (attempt, from) = (running.attempt, self.delivered);
         let view = state.view();
@@ -171,7 +171,7 @@
             }
         }
         drop(place);
-        let held = dispatched.lost().again();
+        let held = dispatched.lost().retry();
         let held = held.map_err(|end| fault::new(Reason::EarlierUnknown, Step::Claim, end))?;
         let ask = self.ask(&wanted, &running.upstream, attempt);
         let work = wanted.claims.take_over(ask, &running);
--- a/crates/lagoon-net/src/entry/pull/mend.rs
+++ b/crates/lagoon-net/src/entry/pull/mend.rs
@@ -4,7 +4,7 @@
 
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
-use lagoonline::life::stream;
+use lagoonline::lifecycle::stream;
 use lagoonline::load;
 use lagoonline::outcome::{Reason, Step};
 
@@ -110,7 +110,7 @@
             let fault = fault::new(Reason::UpstreamFailed, Step::Stream, lost.end());
             return Err(fault.at(peer).with_detail(broken.to_string()));
         }
-        let held = lost.again().map_err(|outcome| {
+        let held = lost.retry().map_err(|outcome| {
             fault::new(Reason::UpstreamFailed, Step::Stream, outcome).at(peer.as_str())
         })?;
         if held.attempts() >= self.worker.state.settings.limits.attempts {
@@ -172,7 +172,7 @@
 
 fn violation_name(violation: &stream::Violation) -> &'static str {
     match violation {
-        stream::Violation::Crossed => "crossed",
+        stream::Violation::WrongAttempt => "crossed",
         stream::Violation::Repeated { .. } => "repeated",
         stream::Violation::Gap { .. } => "gap",
         stream::Violation::Count { .. } => "count",
--- a/crates/lagoon-net/src/entry/pull/mod.rs
+++ b/crates/lagoon-net/src/entry/pull/mod.rs
@@ -1,6 +1,6 @@
 //! One model call on its way: dispatch, reading the answer, resuming and continuing it.
 //!
-//! What the caller is told is derived from `lagoonline::life::request` alone. Dropping a
+//! What the caller is told is derived from `lagoonline::lifecycle::request` alone. Dropping a
 //! [`Pull`] at any point gives its place back and cancels its attempt.
 
 mod dispatch;
@@ -13,9 +13,9 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::control::document;
-use lagoonline::life::claim;
-use lagoonline::life::request;
-use lagoonline::life::stream;
+use lagoonline::lifecycle::claim;
+use lagoonline::lifecycle::request;
+use lagoonline::lifecycle::stream;
 use lagoonline::load;
 use lagoonline::outcome::{Outcome, Reason, Step};
 
@@ -92,7 +92,7 @@
 
 #[derive(Debug)]
 enum Stage {
-    Held(request::Held),
+    Held(request::Pending),
     Open(Box<Open>),
     Over,
 }
@@ -114,7 +114,7 @@
 impl Pull {
     /// A call whose caller has the first `from` tokens already.
     pub(crate) fn new(worker: rc::Rc<worker::Worker>, job: Job, claim: Claim, from: u64) -> Pull {
-        let stage = Stage::Held(request::Held::new(request::Repeat::Allowed));
+        let stage = Stage::Held(request::Pending::new(request::Repeat::Allowed));
         let keeps = from == 0 && matches!(claim, Claim::Wanted(_));
         let kept = keeps.then(String::new);
         Pull { worker, job, stage, delivered: from, last: None, claim, kept }
--- a/crates/lagoon-net/src/entry/server.rs
+++ b/crates/lagoon-net/src/entry/server.rs
@@ -10,7 +10,7 @@
 use lagoonline::clock::Clock as _;
 use lagoonline::control::document;
 use lagoonline::id;
-use lagoonline::life::drain;
+use lagoonline::lifecycle::drain;
 use lagoonline::outcome::{Outcome, Reason, Step};
 use ntex::http;
 use ntex::web;
@@ -263,7 +263,7 @@
         match reached {
             drain::State::Serving | drain::State::Unready => {}
             drain::State::Draining => state.advance(state::Phase::Draining),
-            drain::State::Ended { cut } => return cut,
+            drain::State::Ended { interrupted } => return interrupted,
         }
         reached = tokio::select! {
             biased;
--- a/crates/lagoon-net/src/entry/services.rs
+++ b/crates/lagoon-net/src/entry/services.rs
@@ -6,7 +6,7 @@
 use futures_util::stream;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::request;
+use lagoonline::lifecycle::request;
 use lagoonline::outcome::{Outcome, Reason, Step};
 use ntex::client;
 use ntex::http;
@@ -88,7 +88,7 @@
     let (worker, request) = (worker.clone(), request.clone());
     let job = Job { worker, call, request, service, target, body };
     let repeat = if repeats { request::Repeat::Allowed } else { request::Repeat::Never };
-    let (answer, answering, slot) = job.send(request::Held::new(repeat)).await?;
+    let (answer, answering, slot) = job.send(request::Pending::new(repeat)).await?;
     job.pass(answer, answering, slot, active, request_id).await
 }
 
@@ -111,7 +111,7 @@
 
     pub(crate) async fn send(
         &self,
-        mut held: request::Held,
+        mut held: request::Pending,
     ) -> Result<(client::ClientResponse, request::Answering, replica::Slot), fault::Fault> {
         let state = &self.worker.state;
         let mut tried = Vec::new();
@@ -160,7 +160,7 @@
                         return Err(fault.with_outcome(lost.end()));
                     }
                     slot.failed(state.clock.now());
-                    lost.again().map_err(|outcome| last.clone().with_outcome(outcome))?
+                    lost.retry().map_err(|outcome| last.clone().with_outcome(outcome))?
                 }
             };
             if !self.body.is_untouched() {
--- a/crates/lagoon-net/src/entry/state.rs
+++ b/crates/lagoon-net/src/entry/state.rs
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) settings: settings::Settings,
-    pub(crate) clock: clock::Host,
+    pub(crate) clock: clock::System,
     pub(crate) owner: id::Owner,
     pub(crate) metrics: metrics::Metrics,
     pub(crate) cancels: cancel::Sender,
@@ -76,7 +76,7 @@
         settings.load.zone = settings.zone.clone();
         // With one seed for all, the hosts of a zone draw the same upstreams at the same time.
         settings.load.seed = rand::random();
-        let clock = clock::Host::default();
+        let clock = clock::System::default();
         let incarnation = id::Incarnation(clock.wall_millis());
         let (desks, desks_in) = async_sync::mpsc::unbounded_channel();
         let (cancels, cancels_in) = cancel::channel();
--- a/crates/lagoon-net/src/link/client.rs
+++ b/crates/lagoon-net/src/link/client.rs
@@ -65,7 +65,7 @@
 
 #[derive(Debug)]
 struct Shared {
-    clock: clock::Host,
+    clock: clock::System,
     heard_micros: atomic::AtomicU64,
     state: sync::Mutex<State>,
 }
@@ -136,7 +136,7 @@
 pub fn open(settings: settings::Settings) -> (Handle, Task) {
     let (sender, outgoing) = mpsc::channel(OUTGOING);
     let shared = sync::Arc::new(Shared {
-        clock: clock::Host::default(),
+        clock: clock::System::default(),
         heard_micros: atomic::AtomicU64::new(0),
         state: sync::Mutex::default(),
     });
--- a/crates/lagoon-net/src/platform/client.rs
+++ b/crates/lagoon-net/src/platform/client.rs
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct Limits {
     settings: settings::Settings,
-    clock: clock::Host,
+    clock: clock::System,
     rules: sync::Mutex<Rules>,
 }
 
@@ -50,7 +50,7 @@
     /// assert!(!limits.is_resting());
     /// ```
     pub fn new(settings: settings::Settings) -> sync::Arc<Self> {
-        let clock = clock::Host::default();
+        let clock = clock::System::default();
         let budget = |rate: f64| {
             platform::Budget::new(rate, (rate * BURST_SECONDS).max(1.0), clock::Moment::START)
         };
--- a/crates/lagoon-net/src/platform/hosts.rs
+++ b/crates/lagoon-net/src/platform/hosts.rs
@@ -22,10 +22,10 @@
     hosts: Vec<Line>,
 }
 
-impl From<Line> for hosts::Line {
+impl From<Line> for hosts::Entry {
     fn from(line: Line) -> Self {
         let leaving = line.state == "leaving";
-        hosts::Line {
+        hosts::Entry {
             name: line.name,
             zone: id::Zone::from(line.zone),
             incarnation: id::Incarnation(line.incarnation),
@@ -35,7 +35,7 @@
 }
 
 impl hosts::Hosts for client::Client {
-    async fn list(&self) -> Result<Vec<hosts::Line>, table::Error> {
+    async fn list(&self) -> Result<Vec<hosts::Entry>, table::Error> {
         let step = "list hosts";
         let call = client::Call {
             step,
@@ -50,6 +50,6 @@
             return Err(self.refused(step, answer.status));
         }
         let list: List = self.parse(step, &answer.body)?;
-        Ok(list.hosts.into_iter().map(hosts::Line::from).collect())
+        Ok(list.hosts.into_iter().map(hosts::Entry::from).collect())
     }
 }
--- a/crates/lagoon-net/src/steward/core/mod.rs
+++ b/crates/lagoon-net/src/steward/core/mod.rs
@@ -163,7 +163,7 @@
     pull: Option<clock::Moment>,
     next_link: u64,
     began: clock::Moment,
-    clock: clock::Host,
+    clock: clock::System,
 }
 
 /// A load and when it was read.
@@ -180,7 +180,7 @@
         own: membership::Member,
         settings: &settings::Settings,
         counters: sync::Arc<Counters>,
-        clock: clock::Host,
+        clock: clock::System,
     ) -> Self {
         let now = clock.now();
         Core {
--- a/crates/lagoon-net/src/steward/core/traffic.rs
+++ b/crates/lagoon-net/src/steward/core/traffic.rs
@@ -134,8 +134,8 @@
     /// Takes the platform's list: its leaving hosts become marks, and reports of hosts that are
     /// dead to their watchers and gone from the list are forgotten. The list lags, so alone it
     /// makes nobody dead.
-    pub(in crate::steward) fn take_hosts(&mut self, lines: &[hosts::Line]) {
-        let mark = |line: &hosts::Line| wire::Mark {
+    pub(in crate::steward) fn take_hosts(&mut self, lines: &[hosts::Entry]) {
+        let mark = |line: &hosts::Entry| wire::Mark {
             upstream: line.name.clone(),
             incarnation: line.incarnation.0,
             leaving: line.state == hosts::State::Leaving,
--- a/crates/lagoon-net/src/steward/mod.rs
+++ b/crates/lagoon-net/src/steward/mod.rs
@@ -43,7 +43,7 @@
 struct Context {
     core: Shared,
     settings: rc::Rc<Settings>,
-    clock: clock::Host,
+    clock: clock::System,
     platform: Option<platform::Client>,
     incarnation: id::Incarnation,
     address: net::SocketAddr,
@@ -155,7 +155,7 @@
     counters: sync::Arc<Counters>,
     mut stopped: watch::Receiver<bool>,
 ) {
-    let clock = clock::Host::default();
+    let clock = clock::System::default();
     let incarnation = wall_incarnation();
     let platform = match &settings.platform {
         Some(platform) => {
--- a/crates/lagoon-net/src/steward/orders.rs
+++ b/crates/lagoon-net/src/steward/orders.rs
@@ -58,14 +58,14 @@
 #[derive(Serialize)]
 struct Sent<'a> {
     fence: id::Fence,
-    order: &'a engine::Order,
+    order: &'a engine::Command,
 }
 
 struct Task {
     context: Context,
     http: client::Client,
     platform: platform::Client,
-    lease: lease::Lease<clock::Host>,
+    lease: lease::Lease<clock::System>,
     /// Engines of the zone seen loading.
     loading: usize,
 }
@@ -176,8 +176,8 @@
         time::timeout(READ_TIME, read).await.ok().flatten()
     }
 
-    async fn send(&mut self, target: &Target, order: &engine::Order) -> Fate {
-        let is_load = matches!(order, engine::Order::Load { .. });
+    async fn send(&mut self, target: &Target, order: &engine::Command) -> Fate {
+        let is_load = matches!(order, engine::Command::Load { .. });
         if is_load && self.loading >= LOADS_AT_ONCE {
             return Fate::NoWeights;
         }
--- a/crates/lagoon-net/src/steward/retain.rs
+++ b/crates/lagoon-net/src/steward/retain.rs
@@ -7,7 +7,7 @@
 
 use lagoonline::clock::Clock as _;
 use lagoonline::control::owner;
-use lagoonline::life::claim;
+use lagoonline::lifecycle::claim;
 
 use super::Context;
 
@@ -18,7 +18,7 @@
     let mut done = None;
     loop {
         let now = context.clock.wall_millis();
-        let (shard, wait) = claim::turn(now, settings.pace);
+        let (shard, wait) = claim::scheduled_shard(now, settings.interval);
         if done.replace(shard) == Some(shard) {
             tokio::time::sleep(wait).await;
             continue;
--- a/crates/lagoon-net/src/steward/settings.rs
+++ b/crates/lagoon-net/src/steward/settings.rs
@@ -8,8 +8,8 @@
 use lagoonline::control::lease;
 use lagoonline::control::membership;
 use lagoonline::id;
-use lagoonline::life::claim;
-use lagoonline::life::reap;
+use lagoonline::lifecycle::claim;
+use lagoonline::lifecycle::reap;
 
 use crate::logs;
 use crate::platform;
@@ -52,7 +52,7 @@
     /// When an owner of engine memory counts as dead.
     pub reap: reap::Settings,
     /// Retention of idempotency keys.
-    pub claims: claim::Sweep,
+    pub claims: claim::SweepSettings,
     /// Logs.
     pub logs: logs::Settings,
 }
@@ -77,7 +77,7 @@
             observe: clock::Span::from_millis(OBSERVE_MS),
             sweep: clock::Span::from_millis(SWEEP_MS),
             reap: reap::Settings::default(),
-            claims: claim::Sweep::default(),
+            claims: claim::SweepSettings::default(),
             logs: logs::Settings::default(),
         }
     }
@@ -131,11 +131,11 @@
     peers
 }
 
-fn read_claims(reader: &check::Reader<'_>) -> claim::Sweep {
-    let least = claim::LEAST_RETENTION.as_secs() / 3_600;
+fn read_claims(reader: &check::Reader<'_>) -> claim::SweepSettings {
+    let least = claim::MIN_RETENTION.as_secs() / 3_600;
     let hours = reader.number("claim_retention_hours", least, least..=8_760);
     let retention = clock::Span::from_secs(hours * 3_600);
-    claim::Sweep { retention, ..claim::Sweep::default() }
+    claim::SweepSettings { retention, ..claim::SweepSettings::default() }
 }
 
 fn read_keys(reader: &check::Reader<'_>) -> Vec<document::KeyHash> {
--- a/crates/lagoon-net/src/steward/sweep.rs
+++ b/crates/lagoon-net/src/steward/sweep.rs
@@ -11,8 +11,8 @@
 
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::owner;
-use lagoonline::life::reap;
+use lagoonline::lifecycle::owner;
+use lagoonline::lifecycle::reap;
 use lagoonline::port::hosts::Hosts as _;
 use ntex::client;
 
@@ -28,7 +28,7 @@
 
 pub(super) async fn run(context: Context) {
     let client = client::Client::new().await;
-    let mut sweep = reap::Sweep::new(context.settings.reap.clone());
+    let mut sweep = reap::Reaper::new(context.settings.reap.clone());
     let mut neighbours = collections::BTreeSet::new();
     loop {
         let wait = context.settings.sweep.mul_f64(rand::random_range(0.9..1.1));
@@ -36,31 +36,33 @@
         let now = context.clock.now();
         for (host, word) in own_words(&context).await {
             neighbours.insert(host);
-            sweep.take(&word, true, now);
+            sweep.apply_status(&word, true, now);
         }
         for (upstream, address) in observe::owned(&context) {
             let listed = engine::holdings(&client, address, &context.settings.zone);
             let Ok(Some(holdings)) = tokio::time::timeout(TIMEOUT, listed).await else { continue };
-            let mut strangers = sweep.questions(&holdings, context.clock.now());
+            let mut strangers = sweep.owners_to_query(&holdings, context.clock.now());
             strangers.retain(|owner| !neighbours.contains(&owner.host));
             ask(&context, &mut sweep, &strangers).await;
-            let released = sweep.releases(&upstream, &holdings, context.clock.now());
+            let released = sweep.releasable(&upstream, &holdings, context.clock.now());
             release(&context, &client, (&upstream, address), &released).await;
         }
     }
 }
 
 /// What this zone knows of its own entry processes.
-async fn own_words(context: &Context) -> Vec<(id::Host, owner::Word)> {
+async fn own_words(context: &Context) -> Vec<(id::Host, owner::Status)> {
     let listed = listed(context).await;
     let core = context.core.borrow();
     let known = |host: &id::Host| match core.group.is_live(host) {
-        true => owner::Host::Live,
-        false => owner::Host::Dead { listed: listed.as_ref().map(|names| names.contains(host)) },
+        true => owner::HostState::Live,
+        false => {
+            owner::HostState::Dead { listed: listed.as_ref().map(|names| names.contains(host)) }
+        }
     };
     let reports = core.board.reports();
     reports
-        .map(|(host, report)| (host.clone(), owner::Word::new(host, report, known(host))))
+        .map(|(host, report)| (host.clone(), owner::Status::new(host, report, known(host))))
         .collect()
 }
 
@@ -79,7 +81,7 @@
 /// unless every zone answered.
 async fn ask(
     context: &Context,
-    sweep: &mut reap::Sweep,
+    sweep: &mut reap::Reaper,
     strangers: &collections::BTreeSet<id::Owner>,
 ) {
     if strangers.is_empty() {
@@ -94,16 +96,16 @@
     let mut known = collections::BTreeSet::new();
     for answer in answers {
         let words = answer.text.and_then(|text| serde_json::from_str(&text).ok());
-        let Some(words): Option<Vec<owner::Word>> = words else { continue };
+        let Some(words): Option<Vec<owner::Status>> = words else { continue };
         answered.insert(answer.zone);
         for word in words {
-            sweep.take(&word, false, now);
+            sweep.apply_status(&word, false, now);
             known.extend(word.owner.parse().map(|owner: id::Owner| owner.host));
         }
     }
     let is_whole = other_zones(context).is_subset(&answered);
     for owner in strangers.iter().filter(|owner| !known.contains(&owner.host)) {
-        if is_whole { sweep.gone(owner, now) } else { sweep.unsure(owner, now) }
+        if is_whole { sweep.record_gone(owner, now) } else { sweep.record_unsure(owner, now) }
     }
 }
 
@@ -116,7 +118,7 @@
 }
 
 /// What this zone knows of the hosts that `text` lists, for a steward of another zone.
-pub(super) async fn words(context: &Context, text: &str) -> Vec<owner::Word> {
+pub(super) async fn words(context: &Context, text: &str) -> Vec<owner::Status> {
     let hosts: Vec<id::Host> = serde_json::from_str(text).unwrap_or_default();
     let words = own_words(context).await.into_iter();
     words.filter(|(host, _)| hosts.contains(host)).map(|(_, word)| word).collect()
--- a/crates/lagoon-net/tests/claim_sweep.rs
+++ b/crates/lagoon-net/tests/claim_sweep.rs
@@ -8,7 +8,7 @@
 use lagoon_standin::platform as standin;
 use lagoonline::clock::Span;
 use lagoonline::id;
-use lagoonline::life::claim;
+use lagoonline::lifecycle::claim;
 
 const PATIENCE: time::Duration = time::Duration::from_secs(20);
 
@@ -40,7 +40,7 @@
             reads_per_second,
             ..platform::Settings::default()
         }),
-        claims: claim::Sweep { pace: quick, ..claim::Sweep::default() },
+        claims: claim::SweepSettings { interval: quick, ..claim::SweepSettings::default() },
         ..steward::Settings::default()
     });
     let steward = steward.expect("a steward");
--- a/crates/lagoon-net/tests/engine_events.rs
+++ b/crates/lagoon-net/tests/engine_events.rs
@@ -2,7 +2,7 @@
 
 use lagoon_net::engine;
 use lagoonline::id;
-use lagoonline::life::stream;
+use lagoonline::lifecycle::stream;
 use proptest::prelude::*;
 use proptest::test_runner;
 
--- a/crates/lagoon-net/tests/entry/takeover.rs
+++ b/crates/lagoon-net/tests/entry/takeover.rs
@@ -8,7 +8,7 @@
 
 use lagoon_standin::engine;
 use lagoonline::id;
-use lagoonline::life::claim;
+use lagoonline::lifecycle::claim;
 use rstest::rstest;
 use serde_json::Value;
 
--- a/crates/lagoon-net/tests/memory_sweep.rs
+++ b/crates/lagoon-net/tests/memory_sweep.rs
@@ -14,7 +14,7 @@
 use lagoon_standin::server;
 use lagoonline::clock::Span;
 use lagoonline::id;
-use lagoonline::life::reap;
+use lagoonline::lifecycle::reap;
 use rstest::rstest;
 use serde_json::json;
 
@@ -106,7 +106,11 @@
             peers: self.stewards.iter().map(steward::Running::address).collect(),
             operator_keys: vec![<sha2::Sha256 as sha2::Digest>::digest("operators").into()],
             sweep: Span::from_millis(100),
-            reap: reap::Settings { silence, takeover: silence, ..reap::Settings::default() },
+            reap: reap::Settings {
+                owner_timeout: silence,
+                takeover_window: silence,
+                ..reap::Settings::default()
+            },
             ..steward::Settings::default()
         });
         self.stewards.push(started.expect("a steward"));
--- a/crates/lagoon-standin/src/engine/orders.rs
+++ b/crates/lagoon-standin/src/engine/orders.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct Envelope {
     pub(crate) fence: u64,
-    pub(crate) order: engine::Order,
+    pub(crate) order: engine::Command,
 }
 
 /// The order's fencing number is old and the engine checks it.
@@ -64,11 +64,11 @@
         }
         self.fence = self.fence.max(envelope.fence);
         match envelope.order {
-            engine::Order::Role { role } => {
+            engine::Command::Role { role } => {
                 self.role = role;
                 Ok(None)
             }
-            engine::Order::Load { model, adapter, version } => {
+            engine::Command::Load { model, adapter, version } => {
                 let same = self.model == model.as_str();
                 if same && self.adapter == adapter && self.version == version {
                     return Ok(None);
--- a/crates/lagoonline/benches/decision.rs
+++ b/crates/lagoonline/benches/decision.rs
@@ -10,7 +10,7 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 use lagoonline::clock::{Moment, Span};
 use lagoonline::control::document;
-use lagoonline::life::fingerprint::Fingerprint;
+use lagoonline::lifecycle::fingerprint::Fingerprint;
 use lagoonline::load::{self, Ending, Scheduler, Verdict};
 use lagoonline::{id, view};
 
--- a/crates/lagoonline/src/clock.rs
+++ b/crates/lagoonline/src/clock.rs
@@ -54,10 +54,11 @@
     ///
     /// ```
     /// use lagoonline::clock::{Moment, Span};
-    /// assert_eq!(Moment::from_millis(9).before(Span::from_millis(4)), Moment::from_millis(5));
-    /// assert_eq!(Moment::from_millis(9).before(Span::from_secs(1)), Moment::START);
+    /// let moment = Moment::from_millis(9);
+    /// assert_eq!(moment.saturating_sub(Span::from_millis(4)), Moment::from_millis(5));
+    /// assert_eq!(moment.saturating_sub(Span::from_secs(1)), Moment::START);
     /// ```
-    pub fn before(self, span: Span) -> Moment {
+    pub fn saturating_sub(self, span: Span) -> Moment {
         Moment(self.0.saturating_sub(u64::try_from(span.as_micros()).unwrap_or(u64::MAX)))
     }
 }
@@ -82,23 +83,23 @@
 /// The monotonic and wall clock of the operating system.
 ///
 /// ```
-/// use lagoonline::clock::{Clock, Host};
-/// let clock = Host::default();
+/// use lagoonline::clock::{Clock, System};
+/// let clock = System::default();
 /// let first = clock.now();
 /// assert!(clock.now() >= first);
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Host {
+pub struct System {
     start: time::Instant,
 }
 
-impl Default for Host {
+impl Default for System {
     fn default() -> Self {
-        Host { start: time::Instant::now() }
+        System { start: time::Instant::now() }
     }
 }
 
-impl Clock for Host {
+impl Clock for System {
     fn now(&self) -> Moment {
         Moment::START + self.start.elapsed()
     }
--- a/crates/lagoonline/src/control/document/section.rs
+++ b/crates/lagoonline/src/control/document/section.rs
@@ -8,7 +8,7 @@
 use crate::check;
 use crate::clock;
 use crate::id;
-use crate::life::claim;
+use crate::lifecycle::claim;
 use crate::port::engine;
 
 /// One version of one team's section.
@@ -84,7 +84,7 @@
 }
 
 /// Longest deadline that a document may allow, in milliseconds.
-const DEADLINE_LIMIT_MS: u64 = claim::LONGEST_DEADLINE.as_secs() * 1_000;
+const DEADLINE_LIMIT_MS: u64 = claim::MAX_DEADLINE.as_secs() * 1_000;
 
 fn read_customer(reader: &check::Reader<'_>) -> body::Customer {
     let usual = body::Customer::default();
--- a/crates/lagoonline/src/control/order.rs
+++ b/crates/lagoonline/src/control/order.rs
@@ -87,9 +87,9 @@
     /// A higher fencing number has been there: another holds the lease.
     Superseded,
     /// Send this.
-    Send(engine::Order),
+    Send(engine::Command),
     /// Send this; the engine obeyed an order that did not come from the lease that it names.
-    Repair(engine::Order),
+    Repair(engine::Command),
 }
 
 /// Decides on one look at an engine.
@@ -113,7 +113,7 @@
         return Decision::Wait;
     }
     let Some(order) = missing(wanted, actual) else { return Decision::Nothing };
-    let is_load = matches!(order, engine::Order::Load { .. });
+    let is_load = matches!(order, engine::Command::Load { .. });
     // A load ends what the engine serves. Where fencing numbers are ignored, a late one could not
     // be told from a good one, so none is sent while there is something to lose.
     if is_load && situation.busy > 0 && !situation.checks_fence {
@@ -126,12 +126,12 @@
     Decision::Send(order)
 }
 
-fn missing(wanted: &Wanted, actual: &Actual) -> Option<engine::Order> {
+fn missing(wanted: &Wanted, actual: &Actual) -> Option<engine::Command> {
     let serves = wanted.models.iter().any(|model| model.as_str() == actual.model);
     if !serves {
         let model = wanted.models.first()?.clone();
         let (adapter, version) = (String::new(), String::new());
-        return Some(engine::Order::Load { model, adapter, version });
+        return Some(engine::Command::Load { model, adapter, version });
     }
-    (wanted.role != actual.role).then_some(engine::Order::Role { role: wanted.role })
+    (wanted.role != actual.role).then_some(engine::Command::Role { role: wanted.role })
 }
--- a/crates/lagoonline/src/id.rs
+++ b/crates/lagoonline/src/id.rs
@@ -135,16 +135,16 @@
 /// The text is not 32 hex digits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("an attempt is {ATTEMPT_DIGITS} hex digits")]
-pub struct BadAttempt;
+pub struct ParseAttemptError;
 
 impl std::str::FromStr for Attempt {
-    type Err = BadAttempt;
+    type Err = ParseAttemptError;
 
-    fn from_str(text: &str) -> Result<Self, BadAttempt> {
+    fn from_str(text: &str) -> Result<Self, ParseAttemptError> {
         if text.len() != ATTEMPT_DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-            return Err(BadAttempt);
+            return Err(ParseAttemptError);
         }
-        u128::from_str_radix(text, 16).map(Attempt).map_err(|_| BadAttempt)
+        u128::from_str_radix(text, 16).map(Attempt).map_err(|_| ParseAttemptError)
     }
 }
 
@@ -173,14 +173,14 @@
 /// The text is not `HOST/INCARNATION`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("an owner is HOST/INCARNATION")]
-pub struct BadOwner;
+pub struct ParseOwnerError;
 
 impl std::str::FromStr for Owner {
-    type Err = BadOwner;
+    type Err = ParseOwnerError;
 
-    fn from_str(text: &str) -> Result<Self, BadOwner> {
-        let (host, number) = text.rsplit_once('/').ok_or(BadOwner)?;
-        let number = number.parse().map_err(|_| BadOwner)?;
+    fn from_str(text: &str) -> Result<Self, ParseOwnerError> {
+        let (host, number) = text.rsplit_once('/').ok_or(ParseOwnerError)?;
+        let number = number.parse().map_err(|_| ParseOwnerError)?;
         Ok(Owner { host: Host::from(host), incarnation: Incarnation(number) })
     }
 }
--- a/crates/lagoonline/src/lib.rs
+++ b/crates/lagoonline/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod clock;
 pub mod control;
 pub mod id;
-pub mod life;
+pub mod lifecycle;
 pub mod load;
 pub mod outcome;
 pub mod port;
--- a/crates/lagoonline/src/life/claim/decision.rs
+++ b/crates/lagoonline/src/lifecycle/claim/decision.rs
@@ -3,13 +3,13 @@
 use super::record;
 use super::ticket;
 use crate::id;
-use crate::life::request;
-use crate::life::safeguard;
+use crate::lifecycle::request;
+use crate::lifecycle::safeguard;
 use crate::port::table;
 
 /// How to proceed with a request, given the row of its key.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum Decision {
     /// The key is free: the row may be overwritten at this version, where 0 means that it is
     /// absent.
     Free(u64),
@@ -30,38 +30,42 @@
 /// Returns how `request` proceeds; `row` is the result of reading its key.
 ///
 /// ```
-/// use lagoonline::life::{claim::{decide, Ask, Verdict}, request::Repeat, safeguard};
+/// use lagoonline::lifecycle::{claim::{decide, Decision, Request}, request::Repeat, safeguard};
 /// use lagoonline::{clock::Moment, id};
-/// let ask = Ask {
-///     customer: id::Customer::from("crew"), key: "k".into(), body: "b".into(),
+/// let ask = Request {
+///     customer: id::Customer::from("crew"), key: "k".into(), body_hash: "b".into(),
 ///     repeat: Repeat::Never, token: id::Attempt(1), upstream: id::Upstream::from("u"),
 ///     deadline: Moment::NEVER, wall_ms: 0,
 /// };
-/// assert_eq!(decide(None, &ask, safeguard::Set::default()), Verdict::Free(0));
+/// assert_eq!(decide(None, &ask, safeguard::Set::default()), Decision::Free(0));
 /// ```
-pub fn decide(row: Option<&table::Row>, ask: &record::Ask, safeguards: safeguard::Set) -> Verdict {
+pub fn decide(
+    row: Option<&table::Row>,
+    ask: &record::Request,
+    safeguards: safeguard::Set,
+) -> Decision {
     let Some(row) = row else {
-        return Verdict::Free(0);
+        return Decision::Free(0);
     };
     let Ok(record) = serde_json::from_str::<record::Record>(&row.value) else {
-        return Verdict::Unreadable;
+        return Decision::Unreadable;
     };
     if record.state == record::State::Released {
-        return Verdict::Free(row.version);
+        return Decision::Free(row.version);
     }
     if record.token == ask.token.to_string() {
-        return Verdict::Mine(row.version);
+        return Decision::Mine(row.version);
     }
-    if record.body != ask.body && safeguards.has(safeguard::Safeguard::BodyMatch) {
-        return Verdict::Reused;
+    if record.body != ask.body_hash && safeguards.has(safeguard::Safeguard::BodyMatch) {
+        return Decision::Reused;
     }
     match record.state {
-        record::State::Done { .. } => Verdict::Replay(record),
-        record::State::Released => Verdict::Free(row.version),
+        record::State::Done { .. } => Decision::Replay(record),
+        record::State::Released => Decision::Free(row.version),
         record::State::Unknown => may_have_run(row.version, ask, safeguards),
         record::State::Claimed { ref attempt, ref upstream } => match ask.repeat {
             request::Repeat::Never => may_have_run(row.version, ask, safeguards),
-            request::Repeat::Allowed => Verdict::Running(ticket::Running {
+            request::Repeat::Allowed => Decision::Running(ticket::Running {
                 attempt: attempt.parse::<id::Attempt>().unwrap_or_default(),
                 upstream: upstream.clone(),
                 holder: record.holder.clone(),
@@ -74,11 +78,11 @@
 /// A non-repeatable call must not run twice. If the claim of a host that seems dead were taken
 /// over, its call, already dispatched, could run as well. No sign of a host's death proves that
 /// nothing was sent, so only the claim holder itself frees such a key, by writing `released`.
-fn may_have_run(version: u64, ask: &record::Ask, safeguards: safeguard::Set) -> Verdict {
+fn may_have_run(version: u64, ask: &record::Request, safeguards: safeguard::Set) -> Decision {
     let repeatable = ask.repeat == request::Repeat::Allowed;
     if repeatable || !safeguards.has(safeguard::Safeguard::NoTakeover) {
-        Verdict::Free(version)
+        Decision::Free(version)
     } else {
-        Verdict::Unknown
+        Decision::Unknown
     }
 }
--- a/crates/lagoonline/src/life/claim/driver.rs
+++ b/crates/lagoonline/src/lifecycle/claim/driver.rs
@@ -8,8 +8,8 @@
 use super::ticket;
 use crate::clock;
 use crate::id;
-use crate::life::request;
-use crate::life::safeguard;
+use crate::lifecycle::request;
+use crate::lifecycle::safeguard;
 use crate::outcome;
 use crate::port::objects;
 use crate::port::table;
@@ -98,7 +98,7 @@
     ///
     /// `KeyReused`, `EarlierUnknown` or `PlatformDown`. The request itself did not run in any of
     /// these cases; the outcome is `unknown` if an earlier request with the same key may have run.
-    pub async fn begin(&self, ask: record::Ask) -> Result<Begin, Box<Refusal>> {
+    pub async fn begin(&self, ask: record::Request) -> Result<Begin, Box<Refusal>> {
         self.claim(ask, 0, 0).await
     }
 
@@ -109,7 +109,7 @@
     /// Same as [`Claims::begin`].
     pub async fn take_over(
         &self,
-        ask: record::Ask,
+        ask: record::Request,
         running: &ticket::Running,
     ) -> Result<Begin, Box<Refusal>> {
         let over = match ask.repeat {
@@ -121,7 +121,12 @@
 
     /// `at` is the row version to overwrite. A running claim at version `replaceable` may be
     /// replaced.
-    async fn claim(&self, ask: record::Ask, mut at: u64, over: u64) -> Result<Begin, Box<Refusal>> {
+    async fn claim(
+        &self,
+        ask: record::Request,
+        mut at: u64,
+        over: u64,
+    ) -> Result<Begin, Box<Refusal>> {
         let row = self.row(&ask);
         let record = self.record(&ask, claimed(&ask, ask.token));
         let mut unsure = None;
@@ -143,12 +148,12 @@
                 continue;
             };
             match decision::decide(found.as_ref(), &ask, self.settings.safeguards) {
-                decision::Verdict::Free(_) if refused => break,
-                decision::Verdict::Free(version) => at = version,
-                decision::Verdict::Mine(version) => {
+                decision::Decision::Free(_) if refused => break,
+                decision::Decision::Free(version) => at = version,
+                decision::Decision::Mine(version) => {
                     return Ok(Begin::Run(self.ticket(ask, row, version)));
                 }
-                decision::Verdict::Running(running) if running.version == over => at = over,
+                decision::Decision::Running(running) if running.version == over => at = over,
                 verdict => return self.other(verdict).await,
             }
         }
@@ -156,13 +161,13 @@
     }
 
     /// Handles a key that is held by another request.
-    async fn other(&self, verdict: decision::Verdict) -> Result<Begin, Box<Refusal>> {
+    async fn other(&self, verdict: decision::Decision) -> Result<Begin, Box<Refusal>> {
         match verdict {
-            decision::Verdict::Reused => {
+            decision::Decision::Reused => {
                 Err(failure(outcome::Reason::KeyReused, outcome::Outcome::NotRun).into())
             }
-            decision::Verdict::Running(running) => Ok(Begin::Running(running)),
-            decision::Verdict::Replay(record) => self.replay(record).await,
+            decision::Decision::Running(running) => Ok(Begin::Running(running)),
+            decision::Decision::Replay(record) => self.replay(record).await,
             _ => {
                 let failure = failure(outcome::Reason::EarlierUnknown, outcome::Outcome::Unknown);
                 Err(failure.retry_after(self.settings.retry_after).into())
@@ -174,7 +179,7 @@
     /// so the request cannot be dispatched and `not-run` stays true.
     fn give_up(
         &self,
-        ask: &record::Ask,
+        ask: &record::Request,
         row: String,
         record: record::Record,
         unsure: Option<u64>,
@@ -193,8 +198,8 @@
             return Err(failure(outcome::Reason::Internal, outcome::Outcome::Unknown).into());
         };
         let body = match kept {
-            record::Kept::Inline(text) => Bytes::from(text),
-            record::Kept::Object(key) => match self.objects.get(&key).await {
+            record::BodyLocation::Inline(text) => Bytes::from(text),
+            record::BodyLocation::Object(key) => match self.objects.get(&key).await {
                 Ok(body) => body.unwrap_or_default(),
                 Err(_) => {
                     let failure = failure(outcome::Reason::PlatformDown, outcome::Outcome::Unknown);
@@ -240,7 +245,7 @@
 
     /// Records that the request may have run and that its answer is lost. If the write fails the
     /// row stays `claimed`, which other hosts treat the same way.
-    pub async fn lose(&self, sent: ticket::Sent) {
+    pub async fn mark_unknown(&self, sent: ticket::Sent) {
         let keep = self.settings.safeguards.has(safeguard::Safeguard::UnknownKept);
         let state = if keep { record::State::Unknown } else { record::State::Released };
         self.rewrite(&sent.0, state).await;
@@ -274,14 +279,18 @@
         }
     }
 
-    async fn keep(&self, sent: &ticket::Sent, answer: &record::Answer) -> Option<record::Kept> {
+    async fn keep(
+        &self,
+        sent: &ticket::Sent,
+        answer: &record::Answer,
+    ) -> Option<record::BodyLocation> {
         let short = answer.body.len() <= self.settings.inline_bytes;
         if let (true, Ok(text)) = (short, std::str::from_utf8(&answer.body)) {
-            return Some(record::Kept::Inline(text.to_owned()));
+            return Some(record::BodyLocation::Inline(text.to_owned()));
         }
         let key = format!("answer/{}/{}", sent.0.row, sent.0.ask.token);
         self.objects.put(&key, answer.body.clone()).await.ok()?;
-        Some(record::Kept::Object(key))
+        Some(record::BodyLocation::Object(key))
     }
 
     /// Makes one attempt to free the key of an abandoned claim; returns `true` when nothing is left
@@ -370,7 +379,7 @@
         Ok(versions.first().copied().unwrap_or(at + 1))
     }
 
-    fn row(&self, ask: &record::Ask) -> String {
+    fn row(&self, ask: &record::Request) -> String {
         if self.settings.safeguards.has(safeguard::Safeguard::CustomerScope) {
             record::row_key(&ask.customer, &ask.key)
         } else {
@@ -378,22 +387,22 @@
         }
     }
 
-    fn record(&self, ask: &record::Ask, state: record::State) -> record::Record {
+    fn record(&self, ask: &record::Request, state: record::State) -> record::Record {
         record::Record {
             token: ask.token.to_string(),
-            body: ask.body.clone(),
+            body: ask.body_hash.clone(),
             holder: self.settings.owner.to_string(),
             written_ms: ask.wall_ms,
             state,
         }
     }
 
-    fn ticket(&self, ask: record::Ask, row: String, version: u64) -> ticket::Ticket {
+    fn ticket(&self, ask: record::Request, row: String, version: u64) -> ticket::Ticket {
         ticket::Ticket { ask, row, version, safeguards: self.settings.safeguards }
     }
 }
 
-fn claimed(ask: &record::Ask, attempt: id::Attempt) -> record::State {
+fn claimed(ask: &record::Request, attempt: id::Attempt) -> record::State {
     record::State::Claimed { attempt: attempt.to_string(), upstream: ask.upstream.clone() }
 }
 
--- a/crates/lagoonline/src/life/claim/mod.rs
+++ b/crates/lagoonline/src/lifecycle/claim/mod.rs
@@ -12,9 +12,9 @@
 mod sweep;
 mod ticket;
 
-pub use decision::{Verdict, decide};
+pub use decision::{Decision, decide};
 pub use driver::{Abandoned, Begin, Claims, Refusal, Unstored};
-pub use record::{Answer, Ask, Kept, Record, State, body_hash, row_key, shard};
-pub use settings::{LEAST_RETENTION, LONGEST_DEADLINE, Settings};
-pub use sweep::{SHARDS, Sweep, Sweeper, turn};
+pub use record::{Answer, BodyLocation, Record, Request, State, body_hash, row_key, shard};
+pub use settings::{MAX_DEADLINE, MIN_RETENTION, Settings};
+pub use sweep::{SHARDS, SweepSettings, Sweeper, scheduled_shard};
 pub use ticket::{Expired, Running, Sent, Ticket};
--- a/crates/lagoonline/src/life/claim/record.rs
+++ b/crates/lagoonline/src/lifecycle/claim/record.rs
@@ -6,17 +6,17 @@
 
 use crate::clock;
 use crate::id;
-use crate::life::request;
+use crate::lifecycle::request;
 
 /// A request with an idempotency key that is to be run.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct Request {
     /// The calling customer, which is the scope of the key.
     pub customer: id::Customer,
     /// The idempotency key sent by the caller.
     pub key: String,
     /// Hash of the request, from [`body_hash`].
-    pub body: String,
+    pub body_hash: String,
     /// Whether the call may run more than once.
     pub repeat: request::Repeat,
     /// Identifies this claim; unique to each request.
@@ -43,7 +43,7 @@
 /// Where the body of a stored answer is kept.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kept {
+pub enum BodyLocation {
     /// In the row itself.
     Inline(String),
     /// In the object store, under this key.
@@ -68,7 +68,7 @@
         /// The `Content-Type`.
         content_type: String,
         /// Location of the body.
-        kept: Kept,
+        kept: BodyLocation,
         /// Length of the body in bytes.
         bytes: u64,
         /// SHA-256 of the body in hex digits.
@@ -107,7 +107,7 @@
 /// Returns a hash of the parts that identify a request: method, path with query, and body.
 ///
 /// ```
-/// use lagoonline::life::claim::body_hash;
+/// use lagoonline::lifecycle::claim::body_hash;
 /// assert_ne!(body_hash("POST", "/a", b"b"), body_hash("POST", "/ab", b""));
 /// ```
 pub fn body_hash(method: &str, path: &str, body: &[u8]) -> String {
@@ -123,7 +123,7 @@
 /// address another customer's row.
 ///
 /// ```
-/// use lagoonline::{id::Customer, life::claim::row_key};
+/// use lagoonline::{id::Customer, lifecycle::claim::row_key};
 /// let key = row_key(&Customer::from("crew"), "../other/x");
 /// assert!(key.contains("/crew/") && !key.contains(".."));
 /// ```
@@ -135,7 +135,7 @@
 /// Returns the shard of a key's row, derived from the key's hash. Rows are swept shard by shard.
 ///
 /// ```
-/// use lagoonline::{id::Customer, life::claim::{row_key, shard}};
+/// use lagoonline::{id::Customer, lifecycle::claim::{row_key, shard}};
 /// let row = row_key(&Customer::from("crew"), "k");
 /// assert!(row.starts_with(&format!("claim/{:02x}/crew/", shard("k"))));
 /// ```
--- a/crates/lagoonline/src/life/claim/settings.rs
+++ b/crates/lagoonline/src/lifecycle/claim/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::clock;
 use crate::id;
-use crate::life::safeguard;
+use crate::lifecycle::safeguard;
 
 /// Limits for idempotency claims.
 #[derive(Clone, Debug)]
@@ -25,13 +25,12 @@
 /// Three commits cover one lost reply and one lost race; more would add load during an outage.
 const ROUNDS: u32 = 3;
 /// Shortest claim retention that a site may configure.
-pub const LEAST_RETENTION: clock::Span = clock::Span::from_secs(24 * 3_600);
+pub const MIN_RETENTION: clock::Span = clock::Span::from_secs(24 * 3_600);
 /// Longest deadline that a document may configure. A row is written until `WRITE_GRACE` after the
 /// deadline, and the same time again is left for a suspended host or a delayed commit before the
 /// retention can end. Otherwise a host could dispatch, or free, a key whose row has been deleted,
 /// and the call would run twice.
-pub const LONGEST_DEADLINE: clock::Span =
-    LEAST_RETENTION.saturating_sub(PATIENCE.saturating_mul(2));
+pub const MAX_DEADLINE: clock::Span = MIN_RETENTION.saturating_sub(PATIENCE.saturating_mul(2));
 /// A platform outage may last this long before an answer is left unstored.
 const PATIENCE: clock::Span = clock::Span::from_secs(3_600);
 /// Covers most booking answers and keeps scanned rows small.
--- a/crates/lagoonline/src/life/claim/sweep.rs
+++ b/crates/lagoonline/src/lifecycle/claim/sweep.rs
@@ -17,52 +17,52 @@
 
 /// Limits of a sweep.
 #[derive(Clone, Debug)]
-pub struct Sweep {
+pub struct SweepSettings {
     /// How long a claim is kept, at least [`settings::MIN_RETENTION`]; one day covers a caller's
     /// retries after an outage.
     pub retention: clock::Span,
     /// Most rows read and deleted in one step, which is one read and one write.
     pub batch: usize,
     /// Time between two steps across the whole fleet.
-    pub pace: clock::Span,
+    pub interval: clock::Span,
 }
 
 /// Rows per read and commit.
 const BATCH: usize = 200;
 /// Scans rows at twice the rate at which 90 keyed calls per second add them; this takes one of
 /// every 2,000 reads.
-const PACE: clock::Span = clock::Span::from_secs(1);
+const INTERVAL: clock::Span = clock::Span::from_secs(1);
 
-impl Default for Sweep {
+impl Default for SweepSettings {
     fn default() -> Self {
-        Sweep { retention: settings::LEAST_RETENTION, batch: BATCH, pace: PACE }
+        SweepSettings { retention: settings::MIN_RETENTION, batch: BATCH, interval: INTERVAL }
     }
 }
 
 /// Returns the shard to sweep at this wall time, and the time until the next one.
 ///
 /// ```
-/// use lagoonline::{clock::Span, life::claim::turn};
-/// let pace = Span::from_secs(1);
-/// assert_eq!(turn(257_400, pace), (1, Span::from_millis(600)));
+/// use lagoonline::{clock::Span, lifecycle::claim::scheduled_shard};
+/// let interval = Span::from_secs(1);
+/// assert_eq!(scheduled_shard(257_400, interval), (1, Span::from_millis(600)));
 /// ```
-pub fn turn(wall_ms: u64, pace: clock::Span) -> (u8, clock::Span) {
-    let pace = u64::try_from(pace.as_millis()).unwrap_or(u64::MAX).max(1);
-    let shard = u8::try_from(wall_ms / pace % SHARDS).unwrap_or_default();
-    (shard, clock::Span::from_millis(pace - wall_ms % pace))
+pub fn scheduled_shard(wall_ms: u64, interval: clock::Span) -> (u8, clock::Span) {
+    let interval = u64::try_from(interval.as_millis()).unwrap_or(u64::MAX).max(1);
+    let shard = u8::try_from(wall_ms / interval % SHARDS).unwrap_or_default();
+    (shard, clock::Span::from_millis(interval - wall_ms % interval))
 }
 
 /// Scans the claim rows of one shard in key order, repeatedly.
 #[derive(Clone, Debug)]
 pub struct Sweeper {
-    settings: Sweep,
+    settings: SweepSettings,
     prefix: String,
     after: String,
 }
 
 impl Sweeper {
     /// Creates a sweeper positioned before the first row of `shard`.
-    pub fn new(settings: Sweep, shard: u8) -> Self {
+    pub fn new(settings: SweepSettings, shard: u8) -> Self {
         Sweeper { settings, prefix: record::shard_prefix(shard), after: String::new() }
     }
 
--- a/crates/lagoonline/src/life/claim/ticket.rs
+++ b/crates/lagoonline/src/lifecycle/claim/ticket.rs
@@ -4,13 +4,13 @@
 use super::record;
 use crate::clock;
 use crate::id;
-use crate::life::safeguard;
+use crate::lifecycle::safeguard;
 
 /// The right to dispatch a request under its key. The row is known to be in the table and no
 /// attempt is in flight.
 #[derive(Debug)]
 pub struct Ticket {
-    pub(super) ask: record::Ask,
+    pub(super) ask: record::Request,
     pub(super) row: String,
     pub(super) version: u64,
     pub(super) safeguards: safeguard::Set,
--- a/crates/lagoonline/src/life/drain.rs
+++ b/crates/lagoonline/src/lifecycle/drain.rs
@@ -40,18 +40,18 @@
     /// Requests still in flight fail with `Draining`, then the process exits.
     Ended {
         /// Whether requests were in flight.
-        cut: bool,
+        interrupted: bool,
     },
 }
 
 /// State machine of the shutdown.
 ///
 /// ```
-/// use lagoonline::{clock::Moment, life::drain::{Drain, State}};
+/// use lagoonline::{clock::Moment, lifecycle::drain::{Drain, State}};
 /// let mut drain = Drain::default();
 /// drain.signal(Moment::START, 1);
 /// assert_eq!(drain.tick(Moment::from_millis(5_000), 1), State::Draining);
-/// assert_eq!(drain.tick(Moment::from_millis(6_000), 0), State::Ended { cut: false });
+/// assert_eq!(drain.tick(Moment::from_millis(6_000), 0), State::Ended { interrupted: false });
 /// ```
 #[derive(Clone, Debug)]
 pub struct Drain {
@@ -80,7 +80,7 @@
                 self.since = now;
                 State::Unready
             }
-            State::Unready | State::Draining => State::Ended { cut: open > 0 },
+            State::Unready | State::Draining => State::Ended { interrupted: open > 0 },
             ended @ State::Ended { .. } => ended,
         };
         self.state
@@ -95,9 +95,9 @@
         }
         let going = matches!(self.state, State::Unready | State::Draining);
         if self.state == State::Draining && open == 0 {
-            self.state = State::Ended { cut: false };
+            self.state = State::Ended { interrupted: false };
         } else if going && elapsed >= self.settings.grace {
-            self.state = State::Ended { cut: open > 0 };
+            self.state = State::Ended { interrupted: open > 0 };
         }
         self.state
     }
--- a/crates/lagoonline/src/life/fingerprint.rs
+++ b/crates/lagoonline/src/lifecycle/fingerprint.rs
@@ -16,7 +16,7 @@
 /// hashing that a set holds no fingerprint of that length.
 ///
 /// ```
-/// use lagoonline::life::fingerprint::Fingerprint;
+/// use lagoonline::lifecycle::fingerprint::Fingerprint;
 /// let first = Fingerprint::new("acme", "/talk/a", b"hello");
 /// assert_eq!(first, Fingerprint::new("acme", "/talk/a", b"hello"));
 /// assert_ne!(first, Fingerprint::new("acme", "/talk/", b"ahello"));
@@ -50,7 +50,7 @@
     /// Returns the range of all fingerprints of requests whose body has `length` bytes.
     ///
     /// ```
-    /// use lagoonline::life::fingerprint::Fingerprint;
+    /// use lagoonline::lifecycle::fingerprint::Fingerprint;
     /// let of_five = Fingerprint::of_length(5);
     /// assert!(of_five.contains(&Fingerprint::new("acme", "/talk/a", b"hello")));
     /// ```
@@ -76,7 +76,7 @@
     /// Fails if the digest does not have the right length.
     ///
     /// ```
-    /// use lagoonline::life::fingerprint::Fingerprint;
+    /// use lagoonline::lifecycle::fingerprint::Fingerprint;
     /// let first = Fingerprint::new("acme", "/talk/a", b"hello");
     /// assert_eq!(Fingerprint::from_parts(5, first.digest()), Ok(first));
     /// assert!(Fingerprint::from_parts(5, b"short").is_err());
--- a/crates/lagoonline/src/life/leaving.rs
+++ b/crates/lagoonline/src/lifecycle/leaving.rs
@@ -10,7 +10,7 @@
 use std::collections;
 
 use crate::id;
-use crate::life::safeguard;
+use crate::lifecycle::safeguard;
 use crate::port::hosts;
 
 /// Whether the latest known incarnation of an upstream is leaving.
@@ -25,7 +25,7 @@
 /// The marks of all upstreams.
 ///
 /// ```
-/// use lagoonline::{id::{Incarnation, Upstream}, life::leaving::{Mark, Marks}};
+/// use lagoonline::{id::{Incarnation, Upstream}, lifecycle::leaving::{Mark, Marks}};
 /// let (mut marks, engine) = (Marks::default(), Upstream::from("e"));
 /// marks.merge(&engine, Mark { incarnation: Incarnation(4), leaving: true });
 /// marks.merge(&engine, Mark { incarnation: Incarnation(4), leaving: false });
@@ -63,8 +63,8 @@
     }
 
     /// Merges the platform's host list; returns the marks that changed.
-    pub fn listed(&mut self, lines: &[hosts::Line]) -> Vec<(id::Upstream, Mark)> {
-        let merge = |line: &hosts::Line| {
+    pub fn apply_list(&mut self, lines: &[hosts::Entry]) -> Vec<(id::Upstream, Mark)> {
+        let merge = |line: &hosts::Entry| {
             let upstream = id::Upstream::from(line.name.as_str());
             let leaving = line.state == hosts::State::Leaving;
             let mark = Mark { incarnation: line.incarnation, leaving };
@@ -75,7 +75,7 @@
 
     /// Records that the upstream itself refused work because it is leaving; this applies to the
     /// incarnation named in its last load report.
-    pub fn refused(&mut self, upstream: &id::Upstream) -> Option<Mark> {
+    pub fn record_refusal(&mut self, upstream: &id::Upstream) -> Option<Mark> {
         match self.marks.get(upstream).copied() {
             Some(known) => self.merge(upstream, Mark { leaving: true, ..known }),
             None => {
--- a/crates/lagoonline/src/life/owner.rs
+++ b/crates/lagoonline/src/lifecycle/owner.rs
@@ -14,7 +14,7 @@
 /// Liveness of an entry process, as known to the stewards of its zone.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Sign {
+pub enum Liveness {
     /// Its steward receives its reports.
     Serving,
     /// Its steward is alive and receives no reports from it, or its host is dead and no longer
@@ -26,7 +26,7 @@
 
 /// State of the host that an entry process runs on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Host {
+pub enum HostState {
     /// Its steward is reachable.
     Live,
     /// Its steward is not reachable.
@@ -38,35 +38,35 @@
 
 /// Status of an owner, as reported by its zone.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Word {
+pub struct Status {
     /// The host's latest incarnation, as `HOST/INCARNATION`.
     pub owner: String,
     /// Its liveness.
-    pub sign: Sign,
+    pub sign: Liveness,
 }
 
-impl Word {
+impl Status {
     /// Derives the status from the last report of the process and the state of its host.
     ///
     /// ```
     /// use lagoonline::{control::spread::Report, id::{Host, Incarnation}};
-    /// use lagoonline::life::owner::{self, Sign, Word};
+    /// use lagoonline::lifecycle::owner::{self, Liveness, Status};
     /// let report = Report { incarnation: Incarnation(7), ready: true, ..Report::default() };
     /// let host = Host::from("suva-1");
-    /// let sign = |report: &Report, known| Word::new(&host, report, known).sign;
-    /// assert_eq!(sign(&report, owner::Host::Live), Sign::Serving);
-    /// assert_eq!(sign(&report, owner::Host::Dead { listed: None }), Sign::Unsure);
-    /// assert_eq!(sign(&report, owner::Host::Dead { listed: Some(false) }), Sign::Gone);
+    /// let sign = |report: &Report, known| Status::new(&host, report, known).sign;
+    /// assert_eq!(sign(&report, owner::HostState::Live), Liveness::Serving);
+    /// assert_eq!(sign(&report, owner::HostState::Dead { listed: None }), Liveness::Unsure);
+    /// assert_eq!(sign(&report, owner::HostState::Dead { listed: Some(false) }), Liveness::Gone);
     /// let closed = Report { ready: false, ..report.clone() };
-    /// assert_eq!(sign(&closed, owner::Host::Live), Sign::Gone);
+    /// assert_eq!(sign(&closed, owner::HostState::Live), Liveness::Gone);
     /// ```
-    pub fn new(host: &id::Host, report: &spread::Report, known: Host) -> Self {
+    pub fn new(host: &id::Host, report: &spread::Report, known: HostState) -> Self {
         let owner = id::Owner { host: host.clone(), incarnation: report.incarnation };
         let sign = match known {
-            Host::Live if report.ready || report.draining => Sign::Serving,
-            Host::Live | Host::Dead { listed: Some(false) } => Sign::Gone,
-            Host::Dead { listed: Some(true) | None } => Sign::Unsure,
+            HostState::Live if report.ready || report.draining => Liveness::Serving,
+            HostState::Live | HostState::Dead { listed: Some(false) } => Liveness::Gone,
+            HostState::Dead { listed: Some(true) | None } => Liveness::Unsure,
         };
-        Word { owner: owner.to_string(), sign }
+        Status { owner: owner.to_string(), sign }
     }
 }
--- a/crates/lagoonline/src/life/quarantine/evidence.rs
+++ b/crates/lagoonline/src/lifecycle/quarantine/evidence.rs
@@ -5,7 +5,7 @@
 use super::{Settings, Suspect, Weight};
 use crate::clock;
 use crate::id;
-use crate::life::fingerprint::Fingerprint;
+use crate::lifecycle::fingerprint::Fingerprint;
 
 /// A crash of an upstream.
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
     }
 
     /// Returns whether a suspected or trusted request has a body of this length.
-    pub(super) fn knows_length(&self, length: u64) -> bool {
+    pub(super) fn has_length(&self, length: u64) -> bool {
         let range = Fingerprint::of_length(length);
         self.suspects.range(range.clone()).next().is_some()
             || self.trusted.range(range).next().is_some()
@@ -58,7 +58,7 @@
         crash.explained |= explained;
         for Suspect { fingerprint, weight } in suspects {
             let trust = self.trusted.get(fingerprint);
-            if trust.is_some_and(|at| now.since(*at) < self.settings.trust) {
+            if trust.is_some_and(|at| now.since(*at) < self.settings.trust_duration) {
                 continue;
             }
             let known = crash.suspects.get(fingerprint).copied();
@@ -72,7 +72,7 @@
     /// Returns the id of the crash that a report about `upstream` made now belongs to; reports
     /// within the dedup window share one id.
     fn number(&mut self, upstream: &id::Upstream, now: clock::Moment) -> u64 {
-        let same = self.settings.same;
+        let same = self.settings.dedup_window;
         let recent = self.crashes.iter().rev().take_while(|(_, crash)| now.since(crash.at) < same);
         let mut recent = recent.filter(|(_, crash)| crash.upstream == *upstream);
         if let Some((number, _)) = recent.next() {
@@ -94,7 +94,7 @@
         if !was_suspect && before.is_none() {
             return false;
         }
-        let is_stale = before.is_none_or(|at| now.since(at) * 2 > self.settings.trust);
+        let is_stale = before.is_none_or(|at| now.since(at) * 2 > self.settings.trust_duration);
         if was_suspect || is_stale {
             self.trusted.insert(*request, now);
         }
@@ -138,7 +138,7 @@
         let mut together = 0;
         let mut first: Option<clock::Moment> = None;
         for crash in crashes {
-            if first.is_none_or(|first| crash.at.since(first) > self.settings.together) {
+            if first.is_none_or(|first| crash.at.since(first) > self.settings.correlation_window) {
                 sum += std::mem::take(&mut together);
                 first = Some(crash.at);
             }
@@ -150,14 +150,14 @@
 
     /// Returns the weight that counts as proof.
     fn proof(&self) -> usize {
-        self.settings.crashes * Weight::Begun.points()
+        self.settings.required_crashes * Weight::Begun.points()
     }
 
     /// Returns whether enough time has passed since the last crash for all hosts to have reported
     /// on it.
     pub(super) fn is_settled(&self, now: clock::Moment) -> bool {
         let last = self.crashes.last_key_value();
-        last.is_none_or(|(_, crash)| now.since(crash.at) >= self.settings.settle)
+        last.is_none_or(|(_, crash)| now.since(crash.at) >= self.settings.settle_time)
     }
 
     /// Returns how long a decision on `request` must wait for other hosts' reports, if the crashes
@@ -171,7 +171,7 @@
             return None;
         }
         let last = self.open(request).last()?;
-        let until = last.at + self.settings.settle;
+        let until = last.at + self.settings.settle_time;
         (until > now).then(|| until.since(now))
     }
 
@@ -188,7 +188,7 @@
     where
         Probation: Fn(&Fingerprint) -> bool,
     {
-        let settled = |crash: &&Crash| now.since(crash.at) >= self.settings.settle;
+        let settled = |crash: &&Crash| now.since(crash.at) >= self.settings.settle_time;
         let weigh = |request: &Fingerprint| self.weigh(request, self.open(request).filter(settled));
         let proves = |request: &Fingerprint, weight: usize| {
             if on_probation(request) {
@@ -204,7 +204,7 @@
     /// Returns whether another suspect was involved in all settled crashes of `request`.
     fn has_rival(&self, request: &Fingerprint, now: clock::Moment) -> bool {
         let mut crashes =
-            self.open(request).filter(|crash| now.since(crash.at) >= self.settings.settle);
+            self.open(request).filter(|crash| now.since(crash.at) >= self.settings.settle_time);
         let Some(first) = crashes.next() else { return false };
         let rivals = first.suspects.keys().filter(|rival| *rival != request);
         let mut rivals: Vec<_> = rivals.collect();
@@ -222,13 +222,15 @@
     /// Drops expired evidence. If there are too many suspects, those with the fewest crashes are
     /// dropped first, and among these the oldest.
     pub(super) fn expire(&mut self, now: clock::Moment) {
-        let Settings { memory, trust, most, most_crashes, .. } = self.settings;
+        let Settings { evidence_retention, trust_duration, max_entries, max_crashes, .. } =
+            self.settings;
         // Bounds memory when many suspects are answered: only the more recent half is kept.
-        let trust = if self.trusted.len() > most { trust / 2 } else { trust };
-        self.trusted.retain(|_, at| now.since(*at) < trust);
+        let trust_duration =
+            if self.trusted.len() > max_entries { trust_duration / 2 } else { trust_duration };
+        self.trusted.retain(|_, at| now.since(*at) < trust_duration);
         let before = self.crashes.len();
         while let Some((number, oldest)) = self.crashes.first_key_value() {
-            if now.since(oldest.at) < memory && self.crashes.len() <= most_crashes {
+            if now.since(oldest.at) < evidence_retention && self.crashes.len() <= max_crashes {
                 break;
             }
             let number = *number;
@@ -241,8 +243,8 @@
                 !numbers.is_empty()
             });
         }
-        if self.suspects.len() > most {
-            self.drop_weakest(self.suspects.len() - most);
+        if self.suspects.len() > max_entries {
+            self.drop_weakest(self.suspects.len() - max_entries);
         }
     }
 
--- a/crates/lagoonline/src/life/quarantine/mod.rs
+++ b/crates/lagoonline/src/lifecycle/quarantine/mod.rs
@@ -29,17 +29,17 @@
 
 use crate::clock;
 use crate::id;
-use crate::life::fingerprint::Fingerprint;
+use crate::lifecycle::fingerprint::Fingerprint;
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum Status {
     /// It may be sent.
-    Free,
+    Allowed,
     /// The decision is due after this time, once other hosts have reported on the last crash.
-    Undecided(clock::Span),
+    Pending(clock::Span),
     /// It is refused under this record.
-    Held(Record),
+    Quarantined(Record),
 }
 
 /// How far an upstream had got with a request when its connection broke.
@@ -99,20 +99,20 @@
 /// ```
 /// use lagoonline::clock::{Moment, Span};
 /// use lagoonline::id::Upstream;
-/// use lagoonline::life::fingerprint::Fingerprint;
-/// use lagoonline::life::quarantine::{Quarantine, Standing, Suspect, Weight};
+/// use lagoonline::lifecycle::fingerprint::Fingerprint;
+/// use lagoonline::lifecycle::quarantine::{Quarantine, Status, Suspect, Weight};
 ///
 /// let mut quarantine = Quarantine::default();
 /// let lethal = Fingerprint::new("acme", "/talk/a", b"a body");
 /// let suspect = Suspect { fingerprint: lethal, weight: Weight::Begun };
 /// let mut now = Moment::START;
 /// for upstream in ["e1", "e2", "e3"] {
-///     assert_eq!(quarantine.standing(&lethal, now), Standing::Free);
-///     quarantine.crashed(&Upstream::from(upstream), &[suspect], now);
+///     assert_eq!(quarantine.status(&lethal, now), Status::Allowed);
+///     quarantine.record_crash(&Upstream::from(upstream), &[suspect], now);
 ///     now = now + Span::from_secs(1);
 /// }
-/// assert_eq!(quarantine.judge(now).len(), 1);
-/// assert!(matches!(quarantine.standing(&lethal, now), Standing::Held(_)));
+/// assert_eq!(quarantine.evaluate(now).len(), 1);
+/// assert!(matches!(quarantine.status(&lethal, now), Status::Quarantined(_)));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Quarantine {
@@ -138,8 +138,8 @@
 
     /// Returns whether a suspected, trusted or quarantined request has a body of `length` bytes. If
     /// not, the fingerprint of such a request need not be computed.
-    pub fn knows_length(&self, length: u64) -> bool {
-        self.records.knows_length(length) || self.evidence.knows_length(length)
+    pub fn has_length(&self, length: u64) -> bool {
+        self.records.has_length(length) || self.evidence.has_length(length)
     }
 
     /// Returns the weight of a crash against a request that had made this progress, or `None` if it
@@ -149,15 +149,22 @@
         match progress {
             Progress::Unknown | Progress::Begun { events: 0, .. } => Some(Weight::Begun),
             Progress::Waiting => Some(Weight::Waiting),
-            Progress::Begun { span, .. } => (span <= self.settings.begin).then_some(Weight::Begun),
+            Progress::Begun { span, .. } => {
+                (span <= self.settings.start_window).then_some(Weight::Begun)
+            }
         }
     }
 
     /// Records that `suspects` were in flight at `upstream` when it crashed.
-    pub fn crashed(&mut self, upstream: &id::Upstream, suspects: &[Suspect], now: clock::Moment) {
+    pub fn record_crash(
+        &mut self,
+        upstream: &id::Upstream,
+        suspects: &[Suspect],
+        now: clock::Moment,
+    ) {
         let held = |suspect: &Suspect| {
             let record = self.records.get(&suspect.fingerprint);
-            record.is_some_and(|record| record.holds(now))
+            record.is_some_and(|record| record.is_active(now))
         };
         let (explain, suspects): (Vec<_>, Vec<_>) =
             suspects.iter().copied().partition(|suspect| held(suspect));
@@ -168,7 +175,7 @@
     /// Records that a request was answered completely, which shows that it does not crash
     /// upstreams. Returns whether other hosts should be told, and the record that ends its
     /// quarantine if it was in one.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         request: &Fingerprint,
         now: clock::Moment,
@@ -178,21 +185,21 @@
     }
 
     /// Returns whether a request may be sent.
-    pub fn standing(&self, request: &Fingerprint, now: clock::Moment) -> Standing {
-        if let Some(record) = self.records.get(request).filter(|record| record.holds(now)) {
-            return Standing::Held(*record);
+    pub fn status(&self, request: &Fingerprint, now: clock::Moment) -> Status {
+        if let Some(record) = self.records.get(request).filter(|record| record.is_active(now)) {
+            return Status::Quarantined(*record);
         }
         let unsettled = self.evidence.unsettled(request, now);
-        unsettled.map_or(Standing::Free, Standing::Undecided)
+        unsettled.map_or(Status::Allowed, Status::Pending)
     }
 
     /// Quarantines the requests that are proven to crash upstreams.
-    pub fn judge(&mut self, now: clock::Moment) -> Vec<Verdict> {
+    pub fn evaluate(&mut self, now: clock::Moment) -> Vec<Verdict> {
         let mut verdicts = Vec::new();
         while self.unjudged {
             let on_probation = |request: &Fingerprint| {
                 let record = self.records.get(request);
-                record.is_some_and(|record| !record.released && !record.holds(now))
+                record.is_some_and(|record| !record.released && !record.is_active(now))
             };
             let Some(request) = self.evidence.proven(on_probation, now) else {
                 self.unjudged = !self.evidence.is_settled(now);
@@ -207,14 +214,17 @@
 
     fn hold(&mut self, fingerprint: Fingerprint, crashes: usize, now: clock::Moment) -> Record {
         let known = self.records.get(&fingerprint);
-        let (version, times) = known.map_or((0, 0), |known| (known.version, known.times));
-        let span = self.settings.hold.saturating_mul(1_u32.checked_shl(times).unwrap_or(u32::MAX));
+        let (version, times) = known.map_or((0, 0), |known| (known.version, known.occurrences));
+        let span = self
+            .settings
+            .base_duration
+            .saturating_mul(1_u32.checked_shl(times).unwrap_or(u32::MAX));
         let record = Record {
             fingerprint,
             version: version + 1,
-            times: times + 1,
+            occurrences: times + 1,
             crashes: u32::try_from(crashes).unwrap_or(u32::MAX),
-            until: now + span.min(self.settings.longest_hold),
+            expires_at: now + span.min(self.settings.max_duration),
             released: false,
         };
         self.merge(record, now);
@@ -223,8 +233,9 @@
 
     /// Ends the quarantine of a request; returns `None` if it is not in quarantine.
     pub fn release(&mut self, request: &Fingerprint, now: clock::Moment) -> Option<Record> {
-        let known = self.records.get(request).filter(|record| record.holds(now))?;
-        let record = Record { version: known.version + 1, times: 0, released: true, ..*known };
+        let known = self.records.get(request).filter(|record| record.is_active(now))?;
+        let record =
+            Record { version: known.version + 1, occurrences: 0, released: true, ..*known };
         self.merge(record, now);
         Some(record)
     }
@@ -233,7 +244,7 @@
     /// newer than the known one.
     pub fn merge(&mut self, record: Record, now: clock::Moment) -> bool {
         let is_news = self.records.merge(record);
-        if is_news && record.holds(now) {
+        if is_news && record.is_active(now) {
             self.evidence.explain(&record.fingerprint);
         }
         is_news
@@ -258,6 +269,6 @@
     /// Drops expired evidence and records.
     pub fn expire(&mut self, now: clock::Moment) {
         self.evidence.expire(now);
-        self.records.expire(self.settings.hold, self.settings.most, now);
+        self.records.expire(self.settings.base_duration, self.settings.max_entries, now);
     }
 }
--- a/crates/lagoonline/src/life/quarantine/record.rs
+++ b/crates/lagoonline/src/lifecycle/quarantine/record.rs
@@ -3,7 +3,7 @@
 use std::collections;
 
 use crate::clock;
-use crate::life::fingerprint::Fingerprint;
+use crate::lifecycle::fingerprint::Fingerprint;
 
 /// Multiplier that spreads the version over all bits of the checksum.
 const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -17,24 +17,24 @@
     /// Increases with each change to the request's quarantine.
     pub version: u32,
     /// Number of times the request was quarantined since its last release.
-    pub times: u32,
+    pub occurrences: u32,
     /// Number of crashes counted as evidence when it was quarantined.
     pub crashes: u32,
     /// When the quarantine expires.
-    pub until: clock::Moment,
+    pub expires_at: clock::Moment,
     /// Whether it was ended early, by an operator or by a complete answer.
     pub released: bool,
 }
 
 impl Record {
     /// Returns whether the request is in quarantine at `now`.
-    pub fn holds(&self, now: clock::Moment) -> bool {
-        !self.released && self.until > now
+    pub fn is_active(&self, now: clock::Moment) -> bool {
+        !self.released && self.expires_at > now
     }
 
     /// Returns whether the quarantine has expired, so that other hosts need not know of it.
     fn is_past(&self, now: clock::Moment) -> bool {
-        self.until <= now
+        self.expires_at <= now
     }
 
     fn checksum(&self) -> u64 {
@@ -54,7 +54,7 @@
         self.0.get(request)
     }
 
-    pub(super) fn knows_length(&self, length: u64) -> bool {
+    pub(super) fn has_length(&self, length: u64) -> bool {
         self.0.range(Fingerprint::of_length(length)).next().is_some()
     }
 
@@ -81,9 +81,9 @@
     /// Drops records `span` after they expire, and the earliest to expire while there are more than
     /// `max_entries`.
     pub(super) fn expire(&mut self, span: clock::Span, most: usize, now: clock::Moment) {
-        self.0.retain(|_, record| record.until + span > now);
+        self.0.retain(|_, record| record.expires_at + span > now);
         while self.0.len() > most {
-            let first = self.0.values().min_by_key(|record| record.until);
+            let first = self.0.values().min_by_key(|record| record.expires_at);
             let Some(first) = first.map(|record| record.fingerprint) else { return };
             self.0.remove(&first);
         }
--- a/crates/lagoonline/src/life/quarantine/settings.rs
+++ b/crates/lagoonline/src/lifecycle/quarantine/settings.rs
@@ -6,46 +6,46 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// Number of crashes at different times that prove it.
-    pub crashes: usize,
+    pub required_crashes: usize,
     /// Time after an answer started during which a crash of the upstream counts against the request
     /// even if events of the answer were received.
-    pub begin: clock::Span,
+    pub start_window: clock::Span,
     /// Time after a crash during which hosts report what they had in flight there. If evaluated
     /// earlier, a request that merely ran beside a lethal one could look like the only suspect.
-    pub settle: clock::Span,
+    pub settle_time: clock::Span,
     /// Crashes within this time of each other count as one. A rack failure takes down several
     /// upstreams at once, and a request with many copies in flight runs on each of them.
-    pub together: clock::Span,
+    pub correlation_window: clock::Span,
     /// Crash reports about one upstream within this time refer to the same crash.
-    pub same: clock::Span,
+    pub dedup_window: clock::Span,
     /// How long evidence against a request is kept.
-    pub memory: clock::Span,
+    pub evidence_retention: clock::Span,
     /// How long a request that was answered completely is not suspected again.
-    pub trust: clock::Span,
+    pub trust_duration: clock::Span,
     /// Duration of the first quarantine; each further one lasts twice as long.
-    pub hold: clock::Span,
+    pub base_duration: clock::Span,
     /// Upper bound on the duration of a quarantine.
-    pub longest_hold: clock::Span,
+    pub max_duration: clock::Span,
     /// Maximum number of suspects, and of quarantine records, kept in memory.
-    pub most: usize,
+    pub max_entries: usize,
     /// Maximum number of crashes kept in memory.
-    pub most_crashes: usize,
+    pub max_crashes: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            crashes: 3,
-            begin: clock::Span::from_millis(250),
-            settle: clock::Span::from_millis(300),
-            together: clock::Span::from_millis(100),
-            same: clock::Span::from_millis(700),
-            memory: clock::Span::from_secs(600),
-            trust: clock::Span::from_secs(60),
-            hold: clock::Span::from_secs(600),
-            longest_hold: clock::Span::from_secs(86_400),
-            most: 16_384,
-            most_crashes: 2_048,
+            required_crashes: 3,
+            start_window: clock::Span::from_millis(250),
+            settle_time: clock::Span::from_millis(300),
+            correlation_window: clock::Span::from_millis(100),
+            dedup_window: clock::Span::from_millis(700),
+            evidence_retention: clock::Span::from_secs(600),
+            trust_duration: clock::Span::from_secs(60),
+            base_duration: clock::Span::from_secs(600),
+            max_duration: clock::Span::from_secs(86_400),
+            max_entries: 16_384,
+            max_crashes: 2_048,
         }
     }
 }
--- a/crates/lagoonline/src/life/reap.rs
+++ b/crates/lagoonline/src/lifecycle/reap.rs
@@ -10,35 +10,40 @@
 
 use crate::clock;
 use crate::id;
-use crate::life::owner;
-use crate::life::safeguard;
+use crate::lifecycle::owner;
+use crate::lifecycle::safeguard;
 use crate::port::engine;
 
 /// Retry policy for cancels.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct RetryPolicy {
     /// Delay before the first retry; doubles with each retry.
-    pub first: clock::Span,
+    pub initial_delay: clock::Span,
     /// Upper bound of the delay.
-    pub most: clock::Span,
+    pub max_delay: clock::Span,
     /// Time after which a cancel is given up, because the engine's own expiry has freed the memory
     /// by then.
-    pub limit: clock::Span,
+    pub max_age: clock::Span,
     /// Safeguards in force; all of them outside of mutation tests.
     pub safeguards: safeguard::Set,
 }
 
 /// Bounds how long a lost packet keeps memory on the engine occupied.
-const FIRST: clock::Span = clock::Span::from_millis(50);
+const INITIAL_DELAY: clock::Span = clock::Span::from_millis(50);
 /// An engine that becomes reachable again gets its cancels within this time; 1,000 pending cancels
 /// then cause 50 calls per second.
-const MOST: clock::Span = clock::Span::from_secs(20);
+const MAX_DELAY: clock::Span = clock::Span::from_secs(20);
 /// Longer than the deadline of a long prompt and the time for which engines keep finished streams.
-const LIMIT: clock::Span = clock::Span::from_secs(3_600);
+const MAX_AGE: clock::Span = clock::Span::from_secs(3_600);
 
-impl Default for Pace {
+impl Default for RetryPolicy {
     fn default() -> Self {
-        Pace { first: FIRST, most: MOST, limit: LIMIT, safeguards: safeguard::Set::default() }
+        RetryPolicy {
+            initial_delay: INITIAL_DELAY,
+            max_delay: MAX_DELAY,
+            max_age: MAX_AGE,
+            safeguards: safeguard::Set::default(),
+        }
     }
 }
 
@@ -52,41 +57,42 @@
 /// Cancels that have not been acknowledged yet, by key.
 ///
 /// ```
-/// use lagoonline::{clock::{Moment, Span}, life::reap::{Cancels, Pace}};
+/// use lagoonline::{clock::{Moment, Span}, lifecycle::reap::{CancelQueue, RetryPolicy}};
 /// let now = Moment::START;
-/// let mut cancels = Cancels::new(Pace::default());
+/// let mut cancels = CancelQueue::new(RetryPolicy::default());
 /// cancels.add("a", now);
 /// assert_eq!(cancels.due(now, 1.0), ["a"]);
 /// assert!(cancels.due(now, 1.0).is_empty());
 /// assert_eq!(cancels.due(now + Span::from_secs(1), 1.0), ["a"]);
-/// assert!(cancels.acknowledged(&"a"));
+/// assert!(cancels.acknowledge(&"a"));
 /// assert!(cancels.is_empty());
 /// ```
 #[derive(Clone, Debug)]
-pub struct Cancels<K> {
-    pace: Pace,
+pub struct CancelQueue<K> {
+    policy: RetryPolicy,
     open: collections::BTreeMap<K, Next>,
 }
 
-impl<K> Cancels<K>
+impl<K> CancelQueue<K>
 where
     K: Clone + Ord,
 {
     /// Creates an empty queue.
-    pub fn new(pace: Pace) -> Self {
-        Cancels { pace, open: collections::BTreeMap::new() }
+    pub fn new(policy: RetryPolicy) -> Self {
+        CancelQueue { policy, open: collections::BTreeMap::new() }
     }
 
     /// Adds a cancel, to be sent at once and retried until it is acknowledged.
     pub fn add(&mut self, key: K, now: clock::Moment) {
-        let next = Next { at: now, wait: self.pace.first, until: now + self.pace.limit };
+        let next =
+            Next { at: now, wait: self.policy.initial_delay, until: now + self.policy.max_age };
         self.open.entry(key).or_insert(next);
     }
 
     /// Returns the cancels to send now and schedules their next retry; `jitter`, around 1, scales
     /// the delay.
     pub fn due(&mut self, now: clock::Moment, jitter: f64) -> Vec<K> {
-        let most = self.pace.most;
+        let most = self.policy.max_delay;
         let due = self.open.iter_mut().filter(|(_, next)| next.at <= now);
         let sent: Vec<_> = due
             .map(|(key, next)| {
@@ -95,7 +101,7 @@
                 key.clone()
             })
             .collect();
-        if !self.pace.safeguards.has(safeguard::Safeguard::CancelRepeat) {
+        if !self.policy.safeguards.has(safeguard::Safeguard::CancelRepeat) {
             self.open.clear();
         }
         sent
@@ -103,7 +109,7 @@
 
     /// Removes a cancel that the engine acknowledged with status 200; returns false if it was not
     /// pending.
-    pub fn acknowledged(&mut self, key: &K) -> bool {
+    pub fn acknowledge(&mut self, key: &K) -> bool {
         self.open.remove(key).is_some()
     }
 
@@ -124,38 +130,38 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// An owner without a sign of life for this long is dead.
-    pub silence: clock::Span,
+    pub owner_timeout: clock::Span,
     /// A host without a sign of life for this long no longer counts in
     /// [`Settings::min_heard_share`].
-    pub forget: clock::Span,
+    pub forget_after: clock::Span,
     /// Unless heartbeats arrive from more than this share of the hosts, the reaper assumes that it
     /// is itself cut off.
-    pub heard_share: f64,
+    pub min_heard_share: f64,
     /// How long a dead owner's stream is kept for a caller that resumes it at another entry host.
-    pub takeover: clock::Span,
+    pub takeover_window: clock::Span,
     /// Safeguards in force; all of them outside of mutation tests.
     pub safeguards: safeguard::Set,
 }
 
 /// Thirty heartbeats at one per second, and longer than a merely slow host stays silent.
-const SILENCE: clock::Span = clock::Span::from_secs(30);
+const OWNER_TIMEOUT: clock::Span = clock::Span::from_secs(30);
 /// Longer than a usual network partition; 20 hosts per day fail permanently.
-const FORGET: clock::Span = clock::Span::from_secs(3_600);
+const FORGET_AFTER: clock::Span = clock::Span::from_secs(3_600);
 /// A rack holds less than half of a zone's hosts, whereas a network cut removes all but the
 /// reaper's own.
-const HEARD_SHARE: f64 = 0.5;
+const MIN_HEARD_SHARE: f64 = 0.5;
 
 /// Covers a client's first few retries; a host that restarts at once proves its streams dead at
 /// once.
-const TAKEOVER: clock::Span = clock::Span::from_secs(15);
+const TAKEOVER_WINDOW: clock::Span = clock::Span::from_secs(15);
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            silence: SILENCE,
-            forget: FORGET,
-            heard_share: HEARD_SHARE,
-            takeover: TAKEOVER,
+            owner_timeout: OWNER_TIMEOUT,
+            forget_after: FORGET_AFTER,
+            min_heard_share: MIN_HEARD_SHARE,
+            takeover_window: TAKEOVER_WINDOW,
             safeguards: safeguard::Set::default(),
         }
     }
@@ -175,19 +181,19 @@
 /// Decides which holdings on engines have no live owner.
 ///
 /// ```
-/// use lagoonline::{clock::{Moment, Span}, id::Owner, life::reap::{Settings, Sweep}};
+/// use lagoonline::{clock::{Moment, Span}, id::Owner, lifecycle::reap::{Reaper, Settings}};
 /// use lagoonline::port::engine::{Holding, Kind};
 /// let holding = |id: &str| Holding {
 ///     id: id.into(), owner: "suva-1/6".into(), kind: Kind::Export, bytes: 1, expires_ms: 9,
 /// };
-/// let mut sweep = Sweep::new(Settings::default());
+/// let mut sweep = Reaper::new(Settings::default());
 /// let engine = lagoonline::id::Upstream::from("e");
-/// assert!(sweep.releases(&engine, &[holding("a")], Moment::START).is_empty());
-/// sweep.heard(&"suva-1/7".parse().unwrap(), Moment::from_millis(5));
-/// assert_eq!(sweep.releases(&engine, &[holding("a")], Moment::from_millis(6)), ["a"]);
+/// assert!(sweep.releasable(&engine, &[holding("a")], Moment::START).is_empty());
+/// sweep.record_heartbeat(&"suva-1/7".parse().unwrap(), Moment::from_millis(5));
+/// assert_eq!(sweep.releasable(&engine, &[holding("a")], Moment::from_millis(6)), ["a"]);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Sweep {
+pub struct Reaper {
     settings: Settings,
     lives: collections::BTreeMap<id::Host, Life>,
     /// Holding ids in each engine's previous list.
@@ -196,21 +202,21 @@
     over: collections::BTreeMap<id::Upstream, collections::BTreeMap<String, clock::Moment>>,
 }
 
-impl Sweep {
+impl Reaper {
     /// Creates a reaper that knows no owners yet.
     pub fn new(settings: Settings) -> Self {
-        Sweep { settings, ..Sweep::default() }
+        Reaper { settings, ..Reaper::default() }
     }
 
     /// Records a heartbeat, received directly or reported by a peer.
-    pub fn heard(&mut self, owner: &id::Owner, now: clock::Moment) {
+    pub fn record_heartbeat(&mut self, owner: &id::Owner, now: clock::Moment) {
         self.alive(owner, now, Some(now));
     }
 
     /// Records that the steward of another zone reports the owner as alive there.
     ///
     /// Such owners do not count in the share of heard hosts, which covers heartbeats only.
-    pub fn told(&mut self, owner: &id::Owner, now: clock::Moment) {
+    pub fn record_remote_alive(&mut self, owner: &id::Owner, now: clock::Moment) {
         self.alive(owner, now, None);
         if let Some(life) = self.lives.get_mut(&owner.host) {
             life.apart = true;
@@ -223,16 +229,16 @@
     /// Without this, a zone cut off from the reaper's zone would be taken for dead, and streams
     /// that engines still deliver to it over another path would be interrupted. Such owners do not
     /// count as silent.
-    pub fn unsure(&mut self, owner: &id::Owner, now: clock::Moment) {
+    pub fn record_unsure(&mut self, owner: &id::Owner, now: clock::Moment) {
         if self.settings.safeguards.has(safeguard::Safeguard::UnsureOwner) {
-            self.told(owner, now);
+            self.record_remote_alive(owner, now);
         }
     }
 
     /// Records that the steward of the owner's zone reports the process as gone or unknown there.
     /// It counts as dead only after the usual timeout, because the process may merely have lost its
     /// steward.
-    pub fn gone(&mut self, owner: &id::Owner, now: clock::Moment) {
+    pub fn record_gone(&mut self, owner: &id::Owner, now: clock::Moment) {
         let known = self.lives.get(&owner.host);
         if known.is_none_or(|known| known.incarnation < owner.incarnation) {
             self.alive(owner, now, None);
@@ -244,19 +250,19 @@
 
     /// Applies the status of an owner reported by its zone. `is_own` is set for the reaper's own
     /// zone, whose hosts send it heartbeats.
-    pub fn take(&mut self, word: &owner::Word, is_own: bool, now: clock::Moment) {
+    pub fn apply_status(&mut self, word: &owner::Status, is_own: bool, now: clock::Moment) {
         let Ok(owner) = word.owner.parse::<id::Owner>() else { return };
         match word.sign {
-            owner::Sign::Serving if is_own => self.heard(&owner, now),
-            owner::Sign::Serving => self.told(&owner, now),
-            owner::Sign::Gone => self.gone(&owner, now),
-            owner::Sign::Unsure => self.unsure(&owner, now),
+            owner::Liveness::Serving if is_own => self.record_heartbeat(&owner, now),
+            owner::Liveness::Serving => self.record_remote_alive(&owner, now),
+            owner::Liveness::Gone => self.record_gone(&owner, now),
+            owner::Liveness::Unsure => self.record_unsure(&owner, now),
         }
     }
 
     /// Returns the owners among `holdings` to ask other zones about: unknown ones, and those
     /// without a sign of life for half of the timeout after which they count as dead.
-    pub fn questions(
+    pub fn owners_to_query(
         &self,
         holdings: &[engine::Holding],
         now: clock::Moment,
@@ -266,7 +272,7 @@
             Some(life) if life.incarnation > owner.incarnation => false,
             Some(life) => {
                 let is_stranger = life.beat.is_none() && !life.apart;
-                is_stranger || now.since(life.heard) >= self.settings.silence / 2
+                is_stranger || now.since(life.heard) >= self.settings.owner_timeout / 2
             }
             None => true,
         };
@@ -288,7 +294,7 @@
     /// A holding that is new in the list is a sign of life of its owner, as is the first holding
     /// seen of an owner, so a newly started reaper releases nothing for
     /// [`Settings::owner_timeout`].
-    pub fn releases(
+    pub fn releasable(
         &mut self,
         upstream: &id::Upstream,
         holdings: &[engine::Holding],
@@ -301,7 +307,7 @@
                 self.alive(&owner, now, None);
             }
         }
-        let forget = self.settings.forget;
+        let forget = self.settings.forget_after;
         self.lives.retain(|_, life| now.since(life.heard) <= forget);
         let cut_off = self.is_cut_off(now);
         let before = self.over.remove(upstream).unwrap_or_default();
@@ -319,7 +325,7 @@
     /// later would have its million tokens prefilled again.
     fn is_due(&self, holding: &engine::Holding, since: clock::Moment, now: clock::Moment) -> bool {
         match holding.kind {
-            engine::Kind::Stream => now.since(since) >= self.settings.takeover,
+            engine::Kind::Stream => now.since(since) >= self.settings.takeover_window,
             engine::Kind::Reservation | engine::Kind::Export => true,
         }
     }
@@ -336,7 +342,7 @@
     }
 
     fn is_silent(&self, life: &Life, now: clock::Moment) -> bool {
-        now.since(life.heard) > self.settings.silence
+        now.since(life.heard) > self.settings.owner_timeout
             || !self.settings.safeguards.has(safeguard::Safeguard::OwnerSilence)
     }
 
@@ -347,12 +353,12 @@
     /// last heartbeats of all hosts are about equally old, and all of them must have dropped out by
     /// the time the first host counts as dead.
     fn is_cut_off(&self, now: clock::Moment) -> bool {
-        let recent = self.settings.silence / 2;
+        let recent = self.settings.owner_timeout / 2;
         let fresh = |beat: clock::Moment| now.since(beat) <= recent;
         let sure = self.lives.values().filter(|life| !life.apart);
         let heard = sure.clone().filter(|life| life.beat.is_some_and(fresh)).count();
         let share = heard as f64 / sure.count().max(1) as f64;
-        share <= self.settings.heard_share
+        share <= self.settings.min_heard_share
             && self.settings.safeguards.has(safeguard::Safeguard::CutOffSweeper)
     }
 }
@@ -360,7 +366,7 @@
 /// Bytes that an entry host has reserved on engines, and how many of them were returned.
 ///
 /// ```
-/// use lagoonline::life::reap::Ledger;
+/// use lagoonline::lifecycle::reap::Ledger;
 /// let mut ledger = Ledger::default();
 /// ledger.reserved("a", 10);
 /// ledger.reserved("a", 10);
--- a/crates/lagoonline/src/life/request.rs
+++ b/crates/lagoonline/src/lifecycle/request.rs
@@ -7,17 +7,17 @@
 //! [`Pending::dispatch`] is the only way to start an attempt and `Pending` cannot be copied.
 //!
 //! ```
-//! use lagoonline::{id::Attempt, life::request::{Held, Repeat}, outcome::Outcome};
-//! let held = Held::new(Repeat::Never);
+//! use lagoonline::{id::Attempt, lifecycle::request::{Pending, Repeat}, outcome::Outcome};
+//! let held = Pending::new(Repeat::Never);
 //! let lost = held.dispatch(Attempt(1)).lost();
-//! assert_eq!(lost.again().unwrap_err(), Outcome::Unknown);
+//! assert_eq!(lost.retry().unwrap_err(), Outcome::Unknown);
 //! ```
 //!
 //! Dispatching a request again while an attempt is in flight does not compile:
 //!
 //! ```compile_fail,E0382
-//! use lagoonline::{id::Attempt, life::request::{Held, Repeat}};
-//! let held = Held::new(Repeat::Never);
+//! use lagoonline::{id::Attempt, lifecycle::request::{Pending, Repeat}};
+//! let held = Pending::new(Repeat::Never);
 //! let first = held.dispatch(Attempt(1));
 //! let second = held.dispatch(Attempt(2));
 //! ```
@@ -36,17 +36,17 @@
 
 /// A request with no attempt in flight.
 #[derive(Debug)]
-pub struct Held {
+pub struct Pending {
     repeat: Repeat,
     attempts: u32,
     /// Whether an earlier attempt may have run.
     may_have_run: bool,
 }
 
-impl Held {
+impl Pending {
     /// Creates a request that has not been dispatched.
     pub fn new(repeat: Repeat) -> Self {
-        Held { repeat, attempts: 0, may_have_run: false }
+        Pending { repeat, attempts: 0, may_have_run: false }
     }
 
     /// Returns the number of attempts made so far.
@@ -61,7 +61,7 @@
 
     /// Starts an attempt; call this before the first byte may leave for the upstream.
     pub fn dispatch(self, attempt: id::Attempt) -> Dispatched {
-        Dispatched { attempt, held: Held { attempts: self.attempts + 1, ..self } }
+        Dispatched { attempt, held: Pending { attempts: self.attempts + 1, ..self } }
     }
 
     /// Gives up and returns the outcome to report to the caller.
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 pub struct Dispatched {
     attempt: id::Attempt,
-    held: Held,
+    held: Pending,
 }
 
 impl Dispatched {
@@ -86,7 +86,7 @@
 
     /// Handles proof that this attempt did not and will not run: the upstream refused it
     /// explicitly, or no connection to it was established.
-    pub fn refused(self) -> Held {
+    pub fn refused(self) -> Pending {
         self.held
     }
 
@@ -97,7 +97,7 @@
 
     /// Handles the loss of the answer: the connection broke or the deadline passed.
     pub fn lost(self) -> Lost {
-        Lost { held: Held { may_have_run: true, ..self.held } }
+        Lost { held: Pending { may_have_run: true, ..self.held } }
     }
 }
 
@@ -105,7 +105,7 @@
 #[derive(Debug)]
 pub struct Answering {
     attempt: id::Attempt,
-    held: Held,
+    held: Pending,
 }
 
 impl Answering {
@@ -122,14 +122,14 @@
     /// Handles an answer that broke off or violated the protocol. The same attempt may still be
     /// resumed where it runs, which is not a new dispatch.
     pub fn broken(self) -> Lost {
-        Lost { held: Held { may_have_run: true, ..self.held } }
+        Lost { held: Pending { may_have_run: true, ..self.held } }
     }
 }
 
 /// A request whose attempt may have run but will deliver no answer.
 #[derive(Debug)]
 pub struct Lost {
-    held: Held,
+    held: Pending,
 }
 
 impl Lost {
@@ -138,7 +138,7 @@
     /// # Errors
     ///
     /// Returns the outcome to report to the caller if the call must not repeat.
-    pub fn again(self) -> Result<Held, outcome::Outcome> {
+    pub fn retry(self) -> Result<Pending, outcome::Outcome> {
         match self.held.repeat {
             Repeat::Allowed => Ok(self.held),
             Repeat::Never => Err(outcome::Outcome::Unknown),
--- a/crates/lagoonline/src/life/safeguard.rs
+++ b/crates/lagoonline/src/lifecycle/safeguard.rs
@@ -63,7 +63,7 @@
 /// The safeguards in force.
 ///
 /// ```
-/// use lagoonline::life::safeguard::{Safeguard, Set};
+/// use lagoonline::lifecycle::safeguard::{Safeguard, Set};
 /// assert!(Safeguard::ALL.iter().all(|each| Set::default().has(*each)));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/lagoonline/src/life/stream.rs
+++ b/crates/lagoonline/src/lifecycle/stream.rs
@@ -14,7 +14,7 @@
 pub enum Violation {
     /// The chunk belongs to another attempt.
     #[error("a chunk of another attempt")]
-    Crossed,
+    WrongAttempt,
     /// The chunk was received before.
     #[error("chunk {got} came again, {expected} was expected")]
     Repeated {
@@ -24,7 +24,7 @@
         expected: u64,
     },
     /// At least one chunk is missing before this one.
-    #[error("chunk {got} came, {expected} was expected")]
+    #[error("chunk {got} received, {expected} was expected")]
     Gap {
         /// Number of the received chunk.
         got: u64,
@@ -32,12 +32,12 @@
         expected: u64,
     },
     /// The count in the end mark differs from the number of received chunks.
-    #[error("the end mark counts {counted} chunks, {came} came")]
+    #[error("the end mark counts {counted} chunks, {received} came")]
     Count {
         /// The count in the end mark.
         counted: u64,
         /// Number of received chunks.
-        came: u64,
+        received: u64,
     },
     /// The chunk arrived after the end mark.
     #[error("a chunk after the end mark")]
@@ -48,10 +48,10 @@
 ///
 /// ```
 /// use lagoonline::id::Attempt;
-/// use lagoonline::life::stream::{Checker, Violation};
+/// use lagoonline::lifecycle::stream::{Checker, Violation};
 /// let mut checker = Checker::new(Attempt(1));
 /// assert_eq!(checker.chunk(Attempt(1), 0), Ok(()));
-/// assert_eq!(checker.chunk(Attempt(2), 1), Err(Violation::Crossed));
+/// assert_eq!(checker.chunk(Attempt(2), 1), Err(Violation::WrongAttempt));
 /// assert_eq!(checker.end(Attempt(1), 1), Ok(()));
 /// assert!(checker.is_complete());
 /// ```
@@ -110,7 +110,7 @@
     pub fn end(&mut self, attempt: id::Attempt, counted: u64) -> Result<(), Violation> {
         self.check_owner(attempt)?;
         if counted != self.next {
-            return Err(Violation::Count { counted, came: self.next });
+            return Err(Violation::Count { counted, received: self.next });
         }
         self.complete = true;
         Ok(())
@@ -118,7 +118,7 @@
 
     fn check_owner(&self, attempt: id::Attempt) -> Result<(), Violation> {
         if attempt != self.attempt {
-            return Err(Violation::Crossed);
+            return Err(Violation::WrongAttempt);
         }
         if self.complete {
             return Err(Violation::AfterEnd);
--- a/crates/lagoonline/src/load/placement/engine.rs
+++ b/crates/lagoonline/src/load/placement/engine.rs
@@ -70,7 +70,7 @@
 /// An upstream and what is under way on it.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    entry: routing::Entry,
+    entry: routing::Registration,
     pace: Option<pass::Pace>,
     parts: Vec<Part>,
     advanced: clock::Moment,
@@ -88,7 +88,7 @@
 }
 
 impl Engine {
-    pub(super) fn new(entry: routing::Entry, pace: Option<pass::Pace>) -> Engine {
+    pub(super) fn new(entry: routing::Registration, pace: Option<pass::Pace>) -> Engine {
         Engine {
             entry,
             pace,
@@ -106,7 +106,7 @@
     }
 
     /// Its entry.
-    pub fn entry(&self) -> &routing::Entry {
+    pub fn entry(&self) -> &routing::Registration {
         &self.entry
     }
 
@@ -120,7 +120,7 @@
         self.parts.len()
     }
 
-    pub(super) fn update(&mut self, entry: routing::Entry, pace: Option<pass::Pace>) {
+    pub(super) fn update(&mut self, entry: routing::Registration, pace: Option<pass::Pace>) {
         if entry.born != self.entry.born {
             self.parts.clear();
         }
--- a/crates/lagoonline/src/load/placement/mod.rs
+++ b/crates/lagoonline/src/load/placement/mod.rs
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
     /// The upstream that gets it.
-    pub first: routing::Entry,
+    pub first: routing::Registration,
     /// Tokens of memory to reserve on it; 0 for none.
     pub reserve: u64,
     /// Engines that read parts of the prompt, in the order in which they are named to the first.
@@ -147,7 +147,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Helper {
     /// The engine.
-    pub entry: routing::Entry,
+    pub entry: routing::Registration,
     /// Tokens of memory to reserve on it; 0 for none.
     pub reserve: u64,
 }
@@ -215,7 +215,7 @@
     }
 
     /// Takes in which upstreams there are; what is under way stays known.
-    pub fn set_upstreams(&mut self, entries: &[routing::Entry], pace: Option<pass::Pace>) {
+    pub fn set_upstreams(&mut self, entries: &[routing::Registration], pace: Option<pass::Pace>) {
         let names: collections::BTreeSet<_> = entries.iter().map(|entry| &entry.upstream).collect();
         self.upstreams.retain(|name, _| names.contains(name));
         for entry in entries {
@@ -359,7 +359,7 @@
     }
 
     /// What is known of the upstream of this name.
-    pub fn entry(&self, name: &str) -> Option<&routing::Entry> {
+    pub fn entry(&self, name: &str) -> Option<&routing::Registration> {
         self.upstreams.get(name).map(Engine::entry)
     }
 
@@ -382,7 +382,7 @@
     }
 
     /// The model engines.
-    pub fn engines(&self) -> impl Iterator<Item = &routing::Entry> {
+    pub fn engines(&self) -> impl Iterator<Item = &routing::Registration> {
         let engines = self.upstreams.values().filter(|engine| engine.pace().is_some());
         engines.map(Engine::entry)
     }
--- a/crates/lagoonline/src/outcome.rs
+++ b/crates/lagoonline/src/outcome.rs
@@ -166,7 +166,7 @@
 
     /// Returns whether the caller caused the failure, in which case it does not count against the
     /// service.
-    pub const fn blames_caller(self) -> bool {
+    pub const fn is_caller_fault(self) -> bool {
         match self {
             Reason::Malformed
             | Reason::Unauthenticated
--- a/crates/lagoonline/src/port/engine.rs
+++ b/crates/lagoonline/src/port/engine.rs
@@ -69,7 +69,7 @@
 /// A command to an engine. Repeating one has no further effect.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "do")]
-pub enum Order {
+pub enum Command {
     /// Loads a model with the given adapter and version.
     Load {
         /// Name of the model.
--- a/crates/lagoonline/src/port/hosts.rs
+++ b/crates/lagoonline/src/port/hosts.rs
@@ -16,7 +16,7 @@
 
 /// An entry of the list.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Line {
+pub struct Entry {
     /// Name of the upstream or entry host.
     pub name: String,
     /// Its availability zone.
@@ -34,5 +34,5 @@
     /// # Errors
     ///
     /// Returns `Refused` or `Unknown`.
-    fn list(&self) -> impl future::Future<Output = Result<Vec<Line>, table::Error>>;
+    fn list(&self) -> impl future::Future<Output = Result<Vec<Entry>, table::Error>>;
 }
--- a/crates/lagoonline/src/routing/mod.rs
+++ b/crates/lagoonline/src/routing/mod.rs
@@ -18,9 +18,9 @@
 
 pub use confirm::Confirmation;
 pub use registry::{Change, Registry, Settings as RegistrySettings};
-pub use roster::{Roster, Rounds, Settings as RosterSettings, Standing};
-pub use source::{Peer, Settings as SourceSettings, Source, Sources};
-pub use table::{Match, Table};
+pub use roster::{HostInfo, PollSchedule, Roster, Settings as RosterSettings};
+pub use source::{Peer, Settings as SourceSettings, Source, SourceSelector};
+pub use table::{KeyMatch, Table};
 
 /// How a request is answered, and whether it may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -154,7 +154,7 @@
 
 /// An upstream, as it registered itself at the platform.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct Registration {
     /// Name of the upstream; a restarted process usually has a new one.
     pub upstream: id::Upstream,
     /// The service it belongs to.
--- a/crates/lagoonline/src/routing/registry.rs
+++ b/crates/lagoonline/src/routing/registry.rs
@@ -9,7 +9,7 @@
 
 use std::collections;
 
-use super::Entry;
+use super::Registration;
 use crate::clock;
 use crate::id;
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// The registration was added or updated.
-    Put(Entry),
+    Put(Registration),
     /// The registration was deleted, or no longer describes a usable upstream.
     Removed(id::Upstream),
 }
@@ -26,15 +26,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// How long after an outage a vanished registration stays in use.
-    pub return_span: clock::Span,
+    pub recovery_grace: clock::Span,
 }
 
 /// Live upstreams register again about two seconds after the platform recovers.
-const RETURN_SPAN: clock::Span = clock::Span::from_millis(2_300);
+const RECOVERY_GRACE: clock::Span = clock::Span::from_millis(2_300);
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { return_span: RETURN_SPAN }
+        Settings { recovery_grace: RECOVERY_GRACE }
     }
 }
 
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     settings: Settings,
-    entries: collections::BTreeMap<id::Upstream, Entry>,
+    entries: collections::BTreeMap<id::Upstream, Registration>,
     /// Registrations that vanished around an outage, and until when they stay in use.
     lapsed: collections::BTreeMap<id::Upstream, clock::Moment>,
     returned: Option<clock::Moment>,
@@ -63,7 +63,7 @@
 
     /// Records that the platform has recovered from an outage; call this before applying the
     /// changes that it reports.
-    pub fn returned(&mut self, now: clock::Moment) {
+    pub fn record_recovery(&mut self, now: clock::Moment) {
         self.returned = Some(now);
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Replaces all registrations with a complete list read at `now`.
-    pub fn reset(&mut self, entries: Vec<Entry>, now: clock::Moment) {
+    pub fn reset(&mut self, entries: Vec<Registration>, now: clock::Moment) {
         let listed: collections::BTreeSet<_> =
             entries.iter().map(|entry| entry.upstream.clone()).collect();
         let gone: Vec<_> =
@@ -104,12 +104,12 @@
     }
 
     /// Returns the registrations in use, including those of leaving upstreams.
-    pub fn entries(&self) -> impl Iterator<Item = &Entry> {
+    pub fn entries(&self) -> impl Iterator<Item = &Registration> {
         self.entries.values()
     }
 
     fn remove(&mut self, upstream: id::Upstream, now: clock::Moment) {
-        let until = self.returned.map(|at| at + self.settings.return_span);
+        let until = self.returned.map(|at| at + self.settings.recovery_grace);
         let leaving = self.entries.get(&upstream).is_none_or(|entry| entry.leaving);
         match until {
             Some(until) if until > now && !leaving => {
--- a/crates/lagoonline/src/routing/roster.rs
+++ b/crates/lagoonline/src/routing/roster.rs
@@ -21,48 +21,48 @@
     /// Minimum number of hosts in a zone for one of them to schedule for the others. In a smaller
     /// zone each host receives enough information about the others to decide equally well on its
     /// own.
-    pub least_hosts: u64,
+    pub min_hosts: u64,
     /// Number of live hosts of a zone that know everything in flight: the scheduler and its
     /// successors.
     pub candidates: usize,
     /// Maximum number of hosts that heartbeats are sent to, so that a zone that lost most of its
     /// hosts does not make the remaining ones contact all of them.
-    pub most_watched: usize,
+    pub max_heartbeat_targets: usize,
     /// Time without an answer to a heartbeat after which a host counts as dead. It covers two
     /// heartbeats, so that a single lost one has no effect.
-    pub silence: clock::Span,
+    pub heartbeat_timeout: clock::Span,
     /// How long a host that did not answer a question, or declined it, is not asked again.
-    pub pass_over: clock::Span,
+    pub skip_duration: clock::Span,
     /// Maximum pause between two calls to a failing platform, for a host of a small zone. Short
     /// enough to be back well within the bounds after an outage.
-    pub pause_alone: clock::Span,
+    pub max_pause_small_zone: clock::Span,
     /// Maximum pause for one of the first hosts of a large zone, which the others ask.
-    pub pause_first: clock::Span,
+    pub max_pause_candidate: clock::Span,
     /// Maximum pause for the other hosts of a large zone.
-    pub pause_other: clock::Span,
+    pub max_pause_follower: clock::Span,
     /// How long a host of another zone counts as alive after it was last heard.
-    pub heard: clock::Span,
+    pub remote_timeout: clock::Span,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            least_hosts: 6,
+            min_hosts: 6,
             candidates: 3,
-            most_watched: 12,
-            silence: clock::Span::from_millis(700),
-            pass_over: clock::Span::from_secs(1),
-            pause_alone: clock::Span::from_millis(400),
-            pause_first: clock::Span::from_millis(800),
-            pause_other: clock::Span::from_millis(2_500),
-            heard: clock::Span::from_secs(3),
+            max_heartbeat_targets: 12,
+            heartbeat_timeout: clock::Span::from_millis(700),
+            skip_duration: clock::Span::from_secs(1),
+            max_pause_small_zone: clock::Span::from_millis(400),
+            max_pause_candidate: clock::Span::from_millis(800),
+            max_pause_follower: clock::Span::from_millis(2_500),
+            remote_timeout: clock::Span::from_secs(3),
         }
     }
 }
 
 /// Attributes of a host, from its row at the platform or its own messages.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Standing {
+pub struct HostInfo {
     /// Availability zone of the host.
     pub zone: id::Zone,
     /// Number of processor cores, possibly a fraction; larger hosts rank first.
@@ -78,7 +78,7 @@
 /// What is known about another host.
 #[derive(Clone, Debug)]
 struct Known {
-    standing: Standing,
+    standing: HostInfo,
     /// When its row was first seen.
     since: clock::Moment,
     heard: Option<clock::Moment>,
@@ -88,7 +88,7 @@
 }
 
 impl Known {
-    fn new(standing: Standing, since: clock::Moment) -> Known {
+    fn new(standing: HostInfo, since: clock::Moment) -> Known {
         Known { standing, since, heard: None, unanswered: None, passed_over: None }
     }
 
@@ -98,7 +98,7 @@
     }
 
     fn is_live(&self, settings: &Settings, now: clock::Moment) -> bool {
-        self.unanswered.is_none_or(|since| now.since(since) <= settings.silence)
+        self.unanswered.is_none_or(|since| now.since(since) <= settings.heartbeat_timeout)
     }
 
     fn is_open(&self, now: clock::Moment) -> bool {
@@ -106,29 +106,29 @@
     }
 
     fn is_heard(&self, settings: &Settings, now: clock::Moment) -> bool {
-        self.heard.is_some_and(|at| now.since(at) <= settings.heard)
+        self.heard.is_some_and(|at| now.since(at) <= settings.remote_timeout)
     }
 }
 
 /// All known hosts, ranked within each zone by the order in which they become its scheduler.
 ///
 /// ```
-/// use lagoonline::{clock::Moment, id::{Host, Zone}, routing::{Roster, RosterSettings, Standing}};
-/// let settings = RosterSettings { least_hosts: 2, ..RosterSettings::default() };
-/// let standing = |cores| Standing { zone: Zone::from("z"), cores };
+/// use lagoonline::{clock::Moment, id::{Host, Zone}, routing::{Roster, RosterSettings, HostInfo}};
+/// let settings = RosterSettings { min_hosts: 2, ..RosterSettings::default() };
+/// let standing = |cores| HostInfo { zone: Zone::from("z"), cores };
 /// let now = Moment::from_millis(10);
 /// let mut roster = Roster::new(settings, Host::from("b"), standing(0.1), now);
-/// assert!(roster.leads(now));
-/// roster.set(Host::from("a"), standing(0.5), now);
+/// assert!(roster.is_leader(now));
+/// roster.upsert(Host::from("a"), standing(0.5), now);
 /// assert_eq!(roster.scheduler(now), Some(Host::from("a")));
-/// roster.passed(&Host::from("a"), now);
+/// roster.skip(&Host::from("a"), now);
 /// assert_eq!(roster.scheduler(now), None);
 /// ```
 #[derive(Clone, Debug)]
 pub struct Roster {
     settings: Settings,
     own: id::Host,
-    standing: Standing,
+    standing: HostInfo,
     /// When this host started to listen to others.
     started: clock::Moment,
     hosts: collections::BTreeMap<id::Host, Known>,
@@ -141,7 +141,7 @@
     pub fn new(
         settings: Settings,
         own: id::Host,
-        standing: Standing,
+        standing: HostInfo,
         now: clock::Moment,
     ) -> Roster {
         let ranks = [(standing.zone.clone(), vec![own.clone()])].into();
@@ -149,7 +149,7 @@
     }
 
     /// Adds or updates a host.
-    pub fn set(&mut self, host: id::Host, standing: Standing, now: clock::Moment) {
+    pub fn upsert(&mut self, host: id::Host, standing: HostInfo, now: clock::Moment) {
         if host == self.own {
             return;
         }
@@ -174,8 +174,8 @@
     ///
     /// Hosts are replaced under new names every day. Without this, after a year each host would
     /// read and rank tens of thousands of dead hosts, and divide shared limits among them.
-    pub fn gone(&self, span: clock::Span, now: clock::Moment) -> Vec<id::Host> {
-        if !self.leads(now) {
+    pub fn expired(&self, span: clock::Span, now: clock::Moment) -> Vec<id::Host> {
+        if !self.is_leader(now) {
             return Vec::new();
         }
         let of_zone = |known: &Known| known.standing.zone == self.standing.zone;
@@ -191,15 +191,15 @@
 
     /// Returns the number of hosts that make scheduling decisions: one for each zone with a
     /// scheduler, and all hosts of the other zones.
-    pub fn deciders(&self) -> usize {
+    pub fn placing_hosts(&self) -> usize {
         let of_zone = |(zone, hosts): (&id::Zone, &Vec<id::Host>)| {
-            if self.is_shared(zone) { 1 } else { hosts.len() }
+            if self.has_scheduler(zone) { 1 } else { hosts.len() }
         };
         self.ranks.iter().map(of_zone).sum()
     }
 
     /// Records a message from a host.
-    pub fn heard(&mut self, host: &id::Host, now: clock::Moment) {
+    pub fn record_contact(&mut self, host: &id::Host, now: clock::Moment) {
         if let Some(known) = self.hosts.get_mut(host) {
             known.heard = Some(now);
             known.unanswered = None;
@@ -207,7 +207,7 @@
     }
 
     /// Records that a heartbeat was sent to a host, which is expected to answer it.
-    pub fn asked(&mut self, host: &id::Host, now: clock::Moment) {
+    pub fn record_heartbeat_sent(&mut self, host: &id::Host, now: clock::Moment) {
         if let Some(known) = self.hosts.get_mut(host) {
             known.unanswered.get_or_insert(now);
         }
@@ -215,9 +215,9 @@
 
     /// Records that a host did not answer a question or declined it, so that it is skipped for a
     /// while.
-    pub fn passed(&mut self, host: &id::Host, now: clock::Moment) {
+    pub fn skip(&mut self, host: &id::Host, now: clock::Moment) {
         if let Some(known) = self.hosts.get_mut(host) {
-            known.passed_over = Some(now + self.settings.pass_over);
+            known.passed_over = Some(now + self.settings.skip_duration);
         }
     }
 
@@ -227,19 +227,19 @@
     }
 
     /// Returns whether `zone` is large enough for one of its hosts to schedule for the others.
-    pub fn is_shared(&self, zone: &id::Zone) -> bool {
-        self.ranks.get(zone).is_some_and(|hosts| hosts.len() as u64 >= self.settings.least_hosts)
+    pub fn has_scheduler(&self, zone: &id::Zone) -> bool {
+        self.ranks.get(zone).is_some_and(|hosts| hosts.len() as u64 >= self.settings.min_hosts)
     }
 
     /// Returns whether this host's zone is large enough for one of its hosts to schedule for the
     /// others.
-    pub fn is_own_shared(&self) -> bool {
-        self.is_shared(&self.standing.zone)
+    pub fn own_zone_has_scheduler(&self) -> bool {
+        self.has_scheduler(&self.standing.zone)
     }
 
     /// Returns the host to ask where to send a request, or `None` if this host decides on its own.
     pub fn scheduler(&self, now: clock::Moment) -> Option<id::Host> {
-        if !self.is_own_shared() {
+        if !self.own_zone_has_scheduler() {
             return None;
         }
         let mut candidates = self.candidates(now);
@@ -248,14 +248,14 @@
     }
 
     /// Returns whether this host is the first live host of its zone.
-    pub fn leads(&self, now: clock::Moment) -> bool {
+    pub fn is_leader(&self, now: clock::Moment) -> bool {
         self.candidates(now).next().is_none_or(|host| *host == self.own)
     }
 
     /// Returns whether this host is among the hosts of its zone that know everything in flight; in
     /// a small zone all hosts are.
     pub fn is_candidate(&self, now: clock::Moment) -> bool {
-        !self.is_own_shared() || self.candidates(now).any(|host| *host == self.own)
+        !self.own_zone_has_scheduler() || self.candidates(now).any(|host| *host == self.own)
     }
 
     /// Returns the maximum pause between two calls to a failing platform.
@@ -264,11 +264,11 @@
     /// until it is back. The first hosts of each zone are enough to detect its recovery. The others
     /// ask them every second and call the platform only rarely, in case it refuses only those
     /// hosts.
-    pub fn longest_pause(&self, now: clock::Moment) -> clock::Span {
-        match (self.is_own_shared(), self.is_candidate(now)) {
-            (false, _) => self.settings.pause_alone,
-            (true, true) => self.settings.pause_first,
-            (true, false) => self.settings.pause_other,
+    pub fn max_retry_pause(&self, now: clock::Moment) -> clock::Span {
+        match (self.own_zone_has_scheduler(), self.is_candidate(now)) {
+            (false, _) => self.settings.max_pause_small_zone,
+            (true, true) => self.settings.max_pause_candidate,
+            (true, false) => self.settings.max_pause_follower,
         }
     }
 
@@ -277,10 +277,10 @@
     ///
     /// If the largest hosts of a zone are killed together, the next in rank take over, while the
     /// dead ones still get heartbeats so that their return is noticed.
-    pub fn watched(&self, now: clock::Moment) -> Vec<id::Host> {
+    pub fn heartbeat_targets(&self, now: clock::Moment) -> Vec<id::Host> {
         let mut live = 0;
         let mut watched = Vec::new();
-        for host in self.ranked(&self.standing.zone).take(self.settings.most_watched) {
+        for host in self.ranked(&self.standing.zone).take(self.settings.max_heartbeat_targets) {
             if live == self.settings.candidates {
                 break;
             }
@@ -293,9 +293,9 @@
     }
 
     /// Returns the hosts of this zone that must be told what is in flight.
-    pub fn near(&self, now: clock::Moment) -> Vec<id::Host> {
-        if self.is_own_shared() {
-            return self.watched(now);
+    pub fn zone_peers(&self, now: clock::Moment) -> Vec<id::Host> {
+        if self.own_zone_has_scheduler() {
+            return self.heartbeat_targets(now);
         }
         self.ranked(&self.standing.zone).filter(|host| **host != self.own).cloned().collect()
     }
@@ -307,17 +307,17 @@
     /// If the first hosts of all zones are killed at once, their successors do not know of each
     /// other. For a zone that is not heard from, more hosts are therefore told until its scheduler
     /// answers.
-    pub fn far(&self, now: clock::Moment) -> Vec<id::Host> {
+    pub fn remote_peers(&self, now: clock::Moment) -> Vec<id::Host> {
         let mut far = Vec::new();
         for (zone, hosts) in &self.ranks {
             if *zone == self.standing.zone {
                 continue;
             }
             let heard = hosts.iter().any(|host| self.is_heard(host, now));
-            let first = match (self.is_shared(zone), heard) {
+            let first = match (self.has_scheduler(zone), heard) {
                 (false, _) => hosts.len(),
                 (true, true) => self.settings.candidates,
-                (true, false) => self.settings.most_watched,
+                (true, false) => self.settings.max_heartbeat_targets,
             };
             let wanted = hosts
                 .iter()
@@ -331,8 +331,8 @@
     /// Returns whether this host polls the engines of `zone` for load reports. The first live host
     /// of a zone does so. If no host of a zone is heard from, the first live host of the first
     /// other zone by name does it instead.
-    pub fn asks(&self, zone: &id::Zone, now: clock::Moment) -> bool {
-        if !self.leads(now) {
+    pub fn polls(&self, zone: &id::Zone, now: clock::Moment) -> bool {
+        if !self.is_leader(now) {
             return false;
         }
         if *zone == self.standing.zone {
@@ -341,7 +341,7 @@
         let heard = |zone: &id::Zone| self.ranked(zone).any(|host| self.is_heard(host, now));
         let first = self.ranks.keys().find(|zone| **zone == self.standing.zone || heard(zone));
         // Before this time no host of another zone can have been heard.
-        let listened = now.since(self.started) > self.settings.heard;
+        let listened = now.since(self.started) > self.settings.remote_timeout;
         listened && !heard(zone) && first == Some(&self.standing.zone)
     }
 
@@ -382,22 +382,22 @@
 /// instead of waiting for a full period, so that an engine that became slow in the meantime is
 /// detected within two seconds.
 #[derive(Clone, Debug, Default)]
-pub struct Rounds {
+pub struct PollSchedule {
     next: collections::BTreeMap<id::Zone, clock::Moment>,
 }
 
-impl Rounds {
+impl PollSchedule {
     /// Returns those of `zones` whose engines this host polls at `now`; each is due again after
     /// `period`.
     ///
     /// ```
     /// use lagoonline::{clock::{Moment, Span}, id::{Host, Zone}};
-    /// use lagoonline::routing::{Roster, RosterSettings, Rounds, Standing};
+    /// use lagoonline::routing::{Roster, RosterSettings, PollSchedule, HostInfo};
     /// let zone = Zone::from("z");
-    /// let standing = Standing { zone: zone.clone(), cores: 0.1 };
+    /// let standing = HostInfo { zone: zone.clone(), cores: 0.1 };
     /// let now = Moment::from_millis(10);
     /// let roster = Roster::new(RosterSettings::default(), Host::from("a"), standing, now);
-    /// let (mut rounds, second) = (Rounds::default(), Span::from_secs(1));
+    /// let (mut rounds, second) = (PollSchedule::default(), Span::from_secs(1));
     /// assert_eq!(rounds.due(&roster, [&zone], second, now), [zone.clone()]);
     /// assert!(rounds.due(&roster, [&zone], second, now + second / 2).is_empty());
     /// assert_eq!(rounds.due(&roster, [&zone], second, now + second), [zone]);
@@ -414,7 +414,7 @@
     {
         let mut due = Vec::new();
         for zone in zones {
-            if !roster.asks(zone, now) {
+            if !roster.polls(zone, now) {
                 self.next.remove(zone);
             } else if self.next.get(zone).is_none_or(|next| *next <= now) {
                 self.next.insert(zone.clone(), now + period);
--- a/crates/lagoonline/src/routing/source.rs
+++ b/crates/lagoonline/src/routing/source.rs
@@ -19,31 +19,31 @@
 pub struct Settings {
     /// Minimum number of hosts in a zone for one of them to read for the others. In a smaller zone
     /// the saved calls are worth less than the second that an unresponsive reader costs the others.
-    pub least_hosts: u64,
+    pub min_hosts: u64,
     /// How long a host that did not answer is skipped. A killed host is restarted and has read the
     /// whole state within this time.
-    pub pass_over: clock::Span,
+    pub skip_failed: clock::Span,
     /// How long a host that is not reading is skipped. Short, because when a reader stops all
     /// others notice it at about the same time, and the next one in order then starts to read.
-    pub pass_over_idle: clock::Span,
+    pub skip_idle: clock::Span,
     /// While looking for another reader, a host's state may be at most this share of the allowed
     /// propagation time old. The rest is needed for the last question asked and for reading the
     /// platform itself.
-    pub look_share: f64,
+    pub search_share: f64,
     /// Number of hosts skipped at a time after which a host reads the platform itself. During a
     /// platform outage no host can answer, and asking every host of a large zone would only add
     /// load.
-    pub most_passed: usize,
+    pub max_skipped: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            least_hosts: 6,
-            pass_over: clock::Span::from_secs(3),
-            pass_over_idle: clock::Span::from_millis(250),
-            look_share: 0.3,
-            most_passed: 4,
+            min_hosts: 6,
+            skip_failed: clock::Span::from_secs(3),
+            skip_idle: clock::Span::from_millis(250),
+            search_share: 0.3,
+            max_skipped: 4,
         }
     }
 }
@@ -58,11 +58,11 @@
     ///
     /// ```
     /// use lagoonline::{clock::Span, routing::SourceSettings};
-    /// let span = SourceSettings::default().look_span(Span::from_secs(4));
+    /// let span = SourceSettings::default().search_span(Span::from_secs(4));
     /// assert_eq!(span, Span::from_millis(1_200));
     /// ```
-    pub fn look_span(&self, apply: clock::Span) -> clock::Span {
-        apply.mul_f64(self.look_share)
+    pub fn search_span(&self, apply: clock::Span) -> clock::Span {
+        apply.mul_f64(self.search_share)
     }
 }
 
@@ -85,18 +85,19 @@
 /// Selects the source for one host.
 ///
 /// ```
-/// use lagoonline::{clock::Moment, id::Host, routing::{Peer, Source, SourceSettings, Sources}};
-/// let settings = SourceSettings { least_hosts: 2, ..SourceSettings::default() };
-/// let mut sources = Sources::new(settings, Host::from("b"), 0.1);
+/// use lagoonline::{clock::Moment, id::Host};
+/// use lagoonline::routing::{Peer, Source, SourceSelector, SourceSettings};
+/// let settings = SourceSettings { min_hosts: 2, ..SourceSettings::default() };
+/// let mut sources = SourceSelector::new(settings, Host::from("b"), 0.1);
 /// let now = Moment::from_millis(10);
 /// assert_eq!(sources.next(now), Source::Platform);
 /// sources.set_peer(Host::from("a"), Peer { cores: 0.5 });
 /// assert_eq!(sources.next(now), Source::Peer(Host::from("a")));
-/// sources.failed(&Host::from("a"), now);
+/// sources.record_failure(&Host::from("a"), now);
 /// assert_eq!(sources.next(now), Source::Platform);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Sources {
+pub struct SourceSelector {
     settings: Settings,
     own: id::Host,
     cores: f64,
@@ -104,10 +105,10 @@
     passed: collections::BTreeMap<id::Host, clock::Moment>,
 }
 
-impl Sources {
+impl SourceSelector {
     /// Creates the selector of the host `own`, which has `cores`.
-    pub fn new(settings: Settings, own: id::Host, cores: f64) -> Sources {
-        Sources {
+    pub fn new(settings: Settings, own: id::Host, cores: f64) -> SourceSelector {
+        SourceSelector {
             settings,
             own,
             cores,
@@ -128,18 +129,18 @@
     }
 
     /// Records that a host reported that it is not reading the platform.
-    pub fn idle(&mut self, host: &id::Host, now: clock::Moment) {
-        self.passed.insert(host.clone(), now + self.settings.pass_over_idle);
+    pub fn record_idle(&mut self, host: &id::Host, now: clock::Moment) {
+        self.passed.insert(host.clone(), now + self.settings.skip_idle);
     }
 
     /// Records that a host did not answer.
-    pub fn failed(&mut self, host: &id::Host, now: clock::Moment) {
-        self.passed.insert(host.clone(), now + self.settings.pass_over);
+    pub fn record_failure(&mut self, host: &id::Host, now: clock::Moment) {
+        self.passed.insert(host.clone(), now + self.settings.skip_failed);
     }
 
     /// Records that the platform did not answer this host, although it may still answer others.
-    pub fn platform_failed(&mut self, now: clock::Moment) {
-        self.failed(&self.own.clone(), now);
+    pub fn record_platform_failure(&mut self, now: clock::Moment) {
+        self.record_failure(&self.own.clone(), now);
     }
 
     /// Returns whether this host must read the platform whatever the others know: it is the first
@@ -158,7 +159,7 @@
         if self.is_small() {
             return Source::Platform;
         }
-        let mut asked = self.order().take(self.settings.most_passed + 1);
+        let mut asked = self.order().take(self.settings.max_skipped + 1);
         let first = asked.find(|(host, _)| self.is_open(host, now));
         match first {
             Some((host, _)) if *host != self.own => Source::Peer(host.clone()),
@@ -167,7 +168,7 @@
     }
 
     fn is_small(&self) -> bool {
-        (self.peers.len() as u64 + 1) < self.settings.least_hosts
+        (self.peers.len() as u64 + 1) < self.settings.min_hosts
     }
 
     fn is_open(&self, host: &id::Host, now: clock::Moment) -> bool {
--- a/crates/lagoonline/src/routing/table.rs
+++ b/crates/lagoonline/src/routing/table.rs
@@ -19,7 +19,7 @@
 
 /// Result of looking up a request's key.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Match {
+pub enum KeyMatch {
     /// No key is required.
     Open,
     /// The key belongs to this customer.
@@ -84,12 +84,12 @@
     }
 
     /// Returns the customer that the key of a request on `route` belongs to.
-    pub fn customer(&self, route: &Route, key: Option<&str>) -> Match {
-        let Some(customers) = &self.customers else { return Match::Open };
+    pub fn customer(&self, route: &Route, key: Option<&str>) -> KeyMatch {
+        let Some(customers) = &self.customers else { return KeyMatch::Open };
         if let Some(customer) = key.and_then(|key| customers.get(key)) {
-            return Match::Customer(customer.clone());
+            return KeyMatch::Customer(customer.clone());
         }
-        if route.public { Match::Open } else { Match::Unknown }
+        if route.public { KeyMatch::Open } else { KeyMatch::Unknown }
     }
 }
 
--- a/crates/lagoonline/tests/control_order.rs
+++ b/crates/lagoonline/tests/control_order.rs
@@ -9,8 +9,8 @@
     Wanted { models: vec!["m".into(), "n".into()], role: engine::Role::Long }
 }
 
-fn load() -> engine::Order {
-    engine::Order::Load { model: "m".into(), adapter: String::new(), version: String::new() }
+fn load() -> engine::Command {
+    engine::Command::Load { model: "m".into(), adapter: String::new(), version: String::new() }
 }
 
 fn actual(model: &str, role: engine::Role, fence: u64) -> Actual {
@@ -27,7 +27,7 @@
 #[case::other_role(
     actual("m", engine::Role::Short, 4),
     situation(false, 3),
-    Decision::Send(engine::Order::Role { role: engine::Role::Long })
+    Decision::Send(engine::Command::Role { role: engine::Role::Long })
 )]
 #[case::newer_holder(actual("x", engine::Role::Long, 6), situation(true, 0), Decision::Superseded)]
 #[case::serving_and_unfenced(
--- a/crates/lagoonline/tests/life_drain.rs
+++ b/crates/lagoonline/tests/life_drain.rs
@@ -1,13 +1,13 @@
 //! Graceful shutdown of an entry host.
 
 use lagoonline::clock::{Moment, Span};
-use lagoonline::life::drain::{Drain, Settings, State};
+use lagoonline::lifecycle::drain::{Drain, Settings, State};
 use rstest::rstest;
 
 const UNREADY: Span = Span::from_secs(3);
 const GRACE: Span = Span::from_secs(100);
-const CUT: State = State::Ended { cut: true };
-const CLEAN: State = State::Ended { cut: false };
+const CUT: State = State::Ended { interrupted: true };
+const CLEAN: State = State::Ended { interrupted: false };
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
--- a/crates/lagoonline/tests/life_fuzz/main.rs
+++ b/crates/lagoonline/tests/life_fuzz/main.rs
@@ -15,7 +15,7 @@
 use std::cell::Cell;
 use std::{env, fmt, marker, ops};
 
-use lagoonline::life::safeguard::{Safeguard, Set};
+use lagoonline::lifecycle::safeguard::{Safeguard, Set};
 use proptest::strategy::{BoxedStrategy, Just, Strategy};
 use proptest::test_runner;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
--- a/crates/lagoonline/tests/life_fuzz/marks.rs
+++ b/crates/lagoonline/tests/life_fuzz/marks.rs
@@ -1,7 +1,7 @@
 //! Two entry hosts that learn of leaving upstreams from three sources, with delay and in any order.
 
 use lagoonline::id;
-use lagoonline::life::leaving;
+use lagoonline::lifecycle::leaving;
 use lagoonline::port::hosts;
 use proptest::prelude::*;
 use proptest_state_machine::StateMachineTest;
@@ -56,13 +56,13 @@
     fn list(&mut self, host: usize, age: usize) {
         let mark = self.truth[self.truth.len().saturating_sub(1 + age)];
         let state = if mark.leaving { hosts::State::Leaving } else { hosts::State::Live };
-        let line = hosts::Line {
+        let line = hosts::Entry {
             name: upstream().as_str().to_owned(),
             zone: id::Zone::from("suva"),
             incarnation: mark.incarnation,
             state,
         };
-        let changed = self.marks[host].listed(&[line]);
+        let changed = self.marks[host].apply_list(&[line]);
         self.words.extend(changed.into_iter().map(|(_, mark)| mark));
         self.signs[host].push(mark);
     }
@@ -77,7 +77,7 @@
         assert_eq!(blocked, told, "signs {:?}, marks {:?}", self.signs[host], self.marks[host]);
         if !blocked && self.now().leaving {
             let known = latest.unwrap_or_default();
-            let changed = self.marks[host].refused(&upstream());
+            let changed = self.marks[host].record_refusal(&upstream());
             self.words.extend(changed);
             if latest.is_some() {
                 self.signs[host].push(leaving::Mark { incarnation: known, leaving: true });
--- a/crates/lagoonline/tests/life_fuzz/memory.rs
+++ b/crates/lagoonline/tests/life_fuzz/memory.rs
@@ -7,7 +7,7 @@
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::id;
-use lagoonline::life::reap;
+use lagoonline::lifecycle::reap;
 use lagoonline::port::engine;
 use proptest::prelude::*;
 use proptest_state_machine::StateMachineTest;
@@ -54,7 +54,7 @@
 struct Host {
     incarnation: u64,
     alive: bool,
-    cancels: reap::Cancels<(usize, u128)>,
+    cancels: reap::CancelQueue<(usize, u128)>,
 }
 
 pub struct World {
@@ -62,7 +62,7 @@
     hosts: Vec<Host>,
     held: BTreeMap<u128, Held>,
     next: u128,
-    sweep: reap::Sweep,
+    sweep: reap::Reaper,
     lose: bool,
     cut_off: bool,
     zone_cut: bool,
@@ -100,11 +100,15 @@
     id::Host::from(format!("host-{host}"))
 }
 
-fn cancels() -> reap::Cancels<(usize, u128)> {
+fn cancels() -> reap::CancelQueue<(usize, u128)> {
     // The engines in this test have no expiry that would limit the retries.
-    let limit = Span::from_secs(1_000_000);
+    let max_age = Span::from_secs(1_000_000);
     let safeguards = super::safeguards();
-    reap::Cancels::new(reap::Pace { limit, safeguards, ..reap::Pace::default() })
+    reap::CancelQueue::new(reap::RetryPolicy {
+        max_age,
+        safeguards,
+        ..reap::RetryPolicy::default()
+    })
 }
 
 impl World {
@@ -117,7 +121,7 @@
             hosts: (0..HOSTS).map(host).collect(),
             held: BTreeMap::new(),
             next: 1,
-            sweep: reap::Sweep::new(settings),
+            sweep: reap::Reaper::new(settings),
             lose: false,
             cut_off: false,
             zone_cut: false,
@@ -167,12 +171,13 @@
         self.now = self.now + BEAT;
         for number in 0..HOSTS {
             if self.hosts[number].alive && !self.cut_off && number < OWN_ZONE {
-                self.sweep.heard(&owner(number, self.hosts[number].incarnation), self.now);
+                self.sweep
+                    .record_heartbeat(&owner(number, self.hosts[number].incarnation), self.now);
             }
             self.send_cancels(number);
         }
         // The reaper's own host always receives its own heartbeat.
-        self.sweep.heard(&owner(0, self.hosts[0].incarnation), self.now);
+        self.sweep.record_heartbeat(&owner(0, self.hosts[0].incarnation), self.now);
         for engine in 0..ENGINES {
             self.sweep_engine(engine);
         }
@@ -185,7 +190,7 @@
         for (engine, id) in self.hosts[number].cancels.due(self.now, 1.0) {
             if !self.lose {
                 self.give_back(id);
-                self.hosts[number].cancels.acknowledged(&(engine, id));
+                self.hosts[number].cancels.acknowledge(&(engine, id));
             }
         }
     }
@@ -198,12 +203,12 @@
             return;
         }
         if self.cut_off || self.zone_cut {
-            self.sweep.unsure(owner, self.now);
+            self.sweep.record_unsure(owner, self.now);
         } else if host.alive {
             let incarnation = id::Incarnation(host.incarnation);
-            self.sweep.told(&id::Owner { incarnation, ..owner.clone() }, self.now);
+            self.sweep.record_remote_alive(&id::Owner { incarnation, ..owner.clone() }, self.now);
         } else {
-            self.sweep.gone(owner, self.now);
+            self.sweep.record_gone(owner, self.now);
         }
     }
 
@@ -217,10 +222,10 @@
             expires_ms: 1,
         };
         let listed: Vec<_> = listed.map(holding).collect();
-        for owner in self.sweep.questions(&listed, self.now) {
+        for owner in self.sweep.owners_to_query(&listed, self.now) {
             self.answer(&owner);
         }
-        for id in self.sweep.releases(&name(engine), &listed, self.now) {
+        for id in self.sweep.releasable(&name(engine), &listed, self.now) {
             let id = id.parse::<id::Attempt>().expect("an id of ours").0;
             let held = &self.held[&id];
             let host = &self.hosts[held.host];
--- a/crates/lagoonline/tests/life_fuzz/oracle.rs
+++ b/crates/lagoonline/tests/life_fuzz/oracle.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use lagoonline::clock::{self, Clock as _};
-use lagoonline::life::claim;
+use lagoonline::lifecycle::claim;
 use lagoonline::outcome::Outcome;
 
 use super::upstream::Run;
--- a/crates/lagoonline/tests/life_fuzz/platform.rs
+++ b/crates/lagoonline/tests/life_fuzz/platform.rs
@@ -7,7 +7,7 @@
 use std::task::Poll;
 
 use bytes::Bytes;
-use lagoonline::life::claim;
+use lagoonline::lifecycle::claim;
 use lagoonline::port::{objects, table};
 
 /// A fault injected into the next call.
--- a/crates/lagoonline/tests/life_fuzz/scenarios.rs
+++ b/crates/lagoonline/tests/life_fuzz/scenarios.rs
@@ -7,9 +7,9 @@
 use bytes::Bytes;
 use futures_util::task::noop_waker;
 use lagoonline::clock::{self, Span};
-use lagoonline::life::{claim, request};
+use lagoonline::lifecycle::{claim, request};
 use lagoonline::outcome::{Outcome, Reason};
-use lagoonline::{id, life};
+use lagoonline::{id, lifecycle};
 
 use super::platform::{Fault, Platform};
 
@@ -33,11 +33,11 @@
     claim::Claims::new(platform.clone(), platform.clone(), clock.clone(), settings)
 }
 
-fn ask(token: u128, repeat: request::Repeat) -> claim::Ask {
-    claim::Ask {
+fn ask(token: u128, repeat: request::Repeat) -> claim::Request {
+    claim::Request {
         customer: id::Customer::from("crew"),
         key: "pickup-7".into(),
-        body: claim::body_hash("POST", "/book", b"tins"),
+        body_hash: claim::body_hash("POST", "/book", b"tins"),
         repeat,
         token: id::Attempt(token),
         upstream: id::Upstream::from("engine-3"),
@@ -68,7 +68,7 @@
     assert_eq!((running.attempt, running.upstream.as_str()), (id::Attempt(1), "engine-3"));
     let mut second = ticket(wait(claims.take_over(ask(3, allowed), &running)));
     wait(claims.retarget(&mut second, id::Upstream::from("engine-4"), id::Attempt(9)));
-    wait(claims.lose(first.expect("in time")));
+    wait(claims.mark_unknown(first.expect("in time")));
     let Ok(claim::Begin::Running(running)) = wait(claims.begin(ask(4, allowed))) else {
         panic!("it runs");
     };
@@ -128,10 +128,10 @@
     let claims = claims(&platform, &clock);
     for (token, customer) in (1..).zip(["crew", "clerk", "planner"]) {
         let customer = id::Customer::from(customer);
-        let ask = claim::Ask { customer, ..ask(token, request::Repeat::Never) };
+        let ask = claim::Request { customer, ..ask(token, request::Repeat::Never) };
         drop(ticket(wait(claims.begin(ask))));
     }
-    let settings = claim::Sweep { batch: 2, ..claim::Sweep::default() };
+    let settings = claim::SweepSettings { batch: 2, ..claim::SweepSettings::default() };
     let mut sweeper = claim::Sweeper::new(settings, claim::shard("pickup-7"));
     let day = u64::try_from(Span::from_secs(86_400).as_millis()).expect("small");
     let at = [(day, 0), (day, 0), (day + 1, 2), (day + 1, 1), (day + 1, 0)];
@@ -144,6 +144,6 @@
 /// Two customers use the same key; neither may read or block the other's claim.
 #[test]
 fn a_key_belongs_to_its_customer() {
-    let key = |customer: &str| life::claim::row_key(&id::Customer::from(customer), "k");
+    let key = |customer: &str| lifecycle::claim::row_key(&id::Customer::from(customer), "k");
     assert_ne!(key("crew"), key("clerk"));
 }
--- a/crates/lagoonline/tests/life_fuzz/streams.rs
+++ b/crates/lagoonline/tests/life_fuzz/streams.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 
 use lagoonline::id::Attempt;
-use lagoonline::life::stream::{Checker, Violation};
+use lagoonline::lifecycle::stream::{Checker, Violation};
 use proptest::prelude::*;
 use proptest_state_machine::StateMachineTest;
 
@@ -73,7 +73,7 @@
 
 fn is_ignored(violation: Violation) -> bool {
     match violation {
-        Violation::Crossed => IGNORE.get() == Ignore::Crossed,
+        Violation::WrongAttempt => IGNORE.get() == Ignore::Crossed,
         Violation::Repeated { .. } => IGNORE.get() == Ignore::Repeated,
         Violation::Gap { .. } => IGNORE.get() == Ignore::Gap,
         Violation::Count { .. } => IGNORE.get() == Ignore::Count,
--- a/crates/lagoonline/tests/life_fuzz/world.rs
+++ b/crates/lagoonline/tests/life_fuzz/world.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use futures_util::task::noop_waker;
 use lagoonline::clock::{self, Clock as _};
-use lagoonline::life::{claim, request, safeguard};
+use lagoonline::lifecycle::{claim, request, safeguard};
 use lagoonline::{id, outcome};
 
 use super::platform::{Fault, Platform, pause};
@@ -97,7 +97,7 @@
             tokens: BTreeMap::new(),
             safeguards,
             sweepers: ["key-0", "key-1"].map(|key| {
-                let settings = claim::Sweep { batch: 2, ..claim::Sweep::default() };
+                let settings = claim::SweepSettings { batch: 2, ..claim::SweepSettings::default() };
                 claim::Sweeper::new(settings, claim::shard(key))
             }),
         }
@@ -249,13 +249,13 @@
 /// Handles one call as the entry host's adapter does.
 async fn serve(claims: Claims, outside: Outside, case: Rc<Case>, token: id::Attempt) {
     let Some(key) = case.call.key else {
-        let held = request::Held::new(repeat(&case.call));
+        let held = request::Pending::new(repeat(&case.call));
         return unclaimed(&outside, &case, held).await;
     };
-    let ask = claim::Ask {
+    let ask = claim::Request {
         customer: id::Customer::from(format!("customer-{}", case.call.customer)),
         key: format!("key-{key}"),
-        body: claim::body_hash("POST", "/", &[case.call.body, u8::from(case.call.never)]),
+        body_hash: claim::body_hash("POST", "/", &[case.call.body, u8::from(case.call.never)]),
         repeat: repeat(&case.call),
         token,
         upstream: id::Upstream::from("upstream"),
@@ -271,7 +271,7 @@
     });
     let mut begun = within(&outside, &case, begin.as_mut()).await;
     if begun.is_none() {
-        case.tell(request::Held::new(repeat(&case.call)).end(), None, false);
+        case.tell(request::Pending::new(repeat(&case.call)).end(), None, false);
         begun = Some(begin.as_mut().await);
     }
     drop(begin);
@@ -282,7 +282,7 @@
             case.tell(outcome::Outcome::Done, Some(answer.body), true);
         }
         Ok(claim::Begin::Unclaimed) => {
-            unclaimed(&outside, &case, request::Held::new(repeat(&case.call))).await;
+            unclaimed(&outside, &case, request::Pending::new(repeat(&case.call))).await;
         }
         Ok(claim::Begin::Running(_)) => case.tell(outcome::Outcome::Unknown, None, false),
         Err(refusal) => {
@@ -307,7 +307,7 @@
 }
 
 async fn claimed(claims: &Claims, outside: &Outside, case: &Case, mut ticket: claim::Ticket) {
-    let mut held = request::Held::new(repeat(&case.call));
+    let mut held = request::Pending::new(repeat(&case.call));
     loop {
         let now = outside.clock.now();
         let over = held.attempts() >= 2;
@@ -327,7 +327,7 @@
             return match call.await {
                 Ok(body) => finish(claims, sent, body).await,
                 Err(Failed::Refused) => settle(claims, claims.release(sent.refused()).await).await,
-                Err(Failed::Lost) => claims.lose(sent).await,
+                Err(Failed::Lost) => claims.mark_unknown(sent).await,
             };
         };
         match result {
@@ -342,7 +342,7 @@
             }
             Err(Failed::Lost) => {
                 case.tell(dispatched.lost().end(), None, false);
-                return claims.lose(sent).await;
+                return claims.mark_unknown(sent).await;
             }
         }
     }
@@ -364,7 +364,7 @@
 }
 
 /// Runs a call without a claim: once, or again if it may repeat.
-async fn unclaimed(outside: &Outside, case: &Case, mut held: request::Held) {
+async fn unclaimed(outside: &Outside, case: &Case, mut held: request::Pending) {
     loop {
         let now = outside.clock.now();
         if now >= case.deadline || held.attempts() >= 2 {
@@ -383,7 +383,7 @@
                 return case.tell(dispatched.answering().complete(), Some(body), false);
             }
             Err(Failed::Refused) => held = dispatched.refused(),
-            Err(Failed::Lost) => match dispatched.lost().again() {
+            Err(Failed::Lost) => match dispatched.lost().retry() {
                 Ok(again) => held = again,
                 Err(outcome) => return case.tell(outcome, None, false),
             },
--- a/crates/lagoonline/tests/life_quarantine.rs
+++ b/crates/lagoonline/tests/life_quarantine.rs
@@ -2,8 +2,8 @@
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::id::Upstream;
-use lagoonline::life::fingerprint::Fingerprint;
-use lagoonline::life::quarantine::{Progress, Quarantine, Settings, Standing, Suspect, Weight};
+use lagoonline::lifecycle::fingerprint::Fingerprint;
+use lagoonline::lifecycle::quarantine::{Progress, Quarantine, Settings, Status, Suspect, Weight};
 use rstest::rstest;
 
 /// Time between two crashes, longer than other hosts need to report.
@@ -34,7 +34,7 @@
         self.crashes += 1;
         let upstream = Upstream::from(format!("e{}", self.crashes));
         let requests = requests.iter().map(|name| Suspect { fingerprint: request(name), weight });
-        self.quarantine.crashed(&upstream, &requests.collect::<Vec<_>>(), self.now);
+        self.quarantine.record_crash(&upstream, &requests.collect::<Vec<_>>(), self.now);
     }
 
     fn pass(&mut self, span: Span) {
@@ -47,12 +47,12 @@
         for requests in crashes {
             self.crash(requests);
             self.pass(APART);
-            self.quarantine.judge(self.now);
+            self.quarantine.evaluate(self.now);
         }
     }
 
     fn is_held(&self, name: &str) -> bool {
-        matches!(self.quarantine.standing(&request(name), self.now), Standing::Held(_))
+        matches!(self.quarantine.status(&request(name), self.now), Status::Quarantined(_))
     }
 }
 
@@ -75,7 +75,7 @@
     for crash in 1..=6 {
         world.crash_with(&["queued"], Weight::Waiting);
         world.pass(APART);
-        world.quarantine.judge(world.now);
+        world.quarantine.evaluate(world.now);
         assert_eq!(world.is_held("queued"), crash == 6, "after {crash} crashes");
     }
 }
@@ -100,10 +100,10 @@
     let mut world = World::new();
     world.crashes_apart(&[&["lethal"], &["lethal"]]);
     world.crash(&["lethal"]);
-    let settle = Settings::default().settle;
-    let standing = world.quarantine.standing(&request("lethal"), world.now);
-    assert_eq!(standing, Standing::Undecided(settle));
-    assert!(world.quarantine.judge(world.now).is_empty());
+    let settle = Settings::default().settle_time;
+    let standing = world.quarantine.status(&request("lethal"), world.now);
+    assert_eq!(standing, Status::Pending(settle));
+    assert!(world.quarantine.evaluate(world.now).is_empty());
 }
 
 /// Requests that repeatedly run beside a lethal one must not be refused.
@@ -141,7 +141,7 @@
             world.crash(&["popular"]);
         }
         world.pass(APART);
-        world.quarantine.judge(world.now);
+        world.quarantine.evaluate(world.now);
     }
     assert!(!world.is_held("popular"));
 }
@@ -152,7 +152,7 @@
     let mut world = World::new();
     for _ in 0..10 {
         world.crashes_apart(&[&["popular", "lethal"]]);
-        let (news, _) = world.quarantine.answered(&request("popular"), world.now);
+        let (news, _) = world.quarantine.record_answer(&request("popular"), world.now);
         assert_eq!(news, world.crashes == 1, "told once, at crash {}", world.crashes);
     }
     assert!(world.is_held("lethal") && !world.is_held("popular"));
@@ -164,7 +164,7 @@
     let mut world = World::new();
     world.crashes_apart(&[&["lucky"], &["lucky"], &["lucky"]]);
     assert!(world.is_held("lucky"));
-    let (_, released) = world.quarantine.answered(&request("lucky"), world.now);
+    let (_, released) = world.quarantine.record_answer(&request("lucky"), world.now);
     let mut other = World::new();
     other.quarantine.merge(released.unwrap(), other.now);
     assert!(!world.is_held("lucky") && !other.is_held("lucky"));
@@ -174,7 +174,7 @@
 #[rstest]
 fn after_a_quarantine_one_crash_is_enough_for_a_longer_one() {
     let mut world = World::new();
-    let hold = Settings::default().hold;
+    let hold = Settings::default().base_duration;
     world.crashes_apart(&[&["lethal"], &["lethal"], &["lethal"]]);
     world.pass(hold);
     assert!(!world.is_held("lethal"));
@@ -208,17 +208,17 @@
     let mut world = World::new();
     for _ in 0..4 {
         let unlucky = Suspect { fingerprint: request("unlucky"), weight: Weight::Begun };
-        world.quarantine.crashed(&Upstream::from("e1"), &[unlucky], world.now);
+        world.quarantine.record_crash(&Upstream::from("e1"), &[unlucky], world.now);
         world.now = world.now + Span::from_millis(150);
     }
     world.pass(APART);
-    assert!(world.quarantine.judge(world.now).is_empty());
+    assert!(world.quarantine.evaluate(world.now).is_empty());
 }
 
 /// Memory must stay bounded when a caller crashes engines with ever new requests.
 #[rstest]
 fn a_flood_of_lethal_requests_is_bounded() {
-    let settings = Settings { most: 100, most_crashes: 50, ..Settings::default() };
+    let settings = Settings { max_entries: 100, max_crashes: 50, ..Settings::default() };
     let mut world = World { quarantine: Quarantine::new(settings), ..World::new() };
     world.crashes_apart(&[&["first"], &["first"]]);
     for number in 0..400 {
@@ -238,7 +238,7 @@
 #[rstest]
 fn a_request_of_another_length_is_not_looked_at() {
     let mut world = World::new();
-    assert!(!world.quarantine.knows_length(6));
+    assert!(!world.quarantine.has_length(6));
     world.crash(&["lethal"]);
-    assert!(world.quarantine.knows_length(6) && !world.quarantine.knows_length(7));
+    assert!(world.quarantine.has_length(6) && !world.quarantine.has_length(7));
 }
--- a/crates/lagoonline/tests/life_quarantine_fuzz.rs
+++ b/crates/lagoonline/tests/life_quarantine_fuzz.rs
@@ -5,8 +5,8 @@
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::id::Upstream;
-use lagoonline::life::fingerprint::Fingerprint;
-use lagoonline::life::quarantine::{Quarantine, Record, Standing, Suspect, Weight};
+use lagoonline::lifecycle::fingerprint::Fingerprint;
+use lagoonline::lifecycle::quarantine::{Quarantine, Record, Status, Suspect, Weight};
 use proptest::prelude::*;
 use proptest::test_runner;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -80,8 +80,8 @@
 
 impl System {
     fn is_held(&self, host: usize, number: usize) -> bool {
-        let standing = self.hosts[host].standing(&request(number), self.now);
-        matches!(standing, Standing::Held(_))
+        let standing = self.hosts[host].status(&request(number), self.now);
+        matches!(standing, Status::Quarantined(_))
     }
 
     fn crash(&mut self, requests: u8, deaf: usize) {
@@ -97,16 +97,16 @@
         let suspects: Vec<_> = numbers.iter().map(suspect).collect();
         for (number, host) in self.hosts.iter_mut().enumerate() {
             if number != deaf {
-                host.crashed(&upstream, &suspects, self.now);
+                host.record_crash(&upstream, &suspects, self.now);
             }
         }
     }
 
     fn answer(&mut self, number: usize, host: usize, deaf: usize) {
-        let (news, _) = self.hosts[host].answered(&request(number), self.now);
+        let (news, _) = self.hosts[host].record_answer(&request(number), self.now);
         assert!(!self.is_held(host, number), "held though it was answered there");
         for other in (0..HOSTS).filter(|other| news && *other != host && *other != deaf) {
-            self.hosts[other].answered(&request(number), self.now);
+            self.hosts[other].record_answer(&request(number), self.now);
             assert!(!self.is_held(other, number), "held though its answer was told");
         }
     }
@@ -145,7 +145,7 @@
                 system.now = system.now + Span::from_millis(millis);
                 for host in &mut system.hosts {
                     host.expire(system.now);
-                    host.judge(system.now);
+                    host.evaluate(system.now);
                 }
             }
             Transition::Release { request: number, host } => {
--- a/crates/lagoonline/tests/life_reap.rs
+++ b/crates/lagoonline/tests/life_reap.rs
@@ -2,7 +2,7 @@
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::id::{Owner, Upstream};
-use lagoonline::life::reap::{Settings, Sweep};
+use lagoonline::lifecycle::reap::{Reaper, Settings};
 use lagoonline::port::engine::{Holding, Kind};
 use rstest::rstest;
 
@@ -15,8 +15,8 @@
 #[case(Kind::Stream, &[false, true])]
 fn streams_wait_for_their_callers(#[case] kind: Kind, #[case] released: &[bool]) {
     let owner = |text: &str| text.parse::<Owner>().expect("an owner");
-    let takeover = Settings::default().takeover;
-    let mut sweep = Sweep::new(Settings::default());
+    let takeover = Settings::default().takeover_window;
+    let mut sweep = Reaper::new(Settings::default());
     let engine = Upstream::from("e");
     let held = |owner: &str| Holding {
         id: "a".into(),
@@ -25,11 +25,11 @@
         bytes: 1,
         expires_ms: 1,
     };
-    sweep.releases(&engine, &[held("h/1")], Moment::START);
-    sweep.heard(&owner("h/2"), Moment::START);
+    sweep.releasable(&engine, &[held("h/1")], Moment::START);
+    sweep.record_heartbeat(&owner("h/2"), Moment::START);
     for (at, expected) in [Span::ZERO, takeover].iter().zip(released) {
-        let ids = sweep.releases(&engine, &[held("h/1")], Moment::START + *at);
+        let ids = sweep.releasable(&engine, &[held("h/1")], Moment::START + *at);
         assert_eq!(!ids.is_empty(), *expected, "after {at:?}");
     }
-    assert!(sweep.releases(&engine, &[held("h/2")], Moment::START + takeover).is_empty());
+    assert!(sweep.releasable(&engine, &[held("h/2")], Moment::START + takeover).is_empty());
 }
--- a/crates/lagoonline/tests/life_regressions.rs
+++ b/crates/lagoonline/tests/life_regressions.rs
@@ -2,7 +2,7 @@
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::id::{Incarnation, Owner, Upstream};
-use lagoonline::life::{leaving, reap};
+use lagoonline::lifecycle::{leaving, reap};
 use lagoonline::port::engine;
 
 fn owner(text: &str) -> Owner {
@@ -21,7 +21,7 @@
 #[test]
 fn a_refusal_marks_one_life_only() {
     let (mut marks, engine) = (leaving::Marks::default(), Upstream::from("e"));
-    assert_eq!(marks.refused(&engine), None);
+    assert_eq!(marks.record_refusal(&engine), None);
     assert!(marks.is_leaving(&engine));
     let first = leaving::Mark { incarnation: Incarnation(1), leaving: true };
     assert_eq!(marks.merge(&engine, first), Some(first));
@@ -33,13 +33,13 @@
 /// start knew the other host only by its stream, and hearing one of two hosts counted as enough.
 #[test]
 fn a_sweeper_that_hears_only_itself_releases_nothing() {
-    let mut sweep = reap::Sweep::new(reap::Settings::default());
+    let mut sweep = reap::Reaper::new(reap::Settings::default());
     let holding = stream_of("other/1");
     let mut now = Moment::START;
     for _ in 0..300 {
         now = now + Span::from_secs(1);
-        sweep.heard(&owner("own/1"), now);
-        let released = sweep.releases(&Upstream::from("e"), std::slice::from_ref(&holding), now);
+        sweep.record_heartbeat(&owner("own/1"), now);
+        let released = sweep.releasable(&Upstream::from("e"), std::slice::from_ref(&holding), now);
         assert!(released.is_empty());
     }
 }
@@ -49,16 +49,16 @@
 /// off, still counted as heard.
 #[test]
 fn hosts_fall_silent_together() {
-    let mut sweep = reap::Sweep::new(reap::Settings::default());
+    let mut sweep = reap::Reaper::new(reap::Settings::default());
     let hosts = ["own/1", "a/1", "b/1", "c/1"];
     for (host, millis) in hosts.iter().zip([900, 100, 500, 900]) {
-        sweep.heard(&owner(host), Moment::from_millis(millis));
+        sweep.record_heartbeat(&owner(host), Moment::from_millis(millis));
     }
     let holding = stream_of("a/1");
     for tenths in 10..900 {
         let now = Moment::from_millis(tenths * 100);
-        sweep.heard(&owner("own/1"), now);
-        let released = sweep.releases(&Upstream::from("e"), std::slice::from_ref(&holding), now);
+        sweep.record_heartbeat(&owner("own/1"), now);
+        let released = sweep.releasable(&Upstream::from("e"), std::slice::from_ref(&holding), now);
         assert!(released.is_empty(), "at {now:?}");
     }
 }
