--- a/crates/lagoonline/tests/load_placement.rs
+++ b/crates/lagoonline/tests/load_placement.rs
@@ -20,8 +20,8 @@
     pass::Pace { step_ms: 1.02, read_per_ms: 206.0, pairs_ms_per_m: 0.138, ..Default::default() }
 }
 
-fn entry(index: usize, zone: &str) -> routing::Entry {
-    routing::Entry {
+fn entry(index: usize, zone: &str) -> routing::Registration {
+    routing::Registration {
         upstream: id::Upstream::from(format!("e{index:02}")),
         service: id::Service::from("llm"),
         address: net::SocketAddr::from(([127, 0, 0, 1], 8_000 + index as u16)),
@@ -232,7 +232,7 @@
 /// A fleet of `engines` with `slots` places each.
 fn day_with_slots(engines: usize, slots: u32) -> Day {
     let entries: Vec<_> =
-        (0..engines).map(|index| routing::Entry { slots, ..entry(index, "a") }).collect();
+        (0..engines).map(|index| routing::Registration { slots, ..entry(index, "a") }).collect();
     let mut day = Day::new(1);
     day.board = placement::Board::new(placement::Settings::default(), id::Zone::from("a"));
     day.board.set_upstreams(&entries, Some(pass::Pace { slots, ..pace() }));
--- a/crates/lagoonline/tests/routing.rs
+++ b/crates/lagoonline/tests/routing.rs
@@ -51,10 +51,10 @@
     let table = routing::Table::new(routing::Desired { customers, ..Default::default() });
     let closed = route("r", "/");
     let public = routing::Route { public: true, ..route("p", "/") };
-    assert!(matches!(table.customer(&closed, Some("k2")), routing::Match::Customer(_)));
-    assert_eq!(table.customer(&closed, Some("k3")), routing::Match::Unknown);
-    assert_eq!(table.customer(&closed, None), routing::Match::Unknown);
-    assert_eq!(table.customer(&public, None), routing::Match::Open);
+    assert!(matches!(table.customer(&closed, Some("k2")), routing::KeyMatch::Customer(_)));
+    assert_eq!(table.customer(&closed, Some("k3")), routing::KeyMatch::Unknown);
+    assert_eq!(table.customer(&closed, None), routing::KeyMatch::Unknown);
+    assert_eq!(table.customer(&public, None), routing::KeyMatch::Open);
 }
 
 #[rstest]
@@ -64,8 +64,8 @@
     assert_eq!(to_a, 900);
 }
 
-fn entry(name: &str, leaving: bool) -> routing::Entry {
-    routing::Entry {
+fn entry(name: &str, leaving: bool) -> routing::Registration {
+    routing::Registration {
         upstream: id::Upstream::from(name),
         service: id::Service::from("s"),
         address: net::SocketAddr::from(([127, 0, 0, 1], 80)),
@@ -87,7 +87,7 @@
 fn an_entry_that_lapsed_in_an_outage_stays_until_it_can_be_back() {
     let mut registry = routing::Registry::default();
     registry.apply(routing::Change::Put(entry("u", false)), Moment::from_millis(0));
-    registry.returned(Moment::from_millis(9_000));
+    registry.record_recovery(Moment::from_millis(9_000));
     registry.apply(removed("u"), Moment::from_millis(9_010));
     assert!(!registry.expire(Moment::from_millis(11_000)));
     assert_eq!(registry.entries().count(), 1);
@@ -102,7 +102,7 @@
 fn an_entry_that_vanishes_after_the_return_is_dropped_at_once() {
     let mut registry = routing::Registry::default();
     registry.apply(routing::Change::Put(entry("u", false)), Moment::from_millis(0));
-    registry.returned(Moment::from_millis(9_000));
+    registry.record_recovery(Moment::from_millis(9_000));
     registry.apply(removed("u"), Moment::from_millis(12_000));
     assert_eq!(registry.entries().count(), 0);
 }
@@ -112,7 +112,7 @@
 fn a_leaving_entry_is_not_kept() {
     let mut registry = routing::Registry::default();
     registry.apply(routing::Change::Put(entry("u", true)), Moment::from_millis(0));
-    registry.returned(Moment::from_millis(10));
+    registry.record_recovery(Moment::from_millis(10));
     registry.apply(removed("u"), Moment::from_millis(20));
     assert_eq!(registry.entries().count(), 0);
 }
@@ -127,9 +127,9 @@
     assert_eq!(names, ["v"]);
 }
 
-fn sources(own: &str, peers: &[&str]) -> routing::Sources {
-    let settings = routing::SourceSettings { least_hosts: 3, ..Default::default() };
-    let mut sources = routing::Sources::new(settings, id::Host::from(own), 0.1);
+fn sources(own: &str, peers: &[&str]) -> routing::SourceSelector {
+    let settings = routing::SourceSettings { min_hosts: 3, ..Default::default() };
+    let mut sources = routing::SourceSelector::new(settings, id::Host::from(own), 0.1);
     for peer in peers {
         sources.set_peer(id::Host::from(*peer), routing::Peer { cores: 0.1 });
     }
@@ -157,9 +157,9 @@
 #[rstest]
 fn readers_that_fail_are_passed_over_for_a_while() {
     let mut sources = sources("c", &["a", "b", "d"]);
-    sources.failed(&id::Host::from("a"), Moment::from_millis(0));
+    sources.record_failure(&id::Host::from("a"), Moment::from_millis(0));
     assert_eq!(sources.next(Moment::from_millis(10)), peer("b"));
-    sources.failed(&id::Host::from("b"), Moment::from_millis(1_000));
+    sources.record_failure(&id::Host::from("b"), Moment::from_millis(1_000));
     assert_eq!(sources.next(Moment::from_millis(1_010)), routing::Source::Platform);
     assert_eq!(sources.next(Moment::from_millis(3_000)), peer("a"));
 }
@@ -169,7 +169,7 @@
 #[rstest]
 fn a_host_that_the_platform_turns_away_asks_another() {
     let mut sources = sources("a", &["b", "c"]);
-    sources.platform_failed(Moment::from_millis(0));
+    sources.record_platform_failure(Moment::from_millis(0));
     assert_eq!(sources.next(Moment::from_millis(10)), peer("b"));
     assert_eq!(sources.next(Moment::from_millis(3_000)), routing::Source::Platform);
 }
@@ -183,7 +183,7 @@
     let now = Moment::from_millis(10);
     let mut asked = 0;
     while let routing::Source::Peer(host) = sources.next(now) {
-        sources.failed(&host, now);
+        sources.record_failure(&host, now);
         asked += 1;
     }
     assert_eq!(asked, 5);
@@ -198,7 +198,7 @@
 fn a_look_for_a_reader_ends_within_the_bound(#[case] apply: u64) {
     const ASK: Span = Span::from_millis(1_300);
     let apply = Span::from_millis(apply);
-    let look = routing::SourceSettings::default().look_span(apply);
+    let look = routing::SourceSettings::default().search_span(apply);
     assert!(look + ASK < apply, "{look:?} of {apply:?}");
 }
 
@@ -206,8 +206,8 @@
 #[rstest]
 fn each_host_of_a_small_zone_reads() {
     let now = Moment::from_millis(10);
-    let settings = routing::SourceSettings { least_hosts: 3, ..Default::default() };
-    let mut sources = routing::Sources::new(settings, id::Host::from("b"), 0.1);
+    let settings = routing::SourceSettings { min_hosts: 3, ..Default::default() };
+    let mut sources = routing::SourceSelector::new(settings, id::Host::from("b"), 0.1);
     sources.set_peer(id::Host::from("a"), routing::Peer { cores: 0.5 });
     assert_eq!(sources.next(now), routing::Source::Platform);
     assert!(sources.is_first(now));
--- a/crates/lagoonline/tests/routing_roster.rs
+++ b/crates/lagoonline/tests/routing_roster.rs
@@ -23,7 +23,7 @@
     name: id::Host,
     zone: id::Zone,
     roster: routing::Roster,
-    rounds: routing::Rounds,
+    rounds: routing::PollSchedule,
     runs: bool,
 }
 
@@ -39,8 +39,8 @@
     sent: usize,
 }
 
-fn standing(zone: &id::Zone, rank: usize) -> routing::Standing {
-    routing::Standing { zone: zone.clone(), cores: if rank < 3 { 0.5 } else { 0.12 } }
+fn standing(zone: &id::Zone, rank: usize) -> routing::HostInfo {
+    routing::HostInfo { zone: zone.clone(), cores: if rank < 3 { 0.5 } else { 0.12 } }
 }
 
 impl Fleet {
@@ -58,7 +58,7 @@
             let settings = routing::RosterSettings::default();
             let mut roster = routing::Roster::new(settings, name.clone(), own.clone(), START);
             for (other, standing) in &named {
-                roster.set(other.clone(), standing.clone(), START);
+                roster.upsert(other.clone(), standing.clone(), START);
             }
             let (name, zone) = (name.clone(), own.zone.clone());
             Host { name, zone, roster, rounds: Default::default(), runs: true }
@@ -99,25 +99,25 @@
     fn beat(&mut self, index: usize) {
         let now = self.now;
         let name = self.hosts[index].name.clone();
-        for other in self.hosts[index].roster.watched(now) {
+        for other in self.hosts[index].roster.heartbeat_targets(now) {
             let to = self.index(&other);
-            self.hosts[index].roster.asked(&other, now);
+            self.hosts[index].roster.record_heartbeat_sent(&other, now);
             self.sent += 1;
             if self.reaches(index, to) {
-                self.hosts[to].roster.heard(&name, now);
-                self.hosts[index].roster.heard(&other, now);
+                self.hosts[to].roster.record_contact(&name, now);
+                self.hosts[index].roster.record_contact(&other, now);
                 self.sent += 1;
             }
         }
-        let shared = self.hosts[index].roster.is_own_shared();
-        if shared && !self.hosts[index].roster.leads(now) {
+        let shared = self.hosts[index].roster.own_zone_has_scheduler();
+        if shared && !self.hosts[index].roster.is_leader(now) {
             return;
         }
-        for other in self.hosts[index].roster.far(now) {
+        for other in self.hosts[index].roster.remote_peers(now) {
             let to = self.index(&other);
             self.sent += 1;
             if self.reaches(index, to) {
-                self.hosts[to].roster.heard(&name, now);
+                self.hosts[to].roster.record_contact(&name, now);
             }
         }
     }
@@ -258,7 +258,7 @@
     let settings = routing::RosterSettings::default();
     let mut roster = routing::Roster::new(settings, name(own), standing(&zone, own), START);
     for index in 0..hosts {
-        roster.set(name(index), standing(&zone, index), START);
+        roster.upsert(name(index), standing(&zone, index), START);
     }
     roster
 }
@@ -275,13 +275,13 @@
     for name in ["h00", "h01", "h02"] {
         let host = roster.scheduler(now).unwrap();
         assert_eq!(host.as_str(), name);
-        roster.passed(&host, now);
+        roster.skip(&host, now);
     }
     assert_eq!(first(&roster, now), None);
-    roster.asked(&id::Host::from("h00"), now);
+    roster.record_heartbeat_sent(&id::Host::from("h00"), now);
     now = now + Span::from_millis(1_001);
     assert_eq!(first(&roster, now).as_deref(), Some("h01"));
-    roster.heard(&id::Host::from("h00"), now);
+    roster.record_contact(&id::Host::from("h00"), now);
     assert_eq!(first(&roster, now).as_deref(), Some("h00"));
 }
 
@@ -294,7 +294,7 @@
     let own = own.min(hosts - 1);
     let roster = roster(own, hosts);
     assert_eq!(roster.scheduler(START), None);
-    let near = roster.near(START).len();
+    let near = roster.zone_peers(START).len();
     assert_eq!(near, if hosts < 6 { hosts - 1 } else { 2 });
 }
 
@@ -308,21 +308,21 @@
         routing::Roster::new(settings, id::Host::from("own"), standing(&zone, 0), START);
     for index in 0..20 {
         let other = standing(&id::Zone::from("large"), index);
-        roster.set(id::Host::from(format!("l{index:02}")), other, START);
+        roster.upsert(id::Host::from(format!("l{index:02}")), other, START);
         if index < 4 {
             let other = standing(&id::Zone::from("small"), index);
-            roster.set(id::Host::from(format!("s{index:02}")), other, START);
+            roster.upsert(id::Host::from(format!("s{index:02}")), other, START);
         }
     }
     let now = START;
     let far = |roster: &routing::Roster| -> Vec<String> {
-        roster.far(now).iter().map(ToString::to_string).collect()
+        roster.remote_peers(now).iter().map(ToString::to_string).collect()
     };
     let small = ["s00", "s01", "s02", "s03"];
     assert_eq!(far(&roster).len(), 12 + small.len(), "nobody is heard of");
-    roster.heard(&id::Host::from("l01"), now);
+    roster.record_contact(&id::Host::from("l01"), now);
     assert_eq!(far(&roster), [&["l00", "l01", "l02"], &small[..]].concat());
-    roster.heard(&id::Host::from("l07"), now);
+    roster.record_contact(&id::Host::from("l07"), now);
     assert!(far(&roster).contains(&"l07".to_owned()));
 }
 
@@ -331,12 +331,12 @@
 #[rstest]
 fn few_hosts_call_a_platform_that_is_out() {
     let now = START;
-    let pauses: Vec<_> = (0..40).map(|own| roster(own, 40).longest_pause(now)).collect();
+    let pauses: Vec<_> = (0..40).map(|own| roster(own, 40).max_retry_pause(now)).collect();
     let often = pauses.iter().filter(|pause| **pause <= Span::from_secs(1)).count();
     assert_eq!(often, 3);
     let calls: f64 = pauses.iter().map(|pause| 1.0 / pause.as_secs_f64()).sum();
     assert!(calls <= 20.0, "{calls} calls a second");
-    assert!(roster(4, 5).longest_pause(now) <= Span::from_millis(400), "of a small zone");
+    assert!(roster(4, 5).max_retry_pause(now) <= Span::from_millis(400), "of a small zone");
 }
 
 /// Rows of replaced hosts must not be kept, read and ranked forever.
@@ -346,8 +346,11 @@
     let name = |index: usize| id::Host::from(format!("h{index:02}"));
     let mut first = roster(0, 5);
     let (early, late) = (START + Span::from_secs(599), START + Span::from_secs(601));
-    assert!(first.gone(GONE, early).is_empty());
-    first.heard(&name(1), early);
-    assert_eq!(first.gone(GONE, late), [name(2), name(3), name(4)]);
-    assert!(roster(4, 5).gone(GONE, late).is_empty(), "forgotten by a host that is not the first");
+    assert!(first.expired(GONE, early).is_empty());
+    first.record_contact(&name(1), early);
+    assert_eq!(first.expired(GONE, late), [name(2), name(3), name(4)]);
+    assert!(
+        roster(4, 5).expired(GONE, late).is_empty(),
+        "forgotten by a host that is not the first"
+    );
 }
