--- a/crates/lagoonline/src/control/membership/group.rs
+++ b/crates/lagoonline/src/control/membership/group.rs
@@ -1,27 +1,29 @@
-//! The members as one steward sees them, and what it does about silence.
+//! One steward's view of the members, and failure detection by heartbeats and votes.
 
 use std::collections;
 
 use super::roster;
 use crate::clock;
-use crate::control::owner;
+use crate::control::rendezvous;
 use crate::id;
 
-/// Times and numbers of the heartbeats.
+/// Settings of heartbeats and failure detection.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Time between two heartbeats to the same neighbour.
+    /// Interval between heartbeats to the same neighbour.
     pub interval: clock::Span,
-    /// Rings that the hosts of a zone stand on; next to each other on one are neighbours, who watch
-    /// each other.
+    /// Number of rings that the hosts of a zone are arranged on. Hosts next to each other on a
+    /// ring are neighbours and monitor each other.
     pub rings: usize,
-    /// Silence after which a host votes against a neighbour: four heartbeats and some delay. At 5%
-    /// loss one is wrong once in 160,000 intervals, and most of the neighbours must be at once.
-    pub silence: clock::Span,
-    /// Most time between two ticks that counts: beyond it, this process was paused.
-    pub longest_tick: clock::Span,
-    /// Time after which a dead member is forgotten.
-    pub forget: clock::Span,
+    /// Time without a heartbeat after which a host votes against a neighbour: four heartbeat
+    /// intervals plus network delay. At 5% packet loss a vote is wrong once in 160,000 intervals,
+    /// and a member is declared dead only when most of its neighbours are wrong at the same time.
+    pub heartbeat_timeout: clock::Span,
+    /// Longest normal time between two ticks. Anything beyond it is treated as a pause of this
+    /// process and not as silence of its neighbours.
+    pub max_tick_gap: clock::Span,
+    /// Time after which a dead member is removed.
+    pub forget_after: clock::Span,
 }
 
 impl Default for Settings {
@@ -29,45 +31,53 @@
         Settings {
             interval: clock::Span::from_millis(500),
             rings: 2,
-            silence: clock::Span::from_millis(2_200),
-            longest_tick: clock::Span::from_millis(250),
-            forget: clock::Span::from_secs(600),
+            heartbeat_timeout: clock::Span::from_millis(2_200),
+            max_tick_gap: clock::Span::from_millis(250),
+            forget_after: clock::Span::from_secs(600),
         }
     }
 }
 
-/// A change of who lives.
+/// A change in the set of live members.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// A member joined, or came back in a new life.
+    /// A member joined, or rejoined with a new incarnation.
     Live(id::Host),
-    /// The majority of a member's neighbours is against it.
+    /// The majority of a member's neighbours voted against it.
     Dead(id::Host),
 }
 
-/// The members as one steward sees them.
+/// Members of the cluster as seen by one steward.
+///
+/// The caller feeds in heartbeats and updates from peers, calls [`Group::tick`] regularly, and
+/// sends the updates that these calls return to its linked peers.
 #[derive(Clone, Debug)]
 pub struct Group {
     own: roster::Member,
     settings: Settings,
     roster: roster::Roster,
+    /// Time of the last heartbeat of each monitored host.
     heard: collections::HashMap<id::Host, clock::Moment>,
+    /// Dead members and the time at which they were declared dead.
     dead: collections::HashMap<id::Host, clock::Moment>,
-    /// Neighbours of each live member; computed again when the live members change.
+    /// Neighbours of each live member; cleared to force a recomputation when live members change.
     neighbours: collections::HashMap<id::Host, Vec<id::Host>>,
-    /// Members that this steward exchanges heartbeats with, in order.
+    /// Members that this steward exchanges heartbeats with, sorted.
     contacts: Vec<id::Host>,
+    /// Members that joined since the last tick.
     joined: Vec<id::Host>,
+    /// Sequence number of the last vote of this steward.
     votes: u64,
+    /// Time of the last tick.
     ticked: clock::Moment,
 }
 
 impl Group {
-    /// A group of this steward alone.
+    /// Creates a group that contains only this steward.
     ///
     /// ```
     /// use lagoonline::clock::Moment;
-    /// use lagoonline::control::membership::{Group, Member, News, Settings};
+    /// use lagoonline::control::membership::{Group, Member, Update, Settings};
     /// use lagoonline::id::{Host, Incarnation, Zone};
     /// let member = |name: &str| Member {
     ///     host: Host::from(name),
@@ -76,7 +86,7 @@
     ///     incarnation: Incarnation(1),
     /// };
     /// let mut group = Group::new(member("a"), Settings::default(), Moment::START);
-    /// group.take(&[News::Member(member("b"))], Moment::START);
+    /// group.apply(&[Update::Member(member("b"))], Moment::START);
     /// for millis in (0..3_000).step_by(100) {
     ///     group.tick(Moment::from_millis(millis));
     /// }
@@ -84,57 +94,61 @@
     /// ```
     pub fn new(own: roster::Member, settings: Settings, now: clock::Moment) -> Self {
         let mut roster = roster::Roster::default();
-        roster.take(&roster::News::Member(own.clone()));
+        roster.apply(&roster::Update::Member(own.clone()));
         let (heard, dead, neighbours) = Default::default();
         let (contacts, joined, votes, ticked) = (Vec::new(), Vec::new(), 0, now);
         Group { own, settings, roster, heard, dead, neighbours, contacts, joined, votes, ticked }
     }
 
-    /// This steward.
+    /// Returns this steward's own member record.
     pub fn own(&self) -> &roster::Member {
         &self.own
     }
 
-    /// What is known of members and votes.
+    /// Returns the known members and votes.
     pub fn roster(&self) -> &roster::Roster {
         &self.roster
     }
 
-    /// Whether a member is known and not dead.
+    /// Returns whether a member is known and not dead.
     pub fn is_live(&self, host: &id::Host) -> bool {
         self.roster.member(host).is_some() && !self.dead.contains_key(host)
     }
 
-    /// Members that are not dead, this one included.
+    /// Returns the members that are not dead, including this one.
     pub fn live(&self) -> impl Iterator<Item = &roster::Member> {
         self.roster.members().filter(|member| !self.dead.contains_key(&member.host))
     }
 
-    /// Dead members that are not forgotten yet.
+    /// Returns the dead members that have not been removed yet.
     pub fn dead(&self) -> impl Iterator<Item = &roster::Member> {
         self.roster.members().filter(|member| self.dead.contains_key(&member.host))
     }
 
-    /// Names of the live members of `zone`.
+    /// Returns the names of the live members of `zone`.
     pub fn live_in<'a>(&'a self, zone: &'a id::Zone) -> impl Iterator<Item = &'a str> {
         self.live().filter(move |member| member.zone == *zone).map(|member| member.host.as_str())
     }
 
-    /// Whom this steward exchanges heartbeats with, and keeps links with.
-    pub fn contacts(&self) -> &[id::Host] {
+    /// Returns the members that this steward exchanges heartbeats with and keeps links to.
+    pub fn heartbeat_peers(&self) -> &[id::Host] {
         &self.contacts
     }
 
-    /// Failure answered: hosts that choose neighbours freely are chosen unevenly. Symptom: of 39
-    /// hosts one has eight neighbours, and pays twice the budget of heartbeats. On each ring, an
-    /// order by rendezvous of its own, a host has the one before it and the one behind it, so
-    /// nobody has more than two for each ring; rings of different orders make a random graph.
+    /// Returns the hosts of `zone` in the order of ring `number`.
+    ///
+    /// Each ring is ordered by a rendezvous hash of its own. A host's neighbours on a ring are its
+    /// predecessor and its successor, so it has at most two per ring, and several differently
+    /// ordered rings form a random graph. If each host selected its neighbours independently, the
+    /// load would be uneven: of 39 hosts one would have eight neighbours and exceed its heartbeat
+    /// budget twofold.
     fn ring<'a>(&'a self, zone: &'a id::Zone, number: usize) -> Vec<&'a str> {
         let members = self.live_in(zone).collect::<Vec<_>>();
         let count = members.len();
-        owner::rank(members, &format!("ring {number}"), count)
+        rendezvous::rank(members, &format!("ring {number}"), count)
     }
 
+    /// Recomputes neighbours and heartbeat peers if the live members have changed.
     fn update_contacts(&mut self) {
         if !self.neighbours.is_empty() {
             return;
@@ -163,14 +177,16 @@
         contacts.extend(self.substitutes());
         contacts.sort();
         contacts.dedup();
-        // Whoever starts to watch a host gives it the whole time from then on.
+        // A host that becomes a peer again starts with a full timeout.
         self.heard.retain(|host, _| contacts.binary_search(host).is_ok());
         (self.neighbours, self.contacts) = (neighbours, contacts);
     }
 
-    /// Failure answered: all neighbours of this host went at once, so it hears nobody's votes and
-    /// finds nobody dead. Symptom: it stays alone with a list of dead hosts. For each host that it
-    /// is against it takes another one as a contact, until one answers.
+    /// Returns extra heartbeat peers, one for each host that this steward has voted against.
+    ///
+    /// If all neighbours of this host fail at once, it receives no votes and cannot declare anyone
+    /// dead, so it would stay isolated with a list of dead hosts. Extra peers are added until one
+    /// of them responds.
     fn substitutes(&self) -> Vec<id::Host> {
         let trusted = |name: &&str| !self.roster.is_against(&self.own.host, &id::Host::from(*name));
         let others = self.live_in(&self.own.zone).filter(|name| *name != self.own.host.as_str());
@@ -180,17 +196,21 @@
             return Vec::new();
         }
         let trusted = others.into_iter().filter(trusted);
-        let ranked = owner::rank(trusted, self.own.host.as_str(), self.settings.rings + doubted);
+        let ranked =
+            rendezvous::rank(trusted, self.own.host.as_str(), self.settings.rings + doubted);
         ranked.into_iter().map(id::Host::from).collect()
     }
 
-    /// A heartbeat came from a member in this life.
-    pub fn hear(
+    /// Records a heartbeat from the given incarnation of a member and returns the updates to send.
+    ///
+    /// Withdraws this steward's vote against the member, if there is one. Heartbeats of unknown
+    /// members and of other incarnations are ignored.
+    pub fn record_heartbeat(
         &mut self,
         host: &id::Host,
         incarnation: id::Incarnation,
         now: clock::Moment,
-    ) -> Vec<roster::News> {
+    ) -> Vec<roster::Update> {
         let Some(member) = self.roster.member(host) else { return Vec::new() };
         if member.incarnation != incarnation || *host == self.own.host {
             return Vec::new();
@@ -202,34 +222,35 @@
         vec![self.vote(host, incarnation, false)]
     }
 
+    /// Records a vote by this steward and returns it as an update.
     fn vote(
         &mut self,
         host: &id::Host,
         incarnation: id::Incarnation,
         against: bool,
-    ) -> roster::News {
+    ) -> roster::Update {
         self.votes += 1;
         let vote = roster::Vote {
-            by: self.own.host.clone(),
-            by_incarnation: self.own.incarnation,
-            number: self.votes,
+            voter: self.own.host.clone(),
+            voter_incarnation: self.own.incarnation,
+            sequence: self.votes,
             host: host.clone(),
             incarnation,
             against,
         };
-        let news = roster::News::Vote(vote);
-        self.roster.take(&news);
+        let news = roster::Update::Vote(vote);
+        self.roster.apply(&news);
         news
     }
 
-    /// Takes news from a peer; what of it was new, to be passed on.
-    pub fn take(&mut self, news: &[roster::News], now: clock::Moment) -> Vec<roster::News> {
+    /// Applies updates from a peer and returns those that were new, to be forwarded.
+    pub fn apply(&mut self, news: &[roster::Update], now: clock::Moment) -> Vec<roster::Update> {
         let mut passed = Vec::new();
         for item in news {
-            if !self.roster.take(item) {
+            if !self.roster.apply(item) {
                 continue;
             }
-            if let roster::News::Member(member) = item {
+            if let roster::Update::Member(member) = item {
                 self.welcome(member, now);
             }
             passed.push(item.clone());
@@ -237,6 +258,7 @@
         passed
     }
 
+    /// Marks a member that joined or has a new incarnation as live.
     fn welcome(&mut self, member: &roster::Member, now: clock::Moment) {
         self.heard.insert(member.host.clone(), now);
         self.dead.remove(&member.host);
@@ -244,9 +266,12 @@
         self.neighbours.clear();
     }
 
-    /// Votes against contacts that are silent, counts votes, answers votes against this
-    /// steward, and forgets the long dead.
-    pub fn tick(&mut self, now: clock::Moment) -> (Vec<roster::News>, Vec<Change>) {
+    /// Runs one round of failure detection and returns the updates to send and the changes of the
+    /// live members.
+    ///
+    /// Votes against peers whose heartbeats timed out, counts votes, refutes votes against this
+    /// steward, and removes members that have been dead for long enough.
+    pub fn tick(&mut self, now: clock::Moment) -> (Vec<roster::Update>, Vec<Change>) {
         self.update_contacts();
         self.excuse_pause(now);
         let mut news = self.vote_on_silent(now);
@@ -257,22 +282,25 @@
         (news, changes)
     }
 
-    /// Failure answered: this process was paused, and on waking every host looks silent. Symptom:
-    /// one paused host votes against all its neighbours. The time of the pause is taken off.
+    /// Excludes a pause of this process from the heartbeat timeouts of its peers.
+    ///
+    /// Otherwise every peer would appear to have timed out when the process resumes, and a paused
+    /// host would vote against all its neighbours.
     fn excuse_pause(&mut self, now: clock::Moment) {
         let gap = now.since(self.ticked);
         self.ticked = now;
-        let Some(pause) = gap.checked_sub(self.settings.longest_tick) else { return };
+        let Some(pause) = gap.checked_sub(self.settings.max_tick_gap) else { return };
         for heard in self.heard.values_mut() {
             *heard = *heard + pause;
         }
     }
 
-    fn vote_on_silent(&mut self, now: clock::Moment) -> Vec<roster::News> {
+    /// Votes against the peers whose heartbeats timed out.
+    fn vote_on_silent(&mut self, now: clock::Moment) -> Vec<roster::Update> {
         let mut silent = Vec::new();
         for host in &self.contacts {
             let heard = *self.heard.entry(host.clone()).or_insert(now);
-            if now.since(heard) < self.settings.silence {
+            if now.since(heard) < self.settings.heartbeat_timeout {
                 continue;
             }
             let member = self.roster.member(host);
@@ -286,11 +314,11 @@
         silent.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)).collect()
     }
 
-    /// Answers votes against this life with a new one.
+    /// Refutes votes against this incarnation by starting a new one, which invalidates them.
     ///
-    /// Failure answered: the hosts of a zone were cut in two, each half holds the other dead, and
-    /// the votes outlive the cut. Symptom: the halves never join again. A new life voids them.
-    fn refute(&mut self) -> Vec<roster::News> {
+    /// Otherwise a zone would never recover from a network partition: each half holds votes
+    /// against the other, and these votes persist after the partition ends.
+    fn refute(&mut self) -> Vec<roster::Update> {
         let known = self.roster.member(&self.own.host).map(|member| member.incarnation);
         let is_replaced = known.is_some_and(|known| known > self.own.incarnation);
         if !is_replaced && !self.roster.is_doubted(&self.own.host) {
@@ -303,15 +331,18 @@
         let doubted: Vec<_> = doubted.collect();
         let last = known.unwrap_or_default().max(self.own.incarnation);
         self.own.incarnation = id::Incarnation(last.0 + 1);
-        let mut news = vec![roster::News::Member(self.own.clone())];
-        self.roster.take(&news[0]);
-        // Votes of the earlier life are void; those against hosts that are dead must not be lost.
+        let mut news = vec![roster::Update::Member(self.own.clone())];
+        self.roster.apply(&news[0]);
+        // The new incarnation invalidates all votes cast by the earlier one. Votes against dead
+        // hosts are still needed, so they are cast again.
         news.extend(doubted.iter().map(|(host, life)| self.vote(host, *life, true)));
         news
     }
 
-    /// Neighbours that went at once with a host have no say in it: those that are doubted
-    /// themselves are left out of the count.
+    /// Returns whether the majority of the eligible `neighbours` of `host` voted against it.
+    ///
+    /// Neighbours that have votes against themselves are not eligible: they may have failed
+    /// together with `host` and then cannot vote.
     fn is_condemned(&self, host: &id::Host, neighbours: &[id::Host]) -> bool {
         if !self.roster.is_doubted(host) {
             return false;
@@ -324,6 +355,7 @@
         2 * against.count() > with_say.len()
     }
 
+    /// Counts the votes, marks members as dead and returns the changes since the last tick.
     fn count(&mut self, now: clock::Moment) -> Vec<Change> {
         let joined = std::mem::take(&mut self.joined);
         let mut changes: Vec<_> = joined.into_iter().map(Change::Live).collect();
@@ -343,12 +375,12 @@
         changes
     }
 
-    /// Votes as well against members of the own zone that were counted dead.
+    /// Adds this steward's own votes against members of its zone that it just declared dead.
     ///
-    /// Failure answered: each host counts with its own view of who the neighbours are, which differ
-    /// while many die at once. Symptom: a host that some hold dead, and so no longer watch, stays
-    /// live for ever to the others. With their votes these count it dead too.
-    fn second(&mut self, changes: &[Change]) -> Vec<roster::News> {
+    /// Each host counts votes with its own view of who the neighbours are, and these views differ
+    /// while many members fail at once. Hosts that declared a member dead stop monitoring it, so
+    /// without their votes the member could stay live for ever in the view of the others.
+    fn second(&mut self, changes: &[Change]) -> Vec<roster::Update> {
         let mut seconded = Vec::new();
         for change in changes {
             let Change::Dead(host) = change else { continue };
@@ -361,8 +393,9 @@
         seconded.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)).collect()
     }
 
+    /// Removes the members that have been dead for the configured time.
     fn forget(&mut self, now: clock::Moment) {
-        let limit = self.settings.forget;
+        let limit = self.settings.forget_after;
         let old = self.dead.iter().filter(|(_, since)| now.since(**since) >= limit);
         let old: Vec<id::Host> = old.map(|(host, _)| host.clone()).collect();
         for host in old {
--- a/crates/lagoonline/src/lifecycle/owner.rs
+++ b/crates/lagoonline/src/lifecycle/owner.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::control::spread;
+use crate::control::replication;
 use crate::id;
 
 /// Liveness of an entry process, as known to the stewards of its zone.
@@ -49,7 +49,7 @@
     /// Derives the status from the last report of the process and the state of its host.
     ///
     /// ```
-    /// use lagoonline::{control::spread::Report, id::{Host, Incarnation}};
+    /// use lagoonline::{control::replication::Report, id::{Host, Incarnation}};
     /// use lagoonline::lifecycle::owner::{self, Liveness, Status};
     /// let report = Report { incarnation: Incarnation(7), ready: true, ..Report::default() };
     /// let host = Host::from("suva-1");
@@ -60,7 +60,7 @@
     /// let closed = Report { ready: false, ..report.clone() };
     /// assert_eq!(sign(&closed, owner::HostState::Live), Liveness::Gone);
     /// ```
-    pub fn new(host: &id::Host, report: &spread::Report, known: HostState) -> Self {
+    pub fn new(host: &id::Host, report: &replication::Report, known: HostState) -> Self {
         let owner = id::Owner { host: host.clone(), incarnation: report.incarnation };
         let sign = match known {
             HostState::Live if report.ready || report.draining => Liveness::Serving,
