--- a/crates/lagoon-net/src/entry/mod.rs
+++ b/crates/lagoon-net/src/entry/mod.rs
@@ -4,7 +4,7 @@
 //! two kinds of calls, `admission` queues requests for upstream slots, `generation` runs one model
 //! call through dispatch, resumption and continuation, `relay` streams to the caller, and `cancel`
 //! repeats cancels until they are acknowledged. Scheduling and request states are decided in
-//! `lagoonline::load` and `lagoonline::life`.
+//! `lagoonline::load` and `lagoonline::lifecycle`.
 
 mod body;
 mod call;
--- a/crates/lagoon-net/src/entry/pull/mod.rs
+++ b/crates/lagoon-net/src/entry/pull/mod.rs
@@ -1,6 +1,6 @@
 //! Runs one model call: dispatches it, reads the tokens, and resumes or retries a broken stream.
 //!
-//! The outcome that the caller is told comes from `lagoonline::life::request` alone. Dropping a
+//! The outcome that the caller is told comes from `lagoonline::lifecycle::request` alone. Dropping a
 //! [`Generation`] at any point releases its slot and cancels its attempt.
 
 mod dispatch;
@@ -13,9 +13,9 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::control::document;
-use lagoonline::life::claim;
-use lagoonline::life::request;
-use lagoonline::life::stream;
+use lagoonline::lifecycle::claim;
+use lagoonline::lifecycle::request;
+use lagoonline::lifecycle::stream;
 use lagoonline::load;
 use lagoonline::outcome::{Outcome, Reason, Step};
 
@@ -95,7 +95,7 @@
 #[derive(Debug)]
 enum Stage {
     /// Not dispatched.
-    Held(request::Held),
+    Held(request::Pending),
     /// A response is being received.
     Open(Box<Open>),
     /// Completed, failed or abandoned.
@@ -121,7 +121,7 @@
 impl Pull {
     /// Creates a call whose caller already has the first `from` tokens.
     pub(crate) fn new(worker: rc::Rc<worker::Worker>, job: Job, claim: Claim, from: u64) -> Pull {
-        let stage = Stage::Held(request::Held::new(request::Repeat::Allowed));
+        let stage = Stage::Held(request::Pending::new(request::Repeat::Allowed));
         let keeps = from == 0 && matches!(claim, Claim::Wanted(_));
         let kept = keeps.then(String::new);
         Pull { worker, job, stage, delivered: from, last: None, claim, kept }
--- a/crates/lagoonline/src/control/order.rs
+++ b/crates/lagoonline/src/control/order.rs
@@ -89,10 +89,10 @@
     /// The engine has seen a higher fencing number: another steward holds the lease.
     Superseded,
     /// Send this order.
-    Send(engine::Order),
+    Send(engine::Command),
     /// Send this order to revert a change. The engine reports the current fencing number but not
     /// the state ordered under it, so it executed a late order of an earlier lease holder.
-    Repair(engine::Order),
+    Repair(engine::Command),
 }
 
 /// Compares the desired with the actual state and returns what to do.
@@ -116,7 +116,7 @@
         return Decision::Wait;
     }
     let Some(order) = missing(desired, actual) else { return Decision::Nothing };
-    let is_load = matches!(order, engine::Order::Load { .. });
+    let is_load = matches!(order, engine::Command::Load { .. });
     // Loading a model terminates the engine's streams. An engine that ignores fencing numbers
     // cannot tell a late load order from a valid one, so none is sent while it has requests.
     if is_load && context.in_flight > 0 && !context.checks_fence {
@@ -130,12 +130,12 @@
 }
 
 /// Returns the order that is needed to reach the desired state, if any.
-fn missing(desired: &Desired, actual: &Actual) -> Option<engine::Order> {
+fn missing(desired: &Desired, actual: &Actual) -> Option<engine::Command> {
     let serves = desired.models.iter().any(|model| model.as_str() == actual.model);
     if !serves {
         let model = desired.models.first()?.clone();
         let (adapter, version) = (String::new(), String::new());
-        return Some(engine::Order::Load { model, adapter, version });
+        return Some(engine::Command::Load { model, adapter, version });
     }
-    (desired.role != actual.role).then_some(engine::Order::Role { role: desired.role })
+    (desired.role != actual.role).then_some(engine::Command::Role { role: desired.role })
 }
--- /dev/null
+++ b/crates/lagoonline/src/lifecycle/claim/decision.rs
@@ -0,0 +1,88 @@
+//! Decides how a keyed request proceeds, given the claim row of its key.
+
+use super::record;
+use super::ticket;
+use crate::id;
+use crate::lifecycle::request;
+use crate::lifecycle::safeguard;
+use crate::port::table;
+
+/// How to proceed with a request, given the row of its key.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Decision {
+    /// The key is free: the row may be overwritten at this version, where 0 means that it is
+    /// absent.
+    Free(u64),
+    /// The row holds this request's own claim, at this version.
+    Mine(u64),
+    /// The key was used with a different body.
+    Reused,
+    /// An earlier non-repeatable request may have run or may still be running.
+    Unknown,
+    /// An earlier repeatable request may be running.
+    Running(ticket::Running),
+    /// An earlier request completed and its answer is stored.
+    Replay(record::Record),
+    /// The row cannot be parsed as a claim. It is treated like a claim that may have run.
+    Unreadable,
+}
+
+/// Returns how `request` proceeds; `row` is the result of reading its key.
+///
+/// ```
+/// use lagoonline::lifecycle::{claim::{decide, Decision, Request}, request::Repeat, safeguard};
+/// use lagoonline::{clock::Moment, id};
+/// let ask = Request {
+///     customer: id::Customer::from("crew"), key: "k".into(), body_hash: "b".into(),
+///     repeat: Repeat::Never, token: id::Attempt(1), upstream: id::Upstream::from("u"),
+///     deadline: Moment::NEVER, wall_ms: 0,
+/// };
+/// assert_eq!(decide(None, &ask, safeguard::Set::default()), Decision::Free(0));
+/// ```
+pub fn decide(
+    row: Option<&table::Row>,
+    ask: &record::Request,
+    safeguards: safeguard::Set,
+) -> Decision {
+    let Some(row) = row else {
+        return Decision::Free(0);
+    };
+    let Ok(record) = serde_json::from_str::<record::Record>(&row.value) else {
+        return Decision::Unreadable;
+    };
+    if record.state == record::State::Released {
+        return Decision::Free(row.version);
+    }
+    if record.token == ask.token.to_string() {
+        return Decision::Mine(row.version);
+    }
+    if record.body != ask.body_hash && safeguards.has(safeguard::Safeguard::BodyMatch) {
+        return Decision::Reused;
+    }
+    match record.state {
+        record::State::Done { .. } => Decision::Replay(record),
+        record::State::Released => Decision::Free(row.version),
+        record::State::Unknown => may_have_run(row.version, ask, safeguards),
+        record::State::Claimed { ref attempt, ref upstream } => match ask.repeat {
+            request::Repeat::Never => may_have_run(row.version, ask, safeguards),
+            request::Repeat::Allowed => Decision::Running(ticket::Running {
+                attempt: attempt.parse::<id::Attempt>().unwrap_or_default(),
+                upstream: upstream.clone(),
+                holder: record.holder.clone(),
+                version: row.version,
+            }),
+        },
+    }
+}
+
+/// A non-repeatable call must not run twice. If the claim of a host that seems dead were taken
+/// over, its call, already dispatched, could run as well. No sign of a host's death proves that
+/// nothing was sent, so only the claim holder itself frees such a key, by writing `released`.
+fn may_have_run(version: u64, ask: &record::Request, safeguards: safeguard::Set) -> Decision {
+    let repeatable = ask.repeat == request::Repeat::Allowed;
+    if repeatable || !safeguards.has(safeguard::Safeguard::NoTakeover) {
+        Decision::Free(version)
+    } else {
+        Decision::Unknown
+    }
+}
--- /dev/null
+++ b/crates/lagoonline/src/lifecycle/reap.rs
@@ -0,0 +1,413 @@
+//! Frees engine memory: retries cancels, and releases what dead owners left behind.
+//!
+//! If a cancel is lost, or an entry host dies between two steps of a handover, memory stays
+//! allocated on the engine until it refuses work. A cancel is therefore repeated until the engine
+//! acknowledges it, and whatever an engine lists for a dead owner is released. This covers every
+//! case because every holding names its owner and an engine's list is complete; the engine's own
+//! expiry is the last resort.
+
+use std::collections;
+
+use crate::clock;
+use crate::id;
+use crate::lifecycle::owner;
+use crate::lifecycle::safeguard;
+use crate::port::engine;
+
+/// Retry policy for cancels.
+#[derive(Clone, Debug)]
+pub struct RetryPolicy {
+    /// Delay before the first retry; doubles with each retry.
+    pub initial_delay: clock::Span,
+    /// Upper bound of the delay.
+    pub max_delay: clock::Span,
+    /// Time after which a cancel is given up, because the engine's own expiry has freed the memory
+    /// by then.
+    pub max_age: clock::Span,
+    /// Safeguards in force; all of them outside of mutation tests.
+    pub safeguards: safeguard::Set,
+}
+
+/// Bounds how long a lost packet keeps memory on the engine occupied.
+const INITIAL_DELAY: clock::Span = clock::Span::from_millis(50);
+/// An engine that becomes reachable again gets its cancels within this time; 1,000 pending cancels
+/// then cause 50 calls per second.
+const MAX_DELAY: clock::Span = clock::Span::from_secs(20);
+/// Longer than the deadline of a long prompt and the time for which engines keep finished streams.
+const MAX_AGE: clock::Span = clock::Span::from_secs(3_600);
+
+impl Default for RetryPolicy {
+    fn default() -> Self {
+        RetryPolicy {
+            initial_delay: INITIAL_DELAY,
+            max_delay: MAX_DELAY,
+            max_age: MAX_AGE,
+            safeguards: safeguard::Set::default(),
+        }
+    }
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Next {
+    at: clock::Moment,
+    wait: clock::Span,
+    until: clock::Moment,
+}
+
+/// Cancels that have not been acknowledged yet, by key.
+///
+/// ```
+/// use lagoonline::{clock::{Moment, Span}, lifecycle::reap::{CancelQueue, RetryPolicy}};
+/// let now = Moment::START;
+/// let mut cancels = CancelQueue::new(RetryPolicy::default());
+/// cancels.add("a", now);
+/// assert_eq!(cancels.due(now, 1.0), ["a"]);
+/// assert!(cancels.due(now, 1.0).is_empty());
+/// assert_eq!(cancels.due(now + Span::from_secs(1), 1.0), ["a"]);
+/// assert!(cancels.acknowledge(&"a"));
+/// assert!(cancels.is_empty());
+/// ```
+#[derive(Clone, Debug)]
+pub struct CancelQueue<K> {
+    policy: RetryPolicy,
+    open: collections::BTreeMap<K, Next>,
+}
+
+impl<K> CancelQueue<K>
+where
+    K: Clone + Ord,
+{
+    /// Creates an empty queue.
+    pub fn new(policy: RetryPolicy) -> Self {
+        CancelQueue { policy, open: collections::BTreeMap::new() }
+    }
+
+    /// Adds a cancel, to be sent at once and retried until it is acknowledged.
+    pub fn add(&mut self, key: K, now: clock::Moment) {
+        let next =
+            Next { at: now, wait: self.policy.initial_delay, until: now + self.policy.max_age };
+        self.open.entry(key).or_insert(next);
+    }
+
+    /// Returns the cancels to send now and schedules their next retry; `jitter`, around 1, scales
+    /// the delay.
+    pub fn due(&mut self, now: clock::Moment, jitter: f64) -> Vec<K> {
+        let most = self.policy.max_delay;
+        let due = self.open.iter_mut().filter(|(_, next)| next.at <= now);
+        let sent: Vec<_> = due
+            .map(|(key, next)| {
+                next.at = now + next.wait.mul_f64(jitter);
+                next.wait = (next.wait * 2).min(most);
+                key.clone()
+            })
+            .collect();
+        if !self.policy.safeguards.has(safeguard::Safeguard::CancelRepeat) {
+            self.open.clear();
+        }
+        sent
+    }
+
+    /// Removes a cancel that the engine acknowledged with status 200; returns false if it was not
+    /// pending.
+    pub fn acknowledge(&mut self, key: &K) -> bool {
+        self.open.remove(key).is_some()
+    }
+
+    /// Gives up the cancels that have reached their maximum age; returns their number.
+    pub fn expire(&mut self, now: clock::Moment) -> usize {
+        let before = self.open.len();
+        self.open.retain(|_, next| now < next.until);
+        before - self.open.len()
+    }
+
+    /// Returns whether no cancel is pending.
+    pub fn is_empty(&self) -> bool {
+        self.open.is_empty()
+    }
+}
+
+/// Rules by which an owner counts as dead.
+#[derive(Clone, Debug)]
+pub struct Settings {
+    /// An owner without a sign of life for this long is dead.
+    pub owner_timeout: clock::Span,
+    /// A host without a sign of life for this long no longer counts in
+    /// [`Settings::min_heard_share`].
+    pub forget_after: clock::Span,
+    /// Unless heartbeats arrive from more than this share of the hosts, the reaper assumes that it
+    /// is itself cut off.
+    pub min_heard_share: f64,
+    /// How long a dead owner's stream is kept for a caller that resumes it at another entry host.
+    pub takeover_window: clock::Span,
+    /// Safeguards in force; all of them outside of mutation tests.
+    pub safeguards: safeguard::Set,
+}
+
+/// Thirty heartbeats at one per second, and longer than a merely slow host stays silent.
+const OWNER_TIMEOUT: clock::Span = clock::Span::from_secs(30);
+/// Longer than a usual network partition; 20 hosts per day fail permanently.
+const FORGET_AFTER: clock::Span = clock::Span::from_secs(3_600);
+/// A rack holds less than half of a zone's hosts, whereas a network cut removes all but the
+/// reaper's own.
+const MIN_HEARD_SHARE: f64 = 0.5;
+
+/// Covers a client's first few retries; a host that restarts at once proves its streams dead at
+/// once.
+const TAKEOVER_WINDOW: clock::Span = clock::Span::from_secs(15);
+
+impl Default for Settings {
+    fn default() -> Self {
+        Settings {
+            owner_timeout: OWNER_TIMEOUT,
+            forget_after: FORGET_AFTER,
+            min_heard_share: MIN_HEARD_SHARE,
+            takeover_window: TAKEOVER_WINDOW,
+            safeguards: safeguard::Set::default(),
+        }
+    }
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Life {
+    incarnation: id::Incarnation,
+    /// The last sign of life of any kind.
+    heard: clock::Moment,
+    /// The last heartbeat; `None` for an owner known only from holdings or from another zone.
+    beat: Option<clock::Moment>,
+    /// Whether its liveness is reported by another zone instead of by heartbeats.
+    apart: bool,
+}
+
+/// Decides which holdings on engines have no live owner.
+///
+/// ```
+/// use lagoonline::{clock::{Moment, Span}, id::Owner, lifecycle::reap::{Reaper, Settings}};
+/// use lagoonline::port::engine::{Holding, Kind};
+/// let holding = |id: &str| Holding {
+///     id: id.into(), owner: "suva-1/6".into(), kind: Kind::Export, bytes: 1, expires_ms: 9,
+/// };
+/// let mut sweep = Reaper::new(Settings::default());
+/// let engine = lagoonline::id::Upstream::from("e");
+/// assert!(sweep.releasable(&engine, &[holding("a")], Moment::START).is_empty());
+/// sweep.record_heartbeat(&"suva-1/7".parse().unwrap(), Moment::from_millis(5));
+/// assert_eq!(sweep.releasable(&engine, &[holding("a")], Moment::from_millis(6)), ["a"]);
+/// ```
+#[derive(Clone, Debug, Default)]
+pub struct Reaper {
+    settings: Settings,
+    lives: collections::BTreeMap<id::Host, Life>,
+    /// Holding ids in each engine's previous list.
+    listed: collections::BTreeMap<id::Upstream, collections::BTreeSet<String>>,
+    /// When each of these holdings was first found to have a dead owner.
+    over: collections::BTreeMap<id::Upstream, collections::BTreeMap<String, clock::Moment>>,
+}
+
+impl Reaper {
+    /// Creates a reaper that knows no owners yet.
+    pub fn new(settings: Settings) -> Self {
+        Reaper { settings, ..Reaper::default() }
+    }
+
+    /// Records a heartbeat, received directly or reported by a peer.
+    pub fn record_heartbeat(&mut self, owner: &id::Owner, now: clock::Moment) {
+        self.alive(owner, now, Some(now));
+    }
+
+    /// Records that the steward of another zone reports the owner as alive there.
+    ///
+    /// Such owners do not count in the share of heard hosts, which covers heartbeats only.
+    pub fn record_remote_alive(&mut self, owner: &id::Owner, now: clock::Moment) {
+        self.alive(owner, now, None);
+        if let Some(life) = self.lives.get_mut(&owner.host) {
+            life.apart = true;
+        }
+    }
+
+    /// Records that the owner's liveness cannot be determined, for example because its availability
+    /// zone is cut off. What it holds is left to the engine's own expiry.
+    ///
+    /// Without this, a zone cut off from the reaper's zone would be taken for dead, and streams
+    /// that engines still deliver to it over another path would be interrupted. Such owners do not
+    /// count as silent.
+    pub fn record_unsure(&mut self, owner: &id::Owner, now: clock::Moment) {
+        if self.settings.safeguards.has(safeguard::Safeguard::UnsureOwner) {
+            self.record_remote_alive(owner, now);
+        }
+    }
+
+    /// Records that the steward of the owner's zone reports the process as gone or unknown there.
+    /// It counts as dead only after the usual timeout, because the process may merely have lost its
+    /// steward.
+    pub fn record_gone(&mut self, owner: &id::Owner, now: clock::Moment) {
+        let known = self.lives.get(&owner.host);
+        if known.is_none_or(|known| known.incarnation < owner.incarnation) {
+            self.alive(owner, now, None);
+        }
+        if let Some(life) = self.lives.get_mut(&owner.host) {
+            life.apart = true;
+        }
+    }
+
+    /// Applies the status of an owner reported by its zone. `is_own` is set for the reaper's own
+    /// zone, whose hosts send it heartbeats.
+    pub fn apply_status(&mut self, word: &owner::Status, is_own: bool, now: clock::Moment) {
+        let Ok(owner) = word.owner.parse::<id::Owner>() else { return };
+        match word.sign {
+            owner::Liveness::Serving if is_own => self.record_heartbeat(&owner, now),
+            owner::Liveness::Serving => self.record_remote_alive(&owner, now),
+            owner::Liveness::Gone => self.record_gone(&owner, now),
+            owner::Liveness::Unsure => self.record_unsure(&owner, now),
+        }
+    }
+
+    /// Returns the owners among `holdings` to ask other zones about: unknown ones, and those
+    /// without a sign of life for half of the timeout after which they count as dead.
+    pub fn owners_to_query(
+        &self,
+        holdings: &[engine::Holding],
+        now: clock::Moment,
+    ) -> collections::BTreeSet<id::Owner> {
+        let owners = holdings.iter().filter_map(|holding| holding.owner.parse::<id::Owner>().ok());
+        let is_quiet = |owner: &id::Owner| match self.lives.get(&owner.host) {
+            Some(life) if life.incarnation > owner.incarnation => false,
+            Some(life) => {
+                let is_stranger = life.beat.is_none() && !life.apart;
+                is_stranger || now.since(life.heard) >= self.settings.owner_timeout / 2
+            }
+            None => true,
+        };
+        owners.filter(is_quiet).collect()
+    }
+
+    fn alive(&mut self, owner: &id::Owner, now: clock::Moment, beat: Option<clock::Moment>) {
+        let life = Life { incarnation: owner.incarnation, heard: now, beat, apart: false };
+        let known = self.lives.entry(owner.host.clone()).or_insert(life);
+        if owner.incarnation >= known.incarnation {
+            *known =
+                Life { beat: beat.or(known.beat), apart: known.apart && beat.is_none(), ..life };
+        }
+    }
+
+    /// Returns the ids to release among the holdings that `upstream` lists at `now`. They are
+    /// returned again until the engine no longer lists them.
+    ///
+    /// A holding that is new in the list is a sign of life of its owner, as is the first holding
+    /// seen of an owner, so a newly started reaper releases nothing for
+    /// [`Settings::owner_timeout`].
+    pub fn releasable(
+        &mut self,
+        upstream: &id::Upstream,
+        holdings: &[engine::Holding],
+        now: clock::Moment,
+    ) -> Vec<String> {
+        let ids = holdings.iter().map(|holding| holding.id.clone()).collect();
+        let before = self.listed.insert(upstream.clone(), ids).unwrap_or_default();
+        for holding in holdings.iter().filter(|holding| !before.contains(&holding.id)) {
+            if let Ok(owner) = holding.owner.parse::<id::Owner>() {
+                self.alive(&owner, now, None);
+            }
+        }
+        let forget = self.settings.forget_after;
+        self.lives.retain(|_, life| now.since(life.heard) <= forget);
+        let cut_off = self.is_cut_off(now);
+        let before = self.over.remove(upstream).unwrap_or_default();
+        let over = holdings.iter().filter(|holding| self.is_over(holding, cut_off, now));
+        let since = |id: &String| before.get(id).copied().unwrap_or(now);
+        let over: Vec<_> = over.map(|holding| (holding, since(&holding.id))).collect();
+        let noted = over.iter().map(|(holding, since)| (holding.id.clone(), *since));
+        self.over.insert(upstream.clone(), noted.collect());
+        let due = over.iter().filter(|(holding, since)| self.is_due(holding, *since, now));
+        due.map(|(holding, _)| holding.id.clone()).collect()
+    }
+
+    /// Returns whether a dead owner's holding may be released now. A host that restarts at once
+    /// proves its old streams dead at once; without the delay a caller that resumes one a second
+    /// later would have its million tokens prefilled again.
+    fn is_due(&self, holding: &engine::Holding, since: clock::Moment, now: clock::Moment) -> bool {
+        match holding.kind {
+            engine::Kind::Stream => now.since(since) >= self.settings.takeover_window,
+            engine::Kind::Reservation | engine::Kind::Export => true,
+        }
+    }
+
+    fn is_over(&self, holding: &engine::Holding, cut_off: bool, now: clock::Moment) -> bool {
+        let Ok(owner) = holding.owner.parse::<id::Owner>() else {
+            return false;
+        };
+        match self.lives.get(&owner.host) {
+            Some(life) if life.incarnation > owner.incarnation => true,
+            Some(life) => !cut_off && self.is_silent(life, now),
+            None => !cut_off,
+        }
+    }
+
+    fn is_silent(&self, life: &Life, now: clock::Moment) -> bool {
+        now.since(life.heard) > self.settings.owner_timeout
+            || !self.settings.safeguards.has(safeguard::Safeguard::OwnerSilence)
+    }
+
+    /// Returns whether the reaper itself seems to be cut off. In that case it would take all hosts
+    /// for dead and release streams that are being read, interrupting the answers of a whole zone
+    /// at once. When most hosts become silent together, the reaper therefore waits until they are
+    /// heard again or forgotten. Only heartbeats within half of the timeout count: before a cut the
+    /// last heartbeats of all hosts are about equally old, and all of them must have dropped out by
+    /// the time the first host counts as dead.
+    fn is_cut_off(&self, now: clock::Moment) -> bool {
+        let recent = self.settings.owner_timeout / 2;
+        let fresh = |beat: clock::Moment| now.since(beat) <= recent;
+        let sure = self.lives.values().filter(|life| !life.apart);
+        let heard = sure.clone().filter(|life| life.beat.is_some_and(fresh)).count();
+        let share = heard as f64 / sure.count().max(1) as f64;
+        share <= self.settings.min_heard_share
+            && self.settings.safeguards.has(safeguard::Safeguard::CutOffSweeper)
+    }
+}
+
+/// Bytes that an entry host has reserved on engines, and how many of them were returned.
+///
+/// ```
+/// use lagoonline::lifecycle::reap::Ledger;
+/// let mut ledger = Ledger::default();
+/// ledger.reserved("a", 10);
+/// ledger.reserved("a", 10);
+/// assert_eq!(ledger.outstanding(), 10);
+/// ledger.returned("a");
+/// ledger.returned("a");
+/// assert_eq!((ledger.outstanding(), ledger.total_returned()), (0, 10));
+/// ```
+#[derive(Clone, Debug, Default)]
+pub struct Ledger {
+    open: collections::BTreeMap<String, u64>,
+    reserved: u64,
+    returned: u64,
+}
+
+impl Ledger {
+    /// Records a reservation; recording it again has no effect.
+    pub fn reserved(&mut self, id: &str, bytes: u64) {
+        if !self.open.contains_key(id) {
+            self.open.insert(id.to_owned(), bytes);
+            self.reserved += bytes;
+        }
+    }
+
+    /// Records that a reservation was returned; recording it again has no effect.
+    pub fn returned(&mut self, id: &str) {
+        self.returned += self.open.remove(id).unwrap_or(0);
+    }
+
+    /// Returns the bytes reserved since the start.
+    pub fn total_reserved(&self) -> u64 {
+        self.reserved
+    }
+
+    /// Returns the bytes returned since the start.
+    pub fn total_returned(&self) -> u64 {
+        self.returned
+    }
+
+    /// Returns the bytes reserved and not returned yet; zero when the host is idle.
+    pub fn outstanding(&self) -> u64 {
+        self.reserved.saturating_sub(self.returned)
+    }
+}
--- a/crates/lagoonline/src/load/placement/engine.rs
+++ b/crates/lagoonline/src/load/placement/engine.rs
@@ -73,7 +73,7 @@
 /// An upstream and the dispatches in flight on it.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    entry: routing::Entry,
+    entry: routing::Registration,
     profile: Option<profile::Profile>,
     parts: Vec<Part>,
     advanced: clock::Moment,
@@ -91,7 +91,7 @@
 }
 
 impl Engine {
-    pub(super) fn new(entry: routing::Entry, profile: Option<profile::Profile>) -> Engine {
+    pub(super) fn new(entry: routing::Registration, profile: Option<profile::Profile>) -> Engine {
         Engine {
             entry,
             profile,
@@ -109,7 +109,7 @@
     }
 
     /// Its entry in the routing table.
-    pub fn entry(&self) -> &routing::Entry {
+    pub fn entry(&self) -> &routing::Registration {
         &self.entry
     }
 
@@ -123,7 +123,11 @@
         self.parts.len()
     }
 
-    pub(super) fn update(&mut self, entry: routing::Entry, profile: Option<profile::Profile>) {
+    pub(super) fn update(
+        &mut self,
+        entry: routing::Registration,
+        profile: Option<profile::Profile>,
+    ) {
         if entry.born != self.entry.born {
             self.parts.clear();
         }
--- a/crates/lagoonline/src/load/placement/mod.rs
+++ b/crates/lagoonline/src/load/placement/mod.rs
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
     /// The upstream that answers the request.
-    pub primary: routing::Entry,
+    pub primary: routing::Registration,
     /// KV tokens to reserve on it; 0 for no reservation.
     pub reserve: u64,
     /// Engines that prefill parts of the prompt, in the order in which they are listed in the
@@ -149,7 +149,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Helper {
     /// The engine.
-    pub entry: routing::Entry,
+    pub entry: routing::Registration,
     /// KV tokens to reserve on it; 0 for no reservation.
     pub reserve: u64,
 }
@@ -217,7 +217,11 @@
     }
 
     /// Replaces the set of upstreams; dispatches in flight are kept.
-    pub fn set_upstreams(&mut self, entries: &[routing::Entry], profile: Option<profile::Profile>) {
+    pub fn set_upstreams(
+        &mut self,
+        entries: &[routing::Registration],
+        profile: Option<profile::Profile>,
+    ) {
         let names: collections::BTreeSet<_> = entries.iter().map(|entry| &entry.upstream).collect();
         self.upstreams.retain(|name, _| names.contains(name));
         for entry in entries {
@@ -368,7 +372,7 @@
     }
 
     /// The routing entry of the upstream with this name.
-    pub fn entry(&self, name: &str) -> Option<&routing::Entry> {
+    pub fn entry(&self, name: &str) -> Option<&routing::Registration> {
         self.upstreams.get(name).map(Engine::entry)
     }
 
@@ -393,7 +397,7 @@
 
     /// The routing entries of the model engines, which are the upstreams with a performance
     /// profile.
-    pub fn engines(&self) -> impl Iterator<Item = &routing::Entry> {
+    pub fn engines(&self) -> impl Iterator<Item = &routing::Registration> {
         let engines = self.upstreams.values().filter(|engine| engine.profile().is_some());
         engines.map(Engine::entry)
     }
--- a/crates/lagoonline/src/routing/roster.rs
+++ b/crates/lagoonline/src/routing/roster.rs
@@ -1,12 +1,13 @@
-//! Which host of a zone does what one host can do for all of them: it places their requests, asks
-//! the zone's engines for load reports, and tells other zones what is under way.
+//! Determines, without coordination, the host of each zone that acts for the others: it schedules
+//! their requests, polls the zone's engines for load reports, and tells other zones what is in
+//! flight.
 //!
-//! Load pattern: hundreds of entry hosts, each with a request or two a second. Where each tells
-//! each other of every dispatch, a host hears as many words as all hosts together send; where each
-//! finds out by itself which engines fail, a crash is met by hundreds of requests. So in a zone of
-//! some size the first live host, by size and name, schedules for the others. Nobody is elected and
-//! nothing is agreed on: two hosts that both schedule cost efficiency only, and a host that gets no
-//! answer asks the next one and then decides by itself.
+//! There are hundreds of entry hosts with one or two requests per second each. If every host told
+//! every other of each dispatch, each would receive as many messages as all hosts send together; if
+//! every host detected failing engines on its own, a crash would affect hundreds of requests. In a
+//! zone above a certain size the first live host, ordered by size and name, therefore schedules for
+//! the others. There is no agreement protocol: two hosts that both schedule only cost efficiency,
+//! and a host that gets no answer asks the next one and finally decides on its own.
 
 use std::cmp;
 use std::collections;
@@ -14,89 +15,90 @@
 use crate::clock;
 use crate::id;
 
-/// Figures of the choice.
+/// Settings of the roster.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Hosts of a zone from which on one schedules for the others. In a smaller zone each host
-    /// hears so much of the others that it decides as well by itself.
-    pub least_hosts: u64,
-    /// Live hosts of a zone that know all that is under way: the one that schedules, and those
-    /// that follow when it ends.
+    /// Minimum number of hosts in a zone for one of them to schedule for the others. In a smaller
+    /// zone each host receives enough information about the others to decide equally well on its
+    /// own.
+    pub min_hosts: u64,
+    /// Number of live hosts of a zone that know everything in flight: the scheduler and its
+    /// successors.
     pub candidates: usize,
-    /// Most hosts to which heartbeats go, so that a zone most of whose hosts are gone does not make
-    /// the others knock at all of them.
-    pub most_watched: usize,
-    /// Time without an answer to a heartbeat from which a host counts as gone: with two heartbeats
-    /// within it, one that is lost changes nothing.
-    pub silence: clock::Span,
-    /// How long a host that left a question unanswered, or turned it down, is not asked again.
-    pub pass_over: clock::Span,
-    /// Longest pause between two calls of a platform that fails, at a host of a small zone: it is
-    /// back well within the bounds after an outage.
-    pub pause_alone: clock::Span,
-    /// The same at one of the first hosts of a large zone, whom the others ask.
-    pub pause_first: clock::Span,
-    /// The same at the others.
-    pub pause_other: clock::Span,
-    /// How long a host of another zone counts as there after it was heard of.
-    pub heard: clock::Span,
+    /// Maximum number of hosts that heartbeats are sent to, so that a zone that lost most of its
+    /// hosts does not make the remaining ones contact all of them.
+    pub max_heartbeat_targets: usize,
+    /// Time without an answer to a heartbeat after which a host counts as dead. It covers two
+    /// heartbeats, so that a single lost one has no effect.
+    pub heartbeat_timeout: clock::Span,
+    /// How long a host that did not answer a question, or declined it, is not asked again.
+    pub skip_duration: clock::Span,
+    /// Maximum pause between two calls to a failing platform, for a host of a small zone. Short
+    /// enough to be back well within the bounds after an outage.
+    pub max_pause_small_zone: clock::Span,
+    /// Maximum pause for one of the first hosts of a large zone, which the others ask.
+    pub max_pause_candidate: clock::Span,
+    /// Maximum pause for the other hosts of a large zone.
+    pub max_pause_follower: clock::Span,
+    /// How long a host of another zone counts as alive after it was last heard.
+    pub remote_timeout: clock::Span,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            least_hosts: 6,
+            min_hosts: 6,
             candidates: 3,
-            most_watched: 12,
-            silence: clock::Span::from_millis(700),
-            pass_over: clock::Span::from_secs(1),
-            pause_alone: clock::Span::from_millis(400),
-            pause_first: clock::Span::from_millis(800),
-            pause_other: clock::Span::from_millis(2_500),
-            heard: clock::Span::from_secs(3),
+            max_heartbeat_targets: 12,
+            heartbeat_timeout: clock::Span::from_millis(700),
+            skip_duration: clock::Span::from_secs(1),
+            max_pause_small_zone: clock::Span::from_millis(400),
+            max_pause_candidate: clock::Span::from_millis(800),
+            max_pause_follower: clock::Span::from_millis(2_500),
+            remote_timeout: clock::Span::from_secs(3),
         }
     }
 }
 
-/// A host as its own row at the platform, or its own word, tells.
+/// Attributes of a host, from its row at the platform or its own messages.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Standing {
-    /// Its zone.
+pub struct HostInfo {
+    /// Availability zone of the host.
     pub zone: id::Zone,
-    /// Part of a processor core that it has: larger hosts come first.
+    /// Number of processor cores, possibly a fraction; larger hosts rank first.
     pub cores: f64,
 }
 
-/// The order in which hosts of a zone, each with its part of a processor core, do something for the
-/// others: the largest first, by name among equals.
+/// Orders the hosts of a zone, given with their processor cores, by rank: the largest first, then
+/// by name.
 pub(super) fn by_rank(a: (&id::Host, f64), b: (&id::Host, f64)) -> cmp::Ordering {
     b.1.total_cmp(&a.1).then_with(|| a.0.cmp(b.0))
 }
 
-/// What is known of another host.
+/// What is known about another host.
 #[derive(Clone, Debug)]
 struct Known {
-    standing: Standing,
+    standing: HostInfo,
     /// When its row was first seen.
     since: clock::Moment,
     heard: Option<clock::Moment>,
-    /// When the first heartbeat was sent to it that it has not answered.
+    /// When the first heartbeat that it has not answered was sent.
     unanswered: Option<clock::Moment>,
     passed_over: Option<clock::Moment>,
 }
 
 impl Known {
-    fn new(standing: Standing, since: clock::Moment) -> Known {
+    fn new(standing: HostInfo, since: clock::Moment) -> Known {
         Known { standing, since, heard: None, unanswered: None, passed_over: None }
     }
 
-    /// How long nothing has come from it.
+    /// Returns the time since the host was last heard, or since it was first seen.
     fn silence(&self, now: clock::Moment) -> clock::Span {
         now.since(self.heard.map_or(self.since, |heard| heard.max(self.since)))
     }
 
     fn is_live(&self, settings: &Settings, now: clock::Moment) -> bool {
-        self.unanswered.is_none_or(|since| now.since(since) <= settings.silence)
+        self.unanswered.is_none_or(|since| now.since(since) <= settings.heartbeat_timeout)
     }
 
     fn is_open(&self, now: clock::Moment) -> bool {
@@ -104,50 +106,50 @@
     }
 
     fn is_heard(&self, settings: &Settings, now: clock::Moment) -> bool {
-        self.heard.is_some_and(|at| now.since(at) <= settings.heard)
+        self.heard.is_some_and(|at| now.since(at) <= settings.remote_timeout)
     }
 }
 
-/// The hosts, in the order in which those of a zone schedule for each other.
+/// All known hosts, ranked within each zone by the order in which they become its scheduler.
 ///
 /// ```
-/// use lagoonline::{clock::Moment, id::{Host, Zone}, routing::{Roster, RosterSettings, Standing}};
-/// let settings = RosterSettings { least_hosts: 2, ..RosterSettings::default() };
-/// let standing = |cores| Standing { zone: Zone::from("z"), cores };
+/// use lagoonline::{clock::Moment, id::{Host, Zone}, routing::{Roster, RosterSettings, HostInfo}};
+/// let settings = RosterSettings { min_hosts: 2, ..RosterSettings::default() };
+/// let standing = |cores| HostInfo { zone: Zone::from("z"), cores };
 /// let now = Moment::from_millis(10);
 /// let mut roster = Roster::new(settings, Host::from("b"), standing(0.1), now);
-/// assert!(roster.leads(now));
-/// roster.set(Host::from("a"), standing(0.5), now);
+/// assert!(roster.is_leader(now));
+/// roster.upsert(Host::from("a"), standing(0.5), now);
 /// assert_eq!(roster.scheduler(now), Some(Host::from("a")));
-/// roster.passed(&Host::from("a"), now);
+/// roster.skip(&Host::from("a"), now);
 /// assert_eq!(roster.scheduler(now), None);
 /// ```
 #[derive(Clone, Debug)]
 pub struct Roster {
     settings: Settings,
     own: id::Host,
-    standing: Standing,
-    /// When this host began to listen to others.
+    standing: HostInfo,
+    /// When this host started to listen to others.
     started: clock::Moment,
     hosts: collections::BTreeMap<id::Host, Known>,
-    /// Names by zone, in order of rank; this host's own among them.
+    /// Host names by zone in order of rank, including this host's own.
     ranks: collections::BTreeMap<id::Zone, Vec<id::Host>>,
 }
 
 impl Roster {
-    /// The roster of the host `own`, which knows of no other yet at `now`.
+    /// Creates the roster of the host `own`, which knows no other hosts at `now`.
     pub fn new(
         settings: Settings,
         own: id::Host,
-        standing: Standing,
+        standing: HostInfo,
         now: clock::Moment,
     ) -> Roster {
         let ranks = [(standing.zone.clone(), vec![own.clone()])].into();
         Roster { settings, own, standing, started: now, hosts: Default::default(), ranks }
     }
 
-    /// There is a host, or it changed.
-    pub fn set(&mut self, host: id::Host, standing: Standing, now: clock::Moment) {
+    /// Adds or updates a host.
+    pub fn upsert(&mut self, host: id::Host, standing: HostInfo, now: clock::Moment) {
         if host == self.own {
             return;
         }
@@ -159,20 +161,21 @@
         self.sort();
     }
 
-    /// A host is no longer there.
+    /// Removes a host.
     pub fn remove(&mut self, host: &id::Host) {
         if self.hosts.remove(host).is_some() {
             self.sort();
         }
     }
 
-    /// Hosts of this host's zone that have been silent for longer than `span`, where it is for this
-    /// host to forget them: every host of a zone tells the first one that it is there.
+    /// Returns the hosts of this host's zone that have been silent for longer than `span`, if it is
+    /// up to this host to remove them. Every host of a zone sends heartbeats to the first one,
+    /// which can therefore tell.
     ///
-    /// Failure answered: hosts are replaced under new names each day. After a year, each host would
-    /// read and rank tens of thousands that are gone, and share what all may do with them.
-    pub fn gone(&self, span: clock::Span, now: clock::Moment) -> Vec<id::Host> {
-        if !self.leads(now) {
+    /// Hosts are replaced under new names every day. Without this, after a year each host would
+    /// read and rank tens of thousands of dead hosts, and divide shared limits among them.
+    pub fn expired(&self, span: clock::Span, now: clock::Moment) -> Vec<id::Host> {
+        if !self.is_leader(now) {
             return Vec::new();
         }
         let of_zone = |known: &Known| known.standing.zone == self.standing.zone;
@@ -181,60 +184,62 @@
         gone.map(|(host, _)| host.clone()).collect()
     }
 
-    /// All hosts, this one included.
+    /// Returns the number of known hosts, including this one.
     pub fn count(&self) -> usize {
         self.hosts.len() + 1
     }
 
-    /// Hosts that decide where requests go: one of each zone that shares its decisions, and all of
-    /// the others.
-    pub fn deciders(&self) -> usize {
+    /// Returns the number of hosts that make scheduling decisions: one for each zone with a
+    /// scheduler, and all hosts of the other zones.
+    pub fn placing_hosts(&self) -> usize {
         let of_zone = |(zone, hosts): (&id::Zone, &Vec<id::Host>)| {
-            if self.is_shared(zone) { 1 } else { hosts.len() }
+            if self.has_scheduler(zone) { 1 } else { hosts.len() }
         };
         self.ranks.iter().map(of_zone).sum()
     }
 
-    /// Something came from a host.
-    pub fn heard(&mut self, host: &id::Host, now: clock::Moment) {
+    /// Records a message from a host.
+    pub fn record_contact(&mut self, host: &id::Host, now: clock::Moment) {
         if let Some(known) = self.hosts.get_mut(host) {
             known.heard = Some(now);
             known.unanswered = None;
         }
     }
 
-    /// A heartbeat goes to a host, which answers it.
-    pub fn asked(&mut self, host: &id::Host, now: clock::Moment) {
+    /// Records that a heartbeat was sent to a host, which is expected to answer it.
+    pub fn record_heartbeat_sent(&mut self, host: &id::Host, now: clock::Moment) {
         if let Some(known) = self.hosts.get_mut(host) {
             known.unanswered.get_or_insert(now);
         }
     }
 
-    /// A host left a question unanswered, or turned it down.
-    pub fn passed(&mut self, host: &id::Host, now: clock::Moment) {
+    /// Records that a host did not answer a question or declined it, so that it is skipped for a
+    /// while.
+    pub fn skip(&mut self, host: &id::Host, now: clock::Moment) {
         if let Some(known) = self.hosts.get_mut(host) {
-            known.passed_over = Some(now + self.settings.pass_over);
+            known.passed_over = Some(now + self.settings.skip_duration);
         }
     }
 
-    /// Zone of another host.
+    /// Returns the zone of another host.
     pub fn zone(&self, host: &id::Host) -> Option<&id::Zone> {
         self.hosts.get(host).map(|known| &known.standing.zone)
     }
 
-    /// Whether one host of `zone` schedules for the others.
-    pub fn is_shared(&self, zone: &id::Zone) -> bool {
-        self.ranks.get(zone).is_some_and(|hosts| hosts.len() as u64 >= self.settings.least_hosts)
+    /// Returns whether `zone` is large enough for one of its hosts to schedule for the others.
+    pub fn has_scheduler(&self, zone: &id::Zone) -> bool {
+        self.ranks.get(zone).is_some_and(|hosts| hosts.len() as u64 >= self.settings.min_hosts)
     }
 
-    /// Whether one host of this host's zone schedules for the others.
-    pub fn is_own_shared(&self) -> bool {
-        self.is_shared(&self.standing.zone)
+    /// Returns whether this host's zone is large enough for one of its hosts to schedule for the
+    /// others.
+    pub fn own_zone_has_scheduler(&self) -> bool {
+        self.has_scheduler(&self.standing.zone)
     }
 
-    /// The host to ask where a request goes; `None` where this host decides by itself.
+    /// Returns the host to ask where to send a request, or `None` if this host decides on its own.
     pub fn scheduler(&self, now: clock::Moment) -> Option<id::Host> {
-        if !self.is_own_shared() {
+        if !self.own_zone_has_scheduler() {
             return None;
         }
         let mut candidates = self.candidates(now);
@@ -242,39 +247,40 @@
         candidates.find(|host| open(host)).filter(|host| **host != self.own).cloned()
     }
 
-    /// Whether this host is the first live one of its zone.
-    pub fn leads(&self, now: clock::Moment) -> bool {
+    /// Returns whether this host is the first live host of its zone.
+    pub fn is_leader(&self, now: clock::Moment) -> bool {
         self.candidates(now).next().is_none_or(|host| *host == self.own)
     }
 
-    /// Whether this host is one of those of its zone that know all that is under way: in a small
-    /// zone each of them.
+    /// Returns whether this host is among the hosts of its zone that know everything in flight; in
+    /// a small zone all hosts are.
     pub fn is_candidate(&self, now: clock::Moment) -> bool {
-        !self.is_own_shared() || self.candidates(now).any(|host| *host == self.own)
+        !self.own_zone_has_scheduler() || self.candidates(now).any(|host| *host == self.own)
     }
 
-    /// Longest pause between two calls of a platform that fails.
+    /// Returns the maximum pause between two calls to a failing platform.
     ///
-    /// Load pattern: the platform is out for seconds, and two hundred hosts call it again and again
-    /// until it is back. The first hosts of each zone are enough to find that out; the others ask
-    /// them each second, and call the platform seldom, for the case that it turns only those away.
-    pub fn longest_pause(&self, now: clock::Moment) -> clock::Span {
-        match (self.is_own_shared(), self.is_candidate(now)) {
-            (false, _) => self.settings.pause_alone,
-            (true, true) => self.settings.pause_first,
-            (true, false) => self.settings.pause_other,
+    /// During a platform outage of several seconds, two hundred hosts would call it repeatedly
+    /// until it is back. The first hosts of each zone are enough to detect its recovery. The others
+    /// ask them every second and call the platform only rarely, in case it refuses only those
+    /// hosts.
+    pub fn max_retry_pause(&self, now: clock::Moment) -> clock::Span {
+        match (self.own_zone_has_scheduler(), self.is_candidate(now)) {
+            (false, _) => self.settings.max_pause_small_zone,
+            (true, true) => self.settings.max_pause_candidate,
+            (true, false) => self.settings.max_pause_follower,
         }
     }
 
-    /// The other hosts of this zone to which heartbeats go: the first ones, until there are enough
-    /// live ones among them.
+    /// Returns the other hosts of this zone that heartbeats are sent to: in order of rank, until
+    /// there are enough live ones among them.
     ///
-    /// Failure answered: the largest hosts of a zone are killed together. Hosts that are gone stay
-    /// watched, so that they are found when they are back, and those next in rank take over.
-    pub fn watched(&self, now: clock::Moment) -> Vec<id::Host> {
+    /// If the largest hosts of a zone are killed together, the next in rank take over, while the
+    /// dead ones still get heartbeats so that their return is noticed.
+    pub fn heartbeat_targets(&self, now: clock::Moment) -> Vec<id::Host> {
         let mut live = 0;
         let mut watched = Vec::new();
-        for host in self.ranked(&self.standing.zone).take(self.settings.most_watched) {
+        for host in self.ranked(&self.standing.zone).take(self.settings.max_heartbeat_targets) {
             if live == self.settings.candidates {
                 break;
             }
@@ -286,31 +292,32 @@
         watched
     }
 
-    /// The hosts of this zone that are to know what is under way.
-    pub fn near(&self, now: clock::Moment) -> Vec<id::Host> {
-        if self.is_own_shared() {
-            return self.watched(now);
+    /// Returns the hosts of this zone that must be told what is in flight.
+    pub fn zone_peers(&self, now: clock::Moment) -> Vec<id::Host> {
+        if self.own_zone_has_scheduler() {
+            return self.heartbeat_targets(now);
         }
         self.ranked(&self.standing.zone).filter(|host| **host != self.own).cloned().collect()
     }
 
-    /// The hosts of other zones that are to know what is under way: all of a small zone; of a large
-    /// one the first, and any that was heard of, since only hosts that schedule speak across zones.
+    /// Returns the hosts of other zones that must be told what is in flight: all hosts of a small
+    /// zone; of a large zone the first ones and every host heard from, since only schedulers send
+    /// messages across zones.
     ///
-    /// Failure answered: the first hosts of all zones are killed at once, and those that take over
-    /// do not know of each other. Of a zone that is not heard of more hosts are told, until one
-    /// that schedules there answers.
-    pub fn far(&self, now: clock::Moment) -> Vec<id::Host> {
+    /// If the first hosts of all zones are killed at once, their successors do not know of each
+    /// other. For a zone that is not heard from, more hosts are therefore told until its scheduler
+    /// answers.
+    pub fn remote_peers(&self, now: clock::Moment) -> Vec<id::Host> {
         let mut far = Vec::new();
         for (zone, hosts) in &self.ranks {
             if *zone == self.standing.zone {
                 continue;
             }
             let heard = hosts.iter().any(|host| self.is_heard(host, now));
-            let first = match (self.is_shared(zone), heard) {
+            let first = match (self.has_scheduler(zone), heard) {
                 (false, _) => hosts.len(),
                 (true, true) => self.settings.candidates,
-                (true, false) => self.settings.most_watched,
+                (true, false) => self.settings.max_heartbeat_targets,
             };
             let wanted = hosts
                 .iter()
@@ -321,10 +328,11 @@
         far
     }
 
-    /// Whether this host asks the engines of `zone` for their reports: the first live host of the
-    /// zone does, and for a zone none of whose hosts is heard of that of the first zone by name.
-    pub fn asks(&self, zone: &id::Zone, now: clock::Moment) -> bool {
-        if !self.leads(now) {
+    /// Returns whether this host polls the engines of `zone` for load reports. The first live host
+    /// of a zone does so. If no host of a zone is heard from, the first live host of the first
+    /// other zone by name does it instead.
+    pub fn polls(&self, zone: &id::Zone, now: clock::Moment) -> bool {
+        if !self.is_leader(now) {
             return false;
         }
         if *zone == self.standing.zone {
@@ -332,12 +340,12 @@
         }
         let heard = |zone: &id::Zone| self.ranked(zone).any(|host| self.is_heard(host, now));
         let first = self.ranks.keys().find(|zone| **zone == self.standing.zone || heard(zone));
-        // Before that all other zones are unheard of.
-        let listened = now.since(self.started) > self.settings.heard;
+        // Before this time no host of another zone can have been heard.
+        let listened = now.since(self.started) > self.settings.remote_timeout;
         listened && !heard(zone) && first == Some(&self.standing.zone)
     }
 
-    /// The first live hosts of this zone, this one perhaps among them.
+    /// Returns the first live hosts of this zone, which may include this one.
     fn candidates(&self, now: clock::Moment) -> impl Iterator<Item = &id::Host> {
         let ranked = self.ranked(&self.standing.zone);
         ranked.filter(move |host| self.is_live(host, now)).take(self.settings.candidates)
@@ -368,27 +376,28 @@
     }
 }
 
-/// When this host asks the engines of each zone for their reports.
+/// Schedule by which this host polls the engines of each zone for load reports.
 ///
-/// Failure answered: the host that asks is killed. The next one must not wait for a turn of its own:
-/// it asks as soon as it counts itself the first, so that an engine that turned slow meanwhile is
-/// known of within two seconds.
+/// When the polling host is killed, its successor polls as soon as it becomes the first live host
+/// instead of waiting for a full period, so that an engine that became slow in the meantime is
+/// detected within two seconds.
 #[derive(Clone, Debug, Default)]
-pub struct Rounds {
+pub struct PollSchedule {
     next: collections::BTreeMap<id::Zone, clock::Moment>,
 }
 
-impl Rounds {
-    /// Those of `zones` whose engines this host asks at `now`; again after `period`.
+impl PollSchedule {
+    /// Returns those of `zones` whose engines this host polls at `now`; each is due again after
+    /// `period`.
     ///
     /// ```
     /// use lagoonline::{clock::{Moment, Span}, id::{Host, Zone}};
-    /// use lagoonline::routing::{Roster, RosterSettings, Rounds, Standing};
+    /// use lagoonline::routing::{Roster, RosterSettings, PollSchedule, HostInfo};
     /// let zone = Zone::from("z");
-    /// let standing = Standing { zone: zone.clone(), cores: 0.1 };
+    /// let standing = HostInfo { zone: zone.clone(), cores: 0.1 };
     /// let now = Moment::from_millis(10);
     /// let roster = Roster::new(RosterSettings::default(), Host::from("a"), standing, now);
-    /// let (mut rounds, second) = (Rounds::default(), Span::from_secs(1));
+    /// let (mut rounds, second) = (PollSchedule::default(), Span::from_secs(1));
     /// assert_eq!(rounds.due(&roster, [&zone], second, now), [zone.clone()]);
     /// assert!(rounds.due(&roster, [&zone], second, now + second / 2).is_empty());
     /// assert_eq!(rounds.due(&roster, [&zone], second, now + second), [zone]);
@@ -405,7 +414,7 @@
     {
         let mut due = Vec::new();
         for zone in zones {
-            if !roster.asks(zone, now) {
+            if !roster.polls(zone, now) {
                 self.next.remove(zone);
             } else if self.next.get(zone).is_none_or(|next| *next <= now) {
                 self.next.insert(zone.clone(), now + period);
--- a/crates/lagoonline/tests/control_order.rs
+++ b/crates/lagoonline/tests/control_order.rs
@@ -9,8 +9,8 @@
     Desired { models: vec!["m".into(), "n".into()], role: engine::Role::Long }
 }
 
-fn load() -> engine::Order {
-    engine::Order::Load { model: "m".into(), adapter: String::new(), version: String::new() }
+fn load() -> engine::Command {
+    engine::Command::Load { model: "m".into(), adapter: String::new(), version: String::new() }
 }
 
 fn actual(model: &str, role: engine::Role, fence: u64) -> Actual {
@@ -27,7 +27,7 @@
 #[case::other_role(
     actual("m", engine::Role::Short, 4),
     context(false, 3),
-    Decision::Send(engine::Order::Role { role: engine::Role::Long })
+    Decision::Send(engine::Command::Role { role: engine::Role::Long })
 )]
 #[case::newer_holder(actual("x", engine::Role::Long, 6), context(true, 0), Decision::Superseded)]
 #[case::serving_and_unfenced(actual("x", engine::Role::Long, 4), context(false, 1), Decision::Wait)]
--- a/crates/lagoonline/tests/life_regressions.rs
+++ b/crates/lagoonline/tests/life_regressions.rs
@@ -1,8 +1,8 @@
-//! One test for each fault that the fuzzing found.
+//! Regression tests for bugs found by fuzzing.
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::id::{Incarnation, Owner, Upstream};
-use lagoonline::life::{leaving, reap};
+use lagoonline::lifecycle::{leaving, reap};
 use lagoonline::port::engine;
 
 fn owner(text: &str) -> Owner {
@@ -14,13 +14,14 @@
     engine::Holding { id, owner, kind, bytes: 1, expires_ms: 1 }
 }
 
-/// Callers get `no upstream` although an engine is in service. The engine refuses as leaving
-/// before any life of it is known, its life is then named with the mark, and it restarts: the new
-/// life took on the old refusal as well, because the first naming did not use it up.
+/// Callers got `no upstream` although an engine was in service. The engine refused work as leaving
+/// before any incarnation of it was known, the incarnation then became known together with the
+/// mark, and the engine restarted. The old refusal was applied to the new incarnation as well,
+/// because the first incarnation had not consumed it.
 #[test]
 fn a_refusal_marks_one_life_only() {
     let (mut marks, engine) = (leaving::Marks::default(), Upstream::from("e"));
-    assert_eq!(marks.refused(&engine), None);
+    assert_eq!(marks.record_refusal(&engine), None);
     assert!(marks.is_leaving(&engine));
     let first = leaving::Mark { incarnation: Incarnation(1), leaving: true };
     assert_eq!(marks.merge(&engine, first), Some(first));
@@ -28,36 +29,36 @@
     assert!(!marks.is_leaving(&engine));
 }
 
-/// A caller's stream breaks off though its entry host is well. A sweeper that is cut off from its
-/// start knows the other host only by its stream; half of two hosts heard was taken for enough.
+/// A stream was interrupted although its entry host was healthy. A reaper that was cut off from its
+/// start knew the other host only by its stream, and hearing one of two hosts counted as enough.
 #[test]
 fn a_sweeper_that_hears_only_itself_releases_nothing() {
-    let mut sweep = reap::Sweep::new(reap::Settings::default());
+    let mut sweep = reap::Reaper::new(reap::Settings::default());
     let holding = stream_of("other/1");
     let mut now = Moment::START;
     for _ in 0..300 {
         now = now + Span::from_secs(1);
-        sweep.heard(&owner("own/1"), now);
-        let released = sweep.releases(&Upstream::from("e"), std::slice::from_ref(&holding), now);
+        sweep.record_heartbeat(&owner("own/1"), now);
+        let released = sweep.releasable(&Upstream::from("e"), std::slice::from_ref(&holding), now);
         assert!(released.is_empty());
     }
 }
 
-/// Callers' streams break off all over a zone for one second, half a minute after the sweeper was
-/// cut off. The host whose last heartbeat was the oldest counted as silent while the others, also
-/// cut off, still counted as heard.
+/// Streams all over a zone were interrupted for one second, half a minute after the reaper was cut
+/// off. The host with the oldest last heartbeat counted as dead while the other hosts, also cut
+/// off, still counted as heard.
 #[test]
 fn hosts_fall_silent_together() {
-    let mut sweep = reap::Sweep::new(reap::Settings::default());
+    let mut sweep = reap::Reaper::new(reap::Settings::default());
     let hosts = ["own/1", "a/1", "b/1", "c/1"];
     for (host, millis) in hosts.iter().zip([900, 100, 500, 900]) {
-        sweep.heard(&owner(host), Moment::from_millis(millis));
+        sweep.record_heartbeat(&owner(host), Moment::from_millis(millis));
     }
     let holding = stream_of("a/1");
     for tenths in 10..900 {
         let now = Moment::from_millis(tenths * 100);
-        sweep.heard(&owner("own/1"), now);
-        let released = sweep.releases(&Upstream::from("e"), std::slice::from_ref(&holding), now);
+        sweep.record_heartbeat(&owner("own/1"), now);
+        let released = sweep.releasable(&Upstream::from("e"), std::slice::from_ref(&holding), now);
         assert!(released.is_empty(), "at {now:?}");
     }
 }
--- a/crates/lagoonline/tests/load_placement.rs
+++ b/crates/lagoonline/tests/load_placement.rs
@@ -25,8 +25,8 @@
     }
 }
 
-fn entry(index: usize, zone: &str) -> routing::Entry {
-    routing::Entry {
+fn entry(index: usize, zone: &str) -> routing::Registration {
+    routing::Registration {
         upstream: id::Upstream::from(format!("e{index:02}")),
         service: id::Service::from("llm"),
         address: net::SocketAddr::from(([127, 0, 0, 1], 8_000 + index as u16)),
@@ -241,7 +241,7 @@
 /// A fleet of `engines` with `slots` slots each.
 fn day_with_slots(engines: usize, slots: u32) -> Day {
     let entries: Vec<_> =
-        (0..engines).map(|index| routing::Entry { slots, ..entry(index, "a") }).collect();
+        (0..engines).map(|index| routing::Registration { slots, ..entry(index, "a") }).collect();
     let mut day = Day::new(1);
     day.placer = placement::Placer::new(placement::Settings::default(), id::Zone::from("a"));
     day.placer.set_upstreams(&entries, Some(profile::Profile { slots, ..profile() }));
