--- a/crates/lagoonline/benches/decision.rs
+++ b/crates/lagoonline/benches/decision.rs
@@ -16,19 +16,19 @@
 
 struct Size {
     name: &'static str,
-    runners: usize,
+    engines: usize,
     hosts: u32,
     customers: usize,
 }
 
 const SIZES: [Size; 2] = [
-    Size { name: "today", runners: 8, hosts: 3, customers: 10 },
-    Size { name: "target", runners: 133, hosts: 39, customers: 26_000 },
+    Size { name: "today", engines: 8, hosts: 3, customers: 10 },
+    Size { name: "target", engines: 133, hosts: 39, customers: 26_000 },
 ];
 
-fn fleet(runners: usize) -> view::Shared {
+fn fleet(engines: usize) -> view::Shared {
     let mut fleet = view::Fleet::default();
-    for index in 0..runners {
+    for index in 0..engines {
         let entry = document::Upstream {
             serves: document::Serves::Models(vec![id::Model::from("m")]),
             ..document::Upstream::default()
@@ -42,12 +42,12 @@
 fn scheduler(size: &Size) -> Scheduler {
     let settings = load::Settings { hosts_in_zone: size.hosts, ..load::Settings::default() };
     let mut scheduler = Scheduler::new(settings);
-    scheduler.set_fleet(Moment::START, &fleet(size.runners), &id::Model::from("m"));
+    scheduler.set_fleet(Moment::START, &fleet(size.engines), &id::Model::from("m"));
     scheduler
 }
 
-fn asks(size: &Size) -> Vec<load::Request> {
-    let ask = |index: usize| load::Request {
+fn requests(size: &Size) -> Vec<load::Request> {
+    let request = |index: usize| load::Request {
         customer: id::Customer::from(format!("c{index}")),
         team: id::Team::from(format!("t{}", index % 8)),
         weight: 1,
@@ -59,18 +59,18 @@
         deadline: Moment::START + Span::from_secs(3_600),
         prefixes: vec![(index as u64 % 64, 512)],
     };
-    (0..size.customers).map(ask).collect()
+    (0..size.customers).map(request).collect()
 }
 
 /// Durations of single decisions, whose median is printed because criterion reports only means.
 #[derive(Default)]
-struct Singles(Vec<Span>);
+struct Durations(Vec<Span>);
 
-impl Singles {
+impl Durations {
     fn print(mut self, name: &str) {
         self.0.sort_unstable();
-        if let Some(middle) = self.0.get(self.0.len() / 2) {
-            println!("{name}: p50 of {} single decisions {middle:?}", self.0.len());
+        if let Some(median) = self.0.get(self.0.len() / 2) {
+            println!("{name}: p50 of {} single decisions {median:?}", self.0.len());
         }
     }
 }
@@ -78,9 +78,9 @@
 /// A request that is placed at once: admission and routing together.
 fn place(criterion: &mut Criterion) {
     for size in &SIZES {
-        let (mut scheduler, asks) = (scheduler(size), asks(size));
+        let (mut scheduler, requests) = (scheduler(size), requests(size));
         let mut turn = 0;
-        let mut singles = Singles::default();
+        let mut durations = Durations::default();
         let name = format!("offer that is placed, {}", size.name);
         criterion.bench_function(&name, |bencher| {
             bencher.iter_custom(|count| {
@@ -88,18 +88,19 @@
                 for _ in 0..count {
                     turn += 1;
                     let now = Moment::from_micros(turn as u64 * 1_000);
-                    let ask = load::Request { arrived: now, ..asks[turn % asks.len()].clone() };
+                    let request =
+                        load::Request { arrived: now, ..requests[turn % requests.len()].clone() };
                     let start = time::Instant::now();
-                    let verdict = hint::black_box(scheduler.offer(now, ask));
+                    let verdict = hint::black_box(scheduler.offer(now, request));
                     let took = start.elapsed();
                     spent += took;
-                    singles.0.push(took);
+                    durations.0.push(took);
                     end(&mut scheduler, now, &verdict);
                 }
                 spent
             });
         });
-        singles.print(&name);
+        durations.print(&name);
     }
 }
 
@@ -113,26 +114,26 @@
 /// A request that finds every engine occupied and waits, then leaves.
 fn wait(criterion: &mut Criterion) {
     for size in &SIZES {
-        let (mut scheduler, asks) = (scheduler(size), asks(size));
-        for ask in asks.iter().cycle().take(100_000) {
-            if let Verdict::Wait(_) = scheduler.offer(Moment::START, ask.clone()) {
+        let (mut scheduler, requests) = (scheduler(size), requests(size));
+        for request in requests.iter().cycle().take(100_000) {
+            if let Verdict::Wait(_) = scheduler.offer(Moment::START, request.clone()) {
                 break;
             }
         }
         let mut turn = 0;
-        let mut singles = Singles::default();
+        let mut durations = Durations::default();
         let name = format!("offer that waits, {}", size.name);
         criterion.bench_function(&name, |bencher| {
             bencher.iter_custom(|count| {
                 let mut spent = Span::ZERO;
                 for _ in 0..count {
                     turn += 1;
-                    let ask = asks[turn % asks.len()].clone();
+                    let request = requests[turn % requests.len()].clone();
                     let start = time::Instant::now();
-                    let verdict = hint::black_box(scheduler.offer(Moment::START, ask));
+                    let verdict = hint::black_box(scheduler.offer(Moment::START, request));
                     let took = start.elapsed();
                     spent += took;
-                    singles.0.push(took);
+                    durations.0.push(took);
                     if let Verdict::Wait(waiter) = verdict {
                         scheduler.cancel(waiter);
                     }
@@ -140,7 +141,7 @@
                 spent
             });
         });
-        singles.print(&name);
+        durations.print(&name);
     }
 }
 
@@ -148,14 +149,14 @@
 fn limit(criterion: &mut Criterion) {
     for size in &SIZES {
         let mut limits = load::limit::Limits::new(size.hosts);
-        let asks = asks(size);
+        let requests = requests(size);
         let rate = load::limit::Rate { requests: 1e6, tokens: 1e12 };
         let mut turn = 0;
         criterion.bench_function(&format!("limit, {}", size.name), |bencher| {
             bencher.iter(|| {
                 turn += 1;
                 let now = Moment::from_micros(turn as u64 * 100);
-                let customer = &asks[turn % asks.len()].customer;
+                let customer = &requests[turn % requests.len()].customer;
                 hint::black_box(limits.admit(now, customer, rate, 1_000).is_ok())
             });
         });
--- a/crates/lagoonline/src/load/admit.rs
+++ b/crates/lagoonline/src/load/admit.rs
@@ -13,9 +13,9 @@
 use crate::outcome;
 
 /// Shortest and longest Retry-After, in seconds.
-const RETRY: (f64, f64) = (1.0, 60.0);
+const RETRY_AFTER_SECONDS: (f64, f64) = (1.0, 60.0);
 /// Fraction by which the Retry-After is randomly extended.
-const SPREAD: f64 = 0.25;
+const RETRY_AFTER_SPREAD: f64 = 0.25;
 
 /// Predicted times of a request, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -28,7 +28,7 @@
     pub answer: f64,
 }
 
-/// Refuses a request that would wait longer than `longest_wait` or end after `left`; `draw` is a
+/// Refuses a request that would wait longer than `longest_wait` or end after `left`; `random` is a
 /// random number.
 ///
 /// ```
@@ -43,24 +43,25 @@
     prediction: Prediction,
     longest_wait: clock::Span,
     left: clock::Span,
-    draw: u64,
+    random: u64,
 ) -> Result<(), outcome::Failure> {
     let end = prediction.wait + prediction.first_token + prediction.answer;
-    let late = end - left.as_secs_f64();
-    let long = prediction.wait - longest_wait.as_secs_f64();
-    if late > 0.0 {
-        return Err(refusal(outcome::Reason::CannotMeetDeadline, late, draw));
+    let overrun = end - left.as_secs_f64();
+    let excess = prediction.wait - longest_wait.as_secs_f64();
+    if overrun > 0.0 {
+        return Err(refusal(outcome::Reason::CannotMeetDeadline, overrun, random));
     }
-    if long > 0.0 {
-        return Err(refusal(outcome::Reason::Saturated, long, draw));
+    if excess > 0.0 {
+        return Err(refusal(outcome::Reason::Saturated, excess, random));
     }
     Ok(())
 }
 
 /// A refusal of a request that was not sent anywhere, with a Retry-After of about `seconds`.
-pub fn refusal(reason: outcome::Reason, seconds: f64, draw: u64) -> outcome::Failure {
-    let spread = 1.0 + SPREAD * (draw % 1_024) as f64 / 1_024.0;
-    let seconds = (seconds.clamp(RETRY.0, RETRY.1) * spread).ceil() as u64;
+pub fn refusal(reason: outcome::Reason, seconds: f64, random: u64) -> outcome::Failure {
+    let spread = 1.0 + RETRY_AFTER_SPREAD * (random % 1_024) as f64 / 1_024.0;
+    let seconds =
+        (seconds.clamp(RETRY_AFTER_SECONDS.0, RETRY_AFTER_SECONDS.1) * spread).ceil() as u64;
     let failure = outcome::Failure::new(reason, outcome::Step::Admit, outcome::Outcome::NotRun);
     failure.retry_after(clock::Span::from_secs(seconds))
 }
--- a/crates/lagoonline/src/load/baseline.rs
+++ b/crates/lagoonline/src/load/baseline.rs
@@ -5,18 +5,18 @@
 use crate::load::settings;
 use crate::load::upstream;
 
-/// The upstream that a baseline policy chooses; `turn` counts its choices and `draw` is a random
+/// The upstream that a baseline policy chooses; `turn` counts its choices and `random` is a random
 /// number.
 pub(crate) fn choose(
     policy: settings::Policy,
     now: clock::Moment,
     upstreams: &[upstream::Upstream],
     turn: u64,
-    draw: u64,
+    random: u64,
 ) -> Option<usize> {
     let free = |index: &usize| {
         let upstream = &upstreams[*index];
-        upstream.is_open(now, false) && upstream.requests < upstream.slots
+        upstream.is_available(now, false) && upstream.requests < upstream.slots
     };
     let count = upstreams.len().max(1);
     let all = || (0..upstreams.len()).filter(free);
@@ -27,7 +27,7 @@
             (0..upstreams.len()).map(|step| (start + step) % count).find(free)
         }
         settings::Policy::TwoChoices => {
-            let (first, second) = (draw as u32 as usize % count, (draw >> 32) as usize % count);
+            let (first, second) = (random as u32 as usize % count, (random >> 32) as usize % count);
             let two = [first, second].into_iter().filter(|index| *index < upstreams.len());
             two.filter(free).min_by_key(requests).or_else(|| all().min_by_key(requests))
         }
--- a/crates/lagoonline/src/load/clear.rs
+++ b/crates/lagoonline/src/load/clear.rs
@@ -15,31 +15,31 @@
 /// Half-life of the observed mix, in seconds.
 const HALF_LIFE: f64 = 30.0;
 /// Shortest time between two changes.
-const STEP: clock::Span = clock::Span::from_secs(5);
+const MIN_CHANGE_INTERVAL: clock::Span = clock::Span::from_secs(5);
 /// Difference from the wanted number, in engines, from which the number changes.
 const HYSTERESIS: f64 = 0.75;
 /// Largest share of the engines that is kept clear while there are long prompts.
-const MOST: f64 = 0.8;
+const MAX_SHARE: f64 = 0.8;
 /// Engines left to long prompts, as a multiple of their fraction of the work: these engines also
 /// serve the short prompts that don't fit on the clear ones.
-const ROOM: f64 = 3.0;
+const LONG_WORK_FACTOR: f64 = 3.0;
 
 /// Number of engines kept clear, and the observed mix of prompts.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Share {
+pub struct ClearShare {
     work: [f64; 4],
-    seen: clock::Moment,
+    updated_at: clock::Moment,
     engines: usize,
-    moved: clock::Moment,
+    last_change: clock::Moment,
 }
 
-impl Share {
+impl ClearShare {
     /// Records the arrival of a prompt of this class and length.
-    pub fn offered(&mut self, now: clock::Moment, class: document::Class, tokens: u64) {
-        let fade = (-now.since(self.seen).as_secs_f64() / HALF_LIFE).exp2();
-        self.seen = now;
+    pub fn record_arrival(&mut self, now: clock::Moment, class: document::Class, tokens: u64) {
+        let decay = (-now.since(self.updated_at).as_secs_f64() / HALF_LIFE).exp2();
+        self.updated_at = now;
         for work in &mut self.work {
-            *work *= fade;
+            *work *= decay;
         }
         self.work[class as usize] += tokens as f64;
     }
@@ -55,14 +55,14 @@
     /// short requests from 0 to 1.
     pub fn engines(&mut self, now: clock::Moment, all: usize, short_share: f64) -> usize {
         let long = 1.0 - self.up_to(document::Class::Medium);
-        let room = (1.0 - ROOM * long).clamp(0.0, MOST);
-        let wanted = if long > 0.0 { room * short_share } else { 0.0 };
+        let share = (1.0 - LONG_WORK_FACTOR * long).clamp(0.0, MAX_SHARE);
+        let wanted = if long > 0.0 { share * short_share } else { 0.0 };
         let wanted = wanted * all as f64;
         let most = all.saturating_sub(1);
-        let off = wanted - self.engines as f64;
-        if off.abs() >= HYSTERESIS && now.since(self.moved) >= STEP {
-            self.engines = if off > 0.0 { self.engines + 1 } else { self.engines - 1 };
-            self.moved = now;
+        let difference = wanted - self.engines as f64;
+        if difference.abs() >= HYSTERESIS && now.since(self.last_change) >= MIN_CHANGE_INTERVAL {
+            self.engines = if difference > 0.0 { self.engines + 1 } else { self.engines - 1 };
+            self.last_change = now;
         }
         self.engines = self.engines.min(most);
         self.engines
--- a/crates/lagoonline/src/load/fair.rs
+++ b/crates/lagoonline/src/load/fair.rs
@@ -14,26 +14,26 @@
 use std::hash;
 
 /// Tag units per token at weight 1.
-const SCALE: u64 = 1_024;
+const TAG_UNITS: u64 = 1_024;
 /// Number of idle keys from which on those without effect are dropped.
-const KEPT: usize = 256;
+const MAX_IDLE: usize = 256;
 
 /// The order in which active keys are served.
 #[derive(Debug)]
-pub struct Turn<K> {
-    now: u64,
+pub struct FairOrder<K> {
+    virtual_time: u64,
     tags: collections::HashMap<K, u64>,
     active: collections::BTreeSet<(u64, K)>,
 }
 
-impl<K> Default for Turn<K> {
+impl<K> Default for FairOrder<K> {
     fn default() -> Self {
         let (tags, active) = (collections::HashMap::new(), collections::BTreeSet::new());
-        Turn { now: 0, tags, active }
+        FairOrder { virtual_time: 0, tags, active }
     }
 }
 
-impl<K> Turn<K>
+impl<K> FairOrder<K>
 where
     K: Clone + Eq + hash::Hash + Ord,
 {
@@ -43,7 +43,7 @@
         if self.active.contains(&(tag, key.clone())) {
             return;
         }
-        let tag = tag.max(self.now);
+        let tag = tag.max(self.virtual_time);
         self.tags.insert(key.clone(), tag);
         self.active.insert((tag, key.clone()));
     }
@@ -52,7 +52,7 @@
     pub fn deactivate(&mut self, key: &K) {
         let tag = self.tags.get(key).copied().unwrap_or(0);
         self.active.remove(&(tag, key.clone()));
-        self.forget();
+        self.drop_idle();
     }
 
     /// The key to serve next.
@@ -66,20 +66,21 @@
     }
 
     /// Charges `tokens` of service to the active key at this weight.
-    pub fn served(&mut self, key: &K, tokens: u64, weight: u32) {
+    pub fn charge(&mut self, key: &K, tokens: u64, weight: u32) {
         let tag = self.tags.get(key).copied().unwrap_or(0);
-        self.now = self.now.max(tag);
-        let next = tag.saturating_add(tokens.saturating_mul(SCALE) / u64::from(weight.max(1)));
+        self.virtual_time = self.virtual_time.max(tag);
+        let next = tag.saturating_add(tokens.saturating_mul(TAG_UNITS) / u64::from(weight.max(1)));
         if self.active.remove(&(tag, key.clone())) {
             self.active.insert((next, key.clone()));
         }
         self.tags.insert(key.clone(), next);
     }
 
-    fn forget(&mut self) {
-        if self.tags.len() > KEPT + 2 * self.active.len() {
-            let (now, active) = (self.now, &self.active);
-            self.tags.retain(|key, tag| *tag > now || active.contains(&(*tag, key.clone())));
+    fn drop_idle(&mut self) {
+        if self.tags.len() > MAX_IDLE + 2 * self.active.len() {
+            let (virtual_time, active) = (self.virtual_time, &self.active);
+            self.tags
+                .retain(|key, tag| *tag > virtual_time || active.contains(&(*tag, key.clone())));
         }
     }
 }
--- a/crates/lagoonline/src/load/floor.rs
+++ b/crates/lagoonline/src/load/floor.rs
@@ -13,7 +13,7 @@
 use crate::clock;
 
 /// Floor as a multiple of the longer prompts' fraction of the work.
-const MULTIPLE: f64 = 1.5;
+const FLOOR_FACTOR: f64 = 1.5;
 /// Lowest and highest floor; the lowest applies to predictions while few longer prompts arrive.
 const BOUNDS: (f64, f64) = (0.05, 0.25);
 
@@ -21,42 +21,42 @@
 ///
 /// ```
 /// use lagoonline::load::floor;
-/// assert_eq!(floor::part(0.0), 0.05);
-/// assert_eq!(floor::part(0.5), 0.25);
+/// assert_eq!(floor::share(0.0), 0.05);
+/// assert_eq!(floor::share(0.5), 0.25);
 /// ```
-pub fn part(longer: f64) -> f64 {
-    (MULTIPLE * longer).clamp(BOUNDS.0, BOUNDS.1)
+pub fn share(longer: f64) -> f64 {
+    (FLOOR_FACTOR * longer).clamp(BOUNDS.0, BOUNDS.1)
 }
 
 /// Factor by which one host may exceed its even share of the rest, because hosts are not equally
 /// busy.
-const UNEVEN: f64 = 1.1;
+const UNEVEN_FACTOR: f64 = 1.1;
 /// Short prefill that may be sent in one burst, in seconds of the engine's rate.
-const BURST: f64 = 0.5;
+const BURST_SECONDS: f64 = 0.5;
 
 /// Short prefill that one host has sent to one engine beyond its allowed rate.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Floor {
+pub struct ShortExcess {
     /// Excess tokens, as of `at`.
-    sent: f64,
+    tokens: f64,
     at: clock::Moment,
 }
 
-impl Floor {
+impl ShortExcess {
     /// Whether short prefill may be sent now to an engine of which this host may use `rate` tokens
     /// per second.
     pub fn allows(&self, now: clock::Moment, rate: f64) -> bool {
-        self.left(now, rate) < BURST * rate * UNEVEN
+        self.excess(now, rate) < BURST_SECONDS * rate * UNEVEN_FACTOR
     }
 
     /// Records short prefill of `tokens` that is sent now.
-    pub fn sent(&mut self, now: clock::Moment, tokens: f64, rate: f64) {
-        self.sent = self.left(now, rate) + tokens;
+    pub fn record_sent(&mut self, now: clock::Moment, tokens: f64, rate: f64) {
+        self.tokens = self.excess(now, rate) + tokens;
         self.at = now;
     }
 
     /// Tokens sent beyond `rate` that the elapsed time has not yet made up for.
-    pub fn left(&self, now: clock::Moment, rate: f64) -> f64 {
-        (self.sent - rate * UNEVEN * now.since(self.at).as_secs_f64()).max(0.0)
+    pub fn excess(&self, now: clock::Moment, rate: f64) -> f64 {
+        (self.tokens - rate * UNEVEN_FACTOR * now.since(self.at).as_secs_f64()).max(0.0)
     }
 }
--- a/crates/lagoonline/src/load/placement/mod.rs
+++ b/crates/lagoonline/src/load/placement/mod.rs
@@ -230,7 +230,7 @@
                 None => {
                     let mut engine = Engine::new(entry.clone(), profile);
                     for tracked in self.dispatches.values() {
-                        engine.begin_if_on(&tracked.dispatch, clock::Moment::START);
+                        engine.add_if_on(&tracked.dispatch, clock::Moment::START);
                     }
                     self.upstreams.insert(entry.upstream.clone(), engine);
                 }
@@ -253,7 +253,7 @@
         }
         for name in std::iter::once(&dispatch.primary).chain(&dispatch.helpers) {
             if let Some(engine) = self.upstreams.get_mut(name) {
-                engine.begin_if_on(&dispatch, now);
+                engine.add_if_on(&dispatch, now);
             }
         }
         self.prefill_load.add(self.loose_prefill_ms(&dispatch), now);
@@ -278,17 +278,17 @@
 
     /// Whether the prompt of `dispatch` has been prefilled.
     fn is_prefilled(&self, dispatch: &Dispatch) -> bool {
-        self.upstreams.get(&dispatch.primary).is_some_and(|engine| engine.writes(dispatch.id))
+        self.upstreams.get(&dispatch.primary).is_some_and(|engine| engine.is_decoding(dispatch.id))
     }
 
     /// Records the first token of a request, which shows that its prompt has been prefilled.
     pub fn record_first_token(&mut self, id: DispatchId, now: clock::Moment) {
-        self.for_each_engine(id, |engine| engine.read_done(id, now));
+        self.for_each_engine(id, |engine| engine.record_first_token(id, now));
     }
 
     /// Records the end of a request.
     pub fn record_end(&mut self, id: DispatchId, now: clock::Moment) {
-        self.for_each_engine(id, |engine| engine.end(id, now));
+        self.for_each_engine(id, |engine| engine.record_end(id, now));
         self.dispatches.remove(&id);
     }
 
@@ -316,25 +316,25 @@
         before: clock::Moment,
         now: clock::Moment,
     ) -> Vec<DispatchId> {
-        let over = self.dispatches.values().filter(|tracked| {
+        let ended = self.dispatches.values().filter(|tracked| {
             let id = tracked.dispatch.id;
             id.host == host && tracked.known_since <= before && !numbers.contains(&id.number)
         });
-        let over: Vec<_> = over.map(|tracked| tracked.dispatch.id).collect();
-        for id in &over {
+        let ended: Vec<_> = ended.map(|tracked| tracked.dispatch.id).collect();
+        for id in &ended {
             self.record_end(*id, now);
         }
-        over
+        ended
     }
 
     /// Drops dispatches past their deadline, such as those of hosts that stopped sending updates.
     pub fn expire(&mut self, now: clock::Moment) {
         let dispatches = self.dispatches.values().map(|tracked| &tracked.dispatch);
-        let due: Vec<_> = dispatches
+        let expired: Vec<_> = dispatches
             .filter(|dispatch| dispatch.deadline <= now)
             .map(|dispatch| dispatch.id)
             .collect();
-        for id in due {
+        for id in expired {
             self.record_end(id, now);
         }
     }
@@ -344,7 +344,7 @@
     pub fn record_unreachable(&mut self, upstream: &id::Upstream, now: clock::Moment) {
         let span = self.settings.suspect_span;
         if let Some(engine) = self.upstreams.get_mut(upstream) {
-            engine.failed(now, span);
+            engine.record_failure(now, span);
             self.partitions.record_failure(&self.zone, &engine.entry().zone, upstream, now);
         }
     }
@@ -360,7 +360,7 @@
         let from = self.upstreams.get(first).map(|engine| engine.entry().zone.clone());
         let span = self.settings.suspect_span;
         if let (Some(from), Some(engine)) = (from, self.upstreams.get_mut(helper)) {
-            engine.failed(now, span);
+            engine.record_failure(now, span);
             self.partitions.record_failure(&from, &engine.entry().zone, helper, now);
         }
     }
@@ -379,7 +379,7 @@
     /// Records that data arrived from an upstream.
     pub fn record_activity(&mut self, upstream: &id::Upstream, now: clock::Moment) {
         if let Some(engine) = self.upstreams.get_mut(upstream) {
-            engine.hear(now);
+            engine.record_activity(now);
         }
     }
 
@@ -405,7 +405,7 @@
     /// Whether anything arrived from an upstream within `span` before `now`. An upstream that is
     /// silent on a single request but active on others is busy, not down.
     pub fn is_alive(&self, upstream: &id::Upstream, span: clock::Span, now: clock::Moment) -> bool {
-        self.upstreams.get(upstream).is_some_and(|engine| now.since(engine.heard()) <= span)
+        self.upstreams.get(upstream).is_some_and(|engine| now.since(engine.last_activity()) <= span)
     }
 
     /// Whether an upstream failed another request and has sent nothing since.
@@ -413,7 +413,7 @@
     /// Failure answered: an upstream stops responding while it has many requests. Without this
     /// check each request would wait for its own gap limit to pass, which can take seconds.
     pub fn is_unresponsive(&self, upstream: &id::Upstream) -> bool {
-        self.upstreams.get(upstream).is_some_and(Engine::is_lost)
+        self.upstreams.get(upstream).is_some_and(Engine::is_unresponsive)
     }
 
     /// Whether the engine that should answer `id` has started a later answer with the same gap
@@ -426,21 +426,21 @@
         let Some(Tracked { dispatch, known_since }) = self.dispatches.get(&id) else {
             return false;
         };
-        let passes = |other: &&Tracked| {
+        let overtakes = |other: &&Tracked| {
             let Dispatch { primary, prompt_tokens, max_gap, .. } = &other.dispatch;
             other.known_since > *known_since
                 && *primary == dispatch.primary
                 && *max_gap == dispatch.max_gap
                 && *prompt_tokens >= dispatch.prompt_tokens
         };
-        self.dispatches.values().filter(passes).any(|other| self.is_prefilled(&other.dispatch))
+        self.dispatches.values().filter(overtakes).any(|other| self.is_prefilled(&other.dispatch))
     }
 
     /// Records that an engine had no memory for a reservation; it counts as full for a short time.
     pub fn mark_full(&mut self, upstream: &id::Upstream, now: clock::Moment) {
         let until = now + self.settings.full_span;
         if let Some(engine) = self.upstreams.get_mut(upstream) {
-            engine.full(until);
+            engine.mark_full(until);
         }
     }
 
@@ -451,14 +451,14 @@
     /// additional delay.
     pub fn record_error(&mut self, upstream: &id::Upstream, now: clock::Moment) {
         if let Some(engine) = self.upstreams.get_mut(upstream) {
-            engine.erred(now);
+            engine.record_error(now);
         }
     }
 
     /// Records that an upstream answered successfully.
     pub fn record_success(&mut self, upstream: &id::Upstream, now: clock::Moment) {
         if let Some(engine) = self.upstreams.get_mut(upstream) {
-            engine.answered(now);
+            engine.record_success(now);
             self.partitions.record_success(&self.zone, &engine.entry().zone);
         }
     }
@@ -497,7 +497,7 @@
             Some(profile) if request.prompt_tokens > 0 => {
                 let placed = self.place_prompt(request, &usable, profile, now);
                 let waits = matches!(placed, Err(Refusal::Busy(_)));
-                self.waitlist.note(
+                self.waitlist.record_attempt(
                     request.waiter,
                     profile.prefill_ms(request.prompt_tokens),
                     waits,
@@ -511,18 +511,18 @@
 
     /// Upstreams that may be used: those that look healthy, or all if none does.
     fn usable(&self, request: &Request<'_>, now: clock::Moment) -> Vec<&Engine> {
-        let open = |engine: &&Engine| {
+        let offered = |engine: &&Engine| {
             !engine.entry().leaving && !request.avoid.contains(&engine.entry().upstream)
         };
-        let all: Vec<&Engine> = self.upstreams.values().filter(open).collect();
-        let sound = |engine: &&Engine| {
-            let cut = self.partitions.is_partitioned(&self.zone, &engine.entry().zone, now);
-            !engine.is_suspect(now) && !cut && !engine.is_slow(now)
+        let all: Vec<&Engine> = self.upstreams.values().filter(offered).collect();
+        let healthy = |engine: &&Engine| {
+            let partitioned = self.partitions.is_partitioned(&self.zone, &engine.entry().zone, now);
+            !engine.is_avoided(now) && !partitioned && !engine.is_slow(now)
         };
-        let mut found: Vec<&Engine> = all.iter().copied().filter(sound).collect();
+        let mut found: Vec<&Engine> = all.iter().copied().filter(healthy).collect();
         // Failing upstreams come last, because the first engines are the ones reserved for tight
         // gap limits.
-        found.sort_by_key(|engine| engine.errors(now) > FAILS);
+        found.sort_by_key(|engine| engine.failure_rate(now) > FAILING_RATE);
         if found.is_empty() { all } else { found }
     }
 
@@ -537,9 +537,9 @@
         let cost = |engine: &&&Engine| {
             let remote = u64::from(engine.entry().zone != *request.zone);
             let slots = u64::from(engine.entry().slots.max(1));
-            let used = engine.works() as u64 * 1_000 / slots;
-            let errors = (engine.errors(now) * ERRORS_USED) as u64;
-            (used + remote * REMOTE_USED + errors, spread(request.random, engine))
+            let used = engine.dispatches() as u64 * 1_000 / slots;
+            let failures = (engine.failure_rate(now) * FAILURE_PENALTY) as u64;
+            (used + remote * REMOTE_PENALTY + failures, tie_break(request.random, engine))
         };
         let primary = usable.iter().min_by_key(cost).map_or(usable[0], |engine| *engine);
         Placement {
@@ -555,14 +555,14 @@
 
 /// Failure rate above which an upstream counts as failing: twice the rate at which healthy services
 /// fail.
-const FAILS: f64 = 0.3;
+const FAILING_RATE: f64 = 0.3;
 /// Penalty for a replica in another zone, in thousandths of its slots: as if two of six were taken.
-const REMOTE_USED: u64 = 300;
+const REMOTE_PENALTY: u64 = 300;
 /// Penalty for a failure rate of one, in thousandths of a replica's slots: as if twice overloaded.
-const ERRORS_USED: f64 = 2_000.0;
+const FAILURE_PENALTY: f64 = 2_000.0;
 
 /// A pseudo-random order of upstreams that differs from request to request.
-fn spread(draw: u64, engine: &Engine) -> u64 {
+fn tie_break(draw: u64, engine: &Engine) -> u64 {
     use std::hash::{Hash, Hasher};
     let mut hasher = collections::hash_map::DefaultHasher::new();
     (draw, engine.entry().upstream.as_str()).hash(&mut hasher);
--- a/crates/lagoonline/src/load/placement/partition.rs
+++ b/crates/lagoonline/src/load/placement/partition.rs
@@ -13,21 +13,21 @@
 use crate::id;
 
 /// Distinct upstreams of a zone that must fail before the pair of zones counts as partitioned.
-const UPSTREAMS: usize = 2;
+const MIN_FAILED_UPSTREAMS: usize = 2;
 /// How long a pair counts as partitioned the first time.
-const FIRST: clock::Span = clock::Span::from_millis(600);
+const FIRST_SPAN: clock::Span = clock::Span::from_millis(600);
 /// How often that span is doubled at most.
-const DOUBLINGS: u32 = 2;
+const MAX_DOUBLINGS: u32 = 2;
 /// Failures further apart than this are unrelated and don't add up.
-const MEMORY: clock::Span = clock::Span::from_millis(3_000);
+const FAILURE_WINDOW: clock::Span = clock::Span::from_millis(3_000);
 
 /// Recent failures between one pair of zones.
 #[derive(Clone, Debug, Default)]
 struct Pair {
-    failed: collections::BTreeSet<id::Upstream>,
-    last: clock::Moment,
-    until: Option<clock::Moment>,
-    times: u32,
+    failed_upstreams: collections::BTreeSet<id::Upstream>,
+    last_failure: clock::Moment,
+    partitioned_until: Option<clock::Moment>,
+    occurrences: u32,
 }
 
 /// All pairs of zones with recent failures between them.
@@ -35,13 +35,13 @@
 /// ```
 /// use lagoonline::{clock::Moment, id::{Upstream, Zone}, load::placement::Partitions};
 /// let (a, b) = (Zone::from("a"), Zone::from("b"));
-/// let (mut cuts, now) = (Partitions::default(), Moment::from_millis(10));
-/// cuts.failed(&a, &b, &Upstream::from("x"), now);
-/// assert!(!cuts.is_cut(&a, &b, now));
-/// cuts.failed(&a, &b, &Upstream::from("y"), now);
-/// assert!(cuts.is_cut(&b, &a, now));
-/// cuts.answered(&a, &b);
-/// assert!(!cuts.is_cut(&a, &b, now));
+/// let (mut partitions, now) = (Partitions::default(), Moment::from_millis(10));
+/// partitions.record_failure(&a, &b, &Upstream::from("x"), now);
+/// assert!(!partitions.is_partitioned(&a, &b, now));
+/// partitions.record_failure(&a, &b, &Upstream::from("y"), now);
+/// assert!(partitions.is_partitioned(&b, &a, now));
+/// partitions.record_success(&a, &b);
+/// assert!(!partitions.is_partitioned(&a, &b, now));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Partitions {
@@ -65,15 +65,16 @@
             return;
         }
         let pair = self.pairs.entry(key(from, to)).or_default();
-        if now.since(pair.last) > MEMORY {
+        if now.since(pair.last_failure) > FAILURE_WINDOW {
             *pair = Pair::default();
         }
-        pair.last = now;
-        pair.failed.insert(upstream.clone());
-        let open = pair.until.is_some_and(|until| until > now);
-        if pair.failed.len() >= UPSTREAMS && !open {
-            pair.until = Some(now + FIRST * 2u32.pow(pair.times.min(DOUBLINGS)));
-            pair.times += 1;
+        pair.last_failure = now;
+        pair.failed_upstreams.insert(upstream.clone());
+        let active = pair.partitioned_until.is_some_and(|until| until > now);
+        if pair.failed_upstreams.len() >= MIN_FAILED_UPSTREAMS && !active {
+            pair.partitioned_until =
+                Some(now + FIRST_SPAN * 2u32.pow(pair.occurrences.min(MAX_DOUBLINGS)));
+            pair.occurrences += 1;
         }
     }
 
@@ -88,6 +89,6 @@
             return false;
         }
         let pair = self.pairs.get(&key(from, to));
-        pair.and_then(|pair| pair.until).is_some_and(|until| until > now)
+        pair.and_then(|pair| pair.partitioned_until).is_some_and(|until| until > now)
     }
 }
--- a/crates/lagoonline/src/load/placement/prefill.rs
+++ b/crates/lagoonline/src/load/placement/prefill.rs
@@ -8,7 +8,7 @@
 /// Decay time in seconds, after which a prompt counts about a third: long enough that a single
 /// prompt does not change the division of engines, short enough that the division follows a mix
 /// that changes within seconds.
-const MEMORY_S: f64 = 1.5;
+const DECAY_S: f64 = 1.5;
 
 /// Exponentially decayed sum of the prefill time of dispatched prompts.
 #[derive(Clone, Copy, Debug, Default)]
@@ -19,18 +19,19 @@
 }
 
 impl PrefillLoad {
-    /// Records the dispatch of a prompt that takes `read_ms` milliseconds of prefill on one engine.
-    pub(super) fn add(&mut self, read_ms: f64, now: clock::Moment) {
-        self.sum_ms = self.left_ms(now) + read_ms;
+    /// Records the dispatch of a prompt that takes `prefill_ms` milliseconds of prefill on one
+    /// engine.
+    pub(super) fn add(&mut self, prefill_ms: f64, now: clock::Moment) {
+        self.sum_ms = self.decayed_ms(now) + prefill_ms;
         self.at = self.at.max(now);
     }
 
     /// Number of engines that this demand keeps busy.
     pub(super) fn engines(&self, now: clock::Moment) -> f64 {
-        self.left_ms(now) / (MEMORY_S * 1e3)
+        self.decayed_ms(now) / (DECAY_S * 1e3)
     }
 
-    fn left_ms(&self, now: clock::Moment) -> f64 {
-        self.sum_ms * (-now.since(self.at).as_secs_f64() / MEMORY_S).exp()
+    fn decayed_ms(&self, now: clock::Moment) -> f64 {
+        self.sum_ms * (-now.since(self.at).as_secs_f64() / DECAY_S).exp()
     }
 }
--- a/crates/lagoonline/src/load/placement/prompt.rs
+++ b/crates/lagoonline/src/load/placement/prompt.rs
@@ -1,46 +1,47 @@
 //! Placement of prompts: enumerates the engines that may be used and the candidate plans, and
 //! weighs the value of each plan against the harm that it does to other requests.
 
-use super::{Engine, Helper, Placement, Placer, Refusal, Request, Shortage, spread};
+use super::{Engine, Helper, Placement, Placer, Refusal, Request, Shortage, tie_break};
 use crate::clock;
 use crate::load::profile;
 
 /// Penalty in milliseconds for a failure rate of one: more than any engine can gain elsewhere.
-const ERRORS_MS: f64 = 1_500.0;
+const FAILURE_PENALTY_MS: f64 = 1_500.0;
 
 /// Which engines a plan for a prompt with a loose gap limit may use, the most restrictive first.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Side {
+enum Scope {
     /// Engines on the request's side of the division whose answers in decode would all stay in
     /// time.
-    Unharmed,
+    Harmless,
     /// All engines on the request's side of the division.
-    Own,
+    OwnSide,
     /// All engines.
-    Any,
+    All,
 }
 
-/// The usable engines, of which the first `kept` are reserved for answers with a tight gap limit.
+/// The usable engines, of which the first `reserved` are reserved for answers with a tight gap
+/// limit.
 #[derive(Clone, Copy, Debug)]
 struct Division<'a> {
     usable: &'a [&'a Engine],
-    kept: usize,
+    reserved: usize,
 }
 
 /// A way to serve a request; engines are given by their indices.
 #[derive(Clone, Debug)]
 struct Plan {
-    first: usize,
+    primary: usize,
     /// The helpers, each with the tokens to reserve on it.
     helpers: Vec<(usize, u64)>,
     /// Prefill time on each engine in milliseconds.
     part_ms: f64,
     /// Milliseconds until the first token.
-    expected: f64,
+    first_token_ms: f64,
     /// Value of the answer less the harm done to other requests.
-    net: f64,
+    net_value: f64,
     /// The second-best primary, for the log.
-    next: Option<usize>,
+    runner_up: Option<usize>,
 }
 
 /// When a request that cannot be placed now might be served.
@@ -51,24 +52,24 @@
     /// Milliseconds until that resource is expected to be free.
     free_ms: f64,
     /// Milliseconds until the first token at the earliest.
-    first_ms: f64,
+    first_token_ms: f64,
 }
 
 /// Value of a late answer relative to one in time.
 const LATE_VALUE: f64 = 0.25;
 /// Multiple of the target after which the caller is assumed to have given up.
-const TOO_LATE: f64 = 3.5;
+const ABANDON_FACTOR: f64 = 3.5;
 /// Prompt length in tokens at which an answer has the value 1.
 const UNIT_PROMPT: f64 = 5_000.0;
 /// Exponent by which an answer's value grows with its prompt: less than proportionally, because a
 /// long prompt serves one caller just as a short one does.
 const VALUE_EXPONENT: f64 = 0.72;
 /// Upper limit of the value of one answer, so that one giant prompt does not outweigh all others.
-const MOST_VALUE: f64 = 36.0;
+const MAX_VALUE: f64 = 36.0;
 
 /// Value of an answer in time to a prompt of `tokens`.
 fn value(tokens: u64) -> f64 {
-    (tokens as f64 / UNIT_PROMPT).powf(VALUE_EXPONENT).min(MOST_VALUE)
+    (tokens as f64 / UNIT_PROMPT).powf(VALUE_EXPONENT).min(MAX_VALUE)
 }
 
 impl Placer {
@@ -84,11 +85,11 @@
     /// answers in decode: such an answer occupies a slot but needs little time and has a loose gap
     /// limit. If answers were counted, engines would be set aside for a single long answer each
     /// while short prompts wait for slots on the others.
-    fn kept_for_tight(&self, usable: &[&Engine], now: clock::Moment) -> usize {
-        let tight = self.tight_writers(usable);
-        let places: u32 = usable.iter().map(|engine| engine.slots()).sum();
+    fn reserved_engines(&self, usable: &[&Engine], now: clock::Moment) -> usize {
+        let tight = self.tight_requests(usable);
+        let slots: u32 = usable.iter().map(|engine| engine.slots()).sum();
         let engines = usable.len() as f64;
-        let each = f64::from(places) / engines.max(1.0) * self.settings.tight_share;
+        let each = f64::from(slots) / engines.max(1.0) * self.settings.tight_share;
         let wanted = f64::from(tight) / each.max(f64::MIN_POSITIVE);
         let needed = self.prefill_load.engines(now) / self.settings.read_share;
         let share = (engines / (wanted + needed).max(f64::MIN_POSITIVE)).min(1.0);
@@ -101,9 +102,9 @@
     }
 
     /// Number of in-flight answers with a tight gap limit.
-    fn tight_writers(&self, usable: &[&Engine]) -> u32 {
-        let gap_ms = self.settings.tight_gap.as_secs_f64() * 1e3;
-        usable.iter().map(|engine| engine.tight_writers(gap_ms)).sum()
+    fn tight_requests(&self, usable: &[&Engine]) -> u32 {
+        let max_gap_ms = self.settings.tight_gap.as_secs_f64() * 1e3;
+        usable.iter().map(|engine| engine.tight_requests(max_gap_ms)).sum()
     }
 
     pub(super) fn place_prompt(
@@ -113,7 +114,7 @@
         profile: profile::Profile,
         now: clock::Moment,
     ) -> Result<Placement, Refusal> {
-        let division = Division { usable, kept: self.kept_for_tight(usable, now) };
+        let division = Division { usable, reserved: self.reserved_engines(usable, now) };
         if self.is_tight(request) {
             self.place_tight(request, division, profile, now)
         } else {
@@ -131,16 +132,21 @@
         now: clock::Moment,
     ) -> Result<Placement, Refusal> {
         let usable = division.usable;
-        if usable.iter().all(|engine| !engine.has_place()) {
-            return Err(self.without_place(request, profile));
+        if usable.iter().all(|engine| !engine.has_free_slot()) {
+            return Err(self.refuse_without_slot(request, profile));
         }
         let all: Vec<usize> = (0..usable.len()).collect();
-        let reading = (profile.prefill_ms(request.prompt_tokens), self.settings.part_ms);
-        match self.plan(request, division, &all, reading, now) {
-            Ok(plan) => {
-                Ok(placed(request, usable, profile, &plan, self.settings.reserve_threshold, now))
-            }
-            Err(Refusal::Busy(_)) => Err(self.without_place(request, profile)),
+        let prefill = (profile.prefill_ms(request.prompt_tokens), self.settings.part_ms);
+        match self.plan(request, division, &all, prefill, now) {
+            Ok(plan) => Ok(to_placement(
+                request,
+                usable,
+                profile,
+                &plan,
+                self.settings.reserve_threshold,
+                now,
+            )),
+            Err(Refusal::Busy(_)) => Err(self.refuse_without_slot(request, profile)),
             Err(refusal) => Err(refusal),
         }
     }
@@ -154,21 +160,27 @@
         profile: profile::Profile,
         now: clock::Moment,
     ) -> Result<Placement, Refusal> {
-        let Division { usable, kept } = division;
+        let Division { usable, reserved } = division;
         let total_ms = profile.prefill_ms(request.prompt_tokens);
         let part_ms = self.settings.loose_part_ms;
-        let wish = self.wish(total_ms, part_ms);
-        self.check_backlog(request, &usable[kept.min(usable.len() - 1)..], total_ms, wish, now)?;
+        let part_count = self.part_count(total_ms, part_ms);
+        self.check_backlog(
+            request,
+            &usable[reserved.min(usable.len() - 1)..],
+            total_ms,
+            part_count,
+            now,
+        )?;
         let mut best: Option<Plan> = None;
         let mut refusal = Refusal::NoUpstream;
-        let free_ms = self.decode_span(profile).as_secs_f64() * 1e3;
-        let part_alone_ms = total_ms / wish as f64;
-        for side in [Side::Unharmed, Side::Own, Side::Any] {
-            let eligible = self.eligible(division, side, total_ms.min(part_ms));
+        let free_ms = self.mean_answer_span(profile).as_secs_f64() * 1e3;
+        let part_alone_ms = total_ms / part_count as f64;
+        for scope in [Scope::Harmless, Scope::OwnSide, Scope::All] {
+            let eligible = self.eligible(division, scope, total_ms.min(part_ms));
             match self.plan(request, division, &eligible, (total_ms, part_ms), now) {
                 Ok(mut plan) => {
-                    plan.net = self.net(request, division, &plan, now);
-                    if best.as_ref().is_none_or(|best| plan.net > best.net) {
+                    plan.net_value = self.net_value(request, division, &plan, now);
+                    if best.as_ref().is_none_or(|best| plan.net_value > best.net_value) {
                         best = Some(plan);
                     }
                 }
@@ -176,17 +188,23 @@
             }
         }
         match best {
-            Some(plan) if plan.net >= 0.0 => {
-                Ok(placed(request, usable, profile, &plan, self.settings.reserve_threshold, now))
-            }
+            Some(plan) if plan.net_value >= 0.0 => Ok(to_placement(
+                request,
+                usable,
+                profile,
+                &plan,
+                self.settings.reserve_threshold,
+                now,
+            )),
             Some(plan) => {
-                let first_ms = plan.expected;
-                Err(self.not_now(request, Outlook { shortage: Shortage::Gap, free_ms, first_ms }))
+                let first_token_ms = plan.first_token_ms;
+                Err(self
+                    .refuse(request, Outlook { shortage: Shortage::Gap, free_ms, first_token_ms }))
             }
             None => match refusal {
                 Refusal::Busy(shortage) => {
-                    let first_ms = part_alone_ms;
-                    Err(self.not_now(request, Outlook { shortage, free_ms, first_ms }))
+                    let first_token_ms = part_alone_ms;
+                    Err(self.refuse(request, Outlook { shortage, free_ms, first_token_ms }))
                 }
                 other => Err(other),
             },
@@ -200,15 +218,15 @@
     /// although the engines work at full capacity. A prompt therefore waits at this host for a slot
     /// as long as it can still be in time, and is then refused, so that accepted prompts are in
     /// time. Within the duration of an average answer every slot becomes free once.
-    fn without_place(&self, request: &Request<'_>, profile: profile::Profile) -> Refusal {
+    fn refuse_without_slot(&self, request: &Request<'_>, profile: profile::Profile) -> Refusal {
         if request.waited < request.target.mul_f64(self.settings.hold_share) {
             return Refusal::Busy(Shortage::Slot);
         }
-        Refusal::Full(Shortage::Slot, self.decode_span(profile))
+        Refusal::Full(Shortage::Slot, self.mean_answer_span(profile))
     }
 
     /// How long a full engine takes for an average answer; slots and memory become free within it.
-    fn decode_span(&self, profile: profile::Profile) -> clock::Span {
+    fn mean_answer_span(&self, profile: profile::Profile) -> clock::Span {
         let context = u64::from(profile.slots) * profile.mean_prompt;
         let pass_ms = profile.pass_ms(profile.slots, context);
         profile.decode_span(profile.mean_answer, pass_ms)
@@ -220,7 +238,7 @@
     /// Load pattern: a burst of long prompts brings more prefill than the engines can do. If all
     /// were dispatched at once, they would queue in the engines, where they cannot be reordered:
     /// every one of them would be late, and short prompts that arrive later would find seconds of
-    /// prefill ahead of them. The backlog is therefore bounded, with a lower bound for a larger
+    /// prefill ahead of them. The backlog is therefore bounded, with a smaller bound for a larger
     /// prompt, so that smaller ones, which have more value for the time they take, overtake it at
     /// the hosts. The bound grows while the prompt waits. Only the engines that would prefill the
     /// prompt count, because in a fleet of hundreds some are idle while others have a long backlog.
@@ -229,13 +247,14 @@
         request: &Request<'_>,
         engines: &[&Engine],
         total_ms: f64,
-        wish: usize,
+        part_count: usize,
         now: clock::Moment,
     ) -> Result<(), Refusal> {
-        let mut reading: Vec<f64> = engines.iter().map(|engine| engine.reading_ms()).collect();
-        reading.sort_by(f64::total_cmp);
-        reading.truncate(wish.max(1));
-        let backlog = reading.iter().sum::<f64>() / reading.len().max(1) as f64;
+        let mut backlogs: Vec<f64> =
+            engines.iter().map(|engine| engine.queued_prefill_ms()).collect();
+        backlogs.sort_by(f64::total_cmp);
+        backlogs.truncate(part_count.max(1));
+        let backlog = backlogs.iter().sum::<f64>() / backlogs.len().max(1) as f64;
         let waited = request.waited.as_secs_f64() * 1e3;
         let scaled = self.settings.backlog_ms * self.settings.backlog_prompt_ms / total_ms.max(1.0);
         let bound = scaled.clamp(self.settings.backlog_ms / 4.0, self.settings.backlog_ms)
@@ -247,23 +266,23 @@
         let planned = engines.len() as f64 * self.settings.read_share;
         let prefilling = self.prefill_load.engines(now).max(planned).max(1.0);
         let free_ms = drained_ms + self.waitlist.ahead_ms(request.waiter, total_ms) / prefilling;
-        let first_ms = free_ms + bound + total_ms / wish as f64;
-        Err(self.not_now(request, Outlook { shortage: Shortage::Prefill, free_ms, first_ms }))
+        let first_token_ms = free_ms + bound + total_ms / part_count as f64;
+        Err(self.refuse(request, Outlook { shortage: Shortage::Prefill, free_ms, first_token_ms }))
     }
 
     /// Indices of the engines that a plan for a prompt with a loose gap limit may use.
-    fn eligible(&self, division: Division<'_>, side: Side, part_ms: f64) -> Vec<usize> {
-        let Division { usable, kept } = division;
-        let unharmed = |index: &usize| usable[*index].harmed(part_ms) == 0;
-        match side {
-            Side::Unharmed => (kept..usable.len()).filter(unharmed).collect(),
-            Side::Own => (kept..usable.len()).collect(),
-            Side::Any => (0..usable.len()).collect(),
+    fn eligible(&self, division: Division<'_>, scope: Scope, part_ms: f64) -> Vec<usize> {
+        let Division { usable, reserved } = division;
+        let harmless = |index: &usize| usable[*index].late_answers(part_ms) == 0;
+        match scope {
+            Scope::Harmless => (reserved..usable.len()).filter(harmless).collect(),
+            Scope::OwnSide => (reserved..usable.len()).collect(),
+            Scope::All => (0..usable.len()).collect(),
         }
     }
 
     /// Number of engines that should share a prefill of `total_ms` in parts of `part_ms`.
-    fn wish(&self, total_ms: f64, part_ms: f64) -> usize {
+    fn part_count(&self, total_ms: f64, part_ms: f64) -> usize {
         ((total_ms / part_ms).ceil() as usize).clamp(1, self.settings.max_helpers + 1)
     }
 
@@ -276,88 +295,103 @@
         (total_ms, part_ms): (f64, f64),
         now: clock::Moment,
     ) -> Result<Plan, Refusal> {
-        let Division { usable, kept } = division;
+        let Division { usable, reserved } = division;
         let tight = self.is_tight(request);
         if eligible.is_empty() {
             return Err(Refusal::NoUpstream);
         }
-        let wish = self.wish(total_ms, part_ms).min(eligible.len());
-        let part_ms = total_ms / wish as f64;
-        let open: Vec<usize> =
-            eligible.iter().copied().filter(|index| usable[*index].has_place()).collect();
-        let open = if open.is_empty() { eligible } else { &open };
-        let stray =
-            |index: usize| if tight && index >= kept { self.settings.stray_ms } else { 0.0 };
-        let firsts = self.rank(request, usable, open, |index| {
+        let part_count = self.part_count(total_ms, part_ms).min(eligible.len());
+        let part_ms = total_ms / part_count as f64;
+        let with_slot: Vec<usize> =
+            eligible.iter().copied().filter(|index| usable[*index].has_free_slot()).collect();
+        let candidates = if with_slot.is_empty() { eligible } else { &with_slot };
+        let spillover =
+            |index: usize| if tight && index >= reserved { self.settings.stray_ms } else { 0.0 };
+        let ranked = self.rank(request, usable, candidates, |index| {
             let engine = usable[index];
-            let errors = engine.errors(now) * ERRORS_MS;
-            let opens = !tight && engine.places() == 0;
-            let reader = if opens { self.settings.reader_ms } else { 0.0 };
-            let place = engine.crowd_ms() + self.far(request, engine) + stray(index) + reader;
-            self.cost(engine, part_ms) + place + errors
+            let failures = engine.failure_rate(now) * FAILURE_PENALTY_MS;
+            let starts_decode = !tight && engine.used_slots() == 0;
+            let idle_penalty = if starts_decode { self.settings.reader_ms } else { 0.0 };
+            let placement_cost = engine.occupancy_cost_ms()
+                + self.remote_cost(request, engine)
+                + spillover(index)
+                + idle_penalty;
+            self.cost(engine, part_ms) + placement_cost + failures
         });
         let need = request.prompt_tokens + request.answer_tokens;
         let share = self.settings.memory_share;
         // The primary decodes the answer, so it needs the memory, or helpers that hold the excess.
-        let fits = firsts.iter().find(|index| usable[**index].room(share) >= need);
-        let ever_fits = usable.iter().any(|engine| engine.memory(share) >= need);
-        if fits.is_none() && tight && ever_fits {
+        let fitting = ranked.iter().find(|index| usable[**index].free_memory(share) >= need);
+        let could_fit = usable.iter().any(|engine| engine.usable_memory(share) >= need);
+        if fitting.is_none() && tight && could_fit {
             // An engine without a free slot may have the memory, but the answer would be late
             // there.
             return Err(Refusal::Busy(Shortage::Memory));
         }
-        let (first, mut helpers) = match fits {
+        let (primary, mut helpers) = match fitting {
             Some(index) => (*index, Vec::new()),
             None => {
-                let first = self.roomiest(usable, eligible);
-                (first, self.holders(usable, &self.in_reach(usable, eligible, first, now), need)?)
+                let primary = self.most_free_memory(usable, eligible);
+                (
+                    primary,
+                    self.memory_helpers(
+                        usable,
+                        &self.reachable(usable, eligible, primary, now),
+                        need,
+                    )?,
+                )
             }
         };
-        let eligible = &self.in_reach(usable, eligible, first, now);
+        let eligible = &self.reachable(usable, eligible, primary, now);
         for index in self.rank(request, usable, eligible, |index| {
             let engine = usable[index];
-            self.helper_cost(engine, part_ms) + engine.errors(now) * ERRORS_MS + stray(index)
+            self.helper_cost(engine, part_ms)
+                + engine.failure_rate(now) * FAILURE_PENALTY_MS
+                + spillover(index)
         }) {
-            if helpers.len() + 1 >= wish {
+            if helpers.len() + 1 >= part_count {
                 break;
             }
-            if index != first && helpers.iter().all(|(other, _)| *other != index) {
+            if index != primary && helpers.iter().all(|(other, _)| *other != index) {
                 helpers.push((index, 0));
             }
         }
         let part_ms = total_ms / (helpers.len() + 1) as f64;
         let waits = helpers.iter().map(|(index, _)| usable[*index].helper_wait_ms());
-        let wait = waits.fold(usable[first].wait_ms(), f64::max);
-        let expected = wait + part_ms + usable[first].pass_ms();
-        let next = firsts.iter().copied().find(|index| *index != first);
-        Ok(Plan { first, helpers, part_ms, expected, net: 0.0, next })
+        let wait = waits.fold(usable[primary].wait_ms(), f64::max);
+        let first_token_ms = wait + part_ms + usable[primary].pass_ms();
+        let runner_up = ranked.iter().copied().find(|index| *index != primary);
+        Ok(Plan { primary, helpers, part_ms, first_token_ms, net_value: 0.0, runner_up })
     }
 
     /// Value of a plan less the harm that it does to in-flight requests and to short prompts that
     /// are about to arrive, in units of an answer in time to a prompt of [`UNIT_PROMPT`] tokens.
-    fn net(
+    fn net_value(
         &self,
         request: &Request<'_>,
-        Division { usable, kept }: Division<'_>,
+        Division { usable, reserved }: Division<'_>,
         plan: &Plan,
         now: clock::Moment,
     ) -> f64 {
         let target = request.target.as_secs_f64() * 1e3;
-        let in_time = match plan.expected {
+        let in_time = match plan.first_token_ms {
             expected if expected <= target => 1.0,
-            expected if expected <= target * TOO_LATE => LATE_VALUE,
+            expected if expected <= target * ABANDON_FACTOR => LATE_VALUE,
             _ => 0.0,
         };
-        let parts = || plan.helpers.iter().map(|(index, _)| *index).chain([plan.first]);
-        let late = |index: usize| usable[index].made_late(plan.part_ms).map(value).sum::<f64>();
-        let writers: f64 = parts().map(late).sum();
-        let tight = self.tight_writers(usable);
-        let touched = parts().filter(|index| *index < kept).count() as f64 / kept.max(1) as f64;
+        let parts = || plan.helpers.iter().map(|(index, _)| *index).chain([plan.primary]);
+        let lost = |index: usize| usable[index].newly_late(plan.part_ms).map(value).sum::<f64>();
+        let late_value: f64 = parts().map(lost).sum();
+        let tight = self.tight_requests(usable);
+        let reserved_share =
+            parts().filter(|index| *index < reserved).count() as f64 / reserved.max(1) as f64;
         let stall = (plan.part_ms - self.settings.stall_ms).max(0.0) / 1e3;
-        let arrivals =
-            f64::from(tight) / self.settings.tight_answer_span.as_secs_f64() * touched * stall;
-        let served = 1.0 - usable[plan.first].errors(now);
-        value(request.prompt_tokens) * in_time * served - (writers + arrivals) * (1.0 - LATE_VALUE)
+        let arrivals = f64::from(tight) / self.settings.tight_answer_span.as_secs_f64()
+            * reserved_share
+            * stall;
+        let served = 1.0 - usable[plan.primary].failure_rate(now);
+        value(request.prompt_tokens) * in_time * served
+            - (late_value + arrivals) * (1.0 - LATE_VALUE)
     }
 
     /// The refusal of a prompt for which engines lack a resource.
@@ -367,8 +401,8 @@
     /// would be refused seconds after it could no longer be in time. It therefore waits only while
     /// it can be in time, and is refused as soon as the prompts ahead of it or the remaining time
     /// show that it cannot, with the time after which the missing resource is expected to be free.
-    fn not_now(&self, request: &Request<'_>, outlook: Outlook) -> Refusal {
-        let in_time = outlook.first_ms <= request.target.as_secs_f64() * 1e3;
+    fn refuse(&self, request: &Request<'_>, outlook: Outlook) -> Refusal {
+        let in_time = outlook.first_token_ms <= request.target.as_secs_f64() * 1e3;
         if in_time && request.waited < self.settings.max_wait {
             return Refusal::Busy(outlook.shortage);
         }
@@ -390,7 +424,7 @@
         Cost: Fn(usize) -> f64,
     {
         let keyed = eligible.iter().map(|index| {
-            let jitter = spread(request.random, usable[*index]) % 1_000;
+            let jitter = tie_break(request.random, usable[*index]) % 1_000;
             (cost(*index) + jitter as f64 / 1e3 * self.settings.jitter_ms, *index)
         });
         let mut keyed: Vec<(f64, usize)> = keyed.collect();
@@ -398,62 +432,62 @@
         keyed.into_iter().map(|(_, index)| index).collect()
     }
 
-    /// The engines of `eligible` that the engine `first` can reach, with `first` itself at the
+    /// The engines of `eligible` that the engine `primary` can reach, with `primary` itself at the
     /// front.
-    fn in_reach(
+    fn reachable(
         &self,
         usable: &[&Engine],
         eligible: &[usize],
-        first: usize,
+        primary: usize,
         now: clock::Moment,
     ) -> Vec<usize> {
-        let from = &usable[first].entry().zone;
+        let from = &usable[primary].entry().zone;
         let others = eligible.iter().copied().filter(|index| {
-            *index != first
+            *index != primary
                 && !self.partitions.is_partitioned(from, &usable[*index].entry().zone, now)
         });
-        std::iter::once(first).chain(others).collect()
+        std::iter::once(primary).chain(others).collect()
     }
 
-    fn roomiest(&self, usable: &[&Engine], eligible: &[usize]) -> usize {
+    fn most_free_memory(&self, usable: &[&Engine], eligible: &[usize]) -> usize {
         let share = self.settings.memory_share;
-        let most = eligible.iter().copied().max_by_key(|index| usable[*index].room(share));
+        let most = eligible.iter().copied().max_by_key(|index| usable[*index].free_memory(share));
         most.unwrap_or(0)
     }
 
     /// Chooses as few engines as possible to hold the memory that a prompt needs beyond that of the
     /// first of `eligible`, each with the tokens to reserve on it.
-    fn holders(
+    fn memory_helpers(
         &self,
         usable: &[&Engine],
         eligible: &[usize],
         need: u64,
     ) -> Result<Vec<(usize, u64)>, Refusal> {
         let share = self.settings.memory_share;
-        let total: u64 = usable.iter().map(|engine| engine.memory(share)).sum();
+        let total: u64 = usable.iter().map(|engine| engine.usable_memory(share)).sum();
         if need > total {
             return Err(Refusal::TooLong);
         }
-        let room = |index: &usize| usable[*index].room(share);
-        let mut by_room: Vec<usize> = eligible[1..].to_vec();
-        by_room.sort_by_key(|index| std::cmp::Reverse(room(index)));
-        let mut left = need.saturating_sub(room(&eligible[0]));
-        let mut holders = Vec::new();
-        for index in by_room.into_iter().take(self.settings.max_helpers) {
-            let part = left.min(room(&index));
+        let free = |index: &usize| usable[*index].free_memory(share);
+        let mut by_free_memory: Vec<usize> = eligible[1..].to_vec();
+        by_free_memory.sort_by_key(|index| std::cmp::Reverse(free(index)));
+        let mut left = need.saturating_sub(free(&eligible[0]));
+        let mut memory_helpers = Vec::new();
+        for index in by_free_memory.into_iter().take(self.settings.max_helpers) {
+            let part = left.min(free(&index));
             if part == 0 {
                 break;
             }
-            holders.push((index, part));
+            memory_helpers.push((index, part));
             left -= part;
         }
-        if left > 0 { Err(Refusal::Busy(Shortage::Memory)) } else { Ok(holders) }
+        if left > 0 { Err(Refusal::Busy(Shortage::Memory)) } else { Ok(memory_helpers) }
     }
 
     /// Cost of prefilling a part on `engine`, in milliseconds of delay: the wait until the part
     /// starts, and the answers that it makes late.
     fn cost(&self, engine: &Engine, part_ms: f64) -> f64 {
-        engine.wait_ms() + self.harm(engine, part_ms)
+        engine.wait_ms() + self.lateness_cost(engine, part_ms)
     }
 
     /// Cost of prefilling a part for another engine: it goes ahead of the engine's own prompts and
@@ -464,22 +498,22 @@
     /// of its own part, its own part is the last of its prompt to finish, and all the other engines
     /// have waited for it.
     fn helper_cost(&self, engine: &Engine, part_ms: f64) -> f64 {
-        let harm = self.harm(engine, part_ms);
-        engine.helper_wait_ms() + harm + engine.unread() as f64 * part_ms
+        let lateness_cost = self.lateness_cost(engine, part_ms);
+        engine.helper_wait_ms() + lateness_cost + engine.own_prefills() as f64 * part_ms
     }
 
     /// Cost in milliseconds of delay of the answers that a prefill on `engine` would make late.
-    fn harm(&self, engine: &Engine, part_ms: f64) -> f64 {
-        f64::from(engine.harmed(part_ms)) * self.settings.harm_ms
+    fn lateness_cost(&self, engine: &Engine, part_ms: f64) -> f64 {
+        f64::from(engine.late_answers(part_ms)) * self.settings.harm_ms
     }
 
-    fn far(&self, request: &Request<'_>, engine: &Engine) -> f64 {
+    fn remote_cost(&self, request: &Request<'_>, engine: &Engine) -> f64 {
         if engine.entry().zone == *request.zone { 0.0 } else { self.settings.remote_penalty_ms }
     }
 }
 
 /// Converts a plan into a placement.
-fn placed(
+fn to_placement(
     request: &Request<'_>,
     usable: &[&Engine],
     profile: profile::Profile,
@@ -491,15 +525,15 @@
         entry: usable[*index].entry().clone(),
         reserve: *reserve,
     };
-    let held: u64 = plan.helpers.iter().map(|(_, reserve)| reserve).sum();
-    let need = (request.prompt_tokens + request.answer_tokens).saturating_sub(held);
+    let on_helpers: u64 = plan.helpers.iter().map(|(_, reserve)| reserve).sum();
+    let need = (request.prompt_tokens + request.answer_tokens).saturating_sub(on_helpers);
     let large = need as f64 > profile.memory_tokens as f64 * reserve_threshold;
     Placement {
-        primary: usable[plan.first].entry().clone(),
+        primary: usable[plan.primary].entry().clone(),
         reserve: if large { need } else { 0 },
         helpers: plan.helpers.iter().map(helper).collect(),
-        expected: clock::Span::try_from_secs_f64(plan.expected / 1e3).unwrap_or_default(),
-        estimate: usable[plan.first].estimate(now),
-        runner_up: plan.next.map(|index| usable[index].estimate(now)),
+        expected: clock::Span::try_from_secs_f64(plan.first_token_ms / 1e3).unwrap_or_default(),
+        estimate: usable[plan.primary].estimate(now),
+        runner_up: plan.runner_up.map(|index| usable[index].estimate(now)),
     }
 }
--- a/crates/lagoonline/src/load/predict.rs
+++ b/crates/lagoonline/src/load/predict.rs
@@ -15,9 +15,9 @@
 use crate::clock;
 
 /// Shortest window over which the queue's rate is measured, in seconds.
-const WINDOW: f64 = 0.5;
+const MIN_WINDOW_SECONDS: f64 = 0.5;
 /// Weight of a new sample of the queue's rate.
-const GAIN: f64 = 0.3;
+const RATE_GAIN: f64 = 0.3;
 /// Smallest weight of one answer's length and speed; the first answers are averaged evenly.
 const ANSWER_GAIN: f64 = 0.05;
 
@@ -29,7 +29,7 @@
 }
 
 impl Rate {
-    fn dispatched(&mut self, now: clock::Moment, tokens: u64, waiting: bool) {
+    fn record_dispatch(&mut self, now: clock::Moment, tokens: u64, waiting: bool) {
         if !waiting {
             self.window = None;
             return;
@@ -41,12 +41,12 @@
         };
         let sum = sum + tokens;
         let seconds = now.since(start).as_secs_f64();
-        if seconds < WINDOW {
+        if seconds < MIN_WINDOW_SECONDS {
             self.window = Some((start, sum));
             return;
         }
         let sample = sum as f64 / seconds;
-        self.rate = Some(self.rate.map_or(sample, |rate| rate + GAIN * (sample - rate)));
+        self.rate = Some(self.rate.map_or(sample, |rate| rate + RATE_GAIN * (sample - rate)));
         self.window = Some((now, 0));
     }
 }
@@ -65,13 +65,13 @@
 impl Forecast {
     /// Records that work of `tokens` and this rank was dispatched; `waiting` tells whether more of
     /// it still waits.
-    pub fn dispatched(&mut self, now: clock::Moment, rank: usize, tokens: u64, waiting: bool) {
-        self.queues[rank].dispatched(now, tokens, waiting);
+    pub fn record_dispatch(&mut self, now: clock::Moment, rank: usize, tokens: u64, waiting: bool) {
+        self.queues[rank].record_dispatch(now, tokens, waiting);
     }
 
     /// Records the end of an answer: its tokens, the most it could have had, and the time since its
     /// first token.
-    pub fn answered(&mut self, tokens: u64, most: u64, took: clock::Span) {
+    pub fn record_answer(&mut self, tokens: u64, most: u64, took: clock::Span) {
         if tokens == 0 || most == 0 {
             return;
         }
@@ -103,7 +103,7 @@
     /// use lagoonline::{clock::Span, load::predict};
     /// let mut forecast = predict::Forecast::default();
     /// assert_eq!(forecast.answer(10_000), 0.0);
-    /// forecast.answered(50, 100, Span::from_secs(1));
+    /// forecast.record_answer(50, 100, Span::from_secs(1));
     /// assert_eq!(forecast.answer(10_000), 100.0);
     /// ```
     pub fn answer(&self, most: u64) -> f64 {
--- a/crates/lagoonline/src/load/prefix.rs
+++ b/crates/lagoonline/src/load/prefix.rs
@@ -14,14 +14,14 @@
 use std::collections;
 
 /// Engines remembered per prefix.
-const PLACES: usize = 4;
+const MAX_LOCATIONS: usize = 4;
 /// Prefixes remembered; beyond it all are dropped, which costs some prefill but needs no eviction
 /// order.
-const CAPACITY: usize = 65_536;
+const MAX_PREFIXES: usize = 65_536;
 
 /// The cache of one engine in one epoch.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Place {
+pub struct Location {
     /// Stable number of the engine within its scheduler.
     pub engine: u32,
     /// Epoch of the engine, raised whenever what is known about its cache becomes invalid.
@@ -31,24 +31,25 @@
 /// Prefixes and the engines that probably hold them.
 #[derive(Debug, Default)]
 pub struct Map {
-    places: collections::HashMap<u64, [Option<Place>; PLACES]>,
+    locations: collections::HashMap<u64, [Option<Location>; MAX_LOCATIONS]>,
 }
 
 impl Map {
-    /// Records that the prefix is cached at `place`.
-    pub fn cached(&mut self, prefix: u64, place: Place) {
-        if self.places.len() >= CAPACITY && !self.places.contains_key(&prefix) {
-            self.places.clear();
+    /// Records that the prefix is cached at `location`.
+    pub fn insert(&mut self, prefix: u64, location: Location) {
+        if self.locations.len() >= MAX_PREFIXES && !self.locations.contains_key(&prefix) {
+            self.locations.clear();
         }
-        let places = self.places.entry(prefix).or_default();
-        let same = |old: &Option<Place>| old.is_some_and(|old| old.engine == place.engine);
-        let known = places.iter().position(same);
-        let index = known.or_else(|| places.iter().position(Option::is_none));
-        places[index.unwrap_or(place.engine as usize % PLACES)] = Some(place);
+        let locations = self.locations.entry(prefix).or_default();
+        let same_engine =
+            |old: &Option<Location>| old.is_some_and(|old| old.engine == location.engine);
+        let known = locations.iter().position(same_engine);
+        let index = known.or_else(|| locations.iter().position(Option::is_none));
+        locations[index.unwrap_or(location.engine as usize % MAX_LOCATIONS)] = Some(location);
     }
 
     /// Engines that probably hold the prefix.
-    pub fn holders(&self, prefix: u64) -> [Option<Place>; PLACES] {
-        self.places.get(&prefix).copied().unwrap_or_default()
+    pub fn holders(&self, prefix: u64) -> [Option<Location>; MAX_LOCATIONS] {
+        self.locations.get(&prefix).copied().unwrap_or_default()
     }
 }
--- a/crates/lagoonline/src/load/profile.rs
+++ b/crates/lagoonline/src/load/profile.rs
@@ -11,8 +11,8 @@
 ///
 /// ```
 /// use lagoonline::load::profile::Profile;
-/// let pace = Profile { prefill_per_ms: 206.0, pairs_ms_per_m: 0.138, ..Profile::default() };
-/// assert_eq!(pace.prefill_ms(45_000).round(), 358.0);
+/// let profile = Profile { prefill_per_ms: 206.0, pairs_ms_per_m: 0.138, ..Profile::default() };
+/// assert_eq!(profile.prefill_ms(45_000).round(), 358.0);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Profile {
@@ -78,14 +78,14 @@
         self.prefill_ms(tokens) / f64::from(parts.max(1))
     }
 
-    /// Milliseconds of a pass with `writers` requests in decode over `context` tokens in total,
+    /// Milliseconds of a pass with `sequences` requests in decode over `context` tokens in total,
     /// without any prefill.
-    pub fn pass_ms(&self, writers: u32, context: u64) -> f64 {
-        if writers == 0 {
+    pub fn pass_ms(&self, sequences: u32, context: u64) -> f64 {
+        if sequences == 0 {
             return 0.0;
         }
         let step = self.step_ms
-            + self.sequence_ms * f64::from(writers)
+            + self.sequence_ms * f64::from(sequences)
             + self.context_ms_per_k * context as f64 / 1e3;
         step * f64::from(self.stride)
     }
--- a/crates/lagoonline/src/load/queue.rs
+++ b/crates/lagoonline/src/load/queue.rs
@@ -2,7 +2,7 @@
 //! customers.
 //!
 //! Load pattern: a burst, or more load than capacity. The queue is bounded in requests and in bytes
-//! (a small host has little memory), and each waiter in time (its `give_up`); a caller that leaves
+//! (a small host has little memory), and each waiter in time (its `expiry`); a caller that leaves
 //! frees its place at once. When the queue is full, the customer with the most waiters loses its
 //! last one to a new request of a customer with fewer; otherwise one customer's burst would fill
 //! the queue and lock out the others.
@@ -24,44 +24,44 @@
 #[derive(Debug)]
 pub(crate) struct Item {
     pub waiter: scheduler::Waiter,
-    pub ask: scheduler::Request,
+    pub request: scheduler::Request,
     /// When it is refused if it still waits.
-    pub give_up: clock::Moment,
+    pub expiry: clock::Moment,
 }
 
 impl Item {
     fn cost(&self) -> u64 {
-        cost(&self.ask)
+        cost(&self.request)
     }
 }
 
 /// Cost of a request in tokens; an answer token counts as much as a prompt token.
-pub(crate) fn cost(ask: &scheduler::Request) -> u64 {
-    ask.prompt_tokens + ask.answer_tokens
+pub(crate) fn cost(request: &scheduler::Request) -> u64 {
+    request.prompt_tokens + request.answer_tokens
 }
 
 #[derive(Debug, Default)]
-struct Line {
+struct CustomerQueue {
     items: collections::VecDeque<Item>,
     tokens: u64,
 }
 
 #[derive(Debug, Default)]
-struct Customers {
-    turn: fair::Turn<id::Customer>,
-    lines: collections::HashMap<id::Customer, Line>,
+struct TeamQueue {
+    order: fair::FairOrder<id::Customer>,
+    customers: collections::HashMap<id::Customer, CustomerQueue>,
 }
 
 #[derive(Debug, Default)]
 struct Band {
-    turn: fair::Turn<id::Team>,
-    teams: collections::HashMap<id::Team, Customers>,
+    order: fair::FairOrder<id::Team>,
+    teams: collections::HashMap<id::Team, TeamQueue>,
     tokens: u64,
     requests: usize,
 }
 
 #[derive(Clone, Debug)]
-struct Key {
+struct Position {
     band: usize,
     team: id::Team,
     customer: id::Customer,
@@ -73,7 +73,7 @@
     /// Whether the order is fair between teams and customers, or first come, first served.
     fair: bool,
     bands: [Band; BANDS],
-    keys: collections::HashMap<scheduler::Waiter, Key>,
+    positions: collections::HashMap<scheduler::Waiter, Position>,
     expiries: collections::BTreeSet<(clock::Moment, scheduler::Waiter)>,
     bytes: u64,
 }
@@ -84,11 +84,11 @@
     }
 
     pub fn len(&self) -> usize {
-        self.keys.len()
+        self.positions.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.keys.is_empty()
+        self.positions.is_empty()
     }
 
     pub fn bytes(&self) -> u64 {
@@ -105,111 +105,111 @@
     }
 
     pub fn push(&mut self, band: usize, item: Item) {
-        let key = self.key(band, &item.ask);
-        self.bytes += item.ask.bytes;
-        self.expiries.insert((item.give_up, item.waiter));
-        self.keys.insert(item.waiter, key.clone());
+        let position = self.position(band, &item.request);
+        self.bytes += item.request.bytes;
+        self.expiries.insert((item.expiry, item.waiter));
+        self.positions.insert(item.waiter, position.clone());
         let band = &mut self.bands[band];
         band.tokens += item.cost();
         band.requests += 1;
-        band.turn.activate(&key.team);
-        let team = band.teams.entry(key.team).or_default();
-        team.turn.activate(&key.customer);
-        let line = team.lines.entry(key.customer).or_default();
-        line.tokens += item.cost();
-        line.items.push_back(item);
+        band.order.activate(&position.team);
+        let team = band.teams.entry(position.team).or_default();
+        team.order.activate(&position.customer);
+        let queue = team.customers.entry(position.customer).or_default();
+        queue.tokens += item.cost();
+        queue.items.push_back(item);
     }
 
     /// The next request of the band.
     pub fn head(&self, band: usize) -> Option<&Item> {
         let band = &self.bands[band];
-        let team = band.teams.get(band.turn.first()?)?;
-        let line = team.lines.get(team.turn.first()?)?;
-        line.items.front()
+        let team = band.teams.get(band.order.first()?)?;
+        let queue = team.customers.get(team.order.first()?)?;
+        queue.items.front()
     }
 
     /// Removes the next request of the band and charges it to its customer and team.
     pub fn pop(&mut self, band: usize) -> Option<Item> {
         let item = self.head(band)?;
-        let (waiter, cost, weight) = (item.waiter, item.cost(), item.ask.weight);
-        let key = self.keys.get(&waiter)?.clone();
+        let (waiter, cost, weight) = (item.waiter, item.cost(), item.request.weight);
+        let position = self.positions.get(&waiter)?.clone();
         let band = &mut self.bands[band];
-        band.turn.served(&key.team, cost, 1);
-        if let Some(team) = band.teams.get_mut(&key.team) {
-            team.turn.served(&key.customer, cost, weight);
+        band.order.charge(&position.team, cost, 1);
+        if let Some(team) = band.teams.get_mut(&position.team) {
+            team.order.charge(&position.customer, cost, weight);
         }
         self.remove(waiter)
     }
 
     /// Removes a waiter from any position.
     pub fn remove(&mut self, waiter: scheduler::Waiter) -> Option<Item> {
-        let key = self.keys.remove(&waiter)?;
-        let band = &mut self.bands[key.band];
-        let team = band.teams.get_mut(&key.team)?;
-        let line = team.lines.get_mut(&key.customer)?;
-        let index = line.items.iter().position(|item| item.waiter == waiter)?;
-        let item = line.items.remove(index)?;
-        line.tokens -= item.cost();
-        if line.items.is_empty() {
-            team.lines.remove(&key.customer);
-            team.turn.deactivate(&key.customer);
+        let position = self.positions.remove(&waiter)?;
+        let band = &mut self.bands[position.band];
+        let team = band.teams.get_mut(&position.team)?;
+        let queue = team.customers.get_mut(&position.customer)?;
+        let index = queue.items.iter().position(|item| item.waiter == waiter)?;
+        let item = queue.items.remove(index)?;
+        queue.tokens -= item.cost();
+        if queue.items.is_empty() {
+            team.customers.remove(&position.customer);
+            team.order.deactivate(&position.customer);
         }
-        if team.lines.is_empty() {
-            band.turn.deactivate(&key.team);
+        if team.customers.is_empty() {
+            band.order.deactivate(&position.team);
         }
         band.tokens -= item.cost();
         band.requests -= 1;
-        self.bytes -= item.ask.bytes;
-        self.expiries.remove(&(item.give_up, waiter));
+        self.bytes -= item.request.bytes;
+        self.expiries.remove(&(item.expiry, waiter));
         Some(item)
     }
 
     /// Tokens by band that are dispatched before the last token of a new request, by rank and fair
     /// share.
-    pub fn tokens_before(&self, band: usize, ask: &scheduler::Request) -> [u64; BANDS] {
+    pub fn tokens_before(&self, band: usize, request: &scheduler::Request) -> [u64; BANDS] {
         let mut before = [0; BANDS];
         for (slot, band) in before.iter_mut().zip(&self.bands[..band]) {
             *slot = band.tokens;
         }
-        before[band] = self.own_band(band, ask);
+        before[band] = self.tokens_in_own_band(band, request);
         before
     }
 
     /// Tokens of its own band ahead of a new request: it waits until its customer's requests have
     /// been served in turn, and every other active customer is assumed to keep sending.
-    fn own_band(&self, band: usize, ask: &scheduler::Request) -> u64 {
-        let key = self.key(band, ask);
+    fn tokens_in_own_band(&self, band: usize, request: &scheduler::Request) -> u64 {
+        let position = self.position(band, request);
         let band = &self.bands[band];
-        let teams = band.turn.active().max(1) as u64;
-        let Some(team) = band.teams.get(&key.team) else {
-            return band.tokens.min(teams * cost(ask));
+        let active_teams = band.order.active().max(1) as u64;
+        let Some(team) = band.teams.get(&position.team) else {
+            return band.tokens.min(active_teams * cost(request));
         };
-        let own = team.lines.get(&key.customer).map_or(0, |line| line.tokens);
-        let customers = team.turn.active().max(1) as u64;
-        customers * teams * (own + cost(ask))
+        let own = team.customers.get(&position.customer).map_or(0, |queue| queue.tokens);
+        let active_customers = team.order.active().max(1) as u64;
+        active_customers * active_teams * (own + cost(request))
     }
 
     /// The last waiter of the customer with the most waiters, if these are more than twice as many
     /// as the asking customer has.
-    pub fn displaced_by(&self, ask: &scheduler::Request) -> Option<scheduler::Waiter> {
+    pub fn displaced_by(&self, request: &scheduler::Request) -> Option<scheduler::Waiter> {
         if !self.fair {
             return None;
         }
-        let lines = self.bands.iter().flat_map(|band| band.teams.values());
-        let lines = lines.flat_map(|team| team.lines.iter());
-        let (customer, line) = lines.max_by_key(|(_, line)| line.items.len())?;
-        let own = self.bands.iter().filter_map(|band| band.teams.get(&ask.team));
-        let own = own.filter_map(|team| team.lines.get(&ask.customer));
-        let own: usize = own.map(|line| line.items.len()).sum();
-        let longer = *customer != ask.customer && line.items.len() > 2 * (own + 1);
-        if longer { line.items.back().map(|item| item.waiter) } else { None }
+        let queues = self.bands.iter().flat_map(|band| band.teams.values());
+        let queues = queues.flat_map(|team| team.customers.iter());
+        let (customer, queue) = queues.max_by_key(|(_, queue)| queue.items.len())?;
+        let own = self.bands.iter().filter_map(|band| band.teams.get(&request.team));
+        let own = own.filter_map(|team| team.customers.get(&request.customer));
+        let own: usize = own.map(|queue| queue.items.len()).sum();
+        let displaces = *customer != request.customer && queue.items.len() > 2 * (own + 1);
+        if displaces { queue.items.back().map(|item| item.waiter) } else { None }
     }
 
-    fn key(&self, band: usize, ask: &scheduler::Request) -> Key {
+    fn position(&self, band: usize, request: &scheduler::Request) -> Position {
         if self.fair {
-            Key { band, team: ask.team.clone(), customer: ask.customer.clone() }
+            Position { band, team: request.team.clone(), customer: request.customer.clone() }
         } else {
-            Key { band, team: id::Team::default(), customer: id::Customer::default() }
+            Position { band, team: id::Team::default(), customer: id::Customer::default() }
         }
     }
 }
--- a/crates/lagoonline/src/load/ramp.rs
+++ b/crates/lagoonline/src/load/ramp.rs
@@ -10,9 +10,9 @@
 use crate::clock;
 
 /// Time from joining to full load, in seconds.
-const SPAN: f64 = 10.0;
+const RAMP_SECONDS: f64 = 10.0;
 /// Share of the slots at the start.
-const START: f64 = 0.125;
+const INITIAL_SHARE: f64 = 0.125;
 
 /// Slots out of `slots` that an upstream which joined at `joined` may use at `now`; `joined` is
 /// none for one that was there from the start.
@@ -26,6 +26,7 @@
 /// ```
 pub fn slots(slots: u32, joined: Option<clock::Moment>, now: clock::Moment) -> u32 {
     let Some(joined) = joined else { return slots };
-    let share = START + (1.0 - START) * now.since(joined).as_secs_f64() / SPAN;
+    let share =
+        INITIAL_SHARE + (1.0 - INITIAL_SHARE) * now.since(joined).as_secs_f64() / RAMP_SECONDS;
     if share >= 1.0 { slots } else { ((f64::from(slots) * share) as u32).max(1) }
 }
--- a/crates/lagoonline/src/load/rate.rs
+++ b/crates/lagoonline/src/load/rate.rs
@@ -29,17 +29,17 @@
 /// Half-life in seconds of the distance of the ratio from 1 without new samples.
 const HALF_LIFE: f64 = 10.0;
 /// Lateness below this is noise caused by the engine's chunks, in seconds.
-const GRACE: f64 = 0.1;
+const NOISE_SECONDS: f64 = 0.1;
 /// Slowness from which on an upstream gets probes only, and below which it gets load again.
-const SLOW: (f64, f64) = (2.0, 1.5);
+const SLOW_BOUNDS: (f64, f64) = (2.0, 1.5);
 /// Seconds between two probes of a slow upstream by all hosts of a zone.
-const PROBE: f64 = 2.0;
+const PROBE_SECONDS: f64 = 2.0;
 /// One in this many upstreams may be slow at once; at least one always may.
-const CAP: usize = 3;
+const MAX_SLOW_DIVISOR: usize = 3;
 /// Shortest answer, in tokens, whose speed is a usable sample.
-const TOKENS: u64 = 4;
+const MIN_ANSWER_TOKENS: u64 = 4;
 /// Bounds of one sample: a single stall of a minute must not count as a thousand slow answers.
-const BOUNDS: (f64, f64) = (1.0, 20.0);
+const SAMPLE_BOUNDS: (f64, f64) = (1.0, 20.0);
 
 /// A dispatched prompt without its first token.
 #[derive(Clone, Copy, Debug)]
@@ -51,95 +51,100 @@
 
 /// Learned slowness of one upstream.
 #[derive(Clone, Debug, Default)]
-pub struct Pace {
+pub struct Slowness {
     /// Ratio of actual to expected time, less 1.
     excess: f64,
-    learned: clock::Moment,
-    sent: clock::Moment,
+    last_sample: clock::Moment,
+    last_dispatch: clock::Moment,
     slow: bool,
     pending: collections::VecDeque<Pending>,
 }
 
-impl Pace {
+impl Slowness {
     /// Records the dispatch of a prompt whose first token is expected after `expected` seconds.
-    pub fn sent(&mut self, now: clock::Moment, ticket: scheduler::Ticket, expected: f64) {
-        self.sent = now;
+    pub fn record_dispatch(
+        &mut self,
+        now: clock::Moment,
+        ticket: scheduler::Ticket,
+        expected: f64,
+    ) {
+        self.last_dispatch = now;
         self.pending.push_back(Pending { ticket, sent: now, expected });
     }
 
     /// Records the first token of a prompt.
-    pub fn first_token(&mut self, now: clock::Moment, ticket: scheduler::Ticket) {
+    pub fn record_first_token(&mut self, now: clock::Moment, ticket: scheduler::Ticket) {
         let Some(pending) = self.take(ticket) else { return };
         let took = seconds(pending.sent, now);
         let expected = pending.expected.max(1e-3);
-        let sample = 1.0 + (took - expected - GRACE) / expected;
-        self.learn(now, sample, expected / (expected + GRACE));
+        let sample = 1.0 + (took - expected - NOISE_SECONDS) / expected;
+        self.learn(now, sample, expected / (expected + NOISE_SECONDS));
     }
 
     /// Records the end of an answer of `tokens` tokens that took `seconds` per token, where `usual`
     /// is usual.
-    pub fn answered(&mut self, now: clock::Moment, tokens: u64, seconds: f64, usual: f64) {
-        if tokens >= TOKENS && usual > 0.0 {
+    pub fn record_answer(&mut self, now: clock::Moment, tokens: u64, seconds: f64, usual: f64) {
+        if tokens >= MIN_ANSWER_TOKENS && usual > 0.0 {
             self.learn(now, seconds / usual, 1.0);
         }
     }
 
-    /// Whether its state may change, so that [`Pace::judge`] should be called.
-    pub fn looks_slow(&self, now: clock::Moment) -> bool {
-        self.slow || 1.0 + self.decayed(now) >= SLOW.1
+    /// Whether its state may change, so that [`Slowness::update`] should be called.
+    pub fn needs_update(&self, now: clock::Moment) -> bool {
+        self.slow || 1.0 + self.decayed(now) >= SLOW_BOUNDS.1
     }
 
     /// Updates whether it is slow enough to get probes only; `slow` of `all` upstreams are already.
-    pub fn judge(&mut self, now: clock::Moment, slow: usize, all: usize) {
-        let slowness = 1.0 + self.decayed(now);
-        let capped = slow >= (all / CAP).max(1);
-        self.slow = slowness >= SLOW.1 && (self.slow || (slowness >= SLOW.0 && !capped));
+    pub fn update(&mut self, now: clock::Moment, slow: usize, all: usize) {
+        let factor = 1.0 + self.decayed(now);
+        let capped = slow >= (all / MAX_SLOW_DIVISOR).max(1);
+        self.slow = factor >= SLOW_BOUNDS.1 && (self.slow || (factor >= SLOW_BOUNDS.0 && !capped));
     }
 
     /// Whether it gets probes only.
     pub fn is_slow(&self, now: clock::Moment) -> bool {
-        self.slow && 1.0 + self.decayed(now) >= SLOW.1
+        self.slow && 1.0 + self.decayed(now) >= SLOW_BOUNDS.1
     }
 
     /// Whether one of `hosts` hosts may probe it now.
     pub fn may_probe(&self, now: clock::Moment, hosts: u32) -> bool {
-        seconds(self.sent, now) >= PROBE * f64::from(hosts)
+        seconds(self.last_dispatch, now) >= PROBE_SECONDS * f64::from(hosts)
     }
 
     /// Records that a prompt was abandoned because the upstream was silent.
-    pub fn silent(&mut self, now: clock::Moment, ticket: scheduler::Ticket) {
+    pub fn record_silence(&mut self, now: clock::Moment, ticket: scheduler::Ticket) {
         if self.take(ticket).is_some() {
-            self.learn(now, BOUNDS.1, 1.0);
+            self.learn(now, SAMPLE_BOUNDS.1, 1.0);
         }
     }
 
     /// Records the end of a prompt, with or without a first token.
-    pub fn ended(&mut self, ticket: scheduler::Ticket) {
+    pub fn record_end(&mut self, ticket: scheduler::Ticket) {
         self.take(ticket);
     }
 
     /// Factor by which the upstream is slower than it reports: 1 or more.
-    pub fn slowness(&self, now: clock::Moment) -> f64 {
+    pub fn factor(&self, now: clock::Moment) -> f64 {
         let learned = 1.0 + self.decayed(now);
         let late = self
             .pending
             .front()
-            .map_or(0.0, |pending| seconds(pending.sent, now) / (pending.expected + GRACE));
-        learned.max(late.min(BOUNDS.1))
+            .map_or(0.0, |pending| seconds(pending.sent, now) / (pending.expected + NOISE_SECONDS));
+        learned.max(late.min(SAMPLE_BOUNDS.1))
     }
 
     fn learn(&mut self, now: clock::Moment, sample: f64, weight: f64) {
-        let sample = sample.clamp(BOUNDS.0, BOUNDS.1);
+        let sample = sample.clamp(SAMPLE_BOUNDS.0, SAMPLE_BOUNDS.1);
         let excess = self.decayed(now);
         self.excess = excess + GAIN * weight * (sample - 1.0 - excess);
-        self.learned = now;
+        self.last_sample = now;
     }
 
     fn decayed(&self, now: clock::Moment) -> f64 {
         if self.excess == 0.0 {
             return 0.0;
         }
-        self.excess * (-seconds(self.learned, now) / HALF_LIFE).exp2()
+        self.excess * (-seconds(self.last_sample, now) / HALF_LIFE).exp2()
     }
 
     fn take(&mut self, ticket: scheduler::Ticket) -> Option<Pending> {
--- a/crates/lagoonline/src/load/rebalance.rs
+++ b/crates/lagoonline/src/load/rebalance.rs
@@ -6,8 +6,8 @@
 //! store. So a model must need at least one whole engine more than it has, for some time, before
 //! one moves; an engine that has moved stays for a while; weight loads are spread over time at the
 //! store's rate. A team's claim takes precedence: idle capacity may be borrowed, and is ordered
-//! back within [`MAX_RETURN_DELAY`], because a returned engine moves before any other, without hysteresis,
-//! and doesn't wait for weight loads of borrowed engines.
+//! back within [`MAX_RETURN_DELAY`], because a returned engine moves before any other, without
+//! hysteresis, and doesn't wait for weight loads of borrowed engines.
 
 use std::collections;
 
--- a/crates/lagoonline/src/load/retry.rs
+++ b/crates/lagoonline/src/load/retry.rs
@@ -30,8 +30,8 @@
 /// Fraction of the slack shared by all hosts that their bursts may use together: the rest is for
 /// hosts that join and leave.
 const SLACK_SHARE: f64 = 0.6;
-/// Fraction of the allowed retries per request that first attempts add: first attempts that reach no
-/// upstream add to the budget too, and starting hosts bring a burst of their own.
+/// Fraction of the allowed retries per request that first attempts add: first attempts that reach
+/// no upstream add to the budget too, and starting hosts bring a burst of their own.
 const RATIO_SHARE: f64 = 0.75;
 /// Smallest burst: with less, a host with little traffic could never retry.
 const MIN_BURST: f64 = 1.0;
--- a/crates/lagoonline/src/load/route.rs
+++ b/crates/lagoonline/src/load/route.rs
@@ -19,31 +19,31 @@
 use crate::port::engine;
 
 /// Penalty for short prompts on an engine meant for long ones, in seconds.
-const WRONG_ROLE: f64 = 0.2;
+const WRONG_ROLE_PENALTY_SECONDS: f64 = 0.2;
 /// Penalty for medium prompts where a long one is pending, in seconds: they would use up the floor
 /// of the engine's rate that lets the long one progress.
-const PASSES_LONG: f64 = 2.0;
+const PENDING_LONG_PENALTY_SECONDS: f64 = 2.0;
 /// Fraction of the bound on long prefill that medium prompts may fill.
-const MEDIUM_PART: f64 = 0.5;
+const MEDIUM_FRACTION: f64 = 0.5;
 /// The same for medium prompts that have waited long: they were admitted and should not end in a
 /// refusal.
-const AGED_PART: f64 = 0.75;
+const AGED_FRACTION: f64 = 0.75;
 /// Fraction of the zone's engines that customers over their share leave to the others. Priority
 /// alone is not enough: a new request waits for the current chunk, and a heavy customer would have
 /// one on every engine.
-const OVER_CLEAR: f64 = 0.3;
+const OVER_SHARE_CLEAR: f64 = 0.3;
 /// Outstanding prefill up to which an engine gets work of a customer over its share, in seconds of
 /// its rate: almost none, because work that waits here can still be overtaken.
-const OVER_AHEAD: f64 = 0.02;
+const OVER_SHARE_AHEAD_SECONDS: f64 = 0.02;
 /// Suitable upstreams among which the best is chosen. The best of 32 random ones is within a few
 /// percent of the best of all, and the cost stays constant as the fleet grows.
-const LOOKED: usize = 32;
+const MAX_CANDIDATES: usize = 32;
 /// Upstreams of other zones that are examined, whether they are suitable or not.
-const REMOTE_TRIES: usize = 64;
+const MAX_REMOTE_SCANNED: usize = 64;
 /// Weight of what this host has sent beyond its share.
-const UNEVEN_WEIGHT: f64 = 2.0;
+const IMBALANCE_WEIGHT: f64 = 2.0;
 /// Random pairs that are tried before all upstreams are examined.
-const PAIRS: usize = 2;
+const RANDOM_PAIRS: usize = 2;
 
 /// Resources that a request needs.
 #[derive(Clone, Copy, Debug)]
@@ -69,7 +69,7 @@
 /// Chosen upstreams, and the predicted seconds to the first token.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Route {
-    One { index: usize, seconds: f64 },
+    Single { index: usize, seconds: f64 },
     Group { plan: group::Plan, seconds: f64 },
 }
 
@@ -84,22 +84,22 @@
 
 /// Inputs of one routing decision.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Rules<'a> {
+pub(crate) struct Router<'a> {
     pub settings: &'a settings::Settings,
     /// Upstreams, those of this host's zone first.
     pub upstreams: &'a [upstream::Upstream],
     /// Number of upstreams in this host's zone.
-    pub locals: usize,
+    pub local_count: usize,
     /// Indices of the upstreams, by number.
-    pub by_number: &'a collections::HashMap<u32, usize>,
+    pub index_by_number: &'a collections::HashMap<u32, usize>,
     /// Predicted wait in this zone from which other zones are considered, in seconds.
     pub remote_seconds: f64,
     /// Number of local upstreams kept clear of long prompts.
-    pub clear: usize,
+    pub clear_count: usize,
     /// Whether the request has waited long enough to be ranked one class earlier.
     pub aged: bool,
     /// Share of an engine's rate that short prompts may use; 1 while no longer ones arrive.
-    pub short_part: f64,
+    pub short_rate_share: f64,
     /// Weight of the delay of long prompts relative to that of the request itself.
     pub long_weight: f64,
     /// Outstanding prefill up to which an engine gets more, in seconds of its rate.
@@ -107,7 +107,7 @@
     pub now: clock::Moment,
 }
 
-impl Rules<'_> {
+impl Router<'_> {
     fn safeguards(&self) -> settings::Safeguards {
         self.settings.safeguards
     }
@@ -119,59 +119,62 @@
 
     /// Rate at which this host may send short prefill to the upstream, in tokens per second.
     pub fn short_rate(&self, upstream: &upstream::Upstream) -> f64 {
-        self.short_part * upstream.nominal / f64::from(self.settings.hosts_in_zone.max(1))
+        self.short_rate_share * upstream.nominal_rate
+            / f64::from(self.settings.hosts_in_zone.max(1))
     }
 
     /// Predicted seconds to the first token on the upstream, including penalties.
     pub fn seconds(&self, upstream: &upstream::Upstream, need: &Need, rate: f64) -> f64 {
         let tokens = need.tokens - need.cached(upstream.number);
         let seconds = upstream.first_token(self.now, self.ahead_class(need), tokens as f64, rate);
-        let wrong = upstream.role == engine::Role::Long && need.class == document::Class::Short;
-        let passes = need.class == document::Class::Medium && upstream.has_later(need.rank);
-        let seconds = if passes { seconds + PASSES_LONG } else { seconds };
-        let seconds = seconds + self.uneven(upstream, need, rate);
-        let seconds = seconds + self.delay_to_longer(upstream, need, tokens as f64 / rate.max(1.0));
-        if wrong { seconds + WRONG_ROLE } else { seconds }
+        let wrong_role =
+            upstream.role == engine::Role::Long && need.class == document::Class::Short;
+        let delays_long = need.class == document::Class::Medium && upstream.has_later(need.rank);
+        let seconds = if delays_long { seconds + PENDING_LONG_PENALTY_SECONDS } else { seconds };
+        let seconds = seconds + self.imbalance_penalty(upstream, need, rate);
+        let seconds =
+            seconds + self.long_delay_penalty(upstream, need, tokens as f64 / rate.max(1.0));
+        if wrong_role { seconds + WRONG_ROLE_PENALTY_SECONDS } else { seconds }
     }
 
     /// Penalty in seconds for short prefill that this host has sent beyond its share. Reports lag
     /// by longer than a short queue lasts, so even sending balances short prompts better than
     /// reports do.
-    fn uneven(&self, upstream: &upstream::Upstream, need: &Need, rate: f64) -> f64 {
+    fn imbalance_penalty(&self, upstream: &upstream::Upstream, need: &Need, rate: f64) -> f64 {
         if need.rank != document::Class::Short {
             return 0.0;
         }
-        let sent = upstream.floor.left(self.now, self.short_rate(upstream));
-        UNEVEN_WEIGHT * sent / rate.max(1.0)
+        let sent = upstream.short_excess.excess(self.now, self.short_rate(upstream));
+        IMBALANCE_WEIGHT * sent / rate.max(1.0)
     }
 
     /// Weighted delay that the request would cause for long prompts pending on the upstream.
-    fn delay_to_longer(&self, upstream: &upstream::Upstream, need: &Need, seconds: f64) -> f64 {
-        let delays = self.long_weight > 0.0 && upstream.has_longer(need.rank);
-        if delays { self.long_weight * seconds } else { 0.0 }
+    fn long_delay_penalty(&self, upstream: &upstream::Upstream, need: &Need, seconds: f64) -> f64 {
+        let delays_longer = self.long_weight > 0.0 && upstream.has_longer(need.rank);
+        if delays_longer { self.long_weight * seconds } else { 0.0 }
     }
 
     /// Whether the upstream can take the request now.
     fn fits(&self, upstream: &upstream::Upstream, need: &Need, rate: f64) -> bool {
         let safeguards = self.safeguards();
-        upstream.is_open(self.now, safeguards.outlier)
-            && !(safeguards.outlier && self.is_left_alone(upstream))
+        upstream.is_available(self.now, safeguards.outlier)
+            && !(safeguards.outlier && self.is_restricted(upstream))
             && upstream.free_slots(self.now, safeguards.ramp) > 0
             && upstream.free_kv(self.now) >= need.kv
             && self.has_room(upstream, need, rate)
     }
 
     /// Whether a slow upstream has its probe request already, or must not be probed yet.
-    fn is_left_alone(&self, upstream: &upstream::Upstream) -> bool {
+    fn is_restricted(&self, upstream: &upstream::Upstream) -> bool {
         let hosts = self.settings.hosts_in_zone.max(1);
-        upstream.pace.is_slow(self.now)
-            && (upstream.requests > 0 || !upstream.pace.may_probe(self.now, hosts))
+        upstream.slowness.is_slow(self.now)
+            && (upstream.requests > 0 || !upstream.slowness.may_probe(self.now, hosts))
     }
 
     fn has_room(&self, upstream: &upstream::Upstream, need: &Need, rate: f64) -> bool {
-        let clear = upstream.local.is_some_and(|rank| rank < self.clear)
+        let is_clear = upstream.local_index.is_some_and(|rank| rank < self.clear_count)
             || upstream.role == engine::Role::Short;
-        if clear && need.class > document::Class::Medium {
+        if is_clear && need.class > document::Class::Medium {
             return false;
         }
         if need.class >= document::Class::Long && self.safeguards().long_bound {
@@ -180,63 +183,63 @@
                 || pending + need.tokens as f64 <= self.settings.long_tokens as f64;
         }
         if need.rank == document::Class::Short
-            && self.short_part < 1.0
-            && !upstream.floor.allows(self.now, self.short_rate(upstream))
+            && self.short_rate_share < 1.0
+            && !upstream.short_excess.allows(self.now, self.short_rate(upstream))
         {
             return false;
         }
         if need.class == document::Class::Medium && self.safeguards().long_bound {
             // In the engine a medium prompt progresses at the floor rate when there are many short
             // ones.
-            let part = if self.aged { AGED_PART } else { MEDIUM_PART };
+            let part = if self.aged { AGED_FRACTION } else { MEDIUM_FRACTION };
             let pending = upstream.later_pending(self.now);
             return pending <= 0.0
                 || pending + need.tokens as f64 <= self.settings.long_tokens as f64 * part;
         }
         let over = need.rank > need.class;
-        let share = OVER_CLEAR * self.locals as f64;
-        if over && upstream.local.is_some_and(|rank| (rank as f64) < share) {
+        let share = OVER_SHARE_CLEAR * self.local_count as f64;
+        if over && upstream.local_index.is_some_and(|rank| (rank as f64) < share) {
             return false;
         }
-        let seconds = if over { OVER_AHEAD } else { self.ahead_seconds };
+        let seconds = if over { OVER_SHARE_AHEAD_SECONDS } else { self.ahead_seconds };
         upstream.ahead(self.now, self.ahead_class(need), rate) < seconds * rate
     }
 
     /// Samples some upstreams of the zone, starting at a random one, or of all zones if it has
     /// none.
-    pub fn survey(&self, need: &Need, draw: u64) -> Survey {
+    pub fn survey(&self, need: &Need, random: u64) -> Survey {
         let mut survey = Survey { soonest: f64::MAX, ..Survey::default() };
-        let count = if self.locals > 0 { self.locals } else { self.upstreams.len() };
-        let looked = count.min(LOOKED);
-        for step in 0..looked {
-            let index = (draw % count as u64) as usize + step;
+        let count = if self.local_count > 0 { self.local_count } else { self.upstreams.len() };
+        let sampled = count.min(MAX_CANDIDATES);
+        for step in 0..sampled {
+            let index = (random % count as u64) as usize + step;
             let upstream = &self.upstreams[if index < count { index } else { index - count }];
-            if upstream.leaving || upstream.gone {
+            if upstream.leaving || upstream.removed {
                 continue;
             }
             let rate = upstream.rate(self.now);
             survey.soonest = survey.soonest.min(self.seconds(upstream, need, rate));
-            survey.rate += rate * count as f64 / looked as f64;
+            survey.rate += rate * count as f64 / sampled as f64;
         }
         survey
     }
 
-    /// Chooses the upstream for a request that is sent now; `draw` is a random number.
-    pub fn choose(&self, need: &Need, draw: u64) -> Option<Route> {
+    /// Chooses the upstream for a request that is sent now; `random` is a random number.
+    pub fn choose(&self, need: &Need, random: u64) -> Option<Route> {
         let two = match self.settings.choice {
             settings::Choice::Shortest => None,
-            settings::Choice::Two => self.better_of_two(need, draw),
+            settings::Choice::Two => self.better_of_two(need, random),
         };
-        let (index, seconds) = two.or_else(|| self.shortest(need, draw))?;
-        Some(Route::One { index, seconds })
+        let (index, seconds) = two.or_else(|| self.best_of_all(need, random))?;
+        Some(Route::Single { index, seconds })
     }
 
     /// Chooses engines that hold the prompt together; none if they cannot now.
     pub fn group(&self, need: &Need) -> Option<Route> {
         let free = |index: usize| {
             let upstream = &self.upstreams[index];
-            let local = upstream.local.is_some_and(|rank| rank >= self.clear);
-            let open = upstream.is_open(self.now, self.safeguards().outlier);
+            let local = upstream.local_index.is_some_and(|rank| rank >= self.clear_count);
+            let open = upstream.is_available(self.now, self.safeguards().outlier);
             let slot = upstream.free_slots(self.now, self.safeguards().ramp) > 0;
             if local && open && slot { upstream.free_kv(self.now) } else { 0 }
         };
@@ -247,18 +250,18 @@
         Some(Route::Group { plan, seconds })
     }
 
-    fn shortest(&self, need: &Need, draw: u64) -> Option<(usize, f64)> {
+    fn best_of_all(&self, need: &Need, random: u64) -> Option<(usize, f64)> {
         let mut best = None;
         for &(number, tokens) in &need.hits {
             if tokens > 0
-                && let Some(&index) = self.by_number.get(&number)
+                && let Some(&index) = self.index_by_number.get(&number)
             {
                 self.consider(index, need, &mut best);
             }
         }
-        self.look(0..self.locals, draw, need, &mut best);
+        self.scan(0..self.local_count, random, need, &mut best);
         if best.is_none_or(|(index, _)| self.wait(index, need) > self.remote_seconds) {
-            self.look(self.locals..self.upstreams.len(), draw, need, &mut best);
+            self.scan(self.local_count..self.upstreams.len(), random, need, &mut best);
         }
         best
     }
@@ -274,19 +277,20 @@
 
     /// Examines upstreams of the range, starting at a random one, until enough of them are
     /// suitable.
-    fn look(
+    fn scan(
         &self,
         range: ops::Range<usize>,
-        draw: u64,
+        random: u64,
         need: &Need,
         best: &mut Option<(usize, f64)>,
     ) {
-        let tries = if range.start == 0 { range.len() } else { range.len().min(REMOTE_TRIES) };
-        let mut index = range.start + (draw % range.len().max(1) as u64) as usize;
+        let max_scanned =
+            if range.start == 0 { range.len() } else { range.len().min(MAX_REMOTE_SCANNED) };
+        let mut index = range.start + (random % range.len().max(1) as u64) as usize;
         let mut fitting = 0;
-        for _ in 0..tries {
+        for _ in 0..max_scanned {
             fitting += usize::from(self.consider(index, need, best));
-            if fitting >= LOOKED {
+            if fitting >= MAX_CANDIDATES {
                 return;
             }
             index = if index + 1 == range.end { range.start } else { index + 1 };
@@ -307,9 +311,9 @@
         true
     }
 
-    fn better_of_two(&self, need: &Need, draw: u64) -> Option<(usize, f64)> {
+    fn better_of_two(&self, need: &Need, random: u64) -> Option<(usize, f64)> {
         let count = self.upstreams.len().max(1) as u64;
-        let draws = (0..2 * PAIRS as u64).map(|shift| (draw >> (16 * shift)) % count);
+        let draws = (0..2 * RANDOM_PAIRS as u64).map(|shift| (random >> (16 * shift)) % count);
         let indexes = draws.map(|index| index as usize);
         let timed = indexes.filter_map(|index| {
             let upstream = self.upstreams.get(index)?;
--- a/crates/lagoonline/src/load/scheduler/fleet.rs
+++ b/crates/lagoonline/src/load/scheduler/fleet.rs
@@ -24,23 +24,23 @@
         let mut entries: Vec<_> = fleet.engines(model).collect();
         let is_remote = |entry: &view::Upstream| entry.entry.zone != self.settings.zone;
         entries.sort_by(|a, b| (is_remote(a), &a.name).cmp(&(is_remote(b), &b.name)));
-        self.locals = 0;
+        self.local_count = 0;
         for entry in entries {
             let known = old.remove(&entry.name);
-            let upstream = self.refreshed(now, known, entry);
+            let upstream = self.updated_upstream(now, known, entry);
             self.upstreams.push(upstream);
         }
         let working = old.into_values().filter(|upstream| upstream.requests > 0);
         self.upstreams.extend(working.map(|mut old| {
-            old.gone = true;
+            old.removed = true;
             old
         }));
         let names = self.upstreams.iter().enumerate();
         self.index = names.map(|(index, upstream)| (upstream.name.clone(), index)).collect();
         let numbers = self.upstreams.iter().enumerate();
-        self.by_number = numbers.map(|(index, upstream)| (upstream.number, index)).collect();
-        self.measure();
-        self.estimate(fleet, model);
+        self.index_by_number = numbers.map(|(index, upstream)| (upstream.number, index)).collect();
+        self.update_sizes();
+        self.reset_ratio(fleet, model);
         self.started = true;
         if self.settings.weights.is_none() {
             self.weights = mean_weights(fleet);
@@ -48,15 +48,15 @@
     }
 
     /// Resets the token estimate to the model's configured one if its owner has changed that.
-    fn estimate(&mut self, fleet: &view::Fleet, model: &id::Model) {
+    fn reset_ratio(&mut self, fleet: &view::Fleet, model: &id::Model) {
         let Some(model) = fleet.models.get(model) else { return };
-        if model.bytes_per_token.to_bits() != self.first_ratio.to_bits() {
-            self.first_ratio = model.bytes_per_token;
+        if model.bytes_per_token.to_bits() != self.configured_ratio.to_bits() {
+            self.configured_ratio = model.bytes_per_token;
             self.ratio = tokens::Ratio::new(model.bytes_per_token);
         }
     }
 
-    fn refreshed(
+    fn updated_upstream(
         &mut self,
         now: clock::Moment,
         known: Option<upstream::Upstream>,
@@ -65,20 +65,20 @@
         let fresh = known.is_none();
         let mut upstream = known.unwrap_or_default();
         if fresh {
-            self.numbers += 1;
-            upstream.number = self.numbers;
-            upstream.nominal = entry.entry.prefill_rate;
-            upstream.joined = if self.started { Some(now) } else { None };
+            self.last_number += 1;
+            upstream.number = self.last_number;
+            upstream.nominal_rate = entry.entry.prefill_rate;
+            upstream.joined_at = if self.started { Some(now) } else { None };
         }
         let is_local = entry.entry.zone == self.settings.zone;
         upstream.name = entry.name.clone();
-        upstream.gone = false;
+        upstream.removed = false;
         upstream.slots = entry.entry.slots;
         upstream.kv_tokens = entry.entry.kv_tokens;
         upstream.role = entry.entry.role;
-        upstream.local = if is_local { Some(self.locals) } else { None };
-        upstream.delay = if is_local { 0.0 } else { self.delay(&entry.entry.zone) };
-        self.locals += usize::from(is_local);
+        upstream.local_index = if is_local { Some(self.local_count) } else { None };
+        upstream.delay_seconds = if is_local { 0.0 } else { self.delay(&entry.entry.zone) };
+        self.local_count += usize::from(is_local);
         upstream
     }
 
@@ -93,26 +93,28 @@
         let upstream = &mut self.upstreams[index];
         if upstream.incarnation != 0 && load.incarnation != upstream.incarnation {
             upstream.epoch += 1;
-            upstream.joined = Some(now);
+            upstream.joined_at = Some(now);
             upstream.health = outlier::Health::default();
         }
         upstream.incarnation = load.incarnation;
         let before = upstream.kv_tokens;
-        upstream.observe(now, load, &mut self.typical);
+        upstream.observe(now, load, &mut self.typical_prefill);
         if upstream.kv_tokens != before {
-            self.measure();
+            self.update_sizes();
         }
     }
 
-    fn measure(&mut self) {
+    fn update_sizes(&mut self) {
         let sizes = self.upstreams.iter().map(|upstream| upstream.kv_tokens);
-        self.largest = sizes.max().unwrap_or(0);
+        self.largest_kv = sizes.max().unwrap_or(0);
         // All members of a group are in one zone; without engines in this zone a single engine is
         // the limit.
-        let locals = self.upstreams[..self.locals].iter().map(|upstream| upstream.kv_tokens);
-        self.memory = group::capacity(locals).max(self.largest);
-        let delays = self.upstreams[self.locals..].iter().map(|upstream| upstream.delay);
-        self.nearest = delays.fold(f64::MAX, f64::min);
+        let local_sizes =
+            self.upstreams[..self.local_count].iter().map(|upstream| upstream.kv_tokens);
+        self.group_kv = group::capacity(local_sizes).max(self.largest_kv);
+        let delays =
+            self.upstreams[self.local_count..].iter().map(|upstream| upstream.delay_seconds);
+        self.nearest_delay = delays.fold(f64::MAX, f64::min);
     }
 
     /// Marks an upstream as leaving, or clears the mark for a new incarnation.
--- a/crates/lagoonline/src/load/scheduler/mod.rs
+++ b/crates/lagoonline/src/load/scheduler/mod.rs
@@ -23,10 +23,10 @@
 mod room;
 
 /// Prefixes of one prompt that are recorded: shared ones are at its start.
-const PREFIXES: usize = 256;
+const MAX_PREFIXES: usize = 256;
 /// Interval between polls while something waits: capacity freed by other hosts' work causes no call
 /// here.
-const RECHECK: clock::Span = clock::Span::from_millis(5);
+const POLL_INTERVAL: clock::Span = clock::Span::from_millis(5);
 /// How long an upstream that reported itself full gets no new requests.
 const FULL_SPAN: clock::Span = clock::Span::from_millis(50);
 
@@ -134,37 +134,37 @@
     weights: settings::Weights,
     upstreams: Vec<upstream::Upstream>,
     index: collections::HashMap<id::Upstream, usize>,
-    by_number: collections::HashMap<u32, usize>,
+    index_by_number: collections::HashMap<u32, usize>,
     started: bool,
-    locals: usize,
+    local_count: usize,
     /// KV memory of the largest engine, in tokens.
-    largest: u64,
+    largest_kv: u64,
     /// KV memory that one group may span, in tokens.
-    memory: u64,
+    group_kv: u64,
     /// Smallest delay of another zone, in seconds.
-    nearest: f64,
+    nearest_delay: f64,
     queue: queue::Queue,
     displaced: Vec<Wake>,
-    tickets: collections::HashMap<Ticket, Work>,
+    in_flight: collections::HashMap<Ticket, InFlight>,
     budget: retry::Budget,
-    share: clear::Share,
+    clear_share: clear::ClearShare,
     usage: [usage::Usage; 4],
     /// Prefill that other hosts typically have outstanding on one engine, in tokens.
-    typical: f64,
+    typical_prefill: f64,
     forecast: predict::Forecast,
     prefixes: prefix::Map,
     ratio: tokens::Ratio,
     /// The model's configured estimate from which the ratio started.
-    first_ratio: f64,
-    next: u64,
-    numbers: u32,
-    draws: u64,
-    polled: clock::Moment,
+    configured_ratio: f64,
+    next_id: u64,
+    last_number: u32,
+    random_state: u64,
+    last_poll: clock::Moment,
 }
 
 /// A dispatched request.
 #[derive(Debug)]
-struct Work {
+struct InFlight {
     /// Engines with the KV memory and the prefill that this request uses there, in tokens; the
     /// first one answers.
     parts: Vec<Part>,
@@ -186,17 +186,17 @@
         let full = settings.policy == settings::Policy::Full;
         let queue = queue::Queue::new(full && settings.safeguards.fair);
         let weights = settings.weights.unwrap_or_default();
-        let draws = settings.seed;
-        Scheduler { settings, weights, queue, draws, ..Scheduler::default() }
+        let random_state = settings.seed;
+        Scheduler { settings, weights, queue, random_state, ..Scheduler::default() }
     }
 
     /// Requests a placement for a new request.
-    pub fn offer(&mut self, now: clock::Moment, ask: Request) -> Verdict {
+    pub fn offer(&mut self, now: clock::Moment, request: Request) -> Verdict {
         self.budget.record_first_attempt();
-        self.share.offered(now, class(&ask), ask.prompt_tokens);
-        let cost = queue::cost(&ask);
-        self.usage[class(&ask) as usize].record(now, &ask.customer, ask.weight, cost);
-        self.enter(now, ask)
+        self.clear_share.record_arrival(now, class(&request), request.prompt_tokens);
+        let cost = queue::cost(&request);
+        self.usage[class(&request) as usize].record(now, &request.customer, request.weight, cost);
+        self.place_or_queue(now, request)
     }
 
     /// Requests another placement after an attempt that ended with `ending` and may be repeated;
@@ -206,15 +206,15 @@
         now: clock::Moment,
         ticket: Ticket,
         ending: Ending,
-        ask: Request,
+        request: Request,
     ) -> Verdict {
         self.finish(now, ticket, ending);
         let full = self.settings.policy == settings::Policy::Full;
         if full && self.settings.safeguards.retry_budget && !self.budget.take_retry() {
-            let draw = self.draw();
-            return Verdict::Refuse(admit::refusal(outcome::Reason::Saturated, 1.0, draw));
+            let random = self.next_random();
+            return Verdict::Refuse(admit::refusal(outcome::Reason::Saturated, 1.0, random));
         }
-        self.enter(now, ask)
+        self.place_or_queue(now, request)
     }
 
     /// Removes a waiting request whose caller left; its place in the queue is free at once.
@@ -226,83 +226,83 @@
 
     /// Records the first token of a dispatched request.
     pub fn first_token(&mut self, now: clock::Moment, ticket: Ticket) {
-        let Some(work) = self.tickets.get_mut(&ticket) else { return };
+        let Some(work) = self.in_flight.get_mut(&ticket) else { return };
         if work.first_token.replace(now).is_some() {
             return;
         }
         for part in &work.parts {
             let Some(&index) = self.index.get(&part.upstream) else { continue };
             let upstream = &mut self.upstreams[index];
-            upstream.prefilled(now, part.load);
-            upstream.pace.first_token(now, ticket);
-            let place = prefix::Place { engine: upstream.number, epoch: upstream.epoch };
-            for (hash, _) in work.prefixes.iter().take(PREFIXES) {
-                self.prefixes.cached(*hash, place);
+            upstream.remove_prefill(now, part.load);
+            upstream.slowness.record_first_token(now, ticket);
+            let location = prefix::Location { engine: upstream.number, epoch: upstream.epoch };
+            for (hash, _) in work.prefixes.iter().take(MAX_PREFIXES) {
+                self.prefixes.insert(*hash, location);
             }
         }
         let first = work.parts.first().and_then(|part| self.index.get(&part.upstream));
         if let Some(&index) = first {
-            self.judge_pace(now, index);
+            self.update_slowness(now, index);
         }
     }
 
     /// Records the token rate of an answer and updates whether the upstream counts as slow.
-    fn answered(&mut self, now: clock::Moment, index: usize, tokens: u64, took: clock::Span) {
+    fn record_answer(&mut self, now: clock::Moment, index: usize, tokens: u64, took: clock::Span) {
         let seconds = took.as_secs_f64() / tokens.max(1) as f64;
         let usual = self.forecast.gap();
-        self.upstreams[index].pace.answered(now, tokens, seconds, usual);
-        self.judge_pace(now, index);
+        self.upstreams[index].slowness.record_answer(now, tokens, seconds, usual);
+        self.update_slowness(now, index);
     }
 
-    fn judge_pace(&mut self, now: clock::Moment, index: usize) {
-        if !self.upstreams[index].pace.looks_slow(now) {
+    fn update_slowness(&mut self, now: clock::Moment, index: usize) {
+        if !self.upstreams[index].slowness.needs_update(now) {
             return;
         }
-        let slow = self.upstreams.iter().filter(|upstream| upstream.pace.is_slow(now)).count();
+        let slow = self.upstreams.iter().filter(|upstream| upstream.slowness.is_slow(now)).count();
         let all = self.upstreams.len();
-        self.upstreams[index].pace.judge(now, slow, all);
+        self.upstreams[index].slowness.update(now, slow, all);
     }
 
     /// Records the end of a dispatched request.
     pub fn finish(&mut self, now: clock::Moment, ticket: Ticket, ending: Ending) {
-        let Some(work) = self.tickets.remove(&ticket) else { return };
+        let Some(work) = self.in_flight.remove(&ticket) else { return };
         if let (Ending::Done { answer_tokens, .. }, Some(first)) = (ending, work.first_token) {
             let took = now.since(first);
             if let Some(&index) = work.parts.first().and_then(|part| self.index.get(&part.upstream))
             {
-                self.answered(now, index, answer_tokens, took);
+                self.record_answer(now, index, answer_tokens, took);
             }
-            self.forecast.answered(answer_tokens, work.answer_tokens, took);
+            self.forecast.record_answer(answer_tokens, work.answer_tokens, took);
         }
         let failed = matches!(ending, Ending::Failed | Ending::Silent);
-        let out = if failed { self.out() } else { 0 };
+        let out = if failed { self.unavailable_count() } else { 0 };
         let all = self.upstreams.len();
         for (place, part) in work.parts.iter().enumerate() {
             let Some(&index) = self.index.get(&part.upstream) else { continue };
             let upstream = &mut self.upstreams[index];
-            upstream.ended(now, part.kv);
+            upstream.record_end(now, part.kv);
             if work.first_token.is_none() {
-                upstream.prefilled(now, part.load);
+                upstream.remove_prefill(now, part.load);
             }
             if ending == Ending::Silent {
-                upstream.pace.silent(now, ticket);
+                upstream.slowness.record_silence(now, ticket);
             }
-            upstream.pace.ended(ticket);
+            upstream.slowness.record_end(ticket);
             if place == 0 {
-                judge(upstream, now, ending, out, all);
+                update_health(upstream, now, ending, out, all);
             }
         }
     }
 
     /// Number of upstreams whose circuit is not closed.
-    fn out(&self) -> usize {
+    fn unavailable_count(&self) -> usize {
         self.upstreams.iter().filter(|upstream| upstream.health.is_out()).count()
     }
 
     /// Returns the waiting requests that can be dispatched or are refused now. Must be called after
     /// every change and at [`Scheduler::next_wake`].
     pub fn poll(&mut self, now: clock::Moment) -> Vec<Wake> {
-        self.polled = now;
+        self.last_poll = now;
         let mut wakes = mem::take(&mut self.displaced);
         self.expire(now, &mut wakes);
         if self.queue.is_empty() {
@@ -332,7 +332,7 @@
             return clock::Moment::START;
         }
         match self.queue.first_expiry() {
-            Some((expiry, _)) => expiry.min(self.polled + RECHECK),
+            Some((expiry, _)) => expiry.min(self.last_poll + POLL_INTERVAL),
             None => clock::Moment::NEVER,
         }
     }
@@ -344,12 +344,12 @@
 
     /// Number of dispatched requests that have not ended.
     pub fn dispatched(&self) -> usize {
-        self.tickets.len()
+        self.in_flight.len()
     }
 }
 
 /// Updates the upstream's health from the end of an attempt.
-fn judge(
+fn update_health(
     upstream: &mut upstream::Upstream,
     now: clock::Moment,
     ending: Ending,
@@ -358,8 +358,12 @@
 ) {
     match ending {
         Ending::Done { .. } => upstream.health.record_success(),
-        Ending::Failed => upstream.health.record_failure(now, out, all, upstream.local.is_none()),
-        Ending::Silent => upstream.health.record_silence(now, out, all, upstream.local.is_none()),
+        Ending::Failed => {
+            upstream.health.record_failure(now, out, all, upstream.local_index.is_none())
+        }
+        Ending::Silent => {
+            upstream.health.record_silence(now, out, all, upstream.local_index.is_none())
+        }
         Ending::Full => {
             upstream.full_until = now + FULL_SPAN;
             upstream.health.record_inconclusive(now);
@@ -373,6 +377,6 @@
 }
 
 /// Length class of a request, by its prompt.
-pub fn class(ask: &Request) -> document::Class {
-    document::Class::of(ask.prompt_tokens)
+pub fn class(request: &Request) -> document::Class {
+    document::Class::of(request.prompt_tokens)
 }
--- a/crates/lagoonline/src/load/scheduler/place.rs
+++ b/crates/lagoonline/src/load/scheduler/place.rs
@@ -17,40 +17,40 @@
 /// Priorities that are passed to engines, by length class.
 const PRIORITY: [u8; 4] = [208, 160, 96, 64];
 /// Priority of every request if the priority safeguard is off.
-const ONE_PRIORITY: u8 = 128;
+const DEFAULT_PRIORITY: u8 = 128;
 /// Priority bonus of a request that has aged in the queue of this host.
-const AGED: u8 = 24;
+const AGED_BONUS: u8 = 24;
 /// A waiter moves up by one class each time it has waited this fraction of its longest wait.
-const AGEING: u32 = 4;
+const AGEING_DIVISOR: u32 = 4;
 
 /// Weight of a long prompt's delay relative to a short one's if only first tokens count.
 const LONG_WEIGHT: f64 = 8.0;
 
 impl scheduler::Scheduler {
-    pub(super) fn enter(
+    pub(super) fn place_or_queue(
         &mut self,
         now: clock::Moment,
-        ask: scheduler::Request,
+        request: scheduler::Request,
     ) -> scheduler::Verdict {
-        if !self.upstreams.iter().any(|upstream| !upstream.leaving && !upstream.gone) {
+        if !self.upstreams.iter().any(|upstream| !upstream.leaving && !upstream.removed) {
             return self.refuse(outcome::Reason::NoUpstream, 1.0);
         }
-        let band = self.rank(now, &ask) as usize;
+        let band = self.rank(now, &request) as usize;
         let first = (0..=band).all(|band| self.queue.band_is_empty(band));
-        if first && let Some(placement) = self.place(now, &ask, false) {
-            self.forecast.dispatched(now, band, queue::cost(&ask), false);
+        if first && let Some(placement) = self.place(now, &request, false) {
+            self.forecast.record_dispatch(now, band, queue::cost(&request), false);
             return scheduler::Verdict::Dispatch(placement);
         }
-        let give_up = match self.admit(now, band, &ask) {
-            Ok(give_up) => give_up,
+        let expiry = match self.admit(now, band, &request) {
+            Ok(expiry) => expiry,
             Err(failure) => return scheduler::Verdict::Refuse(failure),
         };
-        if !self.make_room(&ask) {
+        if !self.make_room(&request) {
             return self.refuse(outcome::Reason::Saturated, 1.0);
         }
-        self.next += 1;
-        let waiter = scheduler::Waiter(self.next);
-        self.queue.push(band, queue::Item { waiter, ask, give_up });
+        self.next_id += 1;
+        let waiter = scheduler::Waiter(self.next_id);
+        self.queue.push(band, queue::Item { waiter, request, expiry });
         scheduler::Verdict::Wait(waiter)
     }
 
@@ -59,12 +59,12 @@
         while let Some((expiry, waiter)) = self.queue.first_expiry()
             && expiry <= now
         {
-            let deadline = self.queue.remove(waiter).map(|item| item.ask.deadline);
+            let deadline = self.queue.remove(waiter).map(|item| item.request.deadline);
             let passed = deadline.is_none_or(|deadline| deadline <= now);
             let reason =
                 if passed { outcome::Reason::DeadlinePassed } else { outcome::Reason::Saturated };
-            let draw = self.draw();
-            let mut failure = admit::refusal(reason, 1.0, draw);
+            let random = self.next_random();
+            let mut failure = admit::refusal(reason, 1.0, random);
             failure.step = outcome::Step::Queue;
             wakes.push(scheduler::Wake::Refuse(waiter, failure));
         }
@@ -77,7 +77,7 @@
         queue: &mut queue::Queue,
     ) -> Option<scheduler::Wake> {
         let mut held = false;
-        for (rank, band) in self.order(now, queue) {
+        for (rank, band) in self.band_order(now, queue) {
             // Memory for an aged long prompt only becomes free if no other long prompt takes it
             // first.
             if held && band > document::Class::Short as usize {
@@ -86,10 +86,10 @@
             let Some(item) = queue.head(band) else { continue };
             let waiter = item.waiter;
             let aged = rank < band as i64;
-            if let Some(placement) = self.place(now, &item.ask, aged) {
-                let cost = queue::cost(&item.ask);
+            if let Some(placement) = self.place(now, &item.request, aged) {
+                let cost = queue::cost(&item.request);
                 queue.pop(band);
-                self.forecast.dispatched(now, band, cost, !queue.band_is_empty(band));
+                self.forecast.record_dispatch(now, band, cost, !queue.band_is_empty(band));
                 return Some(scheduler::Wake::Dispatch(waiter, placement));
             }
             held |= aged;
@@ -97,47 +97,48 @@
         None
     }
 
-    pub(super) fn draw(&mut self) -> u64 {
+    pub(super) fn next_random(&mut self) -> u64 {
         // SplitMix64: takes a few instructions and gives the same numbers for the same seed.
-        self.draws = self.draws.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mixed = (self.draws ^ (self.draws >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed =
+            (self.random_state ^ (self.random_state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^ (mixed >> 31)
     }
 
-    pub(super) fn full(&self) -> bool {
+    pub(super) fn is_full_policy(&self) -> bool {
         self.settings.policy == settings::Policy::Full
     }
 
     /// Class as which a request is ranked: one class later for customers over their share, and the
     /// same for all requests if the priority safeguard is off.
-    fn rank(&self, now: clock::Moment, ask: &scheduler::Request) -> document::Class {
+    fn rank(&self, now: clock::Moment, request: &scheduler::Request) -> document::Class {
         let safeguards = self.settings.safeguards;
-        if !self.full() || !safeguards.priority {
+        if !self.is_full_policy() || !safeguards.priority {
             return document::Class::Short;
         }
-        let class = scheduler::class(ask);
-        if !safeguards.fair || !self.is_over(now, class, ask) {
+        let class = scheduler::class(request);
+        if !safeguards.fair || !self.is_over_share(now, class, request) {
             return class;
         }
         document::Class::ALL[(class as usize + 1).min(document::Class::ALL.len() - 1)]
     }
 
-    fn is_over(
+    fn is_over_share(
         &self,
         now: clock::Moment,
         class: document::Class,
-        ask: &scheduler::Request,
+        request: &scheduler::Request,
     ) -> bool {
-        self.usage[class as usize].is_over(now, &ask.customer, queue::cost(ask))
+        self.usage[class as usize].is_over(now, &request.customer, queue::cost(request))
     }
 
     /// Bands with the class to which their first waiter's age has moved them, most urgent first.
-    fn order(&self, now: clock::Moment, queue: &queue::Queue) -> [(i64, usize); queue::BANDS] {
+    fn band_order(&self, now: clock::Moment, queue: &queue::Queue) -> [(i64, usize); queue::BANDS] {
         let mut order = [(0, 0); queue::BANDS];
         for (band, slot) in order.iter_mut().enumerate() {
-            let arrived = queue.head(band).map_or(now, |item| item.ask.arrived);
-            let step = (self.settings.longest_wait[band] / AGEING).as_micros().max(1);
+            let arrived = queue.head(band).map_or(now, |item| item.request.arrived);
+            let step = (self.settings.longest_wait[band] / AGEING_DIVISOR).as_micros().max(1);
             let moved = now.since(arrived).as_micros() / step;
             *slot = (band as i64 - moved.min(4) as i64, band);
         }
@@ -148,69 +149,70 @@
     fn place(
         &mut self,
         now: clock::Moment,
-        ask: &scheduler::Request,
+        request: &scheduler::Request,
         aged: bool,
     ) -> Option<scheduler::Placement> {
-        let need = self.need(now, ask);
-        let draw = self.draw();
-        let full = self.full();
-        let clear = if full { self.clear(now) } else { 0 };
-        let mut rules = self.rules_with(now, clear);
-        rules.aged = aged;
-        let route = if need.kv > self.largest {
-            rules.group(&need)?
+        let need = self.need(now, request);
+        let random = self.next_random();
+        let full = self.is_full_policy();
+        let clear_count = if full { self.clear_engines(now) } else { 0 };
+        let mut router = self.router_with(now, clear_count);
+        router.aged = aged;
+        let route = if need.kv > self.largest_kv {
+            router.group(&need)?
         } else if full {
-            rules.choose(&need, draw)?
+            router.choose(&need, random)?
         } else {
-            let (policy, turn) = (self.settings.policy, self.next);
-            let index = baseline::choose(policy, now, &self.upstreams, turn, draw)?;
+            let (policy, turn) = (self.settings.policy, self.next_id);
+            let index = baseline::choose(policy, now, &self.upstreams, turn, random)?;
             let upstream = &self.upstreams[index];
             // Without a prediction a long prompt would be abandoned as silent.
-            let seconds = rules.seconds(upstream, &need, upstream.rate(now));
-            route::Route::One { index, seconds }
+            let seconds = router.seconds(upstream, &need, upstream.rate(now));
+            route::Route::Single { index, seconds }
         };
-        if full && self.settings.safeguards.admit && self.is_late(now, ask, &need, &route) {
+        if full && self.settings.safeguards.admit && self.is_late(now, request, &need, &route) {
             return None;
         }
-        Some(self.dispatch(now, ask, &need, route, aged))
+        Some(self.dispatch(now, request, &need, route, aged))
     }
 
     /// Share of an engine's rate that a request is guaranteed: for longer prompts only the floor.
-    pub(super) fn sure_part(&self, need: &route::Need) -> f64 {
-        let longer = 1.0 - self.share.up_to(document::Class::Short);
-        if need.rank == document::Class::Short { 1.0 } else { floor::part(longer) }
+    pub(super) fn guaranteed_rate_share(&self, need: &route::Need) -> f64 {
+        let longer = 1.0 - self.clear_share.up_to(document::Class::Short);
+        if need.rank == document::Class::Short { 1.0 } else { floor::share(longer) }
     }
 
     /// Whether the answer would end after the deadline on this route.
     fn is_late(
         &self,
         now: clock::Moment,
-        ask: &scheduler::Request,
+        request: &scheduler::Request,
         need: &route::Need,
         route: &route::Route,
     ) -> bool {
-        let (route::Route::One { seconds, .. } | route::Route::Group { seconds, .. }) = *route;
-        let end = seconds / self.sure_part(need) + self.forecast.answer(ask.answer_tokens);
-        end > ask.deadline.since(now).as_secs_f64()
+        let (route::Route::Single { seconds, .. } | route::Route::Group { seconds, .. }) = *route;
+        let end = seconds / self.guaranteed_rate_share(need)
+            + self.forecast.answer(request.answer_tokens);
+        end > request.deadline.since(now).as_secs_f64()
     }
 
     fn dispatch(
         &mut self,
         now: clock::Moment,
-        ask: &scheduler::Request,
+        request: &scheduler::Request,
         need: &route::Need,
         route: route::Route,
         aged: bool,
     ) -> scheduler::Placement {
-        self.next += 1;
-        let ticket = scheduler::Ticket(self.next);
-        let parts = self.take(now, need, &route);
-        if let route::Route::One { index, seconds } = route {
+        self.next_id += 1;
+        let ticket = scheduler::Ticket(self.next_id);
+        let parts = self.charge(now, need, &route);
+        if let route::Route::Single { index, seconds } = route {
             let upstream = &mut self.upstreams[index];
             upstream.health.record_sent();
             if need.rank == document::Class::Short {
-                let expected = (seconds - upstream.delay) / upstream.pace.slowness(now);
-                upstream.pace.sent(now, ticket, expected);
+                let expected = (seconds - upstream.delay_seconds) / upstream.slowness.factor(now);
+                upstream.slowness.record_dispatch(now, ticket, expected);
             }
         }
         let is_group = parts.len() > 1;
@@ -219,12 +221,12 @@
         let upstream = names.next().unwrap_or_default();
         let members = names.collect();
         let priority = self.priority(need.rank, aged);
-        let answer_tokens = ask.answer_tokens;
-        let prefixes = ask.prefixes.clone();
-        let work = scheduler::Work { parts, answer_tokens, first_token: None, prefixes };
-        self.tickets.insert(ticket, work);
-        let (route::Route::One { seconds, .. } | route::Route::Group { seconds, .. }) = route;
-        let silence = silence::first_token(seconds / self.sure_part(need));
+        let answer_tokens = request.answer_tokens;
+        let prefixes = request.prefixes.clone();
+        let work = scheduler::InFlight { parts, answer_tokens, first_token: None, prefixes };
+        self.in_flight.insert(ticket, work);
+        let (route::Route::Single { seconds, .. } | route::Route::Group { seconds, .. }) = route;
+        let silence = silence::first_token(seconds / self.guaranteed_rate_share(need));
         let gap = silence::between_tokens(self.forecast.gap());
         scheduler::Placement { ticket, upstream, members, spans, priority, silence, gap }
     }
@@ -235,10 +237,10 @@
         &self,
         now: clock::Moment,
         ticket: scheduler::Ticket,
-        ask: &scheduler::Request,
+        request: &scheduler::Request,
     ) -> bool {
-        let Some(work) = self.tickets.get(&ticket) else { return false };
-        let limited = self.full() && self.settings.safeguards.retry_budget;
+        let Some(work) = self.in_flight.get(&ticket) else { return false };
+        let limited = self.is_full_policy() && self.settings.safeguards.retry_budget;
         if limited && !self.budget.has_retry() {
             return false;
         }
@@ -246,16 +248,20 @@
         let safeguards = self.settings.safeguards;
         let others = self.upstreams.iter().filter(|upstream| {
             Some(&upstream.name) != silent
-                && upstream.is_open(now, safeguards.outlier)
+                && upstream.is_available(now, safeguards.outlier)
                 && upstream.free_slots(now, safeguards.ramp) > 0
         });
-        let need = ask.prompt_tokens + ask.answer_tokens;
+        let need = request.prompt_tokens + request.answer_tokens;
         let mut free = others.map(|upstream| upstream.free_kv(now));
-        if need > self.largest { free.sum::<u64>() >= need } else { free.any(|free| free >= need) }
+        if need > self.largest_kv {
+            free.sum::<u64>() >= need
+        } else {
+            free.any(|free| free >= need)
+        }
     }
 
     /// Charges the request to all its engines.
-    fn take(
+    fn charge(
         &mut self,
         now: clock::Moment,
         need: &route::Need,
@@ -263,18 +269,18 @@
     ) -> Vec<scheduler::Part> {
         let one = |index: usize| [(index, need.kv)];
         match route {
-            route::Route::One { index, .. } => self.take_spans(now, need, &one(*index)),
-            route::Route::Group { plan, .. } => self.take_spans(now, need, plan.spans()),
+            route::Route::Single { index, .. } => self.charge_spans(now, need, &one(*index)),
+            route::Route::Group { plan, .. } => self.charge_spans(now, need, plan.spans()),
         }
     }
 
-    fn take_spans(
+    fn charge_spans(
         &mut self,
         now: clock::Moment,
         need: &route::Need,
         spans: &[(usize, u64)],
     ) -> Vec<scheduler::Part> {
-        let short_part = self.short_part();
+        let short_rate_share = self.short_rate_share();
         let mut parts = Vec::with_capacity(spans.len());
         for &(index, kv) in spans {
             let upstream = &mut self.upstreams[index];
@@ -282,11 +288,11 @@
             let prefill = left.min(kv);
             upstream.requests += 1;
             let load = upstream::Load { class: need.class, rank: need.rank, tokens: prefill };
-            upstream.add(now, load, kv);
+            upstream.add_prefill(now, load, kv);
             if need.rank == document::Class::Short {
                 let hosts = f64::from(self.settings.hosts_in_zone.max(1));
-                let rate = short_part * upstream.nominal / hosts;
-                upstream.floor.sent(now, prefill as f64, rate);
+                let rate = short_rate_share * upstream.nominal_rate / hosts;
+                upstream.short_excess.record_sent(now, prefill as f64, rate);
             }
             parts.push(scheduler::Part { upstream: upstream.name.clone(), kv, load });
         }
@@ -294,83 +300,83 @@
     }
 
     fn priority(&self, rank: document::Class, aged: bool) -> u8 {
-        if !self.full() || !self.settings.safeguards.priority {
-            return ONE_PRIORITY;
+        if !self.is_full_policy() || !self.settings.safeguards.priority {
+            return DEFAULT_PRIORITY;
         }
-        PRIORITY[rank as usize] + if aged { AGED } else { 0 }
+        PRIORITY[rank as usize] + if aged { AGED_BONUS } else { 0 }
     }
 
-    fn clear(&mut self, now: clock::Moment) -> usize {
+    fn clear_engines(&mut self, now: clock::Moment) -> usize {
         if !self.settings.safeguards.clear {
             return 0;
         }
-        self.share.engines(now, self.locals, self.weights.short_share())
+        self.clear_share.engines(now, self.local_count, self.weights.short_share())
     }
 
     /// Share of an engine's rate that short prompts may use.
-    fn short_part(&self) -> f64 {
-        let longer = 1.0 - self.share.up_to(document::Class::Short);
+    fn short_rate_share(&self) -> f64 {
+        let longer = 1.0 - self.clear_share.up_to(document::Class::Short);
         let floor = self.settings.safeguards.floor && longer > 0.0;
-        if floor { 1.0 - floor::part(longer) } else { 1.0 }
+        if floor { 1.0 - floor::share(longer) } else { 1.0 }
     }
 
-    pub(super) fn rules(&self, now: clock::Moment) -> route::Rules<'_> {
-        self.rules_with(now, 0)
+    pub(super) fn router(&self, now: clock::Moment) -> route::Router<'_> {
+        self.router_with(now, 0)
     }
 
-    fn rules_with(&self, now: clock::Moment, clear: usize) -> route::Rules<'_> {
-        let short_part = self.short_part();
+    fn router_with(&self, now: clock::Moment, clear_count: usize) -> route::Router<'_> {
+        let short_rate_share = self.short_rate_share();
         let long_weight = LONG_WEIGHT * (1.0 - self.weights.short_share());
-        route::Rules {
+        route::Router {
             settings: &self.settings,
             upstreams: &self.upstreams,
-            locals: self.locals,
-            by_number: &self.by_number,
-            remote_seconds: self.nearest,
-            clear,
+            local_count: self.local_count,
+            index_by_number: &self.index_by_number,
+            remote_seconds: self.nearest_delay,
+            clear_count,
             aged: false,
-            short_part,
+            short_rate_share,
             long_weight,
             ahead_seconds: self.settings.ahead.as_secs_f64(),
             now,
         }
     }
 
-    pub(super) fn need(&self, now: clock::Moment, ask: &scheduler::Request) -> route::Need {
-        let affinity = self.full() && self.settings.safeguards.affinity;
-        let hits = if affinity { self.hits(&ask.prefixes) } else { Default::default() };
-        let kv = ask.prompt_tokens + ask.answer_tokens;
-        let (class, rank) = (scheduler::class(ask), self.rank(now, ask));
-        route::Need { class, rank, tokens: ask.prompt_tokens, kv, hits }
+    pub(super) fn need(&self, now: clock::Moment, request: &scheduler::Request) -> route::Need {
+        let affinity = self.is_full_policy() && self.settings.safeguards.affinity;
+        let hits = if affinity { self.prefix_hits(&request.prefixes) } else { Default::default() };
+        let kv = request.prompt_tokens + request.answer_tokens;
+        let (class, rank) = (scheduler::class(request), self.rank(now, request));
+        route::Need { class, rank, tokens: request.prompt_tokens, kv, hits }
     }
 
     /// Engines that hold the longest known prefix. A prefix is always cached together with the
     /// shorter ones, so the longest known one is found by binary search.
-    fn hits(&self, prefixes: &[(u64, u64)]) -> [(u32, u64); 4] {
+    fn prefix_hits(&self, prefixes: &[(u64, u64)]) -> [(u32, u64); 4] {
         let mut hits = [(0, 0); 4];
-        let known = &prefixes[..prefixes.len().min(scheduler::PREFIXES)];
+        let known = &prefixes[..prefixes.len().min(scheduler::MAX_PREFIXES)];
         let holds = |(hash, _): &(u64, u64)| {
-            self.prefixes.holders(*hash).iter().flatten().any(|place| self.is_current(place))
+            self.prefixes.holders(*hash).iter().flatten().any(|location| self.is_current(location))
         };
         let length = known.partition_point(holds);
         let Some((hash, tokens)) = length.checked_sub(1).map(|index| known[index]) else {
             return hits;
         };
-        let places = self.prefixes.holders(hash);
-        let current = places.iter().flatten().filter(|place| self.is_current(place));
-        for (hit, place) in hits.iter_mut().zip(current) {
-            *hit = (place.engine, tokens);
+        let locations = self.prefixes.holders(hash);
+        let current = locations.iter().flatten().filter(|location| self.is_current(location));
+        for (hit, location) in hits.iter_mut().zip(current) {
+            *hit = (location.engine, tokens);
         }
         hits
     }
 
-    fn is_current(&self, place: &prefix::Place) -> bool {
-        let index = self.by_number.get(&place.engine);
-        index.is_some_and(|&index| self.upstreams[index].epoch == place.epoch)
+    fn is_current(&self, location: &prefix::Location) -> bool {
+        let index = self.index_by_number.get(&location.engine);
+        index.is_some_and(|&index| self.upstreams[index].epoch == location.epoch)
     }
 
     fn refuse(&mut self, reason: outcome::Reason, seconds: f64) -> scheduler::Verdict {
-        let draw = self.draw();
-        scheduler::Verdict::Refuse(admit::refusal(reason, seconds, draw))
+        let random = self.next_random();
+        scheduler::Verdict::Refuse(admit::refusal(reason, seconds, random))
     }
 }
--- a/crates/lagoonline/src/load/slowdown.rs
+++ b/crates/lagoonline/src/load/slowdown.rs
@@ -4,8 +4,8 @@
 //! first tokens of short prompts got slower, but cannot distinguish longer prompts from slower
 //! links. The time on an idle engine is the prefill at the engine's rate plus an overhead of links
 //! and batching that is the same for all prompts; the smallest recent overhead is used for it. With
-//! `RISE_FRACTION` that overhead follows a fleet that became permanently slower within a few thousand
-//! prompts, while a busy minute hardly changes it.
+//! `RISE_FRACTION` that overhead follows a fleet that became permanently slower within a few
+//! thousand prompts, while a busy minute hardly changes it.
 
 use crate::clock;
 
--- a/crates/lagoonline/src/load/upstream.rs
+++ b/crates/lagoonline/src/load/upstream.rs
@@ -15,11 +15,11 @@
 use crate::port::engine;
 
 /// Tokens that an engine prefills in one step, for which a new request of any priority waits.
-const CHUNK: f64 = 1_024.0;
+const CHUNK_TOKENS: f64 = 1_024.0;
 
 /// Prefill of other hosts that can consist of short prompts only, in seconds of the engine's rate:
 /// each host's own bound on outstanding prefill, with a margin for the lag.
-const SHORT_SECONDS: f64 = 0.4;
+const MAX_SHORT_SECONDS: f64 = 0.4;
 /// Weight of one report in the typical prefill of other hosts.
 const TYPICAL_GAIN: f64 = 0.05;
 /// How old the state that a report shows may be. With 500 ms, hosts that share engines mistake too
@@ -28,7 +28,7 @@
 const REPORT_LAG: clock::Span = clock::Span::from_millis(200);
 /// How long a report is valid without a newer one: several reports may be lost, and a short prompt
 /// that waits for it to expire is still answered.
-const REPORT_LIFE: clock::Span = clock::Span::from_secs(2);
+const REPORT_VALIDITY: clock::Span = clock::Span::from_secs(2);
 
 /// Recent maximum of this host's own work on an upstream.
 ///
@@ -40,24 +40,24 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Peak {
     since: clock::Moment,
-    before: u64,
-    now: u64,
+    previous: u64,
+    current: u64,
 }
 
 impl Peak {
-    fn saw(&mut self, now: clock::Moment, amount: u64) {
+    fn record(&mut self, now: clock::Moment, amount: u64) {
         let age = now.since(self.since);
         if age >= REPORT_LAG {
-            self.before = if age < REPORT_LAG * 2 { self.now } else { 0 };
-            (self.now, self.since) = (0, now);
+            self.previous = if age < REPORT_LAG * 2 { self.current } else { 0 };
+            (self.current, self.since) = (0, now);
         }
-        self.now = self.now.max(amount);
+        self.current = self.current.max(amount);
     }
 
     /// The recent maximum, where `amount` is the current value.
-    fn most(&mut self, now: clock::Moment, amount: u64) -> u64 {
-        self.saw(now, amount);
-        self.before.max(self.now)
+    fn max(&mut self, now: clock::Moment, amount: u64) -> u64 {
+        self.record(now, amount);
+        self.previous.max(self.current)
     }
 }
 
@@ -80,50 +80,51 @@
     /// Raised when what is known about its cache becomes invalid.
     pub epoch: u32,
     /// Its index among the upstreams of this host's zone; none for those of other zones.
-    pub local: Option<usize>,
+    pub local_index: Option<usize>,
     /// Time by which its wait must be shorter than a local one's, in seconds.
-    pub delay: f64,
+    pub delay_seconds: f64,
     pub slots: u32,
     pub kv_tokens: u64,
     pub role: engine::Role,
     pub leaving: bool,
     /// No longer in the fleet; kept until its work ends.
-    pub gone: bool,
-    pub joined: Option<clock::Moment>,
+    pub removed: bool,
+    pub joined_at: Option<clock::Moment>,
     pub full_until: clock::Moment,
     pub health: outlier::Health,
-    pub pace: rate::Pace,
+    pub slowness: rate::Slowness,
     /// This host's requests, its prefill before first tokens in tokens by rank, and its KV tokens.
     pub requests: u32,
     pub pending: [u64; 4],
     /// The same prefill by length class, regardless of the customer's share.
-    lengths: [u64; 4],
+    pending_by_length: [u64; 4],
     pub kv: u64,
-    pub nominal: f64,
+    pub nominal_rate: f64,
     pub incarnation: u64,
-    others_requests: u32,
-    others_kv: u64,
-    reported: clock::Moment,
+    other_requests: u32,
+    other_kv: u64,
+    reported_at: clock::Moment,
     requests_peak: Peak,
     kv_peak: Peak,
-    own: [f64; 4],
-    others: [f64; 4],
-    pub floor: floor::Floor,
-    drained: clock::Moment,
+    own_prefill: [f64; 4],
+    other_prefill: [f64; 4],
+    pub short_excess: floor::ShortExcess,
+    drained_to: clock::Moment,
 }
 
 impl Upstream {
     /// Learned prefill rate, in tokens per second.
     pub fn rate(&self, now: clock::Moment) -> f64 {
-        self.nominal / self.pace.slowness(now)
+        self.nominal_rate / self.slowness.factor(now)
     }
 
     /// Outstanding prefill of this class and shorter ones, in tokens, if the engine works at
     /// `rate`.
     pub fn ahead(&self, now: clock::Moment, class: document::Class, rate: f64) -> f64 {
-        let upto = class as usize;
-        let all: f64 = (0..=upto).map(|class| self.own[class] + self.others[class]).sum();
-        let drained = rate::seconds(self.drained, now) * rate;
+        let last = class as usize;
+        let all: f64 =
+            (0..=last).map(|class| self.own_prefill[class] + self.other_prefill[class]).sum();
+        let drained = rate::seconds(self.drained_to, now) * rate;
         (all - drained).max(0.0)
     }
 
@@ -136,13 +137,13 @@
         tokens: f64,
         rate: f64,
     ) -> f64 {
-        let residual = if self.has_later(class) { CHUNK / 2.0 } else { 0.0 };
-        (self.ahead(now, class, rate) + tokens + residual) / rate.max(1.0) + self.delay
+        let residual = if self.has_later(class) { CHUNK_TOKENS / 2.0 } else { 0.0 };
+        (self.ahead(now, class, rate) + tokens + residual) / rate.max(1.0) + self.delay_seconds
     }
 
     /// Outstanding long prefill, by this host's count and the last report, in tokens.
     pub fn long_pending(&self, now: clock::Moment) -> f64 {
-        (self.pending[2] + self.pending[3]) as f64 + self.others_long(now)
+        (self.pending[2] + self.pending[3]) as f64 + self.other_long_prefill(now)
     }
 
     /// Long prefill of other hosts that is not done since the report.
@@ -150,12 +151,12 @@
     /// Failure answered: a report counts work of this host as that of others, because the engine is
     /// slower than predicted. Symptom: while nothing is sent there, nothing removes that work, so a
     /// long prompt waits although the engine is idle, until it is refused.
-    fn others_long(&self, now: clock::Moment) -> f64 {
-        let others = self.others[2] + self.others[3];
-        if others <= 0.0 || !self.is_current(now) {
+    fn other_long_prefill(&self, now: clock::Moment) -> f64 {
+        let others = self.other_prefill[2] + self.other_prefill[3];
+        if others <= 0.0 || !self.is_report_valid(now) {
             return 0.0;
         }
-        (others - rate::seconds(self.drained, now) * self.rate(now)).max(0.0)
+        (others - rate::seconds(self.drained_to, now) * self.rate(now)).max(0.0)
     }
 
     /// Outstanding prefill of all but the first rank, in tokens.
@@ -165,47 +166,48 @@
 
     /// Slots that are free for this host.
     pub fn free_slots(&self, now: clock::Moment, ramped: bool) -> u32 {
-        let joined = if ramped { self.joined } else { None };
+        let joined = if ramped { self.joined_at } else { None };
         let slots = ramp::slots(self.slots, joined, now);
-        let others = if self.is_current(now) { self.others_requests } else { 0 };
+        let others = if self.is_report_valid(now) { self.other_requests } else { 0 };
         slots.saturating_sub(self.requests + others)
     }
 
     /// Free KV memory, in tokens.
     pub fn free_kv(&self, now: clock::Moment) -> u64 {
-        let others = if self.is_current(now) { self.others_kv } else { 0 };
+        let others = if self.is_report_valid(now) { self.other_kv } else { 0 };
         self.kv_tokens.saturating_sub(self.kv + others)
     }
 
     /// Whether the last report is still valid. If the observer crashes, an engine that was full at
     /// that moment would otherwise look full forever.
-    fn is_current(&self, now: clock::Moment) -> bool {
-        now.since(self.reported) < REPORT_LIFE
+    fn is_report_valid(&self, now: clock::Moment) -> bool {
+        now.since(self.reported_at) < REPORT_VALIDITY
     }
 
     /// Records that a request of this host ended there.
-    pub fn ended(&mut self, now: clock::Moment, kv: u64) {
-        self.requests_peak.saw(now, u64::from(self.requests));
-        self.kv_peak.saw(now, self.kv);
+    pub fn record_end(&mut self, now: clock::Moment, kv: u64) {
+        self.requests_peak.record(now, u64::from(self.requests));
+        self.kv_peak.record(now, self.kv);
         self.requests = self.requests.saturating_sub(1);
         self.kv = self.kv.saturating_sub(kv);
     }
 
     /// Whether new requests may be sent there.
-    pub fn is_open(&self, now: clock::Moment, outliers: bool) -> bool {
+    pub fn is_available(&self, now: clock::Moment, outliers: bool) -> bool {
         let healthy = !outliers || self.health.allows(now);
-        !self.gone && !self.leaving && healthy && self.full_until <= now
+        !self.removed && !self.leaving && healthy && self.full_until <= now
     }
 
     /// Whether prompts of a later rank are pending here.
     pub fn has_later(&self, rank: document::Class) -> bool {
-        (rank as usize + 1..4).any(|rank| self.pending[rank] > 0 || self.others[rank] > 0.0)
+        (rank as usize + 1..4).any(|rank| self.pending[rank] > 0 || self.other_prefill[rank] > 0.0)
     }
 
     /// Whether prompts of a longer class are pending here, by this host's count and the last
     /// report.
     pub fn has_longer(&self, class: document::Class) -> bool {
-        (class as usize + 1..4).any(|class| self.lengths[class] > 0 || self.others[class] > 0.0)
+        (class as usize + 1..4)
+            .any(|class| self.pending_by_length[class] > 0 || self.other_prefill[class] > 0.0)
     }
 
     /// Applies a load report. Reports do not distinguish prompts by length, but every host keeps
@@ -214,49 +216,49 @@
     pub fn observe(&mut self, now: clock::Moment, load: &engine::Load, typical: &mut f64) {
         self.drain(now);
         if load.prefill_rate > 0.0 {
-            self.nominal = load.prefill_rate;
+            self.nominal_rate = load.prefill_rate;
         }
         if load.kv_tokens > 0 {
             self.kv_tokens = load.kv_tokens;
             let used = load.kv_tokens.saturating_sub(load.kv_free_tokens);
-            self.others_kv = used.saturating_sub(self.kv_peak.most(now, self.kv));
+            self.other_kv = used.saturating_sub(self.kv_peak.max(now, self.kv));
         }
-        self.reported = now;
-        let own = self.requests_peak.most(now, u64::from(self.requests));
+        self.reported_at = now;
+        let own = self.requests_peak.max(now, u64::from(self.requests));
         let own = u32::try_from(own).unwrap_or(u32::MAX);
-        self.others_requests = load.running.saturating_add(load.waiting).saturating_sub(own);
-        let own: f64 = self.own.iter().sum();
+        self.other_requests = load.running.saturating_add(load.waiting).saturating_sub(own);
+        let own: f64 = self.own_prefill.iter().sum();
         let others = (load.prefill_tokens as f64 - own).max(0.0);
-        if others <= self.nominal * SHORT_SECONDS {
+        if others <= self.nominal_rate * MAX_SHORT_SECONDS {
             *typical += TYPICAL_GAIN * (others - *typical);
-            self.others = [others, 0.0, 0.0, 0.0];
+            self.other_prefill = [others, 0.0, 0.0, 0.0];
         } else {
-            self.others = [typical.min(others), 0.0, (others - *typical).max(0.0), 0.0];
+            self.other_prefill = [typical.min(others), 0.0, (others - *typical).max(0.0), 0.0];
         }
     }
 
     /// Adds prefill and memory of a request of this host.
-    pub fn add(&mut self, now: clock::Moment, load: Load, kv: u64) {
+    pub fn add_prefill(&mut self, now: clock::Moment, load: Load, kv: u64) {
         self.drain(now);
-        self.own[load.rank as usize] += load.tokens as f64;
+        self.own_prefill[load.rank as usize] += load.tokens as f64;
         self.pending[load.rank as usize] += load.tokens;
-        self.lengths[load.class as usize] += load.tokens;
+        self.pending_by_length[load.class as usize] += load.tokens;
         self.kv += kv;
     }
 
     /// Records that prefill of this host is done or abandoned.
-    pub fn prefilled(&mut self, now: clock::Moment, load: Load) {
+    pub fn remove_prefill(&mut self, now: clock::Moment, load: Load) {
         self.drain(now);
         let (class, rank) = (load.class as usize, load.rank as usize);
-        self.lengths[class] = self.lengths[class].saturating_sub(load.tokens);
+        self.pending_by_length[class] = self.pending_by_length[class].saturating_sub(load.tokens);
         self.pending[rank] = self.pending[rank].saturating_sub(load.tokens);
-        self.own[rank] = self.own[rank].min(self.pending[rank] as f64);
+        self.own_prefill[rank] = self.own_prefill[rank].min(self.pending[rank] as f64);
     }
 
     /// Advances the outstanding prefill, shorter classes first as in the engine.
     fn drain(&mut self, now: clock::Moment) {
-        let mut work = rate::seconds(self.drained, now) * self.rate(now);
-        for (own, others) in self.own.iter_mut().zip(&mut self.others) {
+        let mut work = rate::seconds(self.drained_to, now) * self.rate(now);
+        for (own, others) in self.own_prefill.iter_mut().zip(&mut self.other_prefill) {
             let all = *own + *others;
             if all > 0.0 {
                 let left = (1.0 - work / all).max(0.0);
@@ -265,6 +267,6 @@
                 *others *= left;
             }
         }
-        self.drained = now;
+        self.drained_to = now;
     }
 }
--- a/crates/lagoonline/src/load/usage.rs
+++ b/crates/lagoonline/src/load/usage.rs
@@ -17,14 +17,14 @@
 /// customer which stops sending soon has normal rank again.
 const HALF_LIFE: f64 = 5.0;
 /// Multiple of the fair share from which on a customer is over it.
-const OVER: f64 = 2.5;
+const OVER_FACTOR: f64 = 2.5;
 /// Decayed tokens below which a customer counts as inactive.
-const AWAY: f64 = 1.0;
+const INACTIVE_TOKENS: f64 = 1.0;
 /// Number of customers from which on inactive ones are dropped.
-const KEPT: usize = 64;
+const MIN_KEPT: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
-struct Use {
+struct Entry {
     tokens: f64,
     weight: u32,
     at: clock::Moment,
@@ -34,11 +34,11 @@
 /// because otherwise one very long prompt of a customer would delay its short prompts for minutes.
 #[derive(Debug, Default)]
 pub struct Usage {
-    uses: collections::HashMap<id::Customer, Use>,
+    entries: collections::HashMap<id::Customer, Entry>,
     total: f64,
     weights: u64,
     at: clock::Moment,
-    limit: usize,
+    cleanup_size: usize,
 }
 
 impl Usage {
@@ -50,15 +50,15 @@
         weight: u32,
         tokens: u64,
     ) {
-        self.total = self.total * fade(self.at, now) + tokens as f64;
+        self.total = self.total * decay(self.at, now) + tokens as f64;
         self.at = now;
-        if let Some(used) = self.uses.get_mut(customer) {
-            used.tokens = used.tokens * fade(used.at, now) + tokens as f64;
-            used.at = now;
+        if let Some(entry) = self.entries.get_mut(customer) {
+            entry.tokens = entry.tokens * decay(entry.at, now) + tokens as f64;
+            entry.at = now;
             return;
         }
-        self.forget(now);
-        self.uses.insert(customer.clone(), Use { tokens: tokens as f64, weight, at: now });
+        self.drop_inactive(now);
+        self.entries.insert(customer.clone(), Entry { tokens: tokens as f64, weight, at: now });
         self.weights += u64::from(weight);
     }
 
@@ -76,23 +76,23 @@
     /// assert!(!usage.is_over(Moment::START, &few, 100));
     /// ```
     pub fn is_over(&self, now: clock::Moment, customer: &id::Customer, tokens: u64) -> bool {
-        let Some(used) = self.uses.get(customer) else { return false };
-        let total = self.total * fade(self.at, now);
-        let fair = total * f64::from(used.weight) / self.weights.max(1) as f64;
-        used.tokens * fade(used.at, now) > OVER * (fair + tokens as f64)
+        let Some(entry) = self.entries.get(customer) else { return false };
+        let total = self.total * decay(self.at, now);
+        let fair = total * f64::from(entry.weight) / self.weights.max(1) as f64;
+        entry.tokens * decay(entry.at, now) > OVER_FACTOR * (fair + tokens as f64)
     }
 
     /// Drops inactive customers, each time the number of customers has doubled.
-    fn forget(&mut self, now: clock::Moment) {
-        if self.uses.len() < self.limit.max(KEPT) {
+    fn drop_inactive(&mut self, now: clock::Moment) {
+        if self.entries.len() < self.cleanup_size.max(MIN_KEPT) {
             return;
         }
-        self.uses.retain(|_, used| used.tokens * fade(used.at, now) >= AWAY);
-        self.weights = self.uses.values().map(|used| u64::from(used.weight)).sum();
-        self.limit = 2 * self.uses.len();
+        self.entries.retain(|_, entry| entry.tokens * decay(entry.at, now) >= INACTIVE_TOKENS);
+        self.weights = self.entries.values().map(|entry| u64::from(entry.weight)).sum();
+        self.cleanup_size = 2 * self.entries.len();
     }
 }
 
-fn fade(then: clock::Moment, now: clock::Moment) -> f64 {
-    (-now.since(then).as_secs_f64() / HALF_LIFE).exp2()
+fn decay(from: clock::Moment, now: clock::Moment) -> f64 {
+    (-now.since(from).as_secs_f64() / HALF_LIFE).exp2()
 }
--- a/crates/lagoonline/tests/load_cold.rs
+++ b/crates/lagoonline/tests/load_cold.rs
@@ -21,7 +21,7 @@
     scheduler
 }
 
-fn ask(now: Moment, answer_tokens: u64) -> load::Request {
+fn request(now: Moment, answer_tokens: u64) -> load::Request {
     load::Request {
         customer: id::Customer::from("crew"),
         team: id::Team::from("t"),
@@ -42,7 +42,7 @@
 #[test]
 fn a_first_call_is_not_refused_for_the_tokens_it_allows() {
     let mut scheduler = scheduler();
-    let verdict = scheduler.offer(Moment::START, ask(Moment::START, 100_000));
+    let verdict = scheduler.offer(Moment::START, request(Moment::START, 100_000));
     assert!(matches!(verdict, Verdict::Dispatch(_)), "{verdict:?}");
 }
 
@@ -52,7 +52,7 @@
 #[test]
 fn a_late_report_of_own_work_is_not_other_hosts_work() {
     let mut scheduler = scheduler();
-    let offers = (0..SLOTS).map(|_| scheduler.offer(Moment::START, ask(Moment::START, 8)));
+    let offers = (0..SLOTS).map(|_| scheduler.offer(Moment::START, request(Moment::START, 8)));
     let verdicts: Vec<_> = offers.collect();
     let now = Moment::from_millis(50);
     for verdict in verdicts {
@@ -64,7 +64,7 @@
     let full = engine::Load { running: 4, kv_tokens: 1_000_000, incarnation: 1, ..no_load() };
     scheduler.observe(now, &id::Upstream::from("e"), &full);
     let now = Moment::from_millis(60);
-    let verdict = scheduler.offer(now, ask(now, 8));
+    let verdict = scheduler.offer(now, request(now, 8));
     assert!(matches!(verdict, Verdict::Dispatch(_)), "{verdict:?}");
 }
 
@@ -77,7 +77,7 @@
     let full = engine::Load { running: 4, kv_tokens: 1_000_000, incarnation: 1, ..no_load() };
     let now = Moment::from_millis(1_000);
     scheduler.observe(now, &id::Upstream::from("e"), &full);
-    let verdict = scheduler.offer(now, ask(now, 8));
+    let verdict = scheduler.offer(now, request(now, 8));
     assert!(matches!(verdict, Verdict::Wait(_)), "{verdict:?}");
     assert_eq!(scheduler.poll(Moment::from_millis(2_900)), []);
     let wakes = scheduler.poll(Moment::from_millis(3_100));
@@ -93,7 +93,7 @@
     let long = |now| load::Request {
         prompt_tokens: 300_000,
         deadline: now + Span::from_secs(600),
-        ..ask(now, 8)
+        ..request(now, 8)
     };
     let first = scheduler.offer(Moment::START, long(Moment::START));
     let Verdict::Dispatch(first) = first else { panic!("{first:?}") };
--- a/crates/lagoonline/tests/load_fuzz.rs
+++ b/crates/lagoonline/tests/load_fuzz.rs
@@ -23,9 +23,9 @@
     Advance { ms: u64 },
     FirstToken { pick: usize },
     Finish { pick: usize, ending: u8 },
-    Again { pick: usize, ending: u8 },
-    Leave { pick: usize },
-    Leaving { upstream: usize, leaving: bool },
+    Retry { pick: usize, ending: u8 },
+    Cancel { pick: usize },
+    SetLeaving { upstream: usize, leaving: bool },
     Observe { upstream: usize, running: u32, prefill: u64, incarnation: u64 },
     Fleet { mask: u8 },
 }
@@ -52,10 +52,10 @@
             4 => (0..3_000_u64).prop_map(|ms| Step::Advance { ms }),
             3 => pick.prop_map(|pick| Step::FirstToken { pick }),
             4 => (pick, 0..5_u8).prop_map(|(pick, ending)| Step::Finish { pick, ending }),
-            2 => (pick, 0..5_u8).prop_map(|(pick, ending)| Step::Again { pick, ending }),
-            1 => pick.prop_map(|pick| Step::Leave { pick }),
+            2 => (pick, 0..5_u8).prop_map(|(pick, ending)| Step::Retry { pick, ending }),
+            1 => pick.prop_map(|pick| Step::Cancel { pick }),
             1 => (0..UPSTREAMS, any::<bool>()).prop_map(|(upstream, leaving)| {
-                Step::Leaving { upstream, leaving }
+                Step::SetLeaving { upstream, leaving }
             }),
             1 => (0..UPSTREAMS, 0..5_u32, 0..300_000_u64, 1..3_u64).prop_map(
                 |(upstream, running, prefill, incarnation)| {
@@ -127,7 +127,7 @@
         }
     }
 
-    fn ask(&self, customer: u8, tokens: u64, deadline_ms: u64) -> load::Request {
+    fn request(&self, customer: u8, tokens: u64, deadline_ms: u64) -> load::Request {
         load::Request {
             customer: id::Customer::from(format!("c{customer}")),
             team: id::Team::from(format!("t{}", customer % 2)),
@@ -145,9 +145,9 @@
     fn step(&mut self, step: &Step) {
         match *step {
             Step::Offer { customer, tokens, deadline_ms } => {
-                let ask = self.ask(customer, tokens, deadline_ms);
-                let verdict = self.scheduler.offer(self.now, ask.clone());
-                self.verdict(verdict, ask);
+                let request = self.request(customer, tokens, deadline_ms);
+                let verdict = self.scheduler.offer(self.now, request.clone());
+                self.apply_verdict(verdict, request);
             }
             Step::Advance { ms } => self.now = self.now + Span::from_millis(ms),
             Step::FirstToken { pick } => {
@@ -158,27 +158,27 @@
             Step::Finish { pick, ending: number } => {
                 if let Some(ticket) = self.pick(pick) {
                     let (upstream, _) = self.running.remove(&ticket).unwrap();
-                    self.learn_leaving(upstream, number);
+                    self.record_leaving(upstream, number);
                     self.scheduler.finish(self.now, ticket, ending(number));
                 }
             }
-            Step::Again { pick, ending: number } => {
+            Step::Retry { pick, ending: number } => {
                 if let Some(ticket) = self.pick(pick) {
-                    let (upstream, ask) = self.running.remove(&ticket).unwrap();
-                    self.learn_leaving(upstream, number);
+                    let (upstream, request) = self.running.remove(&ticket).unwrap();
+                    self.record_leaving(upstream, number);
                     let ending = ending(number);
-                    let verdict = self.scheduler.retry(self.now, ticket, ending, ask.clone());
-                    self.verdict(verdict, ask);
+                    let verdict = self.scheduler.retry(self.now, ticket, ending, request.clone());
+                    self.apply_verdict(verdict, request);
                 }
             }
-            Step::Leave { pick } => {
+            Step::Cancel { pick } => {
                 let count = self.waiting.len().max(1);
                 if let Some(&waiter) = self.waiting.keys().nth(pick % count) {
                     self.waiting.remove(&waiter);
                     self.scheduler.cancel(waiter);
                 }
             }
-            Step::Leaving { upstream, leaving } => {
+            Step::SetLeaving { upstream, leaving } => {
                 let name = name(upstream);
                 self.scheduler.set_leaving(self.now, &name, leaving);
                 if leaving {
@@ -208,7 +208,7 @@
         self.poll();
     }
 
-    fn learn_leaving(&mut self, upstream: id::Upstream, number: u8) {
+    fn record_leaving(&mut self, upstream: id::Upstream, number: u8) {
         // An upstream that left the fleet and joined again has no earlier state.
         if number == 2 {
             self.scheduler.set_leaving(self.now, &upstream, true);
@@ -220,27 +220,27 @@
         self.running.keys().nth(pick % self.running.len().max(1)).copied()
     }
 
-    fn verdict(&mut self, verdict: Verdict, ask: load::Request) {
+    fn apply_verdict(&mut self, verdict: Verdict, request: load::Request) {
         match verdict {
-            Verdict::Dispatch(placement) => self.dispatched(placement, ask),
-            Verdict::Wait(waiter) => assert!(self.waiting.insert(waiter, ask).is_none()),
+            Verdict::Dispatch(placement) => self.record_dispatch(placement, request),
+            Verdict::Wait(waiter) => assert!(self.waiting.insert(waiter, request).is_none()),
             Verdict::Refuse(failure) => assert!(failure.retry_after.is_some()),
         }
     }
 
-    fn dispatched(&mut self, placement: load::Placement, ask: load::Request) {
+    fn record_dispatch(&mut self, placement: load::Placement, request: load::Request) {
         assert!(self.tickets.insert(placement.ticket), "a ticket was given twice");
         assert!(!self.leaving.contains(&placement.upstream), "a leaving upstream got work");
-        self.running.insert(placement.ticket, (placement.upstream, ask));
+        self.running.insert(placement.ticket, (placement.upstream, request));
     }
 
     fn poll(&mut self) {
         for wake in self.scheduler.poll(self.now) {
             match wake {
                 Wake::Dispatch(waiter, placement) => {
-                    let ask = self.waiting.remove(&waiter).expect("a waiter that is not known");
-                    assert!(ask.deadline > self.now, "sent after its deadline");
-                    self.dispatched(placement, ask);
+                    let request = self.waiting.remove(&waiter).expect("a waiter that is not known");
+                    assert!(request.deadline > self.now, "sent after its deadline");
+                    self.record_dispatch(placement, request);
                 }
                 Wake::Refuse(waiter, failure) => {
                     assert!(self.waiting.remove(&waiter).is_some(), "refused twice");
@@ -253,13 +253,13 @@
     fn check(&self) {
         let (requests, bytes) = self.scheduler.waiting();
         assert_eq!(requests, self.waiting.len(), "waiters lost");
-        assert_eq!(bytes, self.waiting.values().map(|ask| ask.bytes).sum::<u64>());
+        assert_eq!(bytes, self.waiting.values().map(|request| request.bytes).sum::<u64>());
         assert!(requests <= QUEUE && bytes <= QUEUE_BYTES);
         assert_eq!(self.scheduler.dispatched(), self.running.len(), "tickets lost");
-        let overdue = self.waiting.values().any(|ask| ask.deadline <= self.now);
+        let overdue = self.waiting.values().any(|request| request.deadline <= self.now);
         assert!(!overdue, "a waiter outlived its deadline");
         if !self.waiting.is_empty() {
-            let first = self.waiting.values().map(|ask| ask.deadline).min().unwrap();
+            let first = self.waiting.values().map(|request| request.deadline).min().unwrap();
             assert!(self.scheduler.next_wake() <= first);
         }
         for index in 0..UPSTREAMS {
--- a/crates/lagoonline/tests/load_group.rs
+++ b/crates/lagoonline/tests/load_group.rs
@@ -77,11 +77,11 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { tokens: u64, wait_ms: u64 },
+    Request { tokens: u64, wait_ms: u64 },
     Release { pick: usize },
     Renew { pick: usize },
-    Lose { engine: u64 },
-    Join { engine: u64 },
+    RemoveEngine { engine: u64 },
+    AddEngine { engine: u64 },
     Advance { ms: u64 },
 }
 
@@ -89,11 +89,11 @@
     let pick = any::<usize>();
     prop_oneof![
         4 => (100..1_700_u64, 0..90_000_u64)
-            .prop_map(|(tokens, wait_ms)| Step::Ask { tokens, wait_ms }),
+            .prop_map(|(tokens, wait_ms)| Step::Request { tokens, wait_ms }),
         2 => pick.prop_map(|pick| Step::Release { pick }),
         2 => pick.prop_map(|pick| Step::Renew { pick }),
-        1 => (0..ENGINES).prop_map(|engine| Step::Lose { engine }),
-        2 => (0..ENGINES).prop_map(|engine| Step::Join { engine }),
+        1 => (0..ENGINES).prop_map(|engine| Step::RemoveEngine { engine }),
+        2 => (0..ENGINES).prop_map(|engine| Step::AddEngine { engine }),
         2 => (0..10_000_u64).prop_map(|ms| Step::Advance { ms }),
     ]
 }
@@ -106,15 +106,15 @@
 }
 
 impl Holders {
-    fn hear(&mut self, notices: Vec<Notice>) {
+    fn apply(&mut self, notices: Vec<Notice>) {
         for notice in notices {
             match notice {
                 Notice::Granted(request, spans) => {
-                    let asked = self.waiting.remove(&request).expect("granted twice");
+                    let requested = self.waiting.remove(&request).expect("granted twice");
                     let held: u64 = spans.iter().map(|span| span.tokens).sum();
-                    assert_eq!(held, asked, "not the whole");
+                    assert_eq!(held, requested, "not the whole");
                     assert!(spans.is_sorted_by(|a, b| a.upstream < b.upstream));
-                    self.granted.insert(request, asked);
+                    self.granted.insert(request, requested);
                 }
                 Notice::Ended(request) => assert!(self.granted.remove(&request).is_some()),
                 Notice::TimedOut(request) | Notice::TooLarge(request) => {
@@ -130,7 +130,7 @@
         map.keys().nth(pick % map.len().max(1)).copied()
     };
     match *step {
-        Step::Ask { tokens, wait_ms } => {
+        Step::Request { tokens, wait_ms } => {
             let request = arbiter.request(tokens, *now + Span::from_millis(wait_ms));
             holders.waiting.insert(request, tokens);
         }
@@ -145,11 +145,11 @@
                 arbiter.renew(*now, request);
             }
         }
-        Step::Lose { engine } => holders.hear(arbiter.remove_engine(&name(engine))),
-        Step::Join { engine } => arbiter.add_engine(name(engine), MEMORY),
+        Step::RemoveEngine { engine } => holders.apply(arbiter.remove_engine(&name(engine))),
+        Step::AddEngine { engine } => arbiter.add_engine(name(engine), MEMORY),
         Step::Advance { ms } => *now = *now + Span::from_millis(ms),
     }
-    holders.hear(arbiter.poll(*now));
+    holders.apply(arbiter.poll(*now));
 }
 
 proptest! {
@@ -170,7 +170,7 @@
         }
         for _ in 0..steps.len() + 2 {
             now = now + LEASE + Span::from_secs(90);
-            holders.hear(arbiter.poll(now));
+            holders.apply(arbiter.poll(now));
         }
         prop_assert_eq!(arbiter.held(), (0, 0));
         prop_assert!(holders.waiting.is_empty() && holders.granted.is_empty());
--- a/crates/lagoonline/tests/load_limit.rs
+++ b/crates/lagoonline/tests/load_limit.rs
@@ -10,7 +10,7 @@
 
 /// Requests admitted by all hosts if each is asked every millisecond and reports are delivered
 /// immediately every `report_ms`, or never.
-fn let_in(hosts: usize, report_ms: Option<u64>) -> u64 {
+fn admitted(hosts: usize, report_ms: Option<u64>) -> u64 {
     let customer = Customer::from("c");
     let new = || limit::Limits::new(u32::try_from(hosts).unwrap());
     let mut all: Vec<_> = (0..hosts).map(|_| new()).collect();
@@ -21,13 +21,13 @@
             count += u64::from(host.admit(now, &customer, RATE, 1).is_ok());
         }
         if report_ms.is_some_and(|period| ms % period == 0) {
-            exchange(now, &mut all);
+            exchange_reports(now, &mut all);
         }
     }
     count
 }
 
-fn exchange(now: Moment, hosts: &mut [limit::Limits]) {
+fn exchange_reports(now: Moment, hosts: &mut [limit::Limits]) {
     let reports: Vec<_> = hosts.iter_mut().map(limit::Limits::take_report).collect();
     for (index, host) in hosts.iter_mut().enumerate() {
         for (other, report) in reports.iter().enumerate() {
@@ -46,7 +46,7 @@
 #[case::slow_reports(3, 1_000)]
 #[case::large(39, 250)]
 fn a_zone_lets_in_no_more_than_the_error_bound(#[case] hosts: u64, #[case] lag_ms: u64) {
-    let count = let_in(usize::try_from(hosts).unwrap(), Some(lag_ms));
+    let count = admitted(usize::try_from(hosts).unwrap(), Some(lag_ms));
     let rate = 100;
     let burst = (2 * rate).max(hosts);
     let bound = rate * SECONDS + burst + (hosts - 1) * rate * lag_ms / 1_000 + hosts;
@@ -73,7 +73,7 @@
 // then the rate.
 #[test]
 fn hosts_cut_off_from_each_other_fall_back_to_shares() {
-    let count = let_in(4, None);
+    let count = admitted(4, None);
     let bound = 4 * 3 * 100 + (SECONDS - 3) * 100 + 200 + 4;
     assert!(count <= bound, "{count} let in, bound {bound}");
     assert!(count >= SECONDS * 100, "{count}");
