--- a/crates/lagoonline/tests/load_placement.rs
+++ b/crates/lagoonline/tests/load_placement.rs
@@ -51,18 +51,18 @@
 }
 
 /// A placement state with a clock and a counter of dispatches.
-struct Day {
+struct Simulation {
     placer: placement::Placer,
     now: Moment,
     number: u64,
 }
 
-impl Day {
-    fn new(engines: usize) -> Day {
-        Day { placer: placer(engines), now: Moment::from_millis(10), number: 0 }
+impl Simulation {
+    fn new(engines: usize) -> Simulation {
+        Simulation { placer: placer(engines), now: Moment::from_millis(10), number: 0 }
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         self.now = self.now + Span::from_millis(millis);
     }
 
@@ -73,7 +73,7 @@
         waited: u64,
     ) -> Result<placement::Placement, placement::Refusal> {
         let target = if gap == TIGHT { Span::from_millis(300) } else { Span::from_millis(2_500) };
-        self.ask(&placement::Request {
+        self.place_request(&placement::Request {
             prompt_tokens: prompt,
             target,
             max_gap: gap,
@@ -98,7 +98,7 @@
         }
     }
 
-    fn ask(
+    fn place_request(
         &mut self,
         request: &placement::Request<'_>,
     ) -> Result<placement::Placement, placement::Refusal> {
@@ -106,11 +106,11 @@
     }
 
     /// Dispatches long prompts until the backlog bound is reached on all engines.
-    fn fill_with_reading(&mut self) {
+    fn fill_backlog(&mut self) {
         let mut sent = 0;
         while self.send(133_000, LOOSE).is_ok() {
             sent += 1;
-            assert!(sent < 50, "no bound on what is read");
+            assert!(sent < 50, "no bound on the prefill backlog");
         }
     }
 
@@ -131,7 +131,7 @@
 
     /// Records a dispatch by another host to the engine `primary`, with parts prefilled by
     /// `helpers`.
-    fn begin_elsewhere(
+    fn record_remote_dispatch(
         &mut self,
         primary: usize,
         helpers: Vec<id::Upstream>,
@@ -158,7 +158,7 @@
         for _ in 0..answers {
             let (id, _) = self.send(5_000, TIGHT).unwrap();
             self.placer.record_first_token(id, self.now);
-            self.pass(3);
+            self.advance(3);
         }
     }
 }
@@ -172,20 +172,20 @@
 /// every answer that its engine decodes, so parts must not go where short answers are decoded while
 /// other engines are free.
 #[rstest]
-fn long_reads_keep_away_from_short_answers() {
-    let mut day = Day::new(18);
+fn long_prefills_avoid_short_answers() {
+    let mut sim = Simulation::new(18);
     let mut short = collections::BTreeSet::new();
     for _ in 0..20 {
-        let (id, placed) = day.send(5_000, TIGHT).unwrap();
+        let (id, placed) = sim.send(5_000, TIGHT).unwrap();
         short.insert(placed.primary.upstream.to_string());
-        day.pass(60);
-        day.placer.record_first_token(id, day.now);
+        sim.advance(60);
+        sim.placer.record_first_token(id, sim.now);
     }
     assert!(short.len() <= 4, "short answers are spread over {short:?}");
-    let placed = day.place(133_000, LOOSE, 0).unwrap();
-    assert!(placed.helpers.len() >= 8, "read by {} engines only", placed.helpers.len() + 1);
+    let placed = sim.place(133_000, LOOSE, 0).unwrap();
+    assert!(placed.helpers.len() >= 8, "prefilled by {} engines only", placed.helpers.len() + 1);
     let both = engines(&placed).into_iter().filter(|name| short.contains(*name)).count();
-    assert_eq!(both, 0, "parts are read where short answers are written");
+    assert_eq!(both, 0, "parts are prefilled where short answers are decoded");
 }
 
 /// Guards against engines set aside for a single long answer each. A burst of short prompts follows
@@ -193,59 +193,59 @@
 /// decode on one engine each. If these engines stayed reserved, eight of sixteen would decode one
 /// answer each while the others have more requests than slots.
 #[rstest]
-fn a_burst_uses_engines_that_only_write_long_answers() {
-    let mut day = Day::new(16);
+fn a_burst_uses_engines_that_only_decode_long_answers() {
+    let mut sim = Simulation::new(16);
     for _ in 0..8 {
-        let (id, _) = day.send(100_000, LOOSE).unwrap();
-        day.pass(100);
-        day.placer.record_first_token(id, day.now);
+        let (id, _) = sim.send(100_000, LOOSE).unwrap();
+        sim.advance(100);
+        sim.placer.record_first_token(id, sim.now);
     }
-    day.pass(4_000);
+    sim.advance(4_000);
     let mut short: collections::BTreeMap<String, usize> = collections::BTreeMap::new();
     for _ in 0..150 {
-        let (id, placed) = day.send(5_000, TIGHT).unwrap();
-        day.pass(10);
-        day.placer.record_first_token(id, day.now);
+        let (id, placed) = sim.send(5_000, TIGHT).unwrap();
+        sim.advance(10);
+        sim.placer.record_first_token(id, sim.now);
         *short.entry(placed.primary.upstream.to_string()).or_default() += 1;
     }
     assert!(short.len() >= 13, "150 short answers on {} of 16 engines: {short:?}", short.len());
-    assert!(short.values().all(|answers| *answers <= 16), "beyond its places: {short:?}");
+    assert!(short.values().all(|answers| *answers <= 16), "beyond its slots: {short:?}");
 }
 
 /// Guards against counting a dispatch twice. A starting host is told of the dispatches of other
 /// hosts, of some of them both in the list sent on connecting and separately. When such a host
 /// restarts, its dispatches have ended with its connections.
 #[rstest]
-fn what_a_host_has_under_way_can_be_told() {
-    let mut day = Day::new(3);
-    day.burst(20);
-    let of_first = |host| host == 1;
-    let told: Vec<_> =
-        day.placer.in_flight(of_first).map(|(dispatch, _)| dispatch.clone()).collect();
-    assert_eq!(told.len(), 20);
-    assert!(day.placer.in_flight(of_first).all(|(_, read)| read));
-    assert_eq!(day.placer.in_flight(|host| host == 2).count(), 0);
+fn repeated_dispatches_count_once() {
+    let mut sim = Simulation::new(3);
+    sim.burst(20);
+    let of_first_host = |host| host == 1;
+    let listed: Vec<_> =
+        sim.placer.in_flight(of_first_host).map(|(dispatch, _)| dispatch.clone()).collect();
+    assert_eq!(listed.len(), 20);
+    assert!(sim.placer.in_flight(of_first_host).all(|(_, is_prefilled)| is_prefilled));
+    assert_eq!(sim.placer.in_flight(|host| host == 2).count(), 0);
     let mut placer = placer(3);
-    for dispatch in told.iter().chain(&told) {
-        placer.record_dispatch(dispatch.clone(), day.now);
+    for dispatch in listed.iter().chain(&listed) {
+        placer.record_dispatch(dispatch.clone(), sim.now);
     }
     assert_eq!(placer.dispatches(), 20);
-    for dispatch in &told[..5] {
-        placer.record_end(dispatch.id, day.now);
+    for dispatch in &listed[..5] {
+        placer.record_end(dispatch.id, sim.now);
     }
     assert_eq!(placer.dispatches(), 15);
-    placer.retain_listed(1, &collections::HashSet::new(), day.now, day.now);
+    placer.retain_listed(1, &collections::HashSet::new(), sim.now, sim.now);
     assert_eq!(placer.dispatches(), 0);
 }
 
 /// A fleet of `engines` with `slots` slots each.
-fn day_with_slots(engines: usize, slots: u32) -> Day {
+fn sim_with_slots(engines: usize, slots: u32) -> Simulation {
     let entries: Vec<_> =
         (0..engines).map(|index| routing::Registration { slots, ..entry(index, "a") }).collect();
-    let mut day = Day::new(1);
-    day.placer = placement::Placer::new(placement::Settings::default(), id::Zone::from("a"));
-    day.placer.set_upstreams(&entries, Some(profile::Profile { slots, ..profile() }));
-    day
+    let mut sim = Simulation::new(1);
+    sim.placer = placement::Placer::new(placement::Settings::default(), id::Zone::from("a"));
+    sim.placer.set_upstreams(&entries, Some(profile::Profile { slots, ..profile() }));
+    sim
 }
 
 /// Guards against sending short prompts to full engines when the mix turns to short prompts while
@@ -253,22 +253,22 @@
 /// memory, the others have no free slot. On those a new request waits for the duration of an
 /// answer; on an idle engine of the other side it is in time.
 #[rstest]
-fn a_short_prompt_goes_where_it_has_a_place() {
-    let mut day = day_with_slots(8, 4);
-    let full = |day: &mut Day, first: usize, prompt: u64| {
-        let id = day.begin_elsewhere(first, Vec::new(), prompt, TIGHT);
-        day.placer.record_first_token(id, day.now);
+fn a_short_prompt_goes_where_a_slot_is_free() {
+    let mut sim = sim_with_slots(8, 4);
+    let full = |sim: &mut Simulation, first: usize, prompt: u64| {
+        let id = sim.record_remote_dispatch(first, Vec::new(), prompt, TIGHT);
+        sim.placer.record_first_token(id, sim.now);
     };
-    full(&mut day, 0, 210_000);
+    full(&mut sim, 0, 210_000);
     for engine in 1..5 {
         for _ in 0..4 {
-            full(&mut day, engine, 5_000);
+            full(&mut sim, engine, 5_000);
         }
     }
     for _ in 0..8 {
-        let (_, placed) = day.send(5_000, TIGHT).unwrap();
+        let (_, placed) = sim.send(5_000, TIGHT).unwrap();
         assert!(placed.primary.upstream.as_str() >= "e05", "sent to {}", placed.primary.upstream);
-        day.pass(30);
+        sim.advance(30);
     }
 }
 
@@ -277,13 +277,13 @@
 /// engine's own part, which is then the last of its prompt to finish while all other engines wait.
 /// Parts must go to engines without own prompts, even if those have slightly more parts of others.
 #[rstest]
-fn engines_that_answer_long_prompts_are_not_asked_to_help() {
-    let mut day = day_with_slots(32, 10);
+fn engines_with_own_prompts_do_not_help() {
+    let mut sim = sim_with_slots(32, 10);
     for first in 0..16 {
-        day.begin_elsewhere(first, Vec::new(), 9_000, LOOSE);
+        sim.record_remote_dispatch(first, Vec::new(), 9_000, LOOSE);
     }
-    day.begin_elsewhere(31, (16..31).map(name).collect(), 92_000, LOOSE);
-    let placed = day.place(200_000, LOOSE, 400).unwrap();
+    sim.record_remote_dispatch(31, (16..31).map(name).collect(), 92_000, LOOSE);
+    let placed = sim.place(200_000, LOOSE, 400).unwrap();
     let answering = placed.helpers.iter().filter(|helper| helper.entry.upstream < name(16));
     assert!(answering.count() <= 1, "{placed:?}");
 }
@@ -292,16 +292,16 @@
 /// steps of a pass for one answer as for ten, so twenty answers on twenty engines would halve the
 /// speed at which those prefill for others. Few engines decode them, as far as memory allows.
 #[rstest]
-fn answers_with_long_pauses_are_written_by_few_engines() {
-    let mut day = day_with_slots(60, 10);
-    let mut firsts = collections::BTreeSet::new();
+fn answers_with_loose_gaps_use_few_engines() {
+    let mut sim = sim_with_slots(60, 10);
+    let mut primaries = collections::BTreeSet::new();
     for _ in 0..20 {
-        let (id, placed) = day.send(20_000, LOOSE).unwrap();
-        firsts.insert(placed.primary.upstream.to_string());
-        day.pass(60);
-        day.placer.record_first_token(id, day.now);
+        let (id, placed) = sim.send(20_000, LOOSE).unwrap();
+        primaries.insert(placed.primary.upstream.to_string());
+        sim.advance(60);
+        sim.placer.record_first_token(id, sim.now);
     }
-    assert!(firsts.len() <= 6, "written by {firsts:?}");
+    assert!(primaries.len() <= 6, "decoded by {primaries:?}");
 }
 
 /// Guards against giving parts to engines that have fallen behind. Two prompts, each prefilled by
@@ -309,13 +309,13 @@
 /// next prompt must avoid the engines of the other one.
 #[rstest]
 fn engines_that_fall_behind_get_fewer_parts() {
-    let mut day = day_with_slots(50, 10);
-    let (done, _) = day.send(150_000, LOOSE).unwrap();
-    let (_, behind) = day.send(150_000, LOOSE).unwrap();
-    day.pass(400);
-    day.placer.record_first_token(done, day.now);
-    day.placer.record_end(done, day.now);
-    let next = day.place(150_000, LOOSE, 0).unwrap();
+    let mut sim = sim_with_slots(50, 10);
+    let (done, _) = sim.send(150_000, LOOSE).unwrap();
+    let (_, behind) = sim.send(150_000, LOOSE).unwrap();
+    sim.advance(400);
+    sim.placer.record_first_token(done, sim.now);
+    sim.placer.record_end(done, sim.now);
+    let next = sim.place(150_000, LOOSE, 0).unwrap();
     let both = engines(&next).intersection(&engines(&behind)).count();
     assert_eq!(both, 0, "{both} parts on engines that have fallen behind");
 }
@@ -325,11 +325,11 @@
 /// once.
 #[rstest]
 fn idle_engines_are_used_while_others_are_behind() {
-    let mut day = day_with_slots(190, 10);
+    let mut sim = sim_with_slots(190, 10);
     for first in 0..100 {
-        day.begin_elsewhere(first, Vec::new(), 180_000, LOOSE);
+        sim.record_remote_dispatch(first, Vec::new(), 180_000, LOOSE);
     }
-    let placed = day.place(250_000, LOOSE, 0).expect("sent at once");
+    let placed = sim.place(250_000, LOOSE, 0).expect("sent at once");
     assert!(placed.expected < Span::from_secs(1), "expected after {:?}", placed.expected);
 }
 
@@ -341,36 +341,36 @@
 #[case(195, 10)]
 #[case(18, 16)]
 #[case(16, 32)]
-fn short_answers_are_planned_by_places(#[case] engines: usize, #[case] slots: u32) {
-    let mut day = day_with_slots(engines, slots);
+fn short_answers_stay_within_slots(#[case] engines: usize, #[case] slots: u32) {
+    let mut sim = sim_with_slots(engines, slots);
     let mut taken = collections::BTreeMap::<String, u32>::new();
     for _ in 0..engines * slots as usize / 2 {
-        let (id, placed) = day.send(2_000, TIGHT).unwrap();
-        day.pass(12);
-        day.placer.record_first_token(id, day.now);
+        let (id, placed) = sim.send(2_000, TIGHT).unwrap();
+        sim.advance(12);
+        sim.placer.record_first_token(id, sim.now);
         *taken.entry(placed.primary.upstream.to_string()).or_default() += 1;
     }
-    assert!(taken.values().all(|answers| *answers <= slots), "beyond {slots} places: {taken:?}");
+    assert!(taken.values().all(|answers| *answers <= slots), "beyond {slots} slots: {taken:?}");
 }
 
 /// Guards against a slot that stays occupied after the message about the end of a request was lost.
 /// The host's next list of all its dispatches frees it. A dispatch that became known after that
 /// list was made is kept.
 #[rstest]
-fn what_is_no_longer_under_way_is_forgotten() {
-    let mut day = Day::new(3);
-    day.burst(5);
-    let before = day.now;
-    day.pass(50);
-    let (late, _) = day.send(5_000, TIGHT).unwrap();
+fn dispatches_not_listed_are_dropped() {
+    let mut sim = Simulation::new(3);
+    sim.burst(5);
+    let before = sim.now;
+    sim.advance(50);
+    let (late, _) = sim.send(5_000, TIGHT).unwrap();
     let still = [1, 2].into();
-    let over = day.placer.retain_listed(1, &still, before, day.now);
+    let over = sim.placer.retain_listed(1, &still, before, sim.now);
     let numbers: collections::BTreeSet<_> = over.iter().map(|id| id.number).collect();
     assert_eq!(numbers, [3, 4, 5].into());
     let left: collections::BTreeSet<_> =
-        day.placer.in_flight(|_| true).map(|(dispatch, _)| dispatch.id.number).collect();
+        sim.placer.in_flight(|_| true).map(|(dispatch, _)| dispatch.id.number).collect();
     assert_eq!(left, [1, 2, late.number].into());
-    assert!(day.placer.retain_listed(2, &still, day.now, day.now).is_empty());
+    assert!(sim.placer.retain_listed(2, &still, sim.now, sim.now).is_empty());
 }
 
 /// Guards against using slow engines. A quarter of the engines reports a fourfold slowdown, which
@@ -378,41 +378,41 @@
 /// report expires they are tried again, and they serve if no other engine is left.
 #[rstest]
 fn slow_engines_get_nothing_new() {
-    let mut day = Day::new(16);
+    let mut sim = Simulation::new(16);
     let slow = ["e00", "e05", "e10", "e15"];
-    let tell = |day: &mut Day, names: &[&str]| {
+    let tell = |sim: &mut Simulation, names: &[&str]| {
         for name in names {
-            day.placer.set_slowness(&id::Upstream::from(*name), 4.0, day.now);
+            sim.placer.set_slowness(&id::Upstream::from(*name), 4.0, sim.now);
         }
     };
-    tell(&mut day, &slow);
+    tell(&mut sim, &slow);
     for _ in 0..40 {
-        let (id, placed) = day.send(5_000, TIGHT).unwrap();
+        let (id, placed) = sim.send(5_000, TIGHT).unwrap();
         assert!(
             !slow.contains(&placed.primary.upstream.as_str()),
             "a short prompt on a slow engine"
         );
-        day.pass(20);
-        day.placer.record_first_token(id, day.now);
+        sim.advance(20);
+        sim.placer.record_first_token(id, sim.now);
     }
-    let placed = day.place(133_000, LOOSE, 0).unwrap();
+    let placed = sim.place(133_000, LOOSE, 0).unwrap();
     assert!(engines(&placed).iter().all(|name| !slow.contains(name)), "a part on a slow engine");
     // Twelve engines are left, four of them for the short answers.
-    assert!(placed.helpers.len() >= 7, "read by {} engines only", placed.helpers.len() + 1);
-    day.pass(3_100);
-    let placed = day.place(600_000, LOOSE, 0).unwrap();
+    assert!(placed.helpers.len() >= 7, "prefilled by {} engines only", placed.helpers.len() + 1);
+    sim.advance(3_100);
+    let placed = sim.place(600_000, LOOSE, 0).unwrap();
     assert!(engines(&placed).iter().any(|name| slow.contains(name)), "never tried again");
     let all: Vec<_> = (0..16).map(|index| format!("e{index:02}")).collect();
-    tell(&mut day, &all.iter().map(String::as_str).collect::<Vec<_>>());
-    assert!(day.place(5_000, TIGHT, 0).is_ok());
+    tell(&mut sim, &all.iter().map(String::as_str).collect::<Vec<_>>());
+    assert!(sim.place(5_000, TIGHT, 0).is_ok());
 }
 
 /// The log of a dispatch shows the estimated state of the chosen engine and of the next best one.
 #[rstest]
-fn a_placement_tells_what_was_believed() {
-    let mut day = Day::new(6);
-    day.burst(13);
-    let placed = day.place(5_000, TIGHT, 0).unwrap();
+fn a_placement_reports_estimates() {
+    let mut sim = Simulation::new(6);
+    sim.burst(13);
+    let placed = sim.place(5_000, TIGHT, 0).unwrap();
     let next = placed.runner_up.unwrap();
     assert!(placed.estimate.used_slots <= next.used_slots + 11, "{placed:?}");
     assert_eq!(placed.estimate.decoding as usize, placed.estimate.used_slots);
@@ -422,15 +422,15 @@
 /// every engine for 1.7 s and make hundreds of answers late. It waits, then is refused with a time
 /// to retry, and is served after the burst.
 #[rstest]
-fn a_giant_does_not_stop_a_burst() {
-    let mut day = Day::new(18);
-    day.burst(200);
-    assert!(matches!(day.place(600_000, LOOSE, 0), Err(placement::Refusal::Busy(_))));
-    let patience = day.place(600_000, LOOSE, 6_000);
+fn a_giant_prompt_does_not_stall_a_burst() {
+    let mut sim = Simulation::new(18);
+    sim.burst(200);
+    assert!(matches!(sim.place(600_000, LOOSE, 0), Err(placement::Refusal::Busy(_))));
+    let patience = sim.place(600_000, LOOSE, 6_000);
     assert!(matches!(patience, Err(placement::Refusal::Full(..))), "{patience:?}");
-    day.pass(11_000);
-    day.placer.expire(day.now);
-    assert!(day.place(600_000, LOOSE, 0).is_ok());
+    sim.advance(11_000);
+    sim.placer.expire(sim.now);
+    assert!(sim.place(600_000, LOOSE, 0).is_ok());
 }
 
 /// A prompt larger than any engine is held by several: the reservations on the helpers and on the
@@ -439,8 +439,8 @@
 #[case(300_000)]
 #[case(600_000)]
 fn memory_of_several_engines_holds_a_large_prompt(#[case] prompt: u64) {
-    let mut day = Day::new(18);
-    let placed = day.place(prompt, LOOSE, 0).unwrap();
+    let mut sim = Simulation::new(18);
+    let placed = sim.place(prompt, LOOSE, 0).unwrap();
     let held: u64 = placed.helpers.iter().map(|helper| helper.reserve).sum();
     assert!(held > 0 && held + placed.reserve >= prompt, "{held} + {}", placed.reserve);
     assert!(placed.reserve <= profile().memory_tokens);
@@ -452,10 +452,10 @@
 /// the engine for seconds until the first has ended.
 #[rstest]
 fn two_long_prompts_do_not_share_an_engine() {
-    let mut day = Day::new(6);
-    let (_, one) = day.send(130_000, LOOSE).unwrap();
-    day.pass(2_000);
-    let (_, two) = day.send(130_000, LOOSE).unwrap();
+    let mut sim = Simulation::new(6);
+    let (_, one) = sim.send(130_000, LOOSE).unwrap();
+    sim.advance(2_000);
+    let (_, two) = sim.send(130_000, LOOSE).unwrap();
     assert!(one.reserve > 0 && two.reserve > 0);
     assert_ne!(one.primary.upstream, two.primary.upstream);
 }
@@ -463,15 +463,15 @@
 /// Guards against queueing short prompts in full engines, where all would be late. When every slot
 /// is taken, the next prompt waits briefly and is then refused with a time to retry.
 #[rstest]
-fn short_prompts_beyond_all_places_are_refused() {
-    let mut day = Day::new(3);
-    day.burst(48);
-    let no_place = placement::Shortage::Slot;
-    assert_eq!(day.place(5_000, TIGHT, 0), Err(placement::Refusal::Busy(no_place)));
-    let Err(placement::Refusal::Full(_, span)) = day.place(5_000, TIGHT, 200) else {
+fn short_prompts_beyond_all_slots_are_refused() {
+    let mut sim = Simulation::new(3);
+    sim.burst(48);
+    let no_slot = placement::Shortage::Slot;
+    assert_eq!(sim.place(5_000, TIGHT, 0), Err(placement::Refusal::Busy(no_slot)));
+    let Err(placement::Refusal::Full(_, span)) = sim.place(5_000, TIGHT, 200) else {
         panic!("not refused");
     };
-    assert!(span > Span::from_millis(500) && span < Span::from_secs(5), "come back in {span:?}");
+    assert!(span > Span::from_millis(500) && span < Span::from_secs(5), "retry after {span:?}");
 }
 
 /// Guards against an unbounded prefill backlog in a burst of long prompts. A large prompt waits at
@@ -479,56 +479,59 @@
 /// large one grows while it waits.
 #[rstest]
 fn a_backlog_lets_small_prompts_pass_large_ones() {
-    let mut day = Day::new(18);
+    let mut sim = Simulation::new(18);
     let mut sent = 0;
-    while day.send(133_000, LOOSE).is_ok() {
+    while sim.send(133_000, LOOSE).is_ok() {
         sent += 1;
-        assert!(sent < 50, "no bound on what is read");
+        assert!(sent < 50, "no bound on the prefill backlog");
     }
-    day.pass(60);
-    let reading = placement::Shortage::Prefill;
-    assert_eq!(day.place(350_000, LOOSE, 0), Err(placement::Refusal::Busy(reading)));
-    assert!(day.place(40_000, LOOSE, 0).is_ok());
-    day.pass(1_500);
-    assert!(day.place(133_000, LOOSE, 0).is_ok());
+    sim.advance(60);
+    let prefill = placement::Shortage::Prefill;
+    assert_eq!(sim.place(350_000, LOOSE, 0), Err(placement::Refusal::Busy(prefill)));
+    assert!(sim.place(40_000, LOOSE, 0).is_ok());
+    sim.advance(1_500);
+    assert!(sim.place(133_000, LOOSE, 0).is_ok());
 }
 
 /// Guards against holding a prompt that cannot be in time behind those that wait at the hosts.
 #[rstest]
-#[case::one_decider(1, 60)]
-#[case::many_deciders(12, 5)]
-fn a_prompt_behind_a_long_queue_is_refused_at_once(#[case] deciders: usize, #[case] most: u64) {
-    let mut day = Day::new(18);
-    day.fill_with_reading();
-    let arrive = |day: &mut Day, number: u64| {
+#[case::one_placing_host(1, 60)]
+#[case::many_placing_hosts(12, 5)]
+fn a_prompt_behind_a_long_queue_is_refused_at_once(
+    #[case] placing_hosts: usize,
+    #[case] most: u64,
+) {
+    let mut sim = Simulation::new(18);
+    sim.fill_backlog();
+    let arrive = |sim: &mut Simulation, number: u64| {
         let waiter = placement::DispatchId { host: 1, number: 1_000 + number };
-        let request = placement::Request { waiter, ..day.request() };
-        day.ask(&request)
+        let request = placement::Request { waiter, ..sim.request() };
+        sim.place_request(&request)
     };
-    let reading = placement::Shortage::Prefill;
-    assert_eq!(arrive(&mut day, 0), Err(placement::Refusal::Busy(reading)));
-    day.placer.set_placing_hosts(deciders);
-    let refused = (1..=most).find_map(|number| match arrive(&mut day, number) {
+    let prefill = placement::Shortage::Prefill;
+    assert_eq!(arrive(&mut sim, 0), Err(placement::Refusal::Busy(prefill)));
+    sim.placer.set_placing_hosts(placing_hosts);
+    let refused = (1..=most).find_map(|number| match arrive(&mut sim, number) {
         Err(placement::Refusal::Full(_, span)) => Some(span),
         _ => None,
     });
     let span = refused.unwrap_or_else(|| panic!("{most} prompts wait at each host"));
-    assert!(span > Span::from_millis(1_500) && span < Span::from_secs(8), "back in {span:?}");
-    day.pass(300);
-    assert!(arrive(&mut day, most + 1).is_ok(), "prompts whose callers left count as waiting");
+    assert!(span > Span::from_millis(1_500) && span < Span::from_secs(8), "retry after {span:?}");
+    sim.advance(300);
+    assert!(arrive(&mut sim, most + 1).is_ok(), "prompts whose callers left count as waiting");
 }
 
 /// Guards against holding a prompt whose time to the first token is over.
 #[rstest]
 fn a_prompt_that_can_no_longer_be_in_time_is_refused() {
-    let mut day = Day::new(18);
-    day.fill_with_reading();
+    let mut sim = Simulation::new(18);
+    sim.fill_backlog();
     let late = placement::Request {
         target: Span::from_millis(50),
         waited: Span::from_millis(100),
-        ..day.request()
+        ..sim.request()
     };
-    let refused = day.ask(&late);
+    let refused = sim.place_request(&late);
     assert!(matches!(refused, Err(placement::Refusal::Full(..))), "{refused:?}");
 }
 
@@ -536,19 +539,19 @@
 /// unreachable the others are avoided too, and prompts are prefilled on this side; once one
 /// answers, the zone is used again.
 #[rstest]
-fn a_cut_zone_is_passed_over() {
-    let mut day = Day::new(18);
+fn a_partitioned_zone_is_avoided() {
+    let mut sim = Simulation::new(18);
     for name in ["e01", "e04"] {
-        day.placer.record_unreachable(&id::Upstream::from(name), day.now);
+        sim.placer.record_unreachable(&id::Upstream::from(name), sim.now);
     }
     let zone_of = |name: &str| name[1..].parse::<usize>().unwrap() % 3;
-    let placed = day.place(133_000, LOOSE, 0).unwrap();
+    let placed = sim.place(133_000, LOOSE, 0).unwrap();
     assert!(engines(&placed).into_iter().all(|name| zone_of(name) != 1));
-    day.pass(700);
+    sim.advance(700);
     for name in ["e07", "e01", "e04"] {
-        day.placer.record_success(&id::Upstream::from(name), day.now);
+        sim.placer.record_success(&id::Upstream::from(name), sim.now);
     }
-    let placed = day.place(133_000, LOOSE, 0).unwrap();
+    let placed = sim.place(133_000, LOOSE, 0).unwrap();
     assert!(engines(&placed).into_iter().any(|name| zone_of(name) == 1));
 }
 
@@ -556,64 +559,64 @@
 /// though this host, in a third zone, reaches both. Such a prompt would be refused.
 #[rstest]
 fn helpers_are_within_reach_of_the_first_engine() {
-    let mut day = Day::new(18);
+    let mut sim = Simulation::new(18);
     for (first, helper) in [("e01", "e02"), ("e04", "e05")] {
         let (first, helper) = (id::Upstream::from(first), id::Upstream::from(helper));
-        day.placer.record_helper_failure(&first, &helper, day.now);
+        sim.placer.record_helper_failure(&first, &helper, sim.now);
     }
     let near: Vec<_> = (0..18).step_by(3).map(|index| entry(index, "a").upstream).collect();
-    let request = placement::Request { avoid: &near, random: 3, ..day.request() };
-    let placed = day.placer.place(&request, day.now).unwrap();
+    let request = placement::Request { avoid: &near, random: 3, ..sim.request() };
+    let placed = sim.placer.place(&request, sim.now).unwrap();
     let zones: collections::BTreeSet<&str> = placed
         .helpers
         .iter()
         .map(|helper| helper.entry.zone.as_str())
         .chain([placed.primary.zone.as_str()])
         .collect();
-    assert!(!(zones.contains("b") && zones.contains("c")), "read in {zones:?}");
+    assert!(!(zones.contains("b") && zones.contains("c")), "prefilled in {zones:?}");
 }
 
 /// Guards against engines that look busy forever because a host stopped responding before it
 /// reported the end of its requests. Its dispatches are dropped after their deadline.
 #[rstest]
-fn what_must_be_over_is_forgotten() {
-    let mut day = Day::new(3);
-    day.burst(30);
-    day.pass(11_000);
-    day.placer.expire(day.now);
-    assert_eq!(day.placer.dispatches(), 0);
+fn expired_dispatches_are_dropped() {
+    let mut sim = Simulation::new(3);
+    sim.burst(30);
+    sim.advance(11_000);
+    sim.placer.expire(sim.now);
+    assert_eq!(sim.placer.dispatches(), 0);
 }
 
 /// Guards against preferring an engine that answers every request at once with an error although
 /// its health check succeeds. As the least loaded engine it would get and fail most requests; it
 /// must get few, and be tried again later.
 #[rstest]
-fn an_engine_that_errs_is_not_preferred() {
-    let mut day = Day::new(9);
+fn a_failing_engine_is_not_preferred() {
+    let mut sim = Simulation::new(9);
     let bad = id::Upstream::from("e00");
     let mut failed = 0;
     let mut writing = collections::VecDeque::new();
     for _ in 0..200 {
         if writing.len() > 40 {
-            day.placer.record_end(writing.pop_front().unwrap(), day.now);
+            sim.placer.record_end(writing.pop_front().unwrap(), sim.now);
         }
-        let (id, placed) = day.send(5_000, TIGHT).unwrap();
-        day.pass(10);
+        let (id, placed) = sim.send(5_000, TIGHT).unwrap();
+        sim.advance(10);
         if placed.primary.upstream == bad {
             failed += 1;
-            day.placer.record_error(&bad, day.now);
-            day.placer.record_end(id, day.now);
+            sim.placer.record_error(&bad, sim.now);
+            sim.placer.record_end(id, sim.now);
         } else {
-            day.placer.record_first_token(id, day.now);
-            day.placer.record_success(&placed.primary.upstream, day.now);
+            sim.placer.record_first_token(id, sim.now);
+            sim.placer.record_success(&placed.primary.upstream, sim.now);
             writing.push_back(id);
         }
     }
     assert!(failed <= 10, "{failed} of 200 requests went to the engine that fails them");
-    day.pass(11_000);
-    day.placer.expire(day.now);
+    sim.advance(11_000);
+    sim.placer.expire(sim.now);
     let tried = (0..40).any(|_| {
-        let (_, placed) = day.send(5_000, TIGHT).unwrap();
+        let (_, placed) = sim.send(5_000, TIGHT).unwrap();
         placed.primary.upstream == bad
     });
     assert!(tried, "never tried again");
--- a/crates/lagoonline/tests/load_rebalance.rs
+++ b/crates/lagoonline/tests/load_rebalance.rs
@@ -33,7 +33,7 @@
 
 /// Simulates `seconds` from `start` with one decision per second, and lists the moves with their
 /// times.
-fn play(
+fn simulate(
     rebalancer: &mut Rebalancer,
     start: u64,
     seconds: u64,
@@ -59,8 +59,8 @@
     let mut rebalancer = Rebalancer::new(RATE);
     let (burst, calm) = (demands(&[("a", 0.5, 0), ("b", 3.0, 0)]), demands(&[("a", 0.5, 0)]));
     for start in [1_000, 1_040, 1_080] {
-        assert_eq!(play(&mut rebalancer, start, 20, &mut engines, &burst), []);
-        assert_eq!(play(&mut rebalancer, start + 20, 20, &mut engines, &calm), []);
+        assert_eq!(simulate(&mut rebalancer, start, 20, &mut engines, &burst), []);
+        assert_eq!(simulate(&mut rebalancer, start + 20, 20, &mut engines, &calm), []);
         rebalancer.next(at(start + 39), &demands(&[("b", 0.1, 0)]), &engines);
     }
 }
@@ -71,7 +71,7 @@
     let mut engines = engines(&["a", "a", "a", "a", "a", "b"]);
     let mut rebalancer = Rebalancer::new(RATE);
     let demands = demands(&[("a", 0.5, 0), ("b", 4.0, 0)]);
-    let moves = play(&mut rebalancer, 1_000, 300, &mut engines, &demands);
+    let moves = simulate(&mut rebalancer, 1_000, 300, &mut engines, &demands);
     assert_eq!(moves.len(), 3);
     let gaps = moves.windows(2).map(|pair| pair[1].0 - pair[0].0);
     assert!(gaps.into_iter().all(|gap| gap >= WEIGHT / 1_000), "{moves:?}");
@@ -91,7 +91,7 @@
         let demands = if minute % 2 == 0 { &to_a } else { &to_b };
         for second in 1_000 + 60 * minute..1_060 + 60 * minute {
             let before: Vec<_> = engines.iter().map(|engine| engine.model.clone()).collect();
-            play(&mut rebalancer, second, 1, &mut engines, demands);
+            simulate(&mut rebalancer, second, 1, &mut engines, demands);
             let changed = engines.iter().zip(before).filter(|(engine, old)| engine.model != *old);
             for (engine, _) in changed {
                 let last = moved.insert(engine.name.clone(), at(second));
@@ -106,12 +106,17 @@
 // Guards against a claim that waits for its lent engines: when the team's load returns it has an
 // engine again within the documented time, although the borrower is busy and has just got it.
 #[test]
-fn a_claim_gets_its_engine_back_within_the_stated_time() {
+fn a_claim_gets_its_engine_back_in_time() {
     let mut engines = engines(&["b", "b", "b"]);
     let mut rebalancer = Rebalancer::new(RATE);
     let demands = demands(&[("a", 1.0, 1), ("b", 3.0, 1)]);
-    let moves =
-        play(&mut rebalancer, 10, rebalance::MAX_RETURN_DELAY.as_secs(), &mut engines, &demands);
+    let moves = simulate(
+        &mut rebalancer,
+        10,
+        rebalance::MAX_RETURN_DELAY.as_secs(),
+        &mut engines,
+        &demands,
+    );
     assert_eq!(moves, [(10, "a".to_owned())]);
 }
 
@@ -122,9 +127,14 @@
     let mut engines = engines(&["b", "b", "b", "c", "c", "c"]);
     let mut rebalancer = Rebalancer::new(1.0);
     let lent = demands(&[("b", 5.0, 0), ("c", 0.5, 0)]);
-    assert_eq!(play(&mut rebalancer, 1_000, 31, &mut engines, &lent).len(), 1);
+    assert_eq!(simulate(&mut rebalancer, 1_000, 31, &mut engines, &lent).len(), 1);
     let claimed = demands(&[("a", 1.0, 1), ("b", 5.0, 0), ("c", 0.5, 0)]);
-    let moves =
-        play(&mut rebalancer, 1_031, rebalance::MAX_RETURN_DELAY.as_secs(), &mut engines, &claimed);
+    let moves = simulate(
+        &mut rebalancer,
+        1_031,
+        rebalance::MAX_RETURN_DELAY.as_secs(),
+        &mut engines,
+        &claimed,
+    );
     assert_eq!(moves, [(1_031, "a".to_owned())]);
 }
--- a/crates/lagoonline/tests/load_silence.rs
+++ b/crates/lagoonline/tests/load_silence.rs
@@ -19,7 +19,7 @@
     scheduler
 }
 
-fn ask() -> load::Request {
+fn request() -> load::Request {
     load::Request {
         customer: id::Customer::from("crew"),
         team: id::Team::from("t"),
@@ -47,14 +47,14 @@
 #[test]
 fn a_silent_engine_gets_nothing_for_a_while() {
     let mut scheduler = scheduler(3);
-    let first = placed(scheduler.offer(Moment::START, ask()));
+    let first = placed(scheduler.offer(Moment::START, request()));
     assert!(first.silence >= Span::from_secs(2) && first.silence < Span::from_secs(10));
     let now = Moment::START + first.silence;
-    assert!(scheduler.is_better_elsewhere(now, first.ticket, &ask()));
-    let second = placed(scheduler.retry(now, first.ticket, Ending::Silent, ask()));
+    assert!(scheduler.is_better_elsewhere(now, first.ticket, &request()));
+    let second = placed(scheduler.retry(now, first.ticket, Ending::Silent, request()));
     assert_ne!(second.upstream, first.upstream);
     for _ in 0..20 {
-        let next = placed(scheduler.offer(now + Span::from_millis(500), ask()));
+        let next = placed(scheduler.offer(now + Span::from_millis(500), request()));
         assert_ne!(next.upstream, first.upstream);
         let ending = Ending::Done { prompt_tokens: 10, cached_tokens: 0, answer_tokens: 8 };
         scheduler.finish(now + Span::from_millis(500), next.ticket, ending);
@@ -66,11 +66,11 @@
 #[test]
 fn calls_stay_when_the_retry_budget_is_spent() {
     let mut scheduler = scheduler(3);
-    let mut ticket = placed(scheduler.offer(Moment::START, ask())).ticket;
+    let mut ticket = placed(scheduler.offer(Moment::START, request())).ticket;
     let mut moves = 0;
     let mut now = Moment::START;
-    while scheduler.is_better_elsewhere(now, ticket, &ask()) && moves < 100 {
-        ticket = placed(scheduler.retry(now, ticket, Ending::Silent, ask())).ticket;
+    while scheduler.is_better_elsewhere(now, ticket, &request()) && moves < 100 {
+        ticket = placed(scheduler.retry(now, ticket, Ending::Silent, request())).ticket;
         moves += 1;
         now = now + Span::from_secs(40);
     }
@@ -80,6 +80,6 @@
 #[test]
 fn there_is_no_elsewhere_beside_the_only_engine() {
     let mut scheduler = scheduler(1);
-    let only = placed(scheduler.offer(Moment::START, ask()));
-    assert!(!scheduler.is_better_elsewhere(Moment::from_millis(9_000), only.ticket, &ask()));
+    let only = placed(scheduler.offer(Moment::START, request()));
+    assert!(!scheduler.is_better_elsewhere(Moment::from_millis(9_000), only.ticket, &request()));
 }
