--- a/crates/lagoonline/src/control/delta_log.rs
+++ b/crates/lagoonline/src/control/delta_log.rs
@@ -7,10 +7,10 @@
 
 /// Number of deltas kept per section; a host that is further behind gets the whole text. Covers
 /// the steady edits of a quarter of an hour, for a host whose links were down that long.
-const KEPT: usize = 16;
+const MAX_DELTAS: usize = 16;
 
-/// Deltas are used only if their size is below the size of the whole text divided by this.
-const WORTH: usize = 2;
+/// Deltas are used only if the whole text is more than this many times their size.
+const MIN_SIZE_RATIO: usize = 2;
 
 /// Recent deltas of all sections at one host.
 #[derive(Clone, Debug, Default)]
@@ -27,7 +27,7 @@
         let delta = document::Delta::new(old, document::Text { version: to, text: &text });
         let deltas = self.deltas.entry(new.team.clone()).or_default();
         deltas.push_back(delta);
-        if deltas.len() > KEPT {
+        if deltas.len() > MAX_DELTAS {
             deltas.pop_front();
         }
     }
@@ -53,19 +53,19 @@
     /// assert_eq!(log.since(Version(0), &new).len(), 0);
     /// ```
     pub fn since(&self, from: id::Version, section: &document::Section) -> Vec<document::Delta> {
-        let all = self.deltas.get(&section.team);
+        let deltas = self.deltas.get(&section.team);
         let mut found = Vec::new();
-        let mut reached = from;
-        for delta in all.into_iter().flatten().skip_while(|delta| delta.from != from) {
-            if delta.from != reached {
+        let mut version = from;
+        for delta in deltas.into_iter().flatten().skip_while(|delta| delta.from != from) {
+            if delta.from != version {
                 return Vec::new();
             }
-            reached = delta.to;
+            version = delta.to;
             found.push(delta.clone());
         }
         let size: usize = found.iter().map(document::Delta::size).sum();
-        let is_whole = reached == section.version && size < section.text.len() / WORTH;
-        if is_whole { found } else { Vec::new() }
+        let is_usable = version == section.version && size < section.text.len() / MIN_SIZE_RATIO;
+        if is_usable { found } else { Vec::new() }
     }
 }
 
--- a/crates/lagoonline/src/control/document/consistency.rs
+++ b/crates/lagoonline/src/control/document/consistency.rs
@@ -37,10 +37,10 @@
 {
     let others = others.into_iter().filter(|section| section.team != candidate.team).collect();
     let mut checker = Checker { others, candidate, faults: Vec::new() };
-    checker.check_owners();
-    checker.check_keys();
+    checker.check_unique_names();
+    checker.check_unique_keys();
     checker.check_references();
-    checker.check_removed();
+    checker.check_removed_names();
     checker.check_claims();
     checker.finish()
 }
@@ -68,7 +68,7 @@
     }
 
     /// Singular noun for fault messages.
-    const fn word(self) -> &'static str {
+    const fn noun(self) -> &'static str {
         match self {
             Kind::Customer => "customer",
             Kind::Model => "model",
@@ -107,19 +107,29 @@
 fn references(body: &body::Body) -> Vec<Reference<'_>> {
     let mut found = Vec::new();
     for (name, customer) in &body.customers {
-        let place = format!("/customers/{name}");
-        add_list(&mut found, &place, Kind::Model, customer.models.iter().map(id::Model::as_str));
+        let parent = format!("/customers/{name}");
+        add_references(
+            &mut found,
+            &parent,
+            Kind::Model,
+            customer.models.iter().map(id::Model::as_str),
+        );
         let services = customer.services.iter().map(id::Service::as_str);
-        add_list(&mut found, &place, Kind::Service, services);
+        add_references(&mut found, &parent, Kind::Service, services);
     }
     for (name, upstream) in &body.upstreams {
-        let place = format!("/upstreams/{name}");
+        let parent = format!("/upstreams/{name}");
         match &upstream.serves {
             body::Serves::Models(models) => {
-                add_list(&mut found, &place, Kind::Model, models.iter().map(id::Model::as_str));
+                add_references(
+                    &mut found,
+                    &parent,
+                    Kind::Model,
+                    models.iter().map(id::Model::as_str),
+                );
             }
             body::Serves::Service(service) => {
-                let pointer = format!("{place}/service");
+                let pointer = format!("{parent}/service");
                 found.push(Reference { pointer, kind: Kind::Service, name: service.as_str() });
             }
         }
@@ -131,12 +141,12 @@
     found
 }
 
-fn add_list<'a, I>(found: &mut Vec<Reference<'a>>, place: &str, kind: Kind, names: I)
+fn add_references<'a, I>(found: &mut Vec<Reference<'a>>, parent: &str, kind: Kind, names: I)
 where
     I: Iterator<Item = &'a str>,
 {
     for (index, name) in names.enumerate() {
-        let pointer = format!("{place}/{}/{index}", kind.field());
+        let pointer = format!("{parent}/{}/{index}", kind.field());
         found.push(Reference { pointer, kind, name });
     }
 }
@@ -157,7 +167,7 @@
     }
 
     /// Checks that no name is defined by a section of another team.
-    fn check_owners(&mut self) {
+    fn check_unique_names(&mut self) {
         for kind in Kind::ALL {
             for name in kind.names(&self.candidate.body) {
                 let owner = self.others.iter().find(|other| kind.has(&other.body, name));
@@ -170,7 +180,7 @@
     }
 
     /// Checks that each API key identifies only one customer.
-    fn check_keys(&mut self) {
+    fn check_unique_keys(&mut self) {
         let mut seen = collections::HashMap::new();
         for other in &self.others {
             for (name, customer) in &other.body.customers {
@@ -197,14 +207,14 @@
     fn check_references(&mut self) {
         for reference in references(&self.candidate.body) {
             if !self.resolves(&reference) {
-                let reason = format!("no section has this {}", reference.kind.word());
+                let reason = format!("no section has this {}", reference.kind.noun());
                 self.fault(reference.pointer, reason);
             }
         }
     }
 
     /// Checks that the candidate does not remove a name that another team's section references.
-    fn check_removed(&mut self) {
+    fn check_removed_names(&mut self) {
         for other in self.others.clone() {
             for reference in references(&other.body) {
                 if !self.resolves(&reference) {
@@ -230,25 +240,25 @@
             })
             .collect();
         let claims = all().flat_map(|section| &section.body.claims);
-        let mut wanted = collections::BTreeMap::<&id::Model, u64>::new();
+        let mut claimed = collections::BTreeMap::<&id::Model, u64>::new();
         for (model, claim) in claims {
-            *wanted.entry(model).or_default() += u64::from(claim.engines);
+            *claimed.entry(model).or_default() += u64::from(claim.engines);
         }
-        let Some((short, have)) = unmet(&engines, &wanted) else { return };
-        let total: u64 = short.iter().map(|model| wanted[model]).sum();
-        let named: Vec<_> = short.iter().map(|model| model.as_str()).collect();
+        let Some((unmet_models, available)) = find_unmet(&engines, &claimed) else { return };
+        let total: u64 = unmet_models.iter().map(|model| claimed[model]).sum();
+        let names: Vec<_> = unmet_models.iter().map(|model| model.as_str()).collect();
         let reason =
-            format!("claims of {total} engines for {} are above the {have}", named.join(", "));
-        let own: Vec<_> = short
+            format!("claims of {total} engines for {} are above the {available}", names.join(", "));
+        let own_models: Vec<_> = unmet_models
             .into_iter()
             .filter(|model| candidate.body.claims.contains_key(*model))
             .cloned()
             .collect();
-        if own.is_empty() {
+        if own_models.is_empty() {
             self.fault("/upstreams".to_owned(), reason);
             return;
         }
-        for model in own {
+        for model in own_models {
             self.fault(format!("/claims/{model}/engines"), &reason);
         }
     }
@@ -264,29 +274,30 @@
 }
 
 /// Maximum number of claimed models for which all subsets are checked; their number is exponential.
-const COMBINED_MODELS: usize = 12;
+const MAX_COMBINED_MODELS: usize = 12;
 
 /// Returns a set of models whose claims exceed the number of engines that serve any of them, and
-/// that number (Hall's condition). Beyond [`COMBINED_MODELS`] models, only single models and the
-/// set of all models are checked.
-fn unmet<'a>(
+/// that number (Hall's condition). Beyond [`MAX_COMBINED_MODELS`] models, only single models and
+/// the set of all models are checked.
+fn find_unmet<'a>(
     engines: &[&[id::Model]],
-    wanted: &collections::BTreeMap<&'a id::Model, u64>,
+    claimed: &collections::BTreeMap<&'a id::Model, u64>,
 ) -> Option<(Vec<&'a id::Model>, u64)> {
-    let models: Vec<&id::Model> = wanted.keys().copied().collect();
-    let combined = models.len().min(COMBINED_MODELS);
-    let sets = (1..1_u32 << combined).map(|bits| {
+    let models: Vec<&id::Model> = claimed.keys().copied().collect();
+    let combined_count = models.len().min(MAX_COMBINED_MODELS);
+    let sets = (1..1_u32 << combined_count).map(|bits| {
         let chosen = models
             .iter()
             .enumerate()
             .filter(move |(index, _)| *index < 32 && bits & (1 << index) != 0);
         chosen.map(|(_, model)| *model).collect::<Vec<_>>()
     });
-    let single = models.iter().skip(combined).map(|model| vec![*model]);
+    let single = models.iter().skip(combined_count).map(|model| vec![*model]);
     sets.chain(single).chain([models.clone()]).find_map(|set| {
-        let have = engines.iter().filter(|can| set.iter().any(|model| can.contains(model))).count();
-        let have = u64::try_from(have).unwrap_or(u64::MAX);
-        let want: u64 = set.iter().map(|model| wanted[model]).sum();
-        (want > have).then_some((set, have))
+        let available =
+            engines.iter().filter(|can| set.iter().any(|model| can.contains(model))).count();
+        let available = u64::try_from(available).unwrap_or(u64::MAX);
+        let claimed_engines: u64 = set.iter().map(|model| claimed[model]).sum();
+        (claimed_engines > available).then_some((set, available))
     })
 }
--- a/crates/lagoonline/src/control/document/delta.rs
+++ b/crates/lagoonline/src/control/document/delta.rs
@@ -15,7 +15,7 @@
 
 /// Delimiter at which texts are split into pieces for matching. Nearly every piece then contains
 /// the name of one entry, which makes it unique and easy to find.
-const PIECE_END: char = '}';
+const DELIMITER: char = '}';
 
 /// One step in building the newer text.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -98,17 +98,17 @@
 
 /// Computes the steps by matching whole pieces of the two texts.
 fn steps(old: &str, new: &str) -> Vec<Step> {
-    let mut places = collections::HashMap::<&str, usize>::new();
+    let mut offsets = collections::HashMap::<&str, usize>::new();
     let mut start = 0;
-    for piece in old.split_inclusive(PIECE_END) {
-        places.entry(piece).or_insert(start);
+    for piece in old.split_inclusive(DELIMITER) {
+        offsets.entry(piece).or_insert(start);
         start += piece.len();
     }
     let mut steps = Vec::new();
-    for piece in new.split_inclusive(PIECE_END) {
+    for piece in new.split_inclusive(DELIMITER) {
         // Of several equal pieces, prefer the one that extends the last copy.
-        let following = follows(&steps).filter(|end| old[*end..].starts_with(piece));
-        match following.or_else(|| places.get(piece).copied()) {
+        let contiguous = last_copy_end(&steps).filter(|end| old[*end..].starts_with(piece));
+        match contiguous.or_else(|| offsets.get(piece).copied()) {
             Some(start) => copy(&mut steps, start, piece.len()),
             None => insert(&mut steps, piece),
         }
@@ -117,7 +117,7 @@
 }
 
 /// Returns the offset in the older text at which the last copy ends.
-fn follows(steps: &[Step]) -> Option<usize> {
+fn last_copy_end(steps: &[Step]) -> Option<usize> {
     steps.iter().rev().find_map(|step| match step {
         Step::Copy { start, length } => Some(start + length),
         Step::Insert(_) => None,
--- a/crates/lagoonline/src/control/document/diff.rs
+++ b/crates/lagoonline/src/control/document/diff.rs
@@ -45,8 +45,8 @@
 fn compare(lines: &mut Vec<Line>, pointer: &str, old: &Value, new: &Value) {
     let (Value::Object(before), Value::Object(after)) = (old, new) else {
         if old != new {
-            let place = if pointer.is_empty() { "/" } else { pointer };
-            lines.push(Line::Changed(place.to_owned(), old.clone(), new.clone()));
+            let pointer = if pointer.is_empty() { "/" } else { pointer };
+            lines.push(Line::Changed(pointer.to_owned(), old.clone(), new.clone()));
         }
         return;
     };
@@ -54,11 +54,11 @@
     names.sort();
     names.dedup();
     for name in names {
-        let place = format!("{pointer}/{}", name.replace('~', "~0").replace('/', "~1"));
+        let child_pointer = format!("{pointer}/{}", name.replace('~', "~0").replace('/', "~1"));
         match (before.get(name), after.get(name)) {
-            (Some(old), Some(new)) => compare(lines, &place, old, new),
-            (Some(old), None) => lines.push(Line::Removed(place, old.clone())),
-            (None, Some(new)) => lines.push(Line::Added(place, new.clone())),
+            (Some(old), Some(new)) => compare(lines, &child_pointer, old, new),
+            (Some(old), None) => lines.push(Line::Removed(child_pointer, old.clone())),
+            (None, Some(new)) => lines.push(Line::Added(child_pointer, new.clone())),
             (None, None) => {}
         }
     }
--- a/crates/lagoonline/src/control/document/section.rs
+++ b/crates/lagoonline/src/control/document/section.rs
@@ -48,17 +48,17 @@
 }
 
 /// Maximum length of a name, in bytes.
-const NAME_LIMIT: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 fn check_name(reader: &check::Reader<'_>, name: &str) {
-    let known = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-    if name.is_empty() || name.len() > NAME_LIMIT || !name.bytes().all(known) {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(is_allowed) {
         reader.fault_here("a name has 1 to 64 letters, digits, '-', '_' or '.'");
     }
 }
 
 /// Reads a map from names to values and checks the names.
-fn named<K, T, Read>(
+fn read_named<K, T, Read>(
     reader: &check::Reader<'_>,
     field: &str,
     read: Read,
@@ -76,23 +76,23 @@
 
 fn read_body(reader: &check::Reader<'_>) -> body::Body {
     body::Body {
-        customers: named(reader, "customers", read_customer),
-        models: named(reader, "models", read_model),
-        services: named(reader, "services", read_service),
-        upstreams: named(reader, "upstreams", read_upstream),
-        claims: named(reader, "claims", read_claim),
+        customers: read_named(reader, "customers", read_customer),
+        models: read_named(reader, "models", read_model),
+        services: read_named(reader, "services", read_service),
+        upstreams: read_named(reader, "upstreams", read_upstream),
+        claims: read_named(reader, "claims", read_claim),
         policy: reader.child("policy", read_policy).unwrap_or_default(),
     }
 }
 
 /// Longest deadline that a section may allow, in milliseconds. A call must not be dispatched under
 /// an idempotency key for longer than the key's record is retained, or it could run twice.
-const DEADLINE_LIMIT_MS: u64 = claim::LONGEST_DEADLINE.as_secs() * 1_000;
+const MAX_DEADLINE_MS: u64 = claim::LONGEST_DEADLINE.as_secs() * 1_000;
 
 fn read_customer(reader: &check::Reader<'_>) -> body::Customer {
-    let usual = body::Customer::default();
-    let default_ms = reader.number("default_deadline_ms", 60_000, 1..=DEADLINE_LIMIT_MS);
-    let max_ms = reader.number("max_deadline_ms", 600_000, 1..=DEADLINE_LIMIT_MS);
+    let defaults = body::Customer::default();
+    let default_ms = reader.number("default_deadline_ms", 60_000, 1..=MAX_DEADLINE_MS);
+    let max_ms = reader.number("max_deadline_ms", 600_000, 1..=MAX_DEADLINE_MS);
     if default_ms > max_ms {
         reader.fault("default_deadline_ms", "is above max_deadline_ms");
     }
@@ -100,7 +100,7 @@
         keys: read_keys(reader, "keys"),
         models: reader.texts("models").into_iter().map(id::Model::from).collect(),
         services: reader.texts("services").into_iter().map(id::Service::from).collect(),
-        weight: read_u32(reader, "weight", usual.weight, 1, 1_000),
+        weight: read_u32(reader, "weight", defaults.weight, 1, 1_000),
         requests_per_second: reader.float("requests_per_second", 50.0, 0.001..=1e6),
         tokens_per_second: reader.float("tokens_per_second", 4e6, 1.0..=1e12),
         default_deadline: clock::Span::from_millis(default_ms),
@@ -108,9 +108,9 @@
     }
 }
 
-fn read_u32(reader: &check::Reader<'_>, name: &str, default: u32, least: u32, most: u32) -> u32 {
-    let number = reader.number(name, u64::from(default), u64::from(least)..=u64::from(most));
-    u32::try_from(number).unwrap_or(most)
+fn read_u32(reader: &check::Reader<'_>, name: &str, default: u32, min: u32, max: u32) -> u32 {
+    let number = reader.number(name, u64::from(default), u64::from(min)..=u64::from(max));
+    u32::try_from(number).unwrap_or(max)
 }
 
 fn read_keys(reader: &check::Reader<'_>, name: &str) -> Vec<body::KeyHash> {
@@ -144,32 +144,32 @@
 }
 
 fn read_model(reader: &check::Reader<'_>) -> body::Model {
-    let usual = body::Model::default();
+    let defaults = body::Model::default();
     body::Model {
-        max_tokens: reader.number("max_tokens", usual.max_tokens, 1..=100_000_000),
-        bytes_per_token: reader.float("bytes_per_token", usual.bytes_per_token, 0.1..=100.0),
+        max_tokens: reader.number("max_tokens", defaults.max_tokens, 1..=100_000_000),
+        bytes_per_token: reader.float("bytes_per_token", defaults.bytes_per_token, 0.1..=100.0),
         kv_bytes_per_token: reader.number(
             "kv_bytes_per_token",
-            usual.kv_bytes_per_token,
+            defaults.kv_bytes_per_token,
             1..=1 << 30,
         ),
-        continues: reader.flag("continues", usual.continues),
-        weight_bytes: reader.number("weight_bytes", usual.weight_bytes, 1..=1 << 50),
+        continues: reader.flag("continues", defaults.continues),
+        weight_bytes: reader.number("weight_bytes", defaults.weight_bytes, 1..=1 << 50),
     }
 }
 
 fn read_service(reader: &check::Reader<'_>) -> body::Service {
-    let usual = body::Service::default();
+    let defaults = body::Service::default();
     let methods = reader.texts("idempotent_methods");
-    let given = reader.has("idempotent_methods");
+    let is_given = reader.has("idempotent_methods");
     body::Service {
-        idempotent_methods: if given { methods } else { usual.idempotent_methods },
-        max_answer_bytes: reader.number("max_answer_bytes", usual.max_answer_bytes, 0..=1 << 30),
+        idempotent_methods: if is_given { methods } else { defaults.idempotent_methods },
+        max_answer_bytes: reader.number("max_answer_bytes", defaults.max_answer_bytes, 0..=1 << 30),
     }
 }
 
 fn read_upstream(reader: &check::Reader<'_>) -> body::Upstream {
-    let usual = body::Upstream::default();
+    let defaults = body::Upstream::default();
     let models = reader.texts("models");
     let service = reader.text("service", "");
     if models.is_empty() == service.is_empty() {
@@ -186,14 +186,14 @@
     }
     body::Upstream {
         zone: id::Zone::from(reader.required("zone")),
-        address: address.unwrap_or(usual.address),
+        address: address.unwrap_or(defaults.address),
         serves,
         role: read_role(reader),
-        kv_tokens: reader.number("kv_tokens", usual.kv_tokens, 1..=1 << 40),
-        prefill_rate: reader.float("prefill_rate", usual.prefill_rate, 1.0..=1e9),
-        slots: read_u32(reader, "slots", usual.slots, 1, 65_536),
-        checks_fence: reader.flag("checks_fence", usual.checks_fence),
-        accelerators: read_u32(reader, "accelerators", usual.accelerators, 1, 4_096),
+        kv_tokens: reader.number("kv_tokens", defaults.kv_tokens, 1..=1 << 40),
+        prefill_rate: reader.float("prefill_rate", defaults.prefill_rate, 1.0..=1e9),
+        slots: read_u32(reader, "slots", defaults.slots, 1, 65_536),
+        checks_fence: reader.flag("checks_fence", defaults.checks_fence),
+        accelerators: read_u32(reader, "accelerators", defaults.accelerators, 1, 4_096),
     }
 }
 
@@ -214,7 +214,7 @@
 }
 
 fn read_policy(reader: &check::Reader<'_>) -> body::Policy {
-    let usual = body::Policy::default();
+    let defaults = body::Policy::default();
     let read_weights = |reader: &check::Reader<'_>| {
         body::Class::ALL.map(|class| reader.float(class.as_str(), 1.0, 0.0..=1_000.0))
     };
@@ -222,7 +222,7 @@
         team_keys: read_keys(reader, "team_keys"),
         first_token_weight: reader
             .child("first_token_weight", read_weights)
-            .unwrap_or(usual.first_token_weight),
+            .unwrap_or(defaults.first_token_weight),
         short_slowdown_weight: reader.float("short_slowdown_weight", 1.0, 0.0..=1_000.0),
         objectives: reader.list("objectives", read_objective),
     }
--- a/crates/lagoonline/src/control/document/store.rs
+++ b/crates/lagoonline/src/control/document/store.rs
@@ -23,7 +23,7 @@
 pub const HEAD_KEY: &str = "document";
 
 /// Maximum number of attempts of a put that conflicts with concurrent puts of other teams.
-const ATTEMPTS: usize = 16;
+const MAX_ATTEMPTS: usize = 16;
 
 /// Value of the head row: the versions of all sections and the put that wrote them.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -181,19 +181,21 @@
     T: table::Table,
 {
     let next = id::Version(put.base.0 + 1);
-    let mut lost = None;
-    for _ in 0..ATTEMPTS {
+    let mut unknown = None;
+    for _ in 0..MAX_ATTEMPTS {
         match try_store(table, put, next).await {
             Ok(version) => return Ok(version),
             Err(StoreError::Table(table::Error::Conflict { .. })) => {}
-            Err(StoreError::Table(error @ table::Error::Unknown { .. })) => lost = Some(error),
+            Err(StoreError::Table(error @ table::Error::Unknown { .. })) => unknown = Some(error),
             // An error after a lost answer does not tell whether the earlier call took effect.
-            Err(StoreError::Table(error)) => return Err(StoreError::Table(lost.unwrap_or(error))),
+            Err(StoreError::Table(error)) => {
+                return Err(StoreError::Table(unknown.unwrap_or(error)));
+            }
             Err(refusal) => return Err(refusal),
         }
     }
     let conflict = table::Error::Conflict { step: "store section" };
-    Err(StoreError::Table(lost.unwrap_or(conflict)))
+    Err(StoreError::Table(unknown.unwrap_or(conflict)))
 }
 
 async fn try_store<T>(table: &T, put: &Put, next: id::Version) -> Result<id::Version, StoreError>
--- a/crates/lagoonline/src/control/lease.rs
+++ b/crates/lagoonline/src/control/lease.rs
@@ -162,7 +162,7 @@
                 return self.write(table, fence, version).await;
             }
         }
-        self.look(table).await
+        self.read_and_acquire(table).await
     }
 
     /// Releases the lease, so that the next holder need not wait for its expiry. No order may be in
@@ -182,7 +182,7 @@
     }
 
     /// Reads the row and acquires the lease if it is free, released or expired.
-    async fn look<T>(&mut self, table: &T) -> Result<Status, table::Error>
+    async fn read_and_acquire<T>(&mut self, table: &T) -> Result<Status, table::Error>
     where
         T: table::Table,
     {
@@ -235,8 +235,8 @@
         T: table::Table,
     {
         let sent = self.clock.now();
-        let ends = u64::try_from(self.settings.duration.as_millis()).unwrap_or(u64::MAX);
-        let expires_wall_ms = self.clock.wall_millis().saturating_add(ends);
+        let duration_ms = u64::try_from(self.settings.duration.as_millis()).unwrap_or(u64::MAX);
+        let expires_wall_ms = self.clock.wall_millis().saturating_add(duration_ms);
         let row = Row { holder: self.own.to_string(), fence, expires_wall_ms };
         match table.commit(self.transaction(&row, version)).await {
             Ok(versions) => {
--- a/crates/lagoonline/src/control/ledger.rs
+++ b/crates/lagoonline/src/control/ledger.rs
@@ -136,7 +136,7 @@
     /// Row of the current interval.
     row: Row,
     /// Wall clock time up to which activity has been recorded.
-    filled_ms: u64,
+    recorded_until_ms: u64,
     finished: Vec<Row>,
 }
 
@@ -145,8 +145,11 @@
     /// as unobserved.
     pub fn new(wall_ms: u64) -> Self {
         let row = Row { interval: wall_ms / INTERVAL_MS, ..Row::default() };
-        let mut meter =
-            Meter { row, filled_ms: wall_ms / INTERVAL_MS * INTERVAL_MS, finished: Vec::new() };
+        let mut meter = Meter {
+            row,
+            recorded_until_ms: wall_ms / INTERVAL_MS * INTERVAL_MS,
+            finished: Vec::new(),
+        };
         meter.advance(wall_ms, &Activity::Unobserved);
         meter
     }
@@ -163,11 +166,11 @@
     /// Records that the engine was in `activity` up to `wall_ms`. When the wall clock is set back,
     /// nothing is recorded until it passes the time recorded last.
     pub fn advance(&mut self, wall_ms: u64, activity: &Activity) {
-        while self.filled_ms < wall_ms {
+        while self.recorded_until_ms < wall_ms {
             let end = (self.row.interval + 1) * INTERVAL_MS;
             let to = wall_ms.min(end);
-            self.row.add(activity, to - self.filled_ms);
-            self.filled_ms = to;
+            self.row.add(activity, to - self.recorded_until_ms);
+            self.recorded_until_ms = to;
             if to == end {
                 self.close();
             }
@@ -245,7 +248,7 @@
         for (model, claim) in claims {
             for _ in 0..claim.engines {
                 let mut seen = vec![false; engines.len()];
-                place((team.clone(), model.clone()), engines, &mut holders, &mut seen);
+                assign_slot((team.clone(), model.clone()), engines, &mut holders, &mut seen);
             }
         }
     }
@@ -254,7 +257,7 @@
 
 /// Finds an engine for one claimed slot, moving other slots if necessary. `seen` marks the engines
 /// already tried in this search. Returns false if no assignment exists.
-fn place(
+fn assign_slot(
     slot: (id::Team, id::Model),
     engines: &[(&view::Upstream, &[id::Model])],
     holders: &mut Vec<Holder>,
@@ -265,11 +268,11 @@
             continue;
         }
         seen[index] = true;
-        let is_free = match holders[index].clone() {
+        let is_available = match holders[index].clone() {
             None => true,
-            Some(other) => place(other, engines, holders, seen),
+            Some(other) => assign_slot(other, engines, holders, seen),
         };
-        if is_free {
+        if is_available {
             holders[index] = Some(slot);
             return true;
         }
@@ -373,7 +376,7 @@
     ordered.sort_by_key(|(upstream, row)| (*upstream, row.interval));
     for (upstream, row) in ordered {
         let gap = last.insert(upstream, row.interval).map_or(0, |last| row.interval - last - 1);
-        let times = u64::from(row.accelerators.max(1));
+        let accelerators = u64::from(row.accelerators.max(1));
         let group = |team: &id::Team, customer: Option<&id::Customer>| match grouping {
             Grouping::Team => team.to_string(),
             Grouping::Customer => {
@@ -385,16 +388,16 @@
         };
         for work in &row.work {
             let sum = sums.entry(group(&work.team, Some(&work.customer))).or_default();
-            sum.work_ms += work.millis * times;
+            sum.work_ms += work.millis * accelerators;
         }
         let idle = sums.entry(group(row.idle_team(), None)).or_default();
         if row.claimant.as_str().is_empty() {
-            idle.unclaimed_idle_ms += row.idle_ms * times;
+            idle.unclaimed_idle_ms += row.idle_ms * accelerators;
         } else {
-            idle.claimed_idle_ms += row.idle_ms * times;
+            idle.claimed_idle_ms += row.idle_ms * accelerators;
         }
         let unobserved = sums.entry(group(&row.owner, None)).or_default();
-        unobserved.unobserved_ms += (row.unobserved_ms + gap * INTERVAL_MS) * times;
+        unobserved.unobserved_ms += (row.unobserved_ms + gap * INTERVAL_MS) * accelerators;
     }
     sums
 }
--- a/crates/lagoonline/src/control/membership/group.rs
+++ b/crates/lagoonline/src/control/membership/group.rs
@@ -57,19 +57,19 @@
     settings: Settings,
     roster: roster::Roster,
     /// Time of the last heartbeat of each monitored host.
-    heard: collections::HashMap<id::Host, clock::Moment>,
+    last_heard: collections::HashMap<id::Host, clock::Moment>,
     /// Dead members and the time at which they were declared dead.
     dead: collections::HashMap<id::Host, clock::Moment>,
     /// Neighbours of each live member; cleared to force a recomputation when live members change.
     neighbours: collections::HashMap<id::Host, Vec<id::Host>>,
     /// Members that this steward exchanges heartbeats with, sorted.
-    contacts: Vec<id::Host>,
+    heartbeat_peers: Vec<id::Host>,
     /// Members that joined since the last tick.
     joined: Vec<id::Host>,
     /// Sequence number of the last vote of this steward.
-    votes: u64,
+    last_vote: u64,
     /// Time of the last tick.
-    ticked: clock::Moment,
+    last_tick: clock::Moment,
 }
 
 impl Group {
@@ -95,9 +95,20 @@
     pub fn new(own: roster::Member, settings: Settings, now: clock::Moment) -> Self {
         let mut roster = roster::Roster::default();
         roster.apply(&roster::Update::Member(own.clone()));
-        let (heard, dead, neighbours) = Default::default();
-        let (contacts, joined, votes, ticked) = (Vec::new(), Vec::new(), 0, now);
-        Group { own, settings, roster, heard, dead, neighbours, contacts, joined, votes, ticked }
+        let (last_heard, dead, neighbours) = Default::default();
+        let (heartbeat_peers, joined, last_vote, last_tick) = (Vec::new(), Vec::new(), 0, now);
+        Group {
+            own,
+            settings,
+            roster,
+            last_heard,
+            dead,
+            neighbours,
+            heartbeat_peers,
+            joined,
+            last_vote,
+            last_tick,
+        }
     }
 
     /// Returns this steward's own member record.
@@ -132,7 +143,7 @@
 
     /// Returns the members that this steward exchanges heartbeats with and keeps links to.
     pub fn heartbeat_peers(&self) -> &[id::Host] {
-        &self.contacts
+        &self.heartbeat_peers
     }
 
     /// Returns the hosts of `zone` in the order of ring `number`.
@@ -149,7 +160,7 @@
     }
 
     /// Recomputes neighbours and heartbeat peers if the live members have changed.
-    fn update_contacts(&mut self) {
+    fn update_heartbeat_peers(&mut self) {
         if !self.neighbours.is_empty() {
             return;
         }
@@ -173,13 +184,13 @@
             list.sort();
             list.dedup();
         }
-        let mut contacts = neighbours.get(&self.own.host).cloned().unwrap_or_default();
-        contacts.extend(self.substitutes());
-        contacts.sort();
-        contacts.dedup();
+        let mut peers = neighbours.get(&self.own.host).cloned().unwrap_or_default();
+        peers.extend(self.substitute_peers());
+        peers.sort();
+        peers.dedup();
         // A host that becomes a peer again starts with a full timeout.
-        self.heard.retain(|host, _| contacts.binary_search(host).is_ok());
-        (self.neighbours, self.contacts) = (neighbours, contacts);
+        self.last_heard.retain(|host, _| peers.binary_search(host).is_ok());
+        (self.neighbours, self.heartbeat_peers) = (neighbours, peers);
     }
 
     /// Returns extra heartbeat peers, one for each host that this steward has voted against.
@@ -187,17 +198,18 @@
     /// If all neighbours of this host fail at once, it receives no votes and cannot declare anyone
     /// dead, so it would stay isolated with a list of dead hosts. Extra peers are added until one
     /// of them responds.
-    fn substitutes(&self) -> Vec<id::Host> {
-        let trusted = |name: &&str| !self.roster.is_against(&self.own.host, &id::Host::from(*name));
+    fn substitute_peers(&self) -> Vec<id::Host> {
+        let is_trusted =
+            |name: &&str| !self.roster.has_voted_against(&self.own.host, &id::Host::from(*name));
         let others = self.live_in(&self.own.zone).filter(|name| *name != self.own.host.as_str());
         let others: Vec<&str> = others.collect();
-        let doubted = others.len() - others.iter().filter(|name| trusted(name)).count();
-        if doubted == 0 {
+        let suspected = others.len() - others.iter().filter(|name| is_trusted(name)).count();
+        if suspected == 0 {
             return Vec::new();
         }
-        let trusted = others.into_iter().filter(trusted);
+        let trusted = others.into_iter().filter(is_trusted);
         let ranked =
-            rendezvous::rank(trusted, self.own.host.as_str(), self.settings.rings + doubted);
+            rendezvous::rank(trusted, self.own.host.as_str(), self.settings.rings + suspected);
         ranked.into_iter().map(id::Host::from).collect()
     }
 
@@ -215,8 +227,8 @@
         if member.incarnation != incarnation || *host == self.own.host {
             return Vec::new();
         }
-        self.heard.insert(host.clone(), now);
-        if !self.roster.is_against(&self.own.host, host) {
+        self.last_heard.insert(host.clone(), now);
+        if !self.roster.has_voted_against(&self.own.host, host) {
             return Vec::new();
         }
         vec![self.vote(host, incarnation, false)]
@@ -229,38 +241,38 @@
         incarnation: id::Incarnation,
         against: bool,
     ) -> roster::Update {
-        self.votes += 1;
+        self.last_vote += 1;
         let vote = roster::Vote {
             voter: self.own.host.clone(),
             voter_incarnation: self.own.incarnation,
-            sequence: self.votes,
+            sequence: self.last_vote,
             host: host.clone(),
             incarnation,
             against,
         };
-        let news = roster::Update::Vote(vote);
-        self.roster.apply(&news);
-        news
+        let update = roster::Update::Vote(vote);
+        self.roster.apply(&update);
+        update
     }
 
     /// Applies updates from a peer and returns those that were new, to be forwarded.
-    pub fn apply(&mut self, news: &[roster::Update], now: clock::Moment) -> Vec<roster::Update> {
-        let mut passed = Vec::new();
-        for item in news {
-            if !self.roster.apply(item) {
+    pub fn apply(&mut self, updates: &[roster::Update], now: clock::Moment) -> Vec<roster::Update> {
+        let mut new = Vec::new();
+        for update in updates {
+            if !self.roster.apply(update) {
                 continue;
             }
-            if let roster::Update::Member(member) = item {
-                self.welcome(member, now);
+            if let roster::Update::Member(member) = update {
+                self.add_live(member, now);
             }
-            passed.push(item.clone());
+            new.push(update.clone());
         }
-        passed
+        new
     }
 
     /// Marks a member that joined or has a new incarnation as live.
-    fn welcome(&mut self, member: &roster::Member, now: clock::Moment) {
-        self.heard.insert(member.host.clone(), now);
+    fn add_live(&mut self, member: &roster::Member, now: clock::Moment) {
+        self.last_heard.insert(member.host.clone(), now);
         self.dead.remove(&member.host);
         self.joined.push(member.host.clone());
         self.neighbours.clear();
@@ -272,97 +284,103 @@
     /// Votes against peers whose heartbeats timed out, counts votes, refutes votes against this
     /// steward, and removes members that have been dead for long enough.
     pub fn tick(&mut self, now: clock::Moment) -> (Vec<roster::Update>, Vec<Change>) {
-        self.update_contacts();
-        self.excuse_pause(now);
-        let mut news = self.vote_on_silent(now);
-        news.extend(self.refute());
-        let changes = self.count(now);
-        news.extend(self.second(&changes));
-        self.forget(now);
-        (news, changes)
+        self.update_heartbeat_peers();
+        self.exclude_pause(now);
+        let mut updates = self.vote_on_timeouts(now);
+        updates.extend(self.refute());
+        let changes = self.count_votes(now);
+        updates.extend(self.vote_on_dead(&changes));
+        self.remove_expired(now);
+        (updates, changes)
     }
 
     /// Excludes a pause of this process from the heartbeat timeouts of its peers.
     ///
     /// Otherwise every peer would appear to have timed out when the process resumes, and a paused
     /// host would vote against all its neighbours.
-    fn excuse_pause(&mut self, now: clock::Moment) {
-        let gap = now.since(self.ticked);
-        self.ticked = now;
+    fn exclude_pause(&mut self, now: clock::Moment) {
+        let gap = now.since(self.last_tick);
+        self.last_tick = now;
         let Some(pause) = gap.checked_sub(self.settings.max_tick_gap) else { return };
-        for heard in self.heard.values_mut() {
+        for heard in self.last_heard.values_mut() {
             *heard = *heard + pause;
         }
     }
 
     /// Votes against the peers whose heartbeats timed out.
-    fn vote_on_silent(&mut self, now: clock::Moment) -> Vec<roster::Update> {
-        let mut silent = Vec::new();
-        for host in &self.contacts {
-            let heard = *self.heard.entry(host.clone()).or_insert(now);
+    fn vote_on_timeouts(&mut self, now: clock::Moment) -> Vec<roster::Update> {
+        let mut timed_out = Vec::new();
+        for host in &self.heartbeat_peers {
+            let heard = *self.last_heard.entry(host.clone()).or_insert(now);
             if now.since(heard) < self.settings.heartbeat_timeout {
                 continue;
             }
             let member = self.roster.member(host);
-            if let Some(member) = member.filter(|_| !self.roster.is_against(&self.own.host, host)) {
-                silent.push((host.clone(), member.incarnation));
+            if let Some(member) =
+                member.filter(|_| !self.roster.has_voted_against(&self.own.host, host))
+            {
+                timed_out.push((host.clone(), member.incarnation));
             }
         }
-        if !silent.is_empty() {
+        if !timed_out.is_empty() {
             self.neighbours.clear();
         }
-        silent.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)).collect()
+        timed_out.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)).collect()
     }
 
     /// Refutes votes against this incarnation by starting a new one, which invalidates them.
     ///
-    /// Otherwise a zone would never recover from a network partition: each half holds votes
-    /// against the other, and these votes persist after the partition ends.
+    /// Otherwise a zone would never recover from a network partition: each half holds votes against
+    /// the other, and these votes persist after the partition ends. A new incarnation is also
+    /// started if the roster has a higher one for this host, since the own record would be ignored.
     fn refute(&mut self) -> Vec<roster::Update> {
         let known = self.roster.member(&self.own.host).map(|member| member.incarnation);
         let is_replaced = known.is_some_and(|known| known > self.own.incarnation);
-        if !is_replaced && !self.roster.is_doubted(&self.own.host) {
+        if !is_replaced && !self.roster.is_suspected(&self.own.host) {
             return Vec::new();
         }
         let own = &self.own.host;
         let members = self.roster.members();
-        let doubted = members.filter(|member| self.roster.is_against(own, &member.host));
-        let doubted = doubted.map(|member| (member.host.clone(), member.incarnation));
-        let doubted: Vec<_> = doubted.collect();
+        let suspected = members.filter(|member| self.roster.has_voted_against(own, &member.host));
+        let suspected = suspected.map(|member| (member.host.clone(), member.incarnation));
+        let suspected: Vec<_> = suspected.collect();
         let last = known.unwrap_or_default().max(self.own.incarnation);
         self.own.incarnation = id::Incarnation(last.0 + 1);
-        let mut news = vec![roster::Update::Member(self.own.clone())];
-        self.roster.apply(&news[0]);
+        let mut updates = vec![roster::Update::Member(self.own.clone())];
+        self.roster.apply(&updates[0]);
         // The new incarnation invalidates all votes cast by the earlier one. Votes against dead
         // hosts are still needed, so they are cast again.
-        news.extend(doubted.iter().map(|(host, life)| self.vote(host, *life, true)));
-        news
+        updates.extend(
+            suspected.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)),
+        );
+        updates
     }
 
     /// Returns whether the majority of the eligible `neighbours` of `host` voted against it.
     ///
     /// Neighbours that have votes against themselves are not eligible: they may have failed
     /// together with `host` and then cannot vote.
-    fn is_condemned(&self, host: &id::Host, neighbours: &[id::Host]) -> bool {
-        if !self.roster.is_doubted(host) {
+    fn is_voted_dead(&self, host: &id::Host, neighbours: &[id::Host]) -> bool {
+        if !self.roster.is_suspected(host) {
             return false;
         }
-        let has_say = |neighbour: &&id::Host| {
-            **neighbour == self.own.host || !self.roster.is_doubted(neighbour)
+        let is_eligible = |neighbour: &&id::Host| {
+            **neighbour == self.own.host || !self.roster.is_suspected(neighbour)
         };
-        let with_say: Vec<_> = neighbours.iter().filter(has_say).collect();
-        let against = with_say.iter().filter(|neighbour| self.roster.is_against(neighbour, host));
-        2 * against.count() > with_say.len()
+        let eligible: Vec<_> = neighbours.iter().filter(is_eligible).collect();
+        let against =
+            eligible.iter().filter(|neighbour| self.roster.has_voted_against(neighbour, host));
+        2 * against.count() > eligible.len()
     }
 
     /// Counts the votes, marks members as dead and returns the changes since the last tick.
-    fn count(&mut self, now: clock::Moment) -> Vec<Change> {
+    fn count_votes(&mut self, now: clock::Moment) -> Vec<Change> {
         let joined = std::mem::take(&mut self.joined);
         let mut changes: Vec<_> = joined.into_iter().map(Change::Live).collect();
-        let condemned = |(host, neighbours): &(&id::Host, &Vec<id::Host>)| {
-            **host != self.own.host && self.is_condemned(host, neighbours)
+        let voted_dead = |(host, neighbours): &(&id::Host, &Vec<id::Host>)| {
+            **host != self.own.host && self.is_voted_dead(host, neighbours)
         };
-        let died = self.neighbours.iter().filter(condemned).map(|(host, _)| host.clone());
+        let died = self.neighbours.iter().filter(voted_dead).map(|(host, _)| host.clone());
         let mut died: Vec<id::Host> = died.collect();
         died.sort();
         if !died.is_empty() {
@@ -380,27 +398,27 @@
     /// Each host counts votes with its own view of who the neighbours are, and these views differ
     /// while many members fail at once. Hosts that declared a member dead stop monitoring it, so
     /// without their votes the member could stay live for ever in the view of the others.
-    fn second(&mut self, changes: &[Change]) -> Vec<roster::Update> {
-        let mut seconded = Vec::new();
+    fn vote_on_dead(&mut self, changes: &[Change]) -> Vec<roster::Update> {
+        let mut votes = Vec::new();
         for change in changes {
             let Change::Dead(host) = change else { continue };
             let Some(member) = self.roster.member(host) else { continue };
-            let is_needed = !self.roster.is_against(&self.own.host, host);
+            let is_needed = !self.roster.has_voted_against(&self.own.host, host);
             if is_needed && member.zone == self.own.zone {
-                seconded.push((host.clone(), member.incarnation));
+                votes.push((host.clone(), member.incarnation));
             }
         }
-        seconded.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)).collect()
+        votes.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)).collect()
     }
 
     /// Removes the members that have been dead for the configured time.
-    fn forget(&mut self, now: clock::Moment) {
+    fn remove_expired(&mut self, now: clock::Moment) {
         let limit = self.settings.forget_after;
-        let old = self.dead.iter().filter(|(_, since)| now.since(**since) >= limit);
-        let old: Vec<id::Host> = old.map(|(host, _)| host.clone()).collect();
-        for host in old {
+        let expired = self.dead.iter().filter(|(_, since)| now.since(**since) >= limit);
+        let expired: Vec<id::Host> = expired.map(|(host, _)| host.clone()).collect();
+        for host in expired {
             self.dead.remove(&host);
-            self.heard.remove(&host);
+            self.last_heard.remove(&host);
             self.roster.remove(&host);
         }
     }
--- a/crates/lagoonline/src/control/membership/roster.rs
+++ b/crates/lagoonline/src/control/membership/roster.rs
@@ -57,8 +57,8 @@
 
 impl Roster {
     /// Applies an update; returns false when it is outdated or about an unknown member.
-    pub fn apply(&mut self, news: &Update) -> bool {
-        match news {
+    pub fn apply(&mut self, update: &Update) -> bool {
+        match update {
             Update::Member(member) => self.apply_member(member),
             Update::Vote(vote) => self.apply_vote(vote),
         }
@@ -99,17 +99,18 @@
         self.members.values()
     }
 
-    /// Returns whether the current incarnation of `by` has voted against `host`.
-    pub fn is_against(&self, by: &id::Host, host: &id::Host) -> bool {
-        let vote = self.votes.get(host).and_then(|votes| votes.get(by));
-        let life = self.members.get(by).map(|member| member.incarnation);
-        vote.is_some_and(|vote| vote.against && life == Some(vote.voter_incarnation))
+    /// Returns whether the latest vote of `voter` on `host` is against it and was cast by the
+    /// current incarnation of `voter`.
+    pub fn has_voted_against(&self, voter: &id::Host, host: &id::Host) -> bool {
+        let vote = self.votes.get(host).and_then(|votes| votes.get(voter));
+        let incarnation = self.members.get(voter).map(|member| member.incarnation);
+        vote.is_some_and(|vote| vote.against && incarnation == Some(vote.voter_incarnation))
     }
 
-    /// Returns whether any member has voted against `host` in its current incarnation.
-    pub fn is_doubted(&self, host: &id::Host) -> bool {
+    /// Returns whether any voter has [voted against](Roster::has_voted_against) `host`.
+    pub fn is_suspected(&self, host: &id::Host) -> bool {
         let votes = self.votes.get(host).into_iter().flat_map(collections::BTreeMap::keys);
-        votes.into_iter().any(|by| self.is_against(by, host))
+        votes.into_iter().any(|voter| self.has_voted_against(voter, host))
     }
 
     /// Removes a member, the votes on it and the votes by it.
--- a/crates/lagoonline/src/control/order.rs
+++ b/crates/lagoonline/src/control/order.rs
@@ -115,24 +115,24 @@
     if actual.loading {
         return Decision::Wait;
     }
-    let Some(order) = missing(desired, actual) else { return Decision::Nothing };
+    let Some(order) = required_order(desired, actual) else { return Decision::Nothing };
     let is_load = matches!(order, engine::Order::Load { .. });
     // Loading a model terminates the engine's streams. An engine that ignores fencing numbers
     // cannot tell a late load order from a valid one, so none is sent while it has requests.
     if is_load && context.in_flight > 0 && !context.checks_fence {
         return Decision::Wait;
     }
-    let obeyed_own = actual.fence == context.fence && context.fence > id::Fence(0);
-    if obeyed_own && !context.checks_fence {
+    let executed_current = actual.fence == context.fence && context.fence > id::Fence(0);
+    if executed_current && !context.checks_fence {
         return Decision::Repair(order);
     }
     Decision::Send(order)
 }
 
 /// Returns the order that is needed to reach the desired state, if any.
-fn missing(desired: &Desired, actual: &Actual) -> Option<engine::Order> {
-    let serves = desired.models.iter().any(|model| model.as_str() == actual.model);
-    if !serves {
+fn required_order(desired: &Desired, actual: &Actual) -> Option<engine::Order> {
+    let has_model = desired.models.iter().any(|model| model.as_str() == actual.model);
+    if !has_model {
         let model = desired.models.first()?.clone();
         let (adapter, version) = (String::new(), String::new());
         return Some(engine::Order::Load { model, adapter, version });
--- a/crates/lagoonline/src/control/platform/backoff.rs
+++ b/crates/lagoonline/src/control/platform/backoff.rs
@@ -22,7 +22,7 @@
 }
 
 /// Maximum number of doublings; prevents overflow, since the limit is reached long before.
-const MOST_DOUBLINGS: u32 = 16;
+const MAX_DOUBLINGS: u32 = 16;
 
 impl Backoff {
     /// Returns the delay after `failures` consecutive failures; `random` is uniform in 0 to 1.
@@ -35,8 +35,8 @@
     /// assert_eq!(backoff.delay(60, 1.0), clock::Span::from_secs(5));
     /// ```
     pub fn delay(&self, failures: u32, random: f64) -> clock::Span {
-        let doublings = failures.saturating_sub(1).min(MOST_DOUBLINGS);
-        let most = self.base.saturating_mul(1 << doublings).min(self.limit);
-        most.mul_f64(random.clamp(0.0, 1.0))
+        let doublings = failures.saturating_sub(1).min(MAX_DOUBLINGS);
+        let bound = self.base.saturating_mul(1 << doublings).min(self.limit);
+        bound.mul_f64(random.clamp(0.0, 1.0))
     }
 }
--- a/crates/lagoonline/src/control/platform/breaker.rs
+++ b/crates/lagoonline/src/control/platform/breaker.rs
@@ -4,7 +4,7 @@
 
 /// Consecutive failures after which the breaker opens. With fewer, the loss of one or two packets
 /// would open it; with more, the work of a host would be delayed by as many timeouts.
-const OPEN_AFTER: u32 = 5;
+const FAILURE_THRESHOLD: u32 = 5;
 
 /// State of the breaker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -14,7 +14,7 @@
     /// No call is allowed before `until`.
     Open { until: clock::Moment },
     /// One trial call is in progress; the next one is allowed at `until`.
-    Trial { until: clock::Moment },
+    HalfOpen { until: clock::Moment },
 }
 
 /// Circuit breaker: stops calls while the platform fails, and periodically allows one trial call.
@@ -24,38 +24,38 @@
 #[derive(Clone, Debug)]
 pub struct Breaker {
     state: State,
-    rest: clock::Span,
+    open_duration: clock::Span,
 }
 
 impl Breaker {
-    /// Creates a closed breaker that stays open for up to `rest` once it opens.
+    /// Creates a closed breaker that stays open for up to `open_duration` once it opens.
     ///
     /// ```
     /// use lagoonline::{clock, control::platform};
-    /// let (start, rest) = (clock::Moment::START, clock::Span::from_secs(1));
-    /// let mut breaker = platform::Breaker::new(rest);
+    /// let (start, open_duration) = (clock::Moment::START, clock::Span::from_secs(1));
+    /// let mut breaker = platform::Breaker::new(open_duration);
     /// for _ in 0..5 {
     ///     assert!(breaker.admit(start));
     ///     breaker.record_failure(start, 1.0);
     /// }
     /// assert!(!breaker.admit(start));
-    /// assert!(breaker.admit(start + rest), "one trial");
-    /// assert!(!breaker.admit(start + rest), "only one");
+    /// assert!(breaker.admit(start + open_duration), "one trial");
+    /// assert!(!breaker.admit(start + open_duration), "only one");
     /// breaker.record_success();
-    /// assert!(breaker.admit(start + rest));
+    /// assert!(breaker.admit(start + open_duration));
     /// ```
-    pub fn new(rest: clock::Span) -> Self {
-        Breaker { state: State::Closed { failures: 0 }, rest }
+    pub fn new(open_duration: clock::Span) -> Self {
+        Breaker { state: State::Closed { failures: 0 }, open_duration }
     }
 
     /// Returns whether a call may be made now.
     pub fn admit(&mut self, now: clock::Moment) -> bool {
         match self.state {
             State::Closed { .. } => true,
-            State::Open { until } | State::Trial { until } if now < until => false,
-            // A trial call whose result is never recorded expires after `rest`.
-            State::Open { .. } | State::Trial { .. } => {
-                self.state = State::Trial { until: now + self.rest };
+            State::Open { until } | State::HalfOpen { until } if now < until => false,
+            // A trial call whose result is never recorded expires after `open_duration`.
+            State::Open { .. } | State::HalfOpen { .. } => {
+                self.state = State::HalfOpen { until: now + self.open_duration };
                 true
             }
         }
@@ -67,14 +67,14 @@
     }
 
     /// Records that a call failed. `random` in 0 to 1 spreads the next trial calls of all hosts
-    /// over half of `rest`.
+    /// over half of `open_duration`.
     pub fn record_failure(&mut self, now: clock::Moment, random: f64) {
-        let until = now + self.rest.mul_f64(0.5 + 0.5 * random.clamp(0.0, 1.0));
+        let until = now + self.open_duration.mul_f64(0.5 + 0.5 * random.clamp(0.0, 1.0));
         self.state = match self.state {
-            State::Closed { failures } if failures + 1 < OPEN_AFTER => {
+            State::Closed { failures } if failures + 1 < FAILURE_THRESHOLD => {
                 State::Closed { failures: failures + 1 }
             }
-            State::Closed { .. } | State::Open { .. } | State::Trial { .. } => {
+            State::Closed { .. } | State::Open { .. } | State::HalfOpen { .. } => {
                 State::Open { until }
             }
         };
--- a/crates/lagoonline/src/control/platform/budget.rs
+++ b/crates/lagoonline/src/control/platform/budget.rs
@@ -13,7 +13,7 @@
     /// Capacity of the bucket, in calls.
     burst: f64,
     tokens: f64,
-    filled: clock::Moment,
+    last_refill: clock::Moment,
 }
 
 impl Budget {
@@ -27,18 +27,18 @@
     /// assert!(budget.take(clock::Moment::from_millis(500)));
     /// ```
     pub fn new(rate: f64, burst: f64, now: clock::Moment) -> Self {
-        Budget { rate, burst, tokens: burst, filled: now }
+        Budget { rate, burst, tokens: burst, last_refill: now }
     }
 
     /// Takes one call from the bucket; returns false if it is empty.
     pub fn take(&mut self, now: clock::Moment) -> bool {
-        let filled = now.since(self.filled).as_secs_f64() * self.rate;
-        self.tokens = (self.tokens + filled).min(self.burst);
-        self.filled = now;
-        let enough = self.tokens >= 1.0;
-        if enough {
+        let refill = now.since(self.last_refill).as_secs_f64() * self.rate;
+        self.tokens = (self.tokens + refill).min(self.burst);
+        self.last_refill = now;
+        let is_available = self.tokens >= 1.0;
+        if is_available {
             self.tokens -= 1.0;
         }
-        enough
+        is_available
     }
 }
--- a/crates/lagoonline/src/control/replication.rs
+++ b/crates/lagoonline/src/control/replication.rs
@@ -139,22 +139,23 @@
         if report.incarnation < known.incarnation {
             return false;
         }
-        let same_life = report.incarnation == known.incarnation;
+        let same_incarnation = report.incarnation == known.incarnation;
         // Reports arrive over several paths. If an older report were accepted after a newer one, it
         // would be forwarded as a change, followed by the newer one again, in an endless loop.
-        if same_life && report.number < known.number {
+        if same_incarnation && report.number < known.number {
             return false;
         }
-        let behind = |(team, version): (&id::Team, &id::Version)| {
+        let is_behind = |(team, version): (&id::Team, &id::Version)| {
             report.in_force.get(team).is_none_or(|newer| newer < version)
         };
-        if same_life && known.in_force.iter().any(behind) {
+        if same_incarnation && known.in_force.iter().any(is_behind) {
             return false;
         }
-        let unlike = Report { in_flight: known.in_flight, number: known.number, ..report.clone() };
-        let same = *known == unlike;
+        let comparable =
+            Report { in_flight: known.in_flight, number: known.number, ..report.clone() };
+        let is_unchanged = *known == comparable;
         *known = report;
-        !same
+        !is_unchanged
     }
 
     /// Returns the latest report of a host.
@@ -209,12 +210,12 @@
             let report = self.reports.get(host);
             report.and_then(|report| report.in_force.get(team)).copied().unwrap_or_default()
         };
-        let lines = hosts.into_iter().map(|(host, zone)| {
+        let hosts = hosts.into_iter().map(|(host, zone)| {
             let version = in_force(&host);
             Missing { host, zone, version }
         });
         let is_down =
             |host: &id::Host| self.reports.get(host).is_some_and(|report| report.entry_down);
-        lines.filter(|line| line.version < version && !is_down(&line.host)).collect()
+        hosts.filter(|host| host.version < version && !is_down(&host.host)).collect()
     }
 }
