--- a/crates/lagoon-net/src/entry/cancel.rs
+++ b/crates/lagoon-net/src/entry/cancel.rs
@@ -3,7 +3,7 @@
 //! Guards against leaked engine resources: if a cancel is lost, or its engine is unreachable for a
 //! while, an attempt that nobody reads keeps its slot in the batch and its KV memory. A [`Guard`]
 //! whose attempt did not end submits a cancel when it is dropped, on every path including a panic.
-//! The control thread repeats the cancel at the pace of `lagoonline::life::reap::Cancels` until the
+//! The control thread repeats the cancel at the pace of `lagoonline::lifecycle::reap::CancelQueue` until the
 //! engine acknowledges it or has expired the stream by itself.
 
 use std::cell;
@@ -14,7 +14,7 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::reap;
+use lagoonline::lifecycle::reap;
 use ntex::client;
 use rand::Rng as _;
 use tokio::sync as async_sync;
@@ -90,7 +90,7 @@
     }
 }
 
-type Cancels = rc::Rc<cell::RefCell<reap::Cancels<Pending>>>;
+type Cancels = rc::Rc<cell::RefCell<reap::CancelQueue<Pending>>>;
 
 /// Sends cancels until the process ends.
 pub(crate) async fn run(
@@ -98,7 +98,8 @@
     client: client::Client,
     mut receiver: Receiver,
 ) {
-    let cancels = Cancels::new(cell::RefCell::new(reap::Cancels::new(reap::Pace::default())));
+    let cancels =
+        Cancels::new(cell::RefCell::new(reap::CancelQueue::new(reap::RetryPolicy::default())));
     loop {
         let is_idle = cancels.borrow().is_empty();
         tokio::select! {
@@ -134,7 +135,7 @@
     };
     if tokio::time::timeout(PATIENCE, give_back).await != Ok(true) {
         state.metrics.cancel("repeated");
-    } else if cancels.borrow_mut().acknowledged(&pending) {
+    } else if cancels.borrow_mut().acknowledge(&pending) {
         end(state, "acknowledged");
     }
 }
--- a/crates/lagoon-net/src/entry/desk.rs
+++ b/crates/lagoon-net/src/entry/desk.rs
@@ -23,7 +23,7 @@
 /// The scheduler of one model together with the requests that wait in it.
 #[derive(Debug)]
 pub(crate) struct Desk {
-    clock: clock::Host,
+    clock: clock::System,
     shard: sync::Arc<sync::Mutex<load::Scheduler>>,
     waiting: sync::Mutex<collections::HashMap<load::Waiter, async_sync::oneshot::Sender<Turn>>>,
     /// Notified when a request starts to wait, since that may bring the next wake time forward.
@@ -43,7 +43,7 @@
 
 impl Desk {
     pub(crate) fn new(
-        clock: clock::Host,
+        clock: clock::System,
         shard: sync::Arc<sync::Mutex<load::Scheduler>>,
     ) -> sync::Arc<Desk> {
         let waiting = sync::Mutex::default();
--- a/crates/lagoon-net/src/entry/link/tests.rs
+++ b/crates/lagoon-net/src/entry/link/tests.rs
@@ -1,7 +1,7 @@
 //! Leaving marks of an entry host.
 
 use lagoonline::id::{Incarnation, Upstream};
-use lagoonline::life::leaving::Mark;
+use lagoonline::lifecycle::leaving::Mark;
 
 use super::Link;
 
--- a/crates/lagoon-net/src/entry/pull/dispatch.rs
+++ b/crates/lagoon-net/src/entry/pull/dispatch.rs
@@ -6,8 +6,8 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::request;
-use lagoonline::life::stream;
+use lagoonline::lifecycle::request;
+use lagoonline::lifecycle::stream;
 use lagoonline::load;
 use lagoonline::outcome::{Outcome, Reason, Step};
 
@@ -25,7 +25,7 @@
     /// must not be dispatched again.
     pub(super) async fn open(
         &mut self,
-        mut held: request::Held,
+        mut held: request::Pending,
         mut offer: desk::Offer,
     ) -> Result<Opened, fault::Fault> {
         // Counts rounds, not dispatches: a round whose group reservation fails dispatches nothing.
@@ -70,7 +70,7 @@
     /// Makes one attempt: reserves memory for a group, claims the key and sends the call.
     async fn dispatch(
         &mut self,
-        held: request::Held,
+        held: request::Pending,
         place: desk::Place,
     ) -> Result<Sent, fault::Fault> {
         let worker = self.worker.clone();
@@ -281,17 +281,17 @@
 pub(super) enum Opened {
     Open(Box<Open>),
     /// Nothing was sent, because the call's idempotency key is already in use.
-    Found(request::Held, desk::Place, key::Found),
+    Found(request::Pending, desk::Place, key::Found),
 }
 
 #[derive(Debug)]
 enum Sent {
     Open(Box<Open>),
     /// The call's idempotency key is already in use.
-    Found(request::Held, desk::Place, key::Found),
+    Found(request::Pending, desk::Place, key::Found),
     /// The call may be dispatched again. Holds the slot to release, how its attempt ended, and the
     /// value of the `cause` label of the retry metric.
-    Back(request::Held, desk::Place, load::Ending, &'static str),
+    Back(request::Pending, desk::Place, load::Ending, &'static str),
 }
 
 /// Decides whether a dispatch whose result is unknown is retried or reported to the caller.
@@ -301,7 +301,7 @@
     ending: load::Ending,
     cause: &'static str,
 ) -> Result<Sent, fault::Fault> {
-    let lost = dispatched.lost().again().map_err(|outcome| {
+    let lost = dispatched.lost().retry().map_err(|outcome| {
         let fault = fault::new(Reason::UpstreamFailed, Step::Dispatch, outcome);
         fault.at(place.upstream().as_str())
     })?;
