--- a/crates/lagoon-net/src/steward/orders.rs
+++ b/crates/lagoon-net/src/steward/orders.rs
@@ -8,7 +8,7 @@
 
 use lagoonline::clock;
 use lagoonline::control::lease;
-use lagoonline::control::order;
+use lagoonline::control::reconcile;
 use lagoonline::id;
 use lagoonline::port::engine;
 use ntex::client;
@@ -40,7 +40,7 @@
     upstream: String,
     wanted_models: Vec<id::Model>,
     wanted_role: engine::Role,
-    actual: Option<order::Actual>,
+    actual: Option<reconcile::Actual>,
     decision: &'static str,
     /// Orders sent to it from here.
     sent: u64,
@@ -51,7 +51,7 @@
 struct Target {
     name: id::Upstream,
     address: net::SocketAddr,
-    wanted: order::Desired,
+    wanted: reconcile::Desired,
     checks_fence: bool,
 }
 
@@ -90,7 +90,7 @@
     let core = context.core.borrow();
     let here = core.fleet.upstreams.iter().filter(|upstream| upstream.entry.zone == *core.zone());
     let target = |upstream: &lagoonline::view::Upstream| {
-        let wanted = order::Desired::of(&upstream.entry)?;
+        let wanted = reconcile::Desired::of(&upstream.entry)?;
         Some(Target {
             name: upstream.name.clone(),
             address: upstream.entry.address,
@@ -121,14 +121,14 @@
     }
 
     /// Orders what one engine is missing; whether something is outstanding.
-    async fn decide(&mut self, target: &Target, actual: Option<order::Actual>) -> bool {
+    async fn decide(&mut self, target: &Target, actual: Option<reconcile::Actual>) -> bool {
         let Some(actual) = actual else {
             self.note(target, None, "no answer", 0, 0);
             return false;
         };
         // Without a lease the engine's own number stands in: this only asks whether it is as wanted.
-        let looked = order::Context { fence: actual.fence, ..self.situation(target) };
-        if order::decide(&target.wanted, &actual, &looked) == order::Decision::Nothing {
+        let looked = reconcile::Context { fence: actual.fence, ..self.situation(target) };
+        if reconcile::decide(&target.wanted, &actual, &looked) == reconcile::Decision::Nothing {
             self.note(target, Some(actual), "as wanted", 0, 0);
             return false;
         }
@@ -137,18 +137,20 @@
             self.note(target, Some(actual), "waits for the lease", 0, 0);
             return true;
         };
-        let situation = order::Context { fence, ..self.situation(target) };
-        match order::decide(&target.wanted, &actual, &situation) {
-            order::Decision::Nothing => self.note(target, Some(actual), "as wanted", 0, 0),
-            order::Decision::Wait => self.note(target, Some(actual), "waits for the engine", 0, 0),
-            order::Decision::Superseded => {
+        let situation = reconcile::Context { fence, ..self.situation(target) };
+        match reconcile::decide(&target.wanted, &actual, &situation) {
+            reconcile::Decision::Nothing => self.note(target, Some(actual), "as wanted", 0, 0),
+            reconcile::Decision::Wait => {
+                self.note(target, Some(actual), "waits for the engine", 0, 0)
+            }
+            reconcile::Decision::Superseded => {
                 self.note(target, Some(actual), "a later lease was there", 0, 0);
             }
-            order::Decision::Send(order) => {
+            reconcile::Decision::Send(order) => {
                 let sent = self.send(target, &order).await;
                 self.note(target, Some(actual), sent.word(), sent.count(), 0);
             }
-            order::Decision::Repair(order) => {
+            reconcile::Decision::Repair(order) => {
                 log::warn!("{} obeyed a late order; ordering it back", target.name);
                 let sent = self.send(target, &order).await;
                 self.note(target, Some(actual), sent.word(), sent.count(), sent.count());
@@ -157,14 +159,14 @@
         true
     }
 
-    fn situation(&self, target: &Target) -> order::Context {
+    fn situation(&self, target: &Target) -> reconcile::Context {
         let core = self.context.core.borrow();
         let load = core.loads.get(&target.name).map(|observed| observed.load);
         let in_flight = load.map_or(0, |load| load.running + load.waiting);
-        order::Context { checks_fence: target.checks_fence, in_flight, ..Default::default() }
+        reconcile::Context { checks_fence: target.checks_fence, in_flight, ..Default::default() }
     }
 
-    async fn read(&self, target: &Target) -> Option<order::Actual> {
+    async fn read(&self, target: &Target) -> Option<reconcile::Actual> {
         let request = self.http.get(format!("http://{}/orders", target.address));
         let request = request.set_header("Lagoon-Zone", self.context.settings.zone.as_str());
         let read = async {
@@ -186,7 +188,7 @@
         let request = request.set_header("Lagoon-Zone", self.context.settings.zone.as_str());
         let body = Sent { fence: permit.fence, order };
         let sent = request.send_json(&body);
-        let flight = self.context.settings.lease.max_order_delay.as_millis();
+        let flight = self.context.settings.lease.max_command_delay.as_millis();
         let flight = time::Millis(u32::try_from(flight).unwrap_or(u32::MAX));
         let answer = time::timeout(flight, sent).await;
         if !self.lease.record_sent(&permit) {
@@ -207,7 +209,7 @@
     fn note(
         &self,
         target: &Target,
-        actual: Option<order::Actual>,
+        actual: Option<reconcile::Actual>,
         decision: &'static str,
         sent: u64,
         repaired: u64,
--- a/crates/lagoonline/src/control/document/body.rs
+++ b/crates/lagoonline/src/control/document/body.rs
@@ -134,7 +134,7 @@
     pub prefill_rate: f64,
     /// Number of requests that an engine batches, or a service handles, concurrently.
     pub slots: u32,
-    /// Whether it rejects orders that carry an outdated fencing number.
+    /// Whether it rejects commands that carry an outdated fencing number.
     pub checks_fence: bool,
     /// Number of accelerators; its time is charged once for each of them.
     pub accelerators: u32,
--- a/crates/lagoonline/src/control/lease.rs
+++ b/crates/lagoonline/src/control/lease.rs
@@ -1,15 +1,15 @@
 //! Leases with fencing numbers, stored in rows of the platform's table.
 //!
-//! A lease ensures that only one steward at a time sends orders to an engine, even though processes
-//! may be paused, answers may be lost and the table may be unavailable for longer than a lease.
-//! Without it, two stewards that both consider themselves responsible could alternately load two
-//! models on the same engine.
+//! A lease ensures that only one steward at a time sends commands to an engine, even though
+//! processes may be paused, answers may be lost and the table may be unavailable for longer than a
+//! lease. Without it, two stewards that both consider themselves responsible could alternately load
+//! two models on the same engine.
 //!
 //! The clocks of different hosts are never compared. The holder measures the lease from before it
 //! sent the write that acquired or renewed it; a contender measures from when it first saw the row
 //! version of that write. The contender waits for the whole duration plus
-//! [`Settings::max_order_delay`], the longest time that an order may be in flight, so that the last
-//! order of the old holder has arrived before the new holder sends its first one.
+//! [`Settings::max_command_delay`], the longest time that a command may be in flight, so that the
+//! last command of the old holder has arrived before the new holder sends its first one.
 
 use serde::{Deserialize, Serialize};
 
@@ -24,8 +24,8 @@
     pub duration: clock::Span,
     /// Age at which the holder renews the lease.
     pub renew_after: clock::Span,
-    /// Longest time that an order may be in flight to the engine.
-    pub max_order_delay: clock::Span,
+    /// Longest time that a command may be in flight to the engine.
+    pub max_command_delay: clock::Span,
 }
 
 impl Default for Settings {
@@ -33,7 +33,7 @@
         Settings {
             duration: clock::Span::from_secs(10),
             renew_after: clock::Span::from_secs(3),
-            max_order_delay: clock::Span::from_secs(2),
+            max_command_delay: clock::Span::from_secs(2),
         }
     }
 }
@@ -78,12 +78,12 @@
     Waiting,
 }
 
-/// Permission to send one order.
+/// Permission to send one command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Permit {
-    /// Fencing number that the order carries.
+    /// Fencing number that the command carries.
     pub fence: id::Fence,
-    /// Time by which the order must have been sent; one sent later is counted as late.
+    /// Time by which the command must have been sent; one sent later is counted as late.
     pub until: clock::Moment,
 }
 
@@ -95,7 +95,7 @@
     settings: Settings,
     clock: C,
     state: State,
-    late_orders: u64,
+    late_commands: u64,
 }
 
 impl<C> Lease<C>
@@ -111,14 +111,15 @@
     /// assert_eq!(lease.permit(), None);
     /// ```
     pub fn new(name: &str, own: id::Owner, settings: Settings, clock: C) -> Self {
-        let (name, state, late_orders) = (name.to_owned(), State::Unknown, 0);
-        Lease { name, own, settings, clock, state, late_orders }
+        let (name, state, late_commands) = (name.to_owned(), State::Unknown, 0);
+        Lease { name, own, settings, clock, state, late_commands }
     }
 
-    /// Returns the permission to send an order now; `None` if the lease is not held or has expired.
+    /// Returns the permission to send a command now; `None` if the lease is not held or has
+    /// expired.
     ///
-    /// Call this right before the order is written to its connection, because the process may have
-    /// been paused since any earlier check. A pause between this call and the write is not
+    /// Call this right before the command is written to its connection, because the process may
+    /// have been paused since any earlier check. A pause between this call and the write is not
     /// prevented, but detected and counted afterwards by [`Lease::record_sent`].
     pub fn permit(&self) -> Option<Permit> {
         let State::Held { fence, sent, .. } = self.state else { return None };
@@ -126,21 +127,21 @@
         (self.clock.now() < until).then_some(Permit { fence, until })
     }
 
-    /// Records that the order under `permit` has been written. Returns false and counts the order
-    /// as late if the lease had expired by then. An engine that checks fencing numbers rejects a
-    /// late order once the next holder has sent one; on other engines the next holder repairs the
-    /// effect.
+    /// Records that the command under `permit` has been written. Returns false and counts the
+    /// command as late if the lease had expired by then. An engine that checks fencing numbers
+    /// rejects a late command once the next holder has sent one; on other engines the next holder
+    /// repairs the effect.
     pub fn record_sent(&mut self, permit: &Permit) -> bool {
         let in_time = self.clock.now() < permit.until;
         if !in_time {
-            self.late_orders += 1;
+            self.late_commands += 1;
         }
         in_time
     }
 
-    /// Returns the number of orders that were written after the lease had expired.
-    pub fn late_orders(&self) -> u64 {
-        self.late_orders
+    /// Returns the number of commands that were written after the lease had expired.
+    pub fn late_commands(&self) -> u64 {
+        self.late_commands
     }
 
     /// Acquires or renews the lease, or monitors its current holder. To be called regularly.
@@ -165,8 +166,8 @@
         self.read_and_acquire(table).await
     }
 
-    /// Releases the lease, so that the next holder need not wait for its expiry. No order may be in
-    /// flight any more.
+    /// Releases the lease, so that the next holder need not wait for its expiry. No command may be
+    /// in flight any more.
     ///
     /// # Errors
     ///
@@ -200,7 +201,7 @@
         }
         match self.state {
             State::Watching { version, since } if version == row.version => {
-                let wait = self.settings.duration + self.settings.max_order_delay;
+                let wait = self.settings.duration + self.settings.max_command_delay;
                 if seen.since(since) < wait {
                     return Ok(Status::Waiting);
                 }
--- a/crates/lagoonline/src/control/order.rs
+++ b/crates/lagoonline/src/control/reconcile.rs
@@ -1,15 +1,16 @@
 //! Reconciliation of an engine's reported state with the state that the document specifies.
 //!
-//! Orders are level-triggered. No record is kept of the orders sent: each reconciliation compares
-//! the engine's reported state with the document, so a lost order, a lost answer and a late order
-//! of an earlier lease holder are all corrected by the same rule at the next reconciliation.
+//! Commands are level-triggered. No record is kept of the commands sent: each reconciliation
+//! compares the engine's reported state with the document, so a lost command, a lost answer and a
+//! late command of an earlier lease holder are all corrected by the same rule at the next
+//! reconciliation.
 //!
-//! Limitation: an engine that does not check fencing numbers also executes the order of a lease
+//! Limitation: an engine that does not check fencing numbers also executes the command of a lease
 //! holder that was paused between its last check of the lease and the write, no matter how long the
 //! pause was. The next holder detects the changed state at its next reconciliation and reverts it,
-//! so the wrong state lasts for one reconciliation interval and one order; each case is reported as
-//! [`Decision::Repair`]. Orders that would terminate streams are not sent to such engines while
-//! they have requests.
+//! so the wrong state lasts for one reconciliation interval and one command; each case is reported
+//! as [`Decision::Repair`]. Commands that would terminate streams are not sent to such engines
+//! while they have requests.
 
 use serde::{Deserialize, Serialize};
 
@@ -31,7 +32,7 @@
     pub version: String,
     /// Current role.
     pub role: engine::Role,
-    /// Highest fencing number among the orders that it executed.
+    /// Highest fencing number among the commands that it executed.
     pub fence: id::Fence,
     /// Whether it is loading a model.
     pub loading: bool,
@@ -40,8 +41,8 @@
 /// Desired state of an engine according to the document.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Desired {
-    /// Models that the engine may serve. Any of them is accepted; if none is loaded, the first one
-    /// is ordered.
+    /// Models that the engine may serve. Any of them is accepted; if it serves none of them, the
+    /// first one is loaded.
     pub models: Vec<id::Model>,
     /// Desired role.
     pub role: engine::Role,
@@ -51,12 +52,12 @@
     /// Returns the desired state of an upstream; `None` for a plain service.
     ///
     /// ```
-    /// use lagoonline::control::{document, order};
+    /// use lagoonline::control::{document, reconcile};
     /// let upstream = document::Upstream {
     ///     serves: document::Serves::Models(vec!["m".into()]),
     ///     ..Default::default()
     /// };
-    /// assert_eq!(order::Desired::of(&upstream).unwrap().models.len(), 1);
+    /// assert_eq!(reconcile::Desired::of(&upstream).unwrap().models.len(), 1);
     /// ```
     pub fn of(upstream: &document::Upstream) -> Option<Desired> {
         match &upstream.serves {
@@ -68,10 +69,10 @@
     }
 }
 
-/// Conditions under which an order would be sent.
+/// Conditions under which a command would be sent.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Context {
-    /// Fencing number of the lease under which orders are sent.
+    /// Fencing number of the lease under which commands are sent.
     pub fence: id::Fence,
     /// Whether the engine rejects outdated fencing numbers.
     pub checks_fence: bool,
@@ -84,27 +85,27 @@
 pub enum Decision {
     /// The engine is in the desired state.
     Nothing,
-    /// No order now: the engine is loading, or has requests that an order would interrupt.
+    /// No command now: the engine is loading, or has requests that a command would interrupt.
     Wait,
     /// The engine has seen a higher fencing number: another steward holds the lease.
     Superseded,
-    /// Send this order.
+    /// Send this command.
     Send(engine::Command),
-    /// Send this order to revert a change. The engine reports the current fencing number but not
-    /// the state ordered under it, so it executed a late order of an earlier lease holder.
+    /// Send this command to revert a change. The engine reports the current fencing number but not
+    /// the state requested under it, so it executed a late command of an earlier lease holder.
     Repair(engine::Command),
 }
 
 /// Compares the desired with the actual state and returns what to do.
 ///
 /// ```
-/// use lagoonline::control::order::{decide, Actual, Decision, Context, Desired};
+/// use lagoonline::control::reconcile::{decide, Actual, Decision, Context, Desired};
 /// use lagoonline::port::engine::{Command, Role};
 /// let desired = Desired { models: vec!["m".into()], role: Role::Mixed };
 /// let Decision::Send(Command::Load { model, .. }) =
 ///     decide(&desired, &Actual::default(), &Context::default())
 /// else {
-///     panic!("no order");
+///     panic!("no command");
 /// };
 /// assert_eq!(model.as_str(), "m");
 /// ```
@@ -115,22 +116,22 @@
     if actual.loading {
         return Decision::Wait;
     }
-    let Some(order) = required_order(desired, actual) else { return Decision::Nothing };
-    let is_load = matches!(order, engine::Command::Load { .. });
+    let Some(command) = required_command(desired, actual) else { return Decision::Nothing };
+    let is_load = matches!(command, engine::Command::Load { .. });
     // Loading a model terminates the engine's streams. An engine that ignores fencing numbers
-    // cannot tell a late load order from a valid one, so none is sent while it has requests.
+    // cannot tell a late load command from a valid one, so none is sent while it has requests.
     if is_load && context.in_flight > 0 && !context.checks_fence {
         return Decision::Wait;
     }
     let executed_current = actual.fence == context.fence && context.fence > id::Fence(0);
     if executed_current && !context.checks_fence {
-        return Decision::Repair(order);
+        return Decision::Repair(command);
     }
-    Decision::Send(order)
+    Decision::Send(command)
 }
 
-/// Returns the order that is needed to reach the desired state, if any.
-fn required_order(desired: &Desired, actual: &Actual) -> Option<engine::Command> {
+/// Returns the command that is needed to reach the desired state, if any.
+fn required_command(desired: &Desired, actual: &Actual) -> Option<engine::Command> {
     let has_model = desired.models.iter().any(|model| model.as_str() == actual.model);
     if !has_model {
         let model = desired.models.first()?.clone();
--- a/crates/lagoonline/tests/control_lease.rs
+++ b/crates/lagoonline/tests/control_lease.rs
@@ -62,7 +62,7 @@
     clock.advance(Span::from_secs(30));
     assert_eq!(first.permit(), None);
     assert!(!first.record_sent(&permit));
-    assert_eq!(first.late_orders(), 1);
+    assert_eq!(first.late_commands(), 1);
 }
 
 #[test]
@@ -199,7 +199,7 @@
         let now = self.clock.now();
         let holder = *self.fences.entry(permit.fence).or_insert(index);
         assert_eq!(holder, index, "number {} has two holders", permit.fence.0);
-        let flight = lease::Settings::default().max_order_delay;
+        let flight = lease::Settings::default().max_command_delay;
         for (fence, other, sent) in &self.orders {
             let is_over = *sent + flight <= now;
             assert!(*other == index || is_over, "an order of {other} is still under way");
--- a/crates/lagoonline/tests/control_order.rs
+++ b/crates/lagoonline/tests/control_order.rs
@@ -1,6 +1,6 @@
 //! Reconciliation of engines that check fencing numbers and of engines that ignore them.
 
-use lagoonline::control::order::{self, Actual, Context, Decision, Desired};
+use lagoonline::control::reconcile::{self, Actual, Context, Decision, Desired};
 use lagoonline::id;
 use lagoonline::port::engine;
 use rstest::rstest;
@@ -41,11 +41,11 @@
     #[case] context: Context,
     #[case] decision: Decision,
 ) {
-    assert_eq!(order::decide(&desired(), &actual, &context), decision);
+    assert_eq!(reconcile::decide(&desired(), &actual, &context), decision);
 }
 
 #[test]
 fn a_loading_engine_is_left_alone() {
     let actual = Actual { loading: true, ..actual("x", engine::Role::Long, 5) };
-    assert_eq!(order::decide(&desired(), &actual, &context(true, 0)), Decision::Wait);
+    assert_eq!(reconcile::decide(&desired(), &actual, &context(true, 0)), Decision::Wait);
 }
