--- a/crates/lagoonline/src/control/order.rs
+++ b/crates/lagoonline/src/control/order.rs
@@ -99,9 +99,9 @@
 ///
 /// ```
 /// use lagoonline::control::order::{decide, Actual, Decision, Context, Desired};
-/// use lagoonline::port::engine::{Order, Role};
+/// use lagoonline::port::engine::{Command, Role};
 /// let desired = Desired { models: vec!["m".into()], role: Role::Mixed };
-/// let Decision::Send(Order::Load { model, .. }) =
+/// let Decision::Send(Command::Load { model, .. }) =
 ///     decide(&desired, &Actual::default(), &Context::default())
 /// else {
 ///     panic!("no order");
--- a/crates/lagoonline/src/lifecycle/claim/decision.rs
+++ b/crates/lagoonline/src/lifecycle/claim/decision.rs
@@ -14,9 +14,9 @@
     /// absent.
     Free(u64),
     /// The row holds this request's own claim, at this version.
-    Mine(u64),
+    Own(u64),
     /// The key was used with a different body.
-    Reused,
+    BodyMismatch,
     /// An earlier non-repeatable request may have run or may still be running.
     Unknown,
     /// An earlier repeatable request may be running.
@@ -32,16 +32,16 @@
 /// ```
 /// use lagoonline::lifecycle::{claim::{decide, Decision, Request}, request::Repeat, safeguard};
 /// use lagoonline::{clock::Moment, id};
-/// let ask = Request {
+/// let request = Request {
 ///     customer: id::Customer::from("crew"), key: "k".into(), body_hash: "b".into(),
 ///     repeat: Repeat::Never, token: id::Attempt(1), upstream: id::Upstream::from("u"),
 ///     deadline: Moment::NEVER, wall_ms: 0,
 /// };
-/// assert_eq!(decide(None, &ask, safeguard::Set::default()), Decision::Free(0));
+/// assert_eq!(decide(None, &request, safeguard::Set::default()), Decision::Free(0));
 /// ```
 pub fn decide(
     row: Option<&table::Row>,
-    ask: &record::Request,
+    request: &record::Request,
     safeguards: safeguard::Set,
 ) -> Decision {
     let Some(row) = row else {
@@ -53,18 +53,18 @@
     if record.state == record::State::Released {
         return Decision::Free(row.version);
     }
-    if record.token == ask.token.to_string() {
-        return Decision::Mine(row.version);
+    if record.token == request.token.to_string() {
+        return Decision::Own(row.version);
     }
-    if record.body != ask.body_hash && safeguards.has(safeguard::Safeguard::BodyMatch) {
-        return Decision::Reused;
+    if record.body != request.body_hash && safeguards.has(safeguard::Safeguard::BodyMatch) {
+        return Decision::BodyMismatch;
     }
     match record.state {
         record::State::Done { .. } => Decision::Replay(record),
         record::State::Released => Decision::Free(row.version),
-        record::State::Unknown => may_have_run(row.version, ask, safeguards),
-        record::State::Claimed { ref attempt, ref upstream } => match ask.repeat {
-            request::Repeat::Never => may_have_run(row.version, ask, safeguards),
+        record::State::Unknown => may_have_run(row.version, request, safeguards),
+        record::State::Claimed { ref attempt, ref upstream } => match request.repeat {
+            request::Repeat::Never => may_have_run(row.version, request, safeguards),
             request::Repeat::Allowed => Decision::Running(ticket::Running {
                 attempt: attempt.parse::<id::Attempt>().unwrap_or_default(),
                 upstream: upstream.clone(),
@@ -78,8 +78,8 @@
 /// A non-repeatable call must not run twice. If the claim of a host that seems dead were taken
 /// over, its call, already dispatched, could run as well. No sign of a host's death proves that
 /// nothing was sent, so only the claim holder itself frees such a key, by writing `released`.
-fn may_have_run(version: u64, ask: &record::Request, safeguards: safeguard::Set) -> Decision {
-    let repeatable = ask.repeat == request::Repeat::Allowed;
+fn may_have_run(version: u64, request: &record::Request, safeguards: safeguard::Set) -> Decision {
+    let repeatable = request.repeat == request::Repeat::Allowed;
     if repeatable || !safeguards.has(safeguard::Safeguard::NoTakeover) {
         Decision::Free(version)
     } else {
--- a/crates/lagoonline/src/lifecycle/claim/driver.rs
+++ b/crates/lagoonline/src/lifecycle/claim/driver.rs
@@ -37,7 +37,7 @@
     record: record::Record,
     deadline: clock::Moment,
     /// The highest row version that one of its pending commits may still match.
-    last: u64,
+    last_version: u64,
 }
 
 /// Why a keyed request was not run.
@@ -65,11 +65,11 @@
 }
 
 /// The result of rewriting a claim row owned by this host.
-enum Written {
-    Yes,
+enum RewriteResult {
+    Written,
     Superseded,
     TooLate,
-    Unsure { last: u64 },
+    Unknown { last_version: u64 },
 }
 
 /// Manages the idempotency keys of one entry host.
@@ -98,8 +98,8 @@
     ///
     /// `KeyReused`, `EarlierUnknown` or `PlatformDown`. The request itself did not run in any of
     /// these cases; the outcome is `unknown` if an earlier request with the same key may have run.
-    pub async fn begin(&self, ask: record::Request) -> Result<Begin, Box<Refusal>> {
-        self.claim(ask, 0, 0).await
+    pub async fn begin(&self, request: record::Request) -> Result<Begin, Box<Refusal>> {
+        self.claim(request, 0, 0).await
     }
 
     /// Takes over the key of a repeatable call whose stream cannot be resumed.
@@ -109,61 +109,63 @@
     /// Same as [`Claims::begin`].
     pub async fn take_over(
         &self,
-        ask: record::Request,
+        request: record::Request,
         running: &ticket::Running,
     ) -> Result<Begin, Box<Refusal>> {
-        let over = match ask.repeat {
+        let replaceable = match request.repeat {
             request::Repeat::Allowed => running.version,
             request::Repeat::Never => 0,
         };
-        self.claim(ask, over, over).await
+        self.claim(request, replaceable, replaceable).await
     }
 
     /// `at` is the row version to overwrite. A running claim at version `replaceable` may be
     /// replaced.
     async fn claim(
         &self,
-        ask: record::Request,
+        request: record::Request,
         mut at: u64,
-        over: u64,
+        replaceable: u64,
     ) -> Result<Begin, Box<Refusal>> {
-        let row = self.row(&ask);
-        let record = self.record(&ask, claimed(&ask, ask.token));
-        let mut unsure = None;
+        let row = self.row_key(&request);
+        let record = self.record(&request, claimed(&request, request.token));
+        let mut unconfirmed = None;
         let mut refused = false;
-        for _ in 0..self.settings.rounds {
+        for _ in 0..self.settings.max_attempts {
             match self.commit(&row, &record, at).await {
-                Ok(version) => return Ok(Begin::Run(self.ticket(ask, row, version))),
+                Ok(version) => return Ok(Begin::Run(self.ticket(request, row, version))),
                 // Reads may still work, and the row may hold the answer.
                 Err(table::Error::Refused { .. }) => refused = true,
                 Err(table::Error::Conflict { .. }) => {}
                 Err(table::Error::Unknown { .. }) => {
-                    unsure = Some(at.max(unsure.unwrap_or(0)));
+                    unconfirmed = Some(at.max(unconfirmed.unwrap_or(0)));
                     if !self.settings.safeguards.has(safeguard::Safeguard::ReadBack) {
-                        return Ok(Begin::Run(self.ticket(ask, row, at + 1)));
+                        return Ok(Begin::Run(self.ticket(request, row, at + 1)));
                     }
                 }
             }
             let Ok(found) = self.table.read(&row).await else {
                 continue;
             };
-            match decision::decide(found.as_ref(), &ask, self.settings.safeguards) {
+            match decision::decide(found.as_ref(), &request, self.settings.safeguards) {
                 decision::Decision::Free(_) if refused => break,
                 decision::Decision::Free(version) => at = version,
-                decision::Decision::Mine(version) => {
-                    return Ok(Begin::Run(self.ticket(ask, row, version)));
+                decision::Decision::Own(version) => {
+                    return Ok(Begin::Run(self.ticket(request, row, version)));
                 }
-                decision::Decision::Running(running) if running.version == over => at = over,
-                verdict => return self.other(verdict).await,
+                decision::Decision::Running(running) if running.version == replaceable => {
+                    at = replaceable
+                }
+                decision => return self.resolve_held_key(decision).await,
             }
         }
-        self.give_up(&ask, row, record, unsure)
+        self.give_up(&request, row, record, unconfirmed)
     }
 
     /// Handles a key that is held by another request.
-    async fn other(&self, verdict: decision::Decision) -> Result<Begin, Box<Refusal>> {
-        match verdict {
-            decision::Decision::Reused => {
+    async fn resolve_held_key(&self, decision: decision::Decision) -> Result<Begin, Box<Refusal>> {
+        match decision {
+            decision::Decision::BodyMismatch => {
                 Err(failure(outcome::Reason::KeyReused, outcome::Outcome::NotRun).into())
             }
             decision::Decision::Running(running) => Ok(Begin::Running(running)),
@@ -179,17 +181,22 @@
     /// so the request cannot be dispatched and `not-run` stays true.
     fn give_up(
         &self,
-        ask: &record::Request,
+        request: &record::Request,
         row: String,
         record: record::Record,
-        unsure: Option<u64>,
+        unconfirmed: Option<u64>,
     ) -> Result<Begin, Box<Refusal>> {
-        if ask.repeat == request::Repeat::Allowed {
+        if request.repeat == request::Repeat::Allowed {
             return Ok(Begin::Unclaimed);
         }
         let failure = failure(outcome::Reason::PlatformDown, outcome::Outcome::NotRun)
             .retry_after(self.settings.retry_after);
-        let abandoned = unsure.map(|last| Abandoned { row, record, deadline: ask.deadline, last });
+        let abandoned = unconfirmed.map(|last_version| Abandoned {
+            row,
+            record,
+            deadline: request.deadline,
+            last_version,
+        });
         Err(Box::new(Refusal { failure, abandoned }))
     }
 
@@ -208,8 +215,8 @@
             },
         };
         // The object may have been deleted or replaced by retention since the row was read.
-        let whole = body.len() as u64 == bytes && record::sha256(&body) == sha256;
-        if !whole && self.settings.safeguards.has(safeguard::Safeguard::AnswerCheck) {
+        let is_complete = body.len() as u64 == bytes && record::sha256(&body) == sha256;
+        if !is_complete && self.settings.safeguards.has(safeguard::Safeguard::AnswerCheck) {
             return Err(failure(outcome::Reason::EarlierUnknown, outcome::Outcome::Unknown).into());
         }
         Ok(Begin::Replay(record::Answer { status, content_type, body }))
@@ -223,8 +230,8 @@
         upstream: id::Upstream,
         attempt: id::Attempt,
     ) {
-        ticket.ask.upstream = upstream;
-        let state = claimed(&ticket.ask, attempt);
+        ticket.request.upstream = upstream;
+        let state = claimed(&ticket.request, attempt);
         // An unconfirmed write is harmless: later writes look up the current version by the claim's
         // token.
         self.rewrite(ticket, state).await;
@@ -235,10 +242,15 @@
     /// The caller may be told `not-run` before this completes, because the ticket is consumed.
     pub async fn release(&self, ticket: ticket::Ticket) -> Option<Abandoned> {
         match self.rewrite(&ticket, record::State::Released).await {
-            Written::Yes | Written::Superseded | Written::TooLate => None,
-            Written::Unsure { last } => {
-                let record = self.record(&ticket.ask, record::State::Released);
-                Some(Abandoned { row: ticket.row, record, deadline: ticket.ask.deadline, last })
+            RewriteResult::Written | RewriteResult::Superseded | RewriteResult::TooLate => None,
+            RewriteResult::Unknown { last_version } => {
+                let record = self.record(&ticket.request, record::State::Released);
+                Some(Abandoned {
+                    row: ticket.row,
+                    record,
+                    deadline: ticket.request.deadline,
+                    last_version,
+                })
             }
         }
     }
@@ -246,8 +258,8 @@
     /// Records that the request may have run and that its answer is lost. If the write fails the
     /// row stays `claimed`, which other hosts treat the same way.
     pub async fn mark_unknown(&self, sent: ticket::Sent) {
-        let keep = self.settings.safeguards.has(safeguard::Safeguard::UnknownKept);
-        let state = if keep { record::State::Unknown } else { record::State::Released };
+        let keeps_key = self.settings.safeguards.has(safeguard::Safeguard::UnknownKept);
+        let state = if keeps_key { record::State::Unknown } else { record::State::Released };
         self.rewrite(&sent.0, state).await;
     }
 
@@ -263,7 +275,7 @@
         sent: ticket::Sent,
         answer: record::Answer,
     ) -> Result<(), Box<Unstored>> {
-        let Some(kept) = self.keep(&sent, &answer).await else {
+        let Some(kept) = self.store_body(&sent, &answer).await else {
             return Err(Box::new(Unstored { sent, answer }));
         };
         let state = record::State::Done {
@@ -274,21 +286,21 @@
             sha256: record::sha256(&answer.body),
         };
         match self.rewrite(&sent.0, state).await {
-            Written::Yes | Written::Superseded | Written::TooLate => Ok(()),
-            Written::Unsure { .. } => Err(Box::new(Unstored { sent, answer })),
+            RewriteResult::Written | RewriteResult::Superseded | RewriteResult::TooLate => Ok(()),
+            RewriteResult::Unknown { .. } => Err(Box::new(Unstored { sent, answer })),
         }
     }
 
-    async fn keep(
+    async fn store_body(
         &self,
         sent: &ticket::Sent,
         answer: &record::Answer,
     ) -> Option<record::BodyLocation> {
-        let short = answer.body.len() <= self.settings.inline_bytes;
-        if let (true, Ok(text)) = (short, std::str::from_utf8(&answer.body)) {
+        let is_short = answer.body.len() <= self.settings.inline_bytes;
+        if let (true, Ok(text)) = (is_short, std::str::from_utf8(&answer.body)) {
             return Some(record::BodyLocation::Inline(text.to_owned()));
         }
-        let key = format!("answer/{}/{}", sent.0.row, sent.0.ask.token);
+        let key = format!("answer/{}/{}", sent.0.row, sent.0.request.token);
         self.objects.put(&key, answer.body.clone()).await.ok()?;
         Some(record::BodyLocation::Object(key))
     }
@@ -312,7 +324,9 @@
         let version = found.as_ref().map_or(0, |row| row.version);
         let done = match found.map(|row| serde_json::from_str::<record::Record>(&row.value)) {
             None => false,
-            Some(Ok(record)) if record.state == record::State::Released => version > abandoned.last,
+            Some(Ok(record)) if record.state == record::State::Released => {
+                version > abandoned.last_version
+            }
             Some(Ok(record)) => record.token != abandoned.record.token,
             Some(Err(_)) => true,
         };
@@ -325,15 +339,15 @@
     }
 
     /// Overwrites this claim's own row; returns `Unknown` if no attempt got a definite reply.
-    async fn rewrite(&self, ticket: &ticket::Ticket, state: record::State) -> Written {
-        let record = self.record(&ticket.ask, state);
+    async fn rewrite(&self, ticket: &ticket::Ticket, state: record::State) -> RewriteResult {
+        let record = self.record(&ticket.request, state);
         let mut at = ticket.version;
-        for _ in 0..self.settings.rounds {
-            if self.is_too_late(ticket.ask.deadline) {
-                return Written::TooLate;
+        for _ in 0..self.settings.max_attempts {
+            if self.is_too_late(ticket.request.deadline) {
+                return RewriteResult::TooLate;
             }
             match self.commit(&ticket.row, &record, at).await {
-                Ok(_) => return Written::Yes,
+                Ok(_) => return RewriteResult::Written,
                 Err(table::Error::Refused { .. }) => continue,
                 Err(table::Error::Conflict { .. } | table::Error::Unknown { .. }) => {}
             }
@@ -341,15 +355,15 @@
                 continue;
             };
             let Some(found) = found else {
-                return Written::Superseded;
+                return RewriteResult::Superseded;
             };
             match serde_json::from_str::<record::Record>(&found.value) {
-                Ok(standing) if standing == record => return Written::Yes,
-                Ok(standing) if standing.token == record.token => at = found.version,
-                _ => return Written::Superseded,
+                Ok(current) if current == record => return RewriteResult::Written,
+                Ok(current) if current.token == record.token => at = found.version,
+                _ => return RewriteResult::Superseded,
             }
         }
-        Written::Unsure { last: at }
+        RewriteResult::Unknown { last_version: at }
     }
 
     /// Returns whether the row must no longer be written. If a host pauses for longer than the
@@ -358,7 +372,7 @@
     /// After the grace time a host writes nothing, and its row counts as one that may have run
     /// until its retention ends.
     fn is_too_late(&self, deadline: clock::Moment) -> bool {
-        self.clock.now() >= deadline + self.settings.patience
+        self.clock.now() >= deadline + self.settings.write_grace
             && self.settings.safeguards.has(safeguard::Safeguard::WriteDeadline)
     }
 
@@ -370,40 +384,40 @@
     ) -> Result<u64, table::Error> {
         let value = serde_json::to_string(record).unwrap_or_default();
         let check = table::Check { key: row.to_owned(), version: at };
-        let checked = self.settings.safeguards.has(safeguard::Safeguard::VersionCheck);
+        let has_check = self.settings.safeguards.has(safeguard::Safeguard::VersionCheck);
         let transaction = table::Transaction {
-            checks: checked.then_some(check).into_iter().collect(),
+            checks: has_check.then_some(check).into_iter().collect(),
             changes: vec![table::Change::Put { key: row.to_owned(), value }],
         };
         let versions = self.table.commit(transaction).await?;
         Ok(versions.first().copied().unwrap_or(at + 1))
     }
 
-    fn row(&self, ask: &record::Request) -> String {
+    fn row_key(&self, request: &record::Request) -> String {
         if self.settings.safeguards.has(safeguard::Safeguard::CustomerScope) {
-            record::row_key(&ask.customer, &ask.key)
+            record::row_key(&request.customer, &request.key)
         } else {
-            record::row_key(&id::Customer::default(), &ask.key)
+            record::row_key(&id::Customer::default(), &request.key)
         }
     }
 
-    fn record(&self, ask: &record::Request, state: record::State) -> record::Record {
+    fn record(&self, request: &record::Request, state: record::State) -> record::Record {
         record::Record {
-            token: ask.token.to_string(),
-            body: ask.body_hash.clone(),
+            token: request.token.to_string(),
+            body: request.body_hash.clone(),
             holder: self.settings.owner.to_string(),
-            written_ms: ask.wall_ms,
+            written_ms: request.wall_ms,
             state,
         }
     }
 
-    fn ticket(&self, ask: record::Request, row: String, version: u64) -> ticket::Ticket {
-        ticket::Ticket { ask, row, version, safeguards: self.settings.safeguards }
+    fn ticket(&self, request: record::Request, row: String, version: u64) -> ticket::Ticket {
+        ticket::Ticket { request, row, version, safeguards: self.settings.safeguards }
     }
 }
 
-fn claimed(ask: &record::Request, attempt: id::Attempt) -> record::State {
-    record::State::Claimed { attempt: attempt.to_string(), upstream: ask.upstream.clone() }
+fn claimed(request: &record::Request, attempt: id::Attempt) -> record::State {
+    record::State::Claimed { attempt: attempt.to_string(), upstream: request.upstream.clone() }
 }
 
 fn failure(reason: outcome::Reason, outcome: outcome::Outcome) -> outcome::Failure {
--- a/crates/lagoonline/src/lifecycle/claim/settings.rs
+++ b/crates/lagoonline/src/lifecycle/claim/settings.rs
@@ -12,10 +12,10 @@
     /// Longest answer body stored in the row, in bytes; longer ones are stored as objects.
     pub inline_bytes: usize,
     /// Number of commits attempted for one row change before it is given up.
-    pub rounds: u32,
+    pub max_attempts: u32,
     /// How long after a request's deadline its row may still be written. Must be hours shorter than
     /// the retention.
-    pub patience: clock::Span,
+    pub write_grace: clock::Span,
     /// `Retry-After` for requests refused because the platform is unreachable.
     pub retry_after: clock::Span,
     /// Safeguards in force; all of them outside of mutation tests.
@@ -23,16 +23,16 @@
 }
 
 /// Three commits cover one lost reply and one lost race; more would add load during an outage.
-const ROUNDS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 /// Shortest claim retention that a site may configure.
 pub const MIN_RETENTION: clock::Span = clock::Span::from_secs(24 * 3_600);
 /// Longest deadline that a document may configure. A row is written until `WRITE_GRACE` after the
 /// deadline, and the same time again is left for a suspended host or a delayed commit before the
 /// retention can end. Otherwise a host could dispatch, or free, a key whose row has been deleted,
 /// and the call would run twice.
-pub const MAX_DEADLINE: clock::Span = MIN_RETENTION.saturating_sub(PATIENCE.saturating_mul(2));
+pub const MAX_DEADLINE: clock::Span = MIN_RETENTION.saturating_sub(WRITE_GRACE.saturating_mul(2));
 /// A platform outage may last this long before an answer is left unstored.
-const PATIENCE: clock::Span = clock::Span::from_secs(3_600);
+const WRITE_GRACE: clock::Span = clock::Span::from_secs(3_600);
 /// Covers most booking answers and keeps scanned rows small.
 const INLINE_BYTES: usize = 4_096;
 
@@ -41,8 +41,8 @@
         Settings {
             owner: id::Owner::default(),
             inline_bytes: INLINE_BYTES,
-            rounds: ROUNDS,
-            patience: PATIENCE,
+            max_attempts: MAX_ATTEMPTS,
+            write_grace: WRITE_GRACE,
             retry_after: clock::Span::from_secs(1),
             safeguards: safeguard::Set::default(),
         }
--- a/crates/lagoonline/src/lifecycle/claim/sweep.rs
+++ b/crates/lagoonline/src/lifecycle/claim/sweep.rs
@@ -57,13 +57,13 @@
 pub struct Sweeper {
     settings: SweepSettings,
     prefix: String,
-    after: String,
+    cursor: String,
 }
 
 impl Sweeper {
     /// Creates a sweeper positioned before the first row of `shard`.
     pub fn new(settings: SweepSettings, shard: u8) -> Self {
-        Sweeper { settings, prefix: record::shard_prefix(shard), after: String::new() }
+        Sweeper { settings, prefix: record::shard_prefix(shard), cursor: String::new() }
     }
 
     /// Makes one read and at most one write; returns the number of deleted rows.
@@ -75,27 +75,27 @@
     where
         T: table::Table,
     {
-        let rows = table.scan(&self.prefix, &self.after, self.settings.batch).await?;
-        let old: Vec<_> = rows.iter().filter(|row| self.is_over(row, wall_ms)).collect();
-        if !old.is_empty() {
+        let rows = table.scan(&self.prefix, &self.cursor, self.settings.batch).await?;
+        let expired: Vec<_> = rows.iter().filter(|row| self.is_expired(row, wall_ms)).collect();
+        if !expired.is_empty() {
             let check =
                 |row: &&table::Row| table::Check { key: row.key.clone(), version: row.version };
             let delete = |row: &&table::Row| table::Change::Delete { key: row.key.clone() };
             table
                 .commit(table::Transaction {
-                    checks: old.iter().map(check).collect(),
-                    changes: old.iter().map(delete).collect(),
+                    checks: expired.iter().map(check).collect(),
+                    changes: expired.iter().map(delete).collect(),
                 })
                 .await?;
         }
-        self.after = match rows.last() {
+        self.cursor = match rows.last() {
             Some(last) if rows.len() == self.settings.batch => last.key.clone(),
             _ => String::new(),
         };
-        Ok(old.len())
+        Ok(expired.len())
     }
 
-    fn is_over(&self, row: &table::Row, wall_ms: u64) -> bool {
+    fn is_expired(&self, row: &table::Row, wall_ms: u64) -> bool {
         let retention = u64::try_from(self.settings.retention.as_millis()).unwrap_or(u64::MAX);
         serde_json::from_str::<record::Record>(&row.value)
             .is_ok_and(|record| wall_ms.saturating_sub(record.written_ms) > retention)
--- a/crates/lagoonline/src/lifecycle/claim/ticket.rs
+++ b/crates/lagoonline/src/lifecycle/claim/ticket.rs
@@ -10,7 +10,7 @@
 /// attempt is in flight.
 #[derive(Debug)]
 pub struct Ticket {
-    pub(super) ask: record::Request,
+    pub(super) request: record::Request,
     pub(super) row: String,
     pub(super) version: u64,
     pub(super) safeguards: safeguard::Set,
@@ -48,8 +48,8 @@
     ///
     /// Returns the ticket if its deadline has passed.
     pub fn dispatch(self, now: clock::Moment) -> Result<Sent, Expired> {
-        let late = now >= self.ask.deadline;
-        if late && self.safeguards.has(safeguard::Safeguard::DispatchDeadline) {
+        let is_late = now >= self.request.deadline;
+        if is_late && self.safeguards.has(safeguard::Safeguard::DispatchDeadline) {
             return Err(Expired(Box::new(self)));
         }
         Ok(Sent(self))
@@ -57,7 +57,7 @@
 
     /// Returns the token that identifies the claim.
     pub fn token(&self) -> id::Attempt {
-        self.ask.token
+        self.request.token
     }
 }
 
@@ -69,6 +69,6 @@
 
     /// Returns the token that identifies the claim.
     pub fn token(&self) -> id::Attempt {
-        self.0.ask.token
+        self.0.request.token
     }
 }
--- a/crates/lagoonline/src/lifecycle/drain.rs
+++ b/crates/lagoonline/src/lifecycle/drain.rs
@@ -57,7 +57,7 @@
 pub struct Drain {
     settings: Settings,
     state: State,
-    since: clock::Moment,
+    signalled_at: clock::Moment,
 }
 
 impl Default for Drain {
@@ -69,7 +69,7 @@
 impl Drain {
     /// Creates a host that is serving.
     pub fn new(settings: Settings) -> Self {
-        Drain { settings, state: State::Serving, since: clock::Moment::START }
+        Drain { settings, state: State::Serving, signalled_at: clock::Moment::START }
     }
 
     /// Handles SIGTERM or an operator's `drain` while `open` requests are in flight; the second one
@@ -77,7 +77,7 @@
     pub fn signal(&mut self, now: clock::Moment, open: usize) -> State {
         self.state = match self.state {
             State::Serving => {
-                self.since = now;
+                self.signalled_at = now;
                 State::Unready
             }
             State::Unready | State::Draining => State::Ended { interrupted: open > 0 },
@@ -89,14 +89,14 @@
     /// Advances the state while `open` requests are in flight; call it often, and whenever a
     /// request ends.
     pub fn tick(&mut self, now: clock::Moment, open: usize) -> State {
-        let elapsed = now.since(self.since);
+        let elapsed = now.since(self.signalled_at);
         if self.state == State::Unready && elapsed >= self.settings.unready {
             self.state = State::Draining;
         }
-        let going = matches!(self.state, State::Unready | State::Draining);
+        let is_ending = matches!(self.state, State::Unready | State::Draining);
         if self.state == State::Draining && open == 0 {
             self.state = State::Ended { interrupted: false };
-        } else if going && elapsed >= self.settings.grace {
+        } else if is_ending && elapsed >= self.settings.grace {
             self.state = State::Ended { interrupted: open > 0 };
         }
         self.state
--- a/crates/lagoonline/src/lifecycle/fingerprint.rs
+++ b/crates/lagoonline/src/lifecycle/fingerprint.rs
@@ -8,7 +8,7 @@
 
 /// Digest length in bytes: enough to rule out chance collisions, and a caller finding a body with
 /// the fingerprint of another request.
-const DIGEST: usize = 16;
+const DIGEST_BYTES: usize = 16;
 
 /// The identity of a request: its customer, path and query, and body.
 ///
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Fingerprint {
     length: u64,
-    digest: [u8; DIGEST],
+    digest: [u8; DIGEST_BYTES],
 }
 
 /// Text or bytes that do not form a fingerprint.
@@ -42,8 +42,8 @@
             hash.update(length(part).to_le_bytes());
             hash.update(part);
         }
-        let mut digest = [0; DIGEST];
-        digest.copy_from_slice(&hash.finalize()[..DIGEST]);
+        let mut digest = [0; DIGEST_BYTES];
+        digest.copy_from_slice(&hash.finalize()[..DIGEST_BYTES]);
         Fingerprint { length: length(body), digest }
     }
 
@@ -55,8 +55,8 @@
     /// assert!(of_five.contains(&Fingerprint::new("acme", "/talk/a", b"hello")));
     /// ```
     pub const fn of_length(length: u64) -> ops::RangeInclusive<Fingerprint> {
-        let first = Fingerprint { length, digest: [0; DIGEST] };
-        first..=Fingerprint { length, digest: [u8::MAX; DIGEST] }
+        let first = Fingerprint { length, digest: [0; DIGEST_BYTES] };
+        first..=Fingerprint { length, digest: [u8::MAX; DIGEST_BYTES] }
     }
 
     /// Returns the length of the body in bytes.
@@ -104,7 +104,7 @@
     fn from_str(text: &str) -> Result<Fingerprint, Malformed> {
         let (length, digits) = text.split_once('-').ok_or(Malformed)?;
         let length = u64::from_str_radix(length, 16).map_err(|_| Malformed)?;
-        if digits.len() != 2 * DIGEST || !digits.is_ascii() {
+        if digits.len() != 2 * DIGEST_BYTES || !digits.is_ascii() {
             return Err(Malformed);
         }
         let digest = u128::from_str_radix(digits, 16).map_err(|_| Malformed)?;
--- a/crates/lagoonline/src/lifecycle/leaving.rs
+++ b/crates/lagoonline/src/lifecycle/leaving.rs
@@ -38,7 +38,7 @@
     marks: collections::BTreeMap<id::Upstream, Mark>,
     /// Upstreams that refused work before any incarnation of theirs was known. The refusal applies
     /// to the first incarnation that becomes known.
-    unnamed: collections::BTreeSet<id::Upstream>,
+    unidentified: collections::BTreeSet<id::Upstream>,
     safeguards: safeguard::Set,
 }
 
@@ -52,10 +52,10 @@
     /// mark if it changed; it should then be sent to peers at once.
     pub fn merge(&mut self, upstream: &id::Upstream, mark: Mark) -> Option<Mark> {
         let known = self.marks.get(upstream).copied();
-        let unnamed = self.unnamed.remove(upstream);
-        let mark = Mark { leaving: mark.leaving || unnamed, ..mark };
-        let stale = known.is_some_and(|known| mark <= known);
-        if stale && self.safeguards.has(safeguard::Safeguard::StaleMark) {
+        let unidentified = self.unidentified.remove(upstream);
+        let mark = Mark { leaving: mark.leaving || unidentified, ..mark };
+        let is_stale = known.is_some_and(|known| mark <= known);
+        if is_stale && self.safeguards.has(safeguard::Safeguard::StaleMark) {
             return None;
         }
         self.marks.insert(upstream.clone(), mark);
@@ -63,14 +63,14 @@
     }
 
     /// Merges the platform's host list; returns the marks that changed.
-    pub fn apply_list(&mut self, lines: &[hosts::Entry]) -> Vec<(id::Upstream, Mark)> {
-        let merge = |line: &hosts::Entry| {
-            let upstream = id::Upstream::from(line.name.as_str());
-            let leaving = line.state == hosts::State::Leaving;
-            let mark = Mark { incarnation: line.incarnation, leaving };
+    pub fn apply_list(&mut self, entries: &[hosts::Entry]) -> Vec<(id::Upstream, Mark)> {
+        let merge = |entry: &hosts::Entry| {
+            let upstream = id::Upstream::from(entry.name.as_str());
+            let leaving = entry.state == hosts::State::Leaving;
+            let mark = Mark { incarnation: entry.incarnation, leaving };
             self.merge(&upstream, mark).map(|mark| (upstream, mark))
         };
-        lines.iter().filter_map(merge).collect()
+        entries.iter().filter_map(merge).collect()
     }
 
     /// Records that the upstream itself refused work because it is leaving; this applies to the
@@ -79,7 +79,7 @@
         match self.marks.get(upstream).copied() {
             Some(known) => self.merge(upstream, Mark { leaving: true, ..known }),
             None => {
-                self.unnamed.insert(upstream.clone());
+                self.unidentified.insert(upstream.clone());
                 None
             }
         }
@@ -88,7 +88,7 @@
     /// Returns whether the upstream gets no new work.
     pub fn is_leaving(&self, upstream: &id::Upstream) -> bool {
         let leaving = self.marks.get(upstream).is_some_and(|mark| mark.leaving);
-        leaving || self.unnamed.contains(upstream)
+        leaving || self.unidentified.contains(upstream)
     }
 
     /// Returns the mark of an upstream, or `None` if no incarnation of it is known.
@@ -107,6 +107,6 @@
         F: Fn(&id::Upstream) -> bool,
     {
         self.marks.retain(|upstream, _| keep(upstream));
-        self.unnamed.retain(|upstream| keep(upstream));
+        self.unidentified.retain(|upstream| keep(upstream));
     }
 }
--- a/crates/lagoonline/src/lifecycle/quarantine/evidence.rs
+++ b/crates/lagoonline/src/lifecycle/quarantine/evidence.rs
@@ -22,11 +22,11 @@
 pub(super) struct Evidence {
     settings: Settings,
     crashes: collections::BTreeMap<u64, Crash>,
-    next: u64,
+    next_id: u64,
     /// Ids of the crashes that each suspect was involved in, in order.
     suspects: collections::BTreeMap<Fingerprint, Vec<u64>>,
     /// When each request was last answered completely.
-    trusted: collections::BTreeMap<Fingerprint, clock::Moment>,
+    answered: collections::BTreeMap<Fingerprint, clock::Moment>,
 }
 
 impl Evidence {
@@ -34,11 +34,11 @@
         Evidence { settings, ..Evidence::default() }
     }
 
-    /// Returns whether a suspected or trusted request has a body of this length.
+    /// Returns whether a suspected or recently answered request has a body of this length.
     pub(super) fn has_length(&self, length: u64) -> bool {
         let range = Fingerprint::of_length(length);
         self.suspects.range(range.clone()).next().is_some()
-            || self.trusted.range(range).next().is_some()
+            || self.answered.range(range).next().is_some()
     }
 
     pub(super) fn suspects(&self) -> usize {
@@ -53,58 +53,58 @@
         explained: bool,
         now: clock::Moment,
     ) {
-        let number = self.number(upstream, now);
-        let Some(crash) = self.crashes.get_mut(&number) else { return };
+        let id = self.crash_id(upstream, now);
+        let Some(crash) = self.crashes.get_mut(&id) else { return };
         crash.explained |= explained;
         for Suspect { fingerprint, weight } in suspects {
-            let trust = self.trusted.get(fingerprint);
-            if trust.is_some_and(|at| now.since(*at) < self.settings.trust_duration) {
+            let answered = self.answered.get(fingerprint);
+            if answered.is_some_and(|at| now.since(*at) < self.settings.trust_duration) {
                 continue;
             }
             let known = crash.suspects.get(fingerprint).copied();
             crash.suspects.insert(*fingerprint, known.map_or(*weight, |known| known.max(*weight)));
             if known.is_none() {
-                self.suspects.entry(*fingerprint).or_default().push(number);
+                self.suspects.entry(*fingerprint).or_default().push(id);
             }
         }
     }
 
     /// Returns the id of the crash that a report about `upstream` made now belongs to; reports
     /// within the dedup window share one id.
-    fn number(&mut self, upstream: &id::Upstream, now: clock::Moment) -> u64 {
+    fn crash_id(&mut self, upstream: &id::Upstream, now: clock::Moment) -> u64 {
         let same = self.settings.dedup_window;
         let recent = self.crashes.iter().rev().take_while(|(_, crash)| now.since(crash.at) < same);
         let mut recent = recent.filter(|(_, crash)| crash.upstream == *upstream);
-        if let Some((number, _)) = recent.next() {
-            return *number;
+        if let Some((id, _)) = recent.next() {
+            return *id;
         }
-        let number = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         let suspects = collections::BTreeMap::new();
         let crash = Crash { upstream: upstream.clone(), at: now, suspects, explained: false };
-        self.crashes.insert(number, crash);
-        number
+        self.crashes.insert(id, crash);
+        id
     }
 
     /// Records that the request was answered completely; returns whether other hosts should be
     /// told.
-    pub(super) fn trust(&mut self, request: &Fingerprint, now: clock::Moment) -> bool {
+    pub(super) fn record_answer(&mut self, request: &Fingerprint, now: clock::Moment) -> bool {
         let was_suspect = self.drop_suspect(request);
-        let before = self.trusted.get(request).copied();
+        let before = self.answered.get(request).copied();
         if !was_suspect && before.is_none() {
             return false;
         }
         let is_stale = before.is_none_or(|at| now.since(at) * 2 > self.settings.trust_duration);
         if was_suspect || is_stale {
-            self.trusted.insert(*request, now);
+            self.answered.insert(*request, now);
         }
         was_suspect || is_stale
     }
 
     fn drop_suspect(&mut self, request: &Fingerprint) -> bool {
-        let Some(numbers) = self.suspects.remove(request) else { return false };
-        for number in numbers {
-            if let Some(crash) = self.crashes.get_mut(&number) {
+        let Some(ids) = self.suspects.remove(request) else { return false };
+        for id in ids {
+            if let Some(crash) = self.crashes.get_mut(&id) {
                 crash.suspects.remove(request);
             }
         }
@@ -113,8 +113,8 @@
 
     /// Marks the crashes that the now quarantined request was involved in as explained by it.
     pub(super) fn explain(&mut self, request: &Fingerprint) {
-        for number in self.suspects.remove(request).unwrap_or_default() {
-            if let Some(crash) = self.crashes.get_mut(&number) {
+        for id in self.suspects.remove(request).unwrap_or_default() {
+            if let Some(crash) = self.crashes.get_mut(&id) {
                 crash.explained = true;
                 crash.suspects.remove(request);
             }
@@ -122,9 +122,12 @@
     }
 
     /// Returns the unexplained crashes that `request` was involved in.
-    fn open<'a>(&'a self, request: &Fingerprint) -> impl Iterator<Item = &'a Crash> + use<'a> {
-        let numbers = self.suspects.get(request).into_iter().flatten();
-        let crashes = numbers.filter_map(|number| self.crashes.get(number));
+    fn unexplained<'a>(
+        &'a self,
+        request: &Fingerprint,
+    ) -> impl Iterator<Item = &'a Crash> + use<'a> {
+        let ids = self.suspects.get(request).into_iter().flatten();
+        let crashes = ids.filter_map(|id| self.crashes.get(id));
         crashes.filter(|crash| !crash.explained)
     }
 
@@ -135,21 +138,23 @@
         Crashes: Iterator<Item = &'a Crash>,
     {
         let mut sum = 0;
-        let mut together = 0;
-        let mut first: Option<clock::Moment> = None;
+        let mut heaviest = 0;
+        let mut window_start: Option<clock::Moment> = None;
         for crash in crashes {
-            if first.is_none_or(|first| crash.at.since(first) > self.settings.correlation_window) {
-                sum += std::mem::take(&mut together);
-                first = Some(crash.at);
+            if window_start
+                .is_none_or(|start| crash.at.since(start) > self.settings.correlation_window)
+            {
+                sum += std::mem::take(&mut heaviest);
+                window_start = Some(crash.at);
             }
-            together =
-                together.max(crash.suspects.get(request).map_or(0, |weight| weight.points()));
+            heaviest =
+                heaviest.max(crash.suspects.get(request).map_or(0, |weight| weight.points()));
         }
-        sum + together
+        sum + heaviest
     }
 
     /// Returns the weight that counts as proof.
-    fn proof(&self) -> usize {
+    fn required_weight(&self) -> usize {
         self.settings.required_crashes * Weight::Begun.points()
     }
 
@@ -162,15 +167,15 @@
 
     /// Returns how long a decision on `request` must wait for other hosts' reports, if the crashes
     /// so far would be sufficient proof; `None` if they are not, or if no wait is needed.
-    pub(super) fn unsettled(
+    pub(super) fn pending_delay(
         &self,
         request: &Fingerprint,
         now: clock::Moment,
     ) -> Option<clock::Span> {
-        if self.weigh(request, self.open(request)) < self.proof() {
+        if self.weigh(request, self.unexplained(request)) < self.required_weight() {
             return None;
         }
-        let last = self.open(request).last()?;
+        let last = self.unexplained(request).last()?;
         let until = last.at + self.settings.settle_time;
         (until > now).then(|| until.since(now))
     }
@@ -189,12 +194,13 @@
         Probation: Fn(&Fingerprint) -> bool,
     {
         let settled = |crash: &&Crash| now.since(crash.at) >= self.settings.settle_time;
-        let weigh = |request: &Fingerprint| self.weigh(request, self.open(request).filter(settled));
+        let weigh =
+            |request: &Fingerprint| self.weigh(request, self.unexplained(request).filter(settled));
         let proves = |request: &Fingerprint, weight: usize| {
             if on_probation(request) {
                 return weight >= Weight::Begun.points();
             }
-            weight >= self.proof() && !self.has_rival(request, now)
+            weight >= self.required_weight() && !self.has_rival(request, now)
         };
         let weighed = self.suspects.keys().map(|request| (*request, weigh(request)));
         let proven = weighed.filter(|(request, weight)| proves(request, *weight));
@@ -203,8 +209,9 @@
 
     /// Returns whether another suspect was involved in all settled crashes of `request`.
     fn has_rival(&self, request: &Fingerprint, now: clock::Moment) -> bool {
-        let mut crashes =
-            self.open(request).filter(|crash| now.since(crash.at) >= self.settings.settle_time);
+        let mut crashes = self
+            .unexplained(request)
+            .filter(|crash| now.since(crash.at) >= self.settings.settle_time);
         let Some(first) = crashes.next() else { return false };
         let rivals = first.suspects.keys().filter(|rival| *rival != request);
         let mut rivals: Vec<_> = rivals.collect();
@@ -216,7 +223,7 @@
 
     /// Returns the upstreams whose unexplained crashes involved `request`.
     pub(super) fn upstreams(&self, request: &Fingerprint) -> Vec<id::Upstream> {
-        self.open(request).map(|crash| crash.upstream.clone()).collect()
+        self.unexplained(request).map(|crash| crash.upstream.clone()).collect()
     }
 
     /// Drops expired evidence. If there are too many suspects, those with the fewest crashes are
@@ -226,21 +233,21 @@
             self.settings;
         // Bounds memory when many suspects are answered: only the more recent half is kept.
         let trust_duration =
-            if self.trusted.len() > max_entries { trust_duration / 2 } else { trust_duration };
-        self.trusted.retain(|_, at| now.since(*at) < trust_duration);
+            if self.answered.len() > max_entries { trust_duration / 2 } else { trust_duration };
+        self.answered.retain(|_, at| now.since(*at) < trust_duration);
         let before = self.crashes.len();
-        while let Some((number, oldest)) = self.crashes.first_key_value() {
+        while let Some((id, oldest)) = self.crashes.first_key_value() {
             if now.since(oldest.at) < evidence_retention && self.crashes.len() <= max_crashes {
                 break;
             }
-            let number = *number;
-            self.crashes.remove(&number);
+            let id = *id;
+            self.crashes.remove(&id);
         }
         if self.crashes.len() < before {
-            let first = self.crashes.first_key_value().map_or(self.next, |(number, _)| *number);
-            self.suspects.retain(|_, numbers| {
-                numbers.retain(|number| *number >= first);
-                !numbers.is_empty()
+            let first = self.crashes.first_key_value().map_or(self.next_id, |(id, _)| *id);
+            self.suspects.retain(|_, ids| {
+                ids.retain(|id| *id >= first);
+                !ids.is_empty()
             });
         }
         if self.suspects.len() > max_entries {
@@ -250,9 +257,8 @@
 
     fn drop_weakest(&mut self, count: usize) {
         let weighed = self.suspects.iter();
-        let mut weakest: Vec<_> = weighed
-            .map(|(request, numbers)| (numbers.len(), numbers.last().copied(), *request))
-            .collect();
+        let mut weakest: Vec<_> =
+            weighed.map(|(request, ids)| (ids.len(), ids.last().copied(), *request)).collect();
         weakest.sort_unstable();
         for (_, _, request) in weakest.into_iter().take(count) {
             self.drop_suspect(&request);
--- a/crates/lagoonline/src/lifecycle/quarantine/mod.rs
+++ b/crates/lagoonline/src/lifecycle/quarantine/mod.rs
@@ -120,7 +120,7 @@
     evidence: evidence::Evidence,
     records: record::Records,
     /// There is evidence that has not been evaluated, or not yet with all reports of other hosts.
-    unjudged: bool,
+    needs_evaluation: bool,
 }
 
 impl Default for Quarantine {
@@ -133,7 +133,12 @@
     /// Creates a quarantine with the given settings.
     pub fn new(settings: Settings) -> Quarantine {
         let evidence = evidence::Evidence::new(settings);
-        Quarantine { settings, evidence, records: record::Records::default(), unjudged: false }
+        Quarantine {
+            settings,
+            evidence,
+            records: record::Records::default(),
+            needs_evaluation: false,
+        }
     }
 
     /// Returns whether a suspected, trusted or quarantined request has a body of `length` bytes. If
@@ -162,14 +167,14 @@
         suspects: &[Suspect],
         now: clock::Moment,
     ) {
-        let held = |suspect: &Suspect| {
+        let is_quarantined = |suspect: &Suspect| {
             let record = self.records.get(&suspect.fingerprint);
             record.is_some_and(|record| record.is_active(now))
         };
-        let (explain, suspects): (Vec<_>, Vec<_>) =
-            suspects.iter().copied().partition(|suspect| held(suspect));
-        self.evidence.add(upstream, &suspects, !explain.is_empty(), now);
-        self.unjudged = true;
+        let (quarantined, suspects): (Vec<_>, Vec<_>) =
+            suspects.iter().copied().partition(|suspect| is_quarantined(suspect));
+        self.evidence.add(upstream, &suspects, !quarantined.is_empty(), now);
+        self.needs_evaluation = true;
     }
 
     /// Records that a request was answered completely, which shows that it does not crash
@@ -181,7 +186,7 @@
         now: clock::Moment,
     ) -> (bool, Option<Record>) {
         let released = self.release(request, now);
-        (self.evidence.trust(request, now) || released.is_some(), released)
+        (self.evidence.record_answer(request, now) || released.is_some(), released)
     }
 
     /// Returns whether a request may be sent.
@@ -189,40 +194,41 @@
         if let Some(record) = self.records.get(request).filter(|record| record.is_active(now)) {
             return Status::Quarantined(*record);
         }
-        let unsettled = self.evidence.unsettled(request, now);
-        unsettled.map_or(Status::Allowed, Status::Pending)
+        let pending = self.evidence.pending_delay(request, now);
+        pending.map_or(Status::Allowed, Status::Pending)
     }
 
     /// Quarantines the requests that are proven to crash upstreams.
     pub fn evaluate(&mut self, now: clock::Moment) -> Vec<Verdict> {
         let mut verdicts = Vec::new();
-        while self.unjudged {
+        while self.needs_evaluation {
             let on_probation = |request: &Fingerprint| {
                 let record = self.records.get(request);
                 record.is_some_and(|record| !record.released && !record.is_active(now))
             };
             let Some(request) = self.evidence.proven(on_probation, now) else {
-                self.unjudged = !self.evidence.is_settled(now);
+                self.needs_evaluation = !self.evidence.is_settled(now);
                 break;
             };
             let upstreams = self.evidence.upstreams(&request);
-            let record = self.hold(request, upstreams.len(), now);
+            let record = self.impose(request, upstreams.len(), now);
             verdicts.push(Verdict { record, upstreams });
         }
         verdicts
     }
 
-    fn hold(&mut self, fingerprint: Fingerprint, crashes: usize, now: clock::Moment) -> Record {
+    fn impose(&mut self, fingerprint: Fingerprint, crashes: usize, now: clock::Moment) -> Record {
         let known = self.records.get(&fingerprint);
-        let (version, times) = known.map_or((0, 0), |known| (known.version, known.occurrences));
+        let (version, occurrences) =
+            known.map_or((0, 0), |known| (known.version, known.occurrences));
         let span = self
             .settings
             .base_duration
-            .saturating_mul(1_u32.checked_shl(times).unwrap_or(u32::MAX));
+            .saturating_mul(1_u32.checked_shl(occurrences).unwrap_or(u32::MAX));
         let record = Record {
             fingerprint,
             version: version + 1,
-            occurrences: times + 1,
+            occurrences: occurrences + 1,
             crashes: u32::try_from(crashes).unwrap_or(u32::MAX),
             expires_at: now + span.min(self.settings.max_duration),
             released: false,
@@ -243,16 +249,16 @@
     /// Merges a record received from another host or read from the platform; returns whether it is
     /// newer than the known one.
     pub fn merge(&mut self, record: Record, now: clock::Moment) -> bool {
-        let is_news = self.records.merge(record);
-        if is_news && record.is_active(now) {
+        let is_newer = self.records.merge(record);
+        if is_newer && record.is_active(now) {
             self.evidence.explain(&record.fingerprint);
         }
-        is_news
+        is_newer
     }
 
     /// Returns the records that have not expired, for sharing with other hosts.
     pub fn records(&self, now: clock::Moment) -> impl Iterator<Item = &Record> {
-        self.records.current(now)
+        self.records.unexpired(now)
     }
 
     /// Returns a checksum of the records that differs between hosts with different records; 0 if
--- a/crates/lagoonline/src/lifecycle/quarantine/record.rs
+++ b/crates/lagoonline/src/lifecycle/quarantine/record.rs
@@ -6,7 +6,7 @@
 use crate::lifecycle::fingerprint::Fingerprint;
 
 /// Multiplier that spreads the version over all bits of the checksum.
-const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
+const VERSION_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The quarantine state of a request. Of two records of the same request the one with the higher
 /// version is valid.
@@ -33,7 +33,7 @@
     }
 
     /// Returns whether the quarantine has expired, so that other hosts need not know of it.
-    fn is_past(&self, now: clock::Moment) -> bool {
+    fn has_expired(&self, now: clock::Moment) -> bool {
         self.expires_at <= now
     }
 
@@ -41,7 +41,7 @@
         let digest = self.fingerprint.digest();
         let mut first = [0; 8];
         first.copy_from_slice(&digest[..8]);
-        u64::from_le_bytes(first) ^ u64::from(self.version).wrapping_mul(SPREAD)
+        u64::from_le_bytes(first) ^ u64::from(self.version).wrapping_mul(VERSION_MULTIPLIER)
     }
 }
 
@@ -61,28 +61,28 @@
     /// Merges a record; returns whether it is newer than the known one.
     pub(super) fn merge(&mut self, record: Record) -> bool {
         let known = self.0.get(&record.fingerprint);
-        let is_news = known.is_none_or(|known| record.version > known.version);
-        if is_news {
+        let is_newer = known.is_none_or(|known| record.version > known.version);
+        if is_newer {
             self.0.insert(record.fingerprint, record);
         }
-        is_news
+        is_newer
     }
 
     /// Returns the records that have not expired.
-    pub(super) fn current(&self, now: clock::Moment) -> impl Iterator<Item = &Record> {
-        self.0.values().filter(move |record| !record.is_past(now))
+    pub(super) fn unexpired(&self, now: clock::Moment) -> impl Iterator<Item = &Record> {
+        self.0.values().filter(move |record| !record.has_expired(now))
     }
 
     /// Returns a checksum that differs between hosts with different records; 0 if there are none.
     pub(super) fn checksum(&self, now: clock::Moment) -> u64 {
-        self.current(now).fold(0, |sum, record| sum ^ record.checksum())
+        self.unexpired(now).fold(0, |sum, record| sum ^ record.checksum())
     }
 
     /// Drops records `span` after they expire, and the earliest to expire while there are more than
     /// `max_entries`.
-    pub(super) fn expire(&mut self, span: clock::Span, most: usize, now: clock::Moment) {
+    pub(super) fn expire(&mut self, span: clock::Span, max_entries: usize, now: clock::Moment) {
         self.0.retain(|_, record| record.expires_at + span > now);
-        while self.0.len() > most {
+        while self.0.len() > max_entries {
             let first = self.0.values().min_by_key(|record| record.expires_at);
             let Some(first) = first.map(|record| record.fingerprint) else { return };
             self.0.remove(&first);
--- a/crates/lagoonline/src/lifecycle/reap.rs
+++ b/crates/lagoonline/src/lifecycle/reap.rs
@@ -48,10 +48,10 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Next {
+struct Retry {
     at: clock::Moment,
-    wait: clock::Span,
-    until: clock::Moment,
+    delay: clock::Span,
+    expires_at: clock::Moment,
 }
 
 /// Cancels that have not been acknowledged yet, by key.
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug)]
 pub struct CancelQueue<K> {
     policy: RetryPolicy,
-    open: collections::BTreeMap<K, Next>,
+    pending: collections::BTreeMap<K, Retry>,
 }
 
 impl<K> CancelQueue<K>
@@ -79,30 +79,33 @@
 {
     /// Creates an empty queue.
     pub fn new(policy: RetryPolicy) -> Self {
-        CancelQueue { policy, open: collections::BTreeMap::new() }
+        CancelQueue { policy, pending: collections::BTreeMap::new() }
     }
 
     /// Adds a cancel, to be sent at once and retried until it is acknowledged.
     pub fn add(&mut self, key: K, now: clock::Moment) {
-        let next =
-            Next { at: now, wait: self.policy.initial_delay, until: now + self.policy.max_age };
-        self.open.entry(key).or_insert(next);
+        let retry = Retry {
+            at: now,
+            delay: self.policy.initial_delay,
+            expires_at: now + self.policy.max_age,
+        };
+        self.pending.entry(key).or_insert(retry);
     }
 
     /// Returns the cancels to send now and schedules their next retry; `jitter`, around 1, scales
     /// the delay.
     pub fn due(&mut self, now: clock::Moment, jitter: f64) -> Vec<K> {
-        let most = self.policy.max_delay;
-        let due = self.open.iter_mut().filter(|(_, next)| next.at <= now);
+        let max_delay = self.policy.max_delay;
+        let due = self.pending.iter_mut().filter(|(_, retry)| retry.at <= now);
         let sent: Vec<_> = due
-            .map(|(key, next)| {
-                next.at = now + next.wait.mul_f64(jitter);
-                next.wait = (next.wait * 2).min(most);
+            .map(|(key, retry)| {
+                retry.at = now + retry.delay.mul_f64(jitter);
+                retry.delay = (retry.delay * 2).min(max_delay);
                 key.clone()
             })
             .collect();
         if !self.policy.safeguards.has(safeguard::Safeguard::CancelRepeat) {
-            self.open.clear();
+            self.pending.clear();
         }
         sent
     }
@@ -110,28 +113,28 @@
     /// Removes a cancel that the engine acknowledged with status 200; returns false if it was not
     /// pending.
     pub fn acknowledge(&mut self, key: &K) -> bool {
-        self.open.remove(key).is_some()
+        self.pending.remove(key).is_some()
     }
 
     /// Gives up the cancels that have reached their maximum age; returns their number.
     pub fn expire(&mut self, now: clock::Moment) -> usize {
-        let before = self.open.len();
-        self.open.retain(|_, next| now < next.until);
-        before - self.open.len()
+        let before = self.pending.len();
+        self.pending.retain(|_, retry| now < retry.expires_at);
+        before - self.pending.len()
     }
 
     /// Returns whether no cancel is pending.
     pub fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.pending.is_empty()
     }
 }
 
 /// Rules by which an owner counts as dead.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// An owner without a sign of life for this long is dead.
+    /// An owner that was not seen for this long is dead.
     pub owner_timeout: clock::Span,
-    /// A host without a sign of life for this long no longer counts in
+    /// A host that was not seen for this long no longer counts in
     /// [`Settings::min_heard_share`].
     pub forget_after: clock::Span,
     /// Unless heartbeats arrive from more than this share of the hosts, the reaper assumes that it
@@ -168,14 +171,14 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Life {
+struct OwnerState {
     incarnation: id::Incarnation,
-    /// The last sign of life of any kind.
-    heard: clock::Moment,
+    /// When it was last seen: by a heartbeat, a report of its zone, or a new holding.
+    last_seen: clock::Moment,
     /// The last heartbeat; `None` for an owner known only from holdings or from another zone.
-    beat: Option<clock::Moment>,
+    last_heartbeat: Option<clock::Moment>,
     /// Whether its liveness is reported by another zone instead of by heartbeats.
-    apart: bool,
+    is_remote: bool,
 }
 
 /// Decides which holdings on engines have no live owner.
@@ -186,20 +189,20 @@
 /// let holding = |id: &str| Holding {
 ///     id: id.into(), owner: "suva-1/6".into(), kind: Kind::Export, bytes: 1, expires_ms: 9,
 /// };
-/// let mut sweep = Reaper::new(Settings::default());
+/// let mut reaper = Reaper::new(Settings::default());
 /// let engine = lagoonline::id::Upstream::from("e");
-/// assert!(sweep.releasable(&engine, &[holding("a")], Moment::START).is_empty());
-/// sweep.record_heartbeat(&"suva-1/7".parse().unwrap(), Moment::from_millis(5));
-/// assert_eq!(sweep.releasable(&engine, &[holding("a")], Moment::from_millis(6)), ["a"]);
+/// assert!(reaper.releasable(&engine, &[holding("a")], Moment::START).is_empty());
+/// reaper.record_heartbeat(&"suva-1/7".parse().unwrap(), Moment::from_millis(5));
+/// assert_eq!(reaper.releasable(&engine, &[holding("a")], Moment::from_millis(6)), ["a"]);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Reaper {
     settings: Settings,
-    lives: collections::BTreeMap<id::Host, Life>,
+    owners: collections::BTreeMap<id::Host, OwnerState>,
     /// Holding ids in each engine's previous list.
     listed: collections::BTreeMap<id::Upstream, collections::BTreeSet<String>>,
     /// When each of these holdings was first found to have a dead owner.
-    over: collections::BTreeMap<id::Upstream, collections::BTreeMap<String, clock::Moment>>,
+    orphaned: collections::BTreeMap<id::Upstream, collections::BTreeMap<String, clock::Moment>>,
 }
 
 impl Reaper {
@@ -210,16 +213,16 @@
 
     /// Records a heartbeat, received directly or reported by a peer.
     pub fn record_heartbeat(&mut self, owner: &id::Owner, now: clock::Moment) {
-        self.alive(owner, now, Some(now));
+        self.record_seen(owner, now, Some(now));
     }
 
     /// Records that the steward of another zone reports the owner as alive there.
     ///
     /// Such owners do not count in the share of heard hosts, which covers heartbeats only.
     pub fn record_remote_alive(&mut self, owner: &id::Owner, now: clock::Moment) {
-        self.alive(owner, now, None);
-        if let Some(life) = self.lives.get_mut(&owner.host) {
-            life.apart = true;
+        self.record_seen(owner, now, None);
+        if let Some(state) = self.owners.get_mut(&owner.host) {
+            state.is_remote = true;
         }
     }
 
@@ -239,20 +242,20 @@
     /// It counts as dead only after the usual timeout, because the process may merely have lost its
     /// steward.
     pub fn record_gone(&mut self, owner: &id::Owner, now: clock::Moment) {
-        let known = self.lives.get(&owner.host);
+        let known = self.owners.get(&owner.host);
         if known.is_none_or(|known| known.incarnation < owner.incarnation) {
-            self.alive(owner, now, None);
+            self.record_seen(owner, now, None);
         }
-        if let Some(life) = self.lives.get_mut(&owner.host) {
-            life.apart = true;
+        if let Some(state) = self.owners.get_mut(&owner.host) {
+            state.is_remote = true;
         }
     }
 
     /// Applies the status of an owner reported by its zone. `is_own` is set for the reaper's own
     /// zone, whose hosts send it heartbeats.
-    pub fn apply_status(&mut self, word: &owner::Status, is_own: bool, now: clock::Moment) {
-        let Ok(owner) = word.owner.parse::<id::Owner>() else { return };
-        match word.sign {
+    pub fn apply_status(&mut self, status: &owner::Status, is_own: bool, now: clock::Moment) {
+        let Ok(owner) = status.owner.parse::<id::Owner>() else { return };
+        match status.sign {
             owner::Liveness::Serving if is_own => self.record_heartbeat(&owner, now),
             owner::Liveness::Serving => self.record_remote_alive(&owner, now),
             owner::Liveness::Gone => self.record_gone(&owner, now),
@@ -261,38 +264,51 @@
     }
 
     /// Returns the owners among `holdings` to ask other zones about: unknown ones, and those
-    /// without a sign of life for half of the timeout after which they count as dead.
+    /// not seen for half of the timeout after which they count as dead.
     pub fn owners_to_query(
         &self,
         holdings: &[engine::Holding],
         now: clock::Moment,
     ) -> collections::BTreeSet<id::Owner> {
         let owners = holdings.iter().filter_map(|holding| holding.owner.parse::<id::Owner>().ok());
-        let is_quiet = |owner: &id::Owner| match self.lives.get(&owner.host) {
-            Some(life) if life.incarnation > owner.incarnation => false,
-            Some(life) => {
-                let is_stranger = life.beat.is_none() && !life.apart;
-                is_stranger || now.since(life.heard) >= self.settings.owner_timeout / 2
+        let needs_query = |owner: &id::Owner| match self.owners.get(&owner.host) {
+            Some(state) if state.incarnation > owner.incarnation => false,
+            Some(state) => {
+                let is_unknown = state.last_heartbeat.is_none() && !state.is_remote;
+                is_unknown || now.since(state.last_seen) >= self.settings.owner_timeout / 2
             }
             None => true,
         };
-        owners.filter(is_quiet).collect()
+        owners.filter(needs_query).collect()
     }
 
-    fn alive(&mut self, owner: &id::Owner, now: clock::Moment, beat: Option<clock::Moment>) {
-        let life = Life { incarnation: owner.incarnation, heard: now, beat, apart: false };
-        let known = self.lives.entry(owner.host.clone()).or_insert(life);
+    fn record_seen(
+        &mut self,
+        owner: &id::Owner,
+        now: clock::Moment,
+        last_heartbeat: Option<clock::Moment>,
+    ) {
+        let state = OwnerState {
+            incarnation: owner.incarnation,
+            last_seen: now,
+            last_heartbeat,
+            is_remote: false,
+        };
+        let known = self.owners.entry(owner.host.clone()).or_insert(state);
         if owner.incarnation >= known.incarnation {
-            *known =
-                Life { beat: beat.or(known.beat), apart: known.apart && beat.is_none(), ..life };
+            *known = OwnerState {
+                last_heartbeat: last_heartbeat.or(known.last_heartbeat),
+                is_remote: known.is_remote && last_heartbeat.is_none(),
+                ..state
+            };
         }
     }
 
     /// Returns the ids to release among the holdings that `upstream` lists at `now`. They are
     /// returned again until the engine no longer lists them.
     ///
-    /// A holding that is new in the list is a sign of life of its owner, as is the first holding
-    /// seen of an owner, so a newly started reaper releases nothing for
+    /// An owner also counts as seen when a holding of it is new in the list, or when it is listed
+    /// for the first time, so a newly started reaper releases nothing for
     /// [`Settings::owner_timeout`].
     pub fn releasable(
         &mut self,
@@ -304,45 +320,51 @@
         let before = self.listed.insert(upstream.clone(), ids).unwrap_or_default();
         for holding in holdings.iter().filter(|holding| !before.contains(&holding.id)) {
             if let Ok(owner) = holding.owner.parse::<id::Owner>() {
-                self.alive(&owner, now, None);
+                self.record_seen(&owner, now, None);
             }
         }
         let forget = self.settings.forget_after;
-        self.lives.retain(|_, life| now.since(life.heard) <= forget);
-        let cut_off = self.is_cut_off(now);
-        let before = self.over.remove(upstream).unwrap_or_default();
-        let over = holdings.iter().filter(|holding| self.is_over(holding, cut_off, now));
+        self.owners.retain(|_, state| now.since(state.last_seen) <= forget);
+        let is_cut_off = self.is_cut_off(now);
+        let before = self.orphaned.remove(upstream).unwrap_or_default();
+        let orphaned = holdings.iter().filter(|holding| self.is_orphaned(holding, is_cut_off, now));
         let since = |id: &String| before.get(id).copied().unwrap_or(now);
-        let over: Vec<_> = over.map(|holding| (holding, since(&holding.id))).collect();
-        let noted = over.iter().map(|(holding, since)| (holding.id.clone(), *since));
-        self.over.insert(upstream.clone(), noted.collect());
-        let due = over.iter().filter(|(holding, since)| self.is_due(holding, *since, now));
+        let orphaned: Vec<_> = orphaned.map(|holding| (holding, since(&holding.id))).collect();
+        let noted = orphaned.iter().map(|(holding, since)| (holding.id.clone(), *since));
+        self.orphaned.insert(upstream.clone(), noted.collect());
+        let due =
+            orphaned.iter().filter(|(holding, since)| self.is_releasable(holding, *since, now));
         due.map(|(holding, _)| holding.id.clone()).collect()
     }
 
     /// Returns whether a dead owner's holding may be released now. A host that restarts at once
     /// proves its old streams dead at once; without the delay a caller that resumes one a second
     /// later would have its million tokens prefilled again.
-    fn is_due(&self, holding: &engine::Holding, since: clock::Moment, now: clock::Moment) -> bool {
+    fn is_releasable(
+        &self,
+        holding: &engine::Holding,
+        since: clock::Moment,
+        now: clock::Moment,
+    ) -> bool {
         match holding.kind {
             engine::Kind::Stream => now.since(since) >= self.settings.takeover_window,
             engine::Kind::Reservation | engine::Kind::Export => true,
         }
     }
 
-    fn is_over(&self, holding: &engine::Holding, cut_off: bool, now: clock::Moment) -> bool {
+    fn is_orphaned(&self, holding: &engine::Holding, is_cut_off: bool, now: clock::Moment) -> bool {
         let Ok(owner) = holding.owner.parse::<id::Owner>() else {
             return false;
         };
-        match self.lives.get(&owner.host) {
-            Some(life) if life.incarnation > owner.incarnation => true,
-            Some(life) => !cut_off && self.is_silent(life, now),
-            None => !cut_off,
+        match self.owners.get(&owner.host) {
+            Some(state) if state.incarnation > owner.incarnation => true,
+            Some(state) => !is_cut_off && self.has_timed_out(state, now),
+            None => !is_cut_off,
         }
     }
 
-    fn is_silent(&self, life: &Life, now: clock::Moment) -> bool {
-        now.since(life.heard) > self.settings.owner_timeout
+    fn has_timed_out(&self, state: &OwnerState, now: clock::Moment) -> bool {
+        now.since(state.last_seen) > self.settings.owner_timeout
             || !self.settings.safeguards.has(safeguard::Safeguard::OwnerSilence)
     }
 
@@ -354,10 +376,11 @@
     /// the time the first host counts as dead.
     fn is_cut_off(&self, now: clock::Moment) -> bool {
         let recent = self.settings.owner_timeout / 2;
-        let fresh = |beat: clock::Moment| now.since(beat) <= recent;
-        let sure = self.lives.values().filter(|life| !life.apart);
-        let heard = sure.clone().filter(|life| life.beat.is_some_and(fresh)).count();
-        let share = heard as f64 / sure.count().max(1) as f64;
+        let is_recent = |beat: clock::Moment| now.since(beat) <= recent;
+        let local = self.owners.values().filter(|state| !state.is_remote);
+        let heard =
+            local.clone().filter(|state| state.last_heartbeat.is_some_and(is_recent)).count();
+        let share = heard as f64 / local.count().max(1) as f64;
         share <= self.settings.min_heard_share
             && self.settings.safeguards.has(safeguard::Safeguard::CutOffSweeper)
     }
@@ -368,11 +391,11 @@
 /// ```
 /// use lagoonline::lifecycle::reap::Ledger;
 /// let mut ledger = Ledger::default();
-/// ledger.reserved("a", 10);
-/// ledger.reserved("a", 10);
+/// ledger.record_reserved("a", 10);
+/// ledger.record_reserved("a", 10);
 /// assert_eq!(ledger.outstanding(), 10);
-/// ledger.returned("a");
-/// ledger.returned("a");
+/// ledger.record_returned("a");
+/// ledger.record_returned("a");
 /// assert_eq!((ledger.outstanding(), ledger.total_returned()), (0, 10));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -384,7 +407,7 @@
 
 impl Ledger {
     /// Records a reservation; recording it again has no effect.
-    pub fn reserved(&mut self, id: &str, bytes: u64) {
+    pub fn record_reserved(&mut self, id: &str, bytes: u64) {
         if !self.open.contains_key(id) {
             self.open.insert(id.to_owned(), bytes);
             self.reserved += bytes;
@@ -392,7 +415,7 @@
     }
 
     /// Records that a reservation was returned; recording it again has no effect.
-    pub fn returned(&mut self, id: &str) {
+    pub fn record_returned(&mut self, id: &str) {
         self.returned += self.open.remove(id).unwrap_or(0);
     }
 
--- a/crates/lagoonline/src/lifecycle/request.rs
+++ b/crates/lagoonline/src/lifecycle/request.rs
@@ -8,8 +8,8 @@
 //!
 //! ```
 //! use lagoonline::{id::Attempt, lifecycle::request::{Pending, Repeat}, outcome::Outcome};
-//! let held = Pending::new(Repeat::Never);
-//! let lost = held.dispatch(Attempt(1)).lost();
+//! let pending = Pending::new(Repeat::Never);
+//! let lost = pending.dispatch(Attempt(1)).lost();
 //! assert_eq!(lost.retry().unwrap_err(), Outcome::Unknown);
 //! ```
 //!
@@ -17,9 +17,9 @@
 //!
 //! ```compile_fail,E0382
 //! use lagoonline::{id::Attempt, lifecycle::request::{Pending, Repeat}};
-//! let held = Pending::new(Repeat::Never);
-//! let first = held.dispatch(Attempt(1));
-//! let second = held.dispatch(Attempt(2));
+//! let pending = Pending::new(Repeat::Never);
+//! let first = pending.dispatch(Attempt(1));
+//! let second = pending.dispatch(Attempt(2));
 //! ```
 
 use crate::id;
@@ -61,7 +61,7 @@
 
     /// Starts an attempt; call this before the first byte may leave for the upstream.
     pub fn dispatch(self, attempt: id::Attempt) -> Dispatched {
-        Dispatched { attempt, held: Pending { attempts: self.attempts + 1, ..self } }
+        Dispatched { attempt, pending: Pending { attempts: self.attempts + 1, ..self } }
     }
 
     /// Gives up and returns the outcome to report to the caller.
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 pub struct Dispatched {
     attempt: id::Attempt,
-    held: Pending,
+    pending: Pending,
 }
 
 impl Dispatched {
@@ -87,17 +87,17 @@
     /// Handles proof that this attempt did not and will not run: the upstream refused it
     /// explicitly, or no connection to it was established.
     pub fn refused(self) -> Pending {
-        self.held
+        self.pending
     }
 
     /// Handles the start of the answer.
     pub fn answering(self) -> Answering {
-        Answering { attempt: self.attempt, held: self.held }
+        Answering { attempt: self.attempt, pending: self.pending }
     }
 
     /// Handles the loss of the answer: the connection broke or the deadline passed.
     pub fn lost(self) -> Lost {
-        Lost { held: Pending { may_have_run: true, ..self.held } }
+        Lost { pending: Pending { may_have_run: true, ..self.pending } }
     }
 }
 
@@ -105,7 +105,7 @@
 #[derive(Debug)]
 pub struct Answering {
     attempt: id::Attempt,
-    held: Pending,
+    pending: Pending,
 }
 
 impl Answering {
@@ -122,14 +122,14 @@
     /// Handles an answer that broke off or violated the protocol. The same attempt may still be
     /// resumed where it runs, which is not a new dispatch.
     pub fn broken(self) -> Lost {
-        Lost { held: Pending { may_have_run: true, ..self.held } }
+        Lost { pending: Pending { may_have_run: true, ..self.pending } }
     }
 }
 
 /// A request whose attempt may have run but will deliver no answer.
 #[derive(Debug)]
 pub struct Lost {
-    held: Pending,
+    pending: Pending,
 }
 
 impl Lost {
@@ -139,14 +139,14 @@
     ///
     /// Returns the outcome to report to the caller if the call must not repeat.
     pub fn retry(self) -> Result<Pending, outcome::Outcome> {
-        match self.held.repeat {
-            Repeat::Allowed => Ok(self.held),
+        match self.pending.repeat {
+            Repeat::Allowed => Ok(self.pending),
             Repeat::Never => Err(outcome::Outcome::Unknown),
         }
     }
 
     /// Gives up and returns the outcome to report to the caller.
     pub fn end(self) -> outcome::Outcome {
-        self.held.end()
+        self.pending.end()
     }
 }
--- a/crates/lagoonline/src/lifecycle/safeguard.rs
+++ b/crates/lagoonline/src/lifecycle/safeguard.rs
@@ -29,7 +29,7 @@
     Settle,
     /// A cancel is repeated until it is acknowledged.
     CancelRepeat,
-    /// An owner counts as dead only after a timeout without a sign of life.
+    /// An owner counts as dead only if it was not seen for a certain time.
     OwnerSilence,
     /// A reaper that receives few heartbeats releases nothing on account of missing ones.
     CutOffSweeper,
--- a/crates/lagoonline/src/outcome.rs
+++ b/crates/lagoonline/src/outcome.rs
@@ -224,7 +224,7 @@
 /// assert_eq!(failure.reason.status(), 503);
 /// ```
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("{}: {}{} ({outcome})", step.as_str(), reason.as_str(), At(peer))]
+#[error("{}: {}{} ({outcome})", step.as_str(), reason.as_str(), AtPeer(peer))]
 pub struct Failure {
     /// Why the request failed.
     pub reason: Reason,
@@ -239,9 +239,9 @@
 }
 
 /// Displays as ` at PEER`, or as nothing if the peer is empty.
-struct At<'a>(&'a str);
+struct AtPeer<'a>(&'a str);
 
-impl fmt::Display for At<'_> {
+impl fmt::Display for AtPeer<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.0.is_empty() { Ok(()) } else { write!(f, " at {}", self.0) }
     }
--- a/crates/lagoonline/src/routing/registry.rs
+++ b/crates/lagoonline/src/routing/registry.rs
@@ -51,8 +51,8 @@
     settings: Settings,
     entries: collections::BTreeMap<id::Upstream, Registration>,
     /// Registrations that vanished around an outage, and until when they stay in use.
-    lapsed: collections::BTreeMap<id::Upstream, clock::Moment>,
-    returned: Option<clock::Moment>,
+    vanished: collections::BTreeMap<id::Upstream, clock::Moment>,
+    recovered_at: Option<clock::Moment>,
 }
 
 impl Registry {
@@ -64,14 +64,14 @@
     /// Records that the platform has recovered from an outage; call this before applying the
     /// changes that it reports.
     pub fn record_recovery(&mut self, now: clock::Moment) {
-        self.returned = Some(now);
+        self.recovered_at = Some(now);
     }
 
     /// Applies a single change.
     pub fn apply(&mut self, change: Change, now: clock::Moment) {
         match change {
             Change::Put(entry) => {
-                self.lapsed.remove(&entry.upstream);
+                self.vanished.remove(&entry.upstream);
                 self.entries.insert(entry.upstream.clone(), entry);
             }
             Change::Removed(upstream) => self.remove(upstream, now),
@@ -82,9 +82,9 @@
     pub fn reset(&mut self, entries: Vec<Registration>, now: clock::Moment) {
         let listed: collections::BTreeSet<_> =
             entries.iter().map(|entry| entry.upstream.clone()).collect();
-        let gone: Vec<_> =
+        let missing: Vec<_> =
             self.entries.keys().filter(|name| !listed.contains(*name)).cloned().collect();
-        for upstream in gone {
+        for upstream in missing {
             self.remove(upstream, now);
         }
         for entry in entries {
@@ -94,13 +94,13 @@
 
     /// Drops vanished registrations whose grace time is over; returns whether there were any.
     pub fn expire(&mut self, now: clock::Moment) -> bool {
-        let due: Vec<_> = self.lapsed.iter().filter(|(_, until)| **until <= now).collect();
-        let due: Vec<_> = due.into_iter().map(|(name, _)| name.clone()).collect();
-        for upstream in &due {
-            self.lapsed.remove(upstream);
+        let overdue: Vec<_> = self.vanished.iter().filter(|(_, until)| **until <= now).collect();
+        let overdue: Vec<_> = overdue.into_iter().map(|(name, _)| name.clone()).collect();
+        for upstream in &overdue {
+            self.vanished.remove(upstream);
             self.entries.remove(upstream);
         }
-        !due.is_empty()
+        !overdue.is_empty()
     }
 
     /// Returns the registrations in use, including those of leaving upstreams.
@@ -109,14 +109,14 @@
     }
 
     fn remove(&mut self, upstream: id::Upstream, now: clock::Moment) {
-        let until = self.returned.map(|at| at + self.settings.recovery_grace);
+        let until = self.recovered_at.map(|at| at + self.settings.recovery_grace);
         let leaving = self.entries.get(&upstream).is_none_or(|entry| entry.leaving);
         match until {
             Some(until) if until > now && !leaving => {
-                self.lapsed.entry(upstream).or_insert(until);
+                self.vanished.entry(upstream).or_insert(until);
             }
             _ => {
-                self.lapsed.remove(&upstream);
+                self.vanished.remove(&upstream);
                 self.entries.remove(&upstream);
             }
         }
--- a/crates/lagoonline/src/routing/roster.rs
+++ b/crates/lagoonline/src/routing/roster.rs
@@ -71,42 +71,48 @@
 
 /// Orders the hosts of a zone, given with their processor cores, by rank: the largest first, then
 /// by name.
-pub(super) fn by_rank(a: (&id::Host, f64), b: (&id::Host, f64)) -> cmp::Ordering {
+pub(super) fn compare_rank(a: (&id::Host, f64), b: (&id::Host, f64)) -> cmp::Ordering {
     b.1.total_cmp(&a.1).then_with(|| a.0.cmp(b.0))
 }
 
 /// What is known about another host.
 #[derive(Clone, Debug)]
-struct Known {
-    standing: HostInfo,
+struct HostState {
+    info: HostInfo,
     /// When its row was first seen.
-    since: clock::Moment,
-    heard: Option<clock::Moment>,
+    first_seen: clock::Moment,
+    last_contact: Option<clock::Moment>,
     /// When the first heartbeat that it has not answered was sent.
-    unanswered: Option<clock::Moment>,
-    passed_over: Option<clock::Moment>,
+    unanswered_since: Option<clock::Moment>,
+    skipped_until: Option<clock::Moment>,
 }
 
-impl Known {
-    fn new(standing: HostInfo, since: clock::Moment) -> Known {
-        Known { standing, since, heard: None, unanswered: None, passed_over: None }
+impl HostState {
+    fn new(info: HostInfo, first_seen: clock::Moment) -> HostState {
+        HostState {
+            info,
+            first_seen,
+            last_contact: None,
+            unanswered_since: None,
+            skipped_until: None,
+        }
     }
 
     /// Returns the time since the host was last heard, or since it was first seen.
-    fn silence(&self, now: clock::Moment) -> clock::Span {
-        now.since(self.heard.map_or(self.since, |heard| heard.max(self.since)))
+    fn silent_for(&self, now: clock::Moment) -> clock::Span {
+        now.since(self.last_contact.map_or(self.first_seen, |at| at.max(self.first_seen)))
     }
 
     fn is_live(&self, settings: &Settings, now: clock::Moment) -> bool {
-        self.unanswered.is_none_or(|since| now.since(since) <= settings.heartbeat_timeout)
+        self.unanswered_since.is_none_or(|since| now.since(since) <= settings.heartbeat_timeout)
     }
 
-    fn is_open(&self, now: clock::Moment) -> bool {
-        self.passed_over.is_none_or(|until| until <= now)
+    fn is_available(&self, now: clock::Moment) -> bool {
+        self.skipped_until.is_none_or(|until| until <= now)
     }
 
     fn is_heard(&self, settings: &Settings, now: clock::Moment) -> bool {
-        self.heard.is_some_and(|at| now.since(at) <= settings.remote_timeout)
+        self.last_contact.is_some_and(|at| now.since(at) <= settings.remote_timeout)
     }
 }
 
@@ -115,11 +121,11 @@
 /// ```
 /// use lagoonline::{clock::Moment, id::{Host, Zone}, routing::{Roster, RosterSettings, HostInfo}};
 /// let settings = RosterSettings { min_hosts: 2, ..RosterSettings::default() };
-/// let standing = |cores| HostInfo { zone: Zone::from("z"), cores };
+/// let info = |cores| HostInfo { zone: Zone::from("z"), cores };
 /// let now = Moment::from_millis(10);
-/// let mut roster = Roster::new(settings, Host::from("b"), standing(0.1), now);
+/// let mut roster = Roster::new(settings, Host::from("b"), info(0.1), now);
 /// assert!(roster.is_leader(now));
-/// roster.upsert(Host::from("a"), standing(0.5), now);
+/// roster.upsert(Host::from("a"), info(0.5), now);
 /// assert_eq!(roster.scheduler(now), Some(Host::from("a")));
 /// roster.skip(&Host::from("a"), now);
 /// assert_eq!(roster.scheduler(now), None);
@@ -128,43 +134,38 @@
 pub struct Roster {
     settings: Settings,
     own: id::Host,
-    standing: HostInfo,
+    info: HostInfo,
     /// When this host started to listen to others.
     started: clock::Moment,
-    hosts: collections::BTreeMap<id::Host, Known>,
+    hosts: collections::BTreeMap<id::Host, HostState>,
     /// Host names by zone in order of rank, including this host's own.
     ranks: collections::BTreeMap<id::Zone, Vec<id::Host>>,
 }
 
 impl Roster {
     /// Creates the roster of the host `own`, which knows no other hosts at `now`.
-    pub fn new(
-        settings: Settings,
-        own: id::Host,
-        standing: HostInfo,
-        now: clock::Moment,
-    ) -> Roster {
-        let ranks = [(standing.zone.clone(), vec![own.clone()])].into();
-        Roster { settings, own, standing, started: now, hosts: Default::default(), ranks }
+    pub fn new(settings: Settings, own: id::Host, info: HostInfo, now: clock::Moment) -> Roster {
+        let ranks = [(info.zone.clone(), vec![own.clone()])].into();
+        Roster { settings, own, info, started: now, hosts: Default::default(), ranks }
     }
 
     /// Adds or updates a host.
-    pub fn upsert(&mut self, host: id::Host, standing: HostInfo, now: clock::Moment) {
+    pub fn upsert(&mut self, host: id::Host, info: HostInfo, now: clock::Moment) {
         if host == self.own {
             return;
         }
         match self.hosts.get_mut(&host) {
-            Some(known) if known.standing == standing => return,
-            Some(known) => known.standing = standing,
-            None => drop(self.hosts.insert(host, Known::new(standing, now))),
+            Some(known) if known.info == info => return,
+            Some(known) => known.info = info,
+            None => drop(self.hosts.insert(host, HostState::new(info, now))),
         }
-        self.sort();
+        self.rank_hosts();
     }
 
     /// Removes a host.
     pub fn remove(&mut self, host: &id::Host) {
         if self.hosts.remove(host).is_some() {
-            self.sort();
+            self.rank_hosts();
         }
     }
 
@@ -178,9 +179,9 @@
         if !self.is_leader(now) {
             return Vec::new();
         }
-        let of_zone = |known: &Known| known.standing.zone == self.standing.zone;
+        let of_zone = |known: &HostState| known.info.zone == self.info.zone;
         let gone = self.hosts.iter().filter(|(_, known)| of_zone(known));
-        let gone = gone.filter(|(_, known)| known.silence(now) > span);
+        let gone = gone.filter(|(_, known)| known.silent_for(now) > span);
         gone.map(|(host, _)| host.clone()).collect()
     }
 
@@ -201,15 +202,15 @@
     /// Records a message from a host.
     pub fn record_contact(&mut self, host: &id::Host, now: clock::Moment) {
         if let Some(known) = self.hosts.get_mut(host) {
-            known.heard = Some(now);
-            known.unanswered = None;
+            known.last_contact = Some(now);
+            known.unanswered_since = None;
         }
     }
 
     /// Records that a heartbeat was sent to a host, which is expected to answer it.
     pub fn record_heartbeat_sent(&mut self, host: &id::Host, now: clock::Moment) {
         if let Some(known) = self.hosts.get_mut(host) {
-            known.unanswered.get_or_insert(now);
+            known.unanswered_since.get_or_insert(now);
         }
     }
 
@@ -217,13 +218,13 @@
     /// while.
     pub fn skip(&mut self, host: &id::Host, now: clock::Moment) {
         if let Some(known) = self.hosts.get_mut(host) {
-            known.passed_over = Some(now + self.settings.skip_duration);
+            known.skipped_until = Some(now + self.settings.skip_duration);
         }
     }
 
     /// Returns the zone of another host.
     pub fn zone(&self, host: &id::Host) -> Option<&id::Zone> {
-        self.hosts.get(host).map(|known| &known.standing.zone)
+        self.hosts.get(host).map(|known| &known.info.zone)
     }
 
     /// Returns whether `zone` is large enough for one of its hosts to schedule for the others.
@@ -234,7 +235,7 @@
     /// Returns whether this host's zone is large enough for one of its hosts to schedule for the
     /// others.
     pub fn own_zone_has_scheduler(&self) -> bool {
-        self.has_scheduler(&self.standing.zone)
+        self.has_scheduler(&self.info.zone)
     }
 
     /// Returns the host to ask where to send a request, or `None` if this host decides on its own.
@@ -243,7 +244,8 @@
             return None;
         }
         let mut candidates = self.candidates(now);
-        let open = |host: &id::Host| self.hosts.get(host).is_none_or(|known| known.is_open(now));
+        let open =
+            |host: &id::Host| self.hosts.get(host).is_none_or(|known| known.is_available(now));
         candidates.find(|host| open(host)).filter(|host| **host != self.own).cloned()
     }
 
@@ -280,7 +282,7 @@
     pub fn heartbeat_targets(&self, now: clock::Moment) -> Vec<id::Host> {
         let mut live = 0;
         let mut watched = Vec::new();
-        for host in self.ranked(&self.standing.zone).take(self.settings.max_heartbeat_targets) {
+        for host in self.ranked(&self.info.zone).take(self.settings.max_heartbeat_targets) {
             if live == self.settings.candidates {
                 break;
             }
@@ -297,7 +299,7 @@
         if self.own_zone_has_scheduler() {
             return self.heartbeat_targets(now);
         }
-        self.ranked(&self.standing.zone).filter(|host| **host != self.own).cloned().collect()
+        self.ranked(&self.info.zone).filter(|host| **host != self.own).cloned().collect()
     }
 
     /// Returns the hosts of other zones that must be told what is in flight: all hosts of a small
@@ -310,7 +312,7 @@
     pub fn remote_peers(&self, now: clock::Moment) -> Vec<id::Host> {
         let mut far = Vec::new();
         for (zone, hosts) in &self.ranks {
-            if *zone == self.standing.zone {
+            if *zone == self.info.zone {
                 continue;
             }
             let heard = hosts.iter().any(|host| self.is_heard(host, now));
@@ -335,19 +337,19 @@
         if !self.is_leader(now) {
             return false;
         }
-        if *zone == self.standing.zone {
+        if *zone == self.info.zone {
             return true;
         }
         let heard = |zone: &id::Zone| self.ranked(zone).any(|host| self.is_heard(host, now));
-        let first = self.ranks.keys().find(|zone| **zone == self.standing.zone || heard(zone));
+        let first = self.ranks.keys().find(|zone| **zone == self.info.zone || heard(zone));
         // Before this time no host of another zone can have been heard.
         let listened = now.since(self.started) > self.settings.remote_timeout;
-        listened && !heard(zone) && first == Some(&self.standing.zone)
+        listened && !heard(zone) && first == Some(&self.info.zone)
     }
 
     /// Returns the first live hosts of this zone, which may include this one.
     fn candidates(&self, now: clock::Moment) -> impl Iterator<Item = &id::Host> {
-        let ranked = self.ranked(&self.standing.zone);
+        let ranked = self.ranked(&self.info.zone);
         ranked.filter(move |host| self.is_live(host, now)).take(self.settings.candidates)
     }
 
@@ -363,14 +365,14 @@
         self.hosts.get(host).is_some_and(|known| known.is_heard(&self.settings, now))
     }
 
-    fn sort(&mut self) {
-        let own = (&self.own, &self.standing);
-        let others = self.hosts.iter().map(|(host, known)| (host, &known.standing));
+    fn rank_hosts(&mut self) {
+        let own = (&self.own, &self.info);
+        let others = self.hosts.iter().map(|(host, known)| (host, &known.info));
         let mut all: Vec<_> = others.chain([own]).collect();
-        all.sort_by(|a, b| by_rank((a.0, a.1.cores), (b.0, b.1.cores)));
+        all.sort_by(|a, b| compare_rank((a.0, a.1.cores), (b.0, b.1.cores)));
         let mut ranks: collections::BTreeMap<id::Zone, Vec<id::Host>> = Default::default();
-        for (host, standing) in all {
-            ranks.entry(standing.zone.clone()).or_default().push(host.clone());
+        for (host, info) in all {
+            ranks.entry(info.zone.clone()).or_default().push(host.clone());
         }
         self.ranks = ranks;
     }
@@ -394,9 +396,9 @@
     /// use lagoonline::{clock::{Moment, Span}, id::{Host, Zone}};
     /// use lagoonline::routing::{Roster, RosterSettings, PollSchedule, HostInfo};
     /// let zone = Zone::from("z");
-    /// let standing = HostInfo { zone: zone.clone(), cores: 0.1 };
+    /// let info = HostInfo { zone: zone.clone(), cores: 0.1 };
     /// let now = Moment::from_millis(10);
-    /// let roster = Roster::new(RosterSettings::default(), Host::from("a"), standing, now);
+    /// let roster = Roster::new(RosterSettings::default(), Host::from("a"), info, now);
     /// let (mut rounds, second) = (PollSchedule::default(), Span::from_secs(1));
     /// assert_eq!(rounds.due(&roster, [&zone], second, now), [zone.clone()]);
     /// assert!(rounds.due(&roster, [&zone], second, now + second / 2).is_empty());
--- a/crates/lagoonline/src/routing/source.rs
+++ b/crates/lagoonline/src/routing/source.rs
@@ -102,7 +102,7 @@
     own: id::Host,
     cores: f64,
     peers: collections::BTreeMap<id::Host, Peer>,
-    passed: collections::BTreeMap<id::Host, clock::Moment>,
+    skipped_until: collections::BTreeMap<id::Host, clock::Moment>,
 }
 
 impl SourceSelector {
@@ -113,7 +113,7 @@
             own,
             cores,
             peers: collections::BTreeMap::new(),
-            passed: collections::BTreeMap::new(),
+            skipped_until: collections::BTreeMap::new(),
         }
     }
 
@@ -125,17 +125,17 @@
     /// Removes a host.
     pub fn remove_peer(&mut self, host: &id::Host) {
         self.peers.remove(host);
-        self.passed.remove(host);
+        self.skipped_until.remove(host);
     }
 
     /// Records that a host reported that it is not reading the platform.
     pub fn record_idle(&mut self, host: &id::Host, now: clock::Moment) {
-        self.passed.insert(host.clone(), now + self.settings.skip_idle);
+        self.skipped_until.insert(host.clone(), now + self.settings.skip_idle);
     }
 
     /// Records that a host did not answer.
     pub fn record_failure(&mut self, host: &id::Host, now: clock::Moment) {
-        self.passed.insert(host.clone(), now + self.settings.skip_failed);
+        self.skipped_until.insert(host.clone(), now + self.settings.skip_failed);
     }
 
     /// Records that the platform did not answer this host, although it may still answer others.
@@ -148,8 +148,8 @@
     pub fn is_first(&self, now: clock::Moment) -> bool {
         self.is_small()
             || self
-                .order()
-                .find(|(host, _)| self.is_open(host, now))
+                .ranked_hosts()
+                .find(|(host, _)| self.is_available(host, now))
                 .is_none_or(|(host, _)| host == &self.own)
     }
 
@@ -159,8 +159,8 @@
         if self.is_small() {
             return Source::Platform;
         }
-        let mut asked = self.order().take(self.settings.max_skipped + 1);
-        let first = asked.find(|(host, _)| self.is_open(host, now));
+        let mut candidates = self.ranked_hosts().take(self.settings.max_skipped + 1);
+        let first = candidates.find(|(host, _)| self.is_available(host, now));
         match first {
             Some((host, _)) if *host != self.own => Source::Peer(host.clone()),
             Some(_) | None => Source::Platform,
@@ -171,16 +171,16 @@
         (self.peers.len() as u64 + 1) < self.settings.min_hosts
     }
 
-    fn is_open(&self, host: &id::Host, now: clock::Moment) -> bool {
-        self.passed.get(host).is_none_or(|until| *until <= now)
+    fn is_available(&self, host: &id::Host, now: clock::Moment) -> bool {
+        self.skipped_until.get(host).is_none_or(|until| *until <= now)
     }
 
     /// Returns all hosts of the zone, the largest first.
-    fn order(&self) -> impl Iterator<Item = (&id::Host, f64)> {
+    fn ranked_hosts(&self) -> impl Iterator<Item = (&id::Host, f64)> {
         let own = (&self.own, self.cores);
         let peers = self.peers.iter().map(|(host, peer)| (host, peer.cores));
-        let mut order: Vec<_> = peers.chain(std::iter::once(own)).collect();
-        order.sort_by(|a, b| roster::by_rank(*a, *b));
-        order.into_iter()
+        let mut hosts: Vec<_> = peers.chain(std::iter::once(own)).collect();
+        hosts.sort_by(|a, b| roster::compare_rank(*a, *b));
+        hosts.into_iter()
     }
 }
--- a/crates/lagoonline/src/routing/table.rs
+++ b/crates/lagoonline/src/routing/table.rs
@@ -12,7 +12,7 @@
     version: u64,
     limits: Limits,
     /// Routes by host, longest prefix first.
-    hosts: collections::HashMap<String, Vec<sync::Arc<Route>>>,
+    routes_by_host: collections::HashMap<String, Vec<sync::Arc<Route>>>,
     services: collections::HashMap<id::Service, sync::Arc<Service>>,
     customers: Option<collections::HashMap<String, sync::Arc<Customer>>>,
 }
@@ -38,11 +38,12 @@
     /// assert_eq!(table.version(), 0);
     /// ```
     pub fn new(desired: Desired) -> Table {
-        let mut hosts: collections::HashMap<String, Vec<sync::Arc<Route>>> = Default::default();
+        let mut routes_by_host: collections::HashMap<String, Vec<sync::Arc<Route>>> =
+            Default::default();
         for route in desired.routes {
-            hosts.entry(route.host.clone()).or_default().push(sync::Arc::new(route));
+            routes_by_host.entry(route.host.clone()).or_default().push(sync::Arc::new(route));
         }
-        for routes in hosts.values_mut() {
+        for routes in routes_by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         let services = desired.services.into_iter();
@@ -50,9 +51,9 @@
         Table {
             version: desired.version,
             limits: desired.limits,
-            hosts,
+            routes_by_host,
             services: services.collect(),
-            customers: desired.customers.map(by_key),
+            customers: desired.customers.map(index_by_key),
         }
     }
 
@@ -70,7 +71,7 @@
     /// the path. A port in `host` is ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&sync::Arc<Route>> {
         let host = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
-        self.hosts.get(&host)?.iter().find(|route| path.starts_with(&route.prefix))
+        self.routes_by_host.get(&host)?.iter().find(|route| path.starts_with(&route.prefix))
     }
 
     /// Returns the service with this name.
@@ -93,7 +94,7 @@
     }
 }
 
-fn by_key(customers: Vec<Customer>) -> collections::HashMap<String, sync::Arc<Customer>> {
+fn index_by_key(customers: Vec<Customer>) -> collections::HashMap<String, sync::Arc<Customer>> {
     let mut keys = collections::HashMap::new();
     for customer in customers {
         let customer = sync::Arc::new(customer);
@@ -106,14 +107,14 @@
 
 /// Returns the share of `route` that a request goes to; `draw` must be uniformly distributed over
 /// all `u64` values.
-fn share(route: &Route, draw: u64) -> &super::Share {
+fn pick_share(route: &Route, draw: u64) -> &super::Share {
     let total: u64 = route.shares.iter().map(|share| u64::from(share.weight)).sum();
-    let mut left = if total == 0 { 0 } else { draw % total };
+    let mut remaining = if total == 0 { 0 } else { draw % total };
     for share in &route.shares {
-        if left < u64::from(share.weight) {
+        if remaining < u64::from(share.weight) {
             return share;
         }
-        left -= u64::from(share.weight);
+        remaining -= u64::from(share.weight);
     }
     &route.shares[0]
 }
@@ -126,6 +127,6 @@
     ///
     /// Panics if the route has no shares.
     pub fn service(&self, draw: u64) -> &id::Service {
-        &share(self, draw).service
+        &pick_share(self, draw).service
     }
 }
