--- a/crates/lagoon-net/src/entry/replica.rs
+++ b/crates/lagoon-net/src/entry/replica.rs
@@ -105,12 +105,12 @@
 impl Slot {
     /// Records that the replica responded, with whatever status.
     pub(crate) fn answered(&self) {
-        self.replica.health().succeeded();
+        self.replica.health().record_success();
     }
 
     /// Records that no response arrived although the caller sent its whole request.
     pub(crate) fn failed(&self, now: clock::Moment) {
-        self.replica.health().failed(now, self.out, self.all, self.far);
+        self.replica.health().record_failure(now, self.out, self.all, self.far);
     }
 }
 
@@ -119,7 +119,7 @@
         // A probe of an open circuit that ended without a result, as when its caller disconnected,
         // must not leave the circuit in the probing state forever. This has no effect after a
         // result.
-        self.replica.health().untold(clock::Moment::START);
+        self.replica.health().record_inconclusive(clock::Moment::START);
         self.replica.give_back();
         self.lobby.freed.notify_one();
     }
@@ -207,7 +207,7 @@
             }
         }
         let (far, _, replica, upstream) = best.ok_or(shortage)?;
-        replica.health().sent();
+        replica.health().record_sent();
         Ok(Slot {
             far,
             all,
--- a/crates/lagoonline/src/routing/mod.rs
+++ b/crates/lagoonline/src/routing/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::clock;
 use crate::id;
-use crate::load::pass;
+use crate::load::profile;
 
 pub use confirm::Confirmation;
 pub use registry::{Change, Registry, Settings as RegistrySettings};
@@ -98,8 +98,8 @@
     pub health_path: String,
     /// Number of connections that each upstream accepts from all callers together.
     pub connections: u32,
-    /// Speed model of its engines; `None` for a plain service.
-    pub pace: Option<pass::Pace>,
+    /// Performance profile of its model engines; `None` for a plain service.
+    pub profile: Option<profile::Profile>,
 }
 
 /// A customer and its keys.
