--- a/crates/lagoonline/src/load/outlier.rs
+++ b/crates/lagoonline/src/load/outlier.rs
@@ -1,96 +1,100 @@
-//! Upstreams that fail: circuit breaking, and a cap on how many are out at once.
+//! Circuit breaker for failing upstreams, with a limit on how many are out at once.
 //!
-//! Load pattern: an engine that dies or answers errors fast; its outstanding count is always low,
-//! so every least-loaded choice prefers it and it eats the load. Three failures in a row open its
-//! circuit (one can be the network, two a restart in progress). It is tried again by one request
-//! after a time that doubles from one second to thirty. The cap of a third keeps a fault of the
-//! callers or of this host, which looks like every upstream failing, from ejecting the zone.
+//! Load pattern: an engine crashes or returns errors quickly; its outstanding count is always low,
+//! so every least-loaded choice prefers it and it attracts the load. Three failures in a row open
+//! its circuit (one can be caused by the network, two by a restart in progress). It is probed with
+//! one request after a time that doubles from one second to thirty. The limit of a third prevents a
+//! fault of the callers or of this host, which looks as if every upstream failed, from ejecting the
+//! whole zone.
 //!
-//! Without it 499 requests are refused after one engine of eight dies, with it none.
+//! Without it 499 requests are refused after one engine of eight crashes, with it none.
 
 use crate::clock;
 
-/// Failures in a row that open the circuit.
-const FAILURES: u32 = 3;
-/// First time out.
-const FIRST_SPAN: u64 = 1;
-/// Longest time out, in seconds.
-const LONGEST_SPAN: u64 = 30;
+/// Consecutive failures that open the circuit.
+const MAX_FAILURES: u32 = 3;
+/// How long a circuit stays open the first time, in seconds.
+const FIRST_OPEN_SECONDS: u64 = 1;
+/// How long a circuit stays open at most, in seconds.
+const MAX_OPEN_SECONDS: u64 = 30;
 /// One in this many upstreams may be out at once; at least one always may.
-const CAP: usize = 3;
+const MAX_OUT_DIVISOR: usize = 3;
 
-/// Whether an upstream may be asked.
+/// Whether requests may be sent to an upstream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Circuit {
-    /// It may.
+    /// Requests may be sent.
     #[default]
     Closed,
-    /// Not before this moment.
+    /// No requests before this moment.
     Open(clock::Moment),
-    /// One request is on its way to try it.
-    Trying,
+    /// One probe request is in flight.
+    Probing,
 }
 
-/// Failures of one upstream.
+/// Health of one upstream, by the results of its requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     circuit: Circuit,
     failures: u32,
-    opened: u32,
+    open_count: u32,
 }
 
 impl Health {
-    /// Whether a request may go to it now.
+    /// Whether a request may be sent to it now.
     pub fn allows(&self, now: clock::Moment) -> bool {
         match self.circuit {
             Circuit::Closed => true,
             Circuit::Open(until) => until <= now,
-            Circuit::Trying => false,
+            Circuit::Probing => false,
         }
     }
 
-    /// Whether it is out or being tried.
+    /// Whether the circuit is not closed.
     pub fn is_out(&self) -> bool {
         self.circuit != Circuit::Closed
     }
 
-    /// A request goes to it.
-    pub fn sent(&mut self) {
+    /// Records that a request is sent to it.
+    pub fn record_sent(&mut self) {
         if self.is_out() {
-            self.circuit = Circuit::Trying;
+            self.circuit = Circuit::Probing;
         }
     }
 
-    /// It answered.
-    pub fn succeeded(&mut self) {
+    /// Records a successful answer, which closes the circuit.
+    pub fn record_success(&mut self) {
         *self = Health::default();
     }
 
-    /// The request that tried it ended without telling anything.
-    pub fn untold(&mut self, now: clock::Moment) {
-        if self.circuit == Circuit::Trying {
+    /// Records the end of a request that shows nothing about the upstream; a probe may be repeated
+    /// at once.
+    pub fn record_inconclusive(&mut self, now: clock::Moment) {
+        if self.circuit == Circuit::Probing {
             self.circuit = Circuit::Open(now);
         }
     }
 
-    /// It said nothing for longer than a busy one would; `out` of `all` upstreams are out already.
-    /// Each further try costs a caller seconds, so its circuit opens at once.
-    pub fn silent(&mut self, now: clock::Moment, out: usize, all: usize, remote: bool) {
-        self.failures = self.failures.max(FAILURES);
-        self.failed(now, out, all, remote);
+    /// Records that it was silent for longer than a busy upstream would be; `out` of `all`
+    /// upstreams are out already. Its circuit opens at once, because each further attempt costs a
+    /// caller seconds.
+    pub fn record_silence(&mut self, now: clock::Moment, out: usize, all: usize, remote: bool) {
+        self.failures = self.failures.max(MAX_FAILURES);
+        self.record_failure(now, out, all, remote);
     }
 
-    /// It failed; `out` of `all` upstreams are out already. One of another zone is out at once and
-    /// without the cap: a cut link fails for all behind it, three timeouts at each would use up the
+    /// Records a failure; `out` of `all` upstreams are out already. A remote upstream, which is one
+    /// of another zone, is out after its first failure and regardless of the limit: a partitioned
+    /// link fails for all upstreams behind it, three timeouts at each of them would use up the
     /// retry budget, and the zone's own upstreams remain.
-    pub fn failed(&mut self, now: clock::Moment, out: usize, all: usize, remote: bool) {
+    pub fn record_failure(&mut self, now: clock::Moment, out: usize, all: usize, remote: bool) {
         self.failures += 1;
-        let capped = !self.is_out() && out >= (all / CAP).max(1);
-        if !remote && (self.failures < FAILURES || capped) {
+        let capped = !self.is_out() && out >= (all / MAX_OUT_DIVISOR).max(1);
+        if !remote && (self.failures < MAX_FAILURES || capped) {
             return;
         }
-        let seconds = (FIRST_SPAN << self.opened.min(5)).min(LONGEST_SPAN);
-        self.opened += 1;
+        let seconds = (FIRST_OPEN_SECONDS << self.open_count.min(5)).min(MAX_OPEN_SECONDS);
+        self.open_count += 1;
         self.circuit = Circuit::Open(now + clock::Span::from_secs(seconds));
     }
 }
--- a/crates/lagoonline/src/load/placement/cut.rs
+++ b/crates/lagoonline/src/load/placement/partition.rs
@@ -1,26 +1,27 @@
-//! Which zones cannot reach each other, from failures between them.
+//! Detection of network partitions between zones, from failures across zone boundaries.
 //!
-//! Load pattern: a zone is cut off. Without this every engine behind the cut is tried by itself,
-//! again and again, and each prompt that is read by engines on both sides fails. Two upstreams of
-//! a zone that fail in a row, with no answer from that zone between, cut the pair of zones; one
-//! upstream may have crashed by itself. The pair is tried again after a span that doubles: a trial
-//! costs one attempt, and a healed cut is found within the longest span.
+//! Load pattern: a zone is cut off by a network partition. Without this module the caller would try
+//! every engine behind the partition separately and repeatedly, and every prompt that is prefilled
+//! by engines on both sides would fail. When two upstreams of one zone fail in a row, with no
+//! answer from that zone in between, the pair of zones counts as partitioned; a single failing
+//! upstream may just have crashed. The pair is tried again after a delay that doubles each time: a
+//! trial costs one attempt, and the end of the partition is noticed within the longest delay.
 
 use std::collections;
 
 use crate::clock;
 use crate::id;
 
-/// Upstreams that must have failed.
+/// Distinct upstreams of a zone that must fail before the pair of zones counts as partitioned.
 const UPSTREAMS: usize = 2;
-/// First span for which a pair counts as cut.
+/// How long a pair counts as partitioned the first time.
 const FIRST: clock::Span = clock::Span::from_millis(600);
-/// Doublings of that span.
+/// How often that span is doubled at most.
 const DOUBLINGS: u32 = 2;
-/// Failures further apart than this have causes of their own.
+/// Failures further apart than this are unrelated and don't add up.
 const MEMORY: clock::Span = clock::Span::from_millis(3_000);
 
-/// What is known of one pair of zones.
+/// Recent failures between one pair of zones.
 #[derive(Clone, Debug, Default)]
 struct Pair {
     failed: collections::BTreeSet<id::Upstream>,
@@ -29,12 +30,12 @@
     times: u32,
 }
 
-/// All pairs of zones between which something failed.
+/// All pairs of zones with recent failures between them.
 ///
 /// ```
-/// use lagoonline::{clock::Moment, id::{Upstream, Zone}, load::placement::Cuts};
+/// use lagoonline::{clock::Moment, id::{Upstream, Zone}, load::placement::Partitions};
 /// let (a, b) = (Zone::from("a"), Zone::from("b"));
-/// let (mut cuts, now) = (Cuts::default(), Moment::from_millis(10));
+/// let (mut cuts, now) = (Partitions::default(), Moment::from_millis(10));
 /// cuts.failed(&a, &b, &Upstream::from("x"), now);
 /// assert!(!cuts.is_cut(&a, &b, now));
 /// cuts.failed(&a, &b, &Upstream::from("y"), now);
@@ -43,7 +44,7 @@
 /// assert!(!cuts.is_cut(&a, &b, now));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Cuts {
+pub struct Partitions {
     pairs: collections::BTreeMap<(id::Zone, id::Zone), Pair>,
 }
 
@@ -51,9 +52,9 @@
     if a <= b { (a.clone(), b.clone()) } else { (b.clone(), a.clone()) }
 }
 
-impl Cuts {
-    /// The upstream, in `to`, could not be reached from `from`.
-    pub fn failed(
+impl Partitions {
+    /// Records that `upstream`, which is in zone `to`, could not be reached from zone `from`.
+    pub fn record_failure(
         &mut self,
         from: &id::Zone,
         to: &id::Zone,
@@ -76,13 +77,13 @@
         }
     }
 
-    /// An upstream of one zone answered the other.
-    pub fn answered(&mut self, from: &id::Zone, to: &id::Zone) {
+    /// Records that an upstream of one zone answered the other, which ends the partition.
+    pub fn record_success(&mut self, from: &id::Zone, to: &id::Zone) {
         self.pairs.remove(&key(from, to));
     }
 
-    /// Whether the zones count as cut off from each other.
-    pub fn is_cut(&self, from: &id::Zone, to: &id::Zone, now: clock::Moment) -> bool {
+    /// Whether the zones currently count as partitioned from each other.
+    pub fn is_partitioned(&self, from: &id::Zone, to: &id::Zone, now: clock::Moment) -> bool {
         if from == to || self.pairs.is_empty() {
             return false;
         }
--- a/crates/lagoonline/src/load/slowdown.rs
+++ b/crates/lagoonline/src/load/slowdown.rs
@@ -1,38 +1,42 @@
-//! How much slower a short prompt's first token came than it would have come alone.
+//! Slowdown of short prompts: time to the first token relative to that on an otherwise idle engine.
 //!
-//! Load pattern: long among short. Without a figure for it, operators see that first tokens of
-//! short prompts got slower, and cannot tell longer prompts from slower links. What a prompt takes
-//! alone is its prefill at the engine's rate and an overhead of links and batching that is the
-//! same for all; the least overhead seen lately is taken for it. `RISE` lets that follow a fleet
-//! that became slower for good within a few thousand prompts, while a busy minute hardly moves it.
+//! Load pattern: long prompts mixed with short ones. Without a metric for it, operators see that
+//! first tokens of short prompts got slower, but cannot distinguish longer prompts from slower
+//! links. The time on an idle engine is the prefill at the engine's rate plus an overhead of links
+//! and batching that is the same for all prompts; the smallest recent overhead is used for it. With
+//! `RISE_FRACTION` that overhead follows a fleet that became permanently slower within a few thousand
+//! prompts, while a busy minute hardly changes it.
 
 use crate::clock;
 
-/// Part by which the overhead rises with each prompt that showed a greater one.
-const RISE: f64 = 0.001;
+/// Fraction of the difference by which the overhead rises with each prompt that showed a greater
+/// one.
+const RISE_FRACTION: f64 = 0.001;
 
-/// Least overhead of first tokens, learned.
+/// Learned smallest overhead of first tokens, in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Baseline {
     overhead: Option<f64>,
 }
 
 impl Baseline {
-    /// Takes in a first token that came after `took`, of a prompt of `tokens` tokens on an engine
-    /// that prefills `rate` tokens a second; its time as a multiple of that alone, at least 1.
+    /// Records a first token that arrived after `took`, for a prompt of `tokens` tokens on an
+    /// engine that prefills `rate` tokens per second. Returns the slowdown: its time as a multiple
+    /// of that on an idle engine, at least 1.
     ///
     /// ```
     /// use lagoonline::{clock::Span, load::slowdown::Baseline};
     /// let mut baseline = Baseline::default();
-    /// assert_eq!(baseline.ratio(Span::from_millis(120), 1_000, 10_000.0), 1.0);
-    /// let beside_long = baseline.ratio(Span::from_millis(240), 1_000, 10_000.0);
+    /// assert_eq!(baseline.record(Span::from_millis(120), 1_000, 10_000.0), 1.0);
+    /// let beside_long = baseline.record(Span::from_millis(240), 1_000, 10_000.0);
     /// assert!((beside_long - 2.0).abs() < 0.01);
     /// ```
-    pub fn ratio(&mut self, took: clock::Span, tokens: u64, rate: f64) -> f64 {
+    pub fn record(&mut self, took: clock::Span, tokens: u64, rate: f64) -> f64 {
         let (took, prefill) = (took.as_secs_f64(), tokens as f64 / rate.max(1.0));
-        let seen = (took - prefill).max(0.0);
-        let known = self.overhead.unwrap_or(seen);
-        let overhead = if seen < known { seen } else { known + (seen - known) * RISE };
+        let observed = (took - prefill).max(0.0);
+        let known = self.overhead.unwrap_or(observed);
+        let overhead =
+            if observed < known { observed } else { known + (observed - known) * RISE_FRACTION };
         self.overhead = Some(overhead);
         (took / (prefill + overhead).max(f64::MIN_POSITIVE)).max(1.0)
     }
--- a/crates/lagoonline/tests/load_group.rs
+++ b/crates/lagoonline/tests/load_group.rs
@@ -14,7 +14,7 @@
 fn arbiter() -> Arbiter {
     let mut arbiter = Arbiter::default();
     for engine in 0..ENGINES {
-        arbiter.join(name(engine), MEMORY);
+        arbiter.add_engine(name(engine), MEMORY);
     }
     arbiter
 }
@@ -23,13 +23,14 @@
     id::Upstream::from(format!("e{engine}"))
 }
 
-// Two prompts each need three of four engines. Taken one by one, each could hold two and wait for
-// the other; here the first gets all its engines and the second none until the first ends.
+// Guards against a deadlock of two prompts that each need three of four engines. Taken one by one,
+// each could hold two and wait for the other; the first must get all its engines and the second
+// none until the first ends.
 #[test]
 fn two_large_prompts_do_not_block_each_other() {
     let mut arbiter = arbiter();
     let deadline = Moment::from_millis(60_000);
-    let (first, second) = (arbiter.ask(1_000, deadline), arbiter.ask(1_000, deadline));
+    let (first, second) = (arbiter.request(1_000, deadline), arbiter.request(1_000, deadline));
     let notices = arbiter.poll(Moment::START);
     assert!(matches!(&notices[..], [Notice::Granted(request, _)] if *request == first));
     assert_eq!(arbiter.held(), (1_000, 1_000));
@@ -38,25 +39,25 @@
     assert!(matches!(&notices[..], [Notice::Granted(request, _)] if *request == second));
 }
 
-// A member dies while its group runs. The holder is told, and the other members' memory is free
-// for the next prompt at once.
+// Guards against a grant that outlives a failed member: the holder is notified, and the other
+// members' memory is free for the next prompt at once.
 #[test]
 fn a_member_that_dies_ends_the_grant_for_all() {
     let mut arbiter = arbiter();
-    let request = arbiter.ask(1_200, Moment::NEVER);
+    let request = arbiter.request(1_200, Moment::NEVER);
     arbiter.poll(Moment::START);
-    let Notice::Ended(ended) = arbiter.lose(&name(0))[0] else { panic!("not ended") };
+    let Notice::Ended(ended) = arbiter.remove_engine(&name(0))[0] else { panic!("not ended") };
     assert_eq!(ended, request);
     assert_eq!(arbiter.held(), (0, 0));
     assert!(!arbiter.renew(Moment::START, request));
 }
 
-// The holder dies without a word. Its grant ends with the lease; a holder that was only paused
-// learns it from its next renewal and stops.
+// Guards against a memory leak when the holder crashes: its grant ends with the lease, and a holder
+// that was only paused learns it from its next renewal and stops.
 #[test]
 fn a_holder_that_dies_gives_its_memory_back() {
     let mut arbiter = arbiter();
-    let request = arbiter.ask(900, Moment::NEVER);
+    let request = arbiter.request(900, Moment::NEVER);
     arbiter.poll(Moment::START);
     let later = Moment::START + LEASE;
     assert!(!arbiter.renew(later, request));
@@ -64,11 +65,11 @@
     assert_eq!(arbiter.held(), (0, 0));
 }
 
-// A prompt that no set of engines can hold is told so at once and blocks nobody.
+// A prompt that no set of engines can hold is refused at once and doesn't block others.
 #[test]
 fn a_prompt_too_large_for_all_is_refused() {
     let mut arbiter = arbiter();
-    let (huge, next) = (arbiter.ask(1_601, Moment::NEVER), arbiter.ask(500, Moment::NEVER));
+    let (huge, next) = (arbiter.request(1_601, Moment::NEVER), arbiter.request(500, Moment::NEVER));
     let notices = arbiter.poll(Moment::START);
     assert_eq!(notices[0], Notice::TooLarge(huge));
     assert!(matches!(notices[1], Notice::Granted(request, _) if request == next));
@@ -97,7 +98,7 @@
     ]
 }
 
-/// What the holders know.
+/// The requests that holders wait for or hold, with their tokens.
 #[derive(Default)]
 struct Holders {
     waiting: collections::BTreeMap<Request, u64>,
@@ -130,7 +131,7 @@
     };
     match *step {
         Step::Ask { tokens, wait_ms } => {
-            let request = arbiter.ask(tokens, *now + Span::from_millis(wait_ms));
+            let request = arbiter.request(tokens, *now + Span::from_millis(wait_ms));
             holders.waiting.insert(request, tokens);
         }
         Step::Release { pick: number } => {
@@ -144,8 +145,8 @@
                 arbiter.renew(*now, request);
             }
         }
-        Step::Lose { engine } => holders.hear(arbiter.lose(&name(engine))),
-        Step::Join { engine } => arbiter.join(name(engine), MEMORY),
+        Step::Lose { engine } => holders.hear(arbiter.remove_engine(&name(engine))),
+        Step::Join { engine } => arbiter.add_engine(name(engine), MEMORY),
         Step::Advance { ms } => *now = *now + Span::from_millis(ms),
     }
     holders.hear(arbiter.poll(*now));
@@ -156,8 +157,8 @@
         cases: 256, failure_persistence: None, rng_seed: RngSeed::Fixed(5), ..Config::default()
     })]
 
-    // Prompts come, members die, holders vanish, in any order. Memory held is that of the grants
-    // at each step, and when all leases have run out nothing is held and nobody waits.
+    // Requests arrive, members fail and holders disappear in any order. At each step the memory
+    // held equals that of the grants, and after all leases have expired nothing is held or waits.
     #[test]
     fn nothing_leaks_and_nobody_is_stuck(steps in proptest::collection::vec(step(), 1..80)) {
         let (mut arbiter, mut holders, mut now) = (arbiter(), Holders::default(), Moment::START);
--- a/crates/lagoonline/tests/load_silence.rs
+++ b/crates/lagoonline/tests/load_silence.rs
@@ -1,4 +1,4 @@
-//! When a call leaves a silent upstream, and what that does to the upstream.
+//! When a call leaves a silent upstream, and how that affects later calls.
 
 use std::sync;
 
@@ -19,8 +19,8 @@
     scheduler
 }
 
-fn ask() -> load::Ask {
-    load::Ask {
+fn ask() -> load::Request {
+    load::Request {
         customer: id::Customer::from("crew"),
         team: id::Team::from("t"),
         weight: 1,
@@ -41,9 +41,9 @@
     }
 }
 
-// A call goes to an engine that stays silent. Past the bound it is better off elsewhere, goes to
-// the other engine, and so do the calls of the next second: each try of the silent one would cost
-// a caller seconds.
+// Guards against sending further calls to a silent engine, each of which would cost a caller
+// seconds. After the bound the call is better off elsewhere and goes to another engine, and so do
+// the calls of the next second.
 #[test]
 fn a_silent_engine_gets_nothing_for_a_while() {
     let mut scheduler = scheduler(3);
@@ -51,7 +51,7 @@
     assert!(first.silence >= Span::from_secs(2) && first.silence < Span::from_secs(10));
     let now = Moment::START + first.silence;
     assert!(scheduler.is_better_elsewhere(now, first.ticket, &ask()));
-    let second = placed(scheduler.again(now, first.ticket, Ending::Silent, ask()));
+    let second = placed(scheduler.retry(now, first.ticket, Ending::Silent, ask()));
     assert_ne!(second.upstream, first.upstream);
     for _ in 0..20 {
         let next = placed(scheduler.offer(now + Span::from_millis(500), ask()));
@@ -61,8 +61,8 @@
     }
 }
 
-// Every engine is silent, as when this host's own network fails. Calls move only as long as the
-// retry budget lasts; then they wait where they are, in place of being refused.
+// Guards against refusing calls when every engine is silent, such as after a failure of this host's
+// own network. Calls move only while the retry budget lasts; then they keep waiting where they are.
 #[test]
 fn calls_stay_when_the_retry_budget_is_spent() {
     let mut scheduler = scheduler(3);
@@ -70,7 +70,7 @@
     let mut moves = 0;
     let mut now = Moment::START;
     while scheduler.is_better_elsewhere(now, ticket, &ask()) && moves < 100 {
-        ticket = placed(scheduler.again(now, ticket, Ending::Silent, ask())).ticket;
+        ticket = placed(scheduler.retry(now, ticket, Ending::Silent, ask())).ticket;
         moves += 1;
         now = now + Span::from_secs(40);
     }
--- a/crates/lagoonline/tests/load_tokens.rs
+++ b/crates/lagoonline/tests/load_tokens.rs
@@ -1,4 +1,4 @@
-//! Bytes for each token of a model, corrected by the engines' counts.
+//! Bytes per token of a model, corrected by the engines' counts.
 
 use std::sync;
 
@@ -14,8 +14,9 @@
     sync::Arc::new(fleet)
 }
 
-// Labels of dense numbers take two bytes a token where the document says four. After some answers
-// prompts are taken for their real length; a new fleet does not undo that, a new estimate does.
+// Guards against planning with a wrong token estimate. The prompts have two bytes per token, the
+// document says four; after some answers the estimate matches. A new fleet keeps that correction, a
+// new configured estimate resets it.
 #[test]
 fn counts_correct_the_estimate_until_the_owner_gives_another() {
     let model = id::Model::from("m");
@@ -23,7 +24,7 @@
     scheduler.set_fleet(Moment::START, &fleet(4.0), &model);
     assert_eq!(scheduler.ratio().tokens(4_000), 1_000);
     for _ in 0..200 {
-        scheduler.counted(4_000, 2_000);
+        scheduler.record_token_count(4_000, 2_000);
     }
     scheduler.set_fleet(Moment::START, &fleet(4.0), &model);
     assert!((1_990..=2_010).contains(&scheduler.ratio().tokens(4_000)));
