--- a/crates/lagoon-net/src/engine/event.rs
+++ b/crates/lagoon-net/src/engine/event.rs
@@ -11,7 +11,7 @@
 use lagoonline::life::stream;
 
 /// Longest event, in bytes.
-const EVENT_LIMIT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Reason why a stream cannot be read any further.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
@@ -93,13 +93,13 @@
 #[derive(Debug)]
 pub struct Events {
     payload: http::Payload,
-    rest: util::Bytes,
+    incomplete: util::Bytes,
     load: Option<engine::Load>,
 }
 
 impl Events {
     pub(crate) fn new(payload: http::Payload, load: Option<engine::Load>) -> Events {
-        Events { payload, rest: util::Bytes::new(), load }
+        Events { payload, incomplete: util::Bytes::new(), load }
     }
 
     /// Returns the load from the response head; `None` from the second call on.
@@ -122,26 +122,26 @@
             };
             let mut whole = self.join(chunk);
             if let Some(end) = whole.windows(2).rposition(|pair| pair == b"\n\n") {
-                self.rest = whole.split_off(end + 2);
+                self.incomplete = whole.split_off(end + 2);
                 return Ok(whole);
             }
-            if whole.len() > EVENT_LIMIT {
+            if whole.len() > MAX_EVENT_BYTES {
                 return Err(StreamError::Malformed("too long".to_owned()));
             }
-            self.rest = whole;
+            self.incomplete = whole;
         }
     }
 
     /// Appends a chunk to the incomplete event before it. Copies only when an event is split over
     /// two reads.
     fn join(&mut self, chunk: util::Bytes) -> util::Bytes {
-        if self.rest.is_empty() {
+        if self.incomplete.is_empty() {
             return chunk;
         }
-        let mut joined = util::BytesMut::with_capacity(self.rest.len() + chunk.len());
-        joined.extend_from_slice(&self.rest);
+        let mut joined = util::BytesMut::with_capacity(self.incomplete.len() + chunk.len());
+        joined.extend_from_slice(&self.incomplete);
         joined.extend_from_slice(&chunk);
-        self.rest = util::Bytes::new();
+        self.incomplete = util::Bytes::new();
         joined.freeze()
     }
 }
--- a/crates/lagoon-net/src/engine/mod.rs
+++ b/crates/lagoon-net/src/engine/mod.rs
@@ -127,7 +127,7 @@
 }
 
 /// Longest refusal that is read, in bytes.
-const REFUSAL_LIMIT: usize = 16 << 10;
+const MAX_REFUSAL_BYTES: usize = 16 << 10;
 
 /// Starts an attempt on the engine at `address`.
 ///
@@ -156,7 +156,7 @@
         request = request.header("Lagoon-Group", parameters.group.as_str());
     }
     let answer = request.send_body(parameters.body.clone()).await;
-    open(answer, parameters.attempt).await
+    read_head(answer, parameters.attempt).await
 }
 
 /// Resumes an attempt's stream at chunk `from`. The stream belongs to `owner` from then on.
@@ -173,7 +173,7 @@
 ) -> Result<Events, Failure> {
     let url = format!("http://{address}/streams/{attempt}?from={from}");
     let request = client.get(url).header("Lagoon-Zone", zone.as_str());
-    open(request.header("Lagoon-Owner", owner.to_string()).send().await, attempt).await
+    read_head(request.header("Lagoon-Owner", owner.to_string()).send().await, attempt).await
 }
 
 /// Cancels an attempt and frees its memory. Returns whether the engine acknowledged it.
@@ -222,7 +222,7 @@
     let request = request.header("Lagoon-Zone", zone.as_str());
     match request.send_json(&body).await {
         Ok(answer) if answer.status() == http::StatusCode::OK => Ok(()),
-        Ok(answer) => Err(refusal(&answer).await),
+        Ok(answer) => Err(read_refusal(&answer).await),
         Err(error) if is_unsent(&error) => Err(Failure::Unsent(error.to_string())),
         Err(error) => Err(Failure::Lost(error.to_string())),
     }
@@ -246,7 +246,7 @@
 }
 
 /// Longest list of holdings that is read, in bytes: about 8,000 entries.
-const HOLDINGS_LIMIT: usize = 1 << 20;
+const MAX_HOLDINGS_BYTES: usize = 1 << 20;
 
 /// Returns everything that the engine at `address` holds; `None` when it cannot be read.
 pub async fn holdings(
@@ -260,11 +260,11 @@
     if answer.status() != http::StatusCode::OK {
         return None;
     }
-    let body = answer.body().limit(HOLDINGS_LIMIT).await.ok()?;
+    let body = answer.body().limit(MAX_HOLDINGS_BYTES).await.ok()?;
     Some(serde_json::from_slice::<Holdings>(&body).ok()?.holdings)
 }
 
-async fn open(
+async fn read_head(
     answer: Result<client::ClientResponse, client::error::ClientError>,
     attempt: id::Attempt,
 ) -> Result<Events, Failure> {
@@ -274,7 +274,7 @@
         Err(error) => return Err(Failure::Lost(error.to_string())),
     };
     if answer.status() != http::StatusCode::OK {
-        return Err(refusal(&answer).await);
+        return Err(read_refusal(&answer).await);
     }
     let echoed = answer.header("Lagoon-Attempt").and_then(|value| value.to_str().ok());
     if echoed.and_then(|text| text.parse().ok()) != Some(attempt) {
@@ -295,9 +295,9 @@
     code: String,
 }
 
-async fn refusal(answer: &client::ClientResponse) -> Failure {
+async fn read_refusal(answer: &client::ClientResponse) -> Failure {
     let status = answer.status();
-    let body = answer.body().limit(REFUSAL_LIMIT).await;
+    let body = answer.body().limit(MAX_REFUSAL_BYTES).await;
     let code = body.ok().and_then(|body| serde_json::from_slice::<Refused>(&body).ok());
     match code.and_then(|refused| Refusal::parse(&refused.error.code)) {
         Some(refusal) => Failure::Refused(refusal),
--- a/crates/lagoon-net/src/entry/desk.rs
+++ b/crates/lagoon-net/src/entry/admission.rs
@@ -18,102 +18,104 @@
 use tokio::sync as async_sync;
 
 /// The result that a waiting request gets: a slot or a refusal.
-type Turn = Result<Place, outcome::Failure>;
+type Grant = Result<Slot, outcome::Failure>;
 
 /// The scheduler of one model together with the requests that wait in it.
 #[derive(Debug)]
-pub(crate) struct Desk {
+pub(crate) struct Queue {
     clock: clock::Host,
     shard: sync::Arc<sync::Mutex<load::Scheduler>>,
-    waiting: sync::Mutex<collections::HashMap<load::Waiter, async_sync::oneshot::Sender<Turn>>>,
+    waiting: sync::Mutex<collections::HashMap<load::Waiter, async_sync::oneshot::Sender<Grant>>>,
     /// Notified when a request starts to wait, since that may bring the next wake time forward.
     changed: async_sync::Notify,
 }
 
 /// Decision on a request.
 #[derive(Debug)]
-pub(crate) enum Offer {
+pub(crate) enum Decision {
     /// A slot on an upstream.
-    Place(Place),
+    Slot(Slot),
     /// The request waits in the queue.
-    Wait(Seat),
+    Queued(Queued),
     /// The request is refused.
-    Refuse(outcome::Failure),
+    Refused(outcome::Failure),
 }
 
-impl Desk {
+impl Queue {
     pub(crate) fn new(
         clock: clock::Host,
         shard: sync::Arc<sync::Mutex<load::Scheduler>>,
-    ) -> sync::Arc<Desk> {
+    ) -> sync::Arc<Queue> {
         let waiting = sync::Mutex::default();
-        sync::Arc::new(Desk { clock, shard, waiting, changed: async_sync::Notify::new() })
+        sync::Arc::new(Queue { clock, shard, waiting, changed: async_sync::Notify::new() })
     }
 
     /// Asks the scheduler for a slot. If none is free, the request waits or is refused.
-    pub(crate) fn offer(self: &sync::Arc<Self>, ask: load::Ask) -> Offer {
+    pub(crate) fn offer(self: &sync::Arc<Self>, ask: load::Ask) -> Decision {
         let mut scheduler = load::lock(&self.shard);
         let verdict = scheduler.offer(self.clock.now(), ask);
-        self.settle(scheduler, verdict)
+        self.decide(scheduler, verdict)
     }
 
     /// Turns a verdict into a decision. A waiting request is registered under the scheduler's lock,
     /// so that it cannot be granted a slot before it is registered.
-    fn settle(
+    fn decide(
         self: &sync::Arc<Self>,
         scheduler: sync::MutexGuard<'_, load::Scheduler>,
         verdict: load::Verdict,
-    ) -> Offer {
+    ) -> Decision {
         match verdict {
-            load::Verdict::Dispatch(placement) => Offer::Place(self.place(placement)),
-            load::Verdict::Refuse(failure) => Offer::Refuse(failure),
+            load::Verdict::Dispatch(placement) => Decision::Slot(self.new_slot(placement)),
+            load::Verdict::Refuse(failure) => Decision::Refused(failure),
             load::Verdict::Wait(waiter) => {
-                let (sender, turn) = async_sync::oneshot::channel();
+                let (sender, grant) = async_sync::oneshot::channel();
                 self.waiting().insert(waiter, sender);
                 drop(scheduler);
                 self.changed.notify_one();
-                Offer::Wait(Seat { desk: self.clone(), waiter, turn })
+                Decision::Queued(Queued { queue: self.clone(), waiter, grant })
             }
         }
     }
 
     fn waiting(
         &self,
-    ) -> sync::MutexGuard<'_, collections::HashMap<load::Waiter, async_sync::oneshot::Sender<Turn>>>
+    ) -> sync::MutexGuard<'_, collections::HashMap<load::Waiter, async_sync::oneshot::Sender<Grant>>>
     {
         self.waiting.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    fn place(self: &sync::Arc<Self>, placement: load::Placement) -> Place {
-        Place { desk: self.clone(), placement: Some(placement) }
+    fn new_slot(self: &sync::Arc<Self>, placement: load::Placement) -> Slot {
+        Slot { queue: self.clone(), placement: Some(placement) }
     }
 
     /// Sends the slots and refusals that are due to the requests waiting for them.
-    pub(crate) fn turn(self: &sync::Arc<Self>) {
+    pub(crate) fn wake_due(self: &sync::Arc<Self>) {
         let mut due = Vec::new();
         {
             let mut scheduler = load::lock(&self.shard);
             let wakes = scheduler.poll(self.clock.now());
             let mut waiting = self.waiting();
             for wake in wakes {
-                let (waiter, turn) = match wake {
-                    load::Wake::Dispatch(waiter, placement) => (waiter, Ok(self.place(placement))),
+                let (waiter, grant) = match wake {
+                    load::Wake::Dispatch(waiter, placement) => {
+                        (waiter, Ok(self.new_slot(placement)))
+                    }
                     load::Wake::Refuse(waiter, failure) => (waiter, Err(failure)),
                 };
-                due.push((waiting.remove(&waiter), turn));
+                due.push((waiting.remove(&waiter), grant));
             }
         }
         // Outside the locks: a slot whose waiter is gone is dropped here, which releases it.
-        for (sender, turn) in due {
+        for (sender, grant) in due {
             if let Some(sender) = sender {
-                let _gone = sender.send(turn);
+                let _dropped = sender.send(grant);
             }
         }
     }
 
     pub(crate) fn set_leaving(self: &sync::Arc<Self>, upstream: &id::Upstream, leaving: bool) {
         load::lock(&self.shard).set_leaving(self.clock.now(), upstream, leaving);
-        self.turn();
+        self.wake_due();
     }
 
     pub(crate) fn observe(&self, upstream: &id::Upstream, load: &lagoonline::port::engine::Load) {
@@ -127,45 +129,45 @@
 
     /// Updates the bytes per token estimate: an engine counted `tokens` in a prompt of `bytes`
     /// bytes.
-    pub(crate) fn counted(&self, bytes: usize, tokens: u64) {
+    pub(crate) fn record_prompt_tokens(&self, bytes: usize, tokens: u64) {
         load::lock(&self.shard).counted(bytes as u64, tokens);
     }
 
-    pub(crate) fn waiters(&self) -> usize {
+    pub(crate) fn queued(&self) -> usize {
         self.waiting().len()
     }
 
     /// Returns the number of slots in use.
-    pub(crate) fn dispatched(&self) -> usize {
+    pub(crate) fn slots_in_use(&self) -> usize {
         load::lock(&self.shard).dispatched()
     }
 
     /// Wakes requests that are due until the queue is dropped.
-    pub(crate) async fn keep(desk: sync::Weak<Desk>) {
-        while let Some(desk) = desk.upgrade() {
-            let now = desk.clock.now();
-            let wake = load::lock(&desk.shard).next_wake();
-            let pause = wake.since(now).clamp(SHORTEST_PAUSE, LONGEST_PAUSE);
-            let changed = desk.changed.notified();
+    pub(crate) async fn run(queue: sync::Weak<Queue>) {
+        while let Some(queue) = queue.upgrade() {
+            let now = queue.clock.now();
+            let wake = load::lock(&queue.shard).next_wake();
+            let pause = wake.since(now).clamp(MIN_PAUSE, MAX_PAUSE);
+            let changed = queue.changed.notified();
             let _timeout = tokio::time::timeout(pause, changed).await;
-            desk.turn();
+            queue.wake_due();
         }
     }
 }
 
 /// Lower bound of the sleep, so that a wake time in the past does not cause a busy loop.
-const SHORTEST_PAUSE: clock::Span = clock::Span::from_millis(1);
+const MIN_PAUSE: clock::Span = clock::Span::from_millis(1);
 /// Upper bound of the sleep, and so of the time that a replaced queue stays in memory.
-const LONGEST_PAUSE: clock::Span = clock::Span::from_secs(1);
+const MAX_PAUSE: clock::Span = clock::Span::from_secs(1);
 
 /// A slot on an upstream. Dropping it without [`Slot::finish`] reports the attempt as abandoned.
 #[derive(Debug)]
-pub(crate) struct Place {
-    desk: sync::Arc<Desk>,
+pub(crate) struct Slot {
+    queue: sync::Arc<Queue>,
     placement: Option<load::Placement>,
 }
 
-impl Place {
+impl Slot {
     pub(crate) fn upstream(&self) -> &id::Upstream {
         static NONE: sync::OnceLock<id::Upstream> = sync::OnceLock::new();
         match &self.placement {
@@ -188,89 +190,89 @@
 
     /// Returns the longest accepted silence before the first token and between tokens.
     pub(crate) fn silence(&self) -> (clock::Span, clock::Span) {
-        let usual = load::silence::between(0.0);
-        self.placement.as_ref().map_or((usual, usual), |known| (known.silence, known.gap))
+        let default = load::silence::between(0.0);
+        self.placement.as_ref().map_or((default, default), |known| (known.silence, known.gap))
     }
 
     /// Returns whether another upstream could take the request from a silent one; false for a slot
     /// that was released.
     pub(crate) fn is_better_elsewhere(&self, ask: &load::Ask) -> bool {
         self.placement.as_ref().is_some_and(|placement| {
-            let now = self.desk.clock.now();
-            load::lock(&self.desk.shard).is_better_elsewhere(now, placement.ticket, ask)
+            let now = self.queue.clock.now();
+            load::lock(&self.queue.shard).is_better_elsewhere(now, placement.ticket, ask)
         })
     }
 
     /// Reports to the scheduler that the first token arrived.
-    pub(crate) fn first_token(&self) {
+    pub(crate) fn record_first_token(&self) {
         if let Some(placement) = &self.placement {
-            let now = self.desk.clock.now();
-            load::lock(&self.desk.shard).first_token(now, placement.ticket);
+            let now = self.queue.clock.now();
+            load::lock(&self.queue.shard).first_token(now, placement.ticket);
         }
     }
 
     /// Releases the slot. The value that is returned names no upstream; it can still request
     /// another slot.
-    pub(crate) fn detached(mut self) -> Place {
-        self.give_back(load::Ending::Abandoned);
+    pub(crate) fn released(mut self) -> Slot {
+        self.release(load::Ending::Abandoned);
         self
     }
 
     /// Releases the slot and reports how the attempt ended.
     pub(crate) fn finish(mut self, ending: load::Ending) {
-        self.give_back(ending);
+        self.release(ending);
     }
 
-    fn give_back(&mut self, ending: load::Ending) {
+    fn release(&mut self, ending: load::Ending) {
         let Some(placement) = self.placement.take() else { return };
-        load::lock(&self.desk.shard).finish(self.desk.clock.now(), placement.ticket, ending);
-        self.desk.turn();
+        load::lock(&self.queue.shard).finish(self.queue.clock.now(), placement.ticket, ending);
+        self.queue.wake_due();
     }
 
     /// Ends this attempt and requests another slot.
-    pub(crate) fn again(mut self, ending: load::Ending, ask: load::Ask) -> Offer {
-        let Some(placement) = self.placement.take() else { return self.desk.offer(ask) };
-        let desk = self.desk.clone();
-        let offer = {
-            let mut scheduler = load::lock(&desk.shard);
-            let verdict = scheduler.again(desk.clock.now(), placement.ticket, ending, ask);
-            desk.settle(scheduler, verdict)
+    pub(crate) fn retry(mut self, ending: load::Ending, ask: load::Ask) -> Decision {
+        let Some(placement) = self.placement.take() else { return self.queue.offer(ask) };
+        let queue = self.queue.clone();
+        let decision = {
+            let mut scheduler = load::lock(&queue.shard);
+            let verdict = scheduler.again(queue.clock.now(), placement.ticket, ending, ask);
+            queue.decide(scheduler, verdict)
         };
-        desk.turn();
-        offer
+        queue.wake_due();
+        decision
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
-        self.give_back(load::Ending::Abandoned);
+        self.release(load::Ending::Abandoned);
     }
 }
 
 /// A waiting request. Dropping it removes it from the queue.
 #[derive(Debug)]
-pub(crate) struct Seat {
-    desk: sync::Arc<Desk>,
+pub(crate) struct Queued {
+    queue: sync::Arc<Queue>,
     waiter: load::Waiter,
-    turn: async_sync::oneshot::Receiver<Turn>,
+    grant: async_sync::oneshot::Receiver<Grant>,
 }
 
-impl Seat {
+impl Queued {
     /// Waits for a slot or a refusal.
-    pub(crate) async fn turn(mut self) -> Turn {
-        let turn = mem::replace(&mut self.turn, async_sync::oneshot::channel().1);
-        let gone = || {
+    pub(crate) async fn granted(mut self) -> Grant {
+        let grant = mem::replace(&mut self.grant, async_sync::oneshot::channel().1);
+        let dropped = || {
             let step = outcome::Step::Queue;
             outcome::Failure::new(outcome::Reason::Internal, step, outcome::Outcome::NotRun)
         };
-        turn.await.unwrap_or_else(|_| Err(gone()))
+        grant.await.unwrap_or_else(|_| Err(dropped()))
     }
 }
 
-impl Drop for Seat {
+impl Drop for Queued {
     fn drop(&mut self) {
-        let mut scheduler = load::lock(&self.desk.shard);
-        if self.desk.waiting().remove(&self.waiter).is_some() {
+        let mut scheduler = load::lock(&self.queue.shard);
+        if self.queue.waiting().remove(&self.waiter).is_some() {
             scheduler.leave(self.waiter);
         }
     }
--- a/crates/lagoon-net/src/entry/body.rs
+++ b/crates/lagoon-net/src/entry/body.rs
@@ -25,7 +25,7 @@
     loop {
         let next = tokio::time::timeout(limits.body_timeout, payload.recv()).await;
         match next {
-            Err(_) => return Err(slow()),
+            Err(_) => return Err(slow_caller()),
             Ok(None) => return Ok(body.freeze()),
             Ok(Some(Err(error))) => return Err(call::malformed(format!("body: {error}"))),
             Ok(Some(Ok(chunk))) if body.len() + chunk.len() > limits.body_bytes => {
@@ -37,9 +37,9 @@
 }
 
 /// Longest pause between chunks while the rest of a refused caller's body is discarded.
-const DISCARD_SILENCE: clock::Span = clock::Span::from_secs(1);
+const DISCARD_CHUNK_TIMEOUT: clock::Span = clock::Span::from_secs(1);
 /// Longest total time spent on discarding a body.
-const DISCARD_TIME: clock::Span = clock::Span::from_secs(5);
+const DISCARD_TIMEOUT: clock::Span = clock::Span::from_secs(5);
 
 /// A request body that may not have been read yet.
 ///
@@ -71,7 +71,7 @@
         let read = async {
             let mut left = most;
             while let Ok(Some(Ok(chunk))) =
-                tokio::time::timeout(DISCARD_SILENCE, payload.recv()).await
+                tokio::time::timeout(DISCARD_CHUNK_TIMEOUT, payload.recv()).await
             {
                 left = left.saturating_sub(chunk.len());
                 if left == 0 {
@@ -79,7 +79,7 @@
                 }
             }
         };
-        let _timeout = tokio::time::timeout(DISCARD_TIME, read).await;
+        let _timeout = tokio::time::timeout(DISCARD_TIMEOUT, read).await;
     }
 }
 
@@ -93,6 +93,6 @@
     fault::new(Reason::TooLong, Step::Read, Outcome::NotRun).with_detail(detail)
 }
 
-pub(crate) fn slow() -> fault::Fault {
+pub(crate) fn slow_caller() -> fault::Fault {
     fault::new(Reason::SlowCaller, Step::Read, Outcome::NotRun)
 }
--- a/crates/lagoon-net/src/entry/call.rs
+++ b/crates/lagoon-net/src/entry/call.rs
@@ -19,9 +19,9 @@
 use super::state;
 
 /// Longest `X-Request-Id` that is echoed, in bytes.
-const REQUEST_ID_LIMIT: usize = 128;
+const MAX_REQUEST_ID_BYTES: usize = 128;
 /// Longest `Idempotency-Key`, in bytes.
-const KEY_LIMIT: usize = 255;
+const MAX_KEY_BYTES: usize = 255;
 
 /// Parsed head of an authenticated request.
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
     /// Value of the `Idempotency-Key` header.
     pub(crate) key: Option<String>,
     /// Index of the first chunk that the caller wants.
-    pub(crate) from: u64,
+    pub(crate) resume_from: u64,
 }
 
 impl Call {
@@ -48,8 +48,8 @@
         let entry = &view.fleet.customers[customer.0 as usize].entry;
         let deadline = arrived + read_deadline(entry, headers)?;
         let key = read_key(headers)?;
-        let from = read_from(headers, key.is_some())?;
-        Ok(Call { view, customer, arrived, deadline, key, from })
+        let resume_from = read_resume_from(headers, key.is_some())?;
+        Ok(Call { view, customer, arrived, deadline, key, resume_from })
     }
 
     pub(crate) fn customer(&self) -> &view::Customer {
@@ -63,7 +63,7 @@
     }
 
     /// Returns the time left until the deadline.
-    pub(crate) fn left(&self, state: &state::State) -> clock::Span {
+    pub(crate) fn time_left(&self, state: &state::State) -> clock::Span {
         self.deadline.since(state.clock.now())
     }
 }
@@ -110,14 +110,14 @@
 fn read_key(headers: &http::HeaderMap) -> Result<Option<String>, fault::Fault> {
     let Some(value) = headers.get("idempotency-key") else { return Ok(None) };
     let bytes = value.as_bytes();
-    if bytes.is_empty() || bytes.len() > KEY_LIMIT || !bytes.iter().all(u8::is_ascii_graphic) {
+    if bytes.is_empty() || bytes.len() > MAX_KEY_BYTES || !bytes.iter().all(u8::is_ascii_graphic) {
         let detail = "Idempotency-Key must be 1 to 255 visible ASCII characters";
         return Err(malformed(detail.to_owned()));
     }
     Ok(value.to_str().ok().map(str::to_owned))
 }
 
-fn read_from(headers: &http::HeaderMap, keyed: bool) -> Result<u64, fault::Fault> {
+fn read_resume_from(headers: &http::HeaderMap, keyed: bool) -> Result<u64, fault::Fault> {
     let Some(value) = headers.get("lagoon-resume-from") else { return Ok(0) };
     let from = value.to_str().ok().and_then(|text| text.parse().ok());
     from.filter(|_| keyed).ok_or_else(|| {
@@ -136,7 +136,9 @@
 pub(crate) fn request_id(headers: &http::HeaderMap) -> String {
     let given = headers.get("x-request-id").and_then(|value| value.to_str().ok());
     let usable = |id: &&str| {
-        !id.is_empty() && id.len() <= REQUEST_ID_LIMIT && id.bytes().all(|b| b.is_ascii_graphic())
+        !id.is_empty()
+            && id.len() <= MAX_REQUEST_ID_BYTES
+            && id.bytes().all(|b| b.is_ascii_graphic())
     };
     given.filter(usable).map_or_else(|| new_attempt().to_string(), str::to_owned)
 }
--- a/crates/lagoon-net/src/entry/cancel.rs
+++ b/crates/lagoon-net/src/entry/cancel.rs
@@ -23,11 +23,11 @@
 use crate::engine;
 
 /// Interval at which pending cancels are checked for their next send time.
-const TICK: clock::Span = clock::Span::from_millis(25);
+const CHECK_INTERVAL: clock::Span = clock::Span::from_millis(25);
 /// Time for an engine to acknowledge a cancel.
-const PATIENCE: clock::Span = clock::Span::from_secs(2);
+const ACK_TIMEOUT: clock::Span = clock::Span::from_secs(2);
 /// Most cancels that may be pending; further ones are counted and dropped.
-const PENDING_LIMIT: i64 = 100_000;
+const MAX_PENDING: i64 = 100_000;
 
 /// Something that an engine holds for this host.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -78,14 +78,14 @@
     fn drop(&mut self) {
         let Some(pending) = self.pending.take() else { return };
         let metrics = &self.state.metrics;
-        if metrics.cancels_pending.get() >= PENDING_LIMIT {
-            metrics.cancel("dropped");
+        if metrics.cancels_pending.get() >= MAX_PENDING {
+            metrics.count_cancel("dropped");
             return;
         }
         metrics.cancels_pending.inc();
         if self.state.cancels.send(pending).is_err() {
             metrics.cancels_pending.dec();
-            metrics.cancel("dropped");
+            metrics.count_cancel("dropped");
         }
     }
 }
@@ -106,11 +106,11 @@
                 Some(pending) => cancels.borrow_mut().add(pending, state.clock.now()),
                 None => return,
             },
-            () = tokio::time::sleep(TICK), if !is_idle => {}
+            () = tokio::time::sleep(CHECK_INTERVAL), if !is_idle => {}
         }
         let now = state.clock.now();
         let given_up = cancels.borrow_mut().expire(now);
-        (0..given_up).for_each(|_| end(&state, "given_up"));
+        (0..given_up).for_each(|_| finish(&state, "given_up"));
         let due = cancels.borrow_mut().due(now, rand::rng().random_range(0.5..1.5));
         for pending in due {
             let (state, client, cancels) = (state.clone(), client.clone(), cancels.clone());
@@ -119,22 +119,22 @@
     }
 }
 
-fn end(state: &state::State, result: &'static str) {
+fn finish(state: &state::State, result: &'static str) {
     state.metrics.cancels_pending.dec();
-    state.metrics.cancel(result);
+    state.metrics.count_cancel(result);
 }
 
 async fn send(state: &state::State, client: &client::Client, cancels: &Cancels, pending: Pending) {
     let (address, zone) = (pending.address, &state.settings.zone);
-    let give_back = async {
+    let release = async {
         match pending.holding {
             Holding::Stream(id) => engine::cancel(client, address, id, zone).await,
             Holding::Reservation(id) => engine::release(client, address, id, zone).await,
         }
     };
-    if tokio::time::timeout(PATIENCE, give_back).await != Ok(true) {
-        state.metrics.cancel("repeated");
+    if tokio::time::timeout(ACK_TIMEOUT, release).await != Ok(true) {
+        state.metrics.count_cancel("repeated");
     } else if cancels.borrow_mut().acknowledged(&pending) {
-        end(state, "acknowledged");
+        finish(state, "acknowledged");
     }
 }
--- a/crates/lagoon-net/src/entry/claims.rs
+++ b/crates/lagoon-net/src/entry/claims.rs
@@ -23,9 +23,9 @@
 use super::body;
 use super::call;
 use super::fault;
-use super::limit;
+use super::interrupt;
+use super::request_body;
 use super::services;
-use super::source;
 use super::state;
 use super::worker;
 use crate::platform;
@@ -36,7 +36,7 @@
 /// Tries to store a response, [`RETRY_PAUSE`] apart. After a longer platform outage the key stays
 /// in the state "may have run".
 const STORE_TRIES: u32 = 10;
-const PAUSE: clock::Span = clock::Span::from_secs(1);
+const RETRY_PAUSE: clock::Span = clock::Span::from_secs(1);
 
 /// Opens the claims on the configured platform; `None` without a platform.
 pub(crate) async fn open(state: &state::State) -> Option<Claims> {
@@ -48,7 +48,7 @@
 }
 
 /// A call with an idempotency key.
-pub(crate) struct Keyed {
+pub(crate) struct KeyedCall {
     pub(crate) worker: rc::Rc<worker::Worker>,
     pub(crate) call: call::Call,
     pub(crate) key: String,
@@ -58,14 +58,14 @@
     pub(crate) target: String,
     pub(crate) request_id: String,
     /// Longest response that is accepted and stored, in bytes.
-    pub(crate) max_answer: u64,
+    pub(crate) max_answer_bytes: u64,
     /// Keeps the call counted as in progress while its response is being stored.
-    pub(crate) active: rc::Rc<state::Active>,
+    pub(crate) active: rc::Rc<state::ActiveGuard>,
 }
 
 /// Handles a call with an idempotency key.
-pub(crate) async fn answer(
-    keyed: Keyed,
+pub(crate) async fn handle(
+    keyed: KeyedCall,
     payload: http::Payload,
 ) -> Result<web::HttpResponse, fault::Fault> {
     let Some(claims) = keyed.worker.claims.clone() else {
@@ -82,7 +82,7 @@
     receiver.await.unwrap_or_else(gone)
 }
 
-impl Keyed {
+impl KeyedCall {
     async fn run(
         self,
         claims: Claims,
@@ -90,13 +90,15 @@
     ) -> Result<web::HttpResponse, fault::Fault> {
         let state = self.worker.state.clone();
         let read = body::collect(&state.settings.limits, self.request.headers(), payload);
-        let body = limit::within(&state, self.call.deadline, read).await;
-        let body = body.map_err(|stop| stop.fault(Step::Read, Outcome::NotRun))??;
+        let body = interrupt::within(&state, self.call.deadline, read).await;
+        let body = body.map_err(|interrupt| interrupt.fault(Step::Read, Outcome::NotRun))??;
         match self.begin(&claims, &body).await? {
             claim::Begin::Run(ticket) => self.dispatch(claims, ticket, body).await,
             claim::Begin::Replay(answer) => {
-                state.metrics.claim("replayed");
-                Ok(self.head(answer.status, &answer.content_type).body(answer.body.to_vec()))
+                state.metrics.count_claim("replayed");
+                Ok(self
+                    .response_builder(answer.status, &answer.content_type)
+                    .body(answer.body.to_vec()))
             }
             // Both occur only for calls that may be repeated.
             claim::Begin::Unclaimed | claim::Begin::Running(_) => {
@@ -106,7 +108,7 @@
     }
 
     /// Returns the claim to request for this call.
-    fn ask(&self, body: &[u8]) -> claim::Ask {
+    fn new_ask(&self, body: &[u8]) -> claim::Ask {
         let path = format!("/services/{}{}", self.service, self.target);
         claim::Ask {
             customer: self.call.customer().name.clone(),
@@ -122,32 +124,32 @@
 
     /// Claims the key, or finds what is recorded under it.
     async fn begin(&self, claims: &Claims, body: &[u8]) -> Result<claim::Begin, fault::Fault> {
-        let (ask, own) = (self.ask(body), claims.clone());
+        let (ask, own) = (self.new_ask(body), claims.clone());
         let mut begin = Box::pin(async move { own.begin(ask).await });
         let state = &self.worker.state;
-        let result = limit::within(state, self.call.deadline, &mut begin).await;
+        let result = interrupt::within(state, self.call.deadline, &mut begin).await;
         let result = match result {
             Ok(result) => result,
-            Err(stop) => {
+            Err(interrupt) => {
                 // The claim may still be written, so it is released afterwards: nothing was
                 // dispatched.
                 let claims = claims.clone();
                 drop(ntex::rt::spawn(async move {
                     match begin.await {
                         Ok(claim::Begin::Run(ticket)) => {
-                            settle(&claims, claims.release(ticket).await).await;
+                            release_abandoned(&claims, claims.release(ticket).await).await;
                         }
                         Ok(_) => {}
-                        Err(refusal) => settle(&claims, refusal.abandoned).await,
+                        Err(refusal) => release_abandoned(&claims, refusal.abandoned).await,
                     }
                 }));
-                return Err(stop.fault(Step::Claim, Outcome::NotRun));
+                return Err(interrupt.fault(Step::Claim, Outcome::NotRun));
             }
         };
         result.map_err(|refusal| {
-            state.metrics.claim("refused");
+            state.metrics.count_claim("refused");
             let (claims, abandoned) = (claims.clone(), refusal.abandoned);
-            drop(ntex::rt::spawn(async move { settle(&claims, abandoned).await }));
+            drop(ntex::rt::spawn(async move { release_abandoned(&claims, abandoned).await }));
             fault::Fault::from(refusal.failure)
         })
     }
@@ -160,12 +162,12 @@
         body: util::Bytes,
     ) -> Result<web::HttpResponse, fault::Fault> {
         let state = self.worker.state.clone();
-        state.metrics.claim("claimed");
+        state.metrics.count_claim("claimed");
         let sent = match ticket.dispatch(state.clock.now()) {
             Ok(sent) => sent,
             Err(claim::Expired(ticket)) => {
-                self.after(claims, |claims| async move {
-                    settle(&claims, claims.release(*ticket).await).await;
+                self.spawn_tracked(claims, |claims| async move {
+                    release_abandoned(&claims, claims.release(*ticket).await).await;
                 });
                 return Err(fault::new(Reason::DeadlinePassed, Step::Claim, Outcome::NotRun));
             }
@@ -173,21 +175,23 @@
         match self.send(body).await {
             Ok(answer) => {
                 let kept = answer.clone();
-                let metrics = state.clone();
-                self.after(claims, |claims| async move {
+                let shared = state.clone();
+                self.spawn_tracked(claims, |claims| async move {
                     let stored = store(&claims, sent, kept).await;
-                    metrics.metrics.claim(if stored { "stored" } else { "unstored" });
+                    shared.metrics.count_claim(if stored { "stored" } else { "unstored" });
                 });
-                Ok(self.head(answer.status, &answer.content_type).body(answer.body.to_vec()))
+                Ok(self
+                    .response_builder(answer.status, &answer.content_type)
+                    .body(answer.body.to_vec()))
             }
             Err(fault) => {
                 let ran = fault.failure.outcome != Outcome::NotRun;
-                state.metrics.claim(if ran { "lost" } else { "released" });
-                self.after(claims, move |claims| async move {
+                state.metrics.count_claim(if ran { "lost" } else { "released" });
+                self.spawn_tracked(claims, move |claims| async move {
                     if ran {
                         claims.lose(sent).await;
                     } else {
-                        settle(&claims, claims.release(sent.refused()).await).await;
+                        release_abandoned(&claims, claims.release(sent.refused()).await).await;
                     }
                 });
                 Err(fault)
@@ -203,18 +207,18 @@
             request: self.request.clone(),
             service: self.service.clone(),
             target: self.target.clone(),
-            body: source::Source::whole(&self.worker.state, body),
+            body: request_body::RequestBody::from_bytes(&self.worker.state, body),
         };
         let held = request::Held::new(request::Repeat::Never);
         let (answer, answering, slot) = job.send(held).await?;
         let (status, kind) = (answer.status().as_u16(), answer.header("content-type"));
         let kind = kind.and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
         let mut payload = answer.take_payload();
-        let limit = usize::try_from(self.max_answer).unwrap_or(usize::MAX);
-        let work = services::whole(&mut payload, limit);
-        match limit::within(&self.worker.state, self.call.deadline, work).await {
+        let limit = usize::try_from(self.max_answer_bytes).unwrap_or(usize::MAX);
+        let work = services::read_whole(&mut payload, limit);
+        match interrupt::within(&self.worker.state, self.call.deadline, work).await {
             Ok(Some(whole)) => {
-                self.worker.state.metrics.done(&job.subject(), answering.complete());
+                self.worker.state.metrics.count_done(&job.tags(), answering.complete());
                 let body = bytes::Bytes::copy_from_slice(&whole);
                 Ok(claim::Answer { status, content_type: kind, body })
             }
@@ -223,11 +227,11 @@
                 let fault = fault::new(Reason::UpstreamFailed, Step::Stream, outcome);
                 Err(fault.at(slot.upstream.as_str()))
             }
-            Err(stop) => Err(stop.fault(Step::Stream, answering.broken().end())),
+            Err(interrupt) => Err(interrupt.fault(Step::Stream, answering.broken().end())),
         }
     }
 
-    fn head(&self, status: u16, kind: &str) -> http::ResponseBuilder {
+    fn response_builder(&self, status: u16, kind: &str) -> http::ResponseBuilder {
         let status = http::StatusCode::from_u16(status).unwrap_or(http::StatusCode::OK);
         let mut head = web::HttpResponse::build(status);
         head.set_header("X-Request-Id", self.request_id.as_str());
@@ -242,7 +246,7 @@
     }
 
     /// Runs `work` in the background. The caller does not wait for it, but a drain does.
-    fn after<Work, Done>(&self, claims: Claims, work: Work)
+    fn spawn_tracked<Work, Done>(&self, claims: Claims, work: Work)
     where
         Work: FnOnce(Claims) -> Done + 'static,
         Done: std::future::Future<Output = ()> + 'static,
@@ -263,16 +267,16 @@
             Ok(()) => return true,
             Err(unstored) => (sent, answer) = (unstored.sent, unstored.answer),
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
     false
 }
 
 /// Releases a key whose claim may still be written. A drain does not wait for this, because the
 /// retention period frees the key as well.
-async fn settle(claims: &Claims, abandoned: Option<claim::Abandoned>) {
+async fn release_abandoned(claims: &Claims, abandoned: Option<claim::Abandoned>) {
     let Some(abandoned) = abandoned else { return };
     while !claims.settle(&abandoned).await {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
--- a/crates/lagoon-net/src/entry/fault.rs
+++ b/crates/lagoon-net/src/entry/fault.rs
@@ -25,7 +25,7 @@
 }
 
 /// `Retry-After` of a refusal that has no retry time of its own.
-const USUAL_RETRY: clock::Span = clock::Span::from_secs(1);
+const DEFAULT_RETRY_AFTER: clock::Span = clock::Span::from_secs(1);
 
 impl Fault {
     pub(crate) fn at<P>(self, peer: P) -> Fault
@@ -49,14 +49,14 @@
     }
 
     /// Returns the error object as JSON.
-    pub(crate) fn object(&self) -> String {
+    pub(crate) fn to_json(&self) -> String {
         let failure = &self.failure;
         let mut message = failure.to_string();
         if !self.detail.is_empty() {
             message = format!("{message}: {}", self.detail);
         }
         let object = json!({"error": {
-            "type": kind(failure.reason),
+            "type": error_type(failure.reason),
             "code": failure.reason.as_str(),
             "message": message,
             "step": failure.step.as_str(),
@@ -68,24 +68,24 @@
 
     /// Builds the error response. The connection is closed if `close` is set, or if the rest of the
     /// request body was not read.
-    pub(crate) fn answer(&self, request_id: &str, close: bool) -> web::HttpResponse {
+    pub(crate) fn response(&self, request_id: &str, close: bool) -> web::HttpResponse {
         let status = http::StatusCode::from_u16(self.failure.reason.status());
         let status = status.unwrap_or(http::StatusCode::INTERNAL_SERVER_ERROR);
-        let mut answer = web::HttpResponse::build(status);
-        answer.set_header("X-Request-Id", request_id);
-        answer.set_header("Lagoon-Outcome", self.failure.outcome.as_str());
+        let mut response = web::HttpResponse::build(status);
+        response.set_header("X-Request-Id", request_id);
+        response.set_header("Lagoon-Outcome", self.failure.outcome.as_str());
         if let Some(span) = self.retry_after() {
-            answer.set_header("Retry-After", whole_seconds(span));
+            response.set_header("Retry-After", whole_seconds(span));
         }
         if close || self.failure.step == Step::Read {
-            answer.force_close();
+            response.force_close();
         }
-        answer.content_type("application/json").body(self.object())
+        response.content_type("application/json").body(self.to_json())
     }
 
     fn retry_after(&self) -> Option<clock::Span> {
         let refusal = matches!(self.failure.reason.status(), 429 | 503);
-        self.failure.retry_after.or(refusal.then_some(USUAL_RETRY))
+        self.failure.retry_after.or(refusal.then_some(DEFAULT_RETRY_AFTER))
     }
 }
 
@@ -94,7 +94,7 @@
 }
 
 /// Returns the error `type` of the OpenAI API.
-fn kind(reason: Reason) -> &'static str {
+fn error_type(reason: Reason) -> &'static str {
     match reason {
         Reason::Unauthenticated => "authentication_error",
         Reason::Forbidden => "permission_error",
--- a/crates/lagoon-net/src/entry/pull/key.rs
+++ b/crates/lagoon-net/src/entry/generation/idempotency.rs
@@ -13,13 +13,13 @@
 use lagoonline::life::stream;
 use lagoonline::outcome::{Outcome, Reason, Step};
 
-use super::{Open, Pull, Stage};
+use super::{Generation, Stage, Stream};
 use crate::engine;
+use crate::entry::admission;
 use crate::entry::cancel;
 use crate::entry::claims;
-use crate::entry::desk;
 use crate::entry::fault;
-use crate::entry::limit;
+use crate::entry::interrupt;
 use crate::entry::state;
 
 /// State of the idempotency claim of a call.
@@ -29,7 +29,7 @@
     #[default]
     None,
     /// The key is claimed once the first engine has been chosen.
-    Wanted(Box<Wanted>),
+    Pending(Box<Pending>),
     /// The key is claimed; nothing is dispatched.
     Ticket(Box<claims::Claims>, claim::Ticket),
     /// The key is claimed and the call is dispatched.
@@ -38,7 +38,7 @@
 
 /// A key that has not been claimed yet.
 #[derive(Debug)]
-pub(crate) struct Wanted {
+pub(crate) struct Pending {
     pub(crate) claims: claims::Claims,
     pub(crate) key: String,
     /// Fingerprint of the request body, from `claim::body_hash`.
@@ -47,31 +47,36 @@
 
 /// What is already recorded under a key.
 #[derive(Debug)]
-pub(super) enum Found {
+pub(super) enum Existing {
     /// A stored response.
     Answer(claim::Answer),
     /// A stream of another attempt.
-    Running(Box<Wanted>, claim::Running),
+    Running(Box<Pending>, claim::Running),
 }
 
 /// A response as it is stored for replay.
 #[derive(serde::Deserialize, serde::Serialize)]
-struct Kept<'a> {
+struct StoredAnswer<'a> {
     prompt_tokens: u64,
     #[serde(borrow)]
     tokens: Vec<&'a serde_json::value::RawValue>,
 }
 
 /// Content type of a [`StoredAnswer`].
-const KEPT_TYPE: &str = "application/json";
+const STORED_ANSWER_TYPE: &str = "application/json";
 
-impl Pull {
+impl Generation {
     /// Returns the claim to request for this call.
-    fn ask(&self, wanted: &Wanted, upstream: &id::Upstream, token: id::Attempt) -> claim::Ask {
+    fn new_ask(
+        &self,
+        pending: &Pending,
+        upstream: &id::Upstream,
+        token: id::Attempt,
+    ) -> claim::Ask {
         claim::Ask {
             customer: self.job.ask.customer.clone(),
-            key: wanted.key.clone(),
-            body: wanted.body.clone(),
+            key: pending.key.clone(),
+            body: pending.body.clone(),
             repeat: request::Repeat::Allowed,
             token,
             upstream: upstream.clone(),
@@ -86,23 +91,24 @@
         &mut self,
         upstream: &id::Upstream,
         attempt: id::Attempt,
-    ) -> Result<Option<Found>, fault::Fault> {
+    ) -> Result<Option<Existing>, fault::Fault> {
         let state = self.worker.state.clone();
         let deadline = self.job.call.deadline;
         let (claims, mut ticket) = match std::mem::take(&mut self.claim) {
             Claim::None => return Ok(None),
-            Claim::Wanted(wanted) => {
-                let ask = self.ask(&wanted, upstream, attempt);
-                let begin = limit::within(&state, deadline, wanted.claims.begin(ask)).await;
-                let begin = begin.map_err(|stop| stop.fault(Step::Claim, Outcome::NotRun))?;
+            Claim::Pending(pending) => {
+                let ask = self.new_ask(&pending, upstream, attempt);
+                let begin = interrupt::within(&state, deadline, pending.claims.begin(ask)).await;
+                let begin =
+                    begin.map_err(|interrupt| interrupt.fault(Step::Claim, Outcome::NotRun))?;
                 return match begin.map_err(|refusal| fault::Fault::from(refusal.failure))? {
                     claim::Begin::Run(ticket) => {
-                        state.metrics.claim("claimed");
-                        self.sent(Box::new(wanted.claims), ticket)
+                        state.metrics.count_claim("claimed");
+                        self.mark_sent(Box::new(pending.claims), ticket)
                     }
                     claim::Begin::Unclaimed => Ok(None),
-                    claim::Begin::Running(running) => Ok(Some(Found::Running(wanted, running))),
-                    claim::Begin::Replay(answer) => Ok(Some(Found::Answer(answer))),
+                    claim::Begin::Running(running) => Ok(Some(Existing::Running(pending, running))),
+                    claim::Begin::Replay(answer) => Ok(Some(Existing::Answer(answer))),
                 };
             }
             Claim::Ticket(claims, ticket) => (claims, ticket),
@@ -110,17 +116,17 @@
             Claim::Sent(claims, sent) => (claims, sent.refused()),
         };
         let work = claims.retarget(&mut ticket, upstream.clone(), attempt);
-        let written = limit::within(&state, deadline, work).await;
-        written.map_err(|stop| stop.fault(Step::Claim, Outcome::NotRun))?;
-        self.sent(claims, ticket)
+        let written = interrupt::within(&state, deadline, work).await;
+        written.map_err(|interrupt| interrupt.fault(Step::Claim, Outcome::NotRun))?;
+        self.mark_sent(claims, ticket)
     }
 
     /// Marks the claim as dispatched; fails if the ticket has expired.
-    fn sent(
+    fn mark_sent(
         &mut self,
         claims: Box<claims::Claims>,
         ticket: claim::Ticket,
-    ) -> Result<Option<Found>, fault::Fault> {
+    ) -> Result<Option<Existing>, fault::Fault> {
         match ticket.dispatch(self.worker.state.clock.now()) {
             Ok(sent) => {
                 self.claim = Claim::Sent(claims, sent);
@@ -137,8 +143,8 @@
     pub(super) async fn take_over(
         &mut self,
         held: request::Held,
-        place: desk::Place,
-        wanted: Box<Wanted>,
+        slot: admission::Slot,
+        pending: Box<Pending>,
         running: claim::Running,
     ) -> Result<Option<request::Held>, fault::Fault> {
         let state = self.worker.state.clone();
@@ -149,61 +155,63 @@
         if let Some(address) = address {
             let who = (&state.owner, &state.settings.zone);
             let work = engine::resume(&self.worker.client, address, attempt, who, from);
-            let result = limit::within(&state, self.job.call.deadline, work).await;
+            let result = interrupt::within(&state, self.job.call.deadline, work).await;
             let events = match result {
                 Ok(events) => events,
-                Err(stop) => return Err(stop.fault(Step::Stream, dispatched.lost().end())),
+                Err(interrupt) => {
+                    return Err(interrupt.fault(Step::Stream, dispatched.lost().end()));
+                }
             };
             if let Ok(events) = events {
-                state.metrics.resume("taken_over");
+                state.metrics.count_resume("taken_over");
                 // The entry host that started the stream may still serve it, so this host never
                 // cancels it.
                 let holding = cancel::Holding::Stream(attempt);
                 let mut cancel = cancel::Guard::new(&state, address, holding);
                 cancel.disarm();
-                self.stage = Stage::Open(Box::new(Open {
+                self.stage = Stage::Streaming(Box::new(Stream {
                     answering: dispatched.answering(),
                     events,
                     checker: stream::Checker::starting_at(attempt, from),
-                    place: place.detached(),
+                    slot: slot.released(),
                     cancel,
                     _group: None,
                     address,
-                    resumed: (from, 0),
-                    heard: state.clock.now(),
-                    begun: false,
+                    resumes: (from, 0),
+                    last_data: state.clock.now(),
+                    has_tokens: false,
                 }));
                 return Ok(None);
             }
         }
-        drop(place);
+        drop(slot);
         let held = dispatched.lost().again();
         let held = held.map_err(|end| fault::new(Reason::EarlierUnknown, Step::Claim, end))?;
-        let ask = self.ask(&wanted, &running.upstream, attempt);
-        let work = wanted.claims.take_over(ask, &running);
-        let begin = limit::within(&state, self.job.call.deadline, work).await;
+        let ask = self.new_ask(&pending, &running.upstream, attempt);
+        let work = pending.claims.take_over(ask, &running);
+        let begin = interrupt::within(&state, self.job.call.deadline, work).await;
         if let Ok(Ok(claim::Begin::Run(ticket))) = begin {
-            self.claim = Claim::Ticket(Box::new(wanted.claims), ticket);
+            self.claim = Claim::Ticket(Box::new(pending.claims), ticket);
         }
         Ok(Some(held))
     }
 
     /// Stores the whole response for replay, in the background; a drain waits for it.
-    pub(super) fn keep(&mut self, prompt_tokens: u64) {
+    pub(super) fn store_answer(&mut self, prompt_tokens: u64) {
         let Claim::Sent(claims, sent) = std::mem::take(&mut self.claim) else { return };
-        let Some(tokens) = self.kept.take() else { return };
+        let Some(tokens) = self.recorded.take() else { return };
         let tokens = tokens.trim_end_matches(',');
         let body = format!("{{\"prompt_tokens\":{prompt_tokens},\"tokens\":[{tokens}]}}");
         let answer = claim::Answer {
             status: 200,
-            content_type: KEPT_TYPE.to_owned(),
+            content_type: STORED_ANSWER_TYPE.to_owned(),
             body: bytes::Bytes::from(body),
         };
         let state = self.worker.state.clone();
-        let active = state::Active::new(&state);
+        let active = state::ActiveGuard::new(&state);
         drop(ntex::rt::spawn(async move {
             let stored = claims::store(&claims, sent, answer).await;
-            state.metrics.claim(if stored { "stored" } else { "unstored" });
+            state.metrics.count_claim(if stored { "stored" } else { "unstored" });
             drop(active);
         }));
     }
@@ -215,8 +223,8 @@
 where
     S: crate::entry::render::Sink,
 {
-    let kept: Kept<'_> = serde_json::from_slice(&answer.body).ok()?;
+    let stored: StoredAnswer<'_> = serde_json::from_slice(&answer.body).ok()?;
     let from = usize::try_from(from).unwrap_or(usize::MAX);
-    kept.tokens.iter().skip(from).for_each(|token| sink.token(token));
-    Some((kept.prompt_tokens, kept.tokens.len() as u64))
+    stored.tokens.iter().skip(from).for_each(|token| sink.token(token));
+    Some((stored.prompt_tokens, stored.tokens.len() as u64))
 }
--- a/crates/lagoon-net/src/entry/pull/mend.rs
+++ b/crates/lagoon-net/src/entry/generation/recovery.rs
@@ -9,45 +9,47 @@
 use lagoonline::load;
 use lagoonline::outcome::{Reason, Step};
 
-use super::{End, Open, Pull, Stage, dispatch};
+use super::{Generation, Stage, Stream, Summary, dispatch};
 use crate::engine;
 use crate::entry::fault;
-use crate::entry::limit;
+use crate::entry::interrupt;
 
 /// Attempts to resume a broken stream at the same chunk before the call moves to another engine.
-const RESUMES: u32 = 3;
+const MAX_RESUMES: u32 = 3;
 /// Attempts to resume a silent stream at the same chunk.
-const SILENT_RESUMES: u32 = 1;
+const MAX_SILENT_RESUMES: u32 = 1;
 /// Pause before the second attempt to resume; it grows by the same amount with each further one.
 const RESUME_PAUSE: clock::Span = clock::Span::from_millis(20);
 
 /// Result of resuming a stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Resumed {
+enum Resumption {
     /// The stream continues.
-    On,
+    Resumed,
     /// The engine did not respond in time.
     Silent,
     /// The engine no longer has the stream.
     Gone,
 }
 
-impl Open {
+impl Stream {
     /// Returns whether to resume a silent stream. One attempt is enough to find out whether only
     /// the connection is dead while the engine still works.
     fn may_resume_silent(&self) -> bool {
-        self.begun && self.resumed != (self.checker.next(), SILENT_RESUMES)
+        self.has_tokens && self.resumes != (self.checker.next(), MAX_SILENT_RESUMES)
     }
 }
 
-impl Pull {
+impl Generation {
     /// Handles a silence that has lasted too long. Returns an error only if the stream can be
     /// resumed or another engine could take the call.
-    pub(super) fn silent(&mut self) -> Result<Option<End>, engine::StreamError> {
+    pub(super) fn handle_silence(&mut self) -> Result<Option<Summary>, engine::StreamError> {
         let now = self.worker.state.clock.now();
-        let Stage::Open(open) = &mut self.stage else { return Err(engine::StreamError::Truncated) };
-        open.heard = now;
-        if open.may_resume_silent() || self.is_better_elsewhere() {
+        let Stage::Streaming(stream) = &mut self.stage else {
+            return Err(engine::StreamError::Truncated);
+        };
+        stream.last_data = now;
+        if stream.may_resume_silent() || self.is_better_elsewhere() {
             return Err(engine::StreamError::Silent);
         }
         Ok(None)
@@ -55,78 +57,78 @@
 
     /// Returns whether the call may move and another engine could take it from its silent one.
     fn is_better_elsewhere(&self) -> bool {
-        let Stage::Open(open) = &self.stage else { return false };
+        let Stage::Streaming(stream) = &self.stage else { return false };
         let may_move = self.delivered == 0 || self.job.continues;
-        may_move && open.place.is_better_elsewhere(&self.job.ask)
+        may_move && stream.slot.is_better_elsewhere(&self.job.ask)
     }
 
     /// Recovers from a broken stream: resumes it on its engine, or dispatches the call again.
-    pub(super) async fn mend(&mut self, broken: engine::StreamError) -> Result<(), fault::Fault> {
-        let Stage::Open(mut open) = mem::replace(&mut self.stage, Stage::Over) else {
+    pub(super) async fn recover(&mut self, error: engine::StreamError) -> Result<(), fault::Fault> {
+        let Stage::Streaming(mut stream) = mem::replace(&mut self.stage, Stage::Ended) else {
             return Ok(());
         };
         let metrics = &self.worker.state.metrics;
-        if let engine::StreamError::Violation(violation) = &broken {
-            metrics.chunk_refused(violation_name(violation));
+        if let engine::StreamError::Violation(violation) = &error {
+            metrics.count_refused_chunk(violation_name(violation));
         }
-        let mut silent = broken == engine::StreamError::Silent;
-        let resumes = match broken {
+        let mut silent = error == engine::StreamError::Silent;
+        let resumes = match error {
             engine::StreamError::Aborted(_) => false,
-            engine::StreamError::Silent => open.may_resume_silent(),
+            engine::StreamError::Silent => stream.may_resume_silent(),
             _ => true,
         };
         if resumes {
-            match self.resume(&mut open).await {
-                Ok(Resumed::On) => {
-                    metrics.resume("resumed");
-                    self.stage = Stage::Open(open);
+            match self.resume(&mut stream).await {
+                Ok(Resumption::Resumed) => {
+                    metrics.count_resume("resumed");
+                    self.stage = Stage::Streaming(stream);
                     return Ok(());
                 }
-                Ok(Resumed::Silent) => metrics.resume("failed"),
-                Ok(Resumed::Gone) => {
-                    metrics.resume("failed");
+                Ok(Resumption::Silent) => metrics.count_resume("failed"),
+                Ok(Resumption::Gone) => {
+                    metrics.count_resume("failed");
                     silent = false;
                 }
-                Err(stop) => {
-                    return Err(stop.fault(Step::Stream, open.answering.broken().end()));
+                Err(interrupt) => {
+                    return Err(interrupt.fault(Step::Stream, stream.answering.broken().end()));
                 }
             }
         }
         if silent {
-            self.stage = Stage::Open(open);
+            self.stage = Stage::Streaming(stream);
             if !self.is_better_elsewhere() {
                 return Ok(());
             }
-            let Stage::Open(moved) = mem::replace(&mut self.stage, Stage::Over) else {
+            let Stage::Streaming(moved) = mem::replace(&mut self.stage, Stage::Ended) else {
                 return Ok(());
             };
-            open = moved;
+            stream = moved;
         }
         let ending = if silent { load::Ending::Silent } else { load::Ending::Failed };
-        let Open { answering, place, cancel, .. } = *open;
+        let Stream { answering, slot, cancel, .. } = *stream;
         drop(cancel);
         let lost = answering.broken();
-        let peer = place.upstream().to_string();
+        let peer = slot.upstream().to_string();
         if self.delivered > 0 && !self.job.continues {
-            place.finish(ending);
+            slot.finish(ending);
             let fault = fault::new(Reason::UpstreamFailed, Step::Stream, lost.end());
-            return Err(fault.at(peer).with_detail(broken.to_string()));
+            return Err(fault.at(peer).with_detail(error.to_string()));
         }
         let held = lost.again().map_err(|outcome| {
             fault::new(Reason::UpstreamFailed, Step::Stream, outcome).at(peer.as_str())
         })?;
         if held.attempts() >= self.worker.state.settings.limits.attempts {
-            place.finish(ending);
+            slot.finish(ending);
             let fault = fault::new(Reason::UpstreamFailed, Step::Stream, held.end());
-            return Err(fault.at(peer).with_detail(broken.to_string()));
+            return Err(fault.at(peer).with_detail(error.to_string()));
         }
-        metrics.retry(if silent { "silent" } else { "broken" });
-        let offer = place.again(ending, self.job.ask.clone());
-        match self.open(held, offer).await? {
-            dispatch::Opened::Open(open) => self.stage = Stage::Open(open),
+        metrics.count_retry(if silent { "silent" } else { "broken" });
+        let decision = slot.retry(ending, self.job.ask.clone());
+        match self.run_attempts(held, decision).await? {
+            dispatch::Started::Streaming(stream) => self.stage = Stage::Streaming(stream),
             // The first dispatch of this call has already claimed the key, so nothing else can be
             // there.
-            dispatch::Opened::Found(held, ..) => {
+            dispatch::Started::Existing(held, ..) => {
                 return Err(fault::new(Reason::Internal, Step::Claim, held.end()));
             }
         }
@@ -134,42 +136,44 @@
     }
 
     /// Resumes the stream of the same attempt at the next chunk.
-    async fn resume(&self, open: &mut Open) -> Result<Resumed, limit::Stop> {
+    async fn resume(&self, stream: &mut Stream) -> Result<Resumption, interrupt::Interrupt> {
         let state = &self.worker.state;
-        let (attempt, from) = (open.answering.attempt(), open.checker.next());
-        if open.resumed.0 != from {
-            open.resumed = (from, 0);
+        let (attempt, from) = (stream.answering.attempt(), stream.checker.next());
+        if stream.resumes.0 != from {
+            stream.resumes = (from, 0);
         }
-        while open.resumed.1 < RESUMES {
-            let pause = RESUME_PAUSE * open.resumed.1;
-            open.resumed.1 += 1;
+        while stream.resumes.1 < MAX_RESUMES {
+            let pause = RESUME_PAUSE * stream.resumes.1;
+            stream.resumes.1 += 1;
             let work = async {
                 tokio::time::sleep(pause).await;
                 let who = (&state.owner, &state.settings.zone);
-                engine::resume(&self.worker.client, open.address, attempt, who, from).await
+                engine::resume(&self.worker.client, stream.address, attempt, who, from).await
             };
-            let (_, gap) = open.place.silence();
+            let (_, gap) = stream.slot.silence();
             let (now, deadline) = (state.clock.now(), self.job.call.deadline);
             let until = now + gap;
-            let result = match limit::within(state, until.min(deadline), work).await {
+            let result = match interrupt::within(state, until.min(deadline), work).await {
                 Ok(result) => result,
-                Err(limit::Stop::Deadline) if until < deadline => return Ok(Resumed::Silent),
-                Err(stop) => return Err(stop),
+                Err(interrupt::Interrupt::Deadline) if until < deadline => {
+                    return Ok(Resumption::Silent);
+                }
+                Err(interrupt) => return Err(interrupt),
             };
             match result {
                 Ok(events) => {
-                    open.events = events;
-                    return Ok(Resumed::On);
+                    stream.events = events;
+                    return Ok(Resumption::Resumed);
                 }
                 Err(engine::Failure::Lost(_)) => {}
                 Err(
                     engine::Failure::NoStream
                     | engine::Failure::Refused(_)
                     | engine::Failure::Unsent(_),
-                ) => return Ok(Resumed::Gone),
+                ) => return Ok(Resumption::Gone),
             }
         }
-        Ok(Resumed::Gone)
+        Ok(Resumption::Gone)
     }
 }
 
--- a/crates/lagoon-net/src/entry/group.rs
+++ b/crates/lagoon-net/src/entry/group.rs
@@ -18,7 +18,7 @@
 use crate::engine;
 
 /// Time that a reservation outlives its request's deadline.
-const MARGIN: clock::Span = clock::Span::from_secs(5);
+const EXPIRY_MARGIN: clock::Span = clock::Span::from_secs(5);
 
 /// Reservations on all engines of a group, released when dropped.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     state: &sync::Arc<state::State>,
     client: &client::Client,
     members: &[Member<'_>],
-    left: clock::Span,
+    time_left: clock::Span,
 ) -> Result<Group, engine::Failure> {
     let view = state.view();
     let mut parts = Vec::with_capacity(members.len());
@@ -46,7 +46,7 @@
             return Err(engine::Failure::Unsent(format!("{upstream} is not known")));
         };
         let (id, address) = (call::new_attempt(), known.entry.address);
-        let (owner, ttl) = (state.owner.clone(), left + MARGIN);
+        let (owner, ttl) = (state.owner.clone(), time_left + EXPIRY_MARGIN);
         let reservation = engine::Reservation { id, owner, tokens: *tokens, ttl };
         // Created before the request is sent, so that a reservation whose response is lost is
         // released too.
--- a/crates/lagoon-net/src/entry/limit.rs
+++ b/crates/lagoon-net/src/entry/interrupt.rs
@@ -12,19 +12,19 @@
 
 /// Reason why a future was stopped before it completed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Stop {
+pub(crate) enum Interrupt {
     /// The request's deadline passed.
     Deadline,
     /// The drain was cut short.
     Abort,
 }
 
-impl Stop {
+impl Interrupt {
     /// Returns the error for a request that was interrupted during `step`.
     pub(crate) fn fault(self, step: Step, outcome: Outcome) -> fault::Fault {
         let reason = match self {
-            Stop::Deadline => Reason::DeadlinePassed,
-            Stop::Abort => Reason::Draining,
+            Interrupt::Deadline => Reason::DeadlinePassed,
+            Interrupt::Abort => Reason::Draining,
         };
         fault::new(reason, step, outcome)
     }
@@ -35,7 +35,7 @@
     state: &sync::Arc<state::State>,
     deadline: clock::Moment,
     work: F,
-) -> Result<F::Output, Stop>
+) -> Result<F::Output, Interrupt>
 where
     F: future::Future,
 {
@@ -44,12 +44,12 @@
     tokio::select! {
         biased;
         result = work => Ok(result),
-        () = tokio::time::sleep(left) => Err(Stop::Deadline),
+        () = tokio::time::sleep(left) => Err(Interrupt::Deadline),
         _ended = async {
             phase.wait_for(|phase| *phase == state::Phase::Aborting).await.is_ok()
         } => {
             state.count_aborted();
-            Err(Stop::Abort)
+            Err(Interrupt::Abort)
         }
     }
 }
--- a/crates/lagoon-net/src/entry/linger.rs
+++ b/crates/lagoon-net/src/entry/linger.rs
@@ -12,27 +12,27 @@
 
 /// Owned by a response body and dropped with it.
 #[derive(Debug)]
-pub(crate) struct Open {
-    _gone: async_sync::oneshot::Sender<()>,
+pub(crate) struct Guard {
+    _dropped: async_sync::oneshot::Sender<()>,
 }
 
 /// Waits for the end of a response body.
 #[derive(Debug)]
 pub(crate) struct Watch {
     io: Option<io::IoRef>,
-    gone: async_sync::oneshot::Receiver<()>,
+    dropped: async_sync::oneshot::Receiver<()>,
 }
 
 /// Creates the guard and the watch for a response on the connection `io`.
-pub(crate) fn pair(io: Option<&io::IoRef>) -> (Open, Watch) {
-    let (sender, gone) = async_sync::oneshot::channel();
-    (Open { _gone: sender }, Watch { io: io.cloned(), gone })
+pub(crate) fn pair(io: Option<&io::IoRef>) -> (Guard, Watch) {
+    let (sender, dropped) = async_sync::oneshot::channel();
+    (Guard { _dropped: sender }, Watch { io: io.cloned(), dropped })
 }
 
 impl Watch {
     /// Waits until the body is dropped, or closes its connection after `span`.
-    pub(crate) async fn bound(self, span: clock::Span) {
-        let Err(_late) = tokio::time::timeout(span, self.gone).await else { return };
+    pub(crate) async fn close_after(self, span: clock::Span) {
+        let Err(_late) = tokio::time::timeout(span, self.dropped).await else { return };
         if let Some(io) = self.io {
             io.terminate();
         }
--- a/crates/lagoon-net/src/entry/link/mod.rs
+++ b/crates/lagoon-net/src/entry/link/mod.rs
@@ -19,10 +19,10 @@
 use crate::wire;
 
 /// Interval of the reports to the steward.
-const TICK: clock::Span = clock::Span::from_millis(250);
+const REPORT_INTERVAL: clock::Span = clock::Span::from_millis(250);
 /// Ticks between usage reports of a host that admits no requests. Other hosts learn from them that
 /// this host can be reached.
-const QUIET_TICKS: u64 = 4;
+const IDLE_REPORT_TICKS: u64 = 4;
 
 /// The data path's side of the link.
 #[derive(Debug, Default)]
@@ -30,12 +30,12 @@
     handle: Option<link::Handle>,
     /// Whether the steward has confirmed that the sections are complete; never reset.
     complete: atomic::AtomicBool,
-    seen: sync::Mutex<Seen>,
+    observed: sync::Mutex<Observed>,
     marks: sync::Mutex<leaving::Marks>,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Observed {
     /// Loads since the last report.
     loads: collections::HashMap<id::Upstream, engine::Load>,
     /// Last known incarnation of each upstream.
@@ -74,33 +74,37 @@
         self.handle.as_ref()?.view_age()
     }
 
-    fn seen(&self) -> sync::MutexGuard<'_, Seen> {
-        self.seen.lock().unwrap_or_else(sync::PoisonError::into_inner)
+    fn observed(&self) -> sync::MutexGuard<'_, Observed> {
+        self.observed.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
     /// Records a load that came with a response, for the next report.
-    pub(crate) fn saw_load(&self, upstream: &id::Upstream, load: &engine::Load) {
+    pub(crate) fn record_load(&self, upstream: &id::Upstream, load: &engine::Load) {
         if self.handle.is_none() {
             return;
         }
-        let mut seen = self.seen();
-        seen.incarnations.insert(upstream.clone(), load.incarnation);
-        seen.loads.insert(upstream.clone(), *load);
+        let mut observed = self.observed();
+        observed.incarnations.insert(upstream.clone(), load.incarnation);
+        observed.loads.insert(upstream.clone(), *load);
     }
 
     /// Reports an upstream that refused work because it is leaving. This is sent at once, so that
     /// other hosts stop using it too.
-    pub(crate) fn saw_leaving(&self, upstream: &id::Upstream) {
-        let seen = self.seen().incarnations.get(upstream).copied();
-        let incarnation = self.refused(upstream, seen.map(id::Incarnation)).0;
+    pub(crate) fn report_leaving(&self, upstream: &id::Upstream) {
+        let observed = self.observed().incarnations.get(upstream).copied();
+        let incarnation = self.record_refusal(upstream, observed.map(id::Incarnation)).0;
         let Some(handle) = &self.handle else { return };
         handle.mark(wire::Mark { upstream: upstream.to_string(), incarnation, leaving: true });
     }
 
     /// Records a refusal. Returns the incarnation that it applies to, 0 when none is known.
-    fn refused(&self, upstream: &id::Upstream, seen: Option<id::Incarnation>) -> id::Incarnation {
+    fn record_refusal(
+        &self,
+        upstream: &id::Upstream,
+        observed: Option<id::Incarnation>,
+    ) -> id::Incarnation {
         let mut marks = self.marks();
-        if let Some(incarnation) = seen {
+        if let Some(incarnation) = observed {
             marks.merge(upstream, leaving::Mark { incarnation, leaving: false });
         }
         marks.refused(upstream);
@@ -122,7 +126,7 @@
     }
 
     fn flush_loads(&self, handle: &link::Handle) {
-        let loads = std::mem::take(&mut self.seen().loads);
+        let loads = std::mem::take(&mut self.observed().loads);
         if !loads.is_empty() {
             handle.loads(loads.iter().map(|(name, load)| wire::load(name, load, 0)).collect());
         }
@@ -143,13 +147,13 @@
             in_force: state.view().fleet.versions.clone(),
         });
         state.link.flush_loads(&handle);
-        let spends = state.limits().report();
-        if !spends.is_empty() || ticks % QUIET_TICKS == 0 {
+        let spends = state.rate_limits().report();
+        if !spends.is_empty() || ticks % IDLE_REPORT_TICKS == 0 {
             sequence += 1;
             handle.spending(spending(&state, &spends, sequence));
         }
         ticks += 1;
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
     }
 }
 
@@ -161,7 +165,7 @@
     };
     wire::Spending {
         host: state.settings.host.to_string(),
-        span_ms: u64::try_from(TICK.as_millis()).unwrap_or(u64::MAX),
+        span_ms: u64::try_from(REPORT_INTERVAL.as_millis()).unwrap_or(u64::MAX),
         lines: spends.iter().map(line).collect(),
         sequence,
     }
@@ -181,7 +185,7 @@
         let state = &self.0;
         match update {
             link::Update::Fleet { fleet, complete } => {
-                state.put(fleet);
+                state.install_fleet(fleet);
                 state.link.complete.fetch_or(complete, atomic::Ordering::AcqRel);
             }
             link::Update::Loads(loads) => {
@@ -189,10 +193,10 @@
                 for load in &loads {
                     let upstream = id::Upstream::from(load.upstream.as_str());
                     let load = wire::engine_load(load);
-                    view.desks.values().for_each(|desk| desk.observe(&upstream, &load));
+                    view.queues.values().for_each(|queue| queue.observe(&upstream, &load));
                     let incarnation = id::Incarnation(load.incarnation);
                     mark(state, &upstream, leaving::Mark { incarnation, leaving: false });
-                    state.link.seen().incarnations.insert(upstream, load.incarnation);
+                    state.link.observed().incarnations.insert(upstream, load.incarnation);
                 }
             }
             link::Update::Marks(marks) => {
@@ -210,7 +214,7 @@
                     tokens: line.tokens,
                 };
                 let spends: Vec<_> = spending.lines.iter().map(spend).collect();
-                state.limits().heard(state.clock.now(), &spends);
+                state.rate_limits().heard(state.clock.now(), &spends);
             }
         }
     }
--- a/crates/lagoon-net/src/entry/link/tests.rs
+++ b/crates/lagoon-net/src/entry/link/tests.rs
@@ -16,7 +16,7 @@
 fn a_stale_steward_does_not_end_a_refusal() {
     let (link, upstream) = (Link::default(), Upstream::from("engine"));
     assert_eq!(link.merge(&upstream, mark(5, false)), Some(false));
-    link.saw_leaving(&upstream);
+    link.report_leaving(&upstream);
     assert_eq!(link.merge(&upstream, mark(5, false)), None);
     assert_eq!(link.merge(&upstream, mark(4, false)), None);
     assert_eq!(link.merge(&upstream, mark(6, false)), Some(false));
@@ -27,7 +27,7 @@
 #[test]
 fn a_refusal_before_any_life_is_known_counts() {
     let (link, upstream) = (Link::default(), Upstream::from("runner"));
-    link.saw_leaving(&upstream);
+    link.report_leaving(&upstream);
     assert_eq!(link.merge(&upstream, mark(5, false)), Some(true));
     assert_eq!(link.merge(&upstream, mark(5, false)), None);
     assert_eq!(link.merge(&upstream, mark(6, false)), Some(false));
--- a/crates/lagoon-net/src/entry/metrics.rs
+++ b/crates/lagoon-net/src/entry/metrics.rs
@@ -23,18 +23,19 @@
 use prometheus_client::registry;
 
 /// Number of customers that get a label value of their own.
-const CUSTOMER_LINES: usize = 20;
+const MAX_CUSTOMER_LABELS: usize = 20;
 /// Upper bounds of latency buckets, in seconds: 10 ms to 10 minutes.
-const BOUNDS: [f64; 18] = [
+const LATENCY_BOUNDS: [f64; 18] = [
     0.01, 0.02, 0.035, 0.058, 0.1, 0.2, 0.35, 0.49, 0.75, 1.0, 2.0, 5.0, 10.0, 20.0, 60.0, 120.0,
     300.0, 600.0,
 ];
 
 /// Upper bounds of the slowdown buckets.
-const RATIOS: [f64; 12] = [1.05, 1.1, 1.2, 1.3, 1.5, 2.0, 3.0, 5.0, 8.0, 15.0, 30.0, 100.0];
+const SLOWDOWN_BOUNDS: [f64; 12] =
+    [1.05, 1.1, 1.2, 1.3, 1.5, 2.0, 3.0, 5.0, 8.0, 15.0, 30.0, 100.0];
 
 fn new_histogram() -> histogram::Histogram {
-    histogram::Histogram::new(BOUNDS)
+    histogram::Histogram::new(LATENCY_BOUNDS)
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
@@ -72,22 +73,22 @@
 
 /// Labels under which a request is counted when it ends.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Subject {
+pub(crate) struct Tags {
     kind: &'static str,
     /// Name of the model or service; empty until it is known to exist.
     name: String,
     customer: Option<id::Customer>,
 }
 
-impl Subject {
+impl Tags {
     /// Labels of a request of which only the path is known.
-    pub(crate) fn new(kind: &'static str) -> Subject {
-        Subject { kind, ..Subject::default() }
+    pub(crate) fn new(kind: &'static str) -> Tags {
+        Tags { kind, ..Tags::default() }
     }
 
     /// Labels of a request for an existing model or service from a known customer.
-    pub(crate) fn of(kind: &'static str, name: &str, customer: &id::Customer) -> Subject {
-        Subject { kind, name: name.to_owned(), customer: Some(customer.clone()) }
+    pub(crate) fn of(kind: &'static str, name: &str, customer: &id::Customer) -> Tags {
+        Tags { kind, name: name.to_owned(), customer: Some(customer.clone()) }
     }
 }
 
@@ -104,7 +105,7 @@
 type Counters<L> = family::Family<L, counter::Counter>;
 type Histograms<L> = family::Family<L, histogram::Histogram, fn() -> histogram::Histogram>;
 
-fn start(family: &Counters<CauseLabels>, causes: &[&'static str]) {
+fn create_counters(family: &Counters<CauseLabels>, causes: &[&'static str]) {
     for &cause in causes {
         drop(family.get_or_create(&CauseLabels { cause }));
     }
@@ -130,7 +131,7 @@
     pub(crate) view_age: gauge::Gauge<f64, atomic::AtomicU64>,
     customers: Counters<CustomerLabels>,
     /// Customers that have a label value of their own.
-    customer_lines: sync::Mutex<collections::HashSet<id::Customer>>,
+    labelled_customers: sync::Mutex<collections::HashSet<id::Customer>>,
     tokens: Counters<ModelLabels>,
     prompt_tokens: Counters<ModelLabels>,
     cached_tokens: Counters<ModelLabels>,
@@ -163,7 +164,7 @@
             section_version: family::Family::default(),
             view_age: gauge::Gauge::default(),
             customers: family::Family::default(),
-            customer_lines: sync::Mutex::default(),
+            labelled_customers: sync::Mutex::default(),
             tokens: family::Family::default(),
             prompt_tokens: family::Family::default(),
             cached_tokens: family::Family::default(),
@@ -171,13 +172,13 @@
             between_tokens: family::Family::new_with_constructor(histograms),
             completion: family::Family::new_with_constructor(histograms),
             short_slowdown: family::Family::new_with_constructor(|| {
-                histogram::Histogram::new(RATIOS)
+                histogram::Histogram::new(SLOWDOWN_BOUNDS)
             }),
             baseline: sync::Mutex::default(),
         };
         metrics.register_counters(zone);
-        metrics.register_others();
-        metrics.begin();
+        metrics.register_gauges_and_histograms();
+        metrics.create_known_counters();
         metrics
     }
 
@@ -204,7 +205,7 @@
         );
     }
 
-    fn register_others(&mut self) {
+    fn register_gauges_and_histograms(&mut self) {
         let Metrics { registry, .. } = self;
         registry.register("cancels_pending", "Unacknowledged", self.cancels_pending.clone());
         registry.register("active_requests", "Requests under way", self.active.clone());
@@ -227,18 +228,27 @@
     }
 
     /// Creates the counters of all known causes, so that a rate includes their first increment.
-    fn begin(&self) {
+    fn create_known_counters(&self) {
         let reasons = outcome::Reason::ALL.map(outcome::Reason::as_str);
-        start(&self.refusals, &reasons);
-        start(&self.attempts, &["answered", "unsent", "lost", "refused", "full", "leaving"]);
-        start(&self.attempts, &["unknown_model", "too_long", "attempt_exists"]);
-        start(&self.retries, &["unsent", "lost", "full", "leaving", "broken", "service"]);
-        start(&self.retries, &["unknown_model", "attempt_exists", "unknown_upstream", "group"]);
-        start(&self.resumes, &["resumed", "failed", "taken_over"]);
-        start(&self.chunks_refused, &["crossed", "repeated", "gap", "count", "after_end"]);
-        start(&self.claims, &["claimed", "replayed", "refused", "released", "lost"]);
-        start(&self.claims, &["stored", "unstored"]);
-        start(&self.cancels, &["acknowledged", "repeated", "given_up", "dropped"]);
+        create_counters(&self.refusals, &reasons);
+        create_counters(
+            &self.attempts,
+            &["answered", "unsent", "lost", "refused", "full", "leaving"],
+        );
+        create_counters(&self.attempts, &["unknown_model", "too_long", "attempt_exists"]);
+        create_counters(&self.retries, &["unsent", "lost", "full", "leaving", "broken", "service"]);
+        create_counters(
+            &self.retries,
+            &["unknown_model", "attempt_exists", "unknown_upstream", "group"],
+        );
+        create_counters(&self.resumes, &["resumed", "failed", "taken_over"]);
+        create_counters(
+            &self.chunks_refused,
+            &["crossed", "repeated", "gap", "count", "after_end"],
+        );
+        create_counters(&self.claims, &["claimed", "replayed", "refused", "released", "lost"]);
+        create_counters(&self.claims, &["stored", "unstored"]);
+        create_counters(&self.cancels, &["acknowledged", "repeated", "given_up", "dropped"]);
     }
 
     /// Returns all metrics as OpenMetrics text.
@@ -249,34 +259,34 @@
     }
 
     /// Counts a request that ended with a response.
-    pub(crate) fn done(&self, subject: &Subject, outcome: outcome::Outcome) {
-        self.ended(subject, outcome.as_str(), "");
+    pub(crate) fn count_done(&self, tags: &Tags, outcome: outcome::Outcome) {
+        self.count_request(tags, outcome.as_str(), "");
     }
 
     /// Counts a request that ended with a failure.
-    pub(crate) fn failed(&self, subject: &Subject, failure: &outcome::Failure) {
+    pub(crate) fn count_failed(&self, tags: &Tags, failure: &outcome::Failure) {
         let cause = failure.reason.as_str();
-        self.ended(subject, failure.outcome.as_str(), cause);
+        self.count_request(tags, failure.outcome.as_str(), cause);
         self.refusals.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    fn ended(&self, subject: &Subject, outcome: &'static str, reason: &'static str) {
-        let (kind, name) = (subject.kind, subject.name.clone());
+    fn count_request(&self, tags: &Tags, outcome: &'static str, reason: &'static str) {
+        let (kind, name) = (tags.kind, tags.name.clone());
         let labels = RequestLabels { kind, name, outcome, reason };
         self.requests.get_or_create(&labels).inc();
-        if let Some(customer) = &subject.customer {
-            let customer = self.line(customer);
+        if let Some(customer) = &tags.customer {
+            let customer = self.customer_label(customer);
             let labels = CustomerLabels { customer, outcome, reason };
             self.customers.get_or_create(&labels).inc();
         }
     }
 
     /// Returns the customer's own label value, or `other` beyond the limit.
-    fn line(&self, customer: &id::Customer) -> String {
-        let lines = &self.customer_lines;
+    fn customer_label(&self, customer: &id::Customer) -> String {
+        let lines = &self.labelled_customers;
         let mut lines = lines.lock().unwrap_or_else(sync::PoisonError::into_inner);
         let known = lines.contains(customer);
-        if !known && lines.len() < CUSTOMER_LINES {
+        if !known && lines.len() < MAX_CUSTOMER_LABELS {
             lines.insert(customer.clone());
         }
         if lines.contains(customer) { customer.to_string() } else { "other".to_owned() }
@@ -284,7 +294,7 @@
 
     /// Records the slowdown of a short prompt: its first token arrived after `span` from an engine
     /// that prefills `rate` tokens per second.
-    pub(crate) fn short_slowdown(&self, ask: &load::Ask, span: clock::Span, rate: f64) {
+    pub(crate) fn observe_short_slowdown(&self, ask: &load::Ask, span: clock::Span, rate: f64) {
         let mut baseline = self.baseline.lock().unwrap_or_else(sync::PoisonError::into_inner);
         let ratio = baseline.ratio(span, ask.prompt_tokens, rate);
         drop(baseline);
@@ -292,27 +302,27 @@
         self.short_slowdown.get_or_create(&labels).observe(ratio);
     }
 
-    pub(crate) fn attempt(&self, cause: &'static str) {
+    pub(crate) fn count_attempt(&self, cause: &'static str) {
         self.attempts.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    pub(crate) fn retry(&self, cause: &'static str) {
+    pub(crate) fn count_retry(&self, cause: &'static str) {
         self.retries.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    pub(crate) fn resume(&self, cause: &'static str) {
+    pub(crate) fn count_resume(&self, cause: &'static str) {
         self.resumes.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    pub(crate) fn chunk_refused(&self, cause: &'static str) {
+    pub(crate) fn count_refused_chunk(&self, cause: &'static str) {
         self.chunks_refused.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    pub(crate) fn cancel(&self, cause: &'static str) {
+    pub(crate) fn count_cancel(&self, cause: &'static str) {
         self.cancels.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    pub(crate) fn claim(&self, cause: &'static str) {
+    pub(crate) fn count_claim(&self, cause: &'static str) {
         self.claims.get_or_create(&CauseLabels { cause }).inc();
     }
 
@@ -326,7 +336,7 @@
         self.section_version.get_or_create(&TeamLabels { team: team.to_string() }).set(version);
     }
 
-    pub(crate) fn first_token(
+    pub(crate) fn observe_first_token(
         &self,
         class: document::Class,
         model: &id::Model,
@@ -339,7 +349,7 @@
     }
 
     /// Records `count` tokens that arrived together, `span` after the previous ones.
-    pub(crate) fn tokens(&self, model: &id::Model, count: u64, span: Option<clock::Span>) {
+    pub(crate) fn observe_tokens(&self, model: &id::Model, count: u64, span: Option<clock::Span>) {
         let labels = ModelLabels { model: model.to_string() };
         self.tokens.get_or_create(&labels).inc_by(count);
         let Some(span) = span else { return };
@@ -349,7 +359,7 @@
         }
     }
 
-    pub(crate) fn completion(
+    pub(crate) fn observe_completion(
         &self,
         class: document::Class,
         model: &id::Model,
--- a/crates/lagoon-net/src/entry/mod.rs
+++ b/crates/lagoon-net/src/entry/mod.rs
@@ -6,28 +6,28 @@
 //! repeats cancels until they are acknowledged. Scheduling and request states are decided in
 //! `lagoonline::load` and `lagoonline::life`.
 
+mod admission;
 mod body;
 mod call;
 mod cancel;
 mod claims;
-mod desk;
 mod fault;
+mod generation;
 mod group;
-mod limit;
+mod interrupt;
 mod linger;
 mod link;
 mod metrics;
 mod model;
 mod prompt;
-mod pull;
-mod queue;
+mod queue_settings;
 mod relay;
 mod render;
 mod replica;
+mod request_body;
 mod server;
 mod services;
 mod settings;
-mod source;
 mod state;
 mod worker;
 
--- a/crates/lagoon-net/src/entry/model.rs
+++ b/crates/lagoon-net/src/entry/model.rs
@@ -14,34 +14,34 @@
 use super::body;
 use super::call;
 use super::fault;
-use super::limit;
+use super::generation;
+use super::interrupt;
 use super::prompt;
-use super::pull;
 use super::relay;
 use super::render;
 use super::state;
 use super::worker;
 
 /// Handles a completion or chat completion call.
-pub(crate) async fn answer(
+pub(crate) async fn handle(
     worker: &rc::Rc<worker::Worker>,
-    form: prompt::Form,
+    endpoint: prompt::Endpoint,
     request: &web::HttpRequest,
     unread: &body::Unread,
     request_id: &str,
 ) -> Result<web::HttpResponse, fault::Fault> {
     let state = &worker.state;
-    let active = state::Active::new(state);
+    let active = state::ActiveGuard::new(state);
     let call = call::Call::read(state, state.clock.now(), request.headers())?;
     let read = body::collect(&state.settings.limits, request.headers(), unread.take());
-    let body = limit::within(state, call.deadline, read).await;
-    let body = body.map_err(|stop| stop.fault(Step::Read, Outcome::NotRun))??;
-    let prompt = prompt::scan(form, &body).map_err(call::malformed)?;
+    let body = interrupt::within(state, call.deadline, read).await;
+    let body = body.map_err(|interrupt| interrupt.fault(Step::Read, Outcome::NotRun))??;
+    let prompt = prompt::parse(endpoint, &body).map_err(call::malformed)?;
     let job = new_job(call, &prompt, body)?;
-    let subject = job.subject();
-    request.extensions_mut().insert(subject.clone());
-    let title = render::Title {
-        form,
+    let tags = job.tags();
+    request.extensions_mut().insert(tags.clone());
+    let metadata = render::Metadata {
+        endpoint,
         id: call::new_attempt(),
         model: job.ask.model.clone(),
         created: state.clock.wall_millis() / 1_000,
@@ -49,10 +49,10 @@
     let customer = job.call.customer();
     let rate = job.call.rate();
     let tokens = job.ask.prompt_tokens + job.ask.answer_tokens;
-    state.limits().take(state.clock.now(), &customer.name, rate, tokens)?;
-    let (claim, from) = (new_claim(worker, request, &job), job.call.from);
-    let mut pull = pull::Pull::new(worker.clone(), job, claim, from);
-    let replay = pull.start().await?;
+    state.rate_limits().take(state.clock.now(), &customer.name, rate, tokens)?;
+    let (claim, from) = (new_claim(worker, request, &job), job.call.resume_from);
+    let mut generation = generation::Generation::new(worker.clone(), job, claim, from);
+    let replay = generation.start().await?;
     let mut answer = web::HttpResponse::Ok();
     answer.set_header("X-Request-Id", request_id);
     if state.phase() >= state::Phase::Draining {
@@ -61,78 +61,83 @@
     if prompt.stream {
         let outcome_event = request.headers().get("lagoon-outcome-event");
         let outcome_event = outcome_event.is_some_and(|value| value.as_bytes() == b"1");
-        let mut writer = render::Writer::new(title);
+        let mut writer = render::Writer::new(metadata);
         answer.set_header("Cache-Control", "no-cache");
         answer.content_type("text/event-stream");
-        if let Some(kept) = replay {
-            let usage = replay_usage(&pull, pull::replay(&kept, from, &mut writer))?;
-            state.metrics.claim("replayed");
-            state.metrics.done(&subject, Outcome::Done);
+        if let Some(stored) = replay {
+            let usage = replay_usage(&generation, generation::replay(&stored, from, &mut writer))?;
+            state.metrics.count_claim("replayed");
+            state.metrics.count_done(&tags, Outcome::Done);
             writer.finish(usage, outcome_event);
             answer.set_header("Lagoon-Outcome", Outcome::Done.as_str());
             return Ok(answer.body(writer.take()));
         }
-        let feed = relay::start(state.clone(), pull, writer, active, outcome_event, request.io());
+        let feed =
+            relay::start(state.clone(), generation, writer, active, outcome_event, request.io());
         answer.set_header("Lagoon-Outcome", Outcome::Unknown.as_str());
         return Ok(answer.streaming(feed));
     }
-    let mut text = render::Gather::default();
-    if let Some(kept) = replay {
-        let usage = replay_usage(&pull, pull::replay(&kept, from, &mut text))?;
-        state.metrics.claim("replayed");
-        state.metrics.done(&subject, Outcome::Done);
+    let mut text = render::Collector::default();
+    if let Some(stored) = replay {
+        let usage = replay_usage(&generation, generation::replay(&stored, from, &mut text))?;
+        state.metrics.count_claim("replayed");
+        state.metrics.count_done(&tags, Outcome::Done);
         answer.set_header("Lagoon-Outcome", Outcome::Done.as_str());
-        return Ok(answer.content_type("application/json").body(text.finish(&title, usage)));
+        return Ok(answer.content_type("application/json").body(text.finish(&metadata, usage)));
     }
-    let end = loop {
-        if let Some(end) = pull.next(&mut text).await? {
-            break end;
+    let summary = loop {
+        if let Some(summary) = generation.next(&mut text).await? {
+            break summary;
         }
     };
-    state.metrics.done(&subject, end.outcome);
-    answer.set_header("Lagoon-Outcome", end.outcome.as_str());
-    let json = text.finish(&title, relay::usage(&pull, end));
+    state.metrics.count_done(&tags, summary.outcome);
+    answer.set_header("Lagoon-Outcome", summary.outcome.as_str());
+    let json = text.finish(&metadata, relay::usage(&generation, summary));
     Ok(answer.content_type("application/json").body(json))
 }
 
 /// Returns the idempotency claim of a call that has a key, if there is a platform to record it on.
-fn new_claim(worker: &worker::Worker, request: &web::HttpRequest, job: &pull::Job) -> pull::Claim {
+fn new_claim(
+    worker: &worker::Worker,
+    request: &web::HttpRequest,
+    job: &generation::Job,
+) -> generation::Claim {
     match (&job.call.key, &worker.claims) {
-        (Some(key), Some(claims)) => pull::Claim::Wanted(Box::new(pull::Wanted {
+        (Some(key), Some(claims)) => generation::Claim::Pending(Box::new(generation::Pending {
             claims: claims.clone(),
             key: key.clone(),
             body: claim::body_hash("POST", request.path(), &job.body),
         })),
-        _ => pull::Claim::None,
+        _ => generation::Claim::None,
     }
 }
 
 /// Returns the usage of a replayed response.
 fn replay_usage(
-    pull: &pull::Pull,
+    generation: &generation::Generation,
     found: Option<(u64, u64)>,
 ) -> Result<render::Usage, fault::Fault> {
     let unreadable = || fault::new(Reason::EarlierUnknown, Step::Claim, Outcome::Unknown);
     let (prompt_tokens, answer_tokens) = found.ok_or_else(unreadable)?;
-    let cut_by_limit = answer_tokens >= pull.job().ask.answer_tokens;
-    Ok(render::Usage { prompt_tokens, answer_tokens, cut_by_limit })
+    let limit_reached = answer_tokens >= generation.job().ask.answer_tokens;
+    Ok(render::Usage { prompt_tokens, answer_tokens, limit_reached })
 }
 
 fn new_job(
     call: call::Call,
     prompt: &prompt::Prompt,
     body: ntex::util::Bytes,
-) -> Result<pull::Job, fault::Fault> {
+) -> Result<generation::Job, fault::Fault> {
     let model = id::Model::from(prompt.model.as_str());
     let fleet = &call.view.fleet;
     let unknown = || fault::new(Reason::UnknownName, Step::Admit, Outcome::NotRun);
     let known = fleet.models.get(&model).ok_or_else(unknown)?;
-    let desk = call.view.desks.get(&model).ok_or_else(unknown)?;
+    let queue = call.view.queues.get(&model).ok_or_else(unknown)?;
     let customer = call.customer();
     if !customer.entry.models.is_empty() && !customer.entry.models.contains(&model) {
         return Err(fault::new(Reason::Forbidden, Step::Admit, Outcome::NotRun));
     }
-    let ratio = desk.ratio();
+    let ratio = queue.ratio();
     let tokens = |bytes: usize| ratio.tokens(bytes as u64);
     let prompt_tokens = tokens(prompt.bytes).max(1);
     if prompt_tokens.saturating_add(prompt.answer_tokens) > known.max_tokens {
@@ -153,9 +158,9 @@
         deadline: call.deadline,
         prefixes: prefixes.collect(),
     };
-    let (desk, continues) = (sync::Arc::clone(desk), known.continues);
+    let (queue, continues) = (sync::Arc::clone(queue), known.continues);
     let prompt_bytes = prompt.bytes;
-    Ok(pull::Job { call, ask, prompt_bytes, desk, continues, body })
+    Ok(generation::Job { call, ask, prompt_bytes, queue, continues, body })
 }
 
 /// Lists the models that the caller may use.
--- a/crates/lagoon-net/src/entry/prompt.rs
+++ b/crates/lagoon-net/src/entry/prompt.rs
@@ -39,22 +39,22 @@
 
 /// The API endpoint that a body was sent to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Form {
+pub(crate) enum Endpoint {
     /// `/v1/completions`, with a `prompt`.
-    Text,
+    Completions,
     /// `/v1/chat/completions`, with `messages`.
     Chat,
 }
 
 /// Parses `body`. Serde also checks that it is valid JSON and UTF-8.
-pub(crate) fn scan(form: Form, body: &[u8]) -> Result<Prompt, String> {
+pub(crate) fn parse(endpoint: Endpoint, body: &[u8]) -> Result<Prompt, String> {
     let fields: Fields<'_> = serde_json::from_slice(body).map_err(|error| error.to_string())?;
-    let (name, prompt) = match form {
-        Form::Text => ("prompt", fields.prompt),
-        Form::Chat => ("messages", fields.messages),
+    let (name, prompt) = match endpoint {
+        Endpoint::Completions => ("prompt", fields.prompt),
+        Endpoint::Chat => ("messages", fields.messages),
     };
     let prompt = prompt.ok_or_else(|| format!("missing field `{name}`"))?.get();
-    check_kind(form, prompt)?;
+    check_type(endpoint, prompt)?;
     let answer_tokens = fields.max_completion_tokens.or(fields.max_tokens);
     let answer_tokens = answer_tokens.unwrap_or(DEFAULT_ANSWER_TOKENS);
     if answer_tokens == 0 {
@@ -65,11 +65,11 @@
     Ok(Prompt { model: fields.model.into_owned(), stream, answer_tokens, bytes, prefixes })
 }
 
-fn check_kind(form: Form, prompt: &str) -> Result<(), String> {
-    match (form, prompt.as_bytes().first()) {
-        (Form::Text, Some(b'"' | b'[')) | (Form::Chat, Some(b'[')) => Ok(()),
-        (Form::Text, _) => Err("prompt must be a text or an array".to_owned()),
-        (Form::Chat, _) => Err("messages must be an array".to_owned()),
+fn check_type(endpoint: Endpoint, prompt: &str) -> Result<(), String> {
+    match (endpoint, prompt.as_bytes().first()) {
+        (Endpoint::Completions, Some(b'"' | b'[')) | (Endpoint::Chat, Some(b'[')) => Ok(()),
+        (Endpoint::Completions, _) => Err("prompt must be a text or an array".to_owned()),
+        (Endpoint::Chat, _) => Err("messages must be an array".to_owned()),
     }
 }
 
--- a/crates/lagoon-net/src/entry/prompt/tests.rs
+++ b/crates/lagoon-net/src/entry/prompt/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn finds_what_decisions_need() {
     let body = br#"{"model":"m","stream":true,"max_tokens":7,"prompt":"a\nb","x":[1,{}]}"#;
-    let prompt = scan(Form::Text, body).unwrap();
+    let prompt = parse(Endpoint::Completions, body).unwrap();
     assert_eq!((prompt.model.as_str(), prompt.stream, prompt.answer_tokens), ("m", true, 7));
     assert_eq!(prompt.bytes, 3);
     assert!(prompt.prefixes.is_empty());
@@ -13,19 +13,19 @@
 fn hashes_at_each_step_of_the_decoded_text() {
     let plain = format!(r#"{{"model":"m","prompt":"{}"}}"#, "a".repeat(9_000));
     let escaped = format!(r#"{{"model":"m","prompt":"\u0061{}"}}"#, "a".repeat(8_999));
-    let plain = scan(Form::Text, plain.as_bytes()).unwrap();
-    let escaped = scan(Form::Text, escaped.as_bytes()).unwrap();
+    let plain = parse(Endpoint::Completions, plain.as_bytes()).unwrap();
+    let escaped = parse(Endpoint::Completions, escaped.as_bytes()).unwrap();
     assert_eq!(plain.prefixes.len(), 2);
     assert_eq!(plain.prefixes, escaped.prefixes);
 }
 
 #[test]
 fn refuses_what_cannot_be_a_call() {
-    assert!(scan(Form::Text, b"{").is_err());
-    assert!(scan(Form::Text, b"{\"model\":\"m\",\"prompt\":\"\xff\"}").is_err());
-    assert!(scan(Form::Chat, br#"{"model":"m","prompt":"a"}"#).is_err());
-    assert!(scan(Form::Text, br#"{"model":"m","prompt":7}"#).is_err());
-    assert!(scan(Form::Text, br#"{"model":"m","prompt":"a","max_tokens":0}"#).is_err());
+    assert!(parse(Endpoint::Completions, b"{").is_err());
+    assert!(parse(Endpoint::Completions, b"{\"model\":\"m\",\"prompt\":\"\xff\"}").is_err());
+    assert!(parse(Endpoint::Chat, br#"{"model":"m","prompt":"a"}"#).is_err());
+    assert!(parse(Endpoint::Completions, br#"{"model":"m","prompt":7}"#).is_err());
+    assert!(parse(Endpoint::Completions, br#"{"model":"m","prompt":"a","max_tokens":0}"#).is_err());
 }
 
 #[test]
@@ -36,8 +36,8 @@
         r#"{{"model":"m","messages":[{{"role":"user","content":"{half}"}},
             {{"role":"user","content":[{{"type":"text","text":"{half}"}}]}}]}}"#
     );
-    let plain = scan(Form::Text, plain.as_bytes()).unwrap();
-    let chat = scan(Form::Chat, chat.as_bytes()).unwrap();
+    let plain = parse(Endpoint::Completions, plain.as_bytes()).unwrap();
+    let chat = parse(Endpoint::Chat, chat.as_bytes()).unwrap();
     assert_eq!(plain.prefixes.len(), 2);
     assert_eq!((plain.prefixes, plain.bytes), (chat.prefixes, chat.bytes));
 }
--- a/crates/lagoon-net/src/entry/relay.rs
+++ b/crates/lagoon-net/src/entry/relay.rs
@@ -19,34 +19,34 @@
 use tokio::sync as async_sync;
 
 use super::fault;
-use super::limit;
+use super::generation;
+use super::interrupt;
 use super::linger;
-use super::pull;
 use super::render;
 use super::state;
 
 #[derive(Debug)]
 enum Ending {
     /// The stream has not ended, or its task ended without storing an ending.
-    Open,
+    Unset,
     /// The response is complete.
     Whole,
     /// The response failed; holds the error event that is sent last.
     Failed(util::Bytes),
 }
 
-type Shared = rc::Rc<cell::RefCell<Ending>>;
+type SharedEnding = rc::Rc<cell::RefCell<Ending>>;
 
 /// Body of a streamed response.
 #[derive(Debug)]
-pub(crate) struct Feed {
+pub(crate) struct BodyStream {
     batches: async_sync::mpsc::Receiver<util::Bytes>,
-    ending: Shared,
-    _active: rc::Rc<state::Active>,
-    _open: linger::Open,
+    ending: SharedEnding,
+    _active: rc::Rc<state::ActiveGuard>,
+    _guard: linger::Guard,
 }
 
-impl Stream for Feed {
+impl Stream for BodyStream {
     type Item = Result<util::Bytes, std::io::Error>;
 
     fn poll_next(
@@ -60,12 +60,14 @@
     }
 }
 
-impl Feed {
+impl BodyStream {
     fn end(&self) -> Option<Result<util::Bytes, std::io::Error>> {
         match self.ending.replace(Ending::Whole) {
             Ending::Whole => None,
             Ending::Failed(event) => Some(Ok(event)),
-            Ending::Open => Some(Err(std::io::Error::other("the answer broke off"))),
+            Ending::Unset => {
+                Some(Err(std::io::Error::other("the response ended without a result")))
+            }
         }
     }
 }
@@ -73,32 +75,32 @@
 /// Starts a task that sends the remaining tokens of `generation` to the returned body.
 pub(crate) fn start(
     state: std::sync::Arc<state::State>,
-    pull: pull::Pull,
+    generation: generation::Generation,
     writer: render::Writer,
-    active: state::Active,
+    active: state::ActiveGuard,
     outcome_event: bool,
     io: Option<&io::IoRef>,
-) -> Feed {
+) -> BodyStream {
     let active = rc::Rc::new(active);
     let (sender, batches) = async_sync::mpsc::channel(state.settings.limits.stream_batches);
-    let ending = rc::Rc::new(cell::RefCell::new(Ending::Open));
-    let relay = Relay { state, pull, writer, sender, ending: ending.clone(), outcome_event };
-    let kept = active.clone();
-    let (open, watch) = linger::pair(io);
+    let ending = rc::Rc::new(cell::RefCell::new(Ending::Unset));
+    let relay = Relay { state, generation, writer, sender, ending: ending.clone(), outcome_event };
+    let task_active = active.clone();
+    let (guard, watch) = linger::pair(io);
     drop(ntex::rt::spawn(async move {
         let left = relay.run().await;
-        drop(kept);
-        watch.bound(left).await;
+        drop(task_active);
+        watch.close_after(left).await;
     }));
-    Feed { batches, ending, _active: active, _open: open }
+    BodyStream { batches, ending, _active: active, _guard: guard }
 }
 
 struct Relay {
     state: std::sync::Arc<state::State>,
-    pull: pull::Pull,
+    generation: generation::Generation,
     writer: render::Writer,
     sender: async_sync::mpsc::Sender<util::Bytes>,
-    ending: Shared,
+    ending: SharedEnding,
     outcome_event: bool,
 }
 
@@ -111,50 +113,53 @@
             () = sender.closed() => None,
             ended = self.copy() => Some(ended),
         };
-        let (metrics, subject) = (&self.state.metrics, self.pull.job().subject());
+        let (metrics, tags) = (&self.state.metrics, self.generation.job().tags());
         match ended {
             Some(Ok(outcome)) => {
-                metrics.done(&subject, outcome);
+                metrics.count_done(&tags, outcome);
                 self.ending.replace(Ending::Whole);
             }
             Some(Err(fault)) => {
-                metrics.failed(&subject, &fault.failure);
-                self.writer.fail(&fault.object());
+                metrics.count_failed(&tags, &fault.failure);
+                self.writer.fail(&fault.to_json());
                 self.ending.replace(Ending::Failed(self.writer.take()));
             }
             None => {
-                let fault = fault::new(Reason::CallerLeft, Step::Stream, self.pull.leave());
-                metrics.failed(&subject, &fault.failure);
+                let fault = fault::new(Reason::CallerLeft, Step::Stream, self.generation.abandon());
+                metrics.count_failed(&tags, &fault.failure);
             }
         }
-        self.pull.job().call.left(&self.state) + self.state.settings.limits.linger
+        self.generation.job().call.time_left(&self.state) + self.state.settings.limits.linger
     }
 
     async fn copy(&mut self) -> Result<Outcome, fault::Fault> {
         loop {
-            let end = self.pull.next(&mut self.writer).await?;
-            if let Some(end) = end {
-                let usage = usage(&self.pull, end);
+            let summary = self.generation.next(&mut self.writer).await?;
+            if let Some(summary) = summary {
+                let usage = usage(&self.generation, summary);
                 self.writer.finish(usage, self.outcome_event);
             }
             let batch = self.writer.take();
-            let deadline = self.pull.job().call.deadline;
-            let sent = limit::within(&self.state, deadline, self.sender.send(batch)).await;
-            if let Err(stop) = sent {
-                return Err(stop.fault(Step::Stream, self.pull.leave()));
+            let deadline = self.generation.job().call.deadline;
+            let sent = interrupt::within(&self.state, deadline, self.sender.send(batch)).await;
+            if let Err(interrupt) = sent {
+                return Err(interrupt.fault(Step::Stream, self.generation.abandon()));
             }
-            if let Some(end) = end {
-                return Ok(end.outcome);
+            if let Some(summary) = summary {
+                return Ok(summary.outcome);
             }
         }
     }
 }
 
 /// Returns the usage for the end of a response.
-pub(crate) fn usage(pull: &pull::Pull, end: pull::End) -> render::Usage {
+pub(crate) fn usage(
+    generation: &generation::Generation,
+    summary: generation::Summary,
+) -> render::Usage {
     render::Usage {
-        prompt_tokens: end.prompt_tokens,
-        answer_tokens: end.answer_tokens,
-        cut_by_limit: end.answer_tokens >= pull.job().ask.answer_tokens,
+        prompt_tokens: summary.prompt_tokens,
+        answer_tokens: summary.answer_tokens,
+        limit_reached: summary.answer_tokens >= generation.job().ask.answer_tokens,
     }
 }
--- a/crates/lagoon-net/src/entry/render.rs
+++ b/crates/lagoon-net/src/entry/render.rs
@@ -21,12 +21,12 @@
     pub(crate) prompt_tokens: u64,
     pub(crate) answer_tokens: u64,
     /// Whether the response ended because it reached its token limit.
-    pub(crate) cut_by_limit: bool,
+    pub(crate) limit_reached: bool,
 }
 
 impl Usage {
     fn finish_reason(self) -> &'static str {
-        if self.cut_by_limit { "length" } else { "stop" }
+        if self.limit_reached { "length" } else { "stop" }
     }
 
     fn json(self) -> serde_json::Value {
@@ -40,30 +40,30 @@
 
 /// Fields that all chunks of one response share.
 #[derive(Clone, Debug)]
-pub(crate) struct Title {
-    pub(crate) form: prompt::Form,
+pub(crate) struct Metadata {
+    pub(crate) endpoint: prompt::Endpoint,
     pub(crate) id: id::Attempt,
     pub(crate) model: id::Model,
     /// Seconds since the Unix epoch.
     pub(crate) created: u64,
 }
 
-impl Title {
-    fn name(&self) -> String {
-        match self.form {
-            prompt::Form::Text => format!("cmpl-{}", self.id),
-            prompt::Form::Chat => format!("chatcmpl-{}", self.id),
+impl Metadata {
+    fn response_id(&self) -> String {
+        match self.endpoint {
+            prompt::Endpoint::Completions => format!("cmpl-{}", self.id),
+            prompt::Endpoint::Chat => format!("chatcmpl-{}", self.id),
         }
     }
 
     /// Returns a streamed chunk up to its choices. Model names are validated to contain no
     /// character that JSON escapes.
     fn head(&self) -> String {
-        let object = match self.form {
-            prompt::Form::Text => "text_completion",
-            prompt::Form::Chat => "chat.completion.chunk",
+        let object = match self.endpoint {
+            prompt::Endpoint::Completions => "text_completion",
+            prompt::Endpoint::Chat => "chat.completion.chunk",
         };
-        let (name, created, model) = (self.name(), self.created, &self.model);
+        let (name, created, model) = (self.response_id(), self.created, &self.model);
         format!(
             "data: {{\"id\":\"{name}\",\"object\":\"{object}\",\"created\":{created},\
              \"model\":\"{model}\",\"choices\":["
@@ -74,21 +74,21 @@
 /// Writes server-sent events. Tokens that arrive together are sent together.
 #[derive(Debug)]
 pub(crate) struct Writer {
-    title: Title,
+    metadata: Metadata,
     prefix: Vec<u8>,
     suffix: &'static [u8],
     buffer: util::BytesMut,
 }
 
 impl Writer {
-    pub(crate) fn new(title: Title) -> Writer {
+    pub(crate) fn new(metadata: Metadata) -> Writer {
         let mut buffer = util::BytesMut::new();
-        let (opening, suffix): (_, &'static [u8]) = match title.form {
-            prompt::Form::Text => {
+        let (opening, suffix): (_, &'static [u8]) = match metadata.endpoint {
+            prompt::Endpoint::Completions => {
                 ("{\"index\":0,\"text\":", b",\"logprobs\":null,\"finish_reason\":null}]}\n\n")
             }
-            prompt::Form::Chat => {
-                buffer.extend_from_slice(title.head().as_bytes());
+            prompt::Endpoint::Chat => {
+                buffer.extend_from_slice(metadata.head().as_bytes());
                 buffer.extend_from_slice(
                     b"{\"index\":0,\"delta\":{\"role\":\"assistant\",\"content\":\"\"},\
                       \"finish_reason\":null}]}\n\n",
@@ -96,8 +96,8 @@
                 ("{\"index\":0,\"delta\":{\"content\":", b"},\"finish_reason\":null}]}\n\n")
             }
         };
-        let prefix = format!("{}{opening}", title.head()).into_bytes();
-        Writer { title, prefix, suffix, buffer }
+        let prefix = format!("{}{opening}", metadata.head()).into_bytes();
+        Writer { metadata, prefix, suffix, buffer }
     }
 
     /// Returns the bytes written since the last call.
@@ -108,17 +108,17 @@
     /// Writes the end of a complete response.
     pub(crate) fn finish(&mut self, usage: Usage, outcome_event: bool) {
         let reason = usage.finish_reason();
-        let choice = match self.title.form {
-            prompt::Form::Text => {
+        let choice = match self.metadata.endpoint {
+            prompt::Endpoint::Completions => {
                 format!(
                     "{{\"index\":0,\"text\":\"\",\"logprobs\":null,\"finish_reason\":\"{reason}\"}}"
                 )
             }
-            prompt::Form::Chat => {
+            prompt::Endpoint::Chat => {
                 format!("{{\"index\":0,\"delta\":{{}},\"finish_reason\":\"{reason}\"}}")
             }
         };
-        let event = format!("{}{choice}],\"usage\":{}}}\n\n", self.title.head(), usage.json());
+        let event = format!("{}{choice}],\"usage\":{}}}\n\n", self.metadata.head(), usage.json());
         self.buffer.extend_from_slice(event.as_bytes());
         if outcome_event {
             self.buffer.extend_from_slice(b"event: outcome\ndata: done\n\n");
@@ -146,24 +146,26 @@
 
 /// Collects a response that is not streamed.
 #[derive(Debug, Default)]
-pub(crate) struct Gather {
+pub(crate) struct Collector {
     /// JSON encoding of the text without the quotes.
     text: String,
 }
 
-impl Sink for Gather {
+impl Sink for Collector {
     fn token(&mut self, text: &RawValue) {
         let text = text.get();
         self.text.push_str(&text[1..text.len() - 1]);
     }
 }
 
-impl Gather {
+impl Collector {
     /// Returns the response as JSON.
-    pub(crate) fn finish(&self, title: &Title, usage: Usage) -> String {
-        let (object, opening, closing) = match title.form {
-            prompt::Form::Text => ("text_completion", "\"text\":\"", "\",\"logprobs\":null"),
-            prompt::Form::Chat => (
+    pub(crate) fn finish(&self, metadata: &Metadata, usage: Usage) -> String {
+        let (object, opening, closing) = match metadata.endpoint {
+            prompt::Endpoint::Completions => {
+                ("text_completion", "\"text\":\"", "\",\"logprobs\":null")
+            }
+            prompt::Endpoint::Chat => (
                 "chat.completion",
                 "\"message\":{\"role\":\"assistant\",\"content\":\"",
                 "\"},\"logprobs\":null",
@@ -173,9 +175,9 @@
             "{{\"id\":\"{}\",\"object\":\"{object}\",\"created\":{},\"model\":\"{}\",\
              \"choices\":[{{\"index\":0,{opening}{}{closing},\"finish_reason\":\"{}\"}}],\
              \"usage\":{}}}",
-            title.name(),
-            title.created,
-            title.model,
+            metadata.response_id(),
+            metadata.created,
+            metadata.model,
             self.text,
             usage.finish_reason(),
             usage.json(),
--- a/crates/lagoon-net/src/entry/replica.rs
+++ b/crates/lagoon-net/src/entry/replica.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 struct Replica {
     /// Slots in use.
-    outstanding: atomic::AtomicU32,
+    in_flight: atomic::AtomicU32,
     leaving: atomic::AtomicBool,
     health: sync::Mutex<outlier::Health>,
 }
@@ -41,17 +41,17 @@
     fn take(&self, slots: u32) -> Option<u32> {
         let more = |taken| (taken < slots).then_some(taken + 1);
         let (set, get) = (atomic::Ordering::Relaxed, atomic::Ordering::Relaxed);
-        self.outstanding.fetch_update(set, get, more).ok()
+        self.in_flight.fetch_update(set, get, more).ok()
     }
 
-    fn give_back(&self) {
-        self.outstanding.fetch_sub(1, atomic::Ordering::Relaxed);
+    fn release(&self) {
+        self.in_flight.fetch_sub(1, atomic::Ordering::Relaxed);
     }
 }
 
 /// Queue of the calls that wait for a slot of one service.
 #[derive(Debug, Default)]
-struct Lobby {
+struct WaitQueue {
     /// Notified when a slot is released.
     freed: async_sync::Notify,
     /// Number of waiting calls.
@@ -60,20 +60,20 @@
 
 /// Interval at which a waiting call checks by itself: slots also appear with a new document, and a
 /// wakeup may be lost when several slots are released at once.
-const RECHECK: clock::Span = clock::Span::from_millis(50);
+const RECHECK_INTERVAL: clock::Span = clock::Span::from_millis(50);
 
 /// A waiting call. Dropping it removes it from the queue.
 #[derive(Debug)]
-pub(crate) struct Turn(sync::Arc<Lobby>);
+pub(crate) struct Waiter(sync::Arc<WaitQueue>);
 
-impl Turn {
+impl Waiter {
     /// Waits until a slot may be free.
-    pub(crate) async fn next(&self) {
-        let _timeout = tokio::time::timeout(RECHECK, self.0.freed.notified()).await;
+    pub(crate) async fn wait(&self) {
+        let _timeout = tokio::time::timeout(RECHECK_INTERVAL, self.0.freed.notified()).await;
     }
 }
 
-impl Drop for Turn {
+impl Drop for Waiter {
     fn drop(&mut self) {
         self.0.waiting.fetch_sub(1, atomic::Ordering::Relaxed);
         // Passes a wakeup that this call may have received and not used to the next one.
@@ -85,32 +85,33 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Replicas {
     replicas: collections::HashMap<id::Upstream, sync::Arc<Replica>>,
-    lobbies: collections::HashMap<id::Service, sync::Arc<Lobby>>,
+    queues: collections::HashMap<id::Service, sync::Arc<WaitQueue>>,
 }
 
 /// A slot at a replica, released when dropped.
 #[derive(Debug)]
 pub(crate) struct Slot {
     replica: sync::Arc<Replica>,
-    lobby: sync::Arc<Lobby>,
+    queue: sync::Arc<WaitQueue>,
     pub(crate) upstream: id::Upstream,
     pub(crate) address: net::SocketAddr,
     /// Whether the replica is in another zone.
-    far: bool,
-    /// Replicas of the service, and how many of them have a circuit that is not closed.
-    all: usize,
-    out: usize,
+    remote: bool,
+    /// Number of replicas of the service.
+    total: usize,
+    /// Number of those replicas whose circuit is not closed.
+    ejected: usize,
 }
 
 impl Slot {
     /// Records that the replica responded, with whatever status.
-    pub(crate) fn answered(&self) {
+    pub(crate) fn record_answer(&self) {
         self.replica.health().succeeded();
     }
 
     /// Records that no response arrived although the caller sent its whole request.
-    pub(crate) fn failed(&self, now: clock::Moment) {
-        self.replica.health().failed(now, self.out, self.all, self.far);
+    pub(crate) fn record_failure(&self, now: clock::Moment) {
+        self.replica.health().failed(now, self.ejected, self.total, self.remote);
     }
 }
 
@@ -120,16 +121,16 @@
         // must not leave the circuit in the probing state forever. This has no effect after a
         // result.
         self.replica.health().untold(clock::Moment::START);
-        self.replica.give_back();
-        self.lobby.freed.notify_one();
+        self.replica.release();
+        self.queue.freed.notify_one();
     }
 }
 
 /// Reason why no slot is available.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Shortage {
+pub(crate) enum Unavailable {
     /// No replica is known, or all are leaving, out of service or already tried.
-    None,
+    NoReplica,
     /// All slots are taken.
     Full,
 }
@@ -137,16 +138,16 @@
 impl Replicas {
     pub(crate) fn with_fleet(&self, fleet: &view::Fleet) -> Replicas {
         let mut replicas = collections::HashMap::new();
-        let mut lobbies = collections::HashMap::new();
+        let mut queues = collections::HashMap::new();
         for upstream in &fleet.upstreams {
             if let document::Serves::Service(service) = &upstream.entry.serves {
                 let kept = self.replicas.get(&upstream.name).cloned().unwrap_or_default();
                 replicas.insert(upstream.name.clone(), kept);
-                let kept = self.lobbies.get(service).cloned().unwrap_or_default();
-                lobbies.insert(service.clone(), kept);
+                let kept = self.queues.get(service).cloned().unwrap_or_default();
+                queues.insert(service.clone(), kept);
             }
         }
-        Replicas { replicas, lobbies }
+        Replicas { replicas, queues }
     }
 
     pub(crate) fn set_leaving(&self, upstream: &id::Upstream, leaving: bool) {
@@ -157,11 +158,11 @@
 
     /// Adds a call to those that wait for a slot of the service. Returns `None` when `most` wait
     /// already.
-    pub(crate) fn wait(&self, service: &id::Service, most: usize) -> Option<Turn> {
-        let lobby = self.lobbies.get(service)?;
-        let turn = Turn(lobby.clone());
-        let before = lobby.waiting.fetch_add(1, atomic::Ordering::Relaxed);
-        (before < most).then_some(turn)
+    pub(crate) fn enqueue(&self, service: &id::Service, most: usize) -> Option<Waiter> {
+        let queue = self.queues.get(service)?;
+        let waiter = Waiter(queue.clone());
+        let before = queue.waiting.fetch_add(1, atomic::Ordering::Relaxed);
+        (before < most).then_some(waiter)
     }
 
     /// Takes a slot at a replica that is not in `tried`. `waited` is set for a call from the queue,
@@ -173,19 +174,19 @@
         (zone, now): (&id::Zone, clock::Moment),
         tried: &[id::Upstream],
         waited: bool,
-    ) -> Result<Slot, Shortage> {
-        let lobby = self.lobbies.get(service).ok_or(Shortage::None)?;
-        if !waited && lobby.waiting.load(atomic::Ordering::Relaxed) > 0 {
-            return Err(Shortage::Full);
+    ) -> Result<Slot, Unavailable> {
+        let queue = self.queues.get(service).ok_or(Unavailable::NoReplica)?;
+        if !waited && queue.waiting.load(atomic::Ordering::Relaxed) > 0 {
+            return Err(Unavailable::Full);
         }
-        let mut shortage = Shortage::None;
-        let (mut all, mut out) = (0, 0);
+        let mut unavailable = Unavailable::NoReplica;
+        let (mut total, mut ejected) = (0, 0);
         let mut best: Option<(bool, u32, &sync::Arc<Replica>, &view::Upstream)> = None;
         for upstream in fleet.replicas(service) {
             let Some(replica) = self.replicas.get(&upstream.name) else { continue };
             let health = *replica.health();
-            all += 1;
-            out += usize::from(health.is_out());
+            total += 1;
+            ejected += usize::from(health.is_out());
             if !health.allows(now)
                 || tried.contains(&upstream.name)
                 || replica.leaving.load(atomic::Ordering::Relaxed)
@@ -193,27 +194,27 @@
                 continue;
             }
             let slots = upstream.entry.slots;
-            let Some(outstanding) = replica.take(slots) else {
-                shortage = Shortage::Full;
+            let Some(in_flight) = replica.take(slots) else {
+                unavailable = Unavailable::Full;
                 continue;
             };
-            let far = upstream.entry.zone != *zone;
-            if best.as_ref().is_some_and(|(f, o, ..)| (far, outstanding) >= (*f, *o)) {
-                replica.give_back();
+            let remote = upstream.entry.zone != *zone;
+            if best.as_ref().is_some_and(|(f, o, ..)| (remote, in_flight) >= (*f, *o)) {
+                replica.release();
                 continue;
             }
-            if let Some((_, _, other, _)) = best.replace((far, outstanding, replica, upstream)) {
-                other.give_back();
+            if let Some((_, _, other, _)) = best.replace((remote, in_flight, replica, upstream)) {
+                other.release();
             }
         }
-        let (far, _, replica, upstream) = best.ok_or(shortage)?;
+        let (remote, _, replica, upstream) = best.ok_or(unavailable)?;
         replica.health().sent();
         Ok(Slot {
-            far,
-            all,
-            out,
+            remote,
+            total,
+            ejected,
             replica: replica.clone(),
-            lobby: lobby.clone(),
+            queue: queue.clone(),
             upstream: upstream.name.clone(),
             address: upstream.entry.address,
         })
--- a/crates/lagoon-net/src/entry/source.rs
+++ b/crates/lagoon-net/src/entry/request_body.rs
@@ -18,7 +18,7 @@
 
 /// A request body. A streamed body is not buffered and can therefore be sent only once.
 #[derive(Clone)]
-pub(crate) struct Source(rc::Rc<Inner>);
+pub(crate) struct RequestBody(rc::Rc<Inner>);
 
 struct Inner {
     payload: cell::RefCell<Option<http::Payload>>,
@@ -30,12 +30,12 @@
     state: sync::Arc<state::State>,
 }
 
-impl Source {
+impl RequestBody {
     pub(crate) fn new(
         state: &sync::Arc<state::State>,
         headers: &http::HeaderMap,
         payload: http::Payload,
-    ) -> Result<Source, fault::Fault> {
+    ) -> Result<RequestBody, fault::Fault> {
         let length = body::content_length(headers);
         let most = state.settings.limits.service_body_bytes;
         if length.is_some_and(|length| length > most) {
@@ -50,12 +50,12 @@
             fault: cell::RefCell::default(),
             state: state.clone(),
         };
-        Ok(Source(rc::Rc::new(inner)))
+        Ok(RequestBody(rc::Rc::new(inner)))
     }
 
     /// Creates a body from bytes that were read beforehand.
-    pub(crate) fn whole(state: &sync::Arc<state::State>, body: util::Bytes) -> Source {
-        Source(rc::Rc::new(Inner {
+    pub(crate) fn from_bytes(state: &sync::Arc<state::State>, body: util::Bytes) -> RequestBody {
+        RequestBody(rc::Rc::new(Inner {
             payload: cell::RefCell::default(),
             empty: body.is_empty(),
             length: Some(body.len() as u64),
@@ -66,7 +66,7 @@
     }
 
     /// Returns whether another dispatch would send the same body.
-    pub(crate) fn is_untouched(&self) -> bool {
+    pub(crate) fn is_replayable(&self) -> bool {
         self.0.empty || self.0.whole.is_some() || self.0.payload.borrow().is_some()
     }
 
@@ -75,22 +75,22 @@
         self.0.fault.borrow().clone()
     }
 
-    pub(crate) fn open(&self) -> http_body::Body {
+    pub(crate) fn to_http(&self) -> http_body::Body {
         if self.0.empty {
             return http_body::Body::None;
         }
         if let Some(whole) = &self.0.whole {
             return http_body::Body::from(whole.clone());
         }
-        let source = self.clone();
-        let stream = stream::unfold((source, None, 0), |(source, payload, passed)| async move {
+        let body = self.clone();
+        let stream = stream::unfold((body, None, 0), |(body, payload, forwarded)| async move {
             let mut payload = match payload {
                 Some(payload) => payload,
-                None => source.0.payload.borrow_mut().take()?,
+                None => body.0.payload.borrow_mut().take()?,
             };
-            let item = source.read(&mut payload, passed).await?;
-            let passed = passed + item.as_ref().map_or(0, |chunk| chunk.len() as u64);
-            Some((item, (source, Some(payload), passed)))
+            let item = body.read(&mut payload, forwarded).await?;
+            let forwarded = forwarded + item.as_ref().map_or(0, |chunk| chunk.len() as u64);
+            Some((item, (body, Some(payload), forwarded)))
         });
         let stream = Box::pin(stream.fuse());
         match self.0.length {
@@ -102,19 +102,19 @@
     async fn read(
         &self,
         payload: &mut http::Payload,
-        passed: u64,
+        forwarded: u64,
     ) -> Option<Result<util::Bytes, rc::Rc<dyn std::error::Error>>> {
         let limits = &self.0.state.settings.limits;
         let fault = match tokio::time::timeout(limits.body_timeout, payload.recv()).await {
             Ok(None) => return None,
             Ok(Some(Ok(chunk))) => {
-                if passed + chunk.len() as u64 <= limits.service_body_bytes {
+                if forwarded + chunk.len() as u64 <= limits.service_body_bytes {
                     return Some(Ok(chunk));
                 }
                 body::too_long(limits.service_body_bytes)
             }
             Ok(Some(Err(error))) => call::malformed(format!("body: {error}")),
-            Err(_) => body::slow(),
+            Err(_) => body::slow_caller(),
         };
         let error = io::Error::other(fault.failure.to_string());
         self.0.fault.replace(Some(fault));
--- a/crates/lagoon-net/src/entry/server.rs
+++ b/crates/lagoon-net/src/entry/server.rs
@@ -15,10 +15,10 @@
 use ntex::http;
 use ntex::web;
 
+use super::admission;
 use super::body;
 use super::call;
 use super::cancel;
-use super::desk;
 use super::fault;
 use super::link;
 use super::metrics;
@@ -30,12 +30,12 @@
 use super::worker;
 
 /// Time for sending complete responses when the server stops.
-const FLUSH: ntex::time::Seconds = ntex::time::Seconds(5);
+const FLUSH_TIMEOUT: ntex::time::Seconds = ntex::time::Seconds(5);
 /// Interval at which the progress of a drain is checked.
 const DRAIN_TICK: clock::Span = clock::Span::from_millis(10);
 /// Time for sending error responses after a drain was cut short, and for outstanding cancels to be
 /// acknowledged at the end of every drain.
-const LAST_WORDS: clock::Span = clock::Span::from_millis(500);
+const SETTLE_TIMEOUT: clock::Span = clock::Span::from_millis(500);
 
 /// A running entry host. Dropping this value leaves the server running; call [`Running::drain`].
 #[derive(Debug)]
@@ -94,7 +94,7 @@
     /// The server's thread failed.
     pub fn wait(self) -> io::Result<Ending> {
         let ended = self.thread.join();
-        ended.map_err(|_| io::Error::other("the server's thread panicked"))??;
+        ended.map_err(|_| io::Error::other("the server thread panicked"))??;
         Ok(match self.handle.state.aborted() {
             0 => Ending::Clean,
             count => Ending::Cut(count),
@@ -126,10 +126,10 @@
     /// Returns the number of resources that requests hold now.
     pub fn resources(&self) -> Resources {
         let view = self.state.view();
-        let desks = || view.desks.values();
+        let queues = || view.queues.values();
         Resources {
-            slots: desks().map(|desk| desk.dispatched()).sum(),
-            queued: desks().map(|desk| desk.waiters()).sum(),
+            slots: queues().map(|queue| queue.slots_in_use()).sum(),
+            queued: queues().map(|queue| queue.queued()).sum(),
             cancels: usize::try_from(self.state.metrics.cancels_pending.get()).unwrap_or(0),
         }
     }
@@ -151,8 +151,8 @@
 
     /// Applies a load report of an engine to the queues of all models.
     pub fn observe(&self, upstream: &id::Upstream, load: &lagoonline::port::engine::Load) {
-        for desk in self.state.view().desks.values() {
-            desk.observe(upstream, load);
+        for queue in self.state.view().queues.values() {
+            queue.observe(upstream, load);
         }
     }
 }
@@ -174,12 +174,12 @@
 pub fn start(settings: settings::Settings) -> io::Result<Running> {
     let listener = net::TcpListener::bind(settings.listen)?;
     let address = listener.local_addr()?;
-    let (state, chores) = state::State::new(settings);
+    let (state, receivers) = state::State::new(settings);
     let handle = Handle { address, state: state.clone() };
     let name = format!("entry-{}", state.settings.host);
     let system = move || {
         let system = ntex::rt::System::build().name(&name).build(ntex::rt::DefaultRuntime);
-        system.block_on(serve(state, listener, chores))
+        system.block_on(serve(state, listener, receivers))
     };
     let thread = thread::Builder::new().name("lagoon-entry".to_owned()).spawn(system)?;
     Ok(Running { handle, thread })
@@ -188,7 +188,7 @@
 async fn serve(
     state: sync::Arc<state::State>,
     listener: net::TcpListener,
-    chores: state::Chores,
+    receivers: state::Receivers,
 ) -> io::Result<()> {
     let limits = state.settings.limits;
     let config = http::HttpServiceConfig::new()
@@ -205,18 +205,18 @@
     let server = server
         .workers(state.settings.workers)
         .disable_signals()
-        .shutdown_timeout(FLUSH)
+        .shutdown_timeout(FLUSH_TIMEOUT)
         .config(config)
         .listen(listener)?
         .run();
     let client = worker::new_client(1).await;
-    drop(ntex::rt::spawn(cancel::run(state.clone(), client, chores.cancels)));
-    drop(ntex::rt::spawn(keep_desks(chores.desks)));
-    if let Some(task) = chores.link {
+    drop(ntex::rt::spawn(cancel::run(state.clone(), client, receivers.cancels)));
+    drop(ntex::rt::spawn(run_queues(receivers.queues)));
+    if let Some(task) = receivers.link {
         drop(ntex::rt::spawn(task.run(link::Sink(state.clone()))));
         drop(ntex::rt::spawn(link::report(state.clone())));
     }
-    drain_all(&state).await;
+    run_until_drained(&state).await;
     server.stop(true).await;
     Ok(())
 }
@@ -225,22 +225,24 @@
     ntex::time::Seconds(u16::try_from(span.as_millis().div_ceil(1_000)).unwrap_or(u16::MAX))
 }
 
-async fn keep_desks(mut desks: tokio::sync::mpsc::UnboundedReceiver<sync::Weak<desk::Desk>>) {
-    while let Some(desk) = desks.recv().await {
-        drop(ntex::rt::spawn(desk::Desk::keep(desk)));
+async fn run_queues(
+    mut queues: tokio::sync::mpsc::UnboundedReceiver<sync::Weak<admission::Queue>>,
+) {
+    while let Some(queue) = queues.recv().await {
+        drop(ntex::rt::spawn(admission::Queue::run(queue)));
     }
 }
 
 /// Returns when the server may stop.
-async fn drain_all(state: &sync::Arc<state::State>) {
+async fn run_until_drained(state: &sync::Arc<state::State>) {
     let mut phase = state.watch_phase();
     // `state` owns the sender, so the wait ends only when the phase changes.
-    reach(&mut phase, state::Phase::Unready).await;
-    log::info!("draining with {} requests under way", state.active());
-    if shut_down(state, &mut phase).await {
-        log::warn!("drain cut short with {} requests under way", state.active());
+    wait_for_phase(&mut phase, state::Phase::Unready).await;
+    log::info!("draining with {} requests in progress", state.active());
+    if run_drain(state, &mut phase).await {
+        log::warn!("drain cut short with {} requests in progress", state.active());
         state.advance(state::Phase::Aborting);
-        let _timeout = tokio::time::timeout(LAST_WORDS, idle(state)).await;
+        let _timeout = tokio::time::timeout(SETTLE_TIMEOUT, wait_until_idle(state)).await;
     }
     // The cancels of requests that were just aborted may not be acknowledged yet.
     let settled = async {
@@ -248,12 +250,12 @@
             tokio::time::sleep(clock::Span::from_millis(10)).await;
         }
     };
-    let _timeout = tokio::time::timeout(LAST_WORDS, settled).await;
+    let _timeout = tokio::time::timeout(SETTLE_TIMEOUT, settled).await;
     log::info!("drained");
 }
 
 /// Runs the drain from its start to its end. Returns whether requests were cut.
-async fn shut_down(
+async fn run_drain(
     state: &state::State,
     phase: &mut tokio::sync::watch::Receiver<state::Phase>,
 ) -> bool {
@@ -268,7 +270,7 @@
         }
         reached = tokio::select! {
             biased;
-            () = reach(phase, state::Phase::Aborting) => {
+            () = wait_for_phase(phase, state::Phase::Aborting) => {
                 drain.signal(state.clock.now(), state.active())
             }
             () = tokio::time::sleep(DRAIN_TICK) => drain.tick(state.clock.now(), state.active()),
@@ -278,12 +280,15 @@
 
 /// Waits until `wanted` or a later phase is reached. The returned value is dropped at once because
 /// it holds the channel's lock.
-async fn reach(phase: &mut tokio::sync::watch::Receiver<state::Phase>, wanted: state::Phase) {
+async fn wait_for_phase(
+    phase: &mut tokio::sync::watch::Receiver<state::Phase>,
+    wanted: state::Phase,
+) {
     drop(phase.wait_for(|phase| *phase >= wanted).await);
 }
 
 /// Waits until no request is in progress.
-async fn idle(state: &state::State) {
+async fn wait_until_idle(state: &state::State) {
     drop(state.watch_active().wait_for(|count| *count == 0).await);
 }
 
@@ -298,17 +303,17 @@
     let most = state.settings.limits.body_bytes;
     match path {
         "/healthz" => return web::HttpResponse::Ok().body("ok\n"),
-        "/readyz" => return ready(state),
-        "/metrics" => return expose(state),
+        "/readyz" => return readiness(state),
+        "/metrics" => return metrics_page(state),
         _ => {}
     }
     let request_id = call::request_id(request.headers());
     let kind = if path.starts_with("/services/") { "service" } else { "model" };
     if state.phase() >= state::Phase::Draining {
         let fault = fault::new(Reason::Draining, Step::Admit, Outcome::NotRun);
-        state.metrics.failed(&metrics::Subject::new(kind), &fault.failure);
+        state.metrics.count_failed(&metrics::Tags::new(kind), &fault.failure);
         unread.discard(request.headers(), most).await;
-        return fault.answer(&request_id, true);
+        return fault.response(&request_id, true);
     }
     let work = async {
         let result = dispatch(&worker, &request, &unread, &request_id).await;
@@ -328,10 +333,10 @@
         None => work.await,
     };
     result.unwrap_or_else(|fault| {
-        let subject = request.extensions().get::<metrics::Subject>().cloned();
-        let subject = subject.unwrap_or_else(|| metrics::Subject::new(kind));
-        state.metrics.failed(&subject, &fault.failure);
-        fault.answer(&request_id, state.phase() >= state::Phase::Draining)
+        let tags = request.extensions().get::<metrics::Tags>().cloned();
+        let tags = tags.unwrap_or_else(|| metrics::Tags::new(kind));
+        state.metrics.count_failed(&tags, &fault.failure);
+        fault.response(&request_id, state.phase() >= state::Phase::Draining)
     })
 }
 
@@ -346,14 +351,14 @@
     let get = *request.method() == http::Method::GET;
     match path {
         "/v1/completions" if post => {
-            model::answer(worker, prompt::Form::Text, request, unread, request_id).await
+            model::handle(worker, prompt::Endpoint::Completions, request, unread, request_id).await
         }
         "/v1/chat/completions" if post => {
-            model::answer(worker, prompt::Form::Chat, request, unread, request_id).await
+            model::handle(worker, prompt::Endpoint::Chat, request, unread, request_id).await
         }
         "/v1/models" if get => model::list(&worker.state, request, request_id),
         path if path.starts_with("/services/") => {
-            services::answer(worker, request, unread, request_id).await
+            services::handle(worker, request, unread, request_id).await
         }
         _ => {
             let fault = fault::new(Reason::UnknownName, Step::Read, Outcome::NotRun);
@@ -362,7 +367,7 @@
     }
 }
 
-fn ready(state: &state::State) -> web::HttpResponse {
+fn readiness(state: &state::State) -> web::HttpResponse {
     if state.is_ready() {
         return web::HttpResponse::Ok().body("ready\n");
     }
@@ -372,7 +377,7 @@
     answer.set_header("Retry-After", "1").body(why)
 }
 
-fn expose(state: &state::State) -> web::HttpResponse {
+fn metrics_page(state: &state::State) -> web::HttpResponse {
     state.refresh();
     match state.metrics.encode() {
         Ok(text) => web::HttpResponse::Ok()
--- a/crates/lagoon-net/src/entry/services.rs
+++ b/crates/lagoon-net/src/entry/services.rs
@@ -18,11 +18,11 @@
 use super::call;
 use super::claims;
 use super::fault;
-use super::limit;
+use super::interrupt;
 use super::linger;
 use super::metrics;
 use super::replica;
-use super::source;
+use super::request_body;
 use super::state;
 use super::worker;
 use crate::service;
@@ -31,7 +31,7 @@
 const PREFIX: &str = "/services/";
 /// Responses up to this many bytes are read completely before their head is sent, so that the head
 /// can carry the outcome `done`.
-const WHOLE_ANSWER: usize = 256 << 10;
+const BUFFERED_ANSWER_BYTES: usize = 256 << 10;
 
 /// A chunk of a response body.
 type Chunk = Result<util::Bytes, rc::Rc<dyn std::error::Error>>;
@@ -44,20 +44,20 @@
     pub(crate) service: id::Service,
     /// Path and query to forward.
     pub(crate) target: String,
-    pub(crate) body: source::Source,
+    pub(crate) body: request_body::RequestBody,
 }
 
 /// Handles a service call.
-pub(crate) async fn answer(
+pub(crate) async fn handle(
     worker: &rc::Rc<worker::Worker>,
     request: &web::HttpRequest,
     unread: &body::Unread,
     request_id: &str,
 ) -> Result<web::HttpResponse, fault::Fault> {
     let state = &worker.state;
-    let active = state::Active::new(state);
+    let active = state::ActiveGuard::new(state);
     let call = call::Call::read(state, state.clock.now(), request.headers())?;
-    let (name, target) = split(request);
+    let (name, target) = split_path(request);
     let service = id::Service::from(name);
     let refuse = |reason| Err(fault::new(reason, Step::Admit, Outcome::NotRun));
     let Some(known) = call.view.fleet.services.get(&service) else {
@@ -67,35 +67,35 @@
     if !allowed.is_empty() && !allowed.contains(&service) {
         return refuse(Reason::Forbidden);
     }
-    let subject = metrics::Subject::of(KIND, service.as_str(), &call.customer().name);
-    request.extensions_mut().insert(subject);
-    state.limits().take(state.clock.now(), &call.customer().name, call.rate(), 0)?;
+    let tags = metrics::Tags::of(KIND, service.as_str(), &call.customer().name);
+    request.extensions_mut().insert(tags);
+    state.rate_limits().take(state.clock.now(), &call.customer().name, call.rate(), 0)?;
     let method = request.method().as_str();
     let repeats = known.idempotent_methods.iter().any(|known| known == method);
     if let (Some(key), false) = (call.key.clone(), repeats) {
-        let keyed = claims::Keyed {
+        let keyed = claims::KeyedCall {
             worker: worker.clone(),
             key,
             request: request.clone(),
             service,
             target,
             request_id: request_id.to_owned(),
-            max_answer: known.max_answer_bytes,
+            max_answer_bytes: known.max_answer_bytes,
             active: rc::Rc::new(active),
             call,
         };
-        return claims::answer(keyed, unread.take()).await;
+        return claims::handle(keyed, unread.take()).await;
     }
-    let body = source::Source::new(state, request.headers(), unread.take())?;
+    let body = request_body::RequestBody::new(state, request.headers(), unread.take())?;
     let (worker, request) = (worker.clone(), request.clone());
     let job = Job { worker, call, request, service, target, body };
     let repeat = if repeats { request::Repeat::Allowed } else { request::Repeat::Never };
     let (answer, answering, slot) = job.send(request::Held::new(repeat)).await?;
-    job.pass(answer, answering, slot, active, request_id).await
+    job.forward_answer(answer, answering, slot, active, request_id).await
 }
 
 /// Splits the path into the service's name and the path and query to forward.
-fn split(request: &web::HttpRequest) -> (String, String) {
+fn split_path(request: &web::HttpRequest) -> (String, String) {
     let uri = request.uri();
     let rest = uri.path().strip_prefix(PREFIX).unwrap_or_default();
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
@@ -107,8 +107,8 @@
 const KIND: &str = "service";
 
 impl Job {
-    pub(crate) fn subject(&self) -> metrics::Subject {
-        metrics::Subject::of(KIND, self.service.as_str(), &self.call.customer().name)
+    pub(crate) fn tags(&self) -> metrics::Tags {
+        metrics::Tags::of(KIND, self.service.as_str(), &self.call.customer().name)
     }
 
     /// Dispatches the call, and retries it on other replicas while that is safe and possible.
@@ -128,48 +128,48 @@
             let attempt = call::new_attempt();
             let dispatched = held.dispatch(attempt);
             let work = self.dispatch(&slot, dispatched.attempt());
-            let result = limit::within(state, self.call.deadline, work).await;
+            let result = interrupt::within(state, self.call.deadline, work).await;
             let peer = slot.upstream.as_str();
             let failure = match result {
                 Ok(Ok(answer)) => {
-                    state.metrics.attempt("answered");
-                    slot.answered();
+                    state.metrics.count_attempt("answered");
+                    slot.record_answer();
                     return Ok((answer, dispatched.answering(), slot));
                 }
                 Ok(Err(failure)) => failure,
-                Err(stop) => {
-                    return Err(stop.fault(Step::Dispatch, dispatched.lost().end()).at(peer));
+                Err(interrupt) => {
+                    return Err(interrupt.fault(Step::Dispatch, dispatched.lost().end()).at(peer));
                 }
             };
             last = fault::new(Reason::UpstreamFailed, Step::Dispatch, Outcome::Unknown).at(peer);
             last = last.with_detail(failure.to_string());
             held = match failure {
                 service::Failure::Unsent(_) => {
-                    state.metrics.attempt("unsent");
+                    state.metrics.count_attempt("unsent");
                     last.failure.reason = Reason::NoUpstream;
-                    slot.failed(state.clock.now());
+                    slot.record_failure(state.clock.now());
                     dispatched.refused()
                 }
                 service::Failure::Refused => {
-                    state.metrics.attempt("refused");
-                    slot.answered();
+                    state.metrics.count_attempt("refused");
+                    slot.record_answer();
                     last.failure.reason = Reason::NoUpstream;
                     dispatched.refused()
                 }
                 service::Failure::Lost(_) => {
-                    state.metrics.attempt("lost");
+                    state.metrics.count_attempt("lost");
                     let lost = dispatched.lost();
                     if let Some(fault) = self.body.fault() {
                         return Err(fault.with_outcome(lost.end()));
                     }
-                    slot.failed(state.clock.now());
+                    slot.record_failure(state.clock.now());
                     lost.again().map_err(|outcome| last.clone().with_outcome(outcome))?
                 }
             };
-            if !self.body.is_untouched() {
+            if !self.body.is_replayable() {
                 return Err(last.with_outcome(held.end()));
             }
-            state.metrics.retry("service");
+            state.metrics.count_retry("service");
         }
     }
 
@@ -183,28 +183,28 @@
         let state = &self.worker.state;
         let limits = state.settings.limits;
         let until = (state.clock.now() + limits.service_wait).min(self.call.deadline);
-        let mut turn = None;
+        let mut waiter = None;
         loop {
             let view = state.view();
-            let (zone, waited) = (&state.settings.zone, turn.is_some());
+            let (zone, waited) = (&state.settings.zone, waiter.is_some());
             let here = (zone, state.clock.now());
             let slot = view.replicas.take(&view.fleet, &self.service, here, tried, waited);
             match slot {
                 Ok(slot) => return Ok(slot),
-                Err(replica::Shortage::None) => return Err(last.clone()),
-                Err(replica::Shortage::Full) => {}
+                Err(replica::Unavailable::NoReplica) => return Err(last.clone()),
+                Err(replica::Unavailable::Full) => {}
             }
             let saturated = || fault::new(Reason::Saturated, Step::Queue, Outcome::NotRun);
-            if turn.is_none() {
-                turn = view.replicas.wait(&self.service, limits.service_waiting);
+            if waiter.is_none() {
+                waiter = view.replicas.enqueue(&self.service, limits.service_waiting);
             }
-            let waiting = turn.as_ref().ok_or_else(saturated)?;
-            match limit::within(state, until, waiting.next()).await {
+            let waiting = waiter.as_ref().ok_or_else(saturated)?;
+            match interrupt::within(state, until, waiting.wait()).await {
                 Ok(()) => {}
-                Err(limit::Stop::Deadline) if until < self.call.deadline => {
+                Err(interrupt::Interrupt::Deadline) if until < self.call.deadline => {
                     return Err(saturated());
                 }
-                Err(stop) => return Err(stop.fault(Step::Queue, Outcome::NotRun)),
+                Err(interrupt) => return Err(interrupt.fault(Step::Queue, Outcome::NotRun)),
             }
         }
     }
@@ -220,27 +220,28 @@
             attempt,
             owner: &state.owner,
             zone: &state.settings.zone,
-            time_left: self.call.left(state),
+            time_left: self.call.time_left(state),
             method: self.request.method().clone(),
             target: &self.target,
             headers: self.request.headers(),
         };
         // Each call gets a new connection: a pooled one may be closed by the service just now.
-        service::call(&self.worker.once, slot.address, call, self.body.open()).await
+        service::call(&self.worker.unpooled_client, slot.address, call, self.body.to_http()).await
     }
 
     /// Forwards a response to the caller: short ones as a whole, others as a stream.
-    async fn pass(
+    async fn forward_answer(
         &self,
         answer: client::ClientResponse,
         answering: request::Answering,
         slot: replica::Slot,
-        active: state::Active,
+        active: state::ActiveGuard,
         request_id: &str,
     ) -> Result<web::HttpResponse, fault::Fault> {
         let state = &self.worker.state;
         let mut head = web::HttpResponse::build(answer.status());
-        for (name, value) in answer.headers().iter().filter(|(name, _)| service::passes(name)) {
+        for (name, value) in answer.headers().iter().filter(|(name, _)| service::is_forwarded(name))
+        {
             if !name.as_str().starts_with("lagoon-") && name.as_str() != "x-request-id" {
                 head.header(name.clone(), value.clone());
             }
@@ -252,9 +253,13 @@
         let length = body::content_length(answer.headers());
         let mut payload = answer.take_payload();
         let bodyless = *self.request.method() == http::Method::HEAD;
-        if bodyless || length.is_some_and(|length| length <= WHOLE_ANSWER as u64) {
-            let whole =
-                limit::within(state, self.call.deadline, whole(&mut payload, WHOLE_ANSWER)).await;
+        if bodyless || length.is_some_and(|length| length <= BUFFERED_ANSWER_BYTES as u64) {
+            let whole = interrupt::within(
+                state,
+                self.call.deadline,
+                read_whole(&mut payload, BUFFERED_ANSWER_BYTES),
+            )
+            .await;
             let whole = match whole {
                 Ok(Some(whole)) => whole,
                 Ok(None) => {
@@ -262,12 +267,12 @@
                     let fault = fault::new(Reason::UpstreamFailed, Step::Stream, outcome);
                     return Err(fault.at(slot.upstream.as_str()));
                 }
-                Err(stop) => {
-                    return Err(stop.fault(Step::Stream, answering.broken().end()));
+                Err(interrupt) => {
+                    return Err(interrupt.fault(Step::Stream, answering.broken().end()));
                 }
             };
             let outcome = answering.complete();
-            state.metrics.done(&self.subject(), outcome);
+            state.metrics.count_done(&self.tags(), outcome);
             head.set_header("Lagoon-Outcome", outcome.as_str());
             return Ok(match length {
                 // A response to HEAD announces the length of the body that GET would return.
@@ -294,26 +299,26 @@
         payload: http::Payload,
         answering: request::Answering,
         slot: replica::Slot,
-        active: state::Active,
+        active: state::ActiveGuard,
     ) -> impl futures_util::Stream<Item = Result<util::Bytes, rc::Rc<dyn std::error::Error>>> + 'static
     {
         let state = self.worker.state.clone();
         let deadline = self.call.deadline;
-        let (open, watch) = linger::pair(self.request.io());
-        let left = self.call.left(&state) + state.settings.limits.linger;
-        drop(ntex::rt::spawn(watch.bound(left)));
-        let subject = self.subject();
-        let held = (answering, slot, active, open, subject);
+        let (guard, watch) = linger::pair(self.request.io());
+        let left = self.call.time_left(&state) + state.settings.limits.linger;
+        drop(ntex::rt::spawn(watch.close_after(left)));
+        let tags = self.tags();
+        let held = (answering, slot, active, guard, tags);
         let first = Some((payload, held));
         stream::unfold((state, first), move |(state, held)| async move {
             let (mut payload, held) = held?;
-            let next = limit::within(&state, deadline, payload.recv()).await;
+            let next = interrupt::within(&state, deadline, payload.recv()).await;
             let fault = match next {
                 Ok(Some(Ok(chunk))) => {
                     return Some((Ok(chunk), (state, Some((payload, held)))));
                 }
                 Ok(None) => {
-                    state.metrics.done(&held.4, held.0.complete());
+                    state.metrics.count_done(&held.4, held.0.complete());
                     return None;
                 }
                 Ok(Some(Err(error))) => {
@@ -321,10 +326,10 @@
                     let fault = fault::new(Reason::UpstreamFailed, Step::Stream, outcome);
                     (held.4, fault.with_detail(error.to_string()))
                 }
-                Err(stop) => (held.4, stop.fault(Step::Stream, held.0.broken().end())),
+                Err(interrupt) => (held.4, interrupt.fault(Step::Stream, held.0.broken().end())),
             };
-            let (subject, fault) = fault;
-            state.metrics.failed(&subject, &fault.failure);
+            let (tags, fault) = fault;
+            state.metrics.count_failed(&tags, &fault.failure);
             let error = io::Error::other(fault.failure.to_string());
             let error: rc::Rc<dyn std::error::Error> = rc::Rc::new(error);
             Some((Err(error), (state, None)))
@@ -333,7 +338,7 @@
 }
 
 /// Reads a whole response; `None` when it breaks off or is longer than `limit` bytes.
-pub(crate) async fn whole(payload: &mut http::Payload, limit: usize) -> Option<util::Bytes> {
+pub(crate) async fn read_whole(payload: &mut http::Payload, limit: usize) -> Option<util::Bytes> {
     let mut body = util::BytesMut::new();
     while let Some(chunk) = payload.recv().await {
         body.extend_from_slice(&chunk.ok()?);
--- a/crates/lagoon-net/src/entry/settings.rs
+++ b/crates/lagoon-net/src/entry/settings.rs
@@ -11,7 +11,7 @@
 use lagoonline::load;
 use serde_json::Value;
 
-use super::queue;
+use super::queue_settings;
 use crate::logs;
 use crate::platform;
 use crate::wire;
@@ -179,7 +179,7 @@
     /// );
     /// ```
     pub fn parse(text: &str) -> Result<(Settings, Option<path::PathBuf>), check::Faults> {
-        let mut value: Value = serde_json::from_str(text).map_err(bad_json)?;
+        let mut value: Value = serde_json::from_str(text).map_err(syntax_error)?;
         let sections = value.as_object_mut().and_then(|fields| fields.remove("sections"));
         let mut faults = Vec::new();
         let read = match check::object(&value, read_settings) {
@@ -201,7 +201,7 @@
     }
 }
 
-fn bad_json(error: serde_json::Error) -> check::Faults {
+fn syntax_error(error: serde_json::Error) -> check::Faults {
     check::Faults(vec![check::Fault { pointer: String::new(), reason: error.to_string() }])
 }
 
@@ -229,7 +229,7 @@
 /// assert_eq!(sections[0].version.0, 4);
 /// ```
 pub fn parse_document(text: &str) -> Result<Vec<document::Section>, check::Faults> {
-    let mut value: Value = serde_json::from_str(text).map_err(bad_json)?;
+    let mut value: Value = serde_json::from_str(text).map_err(syntax_error)?;
     let sections = value.as_object_mut().and_then(|fields| fields.remove("sections"));
     let mut faults = Vec::new();
     if let Err(found) = check::object(&value, |_| ()) {
@@ -273,12 +273,12 @@
 }
 
 fn read_settings(reader: &check::Reader<'_>) -> (Settings, Option<path::PathBuf>) {
-    let usual = Settings::default();
+    let default = Settings::default();
     let zone = id::Zone::from(reader.required("zone"));
-    let load = reader.child("queue", |reader| queue::read(reader, &zone));
+    let load = reader.child("queue", |reader| queue_settings::read(reader, &zone));
     let settings = Settings {
-        listen: reader.required_parsed("listen", "IP:PORT", usual.listen),
-        workers: read_size(reader, "workers", usual.workers, 1, 256),
+        listen: reader.required_parsed("listen", "IP:PORT", default.listen),
+        workers: read_size(reader, "workers", default.workers, 1, 256),
         host: id::Host::from(reader.required("host")),
         region: id::Region::from(reader.text("region", "")),
         steward: reader.parsed("steward", "IP:PORT"),
@@ -286,9 +286,9 @@
         platform: reader.child("platform", platform::Settings::read),
         sections: Vec::new(),
         limits: reader.child("limits", read_limits).unwrap_or_default(),
-        unready: read_span(reader, "unready_ms", usual.unready, 0, 60_000),
-        grace: read_span(reader, "grace_ms", usual.grace, 0, 86_400_000),
-        load: load.unwrap_or_else(|| load::Settings { zone: zone.clone(), ..usual.load }),
+        unready: read_span(reader, "unready_ms", default.unready, 0, 60_000),
+        grace: read_span(reader, "grace_ms", default.grace, 0, 86_400_000),
+        load: load.unwrap_or_else(|| load::Settings { zone: zone.clone(), ..default.load }),
         logs: reader.child("logs", logs::Settings::read).unwrap_or_default(),
         zone,
     };
@@ -302,25 +302,31 @@
 }
 
 fn read_limits(reader: &check::Reader<'_>) -> Limits {
-    let usual = Limits::default();
-    let attempts = reader.number("attempts", u64::from(usual.attempts), 1..=100);
+    let default = Limits::default();
+    let attempts = reader.number("attempts", u64::from(default.attempts), 1..=100);
     Limits {
-        head_bytes: read_size(reader, "head_bytes", usual.head_bytes, 1_024, 1 << 20),
-        headers: read_size(reader, "headers", usual.headers, 8, 1_024),
-        body_bytes: read_size(reader, "body_bytes", usual.body_bytes, 1_024, 1 << 30),
+        head_bytes: read_size(reader, "head_bytes", default.head_bytes, 1_024, 1 << 20),
+        headers: read_size(reader, "headers", default.headers, 8, 1_024),
+        body_bytes: read_size(reader, "body_bytes", default.body_bytes, 1_024, 1 << 30),
         service_body_bytes: reader.number(
             "service_body_bytes",
-            usual.service_body_bytes,
+            default.service_body_bytes,
             0..=1 << 40,
         ),
-        head_timeout: read_span(reader, "head_timeout_ms", usual.head_timeout, 1_000, 600_000),
-        body_timeout: read_span(reader, "body_timeout_ms", usual.body_timeout, 10, 600_000),
-        keep_alive: read_span(reader, "keep_alive_ms", usual.keep_alive, 1_000, 3_600_000),
-        linger: read_span(reader, "linger_ms", usual.linger, 0, 3_600_000),
-        service_wait: read_span(reader, "service_wait_ms", usual.service_wait, 0, 3_600_000),
-        service_waiting: read_size(reader, "service_waiting", usual.service_waiting, 0, 1_000_000),
-        attempts: u32::try_from(attempts).unwrap_or(usual.attempts),
-        stream_batches: read_size(reader, "stream_batches", usual.stream_batches, 1, 4_096),
+        head_timeout: read_span(reader, "head_timeout_ms", default.head_timeout, 1_000, 600_000),
+        body_timeout: read_span(reader, "body_timeout_ms", default.body_timeout, 10, 600_000),
+        keep_alive: read_span(reader, "keep_alive_ms", default.keep_alive, 1_000, 3_600_000),
+        linger: read_span(reader, "linger_ms", default.linger, 0, 3_600_000),
+        service_wait: read_span(reader, "service_wait_ms", default.service_wait, 0, 3_600_000),
+        service_waiting: read_size(
+            reader,
+            "service_waiting",
+            default.service_waiting,
+            0,
+            1_000_000,
+        ),
+        attempts: u32::try_from(attempts).unwrap_or(default.attempts),
+        stream_batches: read_size(reader, "stream_batches", default.stream_batches, 1, 4_096),
     }
 }
 
@@ -342,6 +348,6 @@
     least: u64,
     most: u64,
 ) -> clock::Span {
-    let usual = u64::try_from(default.as_millis()).unwrap_or(most);
-    clock::Span::from_millis(reader.number(name, usual, least..=most))
+    let default_ms = u64::try_from(default.as_millis()).unwrap_or(most);
+    clock::Span::from_millis(reader.number(name, default_ms, least..=most))
 }
--- a/crates/lagoon-net/src/entry/state.rs
+++ b/crates/lagoon-net/src/entry/state.rs
@@ -14,8 +14,8 @@
 use lagoonline::view;
 use tokio::sync as async_sync;
 
+use super::admission;
 use super::cancel;
-use super::desk;
 use super::link;
 use super::metrics;
 use super::replica;
@@ -39,7 +39,7 @@
 pub(crate) struct View {
     pub(crate) fleet: view::Shared,
     pub(crate) shards: load::Shards,
-    pub(crate) desks: collections::HashMap<id::Model, sync::Arc<desk::Desk>>,
+    pub(crate) queues: collections::HashMap<id::Model, sync::Arc<admission::Queue>>,
     pub(crate) replicas: replica::Replicas,
 }
 
@@ -54,42 +54,42 @@
     pub(crate) link: link::Link,
     pub(crate) platform: Option<sync::Arc<platform::Limits>>,
     /// Rate limits of the customers.
-    limits: sync::Mutex<limit::Limits>,
+    rate_limits: sync::Mutex<limit::Limits>,
     view: ArcSwap<View>,
     /// The newest known section of each team.
     sections: sync::Mutex<collections::BTreeMap<id::Team, document::Section>>,
     /// When the fleet last changed: the age of the view when there is no steward.
-    changed: sync::Mutex<clock::Moment>,
+    fleet_changed_at: sync::Mutex<clock::Moment>,
     /// Sends new queues to the control thread, which wakes their requests.
-    desks: async_sync::mpsc::UnboundedSender<sync::Weak<desk::Desk>>,
+    queues: async_sync::mpsc::UnboundedSender<sync::Weak<admission::Queue>>,
     phase: async_sync::watch::Sender<Phase>,
     /// Number of requests in progress.
     active: async_sync::watch::Sender<usize>,
     /// Number of requests that failed because the drain was cut short.
-    failed_drain: atomic::AtomicUsize,
+    aborted: atomic::AtomicUsize,
 }
 
 /// Receivers of the work that the control thread does for the worker threads.
 #[derive(Debug)]
-pub(crate) struct Chores {
-    pub(crate) desks: async_sync::mpsc::UnboundedReceiver<sync::Weak<desk::Desk>>,
+pub(crate) struct Receivers {
+    pub(crate) queues: async_sync::mpsc::UnboundedReceiver<sync::Weak<admission::Queue>>,
     pub(crate) cancels: cancel::Receiver,
     pub(crate) link: Option<crate::link::Task>,
 }
 
 impl State {
-    pub(crate) fn new(mut settings: settings::Settings) -> (sync::Arc<State>, Chores) {
+    pub(crate) fn new(mut settings: settings::Settings) -> (sync::Arc<State>, Receivers) {
         settings.load.zone = settings.zone.clone();
         // With the same seed everywhere, the hosts of a zone would pick the same upstreams at the
         // same time.
         settings.load.seed = rand::random();
         let clock = clock::Host::default();
         let incarnation = id::Incarnation(clock.wall_millis());
-        let (desks, desks_in) = async_sync::mpsc::unbounded_channel();
+        let (queues, queues_in) = async_sync::mpsc::unbounded_channel();
         let (cancels, cancels_in) = cancel::channel();
         let (link, task) = link::Link::open(&settings, incarnation);
         let platform = settings.platform.clone().map(platform::Limits::new);
-        let limits = limit::Limits::new(settings.load.hosts_in_zone);
+        let rate_limits = limit::Limits::new(settings.load.hosts_in_zone);
         let sections = settings.sections.clone();
         let state = sync::Arc::new(State {
             owner: id::Owner { host: settings.host.clone(), incarnation },
@@ -99,17 +99,17 @@
             cancels,
             link,
             platform,
-            limits: sync::Mutex::new(limits),
+            rate_limits: sync::Mutex::new(rate_limits),
             view: ArcSwap::default(),
             sections: sync::Mutex::default(),
-            changed: sync::Mutex::default(),
-            desks,
+            fleet_changed_at: sync::Mutex::default(),
+            queues,
             phase: async_sync::watch::Sender::new(Phase::Serving),
             active: async_sync::watch::Sender::new(0),
-            failed_drain: atomic::AtomicUsize::new(0),
+            aborted: atomic::AtomicUsize::new(0),
         });
         state.install(sections);
-        (state, Chores { desks: desks_in, cancels: cancels_in, link: task })
+        (state, Receivers { queues: queues_in, cancels: cancels_in, link: task })
     }
 
     pub(crate) fn view(&self) -> sync::Arc<View> {
@@ -127,61 +127,62 @@
                 held.insert(section.team.clone(), section);
             }
         }
-        self.put(sync::Arc::new(view::Fleet::merge(held.values())));
+        self.install_fleet(sync::Arc::new(view::Fleet::merge(held.values())));
     }
 
     /// Replaces the fleet of the current view.
-    pub(crate) fn put(&self, fleet: view::Shared) {
+    pub(crate) fn install_fleet(&self, fleet: view::Shared) {
         // Held until the new view is stored: of two concurrent changes, the later one must keep the
         // queues that the earlier one created.
-        let mut changed = self.changed.lock().unwrap_or_else(sync::PoisonError::into_inner);
+        let mut changed =
+            self.fleet_changed_at.lock().unwrap_or_else(sync::PoisonError::into_inner);
         for (team, version) in &fleet.versions {
             self.metrics.set_version(team, *version);
         }
         let old = self.view();
         let now = self.clock.now();
         let shards = old.shards.with_fleet(now, &fleet, &self.settings.load);
-        let desks = self.desks(&old, &shards);
+        let queues = self.queues(&old, &shards);
         let replicas = old.replicas.with_fleet(&fleet);
-        for desk in desks.values() {
-            desk.turn();
+        for queue in queues.values() {
+            queue.wake_due();
         }
-        self.view.store(sync::Arc::new(View { fleet, shards, desks, replicas }));
+        self.view.store(sync::Arc::new(View { fleet, shards, queues, replicas }));
         *changed = now;
     }
 
     /// Returns the queues of all models; those of models that remain are kept.
-    fn desks(
+    fn queues(
         &self,
         old: &View,
         shards: &load::Shards,
-    ) -> collections::HashMap<id::Model, sync::Arc<desk::Desk>> {
-        let mut desks = collections::HashMap::new();
+    ) -> collections::HashMap<id::Model, sync::Arc<admission::Queue>> {
+        let mut queues = collections::HashMap::new();
         for (model, shard) in shards.iter() {
-            let kept = old.desks.get(model).cloned();
-            let desk = kept.unwrap_or_else(|| {
-                let desk = desk::Desk::new(self.clock, shard.clone());
+            let kept = old.queues.get(model).cloned();
+            let queue = kept.unwrap_or_else(|| {
+                let queue = admission::Queue::new(self.clock, shard.clone());
                 // The control thread runs as long as the process, so the receiver exists.
-                let _ended = self.desks.send(sync::Arc::downgrade(&desk));
-                desk
+                let _ended = self.queues.send(sync::Arc::downgrade(&queue));
+                queue
             });
-            desks.insert(model.clone(), desk);
+            queues.insert(model.clone(), queue);
         }
-        desks
+        queues
     }
 
     pub(crate) fn set_leaving(&self, upstream: &id::Upstream, leaving: bool) {
         let view = self.view();
-        for desk in view.desks.values() {
-            desk.set_leaving(upstream, leaving);
+        for queue in view.queues.values() {
+            queue.set_leaving(upstream, leaving);
         }
         view.replicas.set_leaving(upstream, leaving);
     }
 
     /// Rate limits of the customers. A single lock is enough: each request holds it for one map
     /// lookup.
-    pub(crate) fn limits(&self) -> sync::MutexGuard<'_, limit::Limits> {
-        self.limits.lock().unwrap_or_else(sync::PoisonError::into_inner)
+    pub(crate) fn rate_limits(&self) -> sync::MutexGuard<'_, limit::Limits> {
+        self.rate_limits.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
     /// Returns whether load balancers may send requests to this host.
@@ -217,37 +218,37 @@
 
     /// Returns the number of requests that failed because the drain was cut short.
     pub(crate) fn aborted(&self) -> usize {
-        self.failed_drain.load(atomic::Ordering::Relaxed)
+        self.aborted.load(atomic::Ordering::Relaxed)
     }
 
     pub(crate) fn count_aborted(&self) {
-        self.failed_drain.fetch_add(1, atomic::Ordering::Relaxed);
+        self.aborted.fetch_add(1, atomic::Ordering::Relaxed);
     }
 
     /// Updates the gauges that are computed only when the metrics are read.
     pub(crate) fn refresh(&self) {
-        let changed = *self.changed.lock().unwrap_or_else(sync::PoisonError::into_inner);
+        let changed = *self.fleet_changed_at.lock().unwrap_or_else(sync::PoisonError::into_inner);
         let age = self.link.view_age().unwrap_or_else(|| self.clock.now().since(changed));
         self.metrics.view_age.set(age.as_secs_f64());
-        for (model, desk) in &self.view().desks {
-            self.metrics.set_waiting(model, desk.waiters());
+        for (model, queue) in &self.view().queues {
+            self.metrics.set_waiting(model, queue.queued());
         }
     }
 }
 
 /// Counts a request as in progress until dropped.
 #[derive(Debug)]
-pub(crate) struct Active(sync::Arc<State>);
+pub(crate) struct ActiveGuard(sync::Arc<State>);
 
-impl Active {
-    pub(crate) fn new(state: &sync::Arc<State>) -> Active {
+impl ActiveGuard {
+    pub(crate) fn new(state: &sync::Arc<State>) -> ActiveGuard {
         state.active.send_modify(|count| *count += 1);
         state.metrics.active.inc();
-        Active(state.clone())
+        ActiveGuard(state.clone())
     }
 }
 
-impl Drop for Active {
+impl Drop for ActiveGuard {
     fn drop(&mut self) {
         self.0.active.send_modify(|count| *count -= 1);
         self.0.metrics.active.dec();
--- a/crates/lagoon-net/src/entry/worker.rs
+++ b/crates/lagoon-net/src/entry/worker.rs
@@ -18,16 +18,16 @@
     ///
     /// Guards against a call that may not be repeated going out on a pooled connection which the
     /// service is just closing: it would end as unknown although nothing is wrong.
-    pub(crate) once: client::Client,
+    pub(crate) unpooled_client: client::Client,
     /// Idempotency claims; `None` without a platform.
     pub(crate) claims: Option<claims::Claims>,
 }
 
 impl Worker {
     pub(crate) async fn new(state: sync::Arc<state::State>) -> Worker {
-        let (client, once) = (new_client(15).await, new_client(0).await);
+        let (client, unpooled_client) = (new_client(15).await, new_client(0).await);
         let claims = claims::open(&state).await;
-        Worker { state, client, once, claims }
+        Worker { state, client, unpooled_client, claims }
     }
 }
 
@@ -35,18 +35,18 @@
 ///
 /// Not 0, which means no limit: in that case ntex never wakes calls that wait while another
 /// connection to the same upstream is being opened, and they hang until their deadline.
-const CONNECTIONS: usize = 1 << 20;
+const MAX_CONNECTIONS: usize = 1 << 20;
 
 /// Creates a client without timeouts: deadlines and queues are enforced by this crate.
 pub(crate) async fn new_client(keep_alive: u16) -> client::Client {
-    let connector = client::Connector::new().limit(CONNECTIONS);
+    let connector = client::Connector::new().limit(MAX_CONNECTIONS);
     let connector = connector.keep_alive(ntex::time::Seconds(keep_alive));
     let builder = client::Client::builder().connector::<()>(connector);
     let builder = builder.disable_timeout().disable_redirects().no_default_headers();
     match builder.build(SharedCfg::default()).await {
         Ok(client) => client,
         Err(error) => {
-            log::error!("client settings were refused, usual ones are used: {error}");
+            log::error!("invalid HTTP client settings, using the defaults: {error}");
             client::Client::new().await
         }
     }
--- a/crates/lagoon-net/src/service/mod.rs
+++ b/crates/lagoon-net/src/service/mod.rs
@@ -11,7 +11,7 @@
 use crate::engine;
 
 /// Headers that apply to one connection, or to lagoonline itself, and are not forwarded.
-const HOP_BY_HOP: [&str; 12] = [
+const NOT_FORWARDED: [&str; 12] = [
     "authorization",
     "connection",
     "content-length",
@@ -27,8 +27,8 @@
 ];
 
 /// Returns whether the header is forwarded.
-pub(crate) fn passes(name: &http::header::HeaderName) -> bool {
-    !HOP_BY_HOP.contains(&name.as_str())
+pub(crate) fn is_forwarded(name: &http::header::HeaderName) -> bool {
+    !NOT_FORWARDED.contains(&name.as_str())
 }
 
 /// Parameters of a call to a service.
@@ -77,7 +77,7 @@
 ) -> Result<client::ClientResponse, Failure> {
     let mut request =
         client.request(call.method, format!("http://{address}{}", call.target)).no_decompress();
-    let names = call.headers.iter().filter(|(name, _)| passes(name));
+    let names = call.headers.iter().filter(|(name, _)| is_forwarded(name));
     for (name, value) in names.filter(|(name, _)| !name.as_str().starts_with("lagoon-")) {
         request = request.header(name.clone(), value.clone());
     }
--- a/crates/lagoon-net/tests/entry/bad_input.rs
+++ b/crates/lagoon-net/tests/entry/bad_input.rs
@@ -96,7 +96,7 @@
         host::KEY
     );
     host.connect().write_all(head.as_bytes()).unwrap();
-    host::wait_until("it came and went", || {
+    host::wait_until("the request was received and has ended", || {
         host.running.handle().active() == 0 && host.metrics().contains("lagoon_requests_total{")
     });
     assert!(host.engines[0].node().record().attempts.is_empty());
--- a/crates/lagoon-net/tests/entry/claims.rs
+++ b/crates/lagoon-net/tests/entry/claims.rs
@@ -84,7 +84,7 @@
         assert_eq!(host::status(&answer), "503", "{answer}");
         assert!(answer.to_lowercase().contains("lagoon-outcome: not-run"), "{answer}");
         assert_eq!(calls.lock().unwrap().len(), sent);
-        host::wait_until("the key is free", || any_row(&table, "\"released\""));
+        host::wait_until("the key is released", || any_row(&table, "\"released\""));
     }
     host.finish();
 }
@@ -150,7 +150,7 @@
     assert!(rest.contains("data: [DONE]"), "{rest}");
     let whole = host::read_all(&mut stream);
     assert_eq!(whole.matches("\"finish_reason\":null").count(), 60, "{whole}");
-    host::wait_until("the answer is kept", || any_row(&table, "\"done\""));
+    host::wait_until("the response is stored", || any_row(&table, "\"done\""));
     let again = second.post("/v1/completions", key, &call);
     assert_eq!(again.matches("\"finish_reason\":null").count(), 60, "{again}");
     assert!(again.contains("data: [DONE]"), "{again}");
--- a/crates/lagoon-net/tests/entry/host.rs
+++ b/crates/lagoon-net/tests/entry/host.rs
@@ -79,8 +79,8 @@
     let unready = time::Duration::ZERO;
     let host = id::Host::from("suva-1");
     let zone = id::Zone::from("suva");
-    let usual = entry::Settings::default();
-    entry::Settings { host, zone, limits, sections, unready, ..usual }
+    let default = entry::Settings::default();
+    entry::Settings { host, zone, limits, sections, unready, ..default }
 }
 
 impl Host {
@@ -141,7 +141,7 @@
     /// Stops the host and checks that its requests released everything.
     pub fn finish(self) {
         let handle = self.running.handle();
-        wait_until("nothing is held", || {
+        wait_until("no request holds a resource", || {
             handle.active() == 0 && handle.resources() == entry::Resources::default()
         });
         self.running.drain();
--- a/crates/lagoon-net/tests/entry/leaving.rs
+++ b/crates/lagoon-net/tests/entry/leaving.rs
@@ -18,13 +18,13 @@
 
 const HOSTS: [&str; 2] = ["suva-1", "suva-2"];
 /// Time after which no call may be sent to the leaving engine: twice the promised time.
-const SETTLED: time::Duration = time::Duration::from_secs(4);
+const SETTLE_TIME: time::Duration = time::Duration::from_secs(4);
 /// Pause between two calls, long enough to stay below the customer's rate limit.
-const PACE: time::Duration = time::Duration::from_millis(40);
-const WATCHED: time::Duration = time::Duration::from_secs(3);
+const CALL_PAUSE: time::Duration = time::Duration::from_millis(40);
+const WATCH_TIME: time::Duration = time::Duration::from_secs(3);
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Sign {
+enum Source {
     List,
     Refusal,
     Peer,
@@ -70,7 +70,7 @@
     /// Returns the number of calls sent to the first engine: those it accepted and those it refused
     /// as leaving.
     fn sent(&self) -> usize {
-        let refused: usize = self.hosts.iter().map(refused).sum();
+        let refused: usize = self.hosts.iter().map(refused_calls).sum();
         self.engines[0].node().record().attempts.len() + refused
     }
 
@@ -83,7 +83,7 @@
 }
 
 /// Returns the number of a host's calls that were refused as leaving.
-fn refused(host: &host::Host) -> usize {
+fn refused_calls(host: &host::Host) -> usize {
     let metrics = host.metrics();
     let name = "lagoon_attempts_total{cause=\"leaving\"} ";
     let line = metrics.lines().find_map(|line| line.strip_prefix(name));
@@ -93,7 +93,7 @@
 fn call(host: &host::Host) {
     let answer = host.post("/v1/completions", "", &host::completion("tin", 2, false));
     assert_eq!(host::status(&answer), "200", "{answer}");
-    thread::sleep(PACE);
+    thread::sleep(CALL_PAUSE);
 }
 
 /// Stops the calling threads when dropped, also when an assertion fails: threads that keep calling
@@ -111,12 +111,12 @@
 /// Soon no call is sent to it, also while a stale list reports it as live and while the platform is
 /// down. Once the engine is back with a new incarnation it gets calls again.
 #[rstest]
-#[case(Sign::List, false)]
-#[case(Sign::Refusal, false)]
-#[case(Sign::Refusal, true)]
-#[case(Sign::Peer, false)]
-#[case(Sign::Peer, true)]
-fn a_leaving_engine_gets_nothing_new(#[case] sign: Sign, #[case] platform_down: bool) {
+#[case(Source::List, false)]
+#[case(Source::Refusal, false)]
+#[case(Source::Refusal, true)]
+#[case(Source::Peer, false)]
+#[case(Source::Peer, true)]
+fn a_leaving_engine_gets_nothing_new(#[case] source: Source, #[case] platform_down: bool) {
     let site = Site::start();
     site.list("live");
     let leaving = site.engines[0].node().clone();
@@ -137,36 +137,38 @@
         host::wait_until("the engine works", || leaving.record().attempts.len() > 20);
         let down = platform::Faults { down: platform_down, ..site.platform.node().faults() };
         site.platform.node().set_faults(down);
-        second.store(sign != Sign::Peer, atomic::Ordering::Relaxed);
+        second.store(source != Source::Peer, atomic::Ordering::Relaxed);
         thread::sleep(time::Duration::from_millis(200));
 
         let (began, mut last, mut sent) = (time::Instant::now(), time::Duration::ZERO, 0);
-        match sign {
-            Sign::List => site.list("leaving"),
-            Sign::Refusal | Sign::Peer => leaving.leave(),
+        match source {
+            Source::List => site.list("leaving"),
+            Source::Refusal | Source::Peer => leaving.leave(),
         }
-        while began.elapsed() < SETTLED {
+        while began.elapsed() < SETTLE_TIME {
             // Only the first host's refusal can spread the news: the second host does not call
             // until later.
-            second.fetch_or(began.elapsed() > SETTLED / 2, atomic::Ordering::Relaxed);
+            second.fetch_or(began.elapsed() > SETTLE_TIME / 2, atomic::Ordering::Relaxed);
             let now = site.sent();
             if now != sent {
                 (sent, last) = (now, began.elapsed());
             }
         }
-        if sign == Sign::List {
+        if source == Source::List {
             site.list("live");
         }
-        thread::sleep(WATCHED);
-        assert_eq!(site.sent(), sent, "it got new calls");
-        let by_host: Vec<_> = site.hosts.iter().map(refused).collect();
-        println!("{sign:?}, platform down {platform_down}: last call after {last:?}, {by_host:?}");
-        assert!(sign != Sign::Peer || by_host[1] == 0, "the second host was not told");
+        thread::sleep(WATCH_TIME);
+        assert_eq!(site.sent(), sent, "the leaving engine got new calls");
+        let by_host: Vec<_> = site.hosts.iter().map(refused_calls).collect();
+        println!(
+            "{source:?}, platform down {platform_down}: last call after {last:?}, {by_host:?}"
+        );
+        assert!(source != Source::Peer || by_host[1] == 0, "the second host was not informed");
 
         let faults = leaving.faults();
         leaving.set_faults(engine::Faults { down: true, ..faults.clone() });
         leaving.set_faults(faults);
-        host::wait_until("the new life gets calls", || site.sent() > sent);
+        host::wait_until("the new incarnation gets calls", || site.sent() > sent);
         stop.store(true, atomic::Ordering::Relaxed);
         callers.into_iter().for_each(|caller| caller.join().unwrap());
     });
--- a/crates/lagoon-net/tests/entry/service.rs
+++ b/crates/lagoon-net/tests/entry/service.rs
@@ -58,7 +58,7 @@
 #[case("POST", Runner::CloseAfterReading, 1)]
 #[case("POST", Runner::AnswerOtherAttempt, 1)]
 #[case("GET", Runner::CloseAfterReading, 2)]
-fn a_lost_answer(#[case] method: &str, #[case] runner: Runner, #[case] sent: usize) {
+fn a_lost_answer_is_unknown(#[case] method: &str, #[case] runner: Runner, #[case] sent: usize) {
     let (first, first_calls) = start(runner);
     let (second, second_calls) = start(runner);
     let host = start_host(&[("pickup", first), ("pickup", second)]);
@@ -92,7 +92,7 @@
 #[rstest]
 #[case::silent(false)]
 #[case::gone(true)]
-fn half_a_booking(#[case] leaves: bool) {
+fn an_incomplete_body_is_unknown(#[case] leaves: bool) {
     let (address, calls) = start(Runner::Answer);
     let host = start_host(&[("pickup", address)]);
     let head = format!(
@@ -132,10 +132,10 @@
 }
 
 /// Starts a host with one runner that has one slot.
-fn start_narrow(address: net::SocketAddr, service_wait: time::Duration) -> host::Host {
+fn start_single_slot(address: net::SocketAddr, service_wait: time::Duration) -> host::Host {
     let section = host::section(&[], &[("pickup", address)], true);
-    let narrow = r#""service":"pickup","slots":1"#;
-    let text = section.text.replace(r#""service":"pickup""#, narrow);
+    let single_slot = r#""service":"pickup","slots":1"#;
+    let text = section.text.replace(r#""service":"pickup""#, single_slot);
     let section = document::Section::parse(section.team, section.version, &text).unwrap();
     let settings = host::settings(vec![section]);
     let limits = entry::Limits { service_wait, ..settings.limits };
@@ -156,7 +156,7 @@
 #[test]
 fn calls_wait_for_a_free_slot() {
     let (address, calls) = start(Runner::AnswerSlowly);
-    let host = start_narrow(address, host::PATIENCE);
+    let host = start_single_slot(address, host::PATIENCE);
     for answer in call_at_once(&host, 6) {
         assert_eq!(host::status(&answer), "201", "{answer}");
     }
@@ -169,7 +169,7 @@
 #[test]
 fn a_wait_for_a_slot_is_bounded() {
     let (address, calls) = start(Runner::AnswerSlowly);
-    let host = start_narrow(address, time::Duration::ZERO);
+    let host = start_single_slot(address, time::Duration::ZERO);
     let answers = call_at_once(&host, 12);
     let refused = answers.iter().filter(|answer| host::status(answer) == "503");
     let refused: Vec<_> = refused.map(|answer| answer.to_lowercase()).collect();
@@ -199,7 +199,7 @@
 /// all would end as unknown. Three callers get `unknown`, or up to five on a machine so slow that
 /// the circuit is probed meanwhile; the others are served by the other two replicas.
 #[test]
-fn a_replica_that_loses_every_answer_is_left_alone() {
+fn a_replica_that_loses_every_answer_is_ejected() {
     let runners = [Runner::CloseAfterReading, Runner::Answer, Runner::Answer].map(start);
     let services: Vec<_> = runners.iter().map(|(address, _)| ("pickup", *address)).collect();
     let host = start_host(&services);
--- a/crates/lagoon-net/tests/entry/settings.rs
+++ b/crates/lagoon-net/tests/entry/settings.rs
@@ -23,8 +23,8 @@
             "remote_zones": {"nausori": {"delay_ms": 4, "cost_ms": 20}},
             "remote_default": {"delay_ms": 70}}"#,
     );
-    let usual = load::Settings::default();
-    let mut longest_wait = usual.longest_wait;
+    let default = load::Settings::default();
+    let mut longest_wait = default.longest_wait;
     longest_wait[0] = time::Duration::from_millis(1_500);
     let weights = load::Weights { first_token: [1.0, 1.0, 1.0, 4.0], short_slowdown: 2.5 };
     let expected = load::Settings {
@@ -40,7 +40,7 @@
         long_tokens: 9_000,
         remote_zones: vec![(id::Zone::from("nausori"), time::Duration::from_millis(24))],
         remote_default: time::Duration::from_millis(70),
-        ..usual
+        ..default
     };
     assert_eq!(settings, Ok(expected));
 }
--- a/crates/lagoon-net/tests/entry/silence.rs
+++ b/crates/lagoon-net/tests/entry/silence.rs
@@ -9,10 +9,10 @@
 use crate::host;
 
 /// Freeze time in milliseconds, longer than any deadline in these tests.
-const FROZEN: u64 = 600_000;
+const FREEZE_MS: u64 = 600_000;
 
 fn frozen() -> engine::Faults {
-    engine::Faults { freeze_ms: FROZEN, ..engine::Faults::default() }
+    engine::Faults { freeze_ms: FREEZE_MS, ..engine::Faults::default() }
 }
 
 fn cut() -> engine::Faults {
@@ -35,7 +35,7 @@
     let host = host::Host::start(vec![host::quick(); 2]);
     host.engines[0].node().set_faults(faults);
     // On a busy machine the six calls may run one after the other and all use the other engine.
-    host::wait_until("a call went to the silent engine, which was noticed", || {
+    host::wait_until("the silence of the engine was detected", || {
         std::thread::scope(|scope| {
             let calls: Vec<_> = (0..6)
                 .map(|_| {
--- a/crates/lagoon-net/tests/entry/stream.rs
+++ b/crates/lagoon-net/tests/entry/stream.rs
@@ -194,8 +194,8 @@
     let call = host::completion("tin", 1_000_000, true);
     let headers = "Lagoon-Deadline-Ms: 1500\r\n";
     stream.write_all(&host::request("POST", "/v1/completions", headers, &call)).unwrap();
-    host::wait_until("the request is under way", || host.running.handle().active() > 0);
-    host::wait_until("nothing is under way", || host.running.handle().active() == 0);
+    host::wait_until("the request is in progress", || host.running.handle().active() > 0);
+    host::wait_until("no request is in progress", || host.running.handle().active() == 0);
     host.finish();
     let rest = host::read_all(&mut stream);
     assert!(rest.contains("HTTP/1.1 200"), "{rest}");
--- a/crates/lagoon-net/tests/entry/takeover.rs
+++ b/crates/lagoon-net/tests/entry/takeover.rs
@@ -18,14 +18,14 @@
 const ATTEMPT: id::Attempt = id::Attempt(7);
 const TOKENS: u64 = 40;
 
-struct Left {
+struct Fixture {
     host: host::Host,
     rows: claims::Table,
     call: String,
 }
 
 /// Starts a host, with the claim and the stream of another host that died while it served `prompt`.
-fn leave(prompt: &str, stream: bool, continues: bool, scale: f64) -> Left {
+fn start_after_death(prompt: &str, stream: bool, continues: bool, scale: f64) -> Fixture {
     let settings = engine::Settings { time_scale: scale, resume_ms: 600_000, ..host::quick() };
     let (host, rows) = claims::start_one(settings, continues);
     let call = host::completion(prompt, TOKENS, stream);
@@ -54,7 +54,7 @@
     while read < 1_000 {
         read += dying.read(&mut buffer).unwrap();
     }
-    Left { host, rows, call }
+    Fixture { host, rows, call }
 }
 
 fn from_header(from: Option<u64>) -> String {
@@ -80,17 +80,17 @@
 #[case(true, None)]
 #[case(false, Some(5))]
 #[case(false, None)]
-fn its_stream_goes_on(#[case] stream: bool, #[case] from: Option<u64>) {
-    let left = leave("tin", stream, false, 50.0);
-    let answer = left.host.post("/v1/completions", &from_header(from), &left.call);
+fn a_dead_hosts_stream_is_resumed(#[case] stream: bool, #[case] from: Option<u64>) {
+    let fixture = start_after_death("tin", stream, false, 50.0);
+    let answer = fixture.host.post("/v1/completions", &from_header(from), &fixture.call);
     assert_eq!(host::status(&answer), "200", "{answer}");
     assert_eq!(tokens(&answer, stream), TOKENS - from.unwrap_or(0), "{answer}");
-    let engine = left.host.engines[0].node().clone();
+    let engine = fixture.host.engines[0].node().clone();
     assert_eq!(engine.record().attempts.len(), 1);
     host::wait_until("the memory is back", || {
         engine.record().bytes_reserved == engine.record().bytes_returned
     });
-    left.host.finish();
+    fixture.host.finish();
 }
 
 /// The engine has restarted too, so the stream is gone. A caller without a position gets a new
@@ -100,25 +100,25 @@
 #[case(None, false, "200")]
 #[case(Some(5), true, "200")]
 #[case(Some(5), false, "502")]
-fn its_engine_is_gone(
+fn a_retry_after_the_engine_restarted(
     #[case] from: Option<u64>,
     #[case] continues: bool,
     #[case] status: &str,
     #[values(true, false)] stream: bool,
 ) {
-    let left = leave("tin", stream, continues, 50.0);
-    let engine = left.host.engines[0].node().clone();
+    let fixture = start_after_death("tin", stream, continues, 50.0);
+    let engine = fixture.host.engines[0].node().clone();
     engine.set_faults(engine::Faults { down: true, ..engine.faults() });
     engine.set_faults(engine::Faults::default());
-    let answer = left.host.post("/v1/completions", &from_header(from), &left.call);
+    let answer = fixture.host.post("/v1/completions", &from_header(from), &fixture.call);
     assert_eq!(host::status(&answer), status, "{answer}");
     if status == "200" {
         assert_eq!(tokens(&answer, stream), TOKENS - from.unwrap_or(0), "{answer}");
     } else {
         assert!(answer.to_lowercase().contains("lagoon-outcome: unknown"), "{answer}");
     }
-    assert!(!left.rows.node().rows("").is_empty());
-    left.host.finish();
+    assert!(!fixture.rows.node().rows("").is_empty());
+    fixture.host.finish();
 }
 
 /// Returns the seconds from the call to its first token.
@@ -143,26 +143,26 @@
 #[test]
 fn a_million_tokens_are_not_prefilled_again() {
     let prompt = "a".repeat(4 * 1_000_000);
-    let left = leave(&prompt, true, true, 10.0);
-    let taken = first_token(&left.host, &from_header(Some(5)), &left.call);
-    let engine = left.host.engines[0].node().clone();
+    let fixture = start_after_death(&prompt, true, true, 10.0);
+    let taken = first_token(&fixture.host, &from_header(Some(5)), &fixture.call);
+    let engine = fixture.host.engines[0].node().clone();
     assert_eq!(engine.record().attempts.len(), 1);
     let other = host::completion(&"b".repeat(4 * 1_000_000), TOKENS, true);
-    let anew = first_token(&left.host, "", &other);
+    let anew = first_token(&fixture.host, "", &other);
     println!(
         "first token: {taken:.3} s taken over, {anew:.3} s prefilled, engine 10 times as fast"
     );
-    left.host.finish();
+    fixture.host.finish();
 }
 
 /// A steward frees the memory of streams that belong to a dead host. A stream that was taken over
 /// is being read, so the engine must have recorded its new owner.
 #[test]
-fn its_stream_is_the_new_hosts() {
-    let left = leave("tin", true, false, 0.5);
-    let engine = left.host.engines[0].address();
-    let mut caller = left.host.connect();
-    let request = host::request("POST", "/v1/completions", &from_header(None), &left.call);
+fn a_taken_over_stream_belongs_to_the_new_host() {
+    let fixture = start_after_death("tin", true, false, 0.5);
+    let engine = fixture.host.engines[0].address();
+    let mut caller = fixture.host.connect();
+    let request = host::request("POST", "/v1/completions", &from_header(None), &fixture.call);
     caller.write_all(&request).unwrap();
     host::wait_until("the engine knows the new owner", || {
         let mut stream = host::connect(engine);
@@ -171,5 +171,5 @@
         host::read_all(&mut stream).contains("\"owner\":\"suva-1/")
     });
     host::read_all(&mut caller);
-    left.host.finish();
+    fixture.host.finish();
 }
