--- a/crates/lagoon-gateway/src/mesh.rs
+++ b/crates/lagoon-gateway/src/mesh.rs
@@ -127,9 +127,9 @@
     let own = collections::HashSet::from([state.number]);
     let datagram = state.heartbeat(state.numbers(&own), true);
     let mut peers = state::lock(&state.peers);
-    let near = peers.roster.near(now);
+    let near = peers.roster.zone_peers(now);
     for host in &near {
-        peers.roster.asked(host, now);
+        peers.roster.record_heartbeat_sent(host, now);
     }
     let addresses: Vec<_> = near.iter().filter_map(|host| peers.address(host)).collect();
     drop(peers);
@@ -143,8 +143,8 @@
 fn beat_far(state: &state::State) {
     let now = state.clock.now();
     let peers = state::lock(&state.peers);
-    let shared = peers.roster.is_own_shared();
-    if shared && !peers.roster.leads(now) {
+    let shared = peers.roster.own_zone_has_scheduler();
+    if shared && !peers.roster.is_leader(now) {
         return;
     }
     let mut lives = collections::HashSet::from([state.number]);
@@ -199,7 +199,7 @@
     let now = state.clock.now();
     if let Some(beat) = &batch.beat {
         let standing =
-            routing::Standing { zone: id::Zone::from(beat.zone.as_str()), cores: beat.cores };
+            routing::HostInfo { zone: id::Zone::from(beat.zone.as_str()), cores: beat.cores };
         let host = id::Host::from(beat.host.as_str());
         state::lock(&state.peers).set(&host, standing, from, now);
     }
@@ -274,7 +274,7 @@
 /// Takes in a word of the life `from`, and tells other zones of it where `relays` says so.
 fn take_word(state: &state::State, from: u64, word: word::Word, relays: bool) {
     let service = id::Service::from(word.service.as_str());
-    let id = placement::WorkId { host: word.host.unwrap_or(from), number: word.number };
+    let id = placement::DispatchId { host: word.host.unwrap_or(from), number: word.number };
     let is_own = word.host.is_none();
     let Some(what) = word.what else {
         // A later build's word.
@@ -290,9 +290,9 @@
         _ => {}
     }
     let told = state.with_board(&service, |board, now| match what {
-        word::What::Sent(sent) => board.begin(sent.work(id, now), now),
-        word::What::First(_) => board.first_token(id, now),
-        word::What::Ended(_) => board.end(id, now),
+        word::What::Sent(sent) => board.record_dispatch(sent.work(id, now), now),
+        word::What::First(_) => board.record_first_token(id, now),
+        word::What::Ended(_) => board.record_end(id, now),
         word::What::Reported(report) => {
             let upstream = id::Upstream::from(report.upstream);
             board.set_slowness(&upstream, report.slowness, now);
--- a/crates/lagoon-net/src/entry/admission.rs
+++ b/crates/lagoon-net/src/entry/admission.rs
@@ -23,7 +23,7 @@
 /// The scheduler of one model together with the requests that wait in it.
 #[derive(Debug)]
 pub(crate) struct Queue {
-    clock: clock::Host,
+    clock: clock::System,
     shard: sync::Arc<sync::Mutex<load::Scheduler>>,
     waiting: sync::Mutex<collections::HashMap<load::Waiter, async_sync::oneshot::Sender<Grant>>>,
     /// Notified when a request starts to wait, since that may bring the next wake time forward.
@@ -43,7 +43,7 @@
 
 impl Queue {
     pub(crate) fn new(
-        clock: clock::Host,
+        clock: clock::System,
         shard: sync::Arc<sync::Mutex<load::Scheduler>>,
     ) -> sync::Arc<Queue> {
         let waiting = sync::Mutex::default();
@@ -51,7 +51,7 @@
     }
 
     /// Asks the scheduler for a slot. If none is free, the request waits or is refused.
-    pub(crate) fn offer(self: &sync::Arc<Self>, ask: load::Ask) -> Decision {
+    pub(crate) fn offer(self: &sync::Arc<Self>, ask: load::Request) -> Decision {
         let mut scheduler = load::lock(&self.shard);
         let verdict = scheduler.offer(self.clock.now(), ask);
         self.decide(scheduler, verdict)
@@ -130,7 +130,7 @@
     /// Updates the bytes per token estimate: an engine counted `tokens` in a prompt of `bytes`
     /// bytes.
     pub(crate) fn record_prompt_tokens(&self, bytes: usize, tokens: u64) {
-        load::lock(&self.shard).counted(bytes as u64, tokens);
+        load::lock(&self.shard).record_token_count(bytes as u64, tokens);
     }
 
     pub(crate) fn queued(&self) -> usize {
@@ -190,13 +190,13 @@
 
     /// Returns the longest accepted silence before the first token and between tokens.
     pub(crate) fn silence(&self) -> (clock::Span, clock::Span) {
-        let default = load::silence::between(0.0);
+        let default = load::silence::between_tokens(0.0);
         self.placement.as_ref().map_or((default, default), |known| (known.silence, known.gap))
     }
 
     /// Returns whether another upstream could take the request from a silent one; false for a slot
     /// that was released.
-    pub(crate) fn is_better_elsewhere(&self, ask: &load::Ask) -> bool {
+    pub(crate) fn is_better_elsewhere(&self, ask: &load::Request) -> bool {
         self.placement.as_ref().is_some_and(|placement| {
             let now = self.queue.clock.now();
             load::lock(&self.queue.shard).is_better_elsewhere(now, placement.ticket, ask)
@@ -230,12 +230,12 @@
     }
 
     /// Ends this attempt and requests another slot.
-    pub(crate) fn retry(mut self, ending: load::Ending, ask: load::Ask) -> Decision {
+    pub(crate) fn retry(mut self, ending: load::Ending, ask: load::Request) -> Decision {
         let Some(placement) = self.placement.take() else { return self.queue.offer(ask) };
         let queue = self.queue.clone();
         let decision = {
             let mut scheduler = load::lock(&queue.shard);
-            let verdict = scheduler.again(queue.clock.now(), placement.ticket, ending, ask);
+            let verdict = scheduler.retry(queue.clock.now(), placement.ticket, ending, ask);
             queue.decide(scheduler, verdict)
         };
         queue.wake_due();
@@ -273,7 +273,7 @@
     fn drop(&mut self) {
         let mut scheduler = load::lock(&self.queue.shard);
         if self.queue.waiting().remove(&self.waiter).is_some() {
-            scheduler.leave(self.waiter);
+            scheduler.cancel(self.waiter);
         }
     }
 }
--- a/crates/lagoon-net/src/entry/claims.rs
+++ b/crates/lagoon-net/src/entry/claims.rs
@@ -3,17 +3,17 @@
 //!
 //! Guards against duplicate execution: a caller that loses its response retries, perhaps at another
 //! entry host, and the call (for example a booking) runs twice. A call is dispatched only with a
-//! ticket of `lagoonline::life::claim`. It runs in a task of its own, so a caller that disconnects
-//! does not end it and finds the response when it retries. Storing the response and releasing the
-//! key continue after the caller has its response, and a drain waits for them.
+//! ticket of `lagoonline::lifecycle::claim`. It runs in a task of its own, so a caller that
+//! disconnects does not end it and finds the response when it retries. Storing the response and
+//! releasing the key continue after the caller has its response, and a drain waits for them.
 
 use std::rc;
 
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::claim;
-use lagoonline::life::request;
+use lagoonline::lifecycle::claim;
+use lagoonline::lifecycle::request;
 use lagoonline::outcome::{Outcome, Reason, Step};
 use ntex::http;
 use ntex::util;
@@ -31,7 +31,7 @@
 use crate::platform;
 
 /// Client for the idempotency claims of one worker thread.
-pub(crate) type Claims = claim::Claims<platform::Client, platform::Client, clock::Host>;
+pub(crate) type Claims = claim::Claims<platform::Client, platform::Client, clock::System>;
 
 /// Tries to store a response, [`RETRY_PAUSE`] apart. After a longer platform outage the key stays
 /// in the state "may have run".
@@ -108,12 +108,12 @@
     }
 
     /// Returns the claim to request for this call.
-    fn new_ask(&self, body: &[u8]) -> claim::Ask {
+    fn new_ask(&self, body: &[u8]) -> claim::Request {
         let path = format!("/services/{}{}", self.service, self.target);
-        claim::Ask {
+        claim::Request {
             customer: self.call.customer().name.clone(),
             key: self.key.clone(),
-            body: claim::body_hash(self.request.method().as_str(), &path, body),
+            body_hash: claim::body_hash(self.request.method().as_str(), &path, body),
             repeat: request::Repeat::Never,
             token: call::new_attempt(),
             upstream: id::Upstream::default(),
@@ -189,7 +189,7 @@
                 state.metrics.count_claim(if ran { "lost" } else { "released" });
                 self.spawn_tracked(claims, move |claims| async move {
                     if ran {
-                        claims.lose(sent).await;
+                        claims.mark_unknown(sent).await;
                     } else {
                         release_abandoned(&claims, claims.release(sent.refused()).await).await;
                     }
@@ -209,7 +209,7 @@
             target: self.target.clone(),
             body: request_body::RequestBody::from_bytes(&self.worker.state, body),
         };
-        let held = request::Held::new(request::Repeat::Never);
+        let held = request::Pending::new(request::Repeat::Never);
         let (answer, answering, slot) = job.send(held).await?;
         let (status, kind) = (answer.status().as_u16(), answer.header("content-type"));
         let kind = kind.and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
--- a/crates/lagoon-net/src/entry/generation/dispatch.rs
+++ b/crates/lagoon-net/src/entry/generation/dispatch.rs
@@ -6,8 +6,8 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::request;
-use lagoonline::life::stream;
+use lagoonline::lifecycle::request;
+use lagoonline::lifecycle::stream;
 use lagoonline::load;
 use lagoonline::outcome::{Outcome, Reason, Step};
 
@@ -25,7 +25,7 @@
     /// must not be dispatched again.
     pub(super) async fn run_attempts(
         &mut self,
-        mut held: request::Held,
+        mut held: request::Pending,
         mut decision: admission::Decision,
     ) -> Result<Started, fault::Fault> {
         // Counts rounds, not dispatches: a round whose group reservation fails dispatches nothing.
@@ -76,7 +76,7 @@
     /// Makes one attempt: reserves memory for a group, claims the key and sends the call.
     async fn dispatch(
         &mut self,
-        held: request::Held,
+        held: request::Pending,
         slot: admission::Slot,
     ) -> Result<Attempted, fault::Fault> {
         let worker = self.worker.clone();
@@ -289,17 +289,17 @@
 pub(super) enum Started {
     Streaming(Box<Stream>),
     /// Nothing was sent, because the call's idempotency key is already in use.
-    Existing(request::Held, admission::Slot, idempotency::Existing),
+    Existing(request::Pending, admission::Slot, idempotency::Existing),
 }
 
 #[derive(Debug)]
 enum Attempted {
     Streaming(Box<Stream>),
     /// The call's idempotency key is already in use.
-    Existing(request::Held, admission::Slot, idempotency::Existing),
+    Existing(request::Pending, admission::Slot, idempotency::Existing),
     /// The call may be dispatched again. Holds the slot to release, how its attempt ended, and the
     /// value of the `cause` label of the retry metric.
-    Retry(request::Held, admission::Slot, load::Ending, &'static str),
+    Retry(request::Pending, admission::Slot, load::Ending, &'static str),
 }
 
 /// Decides whether a dispatch whose result is unknown is retried or reported to the caller.
@@ -309,7 +309,7 @@
     ending: load::Ending,
     cause: &'static str,
 ) -> Result<Attempted, fault::Fault> {
-    let lost = dispatched.lost().again().map_err(|outcome| {
+    let lost = dispatched.lost().retry().map_err(|outcome| {
         let fault = fault::new(Reason::UpstreamFailed, Step::Dispatch, outcome);
         fault.at(slot.upstream().as_str())
     })?;
--- a/crates/lagoon-net/src/entry/generation/idempotency.rs
+++ b/crates/lagoon-net/src/entry/generation/idempotency.rs
@@ -8,9 +8,9 @@
 
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::claim;
-use lagoonline::life::request;
-use lagoonline::life::stream;
+use lagoonline::lifecycle::claim;
+use lagoonline::lifecycle::request;
+use lagoonline::lifecycle::stream;
 use lagoonline::outcome::{Outcome, Reason, Step};
 
 use super::{Generation, Stage, Stream};
@@ -72,11 +72,11 @@
         pending: &Pending,
         upstream: &id::Upstream,
         token: id::Attempt,
-    ) -> claim::Ask {
-        claim::Ask {
+    ) -> claim::Request {
+        claim::Request {
             customer: self.job.ask.customer.clone(),
             key: pending.key.clone(),
-            body: pending.body.clone(),
+            body_hash: pending.body.clone(),
             repeat: request::Repeat::Allowed,
             token,
             upstream: upstream.clone(),
@@ -142,11 +142,11 @@
     /// when the stream is gone; the key is then claimed for this call.
     pub(super) async fn take_over(
         &mut self,
-        held: request::Held,
+        held: request::Pending,
         slot: admission::Slot,
         pending: Box<Pending>,
         running: claim::Running,
-    ) -> Result<Option<request::Held>, fault::Fault> {
+    ) -> Result<Option<request::Pending>, fault::Fault> {
         let state = self.worker.state.clone();
         let (attempt, from) = (running.attempt, self.delivered);
         let view = state.view();
@@ -185,7 +185,7 @@
             }
         }
         drop(slot);
-        let held = dispatched.lost().again();
+        let held = dispatched.lost().retry();
         let held = held.map_err(|end| fault::new(Reason::EarlierUnknown, Step::Claim, end))?;
         let ask = self.new_ask(&pending, &running.upstream, attempt);
         let work = pending.claims.take_over(ask, &running);
--- a/crates/lagoon-net/src/entry/generation/mod.rs
+++ b/crates/lagoon-net/src/entry/generation/mod.rs
@@ -1,7 +1,7 @@
 //! Runs one model call: dispatches it, reads the tokens, and resumes or retries a broken stream.
 //!
-//! The outcome that the caller is told comes from `lagoonline::life::request` alone. Dropping a
-//! [`Generation`] at any point releases its slot and cancels its attempt.
+//! The outcome that the caller is told comes from `lagoonline::lifecycle::request` alone. Dropping
+//! a [`Generation`] at any point releases its slot and cancels its attempt.
 
 mod dispatch;
 mod idempotency;
@@ -13,9 +13,9 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::control::document;
-use lagoonline::life::claim;
-use lagoonline::life::request;
-use lagoonline::life::stream;
+use lagoonline::lifecycle::claim;
+use lagoonline::lifecycle::request;
+use lagoonline::lifecycle::stream;
 use lagoonline::load;
 use lagoonline::outcome::{Outcome, Reason, Step};
 
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) call: call::Call,
-    pub(crate) ask: load::Ask,
+    pub(crate) ask: load::Request,
     /// Length of the prompt in bytes, from which its token count was estimated.
     pub(crate) prompt_bytes: usize,
     pub(crate) queue: std::sync::Arc<admission::Queue>,
@@ -95,7 +95,7 @@
 #[derive(Debug)]
 enum Stage {
     /// Not dispatched.
-    Pending(request::Held),
+    Pending(request::Pending),
     /// A response is being received.
     Streaming(Box<Stream>),
     /// Completed, failed or abandoned.
@@ -126,7 +126,7 @@
         claim: Claim,
         from: u64,
     ) -> Generation {
-        let stage = Stage::Pending(request::Held::new(request::Repeat::Allowed));
+        let stage = Stage::Pending(request::Pending::new(request::Repeat::Allowed));
         let records = from == 0 && matches!(claim, Claim::Pending(_));
         let recorded = records.then(String::new);
         Generation { worker, job, stage, delivered: from, last_token: None, claim, recorded }
--- a/crates/lagoon-net/src/entry/link/mod.rs
+++ b/crates/lagoon-net/src/entry/link/mod.rs
@@ -9,7 +9,7 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::leaving;
+use lagoonline::lifecycle::leaving;
 use lagoonline::load::limit;
 use lagoonline::port::engine;
 
@@ -107,7 +107,7 @@
         if let Some(incarnation) = observed {
             marks.merge(upstream, leaving::Mark { incarnation, leaving: false });
         }
-        marks.refused(upstream);
+        marks.record_refusal(upstream);
         marks.mark(upstream).unwrap_or_default().incarnation
     }
 
@@ -147,7 +147,7 @@
             in_force: state.view().fleet.versions.clone(),
         });
         state.link.flush_loads(&handle);
-        let spends = state.rate_limits().report();
+        let spends = state.rate_limits().take_report();
         if !spends.is_empty() || ticks % IDLE_REPORT_TICKS == 0 {
             sequence += 1;
             handle.spending(spending(&state, &spends, sequence));
@@ -214,7 +214,7 @@
                     tokens: line.tokens,
                 };
                 let spends: Vec<_> = spending.lines.iter().map(spend).collect();
-                state.rate_limits().heard(state.clock.now(), &spends);
+                state.rate_limits().apply_report(state.clock.now(), &spends);
             }
         }
     }
--- a/crates/lagoon-net/src/entry/model.rs
+++ b/crates/lagoon-net/src/entry/model.rs
@@ -5,7 +5,7 @@
 
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::claim;
+use lagoonline::lifecycle::claim;
 use lagoonline::load;
 use lagoonline::outcome::{Outcome, Reason, Step};
 use ntex::web;
@@ -49,7 +49,7 @@
     let customer = job.call.customer();
     let rate = job.call.rate();
     let tokens = job.ask.prompt_tokens + job.ask.answer_tokens;
-    state.rate_limits().take(state.clock.now(), &customer.name, rate, tokens)?;
+    state.rate_limits().admit(state.clock.now(), &customer.name, rate, tokens)?;
     let (claim, from) = (new_claim(worker, request, &job), job.call.resume_from);
     let mut generation = generation::Generation::new(worker.clone(), job, claim, from);
     let replay = generation.start().await?;
@@ -146,7 +146,7 @@
         return Err(fault.with_detail(detail));
     }
     let prefixes = prompt.prefixes.iter().map(|(hash, bytes)| (*hash, tokens(*bytes)));
-    let ask = load::Ask {
+    let ask = load::Request {
         customer: customer.name.clone(),
         team: customer.team.clone(),
         weight: customer.entry.weight,
--- a/crates/lagoon-net/src/entry/replica.rs
+++ b/crates/lagoon-net/src/entry/replica.rs
@@ -106,12 +106,12 @@
 impl Slot {
     /// Records that the replica responded, with whatever status.
     pub(crate) fn record_answer(&self) {
-        self.replica.health().succeeded();
+        self.replica.health().record_success();
     }
 
     /// Records that no response arrived although the caller sent its whole request.
     pub(crate) fn record_failure(&self, now: clock::Moment) {
-        self.replica.health().failed(now, self.ejected, self.total, self.remote);
+        self.replica.health().record_failure(now, self.ejected, self.total, self.remote);
     }
 }
 
@@ -120,7 +120,7 @@
         // A probe of an open circuit that ended without a result, as when its caller disconnected,
         // must not leave the circuit in the probing state forever. This has no effect after a
         // result.
-        self.replica.health().untold(clock::Moment::START);
+        self.replica.health().record_inconclusive(clock::Moment::START);
         self.replica.release();
         self.queue.freed.notify_one();
     }
@@ -208,7 +208,7 @@
             }
         }
         let (remote, _, replica, upstream) = best.ok_or(unavailable)?;
-        replica.health().sent();
+        replica.health().record_sent();
         Ok(Slot {
             remote,
             total,
--- a/crates/lagoon-net/src/entry/services.rs
+++ b/crates/lagoon-net/src/entry/services.rs
@@ -6,7 +6,7 @@
 use futures_util::stream;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::request;
+use lagoonline::lifecycle::request;
 use lagoonline::outcome::{Outcome, Reason, Step};
 use ntex::client;
 use ntex::http;
@@ -69,7 +69,7 @@
     }
     let tags = metrics::Tags::of(KIND, service.as_str(), &call.customer().name);
     request.extensions_mut().insert(tags);
-    state.rate_limits().take(state.clock.now(), &call.customer().name, call.rate(), 0)?;
+    state.rate_limits().admit(state.clock.now(), &call.customer().name, call.rate(), 0)?;
     let method = request.method().as_str();
     let repeats = known.idempotent_methods.iter().any(|known| known == method);
     if let (Some(key), false) = (call.key.clone(), repeats) {
@@ -90,7 +90,7 @@
     let (worker, request) = (worker.clone(), request.clone());
     let job = Job { worker, call, request, service, target, body };
     let repeat = if repeats { request::Repeat::Allowed } else { request::Repeat::Never };
-    let (answer, answering, slot) = job.send(request::Held::new(repeat)).await?;
+    let (answer, answering, slot) = job.send(request::Pending::new(repeat)).await?;
     job.forward_answer(answer, answering, slot, active, request_id).await
 }
 
@@ -114,7 +114,7 @@
     /// Dispatches the call, and retries it on other replicas while that is safe and possible.
     pub(crate) async fn send(
         &self,
-        mut held: request::Held,
+        mut held: request::Pending,
     ) -> Result<(client::ClientResponse, request::Answering, replica::Slot), fault::Fault> {
         let state = &self.worker.state;
         let mut tried = Vec::new();
@@ -163,7 +163,7 @@
                         return Err(fault.with_outcome(lost.end()));
                     }
                     slot.record_failure(state.clock.now());
-                    lost.again().map_err(|outcome| last.clone().with_outcome(outcome))?
+                    lost.retry().map_err(|outcome| last.clone().with_outcome(outcome))?
                 }
             };
             if !self.body.is_replayable() {
--- a/crates/lagoon-net/src/platform/client.rs
+++ b/crates/lagoon-net/src/platform/client.rs
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct Limits {
     settings: settings::Settings,
-    clock: clock::Host,
+    clock: clock::System,
     rules: sync::Mutex<Rules>,
 }
 
@@ -50,7 +50,7 @@
     /// assert!(!limits.is_resting());
     /// ```
     pub fn new(settings: settings::Settings) -> sync::Arc<Self> {
-        let clock = clock::Host::default();
+        let clock = clock::System::default();
         let budget = |rate: f64| {
             platform::Budget::new(rate, (rate * BURST_SECONDS).max(1.0), clock::Moment::START)
         };
@@ -85,12 +85,12 @@
     }
 
     fn answered(&self) {
-        self.rules().breaker.answered();
+        self.rules().breaker.record_success();
     }
 
     fn failed(&self) {
         let now = self.clock.now();
-        self.rules().breaker.failed(now, rand::random());
+        self.rules().breaker.record_failure(now, rand::random());
     }
 }
 
--- a/crates/lagoon-net/src/steward/retain.rs
+++ b/crates/lagoon-net/src/steward/retain.rs
@@ -6,8 +6,8 @@
 use std::collections;
 
 use lagoonline::clock::Clock as _;
-use lagoonline::control::owner;
-use lagoonline::life::claim;
+use lagoonline::control::rendezvous;
+use lagoonline::lifecycle::claim;
 
 use super::Context;
 
@@ -18,7 +18,7 @@
     let mut done = None;
     loop {
         let now = context.clock.wall_millis();
-        let (shard, wait) = claim::turn(now, settings.pace);
+        let (shard, wait) = claim::scheduled_shard(now, settings.interval);
         if done.replace(shard) == Some(shard) {
             tokio::time::sleep(wait).await;
             continue;
@@ -39,5 +39,6 @@
 fn is_chosen(context: &Context, shard: u8) -> bool {
     let core = context.core.borrow();
     let hosts = core.group.live().map(|member| member.host.as_str());
-    owner::choose(hosts, &format!("claims/{shard:02x}")) == Some(core.group.own().host.as_str())
+    rendezvous::choose(hosts, &format!("claims/{shard:02x}"))
+        == Some(core.group.own().host.as_str())
 }
--- a/crates/lagoonline/src/life/quarantine/record.rs
+++ b/crates/lagoonline/src/lifecycle/quarantine/record.rs
@@ -1,39 +1,40 @@
-//! Verdicts, as hosts tell each other and keep them at the platform.
+//! Quarantine records, as shared between hosts and stored at the platform.
 
 use std::collections;
 
 use crate::clock;
-use crate::life::fingerprint::Fingerprint;
+use crate::lifecycle::fingerprint::Fingerprint;
 
-/// Multiplier that spreads versions over all bits of a checksum.
+/// Multiplier that spreads the version over all bits of the checksum.
 const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A verdict on a request. Of two on the same request the one with the higher version holds.
+/// The quarantine state of a request. Of two records of the same request the one with the higher
+/// version is valid.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Record {
-    /// The request.
+    /// The request's identity.
     pub fingerprint: Fingerprint,
-    /// Grows with each verdict on it.
+    /// Increases with each change to the request's quarantine.
     pub version: u32,
-    /// How often it was in quarantine.
-    pub times: u32,
-    /// Crashes that were its doing, as far as they proved it.
+    /// Number of times the request was quarantined since its last release.
+    pub occurrences: u32,
+    /// Number of crashes counted as evidence when it was quarantined.
     pub crashes: u32,
-    /// When it lapses.
-    pub until: clock::Moment,
-    /// An operator, or an answer, ended it early.
+    /// When the quarantine expires.
+    pub expires_at: clock::Moment,
+    /// Whether it was ended early, by an operator or by a complete answer.
     pub released: bool,
 }
 
 impl Record {
-    /// Whether the request is in quarantine at `now`.
-    pub fn holds(&self, now: clock::Moment) -> bool {
-        !self.released && self.until > now
+    /// Returns whether the request is in quarantine at `now`.
+    pub fn is_active(&self, now: clock::Moment) -> bool {
+        !self.released && self.expires_at > now
     }
 
-    /// Whether it has lapsed: other hosts need not know of it.
+    /// Returns whether the quarantine has expired, so that other hosts need not know of it.
     fn is_past(&self, now: clock::Moment) -> bool {
-        self.until <= now
+        self.expires_at <= now
     }
 
     fn checksum(&self) -> u64 {
@@ -44,7 +45,7 @@
     }
 }
 
-/// The verdicts that are known.
+/// All known quarantine records, by request.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Records(collections::BTreeMap<Fingerprint, Record>);
 
@@ -53,11 +54,11 @@
         self.0.get(request)
     }
 
-    pub(super) fn knows_length(&self, length: u64) -> bool {
+    pub(super) fn has_length(&self, length: u64) -> bool {
         self.0.range(Fingerprint::of_length(length)).next().is_some()
     }
 
-    /// Takes in a verdict; whether it is newer than what was known.
+    /// Merges a record; returns whether it is newer than the known one.
     pub(super) fn merge(&mut self, record: Record) -> bool {
         let known = self.0.get(&record.fingerprint);
         let is_news = known.is_none_or(|known| record.version > known.version);
@@ -67,22 +68,22 @@
         is_news
     }
 
-    /// Those that have not lapsed.
+    /// Returns the records that have not expired.
     pub(super) fn current(&self, now: clock::Moment) -> impl Iterator<Item = &Record> {
         self.0.values().filter(move |record| !record.is_past(now))
     }
 
-    /// Differs between hosts that know different verdicts; 0 where there are none.
+    /// Returns a checksum that differs between hosts with different records; 0 if there are none.
     pub(super) fn checksum(&self, now: clock::Moment) -> u64 {
         self.current(now).fold(0, |sum, record| sum ^ record.checksum())
     }
 
-    /// Forgets verdicts `span` after they lapsed, and those that lapse first where there are more
-    /// than `most`.
+    /// Drops records `span` after they expire, and the earliest to expire while there are more than
+    /// `max_entries`.
     pub(super) fn expire(&mut self, span: clock::Span, most: usize, now: clock::Moment) {
-        self.0.retain(|_, record| record.until + span > now);
+        self.0.retain(|_, record| record.expires_at + span > now);
         while self.0.len() > most {
-            let first = self.0.values().min_by_key(|record| record.until);
+            let first = self.0.values().min_by_key(|record| record.expires_at);
             let Some(first) = first.map(|record| record.fingerprint) else { return };
             self.0.remove(&first);
         }
--- a/crates/lagoonline/src/load/group/mod.rs
+++ b/crates/lagoonline/src/load/group/mod.rs
@@ -1,18 +1,19 @@
-//! Prompts that no single engine can hold.
+//! Placement of prompts that no single engine can hold.
 //!
-//! Load pattern: several prompts of twice an engine's memory at once. Taken engine by engine, each
-//! could hold half of what it needs and neither would start. Members are therefore chosen all or
-//! nothing, under one lock, in the fleet's one order of engines.
+//! Load pattern: several prompts of twice an engine's memory at once. If memory were taken engine
+//! by engine, each prompt could hold half of what it needs and none could start. Members are
+//! therefore chosen all or nothing, under one lock, in the fixed order of engines in the fleet.
 
 pub mod arbiter;
 
-/// Most engines of one group: over twice one engine's memory needs three; more cost more links.
-pub const MOST: usize = 8;
+/// Most engines in one group: a prompt of over twice one engine's memory needs three; more add
+/// links.
+pub const MAX_ENGINES: usize = 8;
 
 /// Engines of a group and the tokens that each holds, in the fleet's order.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Plan {
-    spans: [(usize, u64); MOST],
+    spans: [(usize, u64); MAX_ENGINES],
     length: usize,
 }
 
@@ -23,22 +24,22 @@
     }
 }
 
-/// Tokens that the largest group of engines of these sizes holds.
+/// Tokens that the largest possible group of engines of these sizes holds.
 ///
 /// ```
 /// use lagoonline::load::group;
-/// assert_eq!(group::reach([5; 20]), 40);
+/// assert_eq!(group::capacity([5; 20]), 40);
 /// ```
-pub fn reach<I>(sizes: I) -> u64
+pub fn capacity<I>(sizes: I) -> u64
 where
     I: IntoIterator<Item = u64>,
 {
     let mut sizes: Vec<u64> = sizes.into_iter().collect();
     sizes.sort_unstable_by(|a, b| b.cmp(a));
-    sizes.into_iter().take(MOST).sum()
+    sizes.into_iter().take(MAX_ENGINES).sum()
 }
 
-/// The fewest engines whose free memory holds `need` tokens, or none if they cannot.
+/// The fewest engines whose free memory holds `need` tokens; none if they cannot.
 ///
 /// ```
 /// use lagoonline::load::group;
@@ -53,7 +54,7 @@
 {
     let mut plan = Plan::default();
     let mut left = need;
-    while left > 0 && plan.length < MOST {
+    while left > 0 && plan.length < MAX_ENGINES {
         let taken = |engine: &usize| plan.spans().iter().any(|(other, _)| other == engine);
         let rest = (0..engines).filter(|engine| !taken(engine));
         let best = rest.max_by_key(|&engine| (free(engine), engines - engine))?;
--- a/crates/lagoonline/src/load/mod.rs
+++ b/crates/lagoonline/src/load/mod.rs
@@ -1,9 +1,10 @@
-//! Decisions under load: what is let in, what waits, what is turned away, where work goes.
+//! Load management: admission, queueing, refusal and routing of requests.
 //!
-//! [`Scheduler`] is the face; each other module has one decision. A request passes [`admit`] by
-//! the [`predict`]ions, the queue ([`fair`] within length classes), the routing (by each
-//! upstream's [`rate`], [`ramp`], [`outlier`] state and [`prefix`] cache, with some engines kept
-//! [`clear`]), and perhaps [`retry`]; prompts beyond one engine go to a [`group`].
+//! [`Scheduler`] is the interface for the data path; each other module makes one decision. A
+//! request passes [`admit`] according to the [`predict`]ions, the queue ([`fair`] within length
+//! classes), the routing (by each upstream's [`rate`], [`ramp`], [`outlier`] state and [`prefix`]
+//! cache, with some engines kept [`clear`] of long prompts), and possibly [`retry`]; prompts larger
+//! than one engine go to a [`group`].
 
 pub mod admit;
 mod baseline;
@@ -13,19 +14,19 @@
 pub mod group;
 pub mod limit;
 pub mod outlier;
-pub mod pass;
 pub mod placement;
 pub mod predict;
 pub mod prefix;
+pub mod profile;
 mod queue;
 pub mod ramp;
 pub mod rate;
+pub mod rebalance;
 pub mod retry;
 mod route;
 mod scheduler;
 mod settings;
 mod shards;
-pub mod shift;
 pub mod silence;
 pub mod slowdown;
 pub mod tokens;
--- a/crates/lagoonline/tests/control_document.rs
+++ b/crates/lagoonline/tests/control_document.rs
@@ -1,4 +1,4 @@
-//! The document: whole checks, compare-and-set, lost answers.
+//! The document: validation across sections, concurrent puts, and puts whose answer is lost.
 
 mod control;
 
@@ -7,11 +7,11 @@
 use lagoonline::id;
 use rstest::rstest;
 
-fn put(team: &str, from: u64, name: &str, text: &str) -> document::Put {
+fn put(team: &str, base: u64, id: &str, text: &str) -> document::Put {
     document::Put {
         team: id::Team::from(team),
-        from: id::Version(from),
-        put: name.to_owned(),
+        base: id::Version(base),
+        id: id.to_owned(),
         text: text.to_owned(),
     }
 }
@@ -60,7 +60,7 @@
 fn a_section_that_does_not_fit_is_refused_by_pointer(#[case] text: &str, #[case] faults: &str) {
     let others = [section("fleet", ENGINES)];
     let candidate = section("labels", text);
-    let found = document::check_whole(&others, &candidate).unwrap_err();
+    let found = document::check_document(&others, &candidate).unwrap_err();
     assert_eq!(found.to_string(), faults);
 }
 
@@ -69,8 +69,8 @@
     let others = [section("fleet", ENGINES)];
     let text = r#"{"models": {"k": {}}, "customers": {"d": {"models": ["m", "k"]}},
         "claims": {"m": {"engines": 1}, "n": {"engines": 1}}}"#;
-    assert_eq!(document::check_whole(&others, &section("labels", text)), Ok(()));
-    assert_eq!(document::check_whole(&others, &section("fleet", ENGINES)), Ok(()));
+    assert_eq!(document::check_document(&others, &section("labels", text)), Ok(()));
+    assert_eq!(document::check_document(&others, &section("fleet", ENGINES)), Ok(()));
 }
 
 #[test]
@@ -78,7 +78,7 @@
     let others =
         [section("fleet", ENGINES), section("labels", r#"{"claims": {"m": {"engines": 1}}}"#)];
     let text = r#"{"models": {"n": {}}}"#;
-    let faults = document::check_whole(&others, &section("fleet", text)).unwrap_err();
+    let faults = document::check_document(&others, &section("fleet", text)).unwrap_err();
     assert_eq!(
         faults.to_string(),
         "/models/m: is needed by team labels at /claims/m\n/upstreams: claims of 1 engines for m are above the 0"
@@ -87,14 +87,14 @@
 
 #[test]
 fn of_two_operators_that_race_one_wins_and_the_other_sees_what_changed() {
-    // Both operators edit version 1. The first put makes version 2; the second is refused, and
-    // its operator is shown the first one's change. Nothing of the second is stored.
+    // Two operators edit version 1. The first put creates version 2. The second put must be refused
+    // with the differences that the first one made, and nothing of it may be stored.
     let table = Table::default();
     finish(document::store(&table, &put("a", 0, "p0", r#"{"models": {"m": {}}}"#))).unwrap();
     finish(document::store(&table, &put("a", 1, "p1", r#"{"models": {"m": {"max_tokens": 9}}}"#)))
         .unwrap();
     let lost = finish(document::store(&table, &put("a", 1, "p2", "{}"))).unwrap_err();
-    let document::Refusal::Raced { version, changes } = lost else { panic!("{lost}") };
+    let document::StoreError::Conflict { version, changes } = lost else { panic!("{lost}") };
     assert_eq!(version, id::Version(2));
     let changes: Vec<_> = changes.iter().map(ToString::to_string).collect();
     assert_eq!(changes, ["+ /models/m/max_tokens: 9"]);
@@ -105,8 +105,8 @@
 #[case::effect_without_answer(Fault::LoseAnswer)]
 #[case::effect_after_the_answer_was_lost(Fault::Delay)]
 fn a_put_whose_answer_was_lost_is_stored_once(#[case] fault: Fault) {
-    // The table takes the put and its answer is lost, or the put takes effect only later. The
-    // operator is told version 1 in the end, and the history has one row.
+    // The answer of the table is lost after the put took effect, or the put takes effect only
+    // later. The operator must get version 1 in both cases, and the history must have a single row.
     let table = Table::default();
     table.fail_next(fault);
     let version = finish(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
@@ -120,8 +120,8 @@
 
 #[test]
 fn a_lost_put_is_found_though_another_team_wrote_after_it() {
-    // The answer to the first put is lost and the operator's program asks again later, when
-    // another version stands in the row: it is told its own version from the history.
+    // The answer to a put is lost, and the operator's program retries it after a later version has
+    // been stored. It must get the version of its own put, which is found in the history.
     let table = Table::default();
     finish(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
     finish(document::store(&table, &put("a", 1, "p1", r#"{"models": {"m": {}}}"#))).unwrap();
@@ -132,8 +132,8 @@
 
 #[test]
 fn two_teams_that_add_one_name_at_once_cannot_both_have_it() {
-    // Both puts are checked against a document without the name. The table takes the first; the
-    // second finds the head changed, checks anew, and is refused by pointer.
+    // Two concurrent puts are both validated against a document without the name. The table accepts
+    // the first one. The second conflicts on the head row, is validated again, and must be refused.
     let table = Table::default();
     let texts = r#"{"models": {"m": {}}}"#;
     let (first, second) = (put("a", 0, "p0", texts), put("b", 0, "p1", texts));
@@ -145,13 +145,13 @@
         two = two.or_else(|| control::poll_once(second.as_mut()));
     }
     assert_eq!(one, Some(Ok(id::Version(1))));
-    let Some(Err(document::Refusal::Faulty(faults))) = two else { panic!("{two:?}") };
+    let Some(Err(document::StoreError::Invalid(faults))) = two else { panic!("{two:?}") };
     assert_eq!(faults.to_string(), "/models/m: belongs to the section of team a");
 }
 
-/// A host that may dispatch under a key for longer than the key's row is kept lets the call run
-/// twice. The longest deadline, an hour of writing after it and an hour for a host that sleeps are
-/// together the least retention that a site may set.
+/// A host that can dispatch a call under an idempotency key for longer than the row of the key is
+/// retained may run the call twice. The longest deadline, one hour of writes after it and one hour
+/// for a suspended host add up to the shortest retention that a site may configure.
 #[rstest]
 #[case(79_200_000, true)]
 #[case(79_200_001, false)]
--- a/crates/lagoonline/tests/control_document_fuzz.rs
+++ b/crates/lagoonline/tests/control_document_fuzz.rs
@@ -1,4 +1,4 @@
-//! Operators, teams and hosts at once, against a linear history of each section.
+//! Concurrent operators, teams and hosts, checked for a linear history of each section.
 
 mod control;
 
@@ -11,7 +11,7 @@
 
 use control::{Fault, Table};
 use lagoonline::control::document;
-use lagoonline::control::spread;
+use lagoonline::control::replication;
 use lagoonline::id;
 use lagoonline::port::table;
 use proptest::prelude::*;
@@ -22,7 +22,8 @@
 const HOSTS: usize = 3;
 const TEAMS: [&str; 2] = ["a", "b"];
 
-/// Every put has a text of its own; both teams want the model `shared`.
+/// Returns a text that is unique to the put. Every third one, of either team, defines the model
+/// `shared`.
 fn text(number: u64) -> String {
     let shared = if number.is_multiple_of(3) { r#""shared": {}, "# } else { "" };
     format!(r#"{{"models": {{{shared}"m{number}": {{}}}}}}"#)
@@ -30,28 +31,28 @@
 
 #[derive(Clone, Debug)]
 enum Transition {
-    /// An operator starts a put, edited from the newest version or from one before.
+    /// An operator starts a put that is edited from the latest version or the one before.
     Begin { operator: usize, team: usize, stale: bool },
-    /// An operator's put goes on by one step.
+    /// The put of an operator is polled once.
     Step { operator: usize },
-    /// An operator asks again about its last put, whatever it was told.
+    /// An operator retries its last put unless that was definitively refused.
     Again { operator: usize },
-    /// The next commit fails so.
+    /// The next commit fails with this fault.
     Fail(Fault),
-    /// Commits that were under way take effect.
+    /// Delayed commits take effect.
     Settle,
-    /// The table goes out or comes back.
+    /// An outage of the table starts or ends.
     Down(bool),
-    /// A host reads the table.
+    /// A host reads all sections from the table.
     Fetch { host: usize },
-    /// A host passes on all it has to another.
+    /// A host sends another one the sections that it lacks.
     Gossip { from: usize, to: usize },
-    /// A host sends all it has, and the message stays on its way.
+    /// A host sends all its sections; the message stays in flight.
     Send { from: usize },
-    /// The oldest message on its way arrives.
+    /// The oldest message in flight is delivered.
     Arrive { to: usize },
-    /// A host is replaced by one that has nothing, and takes the maximum of the table and of the
-    /// peers it reaches.
+    /// A host is replaced by one without any sections, which then fetches the latest versions from
+    /// the table and its peers.
     Replace { host: usize },
 }
 
@@ -91,7 +92,7 @@
     }
 }
 
-type Result = std::result::Result<id::Version, document::Refusal>;
+type Result = std::result::Result<id::Version, document::StoreError>;
 
 struct Operator {
     put: document::Put,
@@ -103,19 +104,19 @@
     table: Table,
     down: bool,
     operators: collections::BTreeMap<usize, Operator>,
-    hosts: Vec<spread::Replica>,
+    hosts: Vec<replication::Replica>,
     sent: collections::VecDeque<Vec<sync::Arc<document::Section>>>,
-    /// Puts that were said to be stored, and as what.
+    /// Puts that were reported as stored, with the reported version.
     stored: collections::BTreeMap<String, (id::Team, id::Version)>,
-    /// Puts whose fate was said to be unknown: a later refusal by the table says nothing of the
-    /// earlier try.
+    /// Puts whose outcome was reported as unknown. A later error of the table does not tell whether
+    /// the earlier attempt took effect.
     unknown: collections::BTreeSet<String>,
-    /// Puts that were said not to be stored.
+    /// Puts that were reported as not stored.
     refused: collections::BTreeSet<String>,
-    /// Section texts by team and version, as history first showed them.
+    /// Section texts by history key, as first seen in the history.
     history: rc::Rc<cell::RefCell<collections::BTreeMap<String, String>>>,
-    /// Highest version that any host ever had in force.
-    highest: spread::Versions,
+    /// Highest version that was ever in force on any host.
+    highest: replication::Versions,
     puts: u64,
 }
 
@@ -124,10 +125,10 @@
         let team = id::Team::from(TEAMS[team]);
         let newest = self.table.rows(&document::section_key(&team));
         let newest = newest.first().map_or(0, |row| row.version);
-        let from = id::Version(if stale { newest.saturating_sub(1) } else { newest });
+        let base = id::Version(if stale { newest.saturating_sub(1) } else { newest });
         self.puts += 1;
-        let (put, text) = (format!("put-{}", self.puts), text(self.puts));
-        self.start(operator, document::Put { team, from, put, text });
+        let (id, text) = (format!("put-{}", self.puts), text(self.puts));
+        self.start(operator, document::Put { team, base, id, text });
     }
 
     fn start(&mut self, operator: usize, put: document::Put) {
@@ -145,15 +146,15 @@
         let put = found.put.clone();
         match result {
             Ok(version) => {
-                let known = self.stored.insert(put.put, (put.team.clone(), version));
+                let known = self.stored.insert(put.id, (put.team.clone(), version));
                 assert!(known.is_none_or(|known| known == (put.team, version)));
             }
-            Err(document::Refusal::Table(table::Error::Unknown { .. })) => {
-                self.unknown.insert(put.put);
+            Err(document::StoreError::Table(table::Error::Unknown { .. })) => {
+                self.unknown.insert(put.id);
             }
-            Err(document::Refusal::Table(_)) if self.was_tried(&put.put) => {}
+            Err(document::StoreError::Table(_)) if self.was_tried(&put.id) => {}
             Err(_) => {
-                self.refused.insert(put.put);
+                self.refused.insert(put.id);
             }
         }
     }
@@ -164,7 +165,7 @@
 
     fn again(&mut self, operator: usize) {
         let Some(found) = self.operators.get(&operator) else { return };
-        if found.running.is_none() && !self.refused.contains(&found.put.put) {
+        if found.running.is_none() && !self.refused.contains(&found.put.id) {
             let put = found.put.clone();
             self.start(operator, put);
         }
@@ -184,12 +185,14 @@
     }
 
     fn gossip(&mut self, from: usize, to: usize) {
-        let lacking = self.hosts[from].lacking(&self.hosts[to].versions());
+        let lacking = self.hosts[from].newer_than(&self.hosts[to].versions());
         for section in lacking {
             self.hosts[to].apply((*section).clone());
         }
     }
 
+    /// The history has no gaps, is never rewritten, and has each put at most once, as it was
+    /// reported to its operator.
     fn check_history(&self) {
         let mut next = collections::BTreeMap::<String, u64>::new();
         let mut puts = collections::BTreeMap::<String, String>::new();
@@ -213,7 +216,7 @@
         }
     }
 
-    /// The newest sections fit together: no name has two owners.
+    /// The latest sections are valid together: no name has two owners.
     fn check_whole(&self) {
         let mut sections = Vec::new();
         for row in self.table.rows("section/") {
@@ -223,10 +226,11 @@
             sections.push(document::Section::parse(team, version, &stored.text).unwrap());
         }
         for section in &sections {
-            document::check_whole(&sections, section).unwrap();
+            document::check_document(&sections, section).unwrap();
         }
     }
 
+    /// Every section on a host has the text that the history shows for its version.
     fn check_hosts(&self) {
         let history = self.history.borrow();
         for host in &self.hosts {
@@ -243,11 +247,11 @@
     type Reference = Reference;
 
     fn init_test(_: &Reference) -> System {
-        System { hosts: vec![spread::Replica::default(); HOSTS], ..System::default() }
+        System { hosts: vec![replication::Replica::default(); HOSTS], ..System::default() }
     }
 
     fn apply(mut system: System, _: &Reference, transition: Transition) -> System {
-        let before: Vec<_> = system.hosts.iter().map(spread::Replica::versions).collect();
+        let before: Vec<_> = system.hosts.iter().map(replication::Replica::versions).collect();
         let mut replaced = None;
         match transition {
             Transition::Begin { operator, team, stale } => system.begin(operator, team, stale),
@@ -271,7 +275,7 @@
                 }
             }
             Transition::Replace { host } => {
-                system.hosts[host] = spread::Replica::default();
+                system.hosts[host] = replication::Replica::default();
                 replaced = Some(host);
                 (0..HOSTS).for_each(|from| system.gossip(from, host));
                 system.fetch(host);
@@ -281,7 +285,7 @@
             let is_newcomer = replaced == Some(host);
             assert!(is_newcomer || system.hosts[host].covers(before), "host {host} went back");
         }
-        for versions in system.hosts.iter().map(spread::Replica::versions) {
+        for versions in system.hosts.iter().map(replication::Replica::versions) {
             for (team, version) in versions {
                 let highest = system.highest.entry(team).or_default();
                 *highest = version.max(*highest);
@@ -305,9 +309,9 @@
         ..ProptestConfig::default()
     })]
 
-    // Three operators put sections of two teams while answers are lost, writes come late and the
-    // table goes out. Each section's history is one line without gaps, each put is in it at most
-    // once, as what its operator was told; hosts only go forward.
+    // Three operators put sections of two teams while answers are lost, writes are delayed and the
+    // table is unavailable. Each section must have one linear history without gaps, with each put
+    // at most once and as reported to its operator. Versions on a host must never decrease.
     #[test]
     fn each_section_has_one_history(sequential 50..200 => System);
 }
--- a/crates/lagoonline/tests/life_quarantine_fuzz.rs
+++ b/crates/lagoonline/tests/life_quarantine_fuzz.rs
@@ -1,34 +1,35 @@
-//! Hosts that share evidence and verdicts by words which are lost now and then, against counts of
-//! what happened to each request.
+//! Hosts that share evidence and records over lossy messages, checked against independent counts of
+//! each request's crashes.
 
 use std::collections;
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::id::Upstream;
-use lagoonline::life::fingerprint::Fingerprint;
-use lagoonline::life::quarantine::{Quarantine, Record, Standing, Suspect, Weight};
+use lagoonline::lifecycle::fingerprint::Fingerprint;
+use lagoonline::lifecycle::quarantine::{Quarantine, Record, Status, Suspect, Weight};
 use proptest::prelude::*;
 use proptest::test_runner;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
 const HOSTS: usize = 3;
 const REQUESTS: usize = 6;
-/// Crashes that prove a request lethal.
+/// Number of crashes that prove a request lethal.
 const PROOF: usize = 3;
 
 #[derive(Clone, Debug)]
 enum Transition {
-    /// An upstream crashes under the requests of which a bit is set; one host is not told.
+    /// An upstream crashes with the requests in the bit set in flight; one host does not get the
+    /// report.
     Crash { requests: u8, deaf: usize },
-    /// A request is answered whole at a host; another is not told.
+    /// A request is answered completely at a host; another host does not get the report.
     Answer { request: usize, host: usize, deaf: usize },
-    /// Time passes, and the hosts judge.
+    /// Time passes, and the hosts evaluate the evidence.
     Pass { millis: u64 },
-    /// An operator ends a quarantine at a host.
+    /// An operator ends a quarantine at one host.
     Release { request: usize, host: usize },
-    /// A host is replaced by one that knows nothing.
+    /// A host is replaced by one without any state.
     Replace { host: usize },
-    /// Two hosts whose checksums differ tell each other their verdicts.
+    /// Two hosts whose checksums differ exchange their records.
     Compare { one: usize, other: usize },
 }
 
@@ -69,7 +70,7 @@
     hosts: Vec<Quarantine>,
     now: Moment,
     crashes: u64,
-    /// Crashes that each request was at.
+    /// Number of crashes that each request was involved in.
     met: collections::BTreeMap<usize, usize>,
 }
 
@@ -79,8 +80,8 @@
 
 impl System {
     fn is_held(&self, host: usize, number: usize) -> bool {
-        let standing = self.hosts[host].standing(&request(number), self.now);
-        matches!(standing, Standing::Held(_))
+        let standing = self.hosts[host].status(&request(number), self.now);
+        matches!(standing, Status::Quarantined(_))
     }
 
     fn crash(&mut self, requests: u8, deaf: usize) {
@@ -96,16 +97,16 @@
         let suspects: Vec<_> = numbers.iter().map(suspect).collect();
         for (number, host) in self.hosts.iter_mut().enumerate() {
             if number != deaf {
-                host.crashed(&upstream, &suspects, self.now);
+                host.record_crash(&upstream, &suspects, self.now);
             }
         }
     }
 
     fn answer(&mut self, number: usize, host: usize, deaf: usize) {
-        let (news, _) = self.hosts[host].answered(&request(number), self.now);
+        let (news, _) = self.hosts[host].record_answer(&request(number), self.now);
         assert!(!self.is_held(host, number), "held though it was answered there");
         for other in (0..HOSTS).filter(|other| news && *other != host && *other != deaf) {
-            self.hosts[other].answered(&request(number), self.now);
+            self.hosts[other].record_answer(&request(number), self.now);
             assert!(!self.is_held(other, number), "held though its answer was told");
         }
     }
@@ -144,7 +145,7 @@
                 system.now = system.now + Span::from_millis(millis);
                 for host in &mut system.hosts {
                     host.expire(system.now);
-                    host.judge(system.now);
+                    host.evaluate(system.now);
                 }
             }
             Transition::Release { request: number, host } => {
@@ -175,8 +176,8 @@
         ..ProptestConfig::default()
     })]
 
-    // No request is refused that was at fewer than three crashes, or whose answer or release the
-    // host knows; hosts that compared their verdicts agree.
+    // A request must not be refused after fewer than three crashes, nor at a host that knows of its
+    // answer or release; hosts that have exchanged their records must agree.
     #[test]
     fn verdicts_are_proven_and_agreed_on(sequential 20..120 => System);
 }
--- a/crates/lagoonline/tests/routing.rs
+++ b/crates/lagoonline/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes, customers, the list of upstreams, and how long a version counts as the newest.
+//! Routes, customers, the upstream registry, freshness of the configuration, and reader selection.
 
 use std::net;
 
@@ -51,10 +51,10 @@
     let table = routing::Table::new(routing::Desired { customers, ..Default::default() });
     let closed = route("r", "/");
     let public = routing::Route { public: true, ..route("p", "/") };
-    assert!(matches!(table.customer(&closed, Some("k2")), routing::Match::Customer(_)));
-    assert_eq!(table.customer(&closed, Some("k3")), routing::Match::Unknown);
-    assert_eq!(table.customer(&closed, None), routing::Match::Unknown);
-    assert_eq!(table.customer(&public, None), routing::Match::Open);
+    assert!(matches!(table.customer(&closed, Some("k2")), routing::KeyMatch::Customer(_)));
+    assert_eq!(table.customer(&closed, Some("k3")), routing::KeyMatch::Unknown);
+    assert_eq!(table.customer(&closed, None), routing::KeyMatch::Unknown);
+    assert_eq!(table.customer(&public, None), routing::KeyMatch::Open);
 }
 
 #[rstest]
@@ -64,8 +64,8 @@
     assert_eq!(to_a, 900);
 }
 
-fn entry(name: &str, leaving: bool) -> routing::Entry {
-    routing::Entry {
+fn entry(name: &str, leaving: bool) -> routing::Registration {
+    routing::Registration {
         upstream: id::Upstream::from(name),
         service: id::Service::from("s"),
         address: net::SocketAddr::from(([127, 0, 0, 1], 80)),
@@ -80,13 +80,14 @@
     routing::Change::Removed(id::Upstream::from(name))
 }
 
-/// The platform was out and its entries lapsed. Its first answer lacks a living upstream, which is
-/// back two seconds later; dropping it at once would leave callers without anybody to serve them.
+/// Registrations expired during an outage of the platform. Its first answer lacks a live upstream,
+/// which registers again two seconds later; if it were dropped at once, callers would have no
+/// upstream.
 #[rstest]
 fn an_entry_that_lapsed_in_an_outage_stays_until_it_can_be_back() {
     let mut registry = routing::Registry::default();
     registry.apply(routing::Change::Put(entry("u", false)), Moment::from_millis(0));
-    registry.returned(Moment::from_millis(9_000));
+    registry.record_recovery(Moment::from_millis(9_000));
     registry.apply(removed("u"), Moment::from_millis(9_010));
     assert!(!registry.expire(Moment::from_millis(11_000)));
     assert_eq!(registry.entries().count(), 1);
@@ -94,23 +95,24 @@
     assert_eq!(registry.entries().count(), 0);
 }
 
-/// The platform came back three seconds ago. An entry that vanishes now has not lapsed: its
-/// upstream left without a word, and a request sent to it would come after the bound on leaving.
+/// The platform recovered three seconds ago. A registration that vanishes now did not expire in the
+/// outage: its upstream left without notice, and a request sent to it would violate the bound on
+/// leaving upstreams.
 #[rstest]
 fn an_entry_that_vanishes_after_the_return_is_dropped_at_once() {
     let mut registry = routing::Registry::default();
     registry.apply(routing::Change::Put(entry("u", false)), Moment::from_millis(0));
-    registry.returned(Moment::from_millis(9_000));
+    registry.record_recovery(Moment::from_millis(9_000));
     registry.apply(removed("u"), Moment::from_millis(12_000));
     assert_eq!(registry.entries().count(), 0);
 }
 
-/// An upstream that said that it leaves is not kept for its return.
+/// An upstream that announced that it is leaving must not be kept after an outage.
 #[rstest]
 fn a_leaving_entry_is_not_kept() {
     let mut registry = routing::Registry::default();
     registry.apply(routing::Change::Put(entry("u", true)), Moment::from_millis(0));
-    registry.returned(Moment::from_millis(10));
+    registry.record_recovery(Moment::from_millis(10));
     registry.apply(removed("u"), Moment::from_millis(20));
     assert_eq!(registry.entries().count(), 0);
 }
@@ -125,9 +127,9 @@
     assert_eq!(names, ["v"]);
 }
 
-fn sources(own: &str, peers: &[&str]) -> routing::Sources {
-    let settings = routing::SourceSettings { least_hosts: 3, ..Default::default() };
-    let mut sources = routing::Sources::new(settings, id::Host::from(own), 0.1);
+fn sources(own: &str, peers: &[&str]) -> routing::SourceSelector {
+    let settings = routing::SourceSettings { min_hosts: 3, ..Default::default() };
+    let mut sources = routing::SourceSelector::new(settings, id::Host::from(own), 0.1);
     for peer in peers {
         sources.set_peer(id::Host::from(*peer), routing::Peer { cores: 0.1 });
     }
@@ -138,7 +140,7 @@
     routing::Source::Peer(id::Host::from(name))
 }
 
-/// All hosts of a zone know the same hosts: exactly one of them reads the platform.
+/// All hosts of a zone know the same hosts, so exactly one of them reads the platform.
 #[rstest]
 fn one_host_of_a_zone_reads() {
     let names = ["a", "b", "c", "d"];
@@ -150,30 +152,30 @@
     assert_eq!(sources("b", &["a"]).next(Moment::START), routing::Source::Platform);
 }
 
-/// The reader dies, and the host after it in the order too. Each is passed over for three seconds
-/// from its own failure, and asked again after that.
+/// The reader dies, and then the next host in order. Each is skipped for three seconds from its own
+/// failure and then asked again.
 #[rstest]
 fn readers_that_fail_are_passed_over_for_a_while() {
     let mut sources = sources("c", &["a", "b", "d"]);
-    sources.failed(&id::Host::from("a"), Moment::from_millis(0));
+    sources.record_failure(&id::Host::from("a"), Moment::from_millis(0));
     assert_eq!(sources.next(Moment::from_millis(10)), peer("b"));
-    sources.failed(&id::Host::from("b"), Moment::from_millis(1_000));
+    sources.record_failure(&id::Host::from("b"), Moment::from_millis(1_000));
     assert_eq!(sources.next(Moment::from_millis(1_010)), routing::Source::Platform);
     assert_eq!(sources.next(Moment::from_millis(3_000)), peer("a"));
 }
 
-/// The platform turns this host away and serves the others: the host asks them though it is the
-/// first in the order.
+/// The platform refuses this host but serves the others, so the host asks them although it is the
+/// first in order.
 #[rstest]
 fn a_host_that_the_platform_turns_away_asks_another() {
     let mut sources = sources("a", &["b", "c"]);
-    sources.platform_failed(Moment::from_millis(0));
+    sources.record_platform_failure(Moment::from_millis(0));
     assert_eq!(sources.next(Moment::from_millis(10)), peer("b"));
     assert_eq!(sources.next(Moment::from_millis(3_000)), routing::Source::Platform);
 }
 
-/// The platform is out, so no host of a zone of nine can answer. A host asks a few of them and no
-/// more, else all would ask all for as long as the outage lasts.
+/// During a platform outage no host of a zone of nine can answer. A host must ask only a few
+/// others; otherwise all hosts would ask each other for the whole outage.
 #[rstest]
 fn a_host_asks_only_a_few_that_cannot_answer() {
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
@@ -181,31 +183,31 @@
     let now = Moment::from_millis(10);
     let mut asked = 0;
     while let routing::Source::Peer(host) = sources.next(now) {
-        sources.failed(&host, now);
+        sources.record_failure(&host, now);
         asked += 1;
     }
     assert_eq!(asked, 5);
 }
 
-/// The platform turns away the hosts that the others ask. Those look for a reader in vain; what they
-/// know may be as old as the span for looking when they ask the last host, whose answer takes up to
-/// [`ASK`], and is then read anew, well within the bound.
+/// The platform refuses the hosts that the others ask, which then search for a reader in vain.
+/// Their state may be as old as the search span when they ask the last host, whose answer takes up
+/// to [`ASK`]. Reading the platform itself must still be possible within the bound.
 #[rstest]
 #[case(2_000)]
 #[case(4_000)]
 fn a_look_for_a_reader_ends_within_the_bound(#[case] apply: u64) {
     const ASK: Span = Span::from_millis(1_300);
     let apply = Span::from_millis(apply);
-    let look = routing::SourceSettings::default().look_span(apply);
+    let look = routing::SourceSettings::default().search_span(apply);
     assert!(look + ASK < apply, "{look:?} of {apply:?}");
 }
 
-/// In a small zone every host reads for itself, the smallest too: it waits for nobody.
+/// In a small zone every host reads the platform itself, even the smallest.
 #[rstest]
 fn each_host_of_a_small_zone_reads() {
     let now = Moment::from_millis(10);
-    let settings = routing::SourceSettings { least_hosts: 3, ..Default::default() };
-    let mut sources = routing::Sources::new(settings, id::Host::from("b"), 0.1);
+    let settings = routing::SourceSettings { min_hosts: 3, ..Default::default() };
+    let mut sources = routing::SourceSelector::new(settings, id::Host::from("b"), 0.1);
     sources.set_peer(id::Host::from("a"), routing::Peer { cores: 0.5 });
     assert_eq!(sources.next(now), routing::Source::Platform);
     assert!(sources.is_first(now));
