--- a/crates/lagoonline/src/load/clear.rs
+++ b/crates/lagoonline/src/load/clear.rs
@@ -27,9 +27,12 @@
 /// Number of engines kept clear, and the observed mix of prompts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClearShare {
+    /// Decayed prefill work in tokens by length class, as of `updated_at`.
     work: [f64; 4],
     updated_at: clock::Moment,
+    /// Number of engines kept clear.
     engines: usize,
+    /// When that number last changed.
     last_change: clock::Moment,
 }
 
--- a/crates/lagoonline/src/load/fair.rs
+++ b/crates/lagoonline/src/load/fair.rs
@@ -21,8 +21,11 @@
 /// The order in which active keys are served.
 #[derive(Debug)]
 pub struct FairOrder<K> {
+    /// Largest tag of a key that has been served.
     virtual_time: u64,
+    /// Tag of each key, by which it takes its turn.
     tags: collections::HashMap<K, u64>,
+    /// Keys with work to serve, lowest tag first.
     active: collections::BTreeSet<(u64, K)>,
 }
 
--- a/crates/lagoonline/src/load/group/arbiter.rs
+++ b/crates/lagoonline/src/load/group/arbiter.rs
@@ -47,12 +47,14 @@
     TooLarge(Request),
 }
 
+/// Memory of one engine for groups, in tokens.
 #[derive(Debug)]
 struct Engine {
     tokens: u64,
     free: u64,
 }
 
+/// A request that has not been granted.
 #[derive(Debug)]
 struct Waiting {
     request: Request,
@@ -60,6 +62,7 @@
     deadline: clock::Moment,
 }
 
+/// Memory held under one request until the lease expires.
 #[derive(Debug)]
 struct Grant {
     spans: Vec<Span>,
--- a/crates/lagoonline/src/load/limit.rs
+++ b/crates/lagoonline/src/load/limit.rs
@@ -53,12 +53,13 @@
     pub tokens: u64,
 }
 
+/// Token bucket of one customer; below zero it is in debt.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     rate: Rate,
     requests: f64,
     tokens: f64,
-    filled: clock::Moment,
+    filled_at: clock::Moment,
     /// Requests and tokens admitted here since the last report.
     unreported: (u64, u64),
 }
@@ -66,9 +67,12 @@
 /// Token buckets of one host, for customers that were active recently.
 #[derive(Debug, Default)]
 pub struct Limits {
+    /// Number of entry hosts in the zone.
     hosts: u32,
+    /// When another host last reported.
     last_report: clock::Moment,
     buckets: collections::HashMap<id::Customer, Bucket>,
+    /// Number of buckets from which on full ones are dropped next.
     cleanup_size: usize,
 }
 
@@ -111,7 +115,7 @@
             rate,
             requests: (rate.requests * BURST_SECONDS / hosts).max(1.0),
             tokens: rate.tokens * BURST_SECONDS / hosts,
-            filled: now,
+            filled_at: now,
             unreported: (0, 0),
         });
         bucket.rate = rate;
@@ -178,13 +182,13 @@
 
 impl Bucket {
     fn fill(&mut self, now: clock::Moment, hosts: f64, share: f64) {
-        let seconds = now.since(self.filled).as_secs_f64() * share;
+        let seconds = now.since(self.filled_at).as_secs_f64() * share;
         let max_seconds = BURST_SECONDS / hosts;
         let requests = (self.rate.requests * max_seconds).max(1.0);
         self.requests = (self.requests + self.rate.requests * seconds).min(requests);
         self.tokens =
             (self.tokens + self.rate.tokens * seconds).min(self.rate.tokens * max_seconds);
-        self.filled = now;
+        self.filled_at = now;
     }
 
     fn is_full(&self, hosts: f64) -> bool {
--- a/crates/lagoonline/src/load/placement/engine.rs
+++ b/crates/lagoonline/src/load/placement/engine.rs
@@ -75,13 +75,19 @@
 pub struct Engine {
     entry: routing::Registration,
     profile: Option<profile::Profile>,
+    /// In-flight work on it, in order of arrival.
     parts: Vec<Part>,
+    /// Time up to which the progress of `parts` has been estimated.
     advanced_to: clock::Moment,
+    /// Until when it is avoided after a failure without a response.
     avoided_until: Option<clock::Moment>,
     /// When it last failed without sending a response.
     failed_at: Option<clock::Moment>,
+    /// Consecutive failures without a response, up to [`MAX_FAILURES`].
     failure_count: u32,
+    /// Until when it counts as full after it refused a reservation.
     full_until: Option<clock::Moment>,
+    /// When this host last received anything from it.
     last_activity: clock::Moment,
     /// Recent share of failed requests, as of `failure_rate_at`.
     failure_rate: f64,
--- a/crates/lagoonline/src/load/placement/mod.rs
+++ b/crates/lagoonline/src/load/placement/mod.rs
@@ -7,6 +7,11 @@
 //! as this host has been told, advances it at the engine's published speed, and places a request
 //! where its first token is expected soonest while it delays the fewest other answers. Late or lost
 //! messages from other hosts only cost efficiency, since an engine enforces its own limits.
+//!
+//! Terms: the *primary* of a prompt is the engine that answers it; *helpers* are engines that
+//! prefill *parts* of it. The *gap limit* of a request is the longest pause between two events of
+//! its answer that still meets the objective. It is *tight* up to [`Settings::tight_gap`], as
+//! usual for short prompts, and *loose* above, as usual for long ones.
 
 use std::collections;
 use std::fmt;
@@ -193,7 +198,7 @@
 #[derive(Clone, Debug)]
 struct Tracked {
     dispatch: Dispatch,
-    known_since: clock::Moment,
+    since: clock::Moment,
 }
 
 /// Tracks the dispatches in flight on the upstreams of one service and places new requests.
@@ -257,7 +262,7 @@
             }
         }
         self.prefill_load.add(self.loose_prefill_ms(&dispatch), now);
-        self.dispatches.insert(dispatch.id, Tracked { dispatch, known_since: now });
+        self.dispatches.insert(dispatch.id, Tracked { dispatch, since: now });
     }
 
     /// Milliseconds in which a single engine would prefill the prompt of `dispatch`; 0 if its gap
@@ -307,7 +312,7 @@
     /// of since `before` or earlier; `numbers` lists all dispatches that `host` has in flight.
     /// Returns those dropped.
     ///
-    /// Failure answered: the message that a request ended is lost, and its slot would count as used
+    /// Failure mode: the message that a request ended is lost, and its slot would count as used
     /// until the caller's deadline. The complete list of a host corrects all lost messages.
     pub fn retain_listed(
         &mut self,
@@ -318,7 +323,7 @@
     ) -> Vec<DispatchId> {
         let ended = self.dispatches.values().filter(|tracked| {
             let id = tracked.dispatch.id;
-            id.host == host && tracked.known_since <= before && !numbers.contains(&id.number)
+            id.host == host && tracked.since <= before && !numbers.contains(&id.number)
         });
         let ended: Vec<_> = ended.map(|tracked| tracked.dispatch.id).collect();
         for id in &ended {
@@ -410,7 +415,7 @@
 
     /// Whether an upstream failed another request and has sent nothing since.
     ///
-    /// Failure answered: an upstream stops responding while it has many requests. Without this
+    /// Failure mode: an upstream stops responding while it has many requests. Without this
     /// check each request would wait for its own gap limit to pass, which can take seconds.
     pub fn is_unresponsive(&self, upstream: &id::Upstream) -> bool {
         self.upstreams.get(upstream).is_some_and(Engine::is_unresponsive)
@@ -420,15 +425,15 @@
     /// limit to a prompt at least as long. An engine processes prompts of one kind in order of
     /// arrival.
     ///
-    /// Failure answered: an engine keeps working but never answers some of its requests. Since the
+    /// Failure mode: an engine keeps working but never answers some of its requests. Since the
     /// engine is alive, these would be awaited until their callers give up.
     pub fn is_overtaken(&self, id: DispatchId) -> bool {
-        let Some(Tracked { dispatch, known_since }) = self.dispatches.get(&id) else {
+        let Some(Tracked { dispatch, since }) = self.dispatches.get(&id) else {
             return false;
         };
         let overtakes = |other: &&Tracked| {
             let Dispatch { primary, prompt_tokens, max_gap, .. } = &other.dispatch;
-            other.known_since > *known_since
+            other.since > *since
                 && *primary == dispatch.primary
                 && *max_gap == dispatch.max_gap
                 && *prompt_tokens >= dispatch.prompt_tokens
--- a/crates/lagoonline/src/load/placement/partition.rs
+++ b/crates/lagoonline/src/load/placement/partition.rs
@@ -27,6 +27,7 @@
     failed_upstreams: collections::BTreeSet<id::Upstream>,
     last_failure: clock::Moment,
     partitioned_until: Option<clock::Moment>,
+    /// Partitions in a row; each one doubles the span, up to [`MAX_DOUBLINGS`] times.
     occurrences: u32,
 }
 
--- a/crates/lagoonline/src/load/placement/waitlist.rs
+++ b/crates/lagoonline/src/load/placement/waitlist.rs
@@ -23,6 +23,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Waitlist {
     prompts: collections::HashMap<DispatchId, Prompt>,
+    /// Number of prompts that have begun to wait.
     started: u64,
     /// Number of hosts that place requests, including this one.
     placing_hosts: usize,
--- a/crates/lagoonline/src/load/predict.rs
+++ b/crates/lagoonline/src/load/predict.rs
@@ -24,7 +24,9 @@
 /// Rate at which a queue empties.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
+    /// Smoothed rate in tokens per second; none before the first sample.
     rate: Option<f64>,
+    /// Start of the current window and the tokens dispatched in it; none while nothing waits.
     window: Option<(clock::Moment, u64)>,
 }
 
@@ -57,8 +59,11 @@
     /// Per rank: rate at which work of that rank is dispatched while more of it waits. Work of
     /// earlier ranks that arrives later and goes first is thus taken into account.
     queues: [Rate; 4],
+    /// Number of answers seen.
     answers: u32,
-    answer_part: f64,
+    /// Mean length of an answer, as a fraction of the tokens that it might have had.
+    answer_fraction: f64,
+    /// Mean seconds between tokens.
     token_seconds: f64,
 }
 
@@ -75,12 +80,12 @@
         if tokens == 0 || most == 0 {
             return;
         }
-        let part = (tokens as f64 / most as f64).min(1.0);
-        let pace = took.as_secs_f64() / tokens as f64;
+        let fraction = (tokens as f64 / most as f64).min(1.0);
+        let seconds_per_token = took.as_secs_f64() / tokens as f64;
         self.answers = self.answers.saturating_add(1);
         let gain = ANSWER_GAIN.max(1.0 / f64::from(self.answers));
-        self.answer_part += gain * (part - self.answer_part);
-        self.token_seconds += gain * (pace - self.token_seconds);
+        self.answer_fraction += gain * (fraction - self.answer_fraction);
+        self.token_seconds += gain * (seconds_per_token - self.token_seconds);
     }
 
     /// Learned seconds between tokens; 0 before the first answer.
@@ -107,6 +112,6 @@
     /// assert_eq!(forecast.answer(10_000), 100.0);
     /// ```
     pub fn answer(&self, most: u64) -> f64 {
-        most as f64 * self.answer_part * self.token_seconds
+        most as f64 * self.answer_fraction * self.token_seconds
     }
 }
--- a/crates/lagoonline/src/load/queue.rs
+++ b/crates/lagoonline/src/load/queue.rs
@@ -40,18 +40,21 @@
     request.prompt_tokens + request.answer_tokens
 }
 
+/// Waiting requests of one customer of a team, in order of arrival.
 #[derive(Debug, Default)]
 struct CustomerQueue {
     items: collections::VecDeque<Item>,
     tokens: u64,
 }
 
+/// Waiting requests of one team.
 #[derive(Debug, Default)]
 struct TeamQueue {
     order: fair::FairOrder<id::Customer>,
     customers: collections::HashMap<id::Customer, CustomerQueue>,
 }
 
+/// Waiting requests of one rank.
 #[derive(Debug, Default)]
 struct Band {
     order: fair::FairOrder<id::Team>,
@@ -60,6 +63,7 @@
     requests: usize,
 }
 
+/// The customer queue in which a waiter is.
 #[derive(Clone, Debug)]
 struct Position {
     band: usize,
--- a/crates/lagoonline/src/load/rate.rs
+++ b/crates/lagoonline/src/load/rate.rs
@@ -46,6 +46,7 @@
 struct Pending {
     ticket: scheduler::Ticket,
     sent: clock::Moment,
+    /// Seconds from dispatch to the first token by the prediction.
     expected: f64,
 }
 
@@ -56,7 +57,9 @@
     excess: f64,
     last_sample: clock::Moment,
     last_dispatch: clock::Moment,
+    /// Whether it gets probes only.
     slow: bool,
+    /// Dispatched prompts without a first token, in order of dispatch.
     pending: collections::VecDeque<Pending>,
 }
 
--- a/crates/lagoonline/src/load/rebalance.rs
+++ b/crates/lagoonline/src/load/rebalance.rs
@@ -69,6 +69,7 @@
 pub struct Rebalancer {
     /// Rate of the weight store, in bytes per second.
     store_rate: f64,
+    /// Since when each model has been short of engines.
     short_since: collections::BTreeMap<id::Model, clock::Moment>,
     /// When the store will have served the loads ordered so far.
     store_free_at: clock::Moment,
--- a/crates/lagoonline/src/load/scheduler/mod.rs
+++ b/crates/lagoonline/src/load/scheduler/mod.rs
@@ -133,9 +133,13 @@
     settings: settings::Settings,
     weights: settings::Weights,
     upstreams: Vec<upstream::Upstream>,
+    /// Indices of the upstreams, by name.
     index: collections::HashMap<id::Upstream, usize>,
+    /// Indices of the upstreams, by their stable number.
     index_by_number: collections::HashMap<u32, usize>,
+    /// Whether a fleet has been set; upstreams that join later get their load gradually.
     started: bool,
+    /// Number of upstreams in this host's zone, which come first.
     local_count: usize,
     /// KV memory of the largest engine, in tokens.
     largest_kv: u64,
@@ -144,10 +148,12 @@
     /// Smallest delay of another zone, in seconds.
     nearest_delay: f64,
     queue: queue::Queue,
+    /// Refusals of displaced waiters, which the next poll returns.
     displaced: Vec<Wake>,
     in_flight: collections::HashMap<Ticket, InFlight>,
     budget: retry::Budget,
     clear_share: clear::ClearShare,
+    /// Recent use of customers, by length class.
     usage: [usage::Usage; 4],
     /// Prefill that other hosts typically have outstanding on one engine, in tokens.
     typical_prefill: f64,
@@ -156,7 +162,9 @@
     ratio: tokens::Ratio,
     /// The model's configured estimate from which the ratio started.
     configured_ratio: f64,
-    next_id: u64,
+    /// Last number given to a ticket or waiter.
+    last_id: u64,
+    /// Last number given to an upstream.
     last_number: u32,
     random_state: u64,
     last_poll: clock::Moment,
@@ -173,6 +181,7 @@
     prefixes: Vec<(u64, u64)>,
 }
 
+/// What a request uses on one engine.
 #[derive(Debug)]
 struct Part {
     upstream: id::Upstream,
@@ -226,21 +235,21 @@
 
     /// Records the first token of a dispatched request.
     pub fn first_token(&mut self, now: clock::Moment, ticket: Ticket) {
-        let Some(work) = self.in_flight.get_mut(&ticket) else { return };
-        if work.first_token.replace(now).is_some() {
+        let Some(dispatched) = self.in_flight.get_mut(&ticket) else { return };
+        if dispatched.first_token.replace(now).is_some() {
             return;
         }
-        for part in &work.parts {
+        for part in &dispatched.parts {
             let Some(&index) = self.index.get(&part.upstream) else { continue };
             let upstream = &mut self.upstreams[index];
             upstream.remove_prefill(now, part.load);
             upstream.slowness.record_first_token(now, ticket);
             let location = prefix::Location { engine: upstream.number, epoch: upstream.epoch };
-            for (hash, _) in work.prefixes.iter().take(MAX_PREFIXES) {
+            for (hash, _) in dispatched.prefixes.iter().take(MAX_PREFIXES) {
                 self.prefixes.insert(*hash, location);
             }
         }
-        let first = work.parts.first().and_then(|part| self.index.get(&part.upstream));
+        let first = dispatched.parts.first().and_then(|part| self.index.get(&part.upstream));
         if let Some(&index) = first {
             self.update_slowness(now, index);
         }
@@ -265,23 +274,25 @@
 
     /// Records the end of a dispatched request.
     pub fn finish(&mut self, now: clock::Moment, ticket: Ticket, ending: Ending) {
-        let Some(work) = self.in_flight.remove(&ticket) else { return };
-        if let (Ending::Done { answer_tokens, .. }, Some(first)) = (ending, work.first_token) {
+        let Some(dispatched) = self.in_flight.remove(&ticket) else { return };
+        if let (Ending::Done { answer_tokens, .. }, Some(first)) = (ending, dispatched.first_token)
+        {
             let took = now.since(first);
-            if let Some(&index) = work.parts.first().and_then(|part| self.index.get(&part.upstream))
+            if let Some(&index) =
+                dispatched.parts.first().and_then(|part| self.index.get(&part.upstream))
             {
                 self.record_answer(now, index, answer_tokens, took);
             }
-            self.forecast.record_answer(answer_tokens, work.answer_tokens, took);
+            self.forecast.record_answer(answer_tokens, dispatched.answer_tokens, took);
         }
         let failed = matches!(ending, Ending::Failed | Ending::Silent);
         let out = if failed { self.unavailable_count() } else { 0 };
         let all = self.upstreams.len();
-        for (place, part) in work.parts.iter().enumerate() {
+        for (place, part) in dispatched.parts.iter().enumerate() {
             let Some(&index) = self.index.get(&part.upstream) else { continue };
             let upstream = &mut self.upstreams[index];
             upstream.record_end(now, part.kv);
-            if work.first_token.is_none() {
+            if dispatched.first_token.is_none() {
                 upstream.remove_prefill(now, part.load);
             }
             if ending == Ending::Silent {
--- a/crates/lagoonline/src/load/scheduler/place.rs
+++ b/crates/lagoonline/src/load/scheduler/place.rs
@@ -27,6 +27,7 @@
 const LONG_WEIGHT: f64 = 8.0;
 
 impl scheduler::Scheduler {
+    /// Dispatches the request at once if nothing as urgent waits, else queues or refuses it.
     pub(super) fn place_or_queue(
         &mut self,
         now: clock::Moment,
@@ -48,8 +49,8 @@
         if !self.make_room(&request) {
             return self.refuse(outcome::Reason::Saturated, 1.0);
         }
-        self.next_id += 1;
-        let waiter = scheduler::Waiter(self.next_id);
+        self.last_id += 1;
+        let waiter = scheduler::Waiter(self.last_id);
         self.queue.push(band, queue::Item { waiter, request, expiry });
         scheduler::Verdict::Wait(waiter)
     }
@@ -76,11 +77,11 @@
         now: clock::Moment,
         queue: &mut queue::Queue,
     ) -> Option<scheduler::Wake> {
-        let mut held = false;
+        let mut reserved_for_long = false;
         for (rank, band) in self.band_order(now, queue) {
             // Memory for an aged long prompt only becomes free if no other long prompt takes it
             // first.
-            if held && band > document::Class::Short as usize {
+            if reserved_for_long && band > document::Class::Short as usize {
                 continue;
             }
             let Some(item) = queue.head(band) else { continue };
@@ -92,7 +93,7 @@
                 self.forecast.record_dispatch(now, band, cost, !queue.band_is_empty(band));
                 return Some(scheduler::Wake::Dispatch(waiter, placement));
             }
-            held |= aged;
+            reserved_for_long |= aged;
         }
         None
     }
@@ -146,6 +147,7 @@
         order
     }
 
+    /// Dispatches the request if an upstream can take it now and its answer would be in time.
     fn place(
         &mut self,
         now: clock::Moment,
@@ -163,7 +165,7 @@
         } else if full {
             router.choose(&need, random)?
         } else {
-            let (policy, turn) = (self.settings.policy, self.next_id);
+            let (policy, turn) = (self.settings.policy, self.last_id);
             let index = baseline::choose(policy, now, &self.upstreams, turn, random)?;
             let upstream = &self.upstreams[index];
             // Without a prediction a long prompt would be abandoned as silent.
@@ -204,8 +206,8 @@
         route: route::Route,
         aged: bool,
     ) -> scheduler::Placement {
-        self.next_id += 1;
-        let ticket = scheduler::Ticket(self.next_id);
+        self.last_id += 1;
+        let ticket = scheduler::Ticket(self.last_id);
         let parts = self.charge(now, need, &route);
         if let route::Route::Single { index, seconds } = route {
             let upstream = &mut self.upstreams[index];
@@ -223,8 +225,8 @@
         let priority = self.priority(need.rank, aged);
         let answer_tokens = request.answer_tokens;
         let prefixes = request.prefixes.clone();
-        let work = scheduler::InFlight { parts, answer_tokens, first_token: None, prefixes };
-        self.in_flight.insert(ticket, work);
+        let dispatched = scheduler::InFlight { parts, answer_tokens, first_token: None, prefixes };
+        self.in_flight.insert(ticket, dispatched);
         let (route::Route::Single { seconds, .. } | route::Route::Group { seconds, .. }) = route;
         let silence = silence::first_token(seconds / self.guaranteed_rate_share(need));
         let gap = silence::between_tokens(self.forecast.gap());
@@ -239,12 +241,12 @@
         ticket: scheduler::Ticket,
         request: &scheduler::Request,
     ) -> bool {
-        let Some(work) = self.in_flight.get(&ticket) else { return false };
+        let Some(dispatched) = self.in_flight.get(&ticket) else { return false };
         let limited = self.is_full_policy() && self.settings.safeguards.retry_budget;
         if limited && !self.budget.has_retry() {
             return false;
         }
-        let silent = work.parts.first().map(|part| &part.upstream);
+        let silent = dispatched.parts.first().map(|part| &part.upstream);
         let safeguards = self.settings.safeguards;
         let others = self.upstreams.iter().filter(|upstream| {
             Some(&upstream.name) != silent
@@ -306,6 +308,7 @@
         PRIORITY[rank as usize] + if aged { AGED_BONUS } else { 0 }
     }
 
+    /// Number of local engines to keep clear of long prompts now.
     fn clear_engines(&mut self, now: clock::Moment) -> usize {
         if !self.settings.safeguards.clear {
             return 0;
@@ -370,6 +373,7 @@
         hits
     }
 
+    /// Whether the engine still has the cache that was recorded.
     fn is_current(&self, location: &prefix::Location) -> bool {
         let index = self.index_by_number.get(&location.engine);
         index.is_some_and(|&index| self.upstreams[index].epoch == location.epoch)
--- a/crates/lagoonline/src/load/scheduler/room.rs
+++ b/crates/lagoonline/src/load/scheduler/room.rs
@@ -52,16 +52,16 @@
         }
         let rate = survey.rate / f64::from(self.settings.hosts_in_zone.max(1));
         let rate = rate * self.guaranteed_rate_share(&need);
-        let least = self.min_wait(now, band);
+        let min_wait = self.min_wait(now, band);
         let prediction = admit::Prediction {
-            wait: self.forecast.wait(self.queue.tokens_before(band, request), rate).max(least),
+            wait: self.forecast.wait(self.queue.tokens_before(band, request), rate).max(min_wait),
             first_token: survey.soonest / self.guaranteed_rate_share(&need),
             answer: self.forecast.answer(request.answer_tokens),
         };
         let left = request.deadline.since(now);
         let longest = self.settings.longest_wait[need.class as usize];
-        let part = admit_fraction(&need);
-        admit::check(prediction, longest.mul_f64(part), left, random)?;
+        let fraction = admit_fraction(&need);
+        admit::check(prediction, longest.mul_f64(fraction), left, random)?;
         let engine = prediction.first_token + prediction.answer;
         let engine = engine.min(left.as_secs_f64() * ENGINE_FRACTION);
         let spare = left.saturating_sub(clock::Span::from_secs_f64(engine));
--- a/crates/lagoonline/src/load/upstream.rs
+++ b/crates/lagoonline/src/load/upstream.rs
@@ -32,7 +32,7 @@
 
 /// Recent maximum of this host's own work on an upstream.
 ///
-/// Failure answered: requests of this host end while a report that still includes them is in
+/// Failure mode: requests of this host end while a report that still includes them is in
 /// transit. Symptom: they are counted as other hosts' work, the engine looks full, nothing is sent
 /// to it, and so no answer triggers a newer report; callers are refused as saturated although the
 /// engine is idle. Subtracting the recent maximum of the own work at worst underestimates the work
@@ -89,26 +89,39 @@
     pub leaving: bool,
     /// No longer in the fleet; kept until its work ends.
     pub removed: bool,
+    /// When it joined or restarted; none if it was there when the scheduler started.
     pub joined_at: Option<clock::Moment>,
+    /// Until when it gets no new requests because it reported itself full.
     pub full_until: clock::Moment,
     pub health: outlier::Health,
     pub slowness: rate::Slowness,
-    /// This host's requests, its prefill before first tokens in tokens by rank, and its KV tokens.
+    /// Number of this host's requests there.
     pub requests: u32,
+    /// Prefill of this host's requests without a first token, in tokens by rank.
     pub pending: [u64; 4],
-    /// The same prefill by length class, regardless of the customer's share.
+    /// The same by length class, regardless of the customer's share.
     pending_by_length: [u64; 4],
+    /// KV tokens of this host's requests there.
     pub kv: u64,
+    /// Prefill rate that it reports, in tokens per second.
     pub nominal_rate: f64,
+    /// Incarnation of its process by the last report; 0 before the first one.
     pub incarnation: u64,
+    /// Requests of other hosts, by the last report.
     other_requests: u32,
+    /// KV tokens of other hosts, by the last report.
     other_kv: u64,
+    /// When the last report arrived.
     reported_at: clock::Moment,
     requests_peak: Peak,
     kv_peak: Peak,
+    /// Estimated outstanding prefill of this host as of `drained_to`, in tokens by rank.
     own_prefill: [f64; 4],
+    /// The same for other hosts, as far as the last report shows it.
     other_prefill: [f64; 4],
+    /// Short prefill that this host has sent beyond its allowed rate.
     pub short_excess: floor::ShortExcess,
+    /// Time up to which the outstanding prefill has been advanced.
     drained_to: clock::Moment,
 }
 
@@ -148,7 +161,7 @@
 
     /// Long prefill of other hosts that is not done since the report.
     ///
-    /// Failure answered: a report counts work of this host as that of others, because the engine is
+    /// Failure mode: a report counts work of this host as that of others, because the engine is
     /// slower than predicted. Symptom: while nothing is sent there, nothing removes that work, so a
     /// long prompt waits although the engine is idle, until it is refused.
     fn other_long_prefill(&self, now: clock::Moment) -> f64 {
--- a/crates/lagoonline/src/load/usage.rs
+++ b/crates/lagoonline/src/load/usage.rs
@@ -23,10 +23,12 @@
 /// Number of customers from which on inactive ones are dropped.
 const MIN_KEPT: usize = 64;
 
+/// Recent use of one customer.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     tokens: f64,
     weight: u32,
+    /// Time up to which `tokens` has decayed.
     at: clock::Moment,
 }
 
@@ -35,9 +37,12 @@
 #[derive(Debug, Default)]
 pub struct Usage {
     entries: collections::HashMap<id::Customer, Entry>,
+    /// Decayed tokens of all customers, as of `at`.
     total: f64,
+    /// Sum of the weights of `entries`.
     weights: u64,
     at: clock::Moment,
+    /// Number of entries from which on inactive ones are dropped next.
     cleanup_size: usize,
 }
 
