--- a/crates/lagoonline/src/load/limit.rs
+++ b/crates/lagoonline/src/load/limit.rs
@@ -98,9 +98,9 @@
     /// let mut limits = limit::Limits::new(1);
     /// let rate = limit::Rate { requests: 1.0, tokens: 1e6 };
     /// let customer = Customer::from("clerk");
-    /// let mut ask = || limits.admit(Moment::START, &customer, rate, 100);
-    /// assert!(ask().is_ok() && ask().is_ok());
-    /// assert_eq!(ask().unwrap_err().reason, Reason::OverLimit);
+    /// let mut admit = || limits.admit(Moment::START, &customer, rate, 100);
+    /// assert!(admit().is_ok() && ask().is_ok());
+    /// assert_eq!(admit().unwrap_err().reason, Reason::OverLimit);
     /// ```
     pub fn admit(
         &mut self,
--- a/crates/lagoonline/tests/load_limit.rs
+++ b/crates/lagoonline/tests/load_limit.rs
@@ -45,13 +45,13 @@
 #[case::small(3, 250)]
 #[case::slow_reports(3, 1_000)]
 #[case::large(39, 250)]
-fn a_zone_lets_in_no_more_than_the_error_bound(#[case] hosts: u64, #[case] lag_ms: u64) {
+fn a_zone_admits_no_more_than_the_error_bound(#[case] hosts: u64, #[case] lag_ms: u64) {
     let count = admitted(usize::try_from(hosts).unwrap(), Some(lag_ms));
     let rate = 100;
     let burst = (2 * rate).max(hosts);
     let bound = rate * SECONDS + burst + (hosts - 1) * rate * lag_ms / 1_000 + hosts;
-    assert!(count <= bound, "{count} let in, bound {bound}");
-    assert!(count >= rate * SECONDS * 9 / 10, "{count} let in, limit {}", rate * SECONDS);
+    assert!(count <= bound, "{count} admitted, bound {bound}");
+    assert!(count >= rate * SECONDS * 9 / 10, "{count} admitted, limit {}", rate * SECONDS);
 }
 
 // A host that is the only one to serve a customer may use the whole zone's limit.
@@ -75,6 +75,6 @@
 fn hosts_cut_off_from_each_other_fall_back_to_shares() {
     let count = admitted(4, None);
     let bound = 4 * 3 * 100 + (SECONDS - 3) * 100 + 200 + 4;
-    assert!(count <= bound, "{count} let in, bound {bound}");
+    assert!(count <= bound, "{count} admitted, bound {bound}");
     assert!(count >= SECONDS * 100, "{count}");
 }
--- a/crates/lagoonline/tests/load_placement.rs
+++ b/crates/lagoonline/tests/load_placement.rs
@@ -380,12 +380,12 @@
 fn slow_engines_get_nothing_new() {
     let mut sim = Simulation::new(16);
     let slow = ["e00", "e05", "e10", "e15"];
-    let tell = |sim: &mut Simulation, names: &[&str]| {
+    let report = |sim: &mut Simulation, names: &[&str]| {
         for name in names {
             sim.placer.set_slowness(&id::Upstream::from(*name), 4.0, sim.now);
         }
     };
-    tell(&mut sim, &slow);
+    report(&mut sim, &slow);
     for _ in 0..40 {
         let (id, placed) = sim.send(5_000, TIGHT).unwrap();
         assert!(
@@ -403,7 +403,7 @@
     let placed = sim.place(600_000, LOOSE, 0).unwrap();
     assert!(engines(&placed).iter().any(|name| slow.contains(name)), "never tried again");
     let all: Vec<_> = (0..16).map(|index| format!("e{index:02}")).collect();
-    tell(&mut sim, &all.iter().map(String::as_str).collect::<Vec<_>>());
+    report(&mut sim, &all.iter().map(String::as_str).collect::<Vec<_>>());
     assert!(sim.place(5_000, TIGHT, 0).is_ok());
 }
 
