--- a/crates/lagoonline/src/load/limit.rs
+++ b/crates/lagoonline/src/load/limit.rs
@@ -99,7 +99,7 @@
     /// let rate = limit::Rate { requests: 1.0, tokens: 1e6 };
     /// let customer = Customer::from("clerk");
     /// let mut admit = || limits.admit(Moment::START, &customer, rate, 100);
-    /// assert!(admit().is_ok() && ask().is_ok());
+    /// assert!(admit().is_ok() && admit().is_ok());
     /// assert_eq!(admit().unwrap_err().reason, Reason::OverLimit);
     /// ```
     pub fn admit(
