--- a/crates/lagoon-net/src/engine/mod.rs
+++ b/crates/lagoon-net/src/engine/mod.rs
@@ -155,8 +155,8 @@
     if !parameters.group.is_empty() {
         request = request.header("Lagoon-Group", parameters.group.as_str());
     }
-    let answer = request.send_body(parameters.body.clone()).await;
-    read_head(answer, parameters.attempt).await
+    let response = request.send_body(parameters.body.clone()).await;
+    read_head(response, parameters.attempt).await
 }
 
 /// Resumes an attempt's stream at chunk `from`. The stream belongs to `owner` from then on.
@@ -184,8 +184,8 @@
     zone: &id::Zone,
 ) -> bool {
     let url = format!("http://{address}/streams/{attempt}/cancel");
-    let answer = client.post(url).header("Lagoon-Zone", zone.as_str()).send().await;
-    answer.is_ok_and(|answer| answer.status() == http::StatusCode::OK)
+    let response = client.post(url).header("Lagoon-Zone", zone.as_str()).send().await;
+    response.is_ok_and(|response| response.status() == http::StatusCode::OK)
 }
 
 /// A reservation of KV memory.
@@ -221,8 +221,8 @@
     let request = client.post(format!("http://{address}/kv/reserve"));
     let request = request.header("Lagoon-Zone", zone.as_str());
     match request.send_json(&body).await {
-        Ok(answer) if answer.status() == http::StatusCode::OK => Ok(()),
-        Ok(answer) => Err(read_refusal(&answer).await),
+        Ok(response) if response.status() == http::StatusCode::OK => Ok(()),
+        Ok(response) => Err(read_refusal(&response).await),
         Err(error) if is_unsent(&error) => Err(Failure::Unsent(error.to_string())),
         Err(error) => Err(Failure::Lost(error.to_string())),
     }
@@ -236,8 +236,8 @@
     zone: &id::Zone,
 ) -> bool {
     let url = format!("http://{address}/holdings/{id}/release");
-    let answer = client.post(url).header("Lagoon-Zone", zone.as_str()).send().await;
-    answer.is_ok_and(|answer| answer.status() == http::StatusCode::OK)
+    let response = client.post(url).header("Lagoon-Zone", zone.as_str()).send().await;
+    response.is_ok_and(|response| response.status() == http::StatusCode::OK)
 }
 
 #[derive(serde::Deserialize)]
@@ -256,33 +256,33 @@
 ) -> Option<Vec<engine::Holding>> {
     let url = format!("http://{address}/holdings");
     let request = client.get(url).header("Lagoon-Zone", zone.as_str());
-    let answer = request.send().await.ok()?;
-    if answer.status() != http::StatusCode::OK {
+    let response = request.send().await.ok()?;
+    if response.status() != http::StatusCode::OK {
         return None;
     }
-    let body = answer.body().limit(MAX_HOLDINGS_BYTES).await.ok()?;
+    let body = response.body().limit(MAX_HOLDINGS_BYTES).await.ok()?;
     Some(serde_json::from_slice::<Holdings>(&body).ok()?.holdings)
 }
 
 async fn read_head(
-    answer: Result<client::ClientResponse, client::error::ClientError>,
+    response: Result<client::ClientResponse, client::error::ClientError>,
     attempt: id::Attempt,
 ) -> Result<Events, Failure> {
-    let answer = match answer {
-        Ok(answer) => answer,
+    let response = match response {
+        Ok(response) => response,
         Err(error) if is_unsent(&error) => return Err(Failure::Unsent(error.to_string())),
         Err(error) => return Err(Failure::Lost(error.to_string())),
     };
-    if answer.status() != http::StatusCode::OK {
-        return Err(read_refusal(&answer).await);
+    if response.status() != http::StatusCode::OK {
+        return Err(read_refusal(&response).await);
     }
-    let echoed = answer.header("Lagoon-Attempt").and_then(|value| value.to_str().ok());
+    let echoed = response.header("Lagoon-Attempt").and_then(|value| value.to_str().ok());
     if echoed.and_then(|text| text.parse().ok()) != Some(attempt) {
         return Err(Failure::Lost("the answer names another attempt".to_owned()));
     }
-    let load = answer.header("Lagoon-Load").and_then(|value| value.to_str().ok());
+    let load = response.header("Lagoon-Load").and_then(|value| value.to_str().ok());
     let load = load.and_then(|text| serde_json::from_str::<engine::Load>(text).ok());
-    Ok(Events::new(answer.take_payload(), load))
+    Ok(Events::new(response.take_payload(), load))
 }
 
 #[derive(serde::Deserialize)]
@@ -295,9 +295,9 @@
     code: String,
 }
 
-async fn read_refusal(answer: &client::ClientResponse) -> Failure {
-    let status = answer.status();
-    let body = answer.body().limit(MAX_REFUSAL_BYTES).await;
+async fn read_refusal(response: &client::ClientResponse) -> Failure {
+    let status = response.status();
+    let body = response.body().limit(MAX_REFUSAL_BYTES).await;
     let code = body.ok().and_then(|body| serde_json::from_slice::<Refused>(&body).ok());
     match code.and_then(|refused| Refusal::parse(&refused.error.code)) {
         Some(refusal) => Failure::Refused(refusal),
--- a/crates/lagoon-net/src/entry/admission.rs
+++ b/crates/lagoon-net/src/entry/admission.rs
@@ -24,7 +24,9 @@
 #[derive(Debug)]
 pub(crate) struct Queue {
     clock: clock::System,
+    /// The scheduler of the model.
     shard: sync::Arc<sync::Mutex<load::Scheduler>>,
+    /// Channels to the waiting requests.
     waiting: sync::Mutex<collections::HashMap<load::Waiter, async_sync::oneshot::Sender<Grant>>>,
     /// Notified when a request starts to wait, since that may bring the next wake time forward.
     changed: async_sync::Notify,
@@ -51,9 +53,9 @@
     }
 
     /// Asks the scheduler for a slot. If none is free, the request waits or is refused.
-    pub(crate) fn offer(self: &sync::Arc<Self>, ask: load::Request) -> Decision {
+    pub(crate) fn offer(self: &sync::Arc<Self>, request: load::Request) -> Decision {
         let mut scheduler = load::lock(&self.shard);
-        let verdict = scheduler.offer(self.clock.now(), ask);
+        let verdict = scheduler.offer(self.clock.now(), request);
         self.decide(scheduler, verdict)
     }
 
@@ -133,6 +135,7 @@
         load::lock(&self.shard).record_token_count(bytes as u64, tokens);
     }
 
+    /// Returns the number of waiting requests.
     pub(crate) fn queued(&self) -> usize {
         self.waiting().len()
     }
@@ -164,10 +167,12 @@
 #[derive(Debug)]
 pub(crate) struct Slot {
     queue: sync::Arc<Queue>,
+    /// `None` once the slot is released.
     placement: Option<load::Placement>,
 }
 
 impl Slot {
+    /// Returns the upstream; an empty name after the slot was released.
     pub(crate) fn upstream(&self) -> &id::Upstream {
         static NONE: sync::OnceLock<id::Upstream> = sync::OnceLock::new();
         match &self.placement {
@@ -196,10 +201,10 @@
 
     /// Returns whether another upstream could take the request from a silent one; false for a slot
     /// that was released.
-    pub(crate) fn is_better_elsewhere(&self, ask: &load::Request) -> bool {
+    pub(crate) fn is_better_elsewhere(&self, request: &load::Request) -> bool {
         self.placement.as_ref().is_some_and(|placement| {
             let now = self.queue.clock.now();
-            load::lock(&self.queue.shard).is_better_elsewhere(now, placement.ticket, ask)
+            load::lock(&self.queue.shard).is_better_elsewhere(now, placement.ticket, request)
         })
     }
 
@@ -230,12 +235,12 @@
     }
 
     /// Ends this attempt and requests another slot.
-    pub(crate) fn retry(mut self, ending: load::Ending, ask: load::Request) -> Decision {
-        let Some(placement) = self.placement.take() else { return self.queue.offer(ask) };
+    pub(crate) fn retry(mut self, ending: load::Ending, request: load::Request) -> Decision {
+        let Some(placement) = self.placement.take() else { return self.queue.offer(request) };
         let queue = self.queue.clone();
         let decision = {
             let mut scheduler = load::lock(&queue.shard);
-            let verdict = scheduler.retry(queue.clock.now(), placement.ticket, ending, ask);
+            let verdict = scheduler.retry(queue.clock.now(), placement.ticket, ending, request);
             queue.decide(scheduler, verdict)
         };
         queue.wake_due();
--- a/crates/lagoon-net/src/entry/body.rs
+++ b/crates/lagoon-net/src/entry/body.rs
@@ -61,15 +61,15 @@
         self.0.borrow_mut().take().unwrap_or(http::Payload::None)
     }
 
-    /// Reads and discards the body if it was not taken, unless its announced length exceeds `most`
-    /// bytes.
-    pub(crate) async fn discard(&self, headers: &http::HeaderMap, most: usize) {
-        if content_length(headers).is_some_and(|length| length > most as u64) {
+    /// Reads and discards the body if it was not taken, unless its announced length exceeds
+    /// `max_bytes` bytes.
+    pub(crate) async fn discard(&self, headers: &http::HeaderMap, max_bytes: usize) {
+        if content_length(headers).is_some_and(|length| length > max_bytes as u64) {
             return;
         }
         let mut payload = self.take();
         let read = async {
-            let mut left = most;
+            let mut left = max_bytes;
             while let Ok(Some(Ok(chunk))) =
                 tokio::time::timeout(DISCARD_CHUNK_TIMEOUT, payload.recv()).await
             {
--- a/crates/lagoon-net/src/entry/call.rs
+++ b/crates/lagoon-net/src/entry/call.rs
@@ -68,6 +68,8 @@
     }
 }
 
+/// Finds the customer of the bearer token. The hashes of all its keys are compared in constant
+/// time.
 fn authenticate(
     fleet: &view::Fleet,
     headers: &http::HeaderMap,
@@ -100,8 +102,8 @@
     match span {
         Some(span) if span <= customer.max_deadline => Ok(span),
         _ => {
-            let most = customer.max_deadline.as_millis();
-            let detail = format!("Lagoon-Deadline-Ms must be a whole number of 1 to {most}");
+            let max_ms = customer.max_deadline.as_millis();
+            let detail = format!("Lagoon-Deadline-Ms must be a whole number of 1 to {max_ms}");
             Err(malformed(detail))
         }
     }
--- a/crates/lagoon-net/src/entry/cancel.rs
+++ b/crates/lagoon-net/src/entry/cancel.rs
@@ -120,11 +120,13 @@
     }
 }
 
+/// Counts the end of a pending cancel.
 fn finish(state: &state::State, result: &'static str) {
     state.metrics.cancels_pending.dec();
     state.metrics.count_cancel(result);
 }
 
+/// Sends a cancel once and checks for its acknowledgement.
 async fn send(state: &state::State, client: &client::Client, cancels: &Cancels, pending: Pending) {
     let (address, zone) = (pending.address, &state.settings.zone);
     let release = async {
--- a/crates/lagoon-net/src/entry/claims.rs
+++ b/crates/lagoon-net/src/entry/claims.rs
@@ -76,10 +76,10 @@
     drop(ntex::rt::spawn(async move {
         let result = keyed.run(claims, payload).await;
         // The receiver is gone when the caller disconnected; the response is stored anyway.
-        let _left = sender.send(result);
+        let _disconnected = sender.send(result);
     }));
-    let gone = |_| Err(fault::new(Reason::Internal, Step::Claim, Outcome::Unknown));
-    receiver.await.unwrap_or_else(gone)
+    let dropped = |_| Err(fault::new(Reason::Internal, Step::Claim, Outcome::Unknown));
+    receiver.await.unwrap_or_else(dropped)
 }
 
 impl KeyedCall {
@@ -108,7 +108,7 @@
     }
 
     /// Returns the claim to request for this call.
-    fn new_ask(&self, body: &[u8]) -> claim::Request {
+    fn new_claim_request(&self, body: &[u8]) -> claim::Request {
         let path = format!("/services/{}{}", self.service, self.target);
         claim::Request {
             customer: self.call.customer().name.clone(),
@@ -124,8 +124,8 @@
 
     /// Claims the key, or finds what is recorded under it.
     async fn begin(&self, claims: &Claims, body: &[u8]) -> Result<claim::Begin, fault::Fault> {
-        let (ask, own) = (self.new_ask(body), claims.clone());
-        let mut begin = Box::pin(async move { own.begin(ask).await });
+        let (claim_request, own_claims) = (self.new_claim_request(body), claims.clone());
+        let mut begin = Box::pin(async move { own_claims.begin(claim_request).await });
         let state = &self.worker.state;
         let result = interrupt::within(state, self.call.deadline, &mut begin).await;
         let result = match result {
@@ -174,10 +174,10 @@
         };
         match self.send(body).await {
             Ok(answer) => {
-                let kept = answer.clone();
+                let stored_answer = answer.clone();
                 let shared = state.clone();
                 self.spawn_tracked(claims, |claims| async move {
-                    let stored = store(&claims, sent, kept).await;
+                    let stored = store(&claims, sent, stored_answer).await;
                     shared.metrics.count_claim(if stored { "stored" } else { "unstored" });
                 });
                 Ok(self
@@ -209,11 +209,11 @@
             target: self.target.clone(),
             body: request_body::RequestBody::from_bytes(&self.worker.state, body),
         };
-        let held = request::Pending::new(request::Repeat::Never);
-        let (answer, answering, slot) = job.send(held).await?;
-        let (status, kind) = (answer.status().as_u16(), answer.header("content-type"));
+        let pending = request::Pending::new(request::Repeat::Never);
+        let (response, answering, slot) = job.send(pending).await?;
+        let (status, kind) = (response.status().as_u16(), response.header("content-type"));
         let kind = kind.and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
-        let mut payload = answer.take_payload();
+        let mut payload = response.take_payload();
         let limit = usize::try_from(self.max_answer_bytes).unwrap_or(usize::MAX);
         let work = services::read_whole(&mut payload, limit);
         match interrupt::within(&self.worker.state, self.call.deadline, work).await {
--- a/crates/lagoon-net/src/entry/generation/dispatch.rs
+++ b/crates/lagoon-net/src/entry/generation/dispatch.rs
@@ -25,21 +25,21 @@
     /// must not be dispatched again.
     pub(super) async fn run_attempts(
         &mut self,
-        mut held: request::Pending,
+        mut pending: request::Pending,
         mut decision: admission::Decision,
     ) -> Result<Started, fault::Fault> {
         // Counts rounds, not dispatches: a round whose group reservation fails dispatches nothing.
         for round in 1.. {
             let slot = match self.acquire_slot(decision).await {
                 Ok(slot) => slot,
-                Err(fault) => return Err(fault.with_outcome(held.end())),
+                Err(fault) => return Err(fault.with_outcome(pending.end())),
             };
-            let (retry, ending, cause) = match self.dispatch(held, slot).await? {
+            let (retry, ending, cause) = match self.dispatch(pending, slot).await? {
                 Attempted::Streaming(stream) => return Ok(Started::Streaming(stream)),
-                Attempted::Existing(held, slot, existing) => {
-                    return Ok(Started::Existing(held, slot, existing));
+                Attempted::Existing(pending, slot, existing) => {
+                    return Ok(Started::Existing(pending, slot, existing));
                 }
-                Attempted::Retry(held, slot, ending, cause) => ((held, slot), ending, cause),
+                Attempted::Retry(pending, slot, ending, cause) => ((pending, slot), ending, cause),
             };
             let (next, slot) = retry;
             if round >= self.worker.state.settings.limits.attempts {
@@ -49,10 +49,10 @@
                 return Err(fault::new(reason, Step::Dispatch, next.end()).at(peer));
             }
             self.worker.state.metrics.count_retry(cause);
-            held = next;
-            decision = slot.retry(ending, self.job.ask.clone());
+            pending = next;
+            decision = slot.retry(ending, self.job.request.clone());
         }
-        Err(fault::new(Reason::Internal, Step::Dispatch, held.end()))
+        Err(fault::new(Reason::Internal, Step::Dispatch, pending.end()))
     }
 
     /// Returns the slot of a decision, waiting for it if necessary.
@@ -76,7 +76,7 @@
     /// Makes one attempt: reserves memory for a group, claims the key and sends the call.
     async fn dispatch(
         &mut self,
-        held: request::Pending,
+        pending: request::Pending,
         slot: admission::Slot,
     ) -> Result<Attempted, fault::Fault> {
         let worker = self.worker.clone();
@@ -84,31 +84,31 @@
         let upstream = slot.upstream().clone();
         let view = state.view();
         let Some(known) = view.fleet.upstream(&upstream) else {
-            return Ok(Attempted::Retry(held, slot, load::Ending::Leaving, "unknown_upstream"));
+            return Ok(Attempted::Retry(pending, slot, load::Ending::Leaving, "unknown_upstream"));
         };
         let (attempt, address) = (call::new_attempt(), known.entry.address);
         let group = match self.reserve(&slot).await {
             Ok(group) => group,
             Err(ReserveError::Interrupt(interrupt)) => {
-                return Err(interrupt.fault(Step::Route, held.end()));
+                return Err(interrupt.fault(Step::Route, pending.end()));
             }
             Err(ReserveError::Engine(failure)) => {
                 let full = failure == engine::Failure::Refused(engine::Refusal::Full);
                 let ending = if full { load::Ending::Full } else { load::Ending::Failed };
-                return Ok(Attempted::Retry(held, slot, ending, "group"));
+                return Ok(Attempted::Retry(pending, slot, ending, "group"));
             }
         };
         match self.claim(&upstream, attempt).await {
             Ok(None) if self.delivered > 0 && !self.job.continues => {
-                return Err(stream_gone(held.end(), &upstream));
+                return Err(stream_gone(pending.end(), &upstream));
             }
             Ok(None) => {}
-            Ok(Some(existing)) => return Ok(Attempted::Existing(held, slot, existing)),
-            Err(fault) if held.attempts() == 0 => return Err(fault),
-            Err(fault) => return Err(fault.with_outcome(held.end())),
+            Ok(Some(existing)) => return Ok(Attempted::Existing(pending, slot, existing)),
+            Err(fault) if pending.attempts() == 0 => return Err(fault),
+            Err(fault) => return Err(fault.with_outcome(pending.end())),
         }
         let parameters = self.new_request(attempt, &slot, group.as_ref());
-        let dispatched = held.dispatch(attempt);
+        let dispatched = pending.dispatch(attempt);
         let mut cancel = cancel::Guard::new(state, address, cancel::Holding::Stream(attempt));
         let sent = state.clock.now();
         let work = engine::generate(&self.worker.client, address, &parameters);
@@ -221,7 +221,7 @@
                 Err(interrupt::Interrupt::Deadline) if until < deadline => {}
                 Err(interrupt) => return Err(interrupt),
             }
-            if slot.is_better_elsewhere(&self.job.ask) {
+            if slot.is_better_elsewhere(&self.job.request) {
                 return Ok(None);
             }
             last_data = state.clock.now();
@@ -257,8 +257,8 @@
             zone: state.settings.zone.clone(),
             time_left: self.job.call.time_left(state),
             priority: slot.priority(),
-            model: self.job.ask.model.clone(),
-            answer_tokens: self.job.ask.answer_tokens,
+            model: self.job.request.model.clone(),
+            answer_tokens: self.job.request.answer_tokens,
             skip_tokens: self.delivered,
             group: group.map(|group| group.header.clone()).unwrap_or_default(),
             body: self.job.body.clone(),
--- a/crates/lagoon-net/src/entry/generation/idempotency.rs
+++ b/crates/lagoon-net/src/entry/generation/idempotency.rs
@@ -29,7 +29,7 @@
     #[default]
     None,
     /// The key is claimed once the first engine has been chosen.
-    Pending(Box<Pending>),
+    Deferred(Box<Deferred>),
     /// The key is claimed; nothing is dispatched.
     Ticket(Box<claims::Claims>, claim::Ticket),
     /// The key is claimed and the call is dispatched.
@@ -38,7 +38,7 @@
 
 /// A key that has not been claimed yet.
 #[derive(Debug)]
-pub(crate) struct Pending {
+pub(crate) struct Deferred {
     pub(crate) claims: claims::Claims,
     pub(crate) key: String,
     /// Fingerprint of the request body, from `claim::body_hash`.
@@ -51,7 +51,7 @@
     /// A stored response.
     Answer(claim::Answer),
     /// A stream of another attempt.
-    Running(Box<Pending>, claim::Running),
+    Running(Box<Deferred>, claim::Running),
 }
 
 /// A response as it is stored for replay.
@@ -67,16 +67,16 @@
 
 impl Generation {
     /// Returns the claim to request for this call.
-    fn new_ask(
+    fn new_claim_request(
         &self,
-        pending: &Pending,
+        deferred: &Deferred,
         upstream: &id::Upstream,
         token: id::Attempt,
     ) -> claim::Request {
         claim::Request {
-            customer: self.job.ask.customer.clone(),
-            key: pending.key.clone(),
-            body_hash: pending.body.clone(),
+            customer: self.job.request.customer.clone(),
+            key: deferred.key.clone(),
+            body_hash: deferred.body.clone(),
             repeat: request::Repeat::Allowed,
             token,
             upstream: upstream.clone(),
@@ -96,18 +96,21 @@
         let deadline = self.job.call.deadline;
         let (claims, mut ticket) = match std::mem::take(&mut self.claim) {
             Claim::None => return Ok(None),
-            Claim::Pending(pending) => {
-                let ask = self.new_ask(&pending, upstream, attempt);
-                let begin = interrupt::within(&state, deadline, pending.claims.begin(ask)).await;
+            Claim::Deferred(deferred) => {
+                let claim_request = self.new_claim_request(&deferred, upstream, attempt);
+                let begin =
+                    interrupt::within(&state, deadline, deferred.claims.begin(claim_request)).await;
                 let begin =
                     begin.map_err(|interrupt| interrupt.fault(Step::Claim, Outcome::NotRun))?;
                 return match begin.map_err(|refusal| fault::Fault::from(refusal.failure))? {
                     claim::Begin::Run(ticket) => {
                         state.metrics.count_claim("claimed");
-                        self.mark_sent(Box::new(pending.claims), ticket)
+                        self.mark_sent(Box::new(deferred.claims), ticket)
                     }
                     claim::Begin::Unclaimed => Ok(None),
-                    claim::Begin::Running(running) => Ok(Some(Existing::Running(pending, running))),
+                    claim::Begin::Running(running) => {
+                        Ok(Some(Existing::Running(deferred, running)))
+                    }
                     claim::Begin::Replay(answer) => Ok(Some(Existing::Answer(answer))),
                 };
             }
@@ -142,19 +145,19 @@
     /// when the stream is gone; the key is then claimed for this call.
     pub(super) async fn take_over(
         &mut self,
-        held: request::Pending,
+        pending: request::Pending,
         slot: admission::Slot,
-        pending: Box<Pending>,
+        deferred: Box<Deferred>,
         running: claim::Running,
     ) -> Result<Option<request::Pending>, fault::Fault> {
         let state = self.worker.state.clone();
         let (attempt, from) = (running.attempt, self.delivered);
         let view = state.view();
         let address = view.fleet.upstream(&running.upstream).map(|known| known.entry.address);
-        let dispatched = held.dispatch(attempt);
+        let dispatched = pending.dispatch(attempt);
         if let Some(address) = address {
-            let who = (&state.owner, &state.settings.zone);
-            let work = engine::resume(&self.worker.client, address, attempt, who, from);
+            let owner = (&state.owner, &state.settings.zone);
+            let work = engine::resume(&self.worker.client, address, attempt, owner, from);
             let result = interrupt::within(&state, self.job.call.deadline, work).await;
             let events = match result {
                 Ok(events) => events,
@@ -185,15 +188,16 @@
             }
         }
         drop(slot);
-        let held = dispatched.lost().retry();
-        let held = held.map_err(|end| fault::new(Reason::EarlierUnknown, Step::Claim, end))?;
-        let ask = self.new_ask(&pending, &running.upstream, attempt);
-        let work = pending.claims.take_over(ask, &running);
+        let pending = dispatched.lost().retry();
+        let pending =
+            pending.map_err(|end| fault::new(Reason::EarlierUnknown, Step::Claim, end))?;
+        let claim_request = self.new_claim_request(&deferred, &running.upstream, attempt);
+        let work = deferred.claims.take_over(claim_request, &running);
         let begin = interrupt::within(&state, self.job.call.deadline, work).await;
         if let Ok(Ok(claim::Begin::Run(ticket))) = begin {
-            self.claim = Claim::Ticket(Box::new(pending.claims), ticket);
+            self.claim = Claim::Ticket(Box::new(deferred.claims), ticket);
         }
-        Ok(Some(held))
+        Ok(Some(pending))
     }
 
     /// Stores the whole response for replay, in the background; a drain waits for it.
--- a/crates/lagoon-net/src/entry/generation/mod.rs
+++ b/crates/lagoon-net/src/entry/generation/mod.rs
@@ -30,13 +30,13 @@
 use super::worker;
 use crate::engine;
 
-pub(crate) use idempotency::{Claim, Pending, replay};
+pub(crate) use idempotency::{Claim, Deferred, replay};
 
 /// Input of a model call.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) call: call::Call,
-    pub(crate) ask: load::Request,
+    pub(crate) request: load::Request,
     /// Length of the prompt in bytes, from which its token count was estimated.
     pub(crate) prompt_bytes: usize,
     pub(crate) queue: std::sync::Arc<admission::Queue>,
@@ -47,7 +47,7 @@
 
 impl Job {
     pub(crate) fn tags(&self) -> metrics::Tags {
-        metrics::Tags::of("model", self.ask.model.as_str(), &self.call.customer().name)
+        metrics::Tags::of("model", self.request.model.as_str(), &self.call.customer().name)
     }
 }
 
@@ -127,7 +127,7 @@
         from: u64,
     ) -> Generation {
         let stage = Stage::Pending(request::Pending::new(request::Repeat::Allowed));
-        let records = from == 0 && matches!(claim, Claim::Pending(_));
+        let records = from == 0 && matches!(claim, Claim::Deferred(_));
         let recorded = records.then(String::new);
         Generation { worker, job, stage, delivered: from, last_token: None, claim, recorded }
     }
@@ -139,7 +139,7 @@
     /// Abandons the call and returns the outcome for the caller.
     pub(crate) fn abandon(&mut self) -> Outcome {
         match mem::replace(&mut self.stage, Stage::Ended) {
-            Stage::Pending(held) => held.end(),
+            Stage::Pending(pending) => pending.end(),
             Stage::Streaming(stream) => stream.answering.broken().end(),
             Stage::Ended => Outcome::Unknown,
         }
@@ -148,13 +148,13 @@
     /// Waits for a slot and for the response to start. Returns the stored response instead if there
     /// is one under the call's idempotency key.
     pub(crate) async fn start(&mut self) -> Result<Option<claim::Answer>, fault::Fault> {
-        let Stage::Pending(mut held) = mem::replace(&mut self.stage, Stage::Ended) else {
+        let Stage::Pending(mut pending) = mem::replace(&mut self.stage, Stage::Ended) else {
             return Ok(None);
         };
         // Runs twice at most: a second time when the stream recorded under the key is gone.
         loop {
-            let decision = self.job.queue.offer(self.job.ask.clone());
-            match self.run_attempts(held, decision).await? {
+            let decision = self.job.queue.offer(self.job.request.clone());
+            match self.run_attempts(pending, decision).await? {
                 dispatch::Started::Streaming(stream) => {
                     self.stage = Stage::Streaming(stream);
                     return Ok(None);
@@ -163,12 +163,12 @@
                     return Ok(Some(answer));
                 }
                 dispatch::Started::Existing(
-                    request,
+                    unsent,
                     slot,
-                    idempotency::Existing::Running(pending, running),
-                ) => match self.take_over(request, slot, pending, running).await? {
+                    idempotency::Existing::Running(deferred, running),
+                ) => match self.take_over(unsent, slot, deferred, running).await? {
                     None => return Ok(None),
-                    Some(next) => held = next,
+                    Some(next) => pending = next,
                 },
             }
         }
@@ -267,23 +267,23 @@
         }
         let state = &self.worker.state;
         let now = state.clock.now();
-        let ask = &self.job.ask;
+        let request = &self.job.request;
         if before == 0
             && let Stage::Streaming(stream) = &self.stage
         {
             stream.slot.record_first_token();
             let view = state.view();
-            let class = document::Class::of(ask.prompt_tokens);
-            let span = now.since(ask.arrived);
+            let class = document::Class::of(request.prompt_tokens);
+            let span = now.since(request.arrived);
             if let Some(known) = view.fleet.upstream(stream.slot.upstream()) {
-                state.metrics.observe_first_token(class, &ask.model, &known.entry.zone, span);
+                state.metrics.observe_first_token(class, &request.model, &known.entry.zone, span);
                 if class == document::Class::Short {
-                    state.metrics.observe_short_slowdown(ask, span, known.entry.prefill_rate);
+                    state.metrics.observe_short_slowdown(request, span, known.entry.prefill_rate);
                 }
             }
         }
         state.metrics.observe_tokens(
-            &ask.model,
+            &request.model,
             new_tokens,
             self.last_token.map(|last| now.since(last)),
         );
@@ -304,11 +304,11 @@
             summary.outcome = stream.answering.complete();
         }
         self.store_answer(summary.prompt_tokens);
-        let ask = &self.job.ask;
-        let span = self.worker.state.clock.now().since(ask.arrived);
-        let class = document::Class::of(ask.prompt_tokens);
+        let request = &self.job.request;
+        let span = self.worker.state.clock.now().since(request.arrived);
+        let class = document::Class::of(request.prompt_tokens);
         let prompt = (summary.prompt_tokens, summary.cached_tokens);
-        self.worker.state.metrics.observe_completion(class, &ask.model, span, prompt);
+        self.worker.state.metrics.observe_completion(class, &request.model, span, prompt);
         summary
     }
 }
--- a/crates/lagoon-net/src/entry/generation/recovery.rs
+++ b/crates/lagoon-net/src/entry/generation/recovery.rs
@@ -59,7 +59,7 @@
     fn is_better_elsewhere(&self) -> bool {
         let Stage::Streaming(stream) = &self.stage else { return false };
         let may_move = self.delivered == 0 || self.job.continues;
-        may_move && stream.slot.is_better_elsewhere(&self.job.ask)
+        may_move && stream.slot.is_better_elsewhere(&self.job.request)
     }
 
     /// Recovers from a broken stream: resumes it on its engine, or dispatches the call again.
@@ -114,22 +114,22 @@
             let fault = fault::new(Reason::UpstreamFailed, Step::Stream, lost.end());
             return Err(fault.at(peer).with_detail(error.to_string()));
         }
-        let held = lost.retry().map_err(|outcome| {
+        let pending = lost.retry().map_err(|outcome| {
             fault::new(Reason::UpstreamFailed, Step::Stream, outcome).at(peer.as_str())
         })?;
-        if held.attempts() >= self.worker.state.settings.limits.attempts {
+        if pending.attempts() >= self.worker.state.settings.limits.attempts {
             slot.finish(ending);
-            let fault = fault::new(Reason::UpstreamFailed, Step::Stream, held.end());
+            let fault = fault::new(Reason::UpstreamFailed, Step::Stream, pending.end());
             return Err(fault.at(peer).with_detail(error.to_string()));
         }
         metrics.count_retry(if silent { "silent" } else { "broken" });
-        let decision = slot.retry(ending, self.job.ask.clone());
-        match self.run_attempts(held, decision).await? {
+        let decision = slot.retry(ending, self.job.request.clone());
+        match self.run_attempts(pending, decision).await? {
             dispatch::Started::Streaming(stream) => self.stage = Stage::Streaming(stream),
             // The first dispatch of this call has already claimed the key, so nothing else can be
             // there.
-            dispatch::Started::Existing(held, ..) => {
-                return Err(fault::new(Reason::Internal, Step::Claim, held.end()));
+            dispatch::Started::Existing(pending, ..) => {
+                return Err(fault::new(Reason::Internal, Step::Claim, pending.end()));
             }
         }
         Ok(())
@@ -147,8 +147,8 @@
             stream.resumes.1 += 1;
             let work = async {
                 tokio::time::sleep(pause).await;
-                let who = (&state.owner, &state.settings.zone);
-                engine::resume(&self.worker.client, stream.address, attempt, who, from).await
+                let owner = (&state.owner, &state.settings.zone);
+                engine::resume(&self.worker.client, stream.address, attempt, owner, from).await
             };
             let (_, gap) = stream.slot.silence();
             let (now, deadline) = (state.clock.now(), self.job.call.deadline);
@@ -177,6 +177,7 @@
     }
 }
 
+/// Returns the metric label of a violation.
 fn violation_name(violation: &stream::Violation) -> &'static str {
     match violation {
         stream::Violation::WrongAttempt => "crossed",
--- a/crates/lagoon-net/src/entry/link/mod.rs
+++ b/crates/lagoon-net/src/entry/link/mod.rs
@@ -125,6 +125,7 @@
         self.marks.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
+    /// Sends the loads recorded since the last report.
     fn flush_loads(&self, handle: &link::Handle) {
         let loads = std::mem::take(&mut self.observed().loads);
         if !loads.is_empty() {
@@ -157,6 +158,7 @@
     }
 }
 
+/// Builds the report of the requests and tokens that were admitted since the last one.
 fn spending(state: &state::State, spends: &[limit::Spend], sequence: u64) -> wire::Spending {
     let line = |spend: &limit::Spend| wire::Spend {
         customer: spend.customer.to_string(),
@@ -171,6 +173,7 @@
     }
 }
 
+/// Merges a mark and applies the change to the queues and replicas.
 fn mark(state: &state::State, upstream: &id::Upstream, mark: leaving::Mark) {
     if let Some(leaving) = state.link.merge(upstream, mark) {
         state.set_leaving(upstream, leaving);
--- a/crates/lagoon-net/src/entry/metrics.rs
+++ b/crates/lagoon-net/src/entry/metrics.rs
@@ -294,11 +294,16 @@
 
     /// Records the slowdown of a short prompt: its first token arrived after `span` from an engine
     /// that prefills `rate` tokens per second.
-    pub(crate) fn observe_short_slowdown(&self, ask: &load::Request, span: clock::Span, rate: f64) {
+    pub(crate) fn observe_short_slowdown(
+        &self,
+        request: &load::Request,
+        span: clock::Span,
+        rate: f64,
+    ) {
         let mut baseline = self.baseline.lock().unwrap_or_else(sync::PoisonError::into_inner);
-        let ratio = baseline.record(span, ask.prompt_tokens, rate);
+        let ratio = baseline.record(span, request.prompt_tokens, rate);
         drop(baseline);
-        let labels = ModelLabels { model: ask.model.to_string() };
+        let labels = ModelLabels { model: request.model.to_string() };
         self.short_slowdown.get_or_create(&labels).observe(ratio);
     }
 
--- a/crates/lagoon-net/src/entry/model.rs
+++ b/crates/lagoon-net/src/entry/model.rs
@@ -43,47 +43,47 @@
     let metadata = render::Metadata {
         endpoint,
         id: call::new_attempt(),
-        model: job.ask.model.clone(),
+        model: job.request.model.clone(),
         created: state.clock.wall_millis() / 1_000,
     };
     let customer = job.call.customer();
     let rate = job.call.rate();
-    let tokens = job.ask.prompt_tokens + job.ask.answer_tokens;
+    let tokens = job.request.prompt_tokens + job.request.answer_tokens;
     state.rate_limits().admit(state.clock.now(), &customer.name, rate, tokens)?;
     let (claim, from) = (new_claim(worker, request, &job), job.call.resume_from);
     let mut generation = generation::Generation::new(worker.clone(), job, claim, from);
     let replay = generation.start().await?;
-    let mut answer = web::HttpResponse::Ok();
-    answer.set_header("X-Request-Id", request_id);
+    let mut response = web::HttpResponse::Ok();
+    response.set_header("X-Request-Id", request_id);
     if state.phase() >= state::Phase::Draining {
-        answer.force_close();
+        response.force_close();
     }
     if prompt.stream {
         let outcome_event = request.headers().get("lagoon-outcome-event");
         let outcome_event = outcome_event.is_some_and(|value| value.as_bytes() == b"1");
         let mut writer = render::Writer::new(metadata);
-        answer.set_header("Cache-Control", "no-cache");
-        answer.content_type("text/event-stream");
+        response.set_header("Cache-Control", "no-cache");
+        response.content_type("text/event-stream");
         if let Some(stored) = replay {
             let usage = replay_usage(&generation, generation::replay(&stored, from, &mut writer))?;
             state.metrics.count_claim("replayed");
             state.metrics.count_done(&tags, Outcome::Done);
             writer.finish(usage, outcome_event);
-            answer.set_header("Lagoon-Outcome", Outcome::Done.as_str());
-            return Ok(answer.body(writer.take()));
+            response.set_header("Lagoon-Outcome", Outcome::Done.as_str());
+            return Ok(response.body(writer.take()));
         }
-        let feed =
+        let body =
             relay::start(state.clone(), generation, writer, active, outcome_event, request.io());
-        answer.set_header("Lagoon-Outcome", Outcome::Unknown.as_str());
-        return Ok(answer.streaming(feed));
+        response.set_header("Lagoon-Outcome", Outcome::Unknown.as_str());
+        return Ok(response.streaming(body));
     }
     let mut text = render::Collector::default();
     if let Some(stored) = replay {
         let usage = replay_usage(&generation, generation::replay(&stored, from, &mut text))?;
         state.metrics.count_claim("replayed");
         state.metrics.count_done(&tags, Outcome::Done);
-        answer.set_header("Lagoon-Outcome", Outcome::Done.as_str());
-        return Ok(answer.content_type("application/json").body(text.finish(&metadata, usage)));
+        response.set_header("Lagoon-Outcome", Outcome::Done.as_str());
+        return Ok(response.content_type("application/json").body(text.finish(&metadata, usage)));
     }
     let summary = loop {
         if let Some(summary) = generation.next(&mut text).await? {
@@ -91,9 +91,9 @@
         }
     };
     state.metrics.count_done(&tags, summary.outcome);
-    answer.set_header("Lagoon-Outcome", summary.outcome.as_str());
+    response.set_header("Lagoon-Outcome", summary.outcome.as_str());
     let json = text.finish(&metadata, relay::usage(&generation, summary));
-    Ok(answer.content_type("application/json").body(json))
+    Ok(response.content_type("application/json").body(json))
 }
 
 /// Returns the idempotency claim of a call that has a key, if there is a platform to record it on.
@@ -103,7 +103,7 @@
     job: &generation::Job,
 ) -> generation::Claim {
     match (&job.call.key, &worker.claims) {
-        (Some(key), Some(claims)) => generation::Claim::Pending(Box::new(generation::Pending {
+        (Some(key), Some(claims)) => generation::Claim::Deferred(Box::new(generation::Deferred {
             claims: claims.clone(),
             key: key.clone(),
             body: claim::body_hash("POST", request.path(), &job.body),
@@ -119,10 +119,11 @@
 ) -> Result<render::Usage, fault::Fault> {
     let unreadable = || fault::new(Reason::EarlierUnknown, Step::Claim, Outcome::Unknown);
     let (prompt_tokens, answer_tokens) = found.ok_or_else(unreadable)?;
-    let limit_reached = answer_tokens >= generation.job().ask.answer_tokens;
+    let limit_reached = answer_tokens >= generation.job().request.answer_tokens;
     Ok(render::Usage { prompt_tokens, answer_tokens, limit_reached })
 }
 
+/// Checks the model and the token limit, and builds the request for the scheduler.
 fn new_job(
     call: call::Call,
     prompt: &prompt::Prompt,
@@ -146,7 +147,7 @@
         return Err(fault.with_detail(detail));
     }
     let prefixes = prompt.prefixes.iter().map(|(hash, bytes)| (*hash, tokens(*bytes)));
-    let ask = load::Request {
+    let request = load::Request {
         customer: customer.name.clone(),
         team: customer.team.clone(),
         weight: customer.entry.weight,
@@ -160,7 +161,7 @@
     };
     let (queue, continues) = (sync::Arc::clone(queue), known.continues);
     let prompt_bytes = prompt.bytes;
-    Ok(generation::Job { call, ask, prompt_bytes, queue, continues, body })
+    Ok(generation::Job { call, request, prompt_bytes, queue, continues, body })
 }
 
 /// Lists the models that the caller may use.
@@ -175,8 +176,8 @@
     let models = models.filter(|model| allowed.is_empty() || allowed.contains(model));
     let entry = |model: &id::Model| json!({"id": model, "object": "model", "created": 0, "owned_by": "lagoonline"});
     let data: Vec<_> = models.map(entry).collect();
-    let mut answer = web::HttpResponse::Ok();
-    answer.set_header("X-Request-Id", request_id);
-    answer.set_header("Lagoon-Outcome", Outcome::Done.as_str());
-    Ok(answer.json(&json!({"object": "list", "data": data})))
+    let mut response = web::HttpResponse::Ok();
+    response.set_header("X-Request-Id", request_id);
+    response.set_header("Lagoon-Outcome", Outcome::Done.as_str());
+    Ok(response.json(&json!({"object": "list", "data": data})))
 }
--- a/crates/lagoon-net/src/entry/prompt.rs
+++ b/crates/lagoon-net/src/entry/prompt.rs
@@ -76,7 +76,7 @@
 /// Hashes the prompt in the same way as engines do: all texts concatenated without a separator.
 fn hash(prompt: &str) -> (usize, Vec<(u64, usize)>) {
     let mut hasher = Hasher { hash: FNV_BASIS, bytes: 0, prefixes: Vec::new() };
-    hasher.value(prompt);
+    hasher.hash_value(prompt);
     (hasher.bytes, hasher.prefixes)
 }
 
@@ -92,6 +92,7 @@
     text: Option<&'a RawValue>,
 }
 
+/// State of the prefix hashes while the prompt's text is read.
 struct Hasher {
     hash: u64,
     bytes: usize,
@@ -101,34 +102,34 @@
 impl Hasher {
     /// Hashes a JSON string, or an array of strings, messages or parts; any other value has no
     /// text.
-    fn value(&mut self, json: &str) {
+    fn hash_value(&mut self, json: &str) {
         match json.as_bytes().first() {
-            Some(b'"') => self.json_text(json),
+            Some(b'"') => self.hash_json_string(json),
             Some(b'[') => {
                 let items: Vec<&RawValue> = serde_json::from_str(json).unwrap_or_default();
-                items.into_iter().for_each(|item| self.value(item.get()));
+                items.into_iter().for_each(|item| self.hash_value(item.get()));
             }
             Some(b'{') => {
                 let part = serde_json::from_str::<Part<'_>>(json).ok();
                 let text = part.and_then(|part| part.content.or(part.text));
-                text.into_iter().for_each(|text| self.value(text.get()));
+                text.into_iter().for_each(|text| self.hash_value(text.get()));
             }
             _ => {}
         }
     }
 
     /// Decodes the string only if it contains escapes.
-    fn json_text(&mut self, json: &str) {
+    fn hash_json_string(&mut self, json: &str) {
         let text = &json[1..json.len() - 1];
         if text.as_bytes().contains(&b'\\') {
             let decoded: String = serde_json::from_str(json).unwrap_or_default();
-            self.text(decoded.as_bytes());
+            self.hash_text(decoded.as_bytes());
         } else {
-            self.text(text.as_bytes());
+            self.hash_text(text.as_bytes());
         }
     }
 
-    fn text(&mut self, mut text: &[u8]) {
+    fn hash_text(&mut self, mut text: &[u8]) {
         while !text.is_empty() {
             let missing = PREFIX_STEP - self.bytes % PREFIX_STEP;
             let (block, rest) = text.split_at(missing.min(text.len()));
--- a/crates/lagoon-net/src/entry/relay.rs
+++ b/crates/lagoon-net/src/entry/relay.rs
@@ -4,7 +4,7 @@
 //! host buffer without limit. A task fills a bounded channel; while the channel is full, the
 //! engine's connection is not read. The end of the stream is stored outside the channel, so that it
 //! reaches the caller even when the channel is full. If the task ends without storing one, as after
-//! a panic, the connection is cut. Only [`Ending::Whole`] ends the body normally.
+//! a panic, the connection is cut. Only [`Ending::Complete`] ends the body normally.
 
 use std::cell;
 use std::pin;
@@ -30,7 +30,7 @@
     /// The stream has not ended, or its task ended without storing an ending.
     Unset,
     /// The response is complete.
-    Whole,
+    Complete,
     /// The response failed; holds the error event that is sent last.
     Failed(util::Bytes),
 }
@@ -61,9 +61,10 @@
 }
 
 impl BodyStream {
+    /// Returns the last item of the body, by how the stream ended.
     fn end(&self) -> Option<Result<util::Bytes, std::io::Error>> {
-        match self.ending.replace(Ending::Whole) {
-            Ending::Whole => None,
+        match self.ending.replace(Ending::Complete) {
+            Ending::Complete => None,
             Ending::Failed(event) => Some(Ok(event)),
             Ending::Unset => {
                 Some(Err(std::io::Error::other("the response ended without a result")))
@@ -95,6 +96,7 @@
     BodyStream { batches, ending, _active: active, _guard: guard }
 }
 
+/// Task that moves tokens from the generation to the response body.
 struct Relay {
     state: std::sync::Arc<state::State>,
     generation: generation::Generation,
@@ -111,13 +113,13 @@
         let ended = tokio::select! {
             biased;
             () = sender.closed() => None,
-            ended = self.copy() => Some(ended),
+            ended = self.forward() => Some(ended),
         };
         let (metrics, tags) = (&self.state.metrics, self.generation.job().tags());
         match ended {
             Some(Ok(outcome)) => {
                 metrics.count_done(&tags, outcome);
-                self.ending.replace(Ending::Whole);
+                self.ending.replace(Ending::Complete);
             }
             Some(Err(fault)) => {
                 metrics.count_failed(&tags, &fault.failure);
@@ -132,7 +134,8 @@
         self.generation.job().call.time_left(&self.state) + self.state.settings.limits.linger
     }
 
-    async fn copy(&mut self) -> Result<Outcome, fault::Fault> {
+    /// Sends batches of events until the response ends.
+    async fn forward(&mut self) -> Result<Outcome, fault::Fault> {
         loop {
             let summary = self.generation.next(&mut self.writer).await?;
             if let Some(summary) = summary {
@@ -160,6 +163,6 @@
     render::Usage {
         prompt_tokens: summary.prompt_tokens,
         answer_tokens: summary.answer_tokens,
-        limit_reached: summary.answer_tokens >= generation.job().ask.answer_tokens,
+        limit_reached: summary.answer_tokens >= generation.job().request.answer_tokens,
     }
 }
--- a/crates/lagoon-net/src/entry/replica.rs
+++ b/crates/lagoon-net/src/entry/replica.rs
@@ -24,6 +24,7 @@
 use lagoonline::view;
 use tokio::sync as async_sync;
 
+/// State of one replica that this host tracks.
 #[derive(Debug, Default)]
 struct Replica {
     /// Slots in use.
@@ -105,7 +106,7 @@
 
 impl Slot {
     /// Records that the replica responded, with whatever status.
-    pub(crate) fn record_answer(&self) {
+    pub(crate) fn record_response(&self) {
         self.replica.health().record_success();
     }
 
@@ -136,6 +137,7 @@
 }
 
 impl Replicas {
+    /// Returns the replicas of a new fleet; the state of those that remain is kept.
     pub(crate) fn with_fleet(&self, fleet: &view::Fleet) -> Replicas {
         let mut replicas = collections::HashMap::new();
         let mut queues = collections::HashMap::new();
@@ -156,13 +158,13 @@
         }
     }
 
-    /// Adds a call to those that wait for a slot of the service. Returns `None` when `most` wait
-    /// already.
-    pub(crate) fn enqueue(&self, service: &id::Service, most: usize) -> Option<Waiter> {
+    /// Adds a call to those that wait for a slot of the service. Returns `None` when `max_waiting`
+    /// wait already.
+    pub(crate) fn enqueue(&self, service: &id::Service, max_waiting: usize) -> Option<Waiter> {
         let queue = self.queues.get(service)?;
         let waiter = Waiter(queue.clone());
         let before = queue.waiting.fetch_add(1, atomic::Ordering::Relaxed);
-        (before < most).then_some(waiter)
+        (before < max_waiting).then_some(waiter)
     }
 
     /// Takes a slot at a replica that is not in `tried`. `waited` is set for a call from the queue,
@@ -199,7 +201,9 @@
                 continue;
             };
             let remote = upstream.entry.zone != *zone;
-            if best.as_ref().is_some_and(|(f, o, ..)| (remote, in_flight) >= (*f, *o)) {
+            if best.as_ref().is_some_and(|(best_remote, best_in_flight, ..)| {
+                (remote, in_flight) >= (*best_remote, *best_in_flight)
+            }) {
                 replica.release();
                 continue;
             }
--- a/crates/lagoon-net/src/entry/request_body.rs
+++ b/crates/lagoon-net/src/entry/request_body.rs
@@ -37,9 +37,9 @@
         payload: http::Payload,
     ) -> Result<RequestBody, fault::Fault> {
         let length = body::content_length(headers);
-        let most = state.settings.limits.service_body_bytes;
-        if length.is_some_and(|length| length > most) {
-            return Err(body::too_long(most));
+        let max_bytes = state.settings.limits.service_body_bytes;
+        if length.is_some_and(|length| length > max_bytes) {
+            return Err(body::too_long(max_bytes));
         }
         let chunked = headers.contains_key("transfer-encoding");
         let inner = Inner {
--- a/crates/lagoon-net/src/entry/server.rs
+++ b/crates/lagoon-net/src/entry/server.rs
@@ -185,6 +185,7 @@
     Ok(Running { handle, thread })
 }
 
+/// Runs the server on the control thread until it is drained.
 async fn serve(
     state: sync::Arc<state::State>,
     listener: net::TcpListener,
@@ -225,6 +226,7 @@
     ntex::time::Seconds(u16::try_from(span.as_millis().div_ceil(1_000)).unwrap_or(u16::MAX))
 }
 
+/// Runs each new queue in a task of its own.
 async fn run_queues(
     mut queues: tokio::sync::mpsc::UnboundedReceiver<sync::Weak<admission::Queue>>,
 ) {
@@ -292,6 +294,7 @@
     drop(state.watch_active().wait_for(|count| *count == 0).await);
 }
 
+/// Handles one HTTP request: probes and metrics here, everything else by [`dispatch`].
 async fn route(
     request: web::HttpRequest,
     payload: web::types::Payload,
@@ -300,7 +303,7 @@
     let state = &worker.state;
     let path = request.path();
     let unread = body::Unread::new(payload.into_inner());
-    let most = state.settings.limits.body_bytes;
+    let max_bytes = state.settings.limits.body_bytes;
     match path {
         "/healthz" => return web::HttpResponse::Ok().body("ok\n"),
         "/readyz" => return readiness(state),
@@ -312,13 +315,13 @@
     if state.phase() >= state::Phase::Draining {
         let fault = fault::new(Reason::Draining, Step::Admit, Outcome::NotRun);
         state.metrics.count_failed(&metrics::Tags::new(kind), &fault.failure);
-        unread.discard(request.headers(), most).await;
+        unread.discard(request.headers(), max_bytes).await;
         return fault.response(&request_id, true);
     }
     let work = async {
         let result = dispatch(&worker, &request, &unread, &request_id).await;
         if result.is_err() {
-            unread.discard(request.headers(), most).await;
+            unread.discard(request.headers(), max_bytes).await;
         }
         result
     };
@@ -340,6 +343,7 @@
     })
 }
 
+/// Selects the handler by path and method.
 async fn dispatch(
     worker: &rc::Rc<worker::Worker>,
     request: &web::HttpRequest,
@@ -367,16 +371,18 @@
     }
 }
 
+/// Responds to `/readyz`.
 fn readiness(state: &state::State) -> web::HttpResponse {
     if state.is_ready() {
         return web::HttpResponse::Ok().body("ready\n");
     }
     let why =
         if state.phase() > state::Phase::Serving { "draining\n" } else { "no sections yet\n" };
-    let mut answer = web::HttpResponse::ServiceUnavailable();
-    answer.set_header("Retry-After", "1").body(why)
+    let mut response = web::HttpResponse::ServiceUnavailable();
+    response.set_header("Retry-After", "1").body(why)
 }
 
+/// Responds to `/metrics`.
 fn metrics_page(state: &state::State) -> web::HttpResponse {
     state.refresh();
     match state.metrics.encode() {
--- a/crates/lagoon-net/src/entry/services.rs
+++ b/crates/lagoon-net/src/entry/services.rs
@@ -31,7 +31,7 @@
 const PREFIX: &str = "/services/";
 /// Responses up to this many bytes are read completely before their head is sent, so that the head
 /// can carry the outcome `done`.
-const BUFFERED_ANSWER_BYTES: usize = 256 << 10;
+const BUFFERED_RESPONSE_BYTES: usize = 256 << 10;
 
 /// A chunk of a response body.
 type Chunk = Result<util::Bytes, rc::Rc<dyn std::error::Error>>;
@@ -90,8 +90,8 @@
     let (worker, request) = (worker.clone(), request.clone());
     let job = Job { worker, call, request, service, target, body };
     let repeat = if repeats { request::Repeat::Allowed } else { request::Repeat::Never };
-    let (answer, answering, slot) = job.send(request::Pending::new(repeat)).await?;
-    job.forward_answer(answer, answering, slot, active, request_id).await
+    let (response, answering, slot) = job.send(request::Pending::new(repeat)).await?;
+    job.forward_response(response, answering, slot, active, request_id).await
 }
 
 /// Splits the path into the service's name and the path and query to forward.
@@ -107,6 +107,7 @@
 const KIND: &str = "service";
 
 impl Job {
+    /// Returns the labels under which the call is counted.
     pub(crate) fn tags(&self) -> metrics::Tags {
         metrics::Tags::of(KIND, self.service.as_str(), &self.call.customer().name)
     }
@@ -114,7 +115,7 @@
     /// Dispatches the call, and retries it on other replicas while that is safe and possible.
     pub(crate) async fn send(
         &self,
-        mut held: request::Pending,
+        mut pending: request::Pending,
     ) -> Result<(client::ClientResponse, request::Answering, replica::Slot), fault::Fault> {
         let state = &self.worker.state;
         let mut tried = Vec::new();
@@ -122,19 +123,19 @@
         loop {
             let slot = match self.slot(&tried, &last).await {
                 Ok(slot) => slot,
-                Err(fault) => return Err(fault.with_outcome(held.end())),
+                Err(fault) => return Err(fault.with_outcome(pending.end())),
             };
             tried.push(slot.upstream.clone());
             let attempt = call::new_attempt();
-            let dispatched = held.dispatch(attempt);
+            let dispatched = pending.dispatch(attempt);
             let work = self.dispatch(&slot, dispatched.attempt());
             let result = interrupt::within(state, self.call.deadline, work).await;
             let peer = slot.upstream.as_str();
             let failure = match result {
-                Ok(Ok(answer)) => {
+                Ok(Ok(response)) => {
                     state.metrics.count_attempt("answered");
-                    slot.record_answer();
-                    return Ok((answer, dispatched.answering(), slot));
+                    slot.record_response();
+                    return Ok((response, dispatched.answering(), slot));
                 }
                 Ok(Err(failure)) => failure,
                 Err(interrupt) => {
@@ -143,7 +144,7 @@
             };
             last = fault::new(Reason::UpstreamFailed, Step::Dispatch, Outcome::Unknown).at(peer);
             last = last.with_detail(failure.to_string());
-            held = match failure {
+            pending = match failure {
                 service::Failure::Unsent(_) => {
                     state.metrics.count_attempt("unsent");
                     last.failure.reason = Reason::NoUpstream;
@@ -152,7 +153,7 @@
                 }
                 service::Failure::Refused => {
                     state.metrics.count_attempt("refused");
-                    slot.record_answer();
+                    slot.record_response();
                     last.failure.reason = Reason::NoUpstream;
                     dispatched.refused()
                 }
@@ -167,7 +168,7 @@
                 }
             };
             if !self.body.is_replayable() {
-                return Err(last.with_outcome(held.end()));
+                return Err(last.with_outcome(pending.end()));
             }
             state.metrics.count_retry("service");
         }
@@ -230,17 +231,18 @@
     }
 
     /// Forwards a response to the caller: short ones as a whole, others as a stream.
-    async fn forward_answer(
+    async fn forward_response(
         &self,
-        answer: client::ClientResponse,
+        response: client::ClientResponse,
         answering: request::Answering,
         slot: replica::Slot,
         active: state::ActiveGuard,
         request_id: &str,
     ) -> Result<web::HttpResponse, fault::Fault> {
         let state = &self.worker.state;
-        let mut head = web::HttpResponse::build(answer.status());
-        for (name, value) in answer.headers().iter().filter(|(name, _)| service::is_forwarded(name))
+        let mut head = web::HttpResponse::build(response.status());
+        for (name, value) in
+            response.headers().iter().filter(|(name, _)| service::is_forwarded(name))
         {
             if !name.as_str().starts_with("lagoon-") && name.as_str() != "x-request-id" {
                 head.header(name.clone(), value.clone());
@@ -250,14 +252,14 @@
         if state.phase() >= state::Phase::Draining {
             head.force_close();
         }
-        let length = body::content_length(answer.headers());
-        let mut payload = answer.take_payload();
+        let length = body::content_length(response.headers());
+        let mut payload = response.take_payload();
         let bodyless = *self.request.method() == http::Method::HEAD;
-        if bodyless || length.is_some_and(|length| length <= BUFFERED_ANSWER_BYTES as u64) {
+        if bodyless || length.is_some_and(|length| length <= BUFFERED_RESPONSE_BYTES as u64) {
             let whole = interrupt::within(
                 state,
                 self.call.deadline,
-                read_whole(&mut payload, BUFFERED_ANSWER_BYTES),
+                read_whole(&mut payload, BUFFERED_RESPONSE_BYTES),
             )
             .await;
             let whole = match whole {
@@ -308,25 +310,25 @@
         let left = self.call.time_left(&state) + state.settings.limits.linger;
         drop(ntex::rt::spawn(watch.close_after(left)));
         let tags = self.tags();
-        let held = (answering, slot, active, guard, tags);
-        let first = Some((payload, held));
-        stream::unfold((state, first), move |(state, held)| async move {
-            let (mut payload, held) = held?;
+        let owned = (answering, slot, active, guard, tags);
+        let first = Some((payload, owned));
+        stream::unfold((state, first), move |(state, owned)| async move {
+            let (mut payload, owned) = owned?;
             let next = interrupt::within(&state, deadline, payload.recv()).await;
             let fault = match next {
                 Ok(Some(Ok(chunk))) => {
-                    return Some((Ok(chunk), (state, Some((payload, held)))));
+                    return Some((Ok(chunk), (state, Some((payload, owned)))));
                 }
                 Ok(None) => {
-                    state.metrics.count_done(&held.4, held.0.complete());
+                    state.metrics.count_done(&owned.4, owned.0.complete());
                     return None;
                 }
                 Ok(Some(Err(error))) => {
-                    let outcome = held.0.broken().end();
+                    let outcome = owned.0.broken().end();
                     let fault = fault::new(Reason::UpstreamFailed, Step::Stream, outcome);
-                    (held.4, fault.with_detail(error.to_string()))
+                    (owned.4, fault.with_detail(error.to_string()))
                 }
-                Err(interrupt) => (held.4, interrupt.fault(Step::Stream, held.0.broken().end())),
+                Err(interrupt) => (owned.4, interrupt.fault(Step::Stream, owned.0.broken().end())),
             };
             let (tags, fault) = fault;
             state.metrics.count_failed(&tags, &fault.failure);
--- a/crates/lagoon-net/src/entry/settings.rs
+++ b/crates/lagoon-net/src/entry/settings.rs
@@ -334,10 +334,10 @@
     reader: &check::Reader<'_>,
     name: &str,
     default: usize,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 ) -> usize {
-    let number = reader.number(name, default as u64, least..=most);
+    let number = reader.number(name, default as u64, min..=max);
     usize::try_from(number).unwrap_or(default)
 }
 
@@ -345,9 +345,9 @@
     reader: &check::Reader<'_>,
     name: &str,
     default: clock::Span,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 ) -> clock::Span {
-    let default_ms = u64::try_from(default.as_millis()).unwrap_or(most);
-    clock::Span::from_millis(reader.number(name, default_ms, least..=most))
+    let default_ms = u64::try_from(default.as_millis()).unwrap_or(max);
+    clock::Span::from_millis(reader.number(name, default_ms, min..=max))
 }
--- a/crates/lagoon-net/src/entry/state.rs
+++ b/crates/lagoon-net/src/entry/state.rs
@@ -119,15 +119,15 @@
     /// Applies sections. A section whose version is not above the current one is ignored, so that a
     /// late or replayed message cannot revert it.
     pub(crate) fn install(&self, sections: Vec<document::Section>) {
-        let held = &self.sections;
-        let mut held = held.lock().unwrap_or_else(sync::PoisonError::into_inner);
+        let current = &self.sections;
+        let mut current = current.lock().unwrap_or_else(sync::PoisonError::into_inner);
         for section in sections {
-            let newer = held.get(&section.team).is_none_or(|old| old.version < section.version);
+            let newer = current.get(&section.team).is_none_or(|old| old.version < section.version);
             if newer {
-                held.insert(section.team.clone(), section);
+                current.insert(section.team.clone(), section);
             }
         }
-        self.install_fleet(sync::Arc::new(view::Fleet::merge(held.values())));
+        self.install_fleet(sync::Arc::new(view::Fleet::merge(current.values())));
     }
 
     /// Replaces the fleet of the current view.
@@ -171,6 +171,7 @@
         queues
     }
 
+    /// Sets whether an upstream is leaving, in all queues and replicas.
     pub(crate) fn set_leaving(&self, upstream: &id::Upstream, leaving: bool) {
         let view = self.view();
         for queue in view.queues.values() {
--- a/crates/lagoon-net/src/service/mod.rs
+++ b/crates/lagoon-net/src/service/mod.rs
@@ -86,19 +86,19 @@
         .set_header("Lagoon-Owner", call.owner.to_string())
         .set_header("Lagoon-Zone", call.zone.as_str())
         .set_header("Lagoon-Deadline-Ms", engine::millis(call.time_left));
-    let answer = match request.send_body(body).await {
-        Ok(answer) => answer,
+    let response = match request.send_body(body).await {
+        Ok(response) => response,
         Err(error) if engine::is_unsent(&error) => return Err(Failure::Unsent(error.to_string())),
         Err(error) => return Err(Failure::Lost(error.to_string())),
     };
-    if answer.status() == http::StatusCode::SERVICE_UNAVAILABLE
-        && answer.header("Lagoon-Not-Run").is_some_and(|value| value.as_bytes() == b"1")
+    if response.status() == http::StatusCode::SERVICE_UNAVAILABLE
+        && response.header("Lagoon-Not-Run").is_some_and(|value| value.as_bytes() == b"1")
     {
         return Err(Failure::Refused);
     }
-    let echoed = answer.header("Lagoon-Attempt").and_then(|value| value.to_str().ok());
+    let echoed = response.header("Lagoon-Attempt").and_then(|value| value.to_str().ok());
     if echoed.and_then(|text| text.parse().ok()) != Some(call.attempt) {
         return Err(Failure::Lost("the answer names another attempt".to_owned()));
     }
-    Ok(answer)
+    Ok(response)
 }
