--- a/crates/lagoonline/tests/check.rs
+++ b/crates/lagoonline/tests/check.rs
@@ -39,7 +39,7 @@
     r#"{"policy": {"objectives": [{"name": "n", "indicator": "speed"}]}}"#,
     "/policy/objectives/0/indicator: is not an indicator; see the page on the document"
 )]
-fn a_faulty_section_is_refused_with_pointers(#[case] text: &str, #[case] faults: &str) {
+fn an_invalid_section_is_refused_with_pointers(#[case] text: &str, #[case] faults: &str) {
     assert_eq!(parse(text).unwrap_err(), faults);
 }
 
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn all_faults_are_reported_together() {
+fn all_errors_are_reported_together() {
     let text = r#"{"models": {"m": {"max_tokens": 0}}, "claims": {"m": {"engine": 1}}, "x": 1}"#;
     let faults = parse(text).unwrap_err();
     assert_eq!(
@@ -104,12 +104,12 @@
     #![proptest_config(fixed(2_000))]
 
     #[test]
-    fn no_text_makes_a_panic(text in ".{0,200}") {
+    fn no_text_causes_a_panic(text in ".{0,200}") {
         let _ = parse(&text);
     }
 
     #[test]
-    fn a_section_is_taken_or_each_fault_has_a_pointer(text in json()) {
+    fn a_section_is_accepted_or_each_error_has_a_pointer(text in json()) {
         if let Err(faults) = parse(&text) {
             prop_assert!(faults.lines().all(|line| line.starts_with('/')), "{}", faults);
         }
--- a/crates/lagoonline/tests/life_drain.rs
+++ b/crates/lagoonline/tests/life_drain.rs
@@ -26,8 +26,8 @@
 #[rstest]
 #[case::balancer(&[(2_999, Event::Tick, 0, State::Unready), (3_000, Event::Tick, 2, State::Draining)])]
 #[case::stream(&[(99_999, Event::Tick, 1, State::Draining), (99_999, Event::Tick, 0, CLEAN)])]
-#[case::insisted(&[(10, Event::Signal, 2, CUT), (20, Event::Signal, 9, CUT), (30, Event::Tick, 9, CUT)])]
-#[case::insisted_idle(&[(10, Event::Signal, 0, CLEAN), (20, Event::Signal, 9, CLEAN), (30, Event::Tick, 9, CLEAN)])]
+#[case::second_signal(&[(10, Event::Signal, 2, CUT), (20, Event::Signal, 9, CUT), (30, Event::Tick, 9, CUT)])]
+#[case::second_signal_idle(&[(10, Event::Signal, 0, CLEAN), (20, Event::Signal, 9, CLEAN), (30, Event::Tick, 9, CLEAN)])]
 #[case::limit(&[(100_000, Event::Tick, 1, CUT)])]
 fn drains(#[case] events: &[(u64, Event, usize, State)]) {
     let mut drain = Drain::new(Settings { unready: UNREADY, grace: GRACE });
--- a/crates/lagoonline/tests/life_fuzz/machine.rs
+++ b/crates/lagoonline/tests/life_fuzz/machine.rs
@@ -18,7 +18,7 @@
         customer: u8,
         key: Option<u8>,
         body: u8,
-        never: bool,
+        at_most_once: bool,
     },
     Poll {
         pick: usize,
@@ -27,19 +27,19 @@
     TableFault(Fault),
     UpstreamFault(Fault),
     Down(bool),
-    Land(usize),
-    Run(usize),
+    ApplyDelayed(usize),
+    RunDelayed(usize),
     Crash(usize),
     Pause(usize),
     Resume(usize),
     Advance(u64),
     /// Time passes until the retention of all rows has ended.
-    Retain,
+    EndRetention,
     Sweep,
     /// A host is paused until its rows have been swept and one of its calls is retried at another
     /// host.
-    Oversleep(usize),
-    Damage(usize),
+    OutliveRetention(usize),
+    CorruptObject(usize),
 }
 
 /// Counters of a test run, used to check that it covered enough cases.
@@ -70,7 +70,7 @@
 }
 
 fn fault() -> BoxedStrategy<Fault> {
-    let faults = [Fault::LoseAnswer, Fault::LoseRequest, Fault::Late, Fault::Refuse];
+    let faults = [Fault::LoseAnswer, Fault::LoseRequest, Fault::Delay, Fault::Refuse];
     prop::sample::select(faults.to_vec()).boxed()
 }
 
@@ -78,27 +78,32 @@
     fn steps() -> BoxedStrategy<Step> {
         let key = prop_oneof![1 => Just(None), 5 => (0..2_u8).prop_map(Some)];
         let body = prop_oneof![6 => Just(0_u8), 1 => Just(1_u8)];
-        let never = prop::bool::weighted(0.8);
-        let call =
-            (0..HOSTS, 0..2_u8, key, body, never).prop_map(|(host, customer, key, body, never)| {
-                Step::Call { host, customer, key, body, never }
-            });
+        let at_most_once = prop::bool::weighted(0.8);
+        let call = (0..HOSTS, 0..2_u8, key, body, at_most_once).prop_map(
+            |(host, customer, key, body, at_most_once)| Step::Call {
+                host,
+                customer,
+                key,
+                body,
+                at_most_once,
+            },
+        );
         prop_oneof![
             10 => call,
             40 => (any::<usize>(), 1..8_usize).prop_map(|(pick, times)| Step::Poll { pick, times }),
             8 => fault().prop_map(Step::TableFault),
             4 => fault().prop_map(Step::UpstreamFault),
             2 => any::<bool>().prop_map(Step::Down),
-            4 => any::<usize>().prop_map(Step::Land),
-            2 => any::<usize>().prop_map(Step::Run),
+            4 => any::<usize>().prop_map(Step::ApplyDelayed),
+            2 => any::<usize>().prop_map(Step::RunDelayed),
             1 => (0..HOSTS).prop_map(Step::Crash),
             2 => (0..HOSTS).prop_map(Step::Pause),
             3 => (0..HOSTS).prop_map(Step::Resume),
             3 => (1..12_000_u64).prop_map(Step::Advance),
-            1 => Just(Step::Retain),
+            1 => Just(Step::EndRetention),
             2 => Just(Step::Sweep),
-            1 => (0..HOSTS).prop_map(Step::Oversleep),
-            1 => any::<usize>().prop_map(Step::Damage),
+            1 => (0..HOSTS).prop_map(Step::OutliveRetention),
+            1 => any::<usize>().prop_map(Step::CorruptObject),
         ]
         .boxed()
     }
@@ -116,7 +121,7 @@
 
     fn apply(mut world: World, (): &(), step: Step) -> World {
         super::count_step();
-        carry_out(&mut world, step);
+        execute(&mut world, step);
         world
     }
 
@@ -127,9 +132,9 @@
     /// Ends all faults and lets every task finish; then applies all delayed writes, at the worst
     /// possible time.
     fn teardown(mut world: World) {
-        let outside = world.outside.clone();
-        outside.platform.heal();
-        outside.upstream.heal();
+        let environment = world.environment.clone();
+        environment.platform.clear_faults();
+        environment.upstream.clear_faults();
         world.paused = [false; HOSTS];
         world.advance(clock::Span::ZERO);
         for round in 0..2_000 {
@@ -138,38 +143,38 @@
             }
             world.poll(round, 3);
         }
-        while outside.platform.late() + outside.upstream.late() > 0 {
-            outside.platform.land(0);
-            outside.upstream.land(0);
+        while environment.platform.delayed_count() + environment.upstream.delayed_count() > 0 {
+            environment.platform.apply_delayed(0);
+            environment.upstream.apply_delayed(0);
         }
         oracle::check_end(&world);
-        let replayed = world
-            .tasks
-            .iter()
-            .filter(|task| task.case.told.borrow().as_ref().is_some_and(|told| told.replayed));
+        let replayed = world.tasks.iter().filter(|task| {
+            task.exchange.response.borrow().as_ref().is_some_and(|response| response.replayed)
+        });
         let replayed = replayed.count() as u64;
         count(|tally| {
             tally.calls += world.tasks.len() as u64;
-            tally.ran += outside.upstream.runs().len() as u64;
+            tally.ran += environment.upstream.runs().len() as u64;
             tally.replayed += replayed;
-            tally.faults += outside.platform.hit() + outside.upstream.hit();
+            tally.faults +=
+                environment.platform.injected_count() + environment.upstream.injected_count();
         });
     }
 }
 
-fn carry_out(world: &mut World, step: Step) {
-    let outside = world.outside.clone();
+fn execute(world: &mut World, step: Step) {
+    let environment = world.environment.clone();
     match step {
-        Step::Call { host, customer, key, body, never } => {
+        Step::Call { host, customer, key, body, at_most_once } => {
             let number = u32::try_from(world.tasks.len()).expect("few calls");
-            world.call(host, Call { number, customer, key, body, never });
+            world.call(host, Call { number, customer, key, body, at_most_once });
         }
         Step::Poll { pick, times } => world.poll(pick, times),
-        Step::TableFault(fault) => outside.platform.fault(fault),
-        Step::UpstreamFault(fault) => outside.upstream.fault(fault),
-        Step::Down(down) => outside.platform.set_down(down),
-        Step::Land(pick) => outside.platform.land(pick),
-        Step::Run(pick) => outside.upstream.land(pick),
+        Step::TableFault(fault) => environment.platform.inject(fault),
+        Step::UpstreamFault(fault) => environment.upstream.inject(fault),
+        Step::Down(down) => environment.platform.set_down(down),
+        Step::ApplyDelayed(pick) => environment.platform.apply_delayed(pick),
+        Step::RunDelayed(pick) => environment.upstream.apply_delayed(pick),
         Step::Crash(host) => {
             count(|tally| tally.crashes += 1);
             world.crash(host);
@@ -177,20 +182,20 @@
         Step::Pause(host) => world.paused[host] = true,
         Step::Resume(host) => world.resume(host),
         Step::Advance(millis) => world.advance(clock::Span::from_millis(millis)),
-        Step::Retain => retain(world),
-        Step::Oversleep(host) => {
+        Step::EndRetention => end_retention(world),
+        Step::OutliveRetention(host) => {
             world.paused[host] = true;
-            retain(world);
+            end_retention(world);
             (0..4).for_each(|_| world.sweep());
-            world.ask_again(host);
+            world.retry_elsewhere(host);
         }
         Step::Sweep => world.sweep(),
-        Step::Damage(pick) => outside.platform.damage(pick),
+        Step::CorruptObject(pick) => environment.platform.corrupt(pick),
     }
 }
 
-fn retain(world: &mut World) {
-    world.outside.platform.forget_late();
-    world.oversleep();
+fn end_retention(world: &mut World) {
+    world.environment.platform.drop_delayed();
+    world.exempt_unfinished();
     world.advance(clock::Span::from_secs(25 * 3_600));
 }
--- a/crates/lagoonline/tests/life_fuzz/main.rs
+++ b/crates/lagoonline/tests/life_fuzz/main.rs
@@ -173,7 +173,7 @@
 #[rstest]
 fn oracle_notices_ignored(
     #[values(
-        streams::Ignore::Crossed,
+        streams::Ignore::WrongAttempt,
         streams::Ignore::Repeated,
         streams::Ignore::Gap,
         streams::Ignore::Count
--- a/crates/lagoonline/tests/life_fuzz/marks.rs
+++ b/crates/lagoonline/tests/life_fuzz/marks.rs
@@ -19,16 +19,16 @@
     /// A host dispatches a request and is refused if the upstream is leaving.
     Dispatch { host: usize },
     /// A mark sent by one host reaches the other, possibly late or repeatedly.
-    Peer { host: usize, pick: usize },
+    DeliverMark { host: usize, pick: usize },
 }
 
 /// The upstream's history and all marks that were ever sent.
 pub struct World {
-    truth: Vec<leaving::Mark>,
+    history: Vec<leaving::Mark>,
     marks: Vec<leaving::Marks>,
     /// The signs that each host has received, recorded independently for the oracle.
     signs: Vec<Vec<leaving::Mark>>,
-    words: Vec<leaving::Mark>,
+    sent: Vec<leaving::Mark>,
 }
 
 impl super::Steps for Step {
@@ -38,7 +38,8 @@
             1 => Just(Step::Restart),
             4 => (0..HOSTS, 0..5_usize).prop_map(|(host, age)| Step::List { host, age }),
             4 => (0..HOSTS).prop_map(|host| Step::Dispatch { host }),
-            4 => (0..HOSTS, any::<usize>()).prop_map(|(host, pick)| Step::Peer { host, pick }),
+            4 => (0..HOSTS, any::<usize>())
+                .prop_map(|(host, pick)| Step::DeliverMark { host, pick }),
         ]
         .boxed()
     }
@@ -49,12 +50,12 @@
 }
 
 impl World {
-    fn now(&self) -> leaving::Mark {
-        *self.truth.last().expect("it has a first state")
+    fn current(&self) -> leaving::Mark {
+        *self.history.last().expect("it has a first state")
     }
 
     fn list(&mut self, host: usize, age: usize) {
-        let mark = self.truth[self.truth.len().saturating_sub(1 + age)];
+        let mark = self.history[self.history.len().saturating_sub(1 + age)];
         let state = if mark.leaving { hosts::State::Leaving } else { hosts::State::Live };
         let line = hosts::Entry {
             name: upstream().as_str().to_owned(),
@@ -63,7 +64,7 @@
             state,
         };
         let changed = self.marks[host].apply_list(&[line]);
-        self.words.extend(changed.into_iter().map(|(_, mark)| mark));
+        self.sent.extend(changed.into_iter().map(|(_, mark)| mark));
         self.signs[host].push(mark);
     }
 
@@ -71,31 +72,35 @@
     /// it has heard of a later incarnation.
     fn dispatch(&mut self, host: usize) {
         let latest = self.signs[host].iter().map(|mark| mark.incarnation).max();
-        let left = |mark: &leaving::Mark| mark.leaving && Some(mark.incarnation) == latest;
-        let told = self.signs[host].iter().any(left);
-        let blocked = self.marks[host].is_leaving(&upstream());
-        assert_eq!(blocked, told, "signs {:?}, marks {:?}", self.signs[host], self.marks[host]);
-        if !blocked && self.now().leaving {
+        let is_leaving = |mark: &leaving::Mark| mark.leaving && Some(mark.incarnation) == latest;
+        let known_leaving = self.signs[host].iter().any(is_leaving);
+        let is_blocked = self.marks[host].is_leaving(&upstream());
+        assert_eq!(
+            is_blocked, known_leaving,
+            "signs {:?}, marks {:?}",
+            self.signs[host], self.marks[host]
+        );
+        if !is_blocked && self.current().leaving {
             let known = latest.unwrap_or_default();
             let changed = self.marks[host].record_refusal(&upstream());
-            self.words.extend(changed);
+            self.sent.extend(changed);
             if latest.is_some() {
                 self.signs[host].push(leaving::Mark { incarnation: known, leaving: true });
             } else {
                 assert!(self.marks[host].is_leaving(&upstream()));
                 // The load report of the refused connection names the incarnation right away.
-                let now = self.now();
-                self.words.extend(self.marks[host].merge(&upstream(), now));
-                self.signs[host].push(now);
+                let current = self.current();
+                self.sent.extend(self.marks[host].merge(&upstream(), current));
+                self.signs[host].push(current);
             }
         }
     }
 
-    fn peer(&mut self, host: usize, pick: usize) {
-        let count = self.words.len().max(1);
-        if let Some(word) = self.words.get(pick % count).copied() {
-            self.marks[host].merge(&upstream(), word);
-            self.signs[host].push(word);
+    fn deliver_mark(&mut self, host: usize, pick: usize) {
+        let count = self.sent.len().max(1);
+        if let Some(mark) = self.sent.get(pick % count).copied() {
+            self.marks[host].merge(&upstream(), mark);
+            self.signs[host].push(mark);
         }
     }
 }
@@ -109,25 +114,25 @@
     fn init_test((): &()) -> World {
         let first = leaving::Mark { incarnation: id::Incarnation(1), leaving: false };
         World {
-            truth: vec![first],
+            history: vec![first],
             marks: (0..HOSTS).map(|_| leaving::Marks::new(super::safeguards())).collect(),
             signs: vec![Vec::new(); HOSTS],
-            words: Vec::new(),
+            sent: Vec::new(),
         }
     }
 
     fn apply(mut world: World, (): &(), step: Step) -> World {
         super::count_step();
-        let now = world.now();
+        let current = world.current();
         match step {
-            Step::Leave => world.truth.push(leaving::Mark { leaving: true, ..now }),
+            Step::Leave => world.history.push(leaving::Mark { leaving: true, ..current }),
             Step::Restart => {
-                let incarnation = id::Incarnation(now.incarnation.0 + 1);
-                world.truth.push(leaving::Mark { incarnation, leaving: false });
+                let incarnation = id::Incarnation(current.incarnation.0 + 1);
+                world.history.push(leaving::Mark { incarnation, leaving: false });
             }
             Step::List { host, age } => world.list(host, age),
             Step::Dispatch { host } => world.dispatch(host),
-            Step::Peer { host, pick } => world.peer(host, pick),
+            Step::DeliverMark { host, pick } => world.deliver_mark(host, pick),
         }
         world
     }
@@ -135,8 +140,8 @@
     /// Once every mark has reached every host, all hosts agree.
     fn teardown(mut world: World) {
         for host in 0..HOSTS {
-            for word in world.words.clone() {
-                world.marks[host].merge(&upstream(), word);
+            for mark in world.sent.clone() {
+                world.marks[host].merge(&upstream(), mark);
             }
         }
         let mark = |marks: &leaving::Marks| marks.iter().map(|(_, mark)| mark).next();
--- a/crates/lagoonline/tests/life_fuzz/memory.rs
+++ b/crates/lagoonline/tests/life_fuzz/memory.rs
@@ -16,7 +16,7 @@
 const HOSTS: usize = 6;
 const OWN_ZONE: usize = 4;
 const ENGINES: usize = 2;
-const BEAT: Span = Span::from_secs(1);
+const HEARTBEAT: Span = Span::from_secs(1);
 
 #[derive(Clone, Debug)]
 pub enum Step {
@@ -29,7 +29,7 @@
     Cancel {
         pick: usize,
     },
-    Lose(bool),
+    LoseCancels(bool),
     Crash(usize),
     /// The host dies and is not replaced.
     Die(usize),
@@ -38,12 +38,12 @@
     CutOff(bool),
     /// The other zone becomes unreachable for the reaper.
     CutZone(bool),
-    Pass {
+    Advance {
         seconds: u64,
     },
 }
 
-struct Held {
+struct Allocation {
     host: usize,
     incarnation: u64,
     engine: usize,
@@ -60,12 +60,12 @@
 pub struct World {
     now: Moment,
     hosts: Vec<Host>,
-    held: BTreeMap<u128, Held>,
-    next: u128,
-    sweep: reap::Reaper,
-    lose: bool,
-    cut_off: bool,
-    zone_cut: bool,
+    allocations: BTreeMap<u128, Allocation>,
+    next_id: u128,
+    reaper: reap::Reaper,
+    loses_cancels: bool,
+    is_cut_off: bool,
+    is_zone_cut_off: bool,
     reserved: u64,
     returned: u64,
 }
@@ -76,27 +76,27 @@
             8 => (0..HOSTS, 0..ENGINES, 1..100_u64)
                 .prop_map(|(host, engine, bytes)| Step::Hold { host, engine, bytes }),
             5 => any::<usize>().prop_map(|pick| Step::Cancel { pick }),
-            2 => any::<bool>().prop_map(Step::Lose),
+            2 => any::<bool>().prop_map(Step::LoseCancels),
             2 => (0..HOSTS).prop_map(Step::Crash),
             1 => (1..HOSTS).prop_map(Step::Die),
             1 => (0..ENGINES).prop_map(Step::RestartEngine),
             2 => any::<bool>().prop_map(Step::CutOff),
             2 => any::<bool>().prop_map(Step::CutZone),
-            8 => (1..50_u64).prop_map(|seconds| Step::Pass { seconds }),
+            8 => (1..50_u64).prop_map(|seconds| Step::Advance { seconds }),
         ]
         .boxed()
     }
 }
 
-fn name(engine: usize) -> id::Upstream {
+fn engine_name(engine: usize) -> id::Upstream {
     id::Upstream::from(format!("engine-{engine}"))
 }
 
 fn owner(host: usize, incarnation: u64) -> id::Owner {
-    id::Owner { host: name_of(host), incarnation: id::Incarnation(incarnation) }
+    id::Owner { host: host_name(host), incarnation: id::Incarnation(incarnation) }
 }
 
-fn name_of(host: usize) -> id::Host {
+fn host_name(host: usize) -> id::Host {
     id::Host::from(format!("host-{host}"))
 }
 
@@ -119,12 +119,12 @@
         World {
             now: Moment::START,
             hosts: (0..HOSTS).map(host).collect(),
-            held: BTreeMap::new(),
-            next: 1,
-            sweep: reap::Reaper::new(settings),
-            lose: false,
-            cut_off: false,
-            zone_cut: false,
+            allocations: BTreeMap::new(),
+            next_id: 1,
+            reaper: reap::Reaper::new(settings),
+            loses_cancels: false,
+            is_cut_off: false,
+            is_zone_cut_off: false,
             reserved: 0,
             returned: 0,
         }
@@ -135,51 +135,55 @@
             return;
         }
         let incarnation = self.hosts[host].incarnation;
-        let held = Held { host, incarnation, engine, bytes, cancelled: false };
-        self.held.insert(self.next, held);
-        self.next += 1;
+        let allocation = Allocation { host, incarnation, engine, bytes, cancelled: false };
+        self.allocations.insert(self.next_id, allocation);
+        self.next_id += 1;
         self.reserved += bytes;
     }
 
     fn cancel(&mut self, pick: usize) {
-        let count = self.held.len().max(1);
-        let Some((id, held)) = self.held.iter_mut().nth(pick % count) else {
+        let count = self.allocations.len().max(1);
+        let Some((id, allocation)) = self.allocations.iter_mut().nth(pick % count) else {
             return;
         };
-        let host = &mut self.hosts[held.host];
-        if host.alive && host.incarnation == held.incarnation && !held.cancelled {
-            held.cancelled = true;
-            host.cancels.add((held.engine, *id), self.now);
+        let host = &mut self.hosts[allocation.host];
+        if host.alive && host.incarnation == allocation.incarnation && !allocation.cancelled {
+            allocation.cancelled = true;
+            host.cancels.add((allocation.engine, *id), self.now);
         }
     }
 
-    fn give_back(&mut self, id: u128) {
-        if let Some(held) = self.held.remove(&id) {
-            self.returned += held.bytes;
+    fn free(&mut self, id: u128) {
+        if let Some(allocation) = self.allocations.remove(&id) {
+            self.returned += allocation.bytes;
         }
     }
 
     fn restart_engine(&mut self, engine: usize) {
-        let gone: Vec<_> =
-            self.held.iter().filter(|(_, held)| held.engine == engine).map(|(id, _)| *id).collect();
-        gone.into_iter().for_each(|id| self.give_back(id));
+        let gone: Vec<_> = self
+            .allocations
+            .iter()
+            .filter(|(_, allocation)| allocation.engine == engine)
+            .map(|(id, _)| *id)
+            .collect();
+        gone.into_iter().for_each(|id| self.free(id));
     }
 
     /// Advances time by one second: heartbeats, due cancels, and one pass of the reaper over each
     /// engine.
-    fn second(&mut self) {
-        self.now = self.now + BEAT;
+    fn tick(&mut self) {
+        self.now = self.now + HEARTBEAT;
         for number in 0..HOSTS {
-            if self.hosts[number].alive && !self.cut_off && number < OWN_ZONE {
-                self.sweep
+            if self.hosts[number].alive && !self.is_cut_off && number < OWN_ZONE {
+                self.reaper
                     .record_heartbeat(&owner(number, self.hosts[number].incarnation), self.now);
             }
             self.send_cancels(number);
         }
         // The reaper's own host always receives its own heartbeat.
-        self.sweep.record_heartbeat(&owner(0, self.hosts[0].incarnation), self.now);
+        self.reaper.record_heartbeat(&owner(0, self.hosts[0].incarnation), self.now);
         for engine in 0..ENGINES {
-            self.sweep_engine(engine);
+            self.reap_engine(engine);
         }
     }
 
@@ -188,50 +192,51 @@
             return;
         }
         for (engine, id) in self.hosts[number].cancels.due(self.now, 1.0) {
-            if !self.lose {
-                self.give_back(id);
+            if !self.loses_cancels {
+                self.free(id);
                 self.hosts[number].cancels.acknowledge(&(engine, id));
             }
         }
     }
 
     /// Delivers the status of an owner from its zone, if the zone can be reached.
-    fn answer(&mut self, owner: &id::Owner) {
-        let number = (0..HOSTS).find(|number| name_of(*number) == owner.host).expect("a host");
+    fn answer_query(&mut self, owner: &id::Owner) {
+        let number = (0..HOSTS).find(|number| host_name(*number) == owner.host).expect("a host");
         let host = &self.hosts[number];
         if number < OWN_ZONE {
             return;
         }
-        if self.cut_off || self.zone_cut {
-            self.sweep.record_unsure(owner, self.now);
+        if self.is_cut_off || self.is_zone_cut_off {
+            self.reaper.record_unsure(owner, self.now);
         } else if host.alive {
             let incarnation = id::Incarnation(host.incarnation);
-            self.sweep.record_remote_alive(&id::Owner { incarnation, ..owner.clone() }, self.now);
+            self.reaper.record_remote_alive(&id::Owner { incarnation, ..owner.clone() }, self.now);
         } else {
-            self.sweep.record_gone(owner, self.now);
+            self.reaper.record_gone(owner, self.now);
         }
     }
 
-    fn sweep_engine(&mut self, engine: usize) {
-        let listed = self.held.iter().filter(|(_, held)| held.engine == engine);
-        let holding = |(id, held): (&u128, &Held)| engine::Holding {
+    fn reap_engine(&mut self, engine: usize) {
+        let listed = self.allocations.iter().filter(|(_, allocation)| allocation.engine == engine);
+        let holding = |(id, allocation): (&u128, &Allocation)| engine::Holding {
             id: id::Attempt(*id).to_string(),
-            owner: owner(held.host, held.incarnation).to_string(),
+            owner: owner(allocation.host, allocation.incarnation).to_string(),
             kind: engine::Kind::Stream,
-            bytes: held.bytes,
+            bytes: allocation.bytes,
             expires_ms: 1,
         };
         let listed: Vec<_> = listed.map(holding).collect();
-        for owner in self.sweep.owners_to_query(&listed, self.now) {
-            self.answer(&owner);
+        for owner in self.reaper.owners_to_query(&listed, self.now) {
+            self.answer_query(&owner);
         }
-        for id in self.sweep.releasable(&name(engine), &listed, self.now) {
+        for id in self.reaper.releasable(&engine_name(engine), &listed, self.now) {
             let id = id.parse::<id::Attempt>().expect("an id of ours").0;
-            let held = &self.held[&id];
-            let host = &self.hosts[held.host];
-            let used = host.alive && host.incarnation == held.incarnation && !held.cancelled;
-            assert!(!used, "released what host {} still uses", held.host);
-            self.give_back(id);
+            let allocation = &self.allocations[&id];
+            let host = &self.hosts[allocation.host];
+            let used =
+                host.alive && host.incarnation == allocation.incarnation && !allocation.cancelled;
+            assert!(!used, "released memory that host {} still uses", allocation.host);
+            self.free(id);
         }
     }
 }
@@ -251,7 +256,7 @@
         match step {
             Step::Hold { host, engine, bytes } => world.hold(host, engine, bytes),
             Step::Cancel { pick } => world.cancel(pick),
-            Step::Lose(lose) => world.lose = lose,
+            Step::LoseCancels(lose) => world.loses_cancels = lose,
             Step::Crash(host) => {
                 let host = &mut world.hosts[host];
                 *host = Host { incarnation: host.incarnation + 1, alive: true, cancels: cancels() };
@@ -262,9 +267,9 @@
             }
             Step::Die(_) => {}
             Step::RestartEngine(engine) => world.restart_engine(engine),
-            Step::CutOff(cut_off) => world.cut_off = cut_off,
-            Step::CutZone(cut) => world.zone_cut = cut,
-            Step::Pass { seconds } => (0..seconds).for_each(|_| world.second()),
+            Step::CutOff(cut_off) => world.is_cut_off = cut_off,
+            Step::CutZone(cut) => world.is_zone_cut_off = cut,
+            Step::Advance { seconds } => (0..seconds).for_each(|_| world.tick()),
         }
         world
     }
@@ -272,14 +277,14 @@
     /// All faults end and the hosts cancel what they hold; after a minute and a half nothing may be
     /// left.
     fn teardown(mut world: World) {
-        world.lose = false;
-        world.cut_off = false;
-        world.zone_cut = false;
-        let ids: Vec<_> = world.held.keys().copied().collect();
+        world.loses_cancels = false;
+        world.is_cut_off = false;
+        world.is_zone_cut_off = false;
+        let ids: Vec<_> = world.allocations.keys().copied().collect();
         for pick in 0..ids.len() {
             world.cancel(pick);
         }
-        (0..90).for_each(|_| world.second());
-        assert_eq!(world.reserved, world.returned, "memory is left");
+        (0..90).for_each(|_| world.tick());
+        assert_eq!(world.reserved, world.returned, "memory was not returned");
     }
 }
--- a/crates/lagoonline/tests/life_fuzz/oracle.rs
+++ b/crates/lagoonline/tests/life_fuzz/oracle.rs
@@ -7,20 +7,20 @@
 use lagoonline::outcome::Outcome;
 
 use super::upstream::Run;
-use super::world::{Case, Task, Told, World};
+use super::world::{Exchange, Response, Task, World};
 
 /// Time after which a key may run again: the retention, less the deadline, as retention counts from
 /// the claim.
-const KEPT: clock::Span = clock::Span::from_secs(23 * 3_600);
+const MIN_RERUN_GAP: clock::Span = clock::Span::from_secs(23 * 3_600);
 
 /// Invariants that hold after every step.
 pub fn check(world: &World) {
-    let runs = world.outside.upstream.runs();
+    let runs = world.environment.upstream.runs();
     check_once(&runs);
     for task in &world.tasks {
-        match &*task.case.told.borrow() {
-            Some(told) => check_told(&task.case, told, &runs),
-            None => check_waiting(world, task),
+        match &*task.exchange.response.borrow() {
+            Some(response) => check_response(&task.exchange, response, &runs),
+            None => check_unanswered(world, task),
         }
     }
 }
@@ -28,40 +28,43 @@
 fn check_once(runs: &[Run]) {
     let mut calls = BTreeMap::new();
     let mut keys = BTreeMap::<_, clock::Moment>::new();
-    let mut never: Vec<_> = runs.iter().filter(|run| run.call.never).collect();
-    never.sort_by_key(|run| run.dispatched);
-    for run in never {
+    let mut at_most_once: Vec<_> = runs.iter().filter(|run| run.call.at_most_once).collect();
+    at_most_once.sort_by_key(|run| run.dispatched);
+    for run in at_most_once {
         assert!(calls.insert(run.call.number, ()).is_none(), "ran twice: {:?}", run.call);
         let Some(key) = run.call.key else { continue };
         if let Some(before) = keys.insert((run.call.customer, key), run.dispatched) {
             let apart = run.dispatched.since(before);
-            assert!(apart > KEPT, "a key ran twice within {apart:?}: {:?}", run.call);
+            assert!(apart > MIN_RERUN_GAP, "a key ran twice within {apart:?}: {:?}", run.call);
         }
     }
 }
 
 /// A caller whose host is running must be answered by its deadline.
-fn check_waiting(world: &World, task: &Task) {
-    let overdue = world.outside.clock.now() >= task.case.deadline;
-    let is_served = !task.crashed && !world.paused[task.case.host];
-    assert!(!(overdue && is_served), "told nothing by its deadline: {:?}", task.case.call);
+fn check_unanswered(world: &World, task: &Task) {
+    let overdue = world.environment.clock.now() >= task.exchange.deadline;
+    let is_served = !task.crashed && !world.paused[task.exchange.host];
+    assert!(!(overdue && is_served), "not answered by its deadline: {:?}", task.exchange.call);
 }
 
-fn check_told(case: &Case, told: &Told, runs: &[Run]) {
-    let call = &case.call;
+fn check_response(exchange: &Exchange, response: &Response, runs: &[Run]) {
+    let call = &exchange.call;
     let own = |run: &&Run| run.call.number == call.number;
     let same = |run: &&Run| {
         (run.call.customer, run.call.key, run.call.body) == (call.customer, call.key, call.body)
-            && run.call.never == call.never
+            && run.call.at_most_once == call.at_most_once
     };
-    match told.outcome {
+    match response.outcome {
         Outcome::NotRun => assert!(!runs.iter().any(|run| own(&run)), "told not-run: {call:?}"),
         Outcome::Unknown => {}
         Outcome::Done => {
-            let answer = told.answer.as_ref();
-            let may = |run: &&Run| if told.replayed { same(run) } else { own(run) };
-            let mut answers = runs.iter().filter(may).map(|run| &run.answer);
-            assert!(answers.any(|ran| Some(ran) == answer), "not its answer: {call:?} {told:?}");
+            let answer = response.answer.as_ref();
+            let is_allowed = |run: &&Run| if response.replayed { same(run) } else { own(run) };
+            let mut answers = runs.iter().filter(is_allowed).map(|run| &run.answer);
+            assert!(
+                answers.any(|ran| Some(ran) == answer),
+                "not its answer: {call:?} {response:?}"
+            );
         }
     }
 }
@@ -71,10 +74,10 @@
     check(world);
     assert!(world.is_idle(), "a task never ends");
     for task in &world.tasks {
-        let told = task.case.told.borrow().is_some();
-        assert!(told || task.crashed, "told nothing: {:?}", task.case.call);
+        let response = task.exchange.response.borrow().is_some();
+        assert!(response || task.crashed, "not answered: {:?}", task.exchange.call);
     }
-    for value in world.outside.platform.values() {
+    for value in world.environment.platform.values() {
         check_row(world, &value);
     }
 }
@@ -87,10 +90,10 @@
         return;
     }
     let task = &world.tasks[world.tokens[&record.token]];
-    let dispatched = world.outside.dispatched.borrow().contains(&task.token);
+    let dispatched = world.environment.dispatched.borrow().contains(&task.token);
     assert!(
-        !task.case.call.never || dispatched || task.crashed || task.overslept,
+        !task.exchange.call.at_most_once || dispatched || task.crashed || task.is_exempt,
         "a key is blocked: {:?}",
-        task.case.call
+        task.exchange.call
     );
 }
--- a/crates/lagoonline/tests/life_fuzz/platform.rs
+++ b/crates/lagoonline/tests/life_fuzz/platform.rs
@@ -16,7 +16,7 @@
     LoseAnswer,
     LoseRequest,
     /// The answer is lost and the effect is delayed.
-    Late,
+    Delay,
     Refuse,
 }
 
@@ -24,27 +24,27 @@
 #[derive(Default)]
 pub struct Faults {
     pub queue: VecDeque<Fault>,
-    pub hit: u64,
+    pub injected: u64,
 }
 
 impl Faults {
     pub fn next(&mut self) -> Option<Fault> {
         let fault = self.queue.pop_front();
-        self.hit += u64::from(fault.is_some());
+        self.injected += u64::from(fault.is_some());
         fault
     }
 }
 
 /// Removes one of the delayed effects.
-pub fn take<L>(late: &mut Vec<L>, pick: usize) -> Option<L> {
-    (!late.is_empty()).then(|| late.remove(pick % late.len()))
+pub fn take_delayed<T>(delayed: &mut Vec<T>, pick: usize) -> Option<T> {
+    (!delayed.is_empty()).then(|| delayed.remove(pick % delayed.len()))
 }
 
 #[derive(Default)]
 struct State {
     rows: BTreeMap<String, table::Row>,
     objects: BTreeMap<String, Bytes>,
-    late: Vec<table::Transaction>,
+    delayed: Vec<table::Transaction>,
     faults: Faults,
     down: bool,
     epoch: u64,
@@ -54,7 +54,7 @@
 pub struct Platform(Rc<RefCell<State>>);
 
 /// Yields to other calls once.
-pub async fn pause() {
+pub async fn yield_once() {
     let mut paused = false;
     future::poll_fn(|_| {
         let ready = if paused { Poll::Ready(()) } else { Poll::Pending };
@@ -96,13 +96,13 @@
         Ok(versions)
     }
 
-    fn fault(&mut self) -> Option<Fault> {
+    fn next_fault(&mut self) -> Option<Fault> {
         if self.down { Some(Fault::Refuse) } else { self.faults.next() }
     }
 }
 
 impl Platform {
-    pub fn fault(&self, fault: Fault) {
+    pub fn inject(&self, fault: Fault) {
         self.0.borrow_mut().faults.queue.push_back(fault);
     }
 
@@ -110,16 +110,16 @@
         self.0.borrow_mut().down = down;
     }
 
-    pub fn heal(&self) {
+    pub fn clear_faults(&self) {
         let mut state = self.0.borrow_mut();
         state.down = false;
         state.faults.queue.clear();
     }
 
     /// Applies a delayed transaction if its checks still hold.
-    pub fn land(&self, pick: usize) {
+    pub fn apply_delayed(&self, pick: usize) {
         let mut state = self.0.borrow_mut();
-        if let Some(transaction) = take(&mut state.late, pick) {
+        if let Some(transaction) = take_delayed(&mut state.delayed, pick) {
             // The checks are supposed to reject transactions that are outdated by now.
             let _ = state.apply(&transaction);
         }
@@ -127,13 +127,13 @@
 
     /// Drops delayed transactions and fails pending calls; used when more than an hour passes, by
     /// which time they have either been applied or never will be.
-    pub fn forget_late(&self) {
+    pub fn drop_delayed(&self) {
         let mut state = self.0.borrow_mut();
-        state.late.clear();
+        state.delayed.clear();
         state.epoch += 1;
     }
 
-    pub fn damage(&self, pick: usize) {
+    pub fn corrupt(&self, pick: usize) {
         let mut state = self.0.borrow_mut();
         let count = state.objects.len().max(1);
         if let Some(body) = state.objects.values_mut().nth(pick % count) {
@@ -141,15 +141,15 @@
         }
     }
 
-    pub fn late(&self) -> usize {
-        self.0.borrow().late.len()
+    pub fn delayed_count(&self) -> usize {
+        self.0.borrow().delayed.len()
     }
 
     /// Returns the tokens of delayed claims that can no longer be applied because their keys have
     /// rows.
-    pub fn late_over_rows(&self) -> BTreeSet<String> {
+    pub fn delayed_over_rows(&self) -> BTreeSet<String> {
         let state = self.0.borrow();
-        let changes = state.late.iter().flat_map(|transaction| &transaction.changes);
+        let changes = state.delayed.iter().flat_map(|transaction| &transaction.changes);
         let token = |change: &table::Change| match change {
             table::Change::Put { key, value } if state.rows.contains_key(key) => {
                 let record: claim::Record = serde_json::from_str(value).expect("a claim row");
@@ -160,43 +160,43 @@
         changes.filter_map(token).collect()
     }
 
-    pub fn hit(&self) -> u64 {
-        self.0.borrow().faults.hit
+    pub fn injected_count(&self) -> u64 {
+        self.0.borrow().faults.injected
     }
 
     pub fn values(&self) -> Vec<String> {
         self.0.borrow().rows.values().map(|row| row.value.clone()).collect()
     }
 
-    async fn ask<A, F>(&self, effect: F) -> Result<A, table::Error>
+    async fn call<A, F>(&self, effect: F) -> Result<A, table::Error>
     where
         F: FnOnce(&mut State) -> Result<A, table::Error>,
     {
         let epoch = self.0.borrow().epoch;
-        pause().await;
+        yield_once().await;
         let answer = {
             let mut state = self.0.borrow_mut();
             if state.epoch != epoch {
                 return Err(unknown());
             }
-            match state.fault() {
+            match state.next_fault() {
                 None => effect(&mut state),
                 Some(Fault::Refuse) => Err(refused()),
                 Some(Fault::LoseAnswer) => {
                     let _ = effect(&mut state);
                     Err(unknown())
                 }
-                Some(Fault::LoseRequest | Fault::Late) => Err(unknown()),
+                Some(Fault::LoseRequest | Fault::Delay) => Err(unknown()),
             }
         };
-        pause().await;
+        yield_once().await;
         answer
     }
 }
 
 impl table::Table for Platform {
     async fn read(&self, key: &str) -> Result<Option<table::Row>, table::Error> {
-        self.ask(|state| Ok(state.rows.get(key).cloned())).await
+        self.call(|state| Ok(state.rows.get(key).cloned())).await
     }
 
     async fn scan(
@@ -205,7 +205,7 @@
         after: &str,
         limit: usize,
     ) -> Result<Vec<table::Row>, table::Error> {
-        self.ask(|state| {
+        self.call(|state| {
             let rows = state.rows.values();
             let wanted = rows.filter(|row| row.key.starts_with(prefix) && row.key.as_str() > after);
             Ok(wanted.take(limit).cloned().collect())
@@ -214,26 +214,26 @@
     }
 
     async fn commit(&self, transaction: table::Transaction) -> Result<Vec<u64>, table::Error> {
-        let late = {
+        let delayed = {
             let mut state = self.0.borrow_mut();
-            let late = !state.down && state.faults.queue.front() == Some(&Fault::Late);
-            if late {
+            let delayed = !state.down && state.faults.queue.front() == Some(&Fault::Delay);
+            if delayed {
                 state.faults.next();
-                state.late.push(transaction.clone());
+                state.delayed.push(transaction.clone());
             }
-            late
+            delayed
         };
-        if late {
-            pause().await;
+        if delayed {
+            yield_once().await;
             return Err(unknown());
         }
-        self.ask(|state| state.apply(&transaction)).await
+        self.call(|state| state.apply(&transaction)).await
     }
 }
 
 impl objects::Objects for Platform {
     async fn put(&self, key: &str, body: Bytes) -> Result<(), table::Error> {
-        self.ask(|state| {
+        self.call(|state| {
             state.objects.insert(key.to_owned(), body.clone());
             Ok(())
         })
@@ -241,6 +241,6 @@
     }
 
     async fn get(&self, key: &str) -> Result<Option<Bytes>, table::Error> {
-        self.ask(|state| Ok(state.objects.get(key).cloned())).await
+        self.call(|state| Ok(state.objects.get(key).cloned())).await
     }
 }
--- a/crates/lagoonline/tests/life_fuzz/scenarios.rs
+++ b/crates/lagoonline/tests/life_fuzz/scenarios.rs
@@ -106,14 +106,14 @@
     let (platform, clock) = (Platform::default(), clock::Fake::default());
     let claims = claims(&platform, &clock);
     let never = request::Repeat::Never;
-    for fault in [Fault::Late, Fault::LoseRequest].repeat(3) {
-        platform.fault(fault);
+    for fault in [Fault::Delay, Fault::LoseRequest].repeat(3) {
+        platform.inject(fault);
     }
     let refusal = wait(claims.begin(ask(1, never))).expect_err("no commit was answered");
     assert_eq!(refusal.failure.outcome, Outcome::NotRun);
     let abandoned = refusal.abandoned.expect("commits may land");
-    while platform.late() > 0 {
-        platform.land(0);
+    while platform.delayed_count() > 0 {
+        platform.apply_delayed(0);
     }
     assert!(wait(claims.begin(ask(2, never))).is_err());
     assert!(wait(claims.settle(&abandoned)));
--- a/crates/lagoonline/tests/life_fuzz/streams.rs
+++ b/crates/lagoonline/tests/life_fuzz/streams.rs
@@ -9,13 +9,13 @@
 
 const OWN: Attempt = Attempt(1);
 const OTHER: Attempt = Attempt(2);
-const WHOLE: u64 = 12;
+const CHUNKS: u64 = 12;
 
 /// A check that the consumer ignores.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ignore {
     Nothing,
-    Crossed,
+    WrongAttempt,
     Repeated,
     Gap,
     Count,
@@ -32,12 +32,12 @@
 #[derive(Clone, Debug)]
 pub enum Step {
     /// The next chunks arrive in order.
-    Next(u64),
+    Deliver(u64),
     /// Chunks are lost on the way.
-    Skip(u64),
+    Lose(u64),
     /// An earlier chunk arrives again.
-    Again(u64),
-    Crossed,
+    Repeat(u64),
+    WrongAttempt,
     /// The end mark arrives, at the right time or too early.
     End,
     /// The connection breaks and the stream is resumed at the checker's position.
@@ -50,19 +50,19 @@
 pub struct World {
     checker: Checker,
     /// Number of the next chunk that the engine sends.
-    sending: u64,
-    poisoned: bool,
-    got: Vec<(Attempt, u64)>,
-    told_whole: bool,
+    next_sent: u64,
+    is_broken: bool,
+    delivered: Vec<(Attempt, u64)>,
+    told_complete: bool,
 }
 
 impl super::Steps for Step {
     fn steps() -> BoxedStrategy<Step> {
         prop_oneof![
-            8 => (1..4_u64).prop_map(Step::Next),
-            1 => (1..3_u64).prop_map(Step::Skip),
-            1 => (1..5_u64).prop_map(Step::Again),
-            1 => Just(Step::Crossed),
+            8 => (1..4_u64).prop_map(Step::Deliver),
+            1 => (1..3_u64).prop_map(Step::Lose),
+            1 => (1..5_u64).prop_map(Step::Repeat),
+            1 => Just(Step::WrongAttempt),
             2 => Just(Step::End),
             4 => Just(Step::Resume),
             1 => Just(Step::Takeover),
@@ -73,7 +73,7 @@
 
 fn is_ignored(violation: Violation) -> bool {
     match violation {
-        Violation::WrongAttempt => IGNORE.get() == Ignore::Crossed,
+        Violation::WrongAttempt => IGNORE.get() == Ignore::WrongAttempt,
         Violation::Repeated { .. } => IGNORE.get() == Ignore::Repeated,
         Violation::Gap { .. } => IGNORE.get() == Ignore::Gap,
         Violation::Count { .. } => IGNORE.get() == Ignore::Count,
@@ -83,32 +83,32 @@
 
 impl World {
     fn chunk(&mut self, attempt: Attempt, number: u64) {
-        if self.poisoned {
+        if self.is_broken {
             return;
         }
         match self.checker.chunk(attempt, number) {
-            Ok(()) => self.got.push((attempt, number)),
-            Err(violation) if is_ignored(violation) => self.got.push((attempt, number)),
-            Err(_) => self.poisoned = true,
+            Ok(()) => self.delivered.push((attempt, number)),
+            Err(violation) if is_ignored(violation) => self.delivered.push((attempt, number)),
+            Err(_) => self.is_broken = true,
         }
     }
 
     fn end(&mut self) {
-        if self.poisoned {
+        if self.is_broken {
             return;
         }
-        match self.checker.end(OWN, WHOLE) {
-            Ok(()) => self.told_whole = true,
-            Err(violation) if is_ignored(violation) => self.told_whole = true,
-            Err(_) => self.poisoned = true,
+        match self.checker.end(OWN, CHUNKS) {
+            Ok(()) => self.told_complete = true,
+            Err(violation) if is_ignored(violation) => self.told_complete = true,
+            Err(_) => self.is_broken = true,
         }
     }
 
     fn send(&mut self, count: u64) {
         for _ in 0..count {
-            if self.sending < WHOLE {
-                self.chunk(OWN, self.sending);
-                self.sending += 1;
+            if self.next_sent < CHUNKS {
+                self.chunk(OWN, self.next_sent);
+                self.next_sent += 1;
             }
         }
     }
@@ -122,25 +122,31 @@
 
     fn init_test((): &()) -> World {
         let checker = Checker::new(OWN);
-        World { checker, sending: 0, poisoned: false, got: Vec::new(), told_whole: false }
+        World {
+            checker,
+            next_sent: 0,
+            is_broken: false,
+            delivered: Vec::new(),
+            told_complete: false,
+        }
     }
 
     fn apply(mut world: World, (): &(), step: Step) -> World {
         super::count_step();
         match step {
-            Step::Next(count) => world.send(count),
-            Step::Skip(count) => world.sending = (world.sending + count).min(WHOLE),
-            Step::Again(back) => world.chunk(OWN, world.sending.saturating_sub(back)),
-            Step::Crossed => world.chunk(OTHER, world.sending),
+            Step::Deliver(count) => world.send(count),
+            Step::Lose(count) => world.next_sent = (world.next_sent + count).min(CHUNKS),
+            Step::Repeat(back) => world.chunk(OWN, world.next_sent.saturating_sub(back)),
+            Step::WrongAttempt => world.chunk(OTHER, world.next_sent),
             Step::End => world.end(),
             Step::Resume if !world.checker.is_complete() => {
-                world.sending = world.checker.next();
-                world.poisoned = false;
+                world.next_sent = world.checker.next();
+                world.is_broken = false;
             }
             Step::Takeover if !world.checker.is_complete() => {
-                world.sending = world.got.len() as u64;
-                world.checker = Checker::starting_at(OWN, world.sending);
-                world.poisoned = false;
+                world.next_sent = world.delivered.len() as u64;
+                world.checker = Checker::starting_at(OWN, world.next_sent);
+                world.is_broken = false;
             }
             Step::Resume | Step::Takeover => {}
         }
@@ -150,8 +156,12 @@
     /// The caller gets only its own chunks, each once and in order, and all of them if told that
     /// the answer is complete.
     fn check_invariants(world: &World, (): &()) {
-        let expected = (0..world.got.len() as u64).map(|number| (OWN, number));
-        assert!(world.got.iter().copied().eq(expected), "got {:?}", world.got);
-        assert!(!world.told_whole || world.got.len() as u64 == WHOLE, "cut: {:?}", world.got);
+        let expected = (0..world.delivered.len() as u64).map(|number| (OWN, number));
+        assert!(world.delivered.iter().copied().eq(expected), "delivered {:?}", world.delivered);
+        assert!(
+            !world.told_complete || world.delivered.len() as u64 == CHUNKS,
+            "incomplete: {:?}",
+            world.delivered
+        );
     }
 }
--- a/crates/lagoonline/tests/life_fuzz/upstream.rs
+++ b/crates/lagoonline/tests/life_fuzz/upstream.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use lagoonline::clock;
 
-use super::platform::{Fault, Faults, pause, take};
+use super::platform::{Fault, Faults, take_delayed, yield_once};
 use super::world::Call;
 
 /// One execution of a call.
@@ -19,7 +19,7 @@
 }
 
 #[derive(Debug)]
-pub enum Failed {
+pub enum CallError {
     Refused,
     Lost,
 }
@@ -27,7 +27,7 @@
 #[derive(Default)]
 struct State {
     runs: Vec<Run>,
-    late: Vec<(Call, clock::Moment)>,
+    delayed: Vec<(Call, clock::Moment)>,
     faults: Faults,
 }
 
@@ -45,52 +45,52 @@
 }
 
 impl Upstream {
-    pub fn fault(&self, fault: Fault) {
+    pub fn inject(&self, fault: Fault) {
         self.0.borrow_mut().faults.queue.push_back(fault);
     }
 
-    pub fn heal(&self) {
+    pub fn clear_faults(&self) {
         self.0.borrow_mut().faults.queue.clear();
     }
 
-    pub fn land(&self, pick: usize) {
+    pub fn apply_delayed(&self, pick: usize) {
         let mut state = self.0.borrow_mut();
-        if let Some((call, dispatched)) = take(&mut state.late, pick) {
+        if let Some((call, dispatched)) = take_delayed(&mut state.delayed, pick) {
             state.run(&call, dispatched);
         }
     }
 
-    pub fn late(&self) -> usize {
-        self.0.borrow().late.len()
+    pub fn delayed_count(&self) -> usize {
+        self.0.borrow().delayed.len()
     }
 
-    pub fn hit(&self) -> u64 {
-        self.0.borrow().faults.hit
+    pub fn injected_count(&self) -> u64 {
+        self.0.borrow().faults.injected
     }
 
     pub fn runs(&self) -> Vec<Run> {
         self.0.borrow().runs.clone()
     }
 
-    pub async fn call(&self, call: &Call, dispatched: clock::Moment) -> Result<Bytes, Failed> {
-        pause().await;
+    pub async fn call(&self, call: &Call, dispatched: clock::Moment) -> Result<Bytes, CallError> {
+        yield_once().await;
         let answer = {
             let mut state = self.0.borrow_mut();
             match state.faults.next() {
                 None => Ok(state.run(call, dispatched)),
-                Some(Fault::Refuse) => Err(Failed::Refused),
-                Some(Fault::LoseRequest) => Err(Failed::Lost),
+                Some(Fault::Refuse) => Err(CallError::Refused),
+                Some(Fault::LoseRequest) => Err(CallError::Lost),
                 Some(Fault::LoseAnswer) => {
                     state.run(call, dispatched);
-                    Err(Failed::Lost)
+                    Err(CallError::Lost)
                 }
-                Some(Fault::Late) => {
-                    state.late.push((call.clone(), dispatched));
-                    Err(Failed::Lost)
+                Some(Fault::Delay) => {
+                    state.delayed.push((call.clone(), dispatched));
+                    Err(CallError::Lost)
                 }
             }
         };
-        pause().await;
+        yield_once().await;
         answer
     }
 }
--- a/crates/lagoonline/tests/life_fuzz/world.rs
+++ b/crates/lagoonline/tests/life_fuzz/world.rs
@@ -13,8 +13,8 @@
 use lagoonline::lifecycle::{claim, request, safeguard};
 use lagoonline::{id, outcome};
 
-use super::platform::{Fault, Platform, pause};
-use super::upstream::{Failed, Upstream};
+use super::platform::{Fault, Platform, yield_once};
+use super::upstream::{CallError, Upstream};
 
 pub const HOSTS: usize = 3;
 /// Number of polls after which an undisturbed call has run but its answer is not stored yet.
@@ -28,29 +28,29 @@
     pub customer: u8,
     pub key: Option<u8>,
     pub body: u8,
-    pub never: bool,
+    pub at_most_once: bool,
 }
 
 /// The answer that a caller received.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct Response {
     pub outcome: outcome::Outcome,
     pub answer: Option<Bytes>,
     pub replayed: bool,
 }
 
 /// One call at one entry host.
-pub struct Case {
+pub struct Exchange {
     pub call: Call,
     pub host: usize,
     pub deadline: clock::Moment,
-    pub told: RefCell<Option<Told>>,
+    pub response: RefCell<Option<Response>>,
 }
 
-impl Case {
+impl Exchange {
     /// Records the answer for the caller; only the first one counts.
-    fn tell(&self, outcome: outcome::Outcome, answer: Option<Bytes>, replayed: bool) {
-        self.told.borrow_mut().get_or_insert(Told { outcome, answer, replayed });
+    fn respond(&self, outcome: outcome::Outcome, answer: Option<Bytes>, replayed: bool) {
+        self.response.borrow_mut().get_or_insert(Response { outcome, answer, replayed });
     }
 }
 
@@ -58,7 +58,7 @@
 
 /// External systems shared by the entry hosts and the test.
 #[derive(Clone, Default)]
-pub struct Outside {
+pub struct Environment {
     pub platform: Platform,
     pub upstream: Upstream,
     pub clock: clock::Fake,
@@ -67,17 +67,17 @@
 }
 
 pub struct Task {
-    pub case: Rc<Case>,
+    pub exchange: Rc<Exchange>,
     pub token: id::Attempt,
     future: Option<Pin<Box<dyn Future<Output = ()>>>>,
     pub crashed: bool,
     /// Whether its write grace passed before it ended, or the retention passed before its delayed
     /// commit was applied.
-    pub overslept: bool,
+    pub is_exempt: bool,
 }
 
 pub struct World {
-    pub outside: Outside,
+    pub environment: Environment,
     pub tasks: Vec<Task>,
     pub incarnations: [u64; HOSTS],
     pub paused: [bool; HOSTS],
@@ -90,7 +90,7 @@
 impl World {
     pub fn new(safeguards: safeguard::Set) -> Self {
         World {
-            outside: Outside::default(),
+            environment: Environment::default(),
             tasks: Vec::new(),
             incarnations: [1; HOSTS],
             paused: [false; HOSTS],
@@ -105,7 +105,7 @@
 
     pub fn call(&mut self, host: usize, call: Call) {
         let token = id::Attempt(u128::from(call.number) + 1);
-        let deadline = self.outside.clock.now() + DEADLINE;
+        let deadline = self.environment.clock.now() + DEADLINE;
         let owner = id::Owner {
             host: id::Host::from(format!("host-{host}")),
             incarnation: id::Incarnation(self.incarnations[host]),
@@ -116,26 +116,27 @@
             safeguards: self.safeguards,
             ..claim::Settings::default()
         };
-        let outside = self.outside.clone();
-        let ports = (outside.platform.clone(), outside.platform.clone(), outside.clock.clone());
+        let environment = self.environment.clone();
+        let ports =
+            (environment.platform.clone(), environment.platform.clone(), environment.clock.clone());
         let claims = claim::Claims::new(ports.0, ports.1, ports.2, settings);
-        let told = RefCell::new(None);
-        let case = Rc::new(Case { call, host, deadline, told });
-        let future = Box::pin(serve(claims, outside, Rc::clone(&case), token));
+        let response = RefCell::new(None);
+        let exchange = Rc::new(Exchange { call, host, deadline, response });
+        let future = Box::pin(serve(claims, environment, Rc::clone(&exchange), token));
         self.tokens.insert(token.to_string(), self.tasks.len());
         self.tasks.push(Task {
-            case,
+            exchange,
             token,
             future: Some(future),
             crashed: false,
-            overslept: false,
+            is_exempt: false,
         });
     }
 
     /// Polls one of the unfinished tasks.
     pub fn poll(&mut self, pick: usize, times: usize) {
         let paused = self.paused;
-        let ready = |task: &Task| task.future.is_some() && !paused[task.case.host];
+        let ready = |task: &Task| task.future.is_some() && !paused[task.exchange.host];
         let open: Vec<_> = (0..self.tasks.len()).filter(|n| ready(&self.tasks[*n])).collect();
         if open.is_empty() {
             return;
@@ -148,9 +149,9 @@
 
     /// Retries a call of the paused `host` at the next host. While that one serves the call, `host`
     /// resumes and learns that the upstream refused its own attempt.
-    pub fn ask_again(&mut self, host: usize) {
-        let open = |task: &&Task| task.future.is_some() && task.case.host == host;
-        let Some(call) = self.tasks.iter().find(open).map(|task| task.case.call.clone()) else {
+    pub fn retry_elsewhere(&mut self, host: usize) {
+        let open = |task: &&Task| task.future.is_some() && task.exchange.host == host;
+        let Some(call) = self.tasks.iter().find(open).map(|task| task.exchange.call.clone()) else {
             return;
         };
         let number = u32::try_from(self.tasks.len()).expect("few calls");
@@ -158,7 +159,7 @@
         if !self.paused[(host + 1) % HOSTS] {
             (0..POLLS).for_each(|_| self.tasks[number as usize].step());
         }
-        self.outside.upstream.fault(Fault::Refuse);
+        self.environment.upstream.inject(Fault::Refuse);
         self.resume(host);
     }
 
@@ -169,31 +170,31 @@
     pub fn crash(&mut self, host: usize) {
         self.incarnations[host] += 1;
         self.paused[host] = false;
-        for task in self.tasks.iter_mut().filter(|task| task.case.host == host) {
+        for task in self.tasks.iter_mut().filter(|task| task.exchange.host == host) {
             task.crashed |= task.future.take().is_some();
         }
     }
 
     pub fn resume(&mut self, host: usize) {
         self.paused[host] = false;
-        self.wake_overdue();
+        self.poll_overdue();
     }
 
     pub fn advance(&mut self, span: clock::Span) {
-        self.outside.clock.advance(span);
-        self.wake_overdue();
+        self.environment.clock.advance(span);
+        self.poll_overdue();
     }
 
     /// Polls overdue tasks, as the timers of running hosts would.
-    fn wake_overdue(&mut self) {
-        let (now, paused) = (self.outside.clock.now(), self.paused);
-        let due = |task: &&mut Task| now >= task.case.deadline && !paused[task.case.host];
+    fn poll_overdue(&mut self) {
+        let (now, paused) = (self.environment.clock.now(), self.paused);
+        let due = |task: &&mut Task| now >= task.exchange.deadline && !paused[task.exchange.host];
         self.tasks.iter_mut().filter(due).for_each(Task::step);
     }
 
-    pub fn oversleep(&mut self) {
+    pub fn exempt_unfinished(&mut self) {
         for task in &mut self.tasks {
-            task.overslept |= task.future.is_some();
+            task.is_exempt |= task.future.is_some();
         }
     }
 
@@ -201,17 +202,17 @@
     /// the key for one more retention. This is a documented limit; only the affected calls are
     /// exempt.
     pub fn sweep(&mut self) {
-        let before = self.outside.platform.late_over_rows();
-        let now = self.outside.clock.wall_millis();
-        let platform = self.outside.platform.clone();
+        let before = self.environment.platform.delayed_over_rows();
+        let now = self.environment.clock.wall_millis();
+        let platform = self.environment.platform.clone();
         for sweeper in &mut self.sweepers {
             let mut step = Box::pin(sweeper.step(&platform, now));
             // A lost answer only delays the sweep.
             while poll(step.as_mut()).is_pending() {}
         }
-        let after = platform.late_over_rows();
+        let after = platform.delayed_over_rows();
         for token in before.difference(&after) {
-            self.tasks[self.tokens[token]].overslept = true;
+            self.tasks[self.tokens[token]].is_exempt = true;
         }
     }
 }
@@ -234,66 +235,82 @@
 
 /// The entry host's timer: returns the result of `work`, or `None` if it is still pending at the
 /// deadline.
-async fn within<F>(outside: &Outside, case: &Case, mut work: Pin<&mut F>) -> Option<F::Output>
+async fn until_deadline<F>(
+    environment: &Environment,
+    exchange: &Exchange,
+    mut work: Pin<&mut F>,
+) -> Option<F::Output>
 where
     F: Future,
 {
     let timed = future::poll_fn(|context| match work.as_mut().poll(context) {
         Poll::Ready(output) => Poll::Ready(Some(output)),
-        Poll::Pending if outside.clock.now() >= case.deadline => Poll::Ready(None),
+        Poll::Pending if environment.clock.now() >= exchange.deadline => Poll::Ready(None),
         Poll::Pending => Poll::Pending,
     });
     timed.await
 }
 
 /// Handles one call as the entry host's adapter does.
-async fn serve(claims: Claims, outside: Outside, case: Rc<Case>, token: id::Attempt) {
-    let Some(key) = case.call.key else {
-        let held = request::Pending::new(repeat(&case.call));
-        return unclaimed(&outside, &case, held).await;
+async fn serve(
+    claims: Claims,
+    environment: Environment,
+    exchange: Rc<Exchange>,
+    token: id::Attempt,
+) {
+    let Some(key) = exchange.call.key else {
+        let pending = request::Pending::new(repeat(&exchange.call));
+        return run_unclaimed(&environment, &exchange, pending).await;
     };
-    let ask = claim::Request {
-        customer: id::Customer::from(format!("customer-{}", case.call.customer)),
+    let request = claim::Request {
+        customer: id::Customer::from(format!("customer-{}", exchange.call.customer)),
         key: format!("key-{key}"),
-        body_hash: claim::body_hash("POST", "/", &[case.call.body, u8::from(case.call.never)]),
-        repeat: repeat(&case.call),
+        body_hash: claim::body_hash(
+            "POST",
+            "/",
+            &[exchange.call.body, u8::from(exchange.call.at_most_once)],
+        ),
+        repeat: repeat(&exchange.call),
         token,
         upstream: id::Upstream::from("upstream"),
-        deadline: case.deadline,
-        wall_ms: outside.clock.wall_millis(),
+        deadline: exchange.deadline,
+        wall_ms: environment.clock.wall_millis(),
     };
     let mut begin = Box::pin(async {
-        match claims.begin(ask.clone()).await {
+        match claims.begin(request.clone()).await {
             // This fake engine has no streams that could be resumed.
-            Ok(claim::Begin::Running(running)) => claims.take_over(ask, &running).await,
+            Ok(claim::Begin::Running(running)) => claims.take_over(request, &running).await,
             begun => begun,
         }
     });
-    let mut begun = within(&outside, &case, begin.as_mut()).await;
+    let mut begun = until_deadline(&environment, &exchange, begin.as_mut()).await;
     if begun.is_none() {
-        case.tell(request::Pending::new(repeat(&case.call)).end(), None, false);
+        exchange.respond(request::Pending::new(repeat(&exchange.call)).end(), None, false);
         begun = Some(begin.as_mut().await);
     }
     drop(begin);
     let Some(begun) = begun else { return };
     match begun {
-        Ok(claim::Begin::Run(ticket)) => claimed(&claims, &outside, &case, ticket).await,
+        Ok(claim::Begin::Run(ticket)) => {
+            run_claimed(&claims, &environment, &exchange, ticket).await
+        }
         Ok(claim::Begin::Replay(answer)) => {
-            case.tell(outcome::Outcome::Done, Some(answer.body), true);
+            exchange.respond(outcome::Outcome::Done, Some(answer.body), true);
         }
         Ok(claim::Begin::Unclaimed) => {
-            unclaimed(&outside, &case, request::Pending::new(repeat(&case.call))).await;
+            run_unclaimed(&environment, &exchange, request::Pending::new(repeat(&exchange.call)))
+                .await;
         }
-        Ok(claim::Begin::Running(_)) => case.tell(outcome::Outcome::Unknown, None, false),
+        Ok(claim::Begin::Running(_)) => exchange.respond(outcome::Outcome::Unknown, None, false),
         Err(refusal) => {
-            case.tell(refusal.failure.outcome, None, false);
+            exchange.respond(refusal.failure.outcome, None, false);
             settle(&claims, refusal.abandoned).await;
         }
     }
 }
 
 fn repeat(call: &Call) -> request::Repeat {
-    if call.never { request::Repeat::Never } else { request::Repeat::Allowed }
+    if call.at_most_once { request::Repeat::Never } else { request::Repeat::Allowed }
 }
 
 /// Retries until the row is settled; the caller was answered long before.
@@ -302,54 +319,66 @@
         if claims.settle(abandoned).await {
             return;
         }
-        pause().await;
+        yield_once().await;
     }
 }
 
-async fn claimed(claims: &Claims, outside: &Outside, case: &Case, mut ticket: claim::Ticket) {
-    let mut held = request::Pending::new(repeat(&case.call));
+async fn run_claimed(
+    claims: &Claims,
+    environment: &Environment,
+    exchange: &Exchange,
+    mut ticket: claim::Ticket,
+) {
+    let mut pending = request::Pending::new(repeat(&exchange.call));
     loop {
-        let now = outside.clock.now();
-        let over = held.attempts() >= 2;
+        let now = environment.clock.now();
+        let is_exhausted = pending.attempts() >= 2;
         let sent = match ticket.dispatch(now) {
-            Ok(sent) if !over => sent,
-            Ok(sent) => return release(claims, case, sent.refused(), held.end()).await,
+            Ok(sent) if !is_exhausted => sent,
+            Ok(sent) => return release(claims, exchange, sent.refused(), pending.end()).await,
             Err(claim::Expired(ticket)) => {
-                return release(claims, case, *ticket, held.end()).await;
+                return release(claims, exchange, *ticket, pending.end()).await;
             }
         };
-        outside.dispatched.borrow_mut().insert(sent.token());
-        let attempt = id::Attempt(u128::from(held.attempts()));
-        let dispatched = held.dispatch(attempt);
-        let mut call = Box::pin(outside.upstream.call(&case.call, now));
-        let Some(result) = within(outside, case, call.as_mut()).await else {
-            case.tell(dispatched.lost().end(), None, false);
+        environment.dispatched.borrow_mut().insert(sent.token());
+        let attempt = id::Attempt(u128::from(pending.attempts()));
+        let dispatched = pending.dispatch(attempt);
+        let mut call = Box::pin(environment.upstream.call(&exchange.call, now));
+        let Some(result) = until_deadline(environment, exchange, call.as_mut()).await else {
+            exchange.respond(dispatched.lost().end(), None, false);
             return match call.await {
                 Ok(body) => finish(claims, sent, body).await,
-                Err(Failed::Refused) => settle(claims, claims.release(sent.refused()).await).await,
-                Err(Failed::Lost) => claims.mark_unknown(sent).await,
+                Err(CallError::Refused) => {
+                    settle(claims, claims.release(sent.refused()).await).await
+                }
+                Err(CallError::Lost) => claims.mark_unknown(sent).await,
             };
         };
         match result {
             Ok(body) => {
                 let outcome = dispatched.answering().complete();
-                case.tell(outcome, Some(body.clone()), false);
+                exchange.respond(outcome, Some(body.clone()), false);
                 return finish(claims, sent, body).await;
             }
-            Err(Failed::Refused) => {
-                held = dispatched.refused();
+            Err(CallError::Refused) => {
+                pending = dispatched.refused();
                 ticket = sent.refused();
             }
-            Err(Failed::Lost) => {
-                case.tell(dispatched.lost().end(), None, false);
+            Err(CallError::Lost) => {
+                exchange.respond(dispatched.lost().end(), None, false);
                 return claims.mark_unknown(sent).await;
             }
         }
     }
 }
 
-async fn release(claims: &Claims, case: &Case, ticket: claim::Ticket, outcome: outcome::Outcome) {
-    case.tell(outcome, None, false);
+async fn release(
+    claims: &Claims,
+    exchange: &Exchange,
+    ticket: claim::Ticket,
+    outcome: outcome::Outcome,
+) {
+    exchange.respond(outcome, None, false);
     let abandoned = claims.release(ticket).await;
     settle(claims, abandoned).await;
 }
@@ -358,34 +387,38 @@
     let answer = claim::Answer { status: 200, content_type: "text/plain".into(), body };
     let mut result = claims.finish(sent, answer).await;
     while let Err(unstored) = result {
-        pause().await;
+        yield_once().await;
         result = claims.finish(unstored.sent, unstored.answer).await;
     }
 }
 
 /// Runs a call without a claim: once, or again if it may repeat.
-async fn unclaimed(outside: &Outside, case: &Case, mut held: request::Pending) {
+async fn run_unclaimed(
+    environment: &Environment,
+    exchange: &Exchange,
+    mut pending: request::Pending,
+) {
     loop {
-        let now = outside.clock.now();
-        if now >= case.deadline || held.attempts() >= 2 {
-            return case.tell(held.end(), None, false);
+        let now = environment.clock.now();
+        if now >= exchange.deadline || pending.attempts() >= 2 {
+            return exchange.respond(pending.end(), None, false);
         }
-        let attempt = id::Attempt(u128::from(held.attempts()));
-        let dispatched = held.dispatch(attempt);
-        let mut call = Box::pin(outside.upstream.call(&case.call, now));
-        let Some(result) = within(outside, case, call.as_mut()).await else {
-            case.tell(dispatched.lost().end(), None, false);
+        let attempt = id::Attempt(u128::from(pending.attempts()));
+        let dispatched = pending.dispatch(attempt);
+        let mut call = Box::pin(environment.upstream.call(&exchange.call, now));
+        let Some(result) = until_deadline(environment, exchange, call.as_mut()).await else {
+            exchange.respond(dispatched.lost().end(), None, false);
             // The upstream does not notice that its caller has left.
             return drop(call.await);
         };
         match result {
             Ok(body) => {
-                return case.tell(dispatched.answering().complete(), Some(body), false);
+                return exchange.respond(dispatched.answering().complete(), Some(body), false);
             }
-            Err(Failed::Refused) => held = dispatched.refused(),
-            Err(Failed::Lost) => match dispatched.lost().retry() {
-                Ok(again) => held = again,
-                Err(outcome) => return case.tell(outcome, None, false),
+            Err(CallError::Refused) => pending = dispatched.refused(),
+            Err(CallError::Lost) => match dispatched.lost().retry() {
+                Ok(again) => pending = again,
+                Err(outcome) => return exchange.respond(outcome, None, false),
             },
         }
     }
--- a/crates/lagoonline/tests/life_quarantine.rs
+++ b/crates/lagoonline/tests/life_quarantine.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 
 /// Time between two crashes, longer than other hosts need to report.
-const APART: Span = Span::from_millis(400);
+const CRASH_INTERVAL: Span = Span::from_millis(400);
 
 fn request(name: &str) -> Fingerprint {
     Fingerprint::new("acme", "/talk/a", name.as_bytes())
@@ -37,21 +37,21 @@
         self.quarantine.record_crash(&upstream, &requests.collect::<Vec<_>>(), self.now);
     }
 
-    fn pass(&mut self, span: Span) {
+    fn advance(&mut self, span: Span) {
         self.now = self.now + span;
         self.quarantine.expire(self.now);
     }
 
     /// Crashes upstreams one after the other, evaluating each crash once all reports are in.
-    fn crashes_apart(&mut self, crashes: &[&[&str]]) {
+    fn crash_separately(&mut self, crashes: &[&[&str]]) {
         for requests in crashes {
             self.crash(requests);
-            self.pass(APART);
+            self.advance(CRASH_INTERVAL);
             self.quarantine.evaluate(self.now);
         }
     }
 
-    fn is_held(&self, name: &str) -> bool {
+    fn is_quarantined(&self, name: &str) -> bool {
         matches!(self.quarantine.status(&request(name), self.now), Status::Quarantined(_))
     }
 }
@@ -63,20 +63,20 @@
 fn three_crashes_are_proof(#[case] crashes: usize, #[case] held: bool) {
     let mut world = World::new();
     for _ in 0..crashes {
-        world.crashes_apart(&[&["lethal"]]);
+        world.crash_separately(&[&["lethal"]]);
     }
-    assert_eq!(world.is_held("lethal"), held);
+    assert_eq!(world.is_quarantined("lethal"), held);
 }
 
 /// A request that was only queued on the engines that crashed needs twice as many crashes.
 #[rstest]
-fn waiting_at_crashes_is_half_the_proof() {
+fn a_queued_request_needs_twice_as_many_crashes() {
     let mut world = World::new();
     for crash in 1..=6 {
         world.crash_with(&["queued"], Weight::Waiting);
-        world.pass(APART);
+        world.advance(CRASH_INTERVAL);
         world.quarantine.evaluate(world.now);
-        assert_eq!(world.is_held("queued"), crash == 6, "after {crash} crashes");
+        assert_eq!(world.is_quarantined("queued"), crash == 6, "after {crash} crashes");
     }
 }
 
@@ -87,7 +87,7 @@
 #[case::slow_engine(Progress::Begun { span: Span::from_secs(2), events: 0 }, Some(Weight::Begun))]
 #[case::first_events(Progress::Begun { span: Span::from_millis(120), events: 2 }, Some(Weight::Begun))]
 #[case::under_way(Progress::Begun { span: Span::from_millis(600), events: 10 }, None)]
-fn only_what_had_just_begun_is_suspected(
+fn only_requests_that_had_just_started_are_suspected(
     #[case] progress: Progress,
     #[case] weight: Option<Weight>,
 ) {
@@ -98,7 +98,7 @@
 #[rstest]
 fn a_request_at_three_crashes_waits_for_the_decision() {
     let mut world = World::new();
-    world.crashes_apart(&[&["lethal"], &["lethal"]]);
+    world.crash_separately(&[&["lethal"], &["lethal"]]);
     world.crash(&["lethal"]);
     let settle = Settings::default().settle_time;
     let standing = world.quarantine.status(&request("lethal"), world.now);
@@ -110,7 +110,7 @@
 #[rstest]
 fn a_request_beside_a_lethal_one_is_not_refused() {
     let mut world = World::new();
-    world.crashes_apart(&[
+    world.crash_separately(&[
         &["lethal", "beside"],
         &["lethal", "beside"],
         &["lethal", "beside"],
@@ -118,7 +118,7 @@
         &["lethal", "beside"],
         &["beside", "lethal"],
     ]);
-    assert!(world.is_held("lethal") && !world.is_held("beside"));
+    assert!(world.is_quarantined("lethal") && !world.is_quarantined("beside"));
 }
 
 /// Neither of two requests may be refused for crashes that both were involved in.
@@ -126,10 +126,10 @@
 fn of_two_suspects_at_the_same_crashes_neither_is_refused() {
     let mut world = World::new();
     let both: &[&str] = &["one", "other"];
-    world.crashes_apart(&[both, both, both]);
-    assert!(!world.is_held("one") && !world.is_held("other"));
-    world.crashes_apart(&[&["one"]]);
-    assert!(world.is_held("one") && !world.is_held("other"));
+    world.crash_separately(&[both, both, both]);
+    assert!(!world.is_quarantined("one") && !world.is_quarantined("other"));
+    world.crash_separately(&[&["one"]]);
+    assert!(world.is_quarantined("one") && !world.is_quarantined("other"));
 }
 
 /// A request with many copies must not be refused because a rack with several upstreams failed.
@@ -140,10 +140,10 @@
         for _ in 0..8 {
             world.crash(&["popular"]);
         }
-        world.pass(APART);
+        world.advance(CRASH_INTERVAL);
         world.quarantine.evaluate(world.now);
     }
-    assert!(!world.is_held("popular"));
+    assert!(!world.is_quarantined("popular"));
 }
 
 /// A popular request that runs on most upstreams must not be refused while others answer it.
@@ -151,23 +151,23 @@
 fn a_request_that_is_answered_is_no_suspect() {
     let mut world = World::new();
     for _ in 0..10 {
-        world.crashes_apart(&[&["popular", "lethal"]]);
+        world.crash_separately(&[&["popular", "lethal"]]);
         let (news, _) = world.quarantine.record_answer(&request("popular"), world.now);
         assert_eq!(news, world.crashes == 1, "told once, at crash {}", world.crashes);
     }
-    assert!(world.is_held("lethal") && !world.is_held("popular"));
+    assert!(world.is_quarantined("lethal") && !world.is_quarantined("popular"));
 }
 
 /// A complete answer must end a quarantine that was imposed by mistake, also on other hosts.
 #[rstest]
 fn an_answer_ends_a_quarantine() {
     let mut world = World::new();
-    world.crashes_apart(&[&["lucky"], &["lucky"], &["lucky"]]);
-    assert!(world.is_held("lucky"));
+    world.crash_separately(&[&["lucky"], &["lucky"], &["lucky"]]);
+    assert!(world.is_quarantined("lucky"));
     let (_, released) = world.quarantine.record_answer(&request("lucky"), world.now);
     let mut other = World::new();
     other.quarantine.merge(released.unwrap(), other.now);
-    assert!(!world.is_held("lucky") && !other.is_held("lucky"));
+    assert!(!world.is_quarantined("lucky") && !other.is_quarantined("lucky"));
 }
 
 /// A request must not need three crashes again after each quarantine.
@@ -175,30 +175,30 @@
 fn after_a_quarantine_one_crash_is_enough_for_a_longer_one() {
     let mut world = World::new();
     let hold = Settings::default().base_duration;
-    world.crashes_apart(&[&["lethal"], &["lethal"], &["lethal"]]);
-    world.pass(hold);
-    assert!(!world.is_held("lethal"));
-    world.crashes_apart(&[&["lethal", "beside"]]);
-    assert!(world.is_held("lethal"));
-    world.pass(hold);
-    assert!(world.is_held("lethal") && !world.is_held("beside"));
+    world.crash_separately(&[&["lethal"], &["lethal"], &["lethal"]]);
+    world.advance(hold);
+    assert!(!world.is_quarantined("lethal"));
+    world.crash_separately(&[&["lethal", "beside"]]);
+    assert!(world.is_quarantined("lethal"));
+    world.advance(hold);
+    assert!(world.is_quarantined("lethal") && !world.is_quarantined("beside"));
 }
 
 /// An older record of another host must not undo a release.
 #[rstest]
-fn the_later_verdict_holds_in_any_order() {
+fn the_later_record_wins_in_any_order() {
     let mut world = World::new();
-    world.crashes_apart(&[&["lethal"], &["lethal"], &["lethal"]]);
+    world.crash_separately(&[&["lethal"], &["lethal"], &["lethal"]]);
     let held = *world.quarantine.records(world.now).next().unwrap();
     let released = world.quarantine.release(&request("lethal"), world.now).unwrap();
     let mut other = World::new();
     assert!(other.quarantine.merge(released, other.now));
     assert!(!other.quarantine.merge(held, other.now));
-    assert!(!other.is_held("lethal"));
+    assert!(!other.is_quarantined("lethal"));
     assert_eq!(
         other.quarantine.checksum(other.now),
         world.quarantine.checksum(world.now),
-        "hosts that know the same verdicts agree"
+        "hosts with the same records have the same checksum"
     );
 }
 
@@ -211,7 +211,7 @@
         world.quarantine.record_crash(&Upstream::from("e1"), &[unlucky], world.now);
         world.now = world.now + Span::from_millis(150);
     }
-    world.pass(APART);
+    world.advance(CRASH_INTERVAL);
     assert!(world.quarantine.evaluate(world.now).is_empty());
 }
 
@@ -220,23 +220,23 @@
 fn a_flood_of_lethal_requests_is_bounded() {
     let settings = Settings { max_entries: 100, max_crashes: 50, ..Settings::default() };
     let mut world = World { quarantine: Quarantine::new(settings), ..World::new() };
-    world.crashes_apart(&[&["first"], &["first"]]);
+    world.crash_separately(&[&["first"], &["first"]]);
     for number in 0..400 {
         world.crash(&[&format!("a{number}"), &format!("b{number}"), &format!("c{number}")]);
-        world.pass(Span::from_millis(1));
+        world.advance(Span::from_millis(1));
         assert!(world.quarantine.suspects() <= 100);
     }
     for number in 0..300 {
         let name = format!("lethal {number}");
-        world.crashes_apart(&[&[&name], &[&name], &[&name]]);
+        world.crash_separately(&[&[&name], &[&name], &[&name]]);
     }
-    world.pass(APART);
+    world.advance(CRASH_INTERVAL);
     assert_eq!(world.quarantine.records(world.now).count(), 100);
 }
 
 /// Requests must not be fingerprinted while no request of their length is suspected.
 #[rstest]
-fn a_request_of_another_length_is_not_looked_at() {
+fn a_request_of_another_length_is_not_fingerprinted() {
     let mut world = World::new();
     assert!(!world.quarantine.has_length(6));
     world.crash(&["lethal"]);
--- a/crates/lagoonline/tests/life_quarantine_fuzz.rs
+++ b/crates/lagoonline/tests/life_quarantine_fuzz.rs
@@ -14,23 +14,23 @@
 const HOSTS: usize = 3;
 const REQUESTS: usize = 6;
 /// Number of crashes that prove a request lethal.
-const PROOF: usize = 3;
+const REQUIRED_CRASHES: usize = 3;
 
 #[derive(Clone, Debug)]
 enum Transition {
     /// An upstream crashes with the requests in the bit set in flight; one host does not get the
     /// report.
-    Crash { requests: u8, deaf: usize },
+    Crash { requests: u8, skipped_host: usize },
     /// A request is answered completely at a host; another host does not get the report.
-    Answer { request: usize, host: usize, deaf: usize },
+    Answer { request: usize, host: usize, skipped_host: usize },
     /// Time passes, and the hosts evaluate the evidence.
-    Pass { millis: u64 },
+    Advance { millis: u64 },
     /// An operator ends a quarantine at one host.
     Release { request: usize, host: usize },
     /// A host is replaced by one without any state.
     Replace { host: usize },
     /// Two hosts whose checksums differ exchange their records.
-    Compare { one: usize, other: usize },
+    Exchange { one: usize, other: usize },
 }
 
 #[derive(Clone, Debug, Default)]
@@ -49,14 +49,16 @@
         let request = || 0..REQUESTS;
         prop_oneof![
             6 => (1..1_u8 << REQUESTS, 0..HOSTS + 2)
-                .prop_map(|(requests, deaf)| Transition::Crash { requests, deaf }),
+                .prop_map(|(requests, skipped_host)| Transition::Crash { requests, skipped_host }),
             2 => (request(), host(), 0..HOSTS + 2)
-                .prop_map(|(request, host, deaf)| Transition::Answer { request, host, deaf }),
-            6 => (1..2_000_u64).prop_map(|millis| Transition::Pass { millis }),
+                .prop_map(|(request, host, skipped_host)| {
+                    Transition::Answer { request, host, skipped_host }
+                }),
+            6 => (1..2_000_u64).prop_map(|millis| Transition::Advance { millis }),
             1 => (request(), host())
                 .prop_map(|(request, host)| Transition::Release { request, host }),
             1 => host().prop_map(|host| Transition::Replace { host }),
-            3 => (host(), host()).prop_map(|(one, other)| Transition::Compare { one, other }),
+            3 => (host(), host()).prop_map(|(one, other)| Transition::Exchange { one, other }),
         ]
         .boxed()
     }
@@ -71,7 +73,7 @@
     now: Moment,
     crashes: u64,
     /// Number of crashes that each request was involved in.
-    met: collections::BTreeMap<usize, usize>,
+    involved: collections::BTreeMap<usize, usize>,
 }
 
 fn request(number: usize) -> Fingerprint {
@@ -79,39 +81,45 @@
 }
 
 impl System {
-    fn is_held(&self, host: usize, number: usize) -> bool {
+    fn is_quarantined(&self, host: usize, number: usize) -> bool {
         let standing = self.hosts[host].status(&request(number), self.now);
         matches!(standing, Status::Quarantined(_))
     }
 
-    fn crash(&mut self, requests: u8, deaf: usize) {
+    fn crash(&mut self, requests: u8, skipped_host: usize) {
         self.crashes += 1;
         let upstream = Upstream::from(format!("e{}", self.crashes));
         let numbers: Vec<_> =
             (0..REQUESTS).filter(|number| requests & (1 << number) != 0).collect();
         for number in &numbers {
-            *self.met.entry(*number).or_default() += 1;
+            *self.involved.entry(*number).or_default() += 1;
         }
         let suspect =
             |number: &usize| Suspect { fingerprint: request(*number), weight: Weight::Begun };
         let suspects: Vec<_> = numbers.iter().map(suspect).collect();
         for (number, host) in self.hosts.iter_mut().enumerate() {
-            if number != deaf {
+            if number != skipped_host {
                 host.record_crash(&upstream, &suspects, self.now);
             }
         }
     }
 
-    fn answer(&mut self, number: usize, host: usize, deaf: usize) {
+    fn answer(&mut self, number: usize, host: usize, skipped_host: usize) {
         let (news, _) = self.hosts[host].record_answer(&request(number), self.now);
-        assert!(!self.is_held(host, number), "held though it was answered there");
-        for other in (0..HOSTS).filter(|other| news && *other != host && *other != deaf) {
+        assert!(
+            !self.is_quarantined(host, number),
+            "still in quarantine at the host that answered it"
+        );
+        for other in (0..HOSTS).filter(|other| news && *other != host && *other != skipped_host) {
             self.hosts[other].record_answer(&request(number), self.now);
-            assert!(!self.is_held(other, number), "held though its answer was told");
+            assert!(
+                !self.is_quarantined(other, number),
+                "still in quarantine at a host that knows of the answer"
+            );
         }
     }
 
-    fn compare(&mut self, one: usize, other: usize) {
+    fn exchange(&mut self, one: usize, other: usize) {
         let records = |host: &Quarantine| host.records(self.now).copied().collect::<Vec<Record>>();
         let told = [(other, records(&self.hosts[one])), (one, records(&self.hosts[other]))];
         for (host, records) in told {
@@ -120,7 +128,7 @@
             }
         }
         let checksum = |host: usize| self.hosts[host].checksum(self.now);
-        assert_eq!(checksum(one), checksum(other), "two hosts that told each other all");
+        assert_eq!(checksum(one), checksum(other), "checksums differ after exchanging all records");
     }
 }
 
@@ -133,15 +141,17 @@
             hosts: vec![Quarantine::default(); HOSTS],
             now: Moment::START,
             crashes: 0,
-            met: collections::BTreeMap::new(),
+            involved: collections::BTreeMap::new(),
         }
     }
 
     fn apply(mut system: System, _: &Reference, transition: Transition) -> System {
         match transition {
-            Transition::Crash { requests, deaf } => system.crash(requests, deaf),
-            Transition::Answer { request, host, deaf } => system.answer(request, host, deaf),
-            Transition::Pass { millis } => {
+            Transition::Crash { requests, skipped_host } => system.crash(requests, skipped_host),
+            Transition::Answer { request, host, skipped_host } => {
+                system.answer(request, host, skipped_host)
+            }
+            Transition::Advance { millis } => {
                 system.now = system.now + Span::from_millis(millis);
                 for host in &mut system.hosts {
                     host.expire(system.now);
@@ -150,19 +160,22 @@
             }
             Transition::Release { request: number, host } => {
                 system.hosts[host].release(&request(number), system.now);
-                assert!(!system.is_held(host, number));
+                assert!(!system.is_quarantined(host, number));
             }
             Transition::Replace { host } => system.hosts[host] = Quarantine::default(),
-            Transition::Compare { one, other } => system.compare(one, other),
+            Transition::Exchange { one, other } => system.exchange(one, other),
         }
         system
     }
 
     fn check_invariants(system: &System, _: &Reference) {
         for number in 0..REQUESTS {
-            let met = system.met.get(&number).copied().unwrap_or_default();
+            let involved = system.involved.get(&number).copied().unwrap_or_default();
             for host in 0..HOSTS {
-                assert!(met >= PROOF || !system.is_held(host, number), "held after {met} crashes");
+                assert!(
+                    involved >= REQUIRED_CRASHES || !system.is_quarantined(host, number),
+                    "in quarantine after {involved} crashes"
+                );
             }
         }
     }
--- a/crates/lagoonline/tests/life_reap.rs
+++ b/crates/lagoonline/tests/life_reap.rs
@@ -13,10 +13,10 @@
 #[case(Kind::Reservation, &[true, true])]
 #[case(Kind::Export, &[true, true])]
 #[case(Kind::Stream, &[false, true])]
-fn streams_wait_for_their_callers(#[case] kind: Kind, #[case] released: &[bool]) {
+fn streams_are_kept_for_their_callers(#[case] kind: Kind, #[case] released: &[bool]) {
     let owner = |text: &str| text.parse::<Owner>().expect("an owner");
     let takeover = Settings::default().takeover_window;
-    let mut sweep = Reaper::new(Settings::default());
+    let mut reaper = Reaper::new(Settings::default());
     let engine = Upstream::from("e");
     let held = |owner: &str| Holding {
         id: "a".into(),
@@ -25,11 +25,11 @@
         bytes: 1,
         expires_ms: 1,
     };
-    sweep.releasable(&engine, &[held("h/1")], Moment::START);
-    sweep.record_heartbeat(&owner("h/2"), Moment::START);
+    reaper.releasable(&engine, &[held("h/1")], Moment::START);
+    reaper.record_heartbeat(&owner("h/2"), Moment::START);
     for (at, expected) in [Span::ZERO, takeover].iter().zip(released) {
-        let ids = sweep.releasable(&engine, &[held("h/1")], Moment::START + *at);
+        let ids = reaper.releasable(&engine, &[held("h/1")], Moment::START + *at);
         assert_eq!(!ids.is_empty(), *expected, "after {at:?}");
     }
-    assert!(sweep.releasable(&engine, &[held("h/2")], Moment::START + takeover).is_empty());
+    assert!(reaper.releasable(&engine, &[held("h/2")], Moment::START + takeover).is_empty());
 }
--- a/crates/lagoonline/tests/life_regressions.rs
+++ b/crates/lagoonline/tests/life_regressions.rs
@@ -32,14 +32,14 @@
 /// A stream was interrupted although its entry host was healthy. A reaper that was cut off from its
 /// start knew the other host only by its stream, and hearing one of two hosts counted as enough.
 #[test]
-fn a_sweeper_that_hears_only_itself_releases_nothing() {
-    let mut sweep = reap::Reaper::new(reap::Settings::default());
+fn a_reaper_that_hears_only_itself_releases_nothing() {
+    let mut reaper = reap::Reaper::new(reap::Settings::default());
     let holding = stream_of("other/1");
     let mut now = Moment::START;
     for _ in 0..300 {
         now = now + Span::from_secs(1);
-        sweep.record_heartbeat(&owner("own/1"), now);
-        let released = sweep.releasable(&Upstream::from("e"), std::slice::from_ref(&holding), now);
+        reaper.record_heartbeat(&owner("own/1"), now);
+        let released = reaper.releasable(&Upstream::from("e"), std::slice::from_ref(&holding), now);
         assert!(released.is_empty());
     }
 }
@@ -49,16 +49,16 @@
 /// off, still counted as heard.
 #[test]
 fn hosts_fall_silent_together() {
-    let mut sweep = reap::Reaper::new(reap::Settings::default());
+    let mut reaper = reap::Reaper::new(reap::Settings::default());
     let hosts = ["own/1", "a/1", "b/1", "c/1"];
     for (host, millis) in hosts.iter().zip([900, 100, 500, 900]) {
-        sweep.record_heartbeat(&owner(host), Moment::from_millis(millis));
+        reaper.record_heartbeat(&owner(host), Moment::from_millis(millis));
     }
     let holding = stream_of("a/1");
     for tenths in 10..900 {
         let now = Moment::from_millis(tenths * 100);
-        sweep.record_heartbeat(&owner("own/1"), now);
-        let released = sweep.releasable(&Upstream::from("e"), std::slice::from_ref(&holding), now);
+        reaper.record_heartbeat(&owner("own/1"), now);
+        let released = reaper.releasable(&Upstream::from("e"), std::slice::from_ref(&holding), now);
         assert!(released.is_empty(), "at {now:?}");
     }
 }
--- a/crates/lagoonline/tests/routing.rs
+++ b/crates/lagoonline/tests/routing.rs
@@ -64,7 +64,7 @@
     assert_eq!(to_a, 900);
 }
 
-fn entry(name: &str, leaving: bool) -> routing::Registration {
+fn registration(name: &str, leaving: bool) -> routing::Registration {
     routing::Registration {
         upstream: id::Upstream::from(name),
         service: id::Service::from("s"),
@@ -84,9 +84,9 @@
 /// which registers again two seconds later; if it were dropped at once, callers would have no
 /// upstream.
 #[rstest]
-fn an_entry_that_lapsed_in_an_outage_stays_until_it_can_be_back() {
+fn a_registration_that_expired_in_an_outage_is_kept_for_a_while() {
     let mut registry = routing::Registry::default();
-    registry.apply(routing::Change::Put(entry("u", false)), Moment::from_millis(0));
+    registry.apply(routing::Change::Put(registration("u", false)), Moment::from_millis(0));
     registry.record_recovery(Moment::from_millis(9_000));
     registry.apply(removed("u"), Moment::from_millis(9_010));
     assert!(!registry.expire(Moment::from_millis(11_000)));
@@ -99,9 +99,9 @@
 /// outage: its upstream left without notice, and a request sent to it would violate the bound on
 /// leaving upstreams.
 #[rstest]
-fn an_entry_that_vanishes_after_the_return_is_dropped_at_once() {
+fn a_registration_that_vanishes_after_the_recovery_is_dropped_at_once() {
     let mut registry = routing::Registry::default();
-    registry.apply(routing::Change::Put(entry("u", false)), Moment::from_millis(0));
+    registry.apply(routing::Change::Put(registration("u", false)), Moment::from_millis(0));
     registry.record_recovery(Moment::from_millis(9_000));
     registry.apply(removed("u"), Moment::from_millis(12_000));
     assert_eq!(registry.entries().count(), 0);
@@ -109,20 +109,20 @@
 
 /// An upstream that announced that it is leaving must not be kept after an outage.
 #[rstest]
-fn a_leaving_entry_is_not_kept() {
+fn a_leaving_registration_is_not_kept() {
     let mut registry = routing::Registry::default();
-    registry.apply(routing::Change::Put(entry("u", true)), Moment::from_millis(0));
+    registry.apply(routing::Change::Put(registration("u", true)), Moment::from_millis(0));
     registry.record_recovery(Moment::from_millis(10));
     registry.apply(removed("u"), Moment::from_millis(20));
     assert_eq!(registry.entries().count(), 0);
 }
 
 #[rstest]
-fn a_whole_list_drops_what_it_lacks() {
+fn a_complete_list_drops_missing_registrations() {
     let mut registry = routing::Registry::default();
     let now = Moment::from_millis(5);
-    registry.reset(vec![entry("u", false), entry("v", false)], now);
-    registry.reset(vec![entry("v", true)], now);
+    registry.reset(vec![registration("u", false), registration("v", false)], now);
+    registry.reset(vec![registration("v", true)], now);
     let names: Vec<_> = registry.entries().map(|entry| entry.upstream.as_str()).collect();
     assert_eq!(names, ["v"]);
 }
@@ -155,7 +155,7 @@
 /// The reader dies, and then the next host in order. Each is skipped for three seconds from its own
 /// failure and then asked again.
 #[rstest]
-fn readers_that_fail_are_passed_over_for_a_while() {
+fn failed_readers_are_skipped_for_a_while() {
     let mut sources = sources("c", &["a", "b", "d"]);
     sources.record_failure(&id::Host::from("a"), Moment::from_millis(0));
     assert_eq!(sources.next(Moment::from_millis(10)), peer("b"));
@@ -167,7 +167,7 @@
 /// The platform refuses this host but serves the others, so the host asks them although it is the
 /// first in order.
 #[rstest]
-fn a_host_that_the_platform_turns_away_asks_another() {
+fn a_host_refused_by_the_platform_asks_another() {
     let mut sources = sources("a", &["b", "c"]);
     sources.record_platform_failure(Moment::from_millis(0));
     assert_eq!(sources.next(Moment::from_millis(10)), peer("b"));
@@ -191,15 +191,15 @@
 
 /// The platform refuses the hosts that the others ask, which then search for a reader in vain.
 /// Their state may be as old as the search span when they ask the last host, whose answer takes up
-/// to [`ASK`]. Reading the platform itself must still be possible within the bound.
+/// to [`MAX_ANSWER_TIME`]. Reading the platform itself must still be possible within the bound.
 #[rstest]
 #[case(2_000)]
 #[case(4_000)]
-fn a_look_for_a_reader_ends_within_the_bound(#[case] apply: u64) {
-    const ASK: Span = Span::from_millis(1_300);
+fn the_search_for_a_reader_ends_within_the_bound(#[case] apply: u64) {
+    const MAX_ANSWER_TIME: Span = Span::from_millis(1_300);
     let apply = Span::from_millis(apply);
-    let look = routing::SourceSettings::default().search_span(apply);
-    assert!(look + ASK < apply, "{look:?} of {apply:?}");
+    let search = routing::SourceSettings::default().search_span(apply);
+    assert!(search + MAX_ANSWER_TIME < apply, "{search:?} of {apply:?}");
 }
 
 /// In a small zone every host reads the platform itself, even the smallest.
--- a/crates/lagoonline/tests/routing_roster.rs
+++ b/crates/lagoonline/tests/routing_roster.rs
@@ -11,20 +11,20 @@
 /// Start time of the simulation.
 const START: Moment = Moment::from_millis(10);
 /// Time between two heartbeats.
-const BEAT: Span = Span::from_millis(300);
+const HEARTBEAT: Span = Span::from_millis(300);
 const STEP: Span = Span::from_millis(100);
 /// Time between two load reports of an engine.
-const PERIOD: Span = Span::from_secs(1);
+const POLL_PERIOD: Span = Span::from_secs(1);
 /// An engine must be polled at least this often, whichever hosts fail.
-const LONGEST_GAP: Span = Span::from_secs(2);
+const MAX_POLL_GAP: Span = Span::from_secs(2);
 
 /// A simulated host.
 struct Host {
     name: id::Host,
     zone: id::Zone,
     roster: routing::Roster,
-    rounds: routing::PollSchedule,
-    runs: bool,
+    schedule: routing::PollSchedule,
+    is_running: bool,
 }
 
 struct Fleet {
@@ -34,12 +34,12 @@
     cut: collections::BTreeSet<id::Zone>,
     now: Moment,
     /// When each zone's engines were polled, and by which host.
-    asked: collections::BTreeMap<id::Zone, Vec<(Moment, id::Host)>>,
+    polled: collections::BTreeMap<id::Zone, Vec<(Moment, id::Host)>>,
     /// Number of heartbeats and answers sent.
     sent: usize,
 }
 
-fn standing(zone: &id::Zone, rank: usize) -> routing::HostInfo {
+fn host_info(zone: &id::Zone, rank: usize) -> routing::HostInfo {
     routing::HostInfo { zone: zone.clone(), cores: if rank < 3 { 0.5 } else { 0.12 } }
 }
 
@@ -51,21 +51,21 @@
             .map(|index| {
                 let zone = &zones[index % zones.len()];
                 let name = id::Host::from(format!("{zone}-{index:03}"));
-                (name, standing(zone, index / zones.len()))
+                (name, host_info(zone, index / zones.len()))
             })
             .collect();
         let hosts = named.iter().map(|(name, own)| {
             let settings = routing::RosterSettings::default();
             let mut roster = routing::Roster::new(settings, name.clone(), own.clone(), START);
-            for (other, standing) in &named {
-                roster.upsert(other.clone(), standing.clone(), START);
+            for (other, info) in &named {
+                roster.upsert(other.clone(), info.clone(), START);
             }
             let (name, zone) = (name.clone(), own.zone.clone());
-            Host { name, zone, roster, rounds: Default::default(), runs: true }
+            Host { name, zone, roster, schedule: Default::default(), is_running: true }
         });
         let hosts = hosts.collect();
         let now = START;
-        Fleet { hosts, zones, cut: Default::default(), now, asked: Default::default(), sent: 0 }
+        Fleet { hosts, zones, cut: Default::default(), now, polled: Default::default(), sent: 0 }
     }
 
     fn index(&self, name: &id::Host) -> usize {
@@ -75,7 +75,7 @@
     fn reaches(&self, from: usize, to: usize) -> bool {
         let (from, to) = (&self.hosts[from], &self.hosts[to]);
         let apart = from.zone != to.zone;
-        to.runs && !(apart && (self.cut.contains(&from.zone) || self.cut.contains(&to.zone)))
+        to.is_running && !(apart && (self.cut.contains(&from.zone) || self.cut.contains(&to.zone)))
     }
 
     /// Advances the simulation by `span`.
@@ -83,20 +83,21 @@
         let until = self.now + span;
         while self.now < until {
             self.now = self.now + STEP;
-            let beats = self.now.as_millis() / STEP.as_millis() as u64;
-            let beats = beats.is_multiple_of((BEAT.as_millis() / STEP.as_millis()) as u64);
+            let steps = self.now.as_millis() / STEP.as_millis() as u64;
+            let is_heartbeat_due =
+                steps.is_multiple_of((HEARTBEAT.as_millis() / STEP.as_millis()) as u64);
             for index in 0..self.hosts.len() {
-                if self.hosts[index].runs {
-                    if beats {
-                        self.beat(index);
+                if self.hosts[index].is_running {
+                    if is_heartbeat_due {
+                        self.send_heartbeats(index);
                     }
-                    self.ask(index);
+                    self.poll(index);
                 }
             }
         }
     }
 
-    fn beat(&mut self, index: usize) {
+    fn send_heartbeats(&mut self, index: usize) {
         let now = self.now;
         let name = self.hosts[index].name.clone();
         for other in self.hosts[index].roster.heartbeat_targets(now) {
@@ -122,38 +123,38 @@
         }
     }
 
-    fn ask(&mut self, index: usize) {
+    fn poll(&mut self, index: usize) {
         let host = &mut self.hosts[index];
-        for zone in host.rounds.due(&host.roster, &self.zones, PERIOD, self.now) {
-            self.asked.entry(zone).or_default().push((self.now, host.name.clone()));
+        for zone in host.schedule.due(&host.roster, &self.zones, POLL_PERIOD, self.now) {
+            self.polled.entry(zone).or_default().push((self.now, host.name.clone()));
         }
     }
 
     /// Checks how often each zone's engines were polled between `from` and now. The engines of a
     /// zone that is cut off are polled from within it.
-    fn check(&self, from: Moment) {
+    fn check_polls(&self, from: Moment) {
         for zone in &self.zones {
-            let asked: Vec<_> = self.asked[zone].iter().map(|(at, _)| *at).collect();
-            let asked: Vec<_> = asked.into_iter().filter(|at| *at >= from).collect();
+            let polled: Vec<_> = self.polled[zone].iter().map(|(at, _)| *at).collect();
+            let polled: Vec<_> = polled.into_iter().filter(|at| *at >= from).collect();
             let mut before = from;
-            for at in asked.iter().copied().chain([self.now]) {
+            for at in polled.iter().copied().chain([self.now]) {
                 let gap = at.since(before);
-                assert!(gap <= LONGEST_GAP, "{zone} not asked for {gap:?} before {at:?}");
+                assert!(gap <= MAX_POLL_GAP, "{zone} not polled for {gap:?} before {at:?}");
                 before = at;
             }
             let span = self.now.since(from).as_secs_f64();
             let most = (span * 2.0).ceil() as usize;
-            assert!(asked.len() <= most, "{zone} asked {} times in {span} s", asked.len());
+            assert!(polled.len() <= most, "{zone} polled {} times in {span} s", polled.len());
         }
     }
 
-    fn set_runs<Which>(&mut self, runs: bool, which: Which)
+    fn set_running<Which>(&mut self, is_running: bool, which: Which)
     where
         Which: Fn(usize, &Host) -> bool,
     {
         for index in 0..self.hosts.len() {
             if which(index, &self.hosts[index]) {
-                self.hosts[index].runs = runs;
+                self.hosts[index].is_running = is_running;
             }
         }
     }
@@ -165,14 +166,14 @@
 #[case(3, 3)]
 #[case(40, 5)]
 #[case(200, 5)]
-fn one_host_asks_for_a_zone(#[case] hosts: usize, #[case] zones: usize) {
+fn one_host_polls_each_zone(#[case] hosts: usize, #[case] zones: usize) {
     let mut fleet = Fleet::new(hosts, zones);
     fleet.run(Span::from_secs(20));
-    fleet.check(START);
-    for (zone, asked) in &fleet.asked {
-        let by: collections::BTreeSet<_> = asked.iter().map(|(_, host)| host).collect();
-        assert_eq!(by.len(), 1, "{zone} asked by {by:?}");
-        assert!((19..=21).contains(&asked.len()), "{zone} asked {} times", asked.len());
+    fleet.check_polls(START);
+    for (zone, polled) in &fleet.polled {
+        let by: collections::BTreeSet<_> = polled.iter().map(|(_, host)| host).collect();
+        assert_eq!(by.len(), 1, "{zone} polled by {by:?}");
+        assert!((19..=21).contains(&polled.len()), "{zone} polled {} times", polled.len());
     }
     let each = fleet.sent as f64 / hosts as f64 / 20.0;
     assert!(each <= 30.0, "{each} heartbeats a second and host");
@@ -185,11 +186,11 @@
 #[case(3, 1)]
 #[case(40, 5)]
 #[case(200, 5)]
-fn engines_are_asked_whatever_dies(#[case] hosts: usize, #[case] zones: usize) {
-    type Dies = fn(usize, usize) -> bool;
-    let killed: [Dies; 3] =
+fn engines_are_polled_whichever_hosts_fail(#[case] hosts: usize, #[case] zones: usize) {
+    type Selector = fn(usize, usize) -> bool;
+    let killed: [Selector; 3] =
         [|index, zones| index < zones, |index, zones| index < 3 * zones, |index, _| index % 2 == 0];
-    for (case, dies) in killed.into_iter().enumerate() {
+    for (case, is_killed) in killed.into_iter().enumerate() {
         if hosts == 3 && case == 1 {
             // No host would be left.
             continue;
@@ -197,35 +198,35 @@
         let mut fleet = Fleet::new(hosts, zones);
         fleet.run(Span::from_secs(5));
         let from = fleet.now;
-        fleet.set_runs(false, |index, _| dies(index, zones));
+        fleet.set_running(false, |index, _| is_killed(index, zones));
         fleet.run(Span::from_secs(6));
-        fleet.check(from);
-        fleet.set_runs(true, |_, _| true);
+        fleet.check_polls(from);
+        fleet.set_running(true, |_, _| true);
         fleet.run(Span::from_secs(6));
-        fleet.check(from);
+        fleet.check_polls(from);
     }
 }
 
 /// All hosts of a zone lose power while its engines still serve callers of other zones. The first
 /// other zone must poll them until the hosts of their own zone are back.
 #[rstest]
-fn engines_of_a_zone_without_hosts_are_asked_from_another() {
+fn engines_of_a_zone_without_hosts_are_polled_from_another() {
     let mut fleet = Fleet::new(40, 5);
     fleet.run(Span::from_secs(5));
     let dead = fleet.zones[0].clone();
-    fleet.set_runs(false, |_, host| host.zone == dead);
+    fleet.set_running(false, |_, host| host.zone == dead);
     let from = fleet.now + Span::from_secs(3);
     fleet.run(Span::from_secs(9));
-    fleet.check(from);
+    fleet.check_polls(from);
     let by: collections::BTreeSet<_> =
-        fleet.asked[&dead].iter().filter(|(at, _)| *at >= from).map(|(_, host)| host).collect();
+        fleet.polled[&dead].iter().filter(|(at, _)| *at >= from).map(|(_, host)| host).collect();
     assert_eq!(by.into_iter().map(id::Host::as_str).collect::<Vec<_>>(), ["z1-001"]);
-    fleet.set_runs(true, |_, _| true);
+    fleet.set_running(true, |_, _| true);
     fleet.run(Span::from_secs(3));
     let back = fleet.now;
     fleet.run(Span::from_secs(5));
-    fleet.check(back);
-    let others = fleet.asked[&dead]
+    fleet.check_polls(back);
+    let others = fleet.polled[&dead]
         .iter()
         .filter(|(at, host)| *at > back && !host.as_str().starts_with(dead.as_str()));
     assert_eq!(others.count(), 0);
@@ -234,14 +235,14 @@
 /// A zone is cut off and returns. Its own first host keeps polling its engines; a single host of
 /// the other zones tries to poll them as well, without success.
 #[rstest]
-fn a_cut_off_zone_asks_its_own_engines() {
+fn a_cut_off_zone_polls_its_own_engines() {
     let mut fleet = Fleet::new(195, 5);
     fleet.run(Span::from_secs(5));
     let cut = fleet.zones[2].clone();
     fleet.cut.insert(cut.clone());
     let from = fleet.now;
     fleet.run(Span::from_secs(8));
-    let within = fleet.asked[&cut]
+    let within = fleet.polled[&cut]
         .iter()
         .filter(|(at, host)| *at > from && host.as_str().starts_with(cut.as_str()));
     assert!((7..=9).contains(&within.count()));
@@ -249,16 +250,16 @@
     fleet.run(Span::from_secs(3));
     let back = fleet.now;
     fleet.run(Span::from_secs(5));
-    fleet.check(back);
+    fleet.check_polls(back);
 }
 
 fn roster(own: usize, hosts: usize) -> routing::Roster {
     let zone = id::Zone::from("z");
     let name = |index: usize| id::Host::from(format!("h{index:02}"));
     let settings = routing::RosterSettings::default();
-    let mut roster = routing::Roster::new(settings, name(own), standing(&zone, own), START);
+    let mut roster = routing::Roster::new(settings, name(own), host_info(&zone, own), START);
     for index in 0..hosts {
-        roster.upsert(name(index), standing(&zone, index), START);
+        roster.upsert(name(index), host_info(&zone, index), START);
     }
     roster
 }
@@ -268,7 +269,7 @@
 /// host twice. After a second the first host is asked again, unless it does not answer heartbeats
 /// either.
 #[rstest]
-fn a_silent_scheduler_is_passed_over() {
+fn an_unresponsive_scheduler_is_skipped() {
     let mut roster = roster(9, 20);
     let mut now = START;
     let first = |roster: &routing::Roster, now| roster.scheduler(now).map(|host| host.to_string());
@@ -305,12 +306,12 @@
     let zone = id::Zone::from("z");
     let settings = routing::RosterSettings::default();
     let mut roster =
-        routing::Roster::new(settings, id::Host::from("own"), standing(&zone, 0), START);
+        routing::Roster::new(settings, id::Host::from("own"), host_info(&zone, 0), START);
     for index in 0..20 {
-        let other = standing(&id::Zone::from("large"), index);
+        let other = host_info(&id::Zone::from("large"), index);
         roster.upsert(id::Host::from(format!("l{index:02}")), other, START);
         if index < 4 {
-            let other = standing(&id::Zone::from("small"), index);
+            let other = host_info(&id::Zone::from("small"), index);
             roster.upsert(id::Host::from(format!("s{index:02}")), other, START);
         }
     }
@@ -319,7 +320,7 @@
         roster.remote_peers(now).iter().map(ToString::to_string).collect()
     };
     let small = ["s00", "s01", "s02", "s03"];
-    assert_eq!(far(&roster).len(), 12 + small.len(), "nobody is heard of");
+    assert_eq!(far(&roster).len(), 12 + small.len(), "no host was heard from");
     roster.record_contact(&id::Host::from("l01"), now);
     assert_eq!(far(&roster), [&["l00", "l01", "l02"], &small[..]].concat());
     roster.record_contact(&id::Host::from("l07"), now);
@@ -329,7 +330,7 @@
 /// During a platform outage, three hosts of a zone of forty call the platform often, so that its
 /// recovery is noticed at once, while all forty together make no more than twenty calls per second.
 #[rstest]
-fn few_hosts_call_a_platform_that_is_out() {
+fn few_hosts_call_an_unavailable_platform() {
     let now = START;
     let pauses: Vec<_> = (0..40).map(|own| roster(own, 40).max_retry_pause(now)).collect();
     let often = pauses.iter().filter(|pause| **pause <= Span::from_secs(1)).count();
@@ -341,16 +342,16 @@
 
 /// Rows of replaced hosts must not be kept, read and ranked forever.
 #[rstest]
-fn silent_hosts_are_forgotten_by_the_first_of_their_zone() {
-    const GONE: Span = Span::from_secs(600);
+fn the_first_host_of_a_zone_removes_silent_hosts() {
+    const EXPIRY: Span = Span::from_secs(600);
     let name = |index: usize| id::Host::from(format!("h{index:02}"));
     let mut first = roster(0, 5);
     let (early, late) = (START + Span::from_secs(599), START + Span::from_secs(601));
-    assert!(first.expired(GONE, early).is_empty());
+    assert!(first.expired(EXPIRY, early).is_empty());
     first.record_contact(&name(1), early);
-    assert_eq!(first.expired(GONE, late), [name(2), name(3), name(4)]);
+    assert_eq!(first.expired(EXPIRY, late), [name(2), name(3), name(4)]);
     assert!(
-        roster(4, 5).expired(GONE, late).is_empty(),
-        "forgotten by a host that is not the first"
+        roster(4, 5).expired(EXPIRY, late).is_empty(),
+        "removed by a host that is not the first"
     );
 }
