--- a/crates/lagoonline/tests/control/mod.rs
+++ b/crates/lagoonline/tests/control/mod.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     rows: collections::BTreeMap<String, table::Row>,
-    down: bool,
+    unavailable: bool,
     faults: collections::VecDeque<Fault>,
     delayed: Vec<table::Transaction>,
     commits: usize,
@@ -45,8 +45,8 @@
     }
 
     /// Starts or ends an outage, during which every call is refused.
-    pub fn set_down(&self, down: bool) {
-        self.inner.borrow_mut().down = down;
+    pub fn set_unavailable(&self, unavailable: bool) {
+        self.inner.borrow_mut().unavailable = unavailable;
     }
 
     /// Applies the delayed commits whose checks still hold.
@@ -68,8 +68,8 @@
         self.inner.borrow().commits
     }
 
-    fn check_up(&self) -> Result<(), table::Error> {
-        if self.inner.borrow().down {
+    fn check_available(&self) -> Result<(), table::Error> {
+        if self.inner.borrow().unavailable {
             return Err(refused());
         }
         Ok(())
@@ -77,11 +77,11 @@
 }
 
 fn refused() -> table::Error {
-    table::Error::Refused { step: "call", peer: "fake".to_owned(), why: "out".to_owned() }
+    table::Error::Refused { step: "call", peer: "fake".to_owned(), why: "unavailable".to_owned() }
 }
 
 fn unknown() -> table::Error {
-    table::Error::Unknown { step: "commit", peer: "fake".to_owned(), why: "lost".to_owned() }
+    table::Error::Unknown { step: "commit", peer: "fake".to_owned(), why: "answer lost".to_owned() }
 }
 
 impl Inner {
@@ -89,7 +89,7 @@
         self.rows.get(key).map_or(0, |row| row.version)
     }
 
-    fn take(&mut self, transaction: table::Transaction) -> Result<Vec<u64>, table::Error> {
+    fn commit(&mut self, transaction: table::Transaction) -> Result<Vec<u64>, table::Error> {
         match self.faults.pop_front() {
             None => self.apply(&transaction),
             Some(Fault::Refuse) => Err(refused()),
@@ -150,7 +150,7 @@
 impl table::Table for Table {
     async fn read(&self, key: &str) -> Result<Option<table::Row>, table::Error> {
         Yield::default().await;
-        self.check_up()?;
+        self.check_available()?;
         Ok(self.inner.borrow().rows.get(key).cloned())
     }
 
@@ -161,15 +161,15 @@
         limit: usize,
     ) -> Result<Vec<table::Row>, table::Error> {
         Yield::default().await;
-        self.check_up()?;
+        self.check_available()?;
         let rows = self.rows(prefix).into_iter().filter(|row| row.key.as_str() > after);
         Ok(rows.take(limit).collect())
     }
 
     async fn commit(&self, transaction: table::Transaction) -> Result<Vec<u64>, table::Error> {
         Yield::default().await;
-        self.check_up()?;
-        let answer = self.inner.borrow_mut().take(transaction);
+        self.check_available()?;
+        let answer = self.inner.borrow_mut().commit(transaction);
         // The answer is in transit.
         Yield::default().await;
         answer
@@ -177,7 +177,7 @@
 }
 
 /// Polls a future to completion; it must not wait for anything but a [`Table`].
-pub fn finish<F>(future: F) -> F::Output
+pub fn block_on<F>(future: F) -> F::Output
 where
     F: future::Future,
 {
--- a/crates/lagoonline/tests/control_delta_fuzz.rs
+++ b/crates/lagoonline/tests/control_delta_fuzz.rs
@@ -15,7 +15,7 @@
 enum Transition {
     /// An operator stores the next version with another weight of one customer, sometimes also with
     /// different whitespace.
-    Edit { customer: usize, weight: u32, spaced: bool },
+    Edit { customer: usize, weight: u32, extra_space: bool },
     /// An operator stores the next version with the customers in a different order.
     Rewrite { seed: u32 },
     /// A host reads the latest version from the table.
@@ -24,9 +24,9 @@
     Offer { from: usize, to: usize },
     /// The oldest or the newest offer in flight is delivered. It stays in flight, so it can be
     /// delivered again.
-    Arrive { newest: bool },
+    Deliver { newest: bool },
     /// The newest offer in flight loses a step or gets additional text.
-    Damage { drops: bool },
+    Corrupt { drops_step: bool },
     /// A host is replaced by one without any sections.
     Replace { host: usize },
 }
@@ -46,14 +46,14 @@
         let host = || 0..HOSTS;
         let edit = (0..30_usize, 1..9_u32, any::<bool>());
         prop_oneof![
-            4 => edit.prop_map(|(customer, weight, spaced)| {
-                Transition::Edit { customer, weight, spaced }
+            4 => edit.prop_map(|(customer, weight, extra_space)| {
+                Transition::Edit { customer, weight, extra_space }
             }),
             1 => any::<u32>().prop_map(|seed| Transition::Rewrite { seed }),
             2 => host().prop_map(|host| Transition::Fetch { host }),
             6 => (host(), host()).prop_map(|(from, to)| Transition::Offer { from, to }),
-            6 => any::<bool>().prop_map(|newest| Transition::Arrive { newest }),
-            1 => any::<bool>().prop_map(|drops| Transition::Damage { drops }),
+            6 => any::<bool>().prop_map(|newest| Transition::Deliver { newest }),
+            1 => any::<bool>().prop_map(|drops_step| Transition::Corrupt { drops_step }),
             1 => host().prop_map(|host| Transition::Replace { host }),
         ]
         .boxed()
@@ -132,7 +132,7 @@
         self.offers.push(Offer { to, version: section.version, deltas });
     }
 
-    fn arrive(&mut self, newest: bool) {
+    fn deliver(&mut self, newest: bool) {
         let offer = if newest { self.offers.last() } else { self.offers.first() };
         let Some(offer) = offer else { return };
         let host = &mut self.hosts[offer.to];
@@ -141,10 +141,10 @@
         }
     }
 
-    fn damage(&mut self, drops: bool) {
+    fn corrupt(&mut self, drops_step: bool) {
         let delta = self.offers.last_mut().and_then(|offer| offer.deltas.last_mut());
         let Some(delta) = delta else { return };
-        if drops {
+        if drops_step {
             delta.steps.pop();
         } else {
             delta.steps.push(document::Step::Insert(" ".to_owned()));
@@ -166,8 +166,8 @@
 
     fn apply(mut system: System, _: &Reference, transition: Transition) -> System {
         match transition {
-            Transition::Edit { customer, weight, spaced } => {
-                let spaces = if spaced { "  " } else { "" };
+            Transition::Edit { customer, weight, extra_space } => {
+                let spaces = if extra_space { "  " } else { "" };
                 system.lines[customer] = format!("{}{spaces}", line(customer, weight));
                 system.store();
             }
@@ -182,8 +182,8 @@
                 system.hosts[host].put(newest, &text);
             }
             Transition::Offer { from, to } => system.offer(from, to),
-            Transition::Arrive { newest } => system.arrive(newest),
-            Transition::Damage { drops } => system.damage(drops),
+            Transition::Deliver { newest } => system.deliver(newest),
+            Transition::Corrupt { drops_step } => system.corrupt(drops_step),
             Transition::Replace { host } => system.hosts[host] = Host::default(),
         }
         system
@@ -209,11 +209,11 @@
     // may no longer have. Every section that a host accepts must have the exact text of its
     // version.
     #[test]
-    fn a_host_has_only_exact_texts(sequential 50..200 => System);
+    fn replicated_sections_have_exact_texts(sequential 50..200 => System);
 }
 
 #[test]
-fn a_change_of_one_customer_is_short_and_two_far_apart_too() {
+fn the_delta_of_scattered_changes_is_small() {
     // Three changes in different places of a section with 1,300 customers must not make the delta
     // cover the unchanged text between them.
     let lines: Vec<_> = (0..1_300).map(|customer| line(customer, 1)).collect();
--- a/crates/lagoonline/tests/control_document.rs
+++ b/crates/lagoonline/tests/control_document.rs
@@ -2,7 +2,7 @@
 
 mod control;
 
-use control::{Fault, Table, finish};
+use control::{Fault, Table, block_on};
 use lagoonline::control::document;
 use lagoonline::id;
 use rstest::rstest;
@@ -26,6 +26,8 @@
         "e1": {"zone": "z", "address": "127.0.0.1:1", "models": ["m", "n"]},
         "e2": {"zone": "z", "address": "127.0.0.1:2", "models": ["m"]}}}"#;
 
+// A section with dangling references, names or keys of other customers, or claims that the fleet
+// cannot meet must be refused, and the fault must point to the place to correct.
 #[rstest]
 #[case::model(
     r#"{"customers": {"d": {"models": ["x"]}}}"#,
@@ -57,7 +59,7 @@
     "/claims/m/engines: claims of 3 engines for m, n are above the 2\n\
      /claims/n/engines: claims of 3 engines for m, n are above the 2"
 )]
-fn a_section_that_does_not_fit_is_refused_by_pointer(#[case] text: &str, #[case] faults: &str) {
+fn an_inconsistent_section_is_refused_with_a_pointer(#[case] text: &str, #[case] faults: &str) {
     let others = [section("fleet", ENGINES)];
     let candidate = section("labels", text);
     let found = document::check_document(&others, &candidate).unwrap_err();
@@ -65,7 +67,9 @@
 }
 
 #[test]
-fn names_and_claims_that_fit_are_taken() {
+fn consistent_names_and_claims_are_accepted() {
+    // The checks must not be too strict: references to other sections and claims that the fleet can
+    // just meet are valid, and a section does not conflict with its own previous version.
     let others = [section("fleet", ENGINES)];
     let text = r#"{"models": {"k": {}}, "customers": {"d": {"models": ["m", "k"]}},
         "claims": {"m": {"engines": 1}, "n": {"engines": 1}}}"#;
@@ -74,7 +78,8 @@
 }
 
 #[test]
-fn a_name_that_another_team_needs_is_not_removed() {
+fn a_name_that_another_team_references_cannot_be_removed() {
+    // The removal would leave a dangling reference in the section of the other team.
     let others =
         [section("fleet", ENGINES), section("labels", r#"{"claims": {"m": {"engines": 1}}}"#)];
     let text = r#"{"models": {"n": {}}}"#;
@@ -86,15 +91,18 @@
 }
 
 #[test]
-fn of_two_operators_that_race_one_wins_and_the_other_sees_what_changed() {
+fn a_conflicting_put_is_refused_with_the_differences() {
     // Two operators edit version 1. The first put creates version 2. The second put must be refused
     // with the differences that the first one made, and nothing of it may be stored.
     let table = Table::default();
-    finish(document::store(&table, &put("a", 0, "p0", r#"{"models": {"m": {}}}"#))).unwrap();
-    finish(document::store(&table, &put("a", 1, "p1", r#"{"models": {"m": {"max_tokens": 9}}}"#)))
-        .unwrap();
-    let lost = finish(document::store(&table, &put("a", 1, "p2", "{}"))).unwrap_err();
-    let document::StoreError::Conflict { version, changes } = lost else { panic!("{lost}") };
+    block_on(document::store(&table, &put("a", 0, "p0", r#"{"models": {"m": {}}}"#))).unwrap();
+    block_on(document::store(
+        &table,
+        &put("a", 1, "p1", r#"{"models": {"m": {"max_tokens": 9}}}"#),
+    ))
+    .unwrap();
+    let error = block_on(document::store(&table, &put("a", 1, "p2", "{}"))).unwrap_err();
+    let document::StoreError::Conflict { version, changes } = error else { panic!("{error}") };
     assert_eq!(version, id::Version(2));
     let changes: Vec<_> = changes.iter().map(ToString::to_string).collect();
     assert_eq!(changes, ["+ /models/m/max_tokens: 9"]);
@@ -109,34 +117,34 @@
     // later. The operator must get version 1 in both cases, and the history must have a single row.
     let table = Table::default();
     table.fail_next(fault);
-    let version = finish(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
+    let version = block_on(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
     table.settle();
     assert_eq!(version, id::Version(1));
     assert_eq!(table.rows("history/a/").len(), 1);
-    let again = finish(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
-    assert_eq!(again, id::Version(1), "the same put asked again");
+    let retried = block_on(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
+    assert_eq!(retried, id::Version(1), "the same put is retried");
     assert_eq!(table.commits(), 1);
 }
 
 #[test]
-fn a_lost_put_is_found_though_another_team_wrote_after_it() {
+fn a_retried_put_is_recognized_after_a_later_version() {
     // The answer to a put is lost, and the operator's program retries it after a later version has
     // been stored. It must get the version of its own put, which is found in the history.
     let table = Table::default();
-    finish(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
-    finish(document::store(&table, &put("a", 1, "p1", r#"{"models": {"m": {}}}"#))).unwrap();
-    let again = finish(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
-    assert_eq!(again, id::Version(1));
+    block_on(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
+    block_on(document::store(&table, &put("a", 1, "p1", r#"{"models": {"m": {}}}"#))).unwrap();
+    let retried = block_on(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
+    assert_eq!(retried, id::Version(1));
     assert_eq!(table.rows("history/a/").len(), 2);
 }
 
 #[test]
-fn two_teams_that_add_one_name_at_once_cannot_both_have_it() {
+fn concurrent_puts_of_two_teams_cannot_define_the_same_name() {
     // Two concurrent puts are both validated against a document without the name. The table accepts
     // the first one. The second conflicts on the head row, is validated again, and must be refused.
     let table = Table::default();
-    let texts = r#"{"models": {"m": {}}}"#;
-    let (first, second) = (put("a", 0, "p0", texts), put("b", 0, "p1", texts));
+    let text = r#"{"models": {"m": {}}}"#;
+    let (first, second) = (put("a", 0, "p0", text), put("b", 0, "p1", text));
     let mut first = Box::pin(document::store(&table, &first));
     let mut second = Box::pin(document::store(&table, &second));
     let (mut one, mut two) = (None, None);
@@ -155,9 +163,15 @@
 #[rstest]
 #[case(79_200_000, true)]
 #[case(79_200_001, false)]
-fn a_deadline_ends_well_before_its_keys_retention(#[case] millis: u64, #[case] fits: bool) {
+fn the_maximum_deadline_is_bounded_by_the_retention_of_keys(
+    #[case] millis: u64,
+    #[case] is_valid: bool,
+) {
     let text = format!(r#"{{"customers": {{"c": {{"max_deadline_ms": {millis}}}}}}}"#);
     let parsed = document::Section::parse(id::Team::from("labels"), id::Version(1), &text);
     let fault = "/customers/c/max_deadline_ms: 79200001 is not within 1 to 79200000";
-    assert_eq!(parsed.err().map(|faults| faults.to_string()), (!fits).then(|| fault.to_owned()));
+    assert_eq!(
+        parsed.err().map(|faults| faults.to_string()),
+        (!is_valid).then(|| fault.to_owned())
+    );
 }
--- a/crates/lagoonline/tests/control_document_fuzz.rs
+++ b/crates/lagoonline/tests/control_document_fuzz.rs
@@ -32,17 +32,17 @@
 #[derive(Clone, Debug)]
 enum Transition {
     /// An operator starts a put that is edited from the latest version or the one before.
-    Begin { operator: usize, team: usize, stale: bool },
+    StartPut { operator: usize, team: usize, stale: bool },
     /// The put of an operator is polled once.
-    Step { operator: usize },
+    PollPut { operator: usize },
     /// An operator retries its last put unless that was definitively refused.
-    Again { operator: usize },
+    RetryPut { operator: usize },
     /// The next commit fails with this fault.
     Fail(Fault),
     /// Delayed commits take effect.
     Settle,
     /// An outage of the table starts or ends.
-    Down(bool),
+    Outage(bool),
     /// A host reads all sections from the table.
     Fetch { host: usize },
     /// A host sends another one the sections that it lacks.
@@ -50,7 +50,7 @@
     /// A host sends all its sections; the message stays in flight.
     Send { from: usize },
     /// The oldest message in flight is delivered.
-    Arrive { to: usize },
+    Deliver { to: usize },
     /// A host is replaced by one without any sections, which then fetches the latest versions from
     /// the table and its peers.
     Replace { host: usize },
@@ -71,17 +71,17 @@
         let (operator, host) = (0..OPERATORS, 0..HOSTS);
         prop_oneof![
             4 => (operator.clone(), 0..TEAMS.len(), prop::bool::weighted(0.2))
-                .prop_map(|(operator, team, stale)| Transition::Begin { operator, team, stale }),
-            24 => operator.clone().prop_map(|operator| Transition::Step { operator }),
-            2 => operator.prop_map(|operator| Transition::Again { operator }),
+                .prop_map(|(operator, team, stale)| Transition::StartPut { operator, team, stale }),
+            24 => operator.clone().prop_map(|operator| Transition::PollPut { operator }),
+            2 => operator.prop_map(|operator| Transition::RetryPut { operator }),
             2 => prop_oneof![Just(Fault::LoseAnswer), Just(Fault::Delay), Just(Fault::Refuse)]
                 .prop_map(Transition::Fail),
             2 => Just(Transition::Settle),
-            1 => any::<bool>().prop_map(Transition::Down),
+            1 => any::<bool>().prop_map(Transition::Outage),
             3 => host.clone().prop_map(|host| Transition::Fetch { host }),
             3 => (host.clone(), host.clone()).prop_map(|(from, to)| Transition::Gossip { from, to }),
             2 => host.clone().prop_map(|from| Transition::Send { from }),
-            2 => host.clone().prop_map(|to| Transition::Arrive { to }),
+            2 => host.clone().prop_map(|to| Transition::Deliver { to }),
             1 => host.prop_map(|host| Transition::Replace { host }),
         ]
         .boxed()
@@ -102,10 +102,11 @@
 #[derive(Default)]
 struct System {
     table: Table,
-    down: bool,
+    unavailable: bool,
     operators: collections::BTreeMap<usize, Operator>,
     hosts: Vec<replication::Replica>,
-    sent: collections::VecDeque<Vec<sync::Arc<document::Section>>>,
+    /// Messages in flight.
+    in_flight: collections::VecDeque<Vec<sync::Arc<document::Section>>>,
     /// Puts that were reported as stored, with the reported version.
     stored: collections::BTreeMap<String, (id::Team, id::Version)>,
     /// Puts whose outcome was reported as unknown. A later error of the table does not tell whether
@@ -121,29 +122,29 @@
 }
 
 impl System {
-    fn begin(&mut self, operator: usize, team: usize, stale: bool) {
+    fn start_put(&mut self, operator: usize, team: usize, stale: bool) {
         let team = id::Team::from(TEAMS[team]);
         let newest = self.table.rows(&document::section_key(&team));
         let newest = newest.first().map_or(0, |row| row.version);
         let base = id::Version(if stale { newest.saturating_sub(1) } else { newest });
         self.puts += 1;
         let (id, text) = (format!("put-{}", self.puts), text(self.puts));
-        self.start(operator, document::Put { team, base, id, text });
+        self.run_put(operator, document::Put { team, base, id, text });
     }
 
-    fn start(&mut self, operator: usize, put: document::Put) {
-        let (table, moved) = (self.table.clone(), put.clone());
+    fn run_put(&mut self, operator: usize, put: document::Put) {
+        let (table, owned_put) = (self.table.clone(), put.clone());
         let running: pin::Pin<Box<dyn future::Future<Output = Result>>> =
-            Box::pin(async move { document::store(&table, &moved).await });
+            Box::pin(async move { document::store(&table, &owned_put).await });
         self.operators.insert(operator, Operator { put, running: Some(running) });
     }
 
-    fn step(&mut self, operator: usize) {
-        let Some(found) = self.operators.get_mut(&operator) else { return };
-        let Some(running) = &mut found.running else { return };
+    fn poll_put(&mut self, operator: usize) {
+        let Some(operator_state) = self.operators.get_mut(&operator) else { return };
+        let Some(running) = &mut operator_state.running else { return };
         let Some(result) = control::poll_once(running.as_mut()) else { return };
-        found.running = None;
-        let put = found.put.clone();
+        operator_state.running = None;
+        let put = operator_state.put.clone();
         match result {
             Ok(version) => {
                 let known = self.stored.insert(put.id, (put.team.clone(), version));
@@ -152,27 +153,27 @@
             Err(document::StoreError::Table(table::Error::Unknown { .. })) => {
                 self.unknown.insert(put.id);
             }
-            Err(document::StoreError::Table(_)) if self.was_tried(&put.id) => {}
+            Err(document::StoreError::Table(_)) if self.was_attempted(&put.id) => {}
             Err(_) => {
                 self.refused.insert(put.id);
             }
         }
     }
 
-    fn was_tried(&self, put: &str) -> bool {
+    fn was_attempted(&self, put: &str) -> bool {
         self.unknown.contains(put) || self.stored.contains_key(put)
     }
 
-    fn again(&mut self, operator: usize) {
-        let Some(found) = self.operators.get(&operator) else { return };
-        if found.running.is_none() && !self.refused.contains(&found.put.id) {
-            let put = found.put.clone();
-            self.start(operator, put);
+    fn retry_put(&mut self, operator: usize) {
+        let Some(operator_state) = self.operators.get(&operator) else { return };
+        if operator_state.running.is_none() && !self.refused.contains(&operator_state.put.id) {
+            let put = operator_state.put.clone();
+            self.run_put(operator, put);
         }
     }
 
     fn fetch(&mut self, host: usize) {
-        if self.down {
+        if self.unavailable {
             return;
         }
         for row in self.table.rows("section/") {
@@ -185,8 +186,8 @@
     }
 
     fn gossip(&mut self, from: usize, to: usize) {
-        let lacking = self.hosts[from].newer_than(&self.hosts[to].versions());
-        for section in lacking {
+        let sections = self.hosts[from].newer_than(&self.hosts[to].versions());
+        for section in sections {
             self.hosts[to].apply((*section).clone());
         }
     }
@@ -197,27 +198,27 @@
         let mut next = collections::BTreeMap::<String, u64>::new();
         let mut puts = collections::BTreeMap::<String, String>::new();
         for row in self.table.rows("history/") {
-            assert_eq!(row.version, 1, "{} was written again", row.key);
+            assert_eq!(row.version, 1, "{} was overwritten", row.key);
             let (team, version) = row.key["history/".len()..].split_once('/').unwrap();
             let expected = next.entry(team.to_owned()).or_insert(1);
             assert_eq!(version.parse::<u64>().unwrap(), *expected, "a gap in the history");
             *expected += 1;
             let stored: document::Stored = serde_json::from_str(&row.value).unwrap();
-            let doubled = puts.insert(stored.put.clone(), row.key.clone());
-            assert_eq!(doubled, None, "{} is stored twice", stored.put);
-            assert!(!self.refused.contains(&stored.put), "{} was said to be refused", stored.put);
+            let duplicate = puts.insert(stored.put.clone(), row.key.clone());
+            assert_eq!(duplicate, None, "{} is stored twice", stored.put);
+            assert!(!self.refused.contains(&stored.put), "{} was reported as refused", stored.put);
             let mut history = self.history.borrow_mut();
             let first = history.entry(row.key.clone()).or_insert_with(|| stored.text.clone());
             assert_eq!(*first, stored.text, "history changed");
         }
         for (put, (team, version)) in &self.stored {
             let key = document::history_key(team, *version);
-            assert_eq!(puts.get(put), Some(&key), "{put} was said to be stored");
+            assert_eq!(puts.get(put), Some(&key), "{put} was reported as stored");
         }
     }
 
     /// The latest sections are valid together: no name has two owners.
-    fn check_whole(&self) {
+    fn check_consistency(&self) {
         let mut sections = Vec::new();
         for row in self.table.rows("section/") {
             let team = id::Team::from(row.key.trim_start_matches("section/"));
@@ -254,23 +255,25 @@
         let before: Vec<_> = system.hosts.iter().map(replication::Replica::versions).collect();
         let mut replaced = None;
         match transition {
-            Transition::Begin { operator, team, stale } => system.begin(operator, team, stale),
-            Transition::Step { operator } => system.step(operator),
-            Transition::Again { operator } => system.again(operator),
+            Transition::StartPut { operator, team, stale } => {
+                system.start_put(operator, team, stale)
+            }
+            Transition::PollPut { operator } => system.poll_put(operator),
+            Transition::RetryPut { operator } => system.retry_put(operator),
             Transition::Fail(fault) => system.table.fail_next(fault),
             Transition::Settle => system.table.settle(),
-            Transition::Down(down) => {
-                system.down = down;
-                system.table.set_down(down);
+            Transition::Outage(unavailable) => {
+                system.unavailable = unavailable;
+                system.table.set_unavailable(unavailable);
             }
             Transition::Fetch { host } => system.fetch(host),
             Transition::Gossip { from, to } => system.gossip(from, to),
             Transition::Send { from } => {
                 let sections = system.hosts[from].sections().cloned().collect();
-                system.sent.push_back(sections);
+                system.in_flight.push_back(sections);
             }
-            Transition::Arrive { to } => {
-                for section in system.sent.pop_front().into_iter().flatten() {
+            Transition::Deliver { to } => {
+                for section in system.in_flight.pop_front().into_iter().flatten() {
                     system.hosts[to].apply((*section).clone());
                 }
             }
@@ -282,8 +285,11 @@
             }
         }
         for (host, before) in before.iter().enumerate() {
-            let is_newcomer = replaced == Some(host);
-            assert!(is_newcomer || system.hosts[host].covers(before), "host {host} went back");
+            let is_replaced = replaced == Some(host);
+            assert!(
+                is_replaced || system.hosts[host].covers(before),
+                "versions of host {host} decreased"
+            );
         }
         for versions in system.hosts.iter().map(replication::Replica::versions) {
             for (team, version) in versions {
@@ -296,7 +302,7 @@
 
     fn check_invariants(system: &System, _: &Reference) {
         system.check_history();
-        system.check_whole();
+        system.check_consistency();
         system.check_hosts();
     }
 }
@@ -313,5 +319,5 @@
     // table is unavailable. Each section must have one linear history without gaps, with each put
     // at most once and as reported to its operator. Versions on a host must never decrease.
     #[test]
-    fn each_section_has_one_history(sequential 50..200 => System);
+    fn each_section_has_a_linear_history(sequential 50..200 => System);
 }
--- a/crates/lagoonline/tests/control_lease.rs
+++ b/crates/lagoonline/tests/control_lease.rs
@@ -6,7 +6,7 @@
 use std::future;
 use std::pin;
 
-use control::{Fault, Table, finish};
+use control::{Fault, Table, block_on};
 use lagoonline::clock::{Clock, Fake, Moment, Span};
 use lagoonline::control::lease;
 use lagoonline::id;
@@ -24,40 +24,40 @@
 }
 
 #[test]
-fn the_next_holder_waits_lease_and_flight() {
+fn the_next_holder_waits_for_lease_and_command_delay() {
     // The holder stops. The next one may acquire the lease, with a higher fencing number, only when
-    // the lease duration and the longest flight time of an order have passed since it first saw the
-    // last write. Otherwise an order of the old holder could arrive after one of the new holder.
+    // the lease duration and the longest delay of a command have passed since it first saw the
+    // last write. Otherwise a command of the old holder could arrive after one of the new holder.
     let (table, clock) = (Table::default(), Fake::default());
     let (mut first, mut second) = (contender(0, &clock), contender(1, &clock));
-    assert_eq!(finish(first.step(&table)), Ok(lease::Status::Held(id::Fence(1))));
-    assert_eq!(finish(second.step(&table)), Ok(lease::Status::Waiting));
+    assert_eq!(block_on(first.step(&table)), Ok(lease::Status::Held(id::Fence(1))));
+    assert_eq!(block_on(second.step(&table)), Ok(lease::Status::Waiting));
     clock.advance(Span::from_millis(11_999));
-    assert_eq!(finish(second.step(&table)), Ok(lease::Status::Waiting));
+    assert_eq!(block_on(second.step(&table)), Ok(lease::Status::Waiting));
     assert_eq!(first.permit(), None);
     clock.advance(Span::from_millis(1));
-    assert_eq!(finish(second.step(&table)), Ok(lease::Status::Held(id::Fence(2))));
+    assert_eq!(block_on(second.step(&table)), Ok(lease::Status::Held(id::Fence(2))));
 }
 
 #[test]
-fn a_renewed_lease_is_not_taken() {
+fn a_renewed_lease_is_not_acquired_by_others() {
     // A contender must restart its wait whenever the holder renews the lease.
     let (table, clock) = (Table::default(), Fake::default());
     let (mut first, mut second) = (contender(0, &clock), contender(1, &clock));
     for _ in 0..100 {
-        assert_eq!(finish(first.step(&table)), Ok(lease::Status::Held(id::Fence(1))));
-        assert_eq!(finish(second.step(&table)), Ok(lease::Status::Waiting));
+        assert_eq!(block_on(first.step(&table)), Ok(lease::Status::Held(id::Fence(1))));
+        assert_eq!(block_on(second.step(&table)), Ok(lease::Status::Waiting));
         clock.advance(Span::from_secs(3));
     }
 }
 
 #[test]
-fn a_holder_that_was_paused_has_no_permit() {
+fn a_paused_holder_gets_no_permit() {
     // The holder is paused for 30 s, past the end of its lease. Afterwards it must get no permit,
-    // and an order whose permit was obtained before the pause must be counted as late.
+    // and a command whose permit was obtained before the pause must be counted as late.
     let (table, clock) = (Table::default(), Fake::default());
     let mut first = contender(0, &clock);
-    finish(first.step(&table)).unwrap();
+    block_on(first.step(&table)).unwrap();
     let permit = first.permit().unwrap();
     clock.advance(Span::from_secs(30));
     assert_eq!(first.permit(), None);
@@ -66,42 +66,42 @@
 }
 
 #[test]
-fn a_lost_answer_is_read_back() {
+fn a_write_with_a_lost_answer_is_read_back() {
     // The write of the lease took effect but its answer was lost. The holder must find its own row
     // instead of waiting for its own lease to expire.
     let (table, clock) = (Table::default(), Fake::default());
     let mut first = contender(0, &clock);
     table.fail_next(Fault::LoseAnswer);
-    assert_eq!(finish(first.step(&table)), Ok(lease::Status::Held(id::Fence(1))));
+    assert_eq!(block_on(first.step(&table)), Ok(lease::Status::Held(id::Fence(1))));
 }
 
 #[test]
-fn an_outage_longer_than_the_lease_ends_it() {
+fn a_lease_expires_during_a_long_outage() {
     // The table is unavailable for longer than the lease. The holder must stop sending when the
     // lease expires, even though nobody else can acquire it. After the outage it acquires the lease
     // again, with a higher fencing number.
     let (table, clock) = (Table::default(), Fake::default());
     let mut first = contender(0, &clock);
-    finish(first.step(&table)).unwrap();
-    table.set_down(true);
+    block_on(first.step(&table)).unwrap();
+    table.set_unavailable(true);
     clock.advance(Span::from_secs(9));
-    assert!(finish(first.step(&table)).is_err());
+    assert!(block_on(first.step(&table)).is_err());
     assert!(first.permit().is_some());
     clock.advance(Span::from_secs(1));
     assert_eq!(first.permit(), None);
-    table.set_down(false);
-    assert_eq!(finish(first.step(&table)), Ok(lease::Status::Held(id::Fence(2))));
+    table.set_unavailable(false);
+    assert_eq!(block_on(first.step(&table)), Ok(lease::Status::Held(id::Fence(2))));
 }
 
 #[test]
-fn a_lease_given_back_is_taken_at_once() {
+fn a_released_lease_is_acquired_immediately() {
     // A released lease must be free for the next holder without any wait.
     let (table, clock) = (Table::default(), Fake::default());
     let (mut first, mut second) = (contender(0, &clock), contender(1, &clock));
-    finish(first.step(&table)).unwrap();
-    finish(first.release(&table)).unwrap();
+    block_on(first.step(&table)).unwrap();
+    block_on(first.release(&table)).unwrap();
     assert_eq!(first.permit(), None);
-    assert_eq!(finish(second.step(&table)), Ok(lease::Status::Held(id::Fence(2))));
+    assert_eq!(block_on(second.step(&table)), Ok(lease::Status::Held(id::Fence(2))));
 }
 
 const CONTENDERS: usize = 3;
@@ -110,8 +110,8 @@
 enum Transition {
     /// A contender starts a step, or continues the current one by one poll.
     Step(usize),
-    /// A contender sends an order if it has a permit.
-    Order(usize),
+    /// A contender sends a command if it has a permit.
+    SendCommand(usize),
     /// Time advances by this many milliseconds; contenders that are not stepped are paused.
     Advance(u64),
     /// The next commit fails with this fault.
@@ -119,7 +119,7 @@
     /// Delayed commits take effect.
     Settle,
     /// An outage of the table starts or ends.
-    Down(bool),
+    Outage(bool),
 }
 
 #[derive(Clone, Debug)]
@@ -136,12 +136,12 @@
     fn transitions(_: &Reference) -> BoxedStrategy<Transition> {
         prop_oneof![
             12 => (0..CONTENDERS).prop_map(Transition::Step),
-            4 => (0..CONTENDERS).prop_map(Transition::Order),
+            4 => (0..CONTENDERS).prop_map(Transition::SendCommand),
             6 => prop_oneof![0_u64..500, 1_000_u64..13_000].prop_map(Transition::Advance),
             2 => prop_oneof![Just(Fault::LoseAnswer), Just(Fault::Delay), Just(Fault::Refuse)]
                 .prop_map(Transition::Fail),
             2 => Just(Transition::Settle),
-            1 => prop::bool::weighted(0.3).prop_map(Transition::Down),
+            1 => prop::bool::weighted(0.3).prop_map(Transition::Outage),
         ]
         .boxed()
     }
@@ -159,15 +159,15 @@
     Stepping(pin::Pin<Box<dyn future::Future<Output = Output>>>),
 }
 
-/// Contenders, table and the orders sent. An order may arrive at the engine up to the maximum
-/// flight time after it was sent, so no order of a holder may still be in flight when another
+/// Contenders, table and the commands sent. A command may arrive at the engine up to the maximum
+/// delay after it was sent, so no command of a holder may still be in flight when another
 /// holder sends one.
 struct System {
     table: Table,
     clock: Fake,
     contenders: Vec<Option<Contender>>,
-    /// Fencing number, sender and time of each order sent.
-    orders: Vec<(id::Fence, usize, Moment)>,
+    /// Fencing number, sender and time of each command sent.
+    commands: Vec<(id::Fence, usize, Moment)>,
     /// Contender that used each fencing number.
     fences: collections::BTreeMap<id::Fence, usize>,
 }
@@ -192,20 +192,20 @@
         self.contenders[index] = Some(next);
     }
 
-    fn order(&mut self, index: usize) {
+    fn send_command(&mut self, index: usize) {
         let Some(Contender::Idle(lease)) = &mut self.contenders[index] else { return };
         let Some(permit) = lease.permit() else { return };
         assert!(lease.record_sent(&permit));
         let now = self.clock.now();
         let holder = *self.fences.entry(permit.fence).or_insert(index);
-        assert_eq!(holder, index, "number {} has two holders", permit.fence.0);
-        let flight = lease::Settings::default().max_command_delay;
-        for (fence, other, sent) in &self.orders {
-            let is_over = *sent + flight <= now;
-            assert!(*other == index || is_over, "an order of {other} is still under way");
-            assert!(*fence <= permit.fence, "numbers went back");
+        assert_eq!(holder, index, "fencing number {} has two holders", permit.fence.0);
+        let max_delay = lease::Settings::default().max_command_delay;
+        for (fence, other, sent) in &self.commands {
+            let has_arrived = *sent + max_delay <= now;
+            assert!(*other == index || has_arrived, "a command of {other} is still in flight");
+            assert!(*fence <= permit.fence, "fencing numbers decreased");
         }
-        self.orders.push((permit.fence, index, now));
+        self.commands.push((permit.fence, index, now));
     }
 }
 
@@ -219,18 +219,18 @@
         let clock = Fake::default();
         let idle = |index| Some(Contender::Idle(Box::new(contender(index, &clock))));
         let contenders = (0..CONTENDERS).map(idle).collect();
-        let (table, orders, fences) = Default::default();
-        System { table, clock, contenders, orders, fences }
+        let (table, commands, fences) = Default::default();
+        System { table, clock, contenders, commands, fences }
     }
 
     fn apply(mut system: System, _: &Reference, transition: Transition) -> System {
         match transition {
             Transition::Step(index) => system.step(index),
-            Transition::Order(index) => system.order(index),
+            Transition::SendCommand(index) => system.send_command(index),
             Transition::Advance(millis) => system.clock.advance(Span::from_millis(millis)),
             Transition::Fail(fault) => system.table.fail_next(fault),
             Transition::Settle => system.table.settle(),
-            Transition::Down(down) => system.table.set_down(down),
+            Transition::Outage(unavailable) => system.table.set_unavailable(unavailable),
         }
         system
     }
@@ -253,8 +253,8 @@
     })]
 
     // Three contenders are paused at any point, also within calls of the table, whose answers are
-    // lost or late. At no time may two contenders have a permit, and no order may be sent while one
-    // of another holder can be in flight.
+    // lost or late. At no time may two contenders have a permit, and no command may be sent while
+    // one of another holder can be in flight.
     #[test]
     fn there_is_one_effective_holder(sequential 50..200 => Test);
 }
--- a/crates/lagoonline/tests/control_ledger.rs
+++ b/crates/lagoonline/tests/control_ledger.rs
@@ -4,7 +4,7 @@
 
 use std::collections;
 
-use control::{Fault, Table, finish};
+use control::{Fault, Table, block_on};
 use lagoonline::control::document;
 use lagoonline::control::ledger;
 use lagoonline::id;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn each_claim_gets_an_engine_and_the_rest_is_the_owners() {
+fn claims_get_engines_and_other_engines_are_charged_to_their_owner() {
     // Two teams claim one engine each for model m, which only e1 and e2 serve. No claim holds e3,
     // so its idle time must be charged to its owner.
     let attributions = ledger::attributions(&fleet());
@@ -46,8 +46,8 @@
     let upstream = id::Upstream::from("e");
     let row = ledger::Row { interval: 7, idle_ms: ledger::INTERVAL_MS, ..Default::default() };
     table.fail_next(Fault::LoseAnswer);
-    assert!(finish(ledger::write(&table, &upstream, &row)).is_err());
-    finish(ledger::write(&table, &upstream, &row)).unwrap();
+    assert!(block_on(ledger::write(&table, &upstream, &row)).is_err());
+    block_on(ledger::write(&table, &upstream, &row)).unwrap();
     assert_eq!(table.rows("usage/").len(), 1);
     assert_eq!(table.commits(), 1);
 }
@@ -71,13 +71,13 @@
     /// Time passes while the engine is idle.
     Idle(u64),
     /// Time passes while the engine is not observed.
-    Gap(u64),
+    Unobserved(u64),
     /// The wall clock is set back.
-    Back(u64),
+    SetClockBack(u64),
     /// Another steward becomes the observer; the open interval of the first one is lost.
-    Move,
+    ChangeObserver,
     /// Finished rows are written; the first answer may be lost.
-    Write { lost: bool },
+    Write { loses_answer: bool },
 }
 
 /// Reference model: the current wall clock time and the highest one so far.
@@ -103,10 +103,10 @@
             4 => (millis(), prop::collection::vec(0_u64..1_000, 0..4))
                 .prop_map(|(millis, weights)| Transition::Work { millis, weights }),
             4 => millis().prop_map(Transition::Idle),
-            1 => millis().prop_map(Transition::Gap),
-            1 => (1_u64..5_000).prop_map(Transition::Back),
-            1 => Just(Transition::Move),
-            2 => any::<bool>().prop_map(|lost| Transition::Write { lost }),
+            1 => millis().prop_map(Transition::Unobserved),
+            1 => (1_u64..5_000).prop_map(Transition::SetClockBack),
+            1 => Just(Transition::ChangeObserver),
+            2 => any::<bool>().prop_map(|loses_answer| Transition::Write { loses_answer }),
         ]
         .boxed()
     }
@@ -115,11 +115,11 @@
         match transition {
             Transition::Work { millis, .. }
             | Transition::Idle(millis)
-            | Transition::Gap(millis) => {
+            | Transition::Unobserved(millis) => {
                 state.wall_ms += millis;
             }
-            Transition::Back(millis) => state.wall_ms -= millis,
-            Transition::Move | Transition::Write { .. } => {}
+            Transition::SetClockBack(millis) => state.wall_ms -= millis,
+            Transition::ChangeObserver | Transition::Write { .. } => {}
         }
         state.highest_ms = state.highest_ms.max(state.wall_ms);
         state
@@ -140,15 +140,15 @@
         self.meter.advance(self.wall_ms, activity);
     }
 
-    fn write(&mut self, lost: bool) {
+    fn write(&mut self, loses_answer: bool) {
         self.pending.extend(self.meter.take_finished());
-        if lost && !self.pending.is_empty() {
+        if loses_answer && !self.pending.is_empty() {
             self.table.fail_next(Fault::LoseAnswer);
         }
         let (table, upstream) = (self.table.clone(), self.upstream.clone());
         // Rows whose answers were lost are written again.
         while !self.pending.is_empty() {
-            self.pending.retain(|row| finish(ledger::write(&table, &upstream, row)).is_err());
+            self.pending.retain(|row| block_on(ledger::write(&table, &upstream, row)).is_err());
         }
     }
 }
@@ -180,13 +180,13 @@
                 system.advance(millis, &ledger::Activity::Working(shares));
             }
             Transition::Idle(millis) => system.advance(millis, &ledger::Activity::Idle),
-            Transition::Gap(millis) => system.advance(millis, &ledger::Activity::Unobserved),
-            Transition::Back(millis) => system.wall_ms -= millis,
-            Transition::Move => {
+            Transition::Unobserved(millis) => system.advance(millis, &ledger::Activity::Unobserved),
+            Transition::SetClockBack(millis) => system.wall_ms -= millis,
+            Transition::ChangeObserver => {
                 system.write(false);
                 system.meter = ledger::Meter::new(system.wall_ms);
             }
-            Transition::Write { lost } => system.write(lost),
+            Transition::Write { loses_answer } => system.write(loses_answer),
         }
         system
     }
@@ -228,5 +228,5 @@
     // answers are lost. Every row must add up to the length of its interval, and a report to that
     // of all its intervals.
     #[test]
-    fn seconds_are_conserved(sequential 20..100 => Test);
+    fn time_is_conserved(sequential 20..100 => Test);
 }
--- a/crates/lagoonline/tests/control_membership.rs
+++ b/crates/lagoonline/tests/control_membership.rs
@@ -27,22 +27,22 @@
     messages: collections::BTreeMap<(u64, u64), (id::Host, Message)>,
     random: rngs::SmallRng,
     now_ms: u64,
-    sent: u64,
+    sent_count: u64,
     heartbeats: u64,
-    news: u64,
+    update_messages: u64,
     loss: f64,
     paused: collections::BTreeSet<id::Host>,
     /// Hosts on one side of a partition.
-    cut: collections::BTreeSet<id::Host>,
+    partition: collections::BTreeSet<id::Host>,
     /// Time in milliseconds, observing host and dead host of each detected failure.
     deaths: Vec<(u64, id::Host, id::Host)>,
     /// Links that were up at the last update.
-    linked: collections::BTreeSet<(id::Host, id::Host)>,
+    links: collections::BTreeSet<(id::Host, id::Host)>,
     /// Additional link that one host opens besides those to its heartbeat peers.
-    tried: Option<(id::Host, id::Host)>,
+    extra_link: Option<(id::Host, id::Host)>,
 }
 
-fn name(index: usize) -> id::Host {
+fn host_name(index: usize) -> id::Host {
     id::Host::from(format!("host-{index}"))
 }
 
@@ -62,18 +62,18 @@
             messages: collections::BTreeMap::new(),
             random: rngs::SmallRng::seed_from_u64(seed),
             now_ms: 0,
-            sent: 0,
+            sent_count: 0,
             heartbeats: 0,
-            news: 0,
+            update_messages: 0,
             loss,
             paused: collections::BTreeSet::new(),
-            cut: collections::BTreeSet::new(),
+            partition: collections::BTreeSet::new(),
             deaths: Vec::new(),
-            linked: collections::BTreeSet::new(),
-            tried: None,
+            links: collections::BTreeSet::new(),
+            extra_link: None,
         };
         for index in 0..hosts {
-            zone.join(name(index), 1);
+            zone.join(host_name(index), 1);
         }
         zone
     }
@@ -88,57 +88,57 @@
         let settings = membership::Settings::default();
         let own = member(host.clone(), incarnation);
         let mut group = membership::Group::new(own, settings, now);
-        let news = group.roster().updates();
+        let updates = group.roster().updates();
         for other in self.groups.values_mut() {
             group.apply(&other.roster().updates(), now);
-            other.apply(&news, now);
+            other.apply(&updates, now);
         }
         self.groups.insert(host, group);
     }
 
     fn send(&mut self, to: id::Host, delay_ms: u64, message: Message) {
-        self.sent += 1;
-        self.messages.insert((self.now_ms + delay_ms, self.sent), (to, message));
+        self.sent_count += 1;
+        self.messages.insert((self.now_ms + delay_ms, self.sent_count), (to, message));
     }
 
     /// Sends updates over all links of a host, whichever side opened them.
-    fn tell(&mut self, from: &id::Host, news: &[membership::Update]) {
-        if news.is_empty() {
+    fn send_updates(&mut self, from: &id::Host, updates: &[membership::Update]) {
+        if updates.is_empty() {
             return;
         }
-        for to in self.links(from) {
-            self.news += 1;
+        for to in self.linked_hosts(from) {
+            self.update_messages += 1;
             let delay = self.random.random_range(1..40);
-            self.send(to, delay, Message::Updates(news.to_vec()));
+            self.send(to, delay, Message::Updates(updates.to_vec()));
         }
     }
 
     /// Updates the links; over each new link both sides send all they know.
-    fn link(&mut self) {
-        let mut linked = collections::BTreeSet::new();
+    fn update_links(&mut self) {
+        let mut links = collections::BTreeSet::new();
         for (host, group) in &self.groups {
             let reached = |other: &id::Host| {
                 self.groups.contains_key(other)
-                    && self.cut.contains(other) == self.cut.contains(host)
+                    && self.partition.contains(other) == self.partition.contains(host)
             };
             let others = group.heartbeat_peers().iter().filter(|other| reached(other));
-            linked.extend(others.map(|other| (host.clone(), other.clone())));
+            links.extend(others.map(|other| (host.clone(), other.clone())));
         }
-        linked.extend(self.tried.clone());
-        let fresh: Vec<_> = linked.difference(&self.linked).cloned().collect();
-        self.linked = linked;
-        for (one, other) in fresh {
+        links.extend(self.extra_link.clone());
+        let new_links: Vec<_> = links.difference(&self.links).cloned().collect();
+        self.links = links;
+        for (one, other) in new_links {
             for (from, to) in [(&one, &other), (&other, &one)] {
-                let news = self.groups[from].roster().updates();
-                self.send(to.clone(), 20, Message::Updates(news));
+                let updates = self.groups[from].roster().updates();
+                self.send(to.clone(), 20, Message::Updates(updates));
             }
         }
     }
 
     /// Returns the hosts that `from` has a link to.
-    fn links(&self, from: &id::Host) -> Vec<id::Host> {
+    fn linked_hosts(&self, from: &id::Host) -> Vec<id::Host> {
         let mut found = Vec::new();
-        for (one, other) in &self.linked {
+        for (one, other) in &self.links {
             if one == from {
                 found.push(other.clone());
             } else if other == from {
@@ -168,7 +168,7 @@
             self.tick(&host);
         }
         if self.now_ms.is_multiple_of(500) {
-            self.link();
+            self.update_links();
         }
         self.now_ms += TICK_MS;
     }
@@ -176,37 +176,37 @@
     fn deliver(&mut self, to: &id::Host, message: Message) {
         let now = self.now();
         let Some(group) = self.groups.get_mut(to) else { return };
-        let news = match message {
+        let updates = match message {
             Message::Heartbeat(from, incarnation) => {
                 group.record_heartbeat(&from, incarnation, now)
             }
-            Message::Updates(news) => group.apply(&news, now),
+            Message::Updates(updates) => group.apply(&updates, now),
         };
-        self.tell(to, &news);
+        self.send_updates(to, &updates);
     }
 
     fn tick(&mut self, host: &id::Host) {
         let (now, now_ms) = (self.now(), self.now_ms);
         let group = self.groups.get_mut(host).unwrap();
-        let (news, changes) = group.tick(now);
-        let (contacts, life) = (group.heartbeat_peers().to_vec(), group.own().incarnation);
+        let (updates, changes) = group.tick(now);
+        let (peers, incarnation) = (group.heartbeat_peers().to_vec(), group.own().incarnation);
         for change in changes {
             if let membership::Change::Dead(dead) = change {
                 self.deaths.push((now_ms, host.clone(), dead));
             }
         }
-        self.tell(host, &news);
-        let is_beat = self.now_ms.is_multiple_of(500);
-        for to in contacts.into_iter().filter(|_| is_beat) {
+        self.send_updates(host, &updates);
+        let is_heartbeat_due = self.now_ms.is_multiple_of(500);
+        for to in peers.into_iter().filter(|_| is_heartbeat_due) {
             self.heartbeats += 1;
-            let is_cut = self.cut.contains(&to) != self.cut.contains(host);
-            if is_cut || self.random.random_bool(self.loss) {
+            let is_partitioned = self.partition.contains(&to) != self.partition.contains(host);
+            if is_partitioned || self.random.random_bool(self.loss) {
                 continue;
             }
             // The delay is a few milliseconds, and occasionally some hundreds.
-            let late = self.random.random_bool(0.02);
-            let delay = self.random.random_range(if late { 100..600 } else { 1..20 });
-            self.send(to, delay, Message::Heartbeat(host.clone(), life));
+            let is_delayed = self.random.random_bool(0.02);
+            let delay = self.random.random_range(if is_delayed { 100..600 } else { 1..20 });
+            self.send(to, delay, Message::Heartbeat(host.clone(), incarnation));
         }
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// Asserts that every host considers exactly `hosts` hosts live.
-    fn assert_agreed(&self, hosts: usize) {
+    fn assert_live(&self, hosts: usize) {
         for (host, group) in &self.groups {
             let live: Vec<_> = group.live().map(|member| member.host.to_string()).collect();
             assert_eq!(live.len(), hosts, "{host} sees {live:?}");
@@ -228,18 +228,18 @@
 
 /// Number of hosts in the half-hour simulation: the target of 39, or fewer in an unoptimized build,
 /// where the simulation is slow. In both cases each host has four neighbours.
-const TARGET: usize = if cfg!(debug_assertions) { 13 } else { 39 };
+const HALF_HOUR_HOSTS: usize = if cfg!(debug_assertions) { 13 } else { 39 };
 
 #[rstest]
 #[case::today(3, 1)]
-#[case::target(TARGET, 2)]
-fn at_five_percent_loss_nobody_dies_in_half_an_hour(#[case] hosts: usize, #[case] seed: u64) {
+#[case::target(HALF_HOUR_HOSTS, 2)]
+fn no_host_is_declared_dead_at_five_percent_packet_loss(#[case] hosts: usize, #[case] seed: u64) {
     // One datagram in twenty is lost and one in fifty is delayed by up to 0.6 s. Single neighbours
     // may briefly vote against a host, but never a majority, so no upstream changes its observer.
     let mut zone = Zone::new(hosts, 0.05, seed);
     zone.run(30 * 60 * 1_000);
     assert_eq!(zone.deaths, []);
-    zone.assert_agreed(hosts);
+    zone.assert_live(hosts);
 }
 
 #[rstest]
@@ -247,7 +247,7 @@
 #[case::one(39, 1, 2)]
 #[case::rack(39, 10, 3)]
 #[case::most(39, 30, 4)]
-fn dead_hosts_are_found_within_three_seconds(
+fn dead_hosts_are_detected_within_the_time_limit(
     #[case] hosts: usize,
     #[case] dead: usize,
     #[case] seed: u64,
@@ -260,7 +260,7 @@
         let mut zone = Zone::new(hosts, 0.05, seed + 100 * offset);
         zone.run(10_000 + offset * 37);
         for index in 0..dead {
-            zone.groups.remove(&name((index + offset as usize) % hosts));
+            zone.groups.remove(&host_name((index + offset as usize) % hosts));
         }
         let limit = match dead {
             1 => 3_000,
@@ -268,7 +268,7 @@
             _ => 15_000,
         };
         zone.run(limit);
-        zone.assert_agreed(hosts - dead);
+        zone.assert_live(hosts - dead);
         // When most hosts stop at once, the remaining ones may briefly declare each other dead.
         let wrong = |(_, _, host): &&(u64, id::Host, id::Host)| zone.groups.contains_key(host);
         assert!(dead > 10 || zone.deaths.iter().filter(wrong).count() == 0);
@@ -276,40 +276,41 @@
 }
 
 #[test]
-fn a_paused_host_comes_back_and_accuses_nobody() {
+fn a_resumed_host_rejoins_without_voting_against_others() {
     // A host is paused for 20 s and declared dead by the others. When it resumes, the heartbeats of
     // all its peers appear to have timed out. It must not vote against them, and it must be live
     // again in every view within seconds.
     let mut zone = Zone::new(9, 0.05, 7);
     zone.run(5_000);
-    zone.paused.insert(name(4));
+    zone.paused.insert(host_name(4));
     zone.run(20_000);
     zone.paused.clear();
-    let woken = zone.now_ms;
+    let resumed_ms = zone.now_ms;
     zone.run(300);
     // A host that received a vote would have started a new incarnation.
-    let others = zone.groups.values().filter(|group| group.own().host != name(4));
+    let others = zone.groups.values().filter(|group| group.own().host != host_name(4));
     assert!(others.into_iter().all(|group| group.own().incarnation == id::Incarnation(1)));
     zone.run(5_000);
-    zone.assert_agreed(9);
-    let accused = |(time, _, dead): &(u64, id::Host, id::Host)| *time >= woken && *dead != name(4);
-    assert_eq!(zone.deaths.iter().filter(|death| accused(death)).count(), 0);
+    zone.assert_live(9);
+    let declared_dead =
+        |(time, _, dead): &(u64, id::Host, id::Host)| *time >= resumed_ms && *dead != host_name(4);
+    assert_eq!(zone.deaths.iter().filter(|death| declared_dead(death)).count(), 0);
 }
 
 #[test]
-fn two_halves_join_again_after_a_cut() {
+fn a_zone_merges_again_after_a_partition() {
     // A zone is partitioned for a minute and each half declares the other dead. After that, a
     // single link between the halves, as stewards open them periodically, must make all hosts live
     // again.
     let mut zone = Zone::new(10, 0.05, 8);
     zone.run(5_000);
-    zone.cut = (0..5).map(name).collect();
+    zone.partition = (0..5).map(host_name).collect();
     zone.run(60_000);
-    zone.assert_agreed(5);
-    zone.cut.clear();
-    zone.tried = Some((name(0), name(9)));
+    zone.assert_live(5);
+    zone.partition.clear();
+    zone.extra_link = Some((host_name(0), host_name(9)));
     zone.run(10_000);
-    zone.assert_agreed(10);
+    zone.assert_live(10);
 }
 
 #[test]
@@ -317,17 +318,17 @@
     // Hosts are replaced one per second, without waiting until their failure is detected.
     let mut zone = Zone::new(39, 0.05, 9);
     for index in 0..39 {
-        zone.groups.remove(&name(index));
+        zone.groups.remove(&host_name(index));
         zone.run(300);
-        zone.join(name(index), 2);
+        zone.join(host_name(index), 2);
         zone.run(700);
     }
     zone.run(3_000);
-    zone.assert_agreed(39);
+    zone.assert_live(39);
 }
 
 #[test]
-fn a_host_that_leaves_moves_only_its_own_upstreams() {
+fn only_the_upstreams_of_a_leaving_host_are_reassigned() {
     // 133 upstreams are assigned to 39 hosts. When one host leaves, only its upstreams, about 3.4,
     // get new owners.
     let hosts: Vec<String> = (0..39).map(|index| format!("host-{index}")).collect();
@@ -346,13 +347,13 @@
 }
 
 #[test]
-fn heartbeats_of_a_host_cost_the_same_in_a_large_zone() {
+fn heartbeat_cost_per_host_is_bounded_in_a_large_zone() {
     // The heartbeat rate of a host must not grow with the size of the zone, and updates must not be
     // flooded without a change of members.
     let mut zone = Zone::new(39, 0.05, 10);
     zone.run(60_000);
-    let beats = zone.heartbeats as f64 / 39.0 / 60.0;
-    let news = zone.news as f64 / 39.0 / 60.0;
-    assert!(beats <= 8.0, "{beats} heartbeats a second");
-    assert!(news <= 0.1, "{news} messages of news a second");
+    let heartbeat_rate = zone.heartbeats as f64 / 39.0 / 60.0;
+    let update_rate = zone.update_messages as f64 / 39.0 / 60.0;
+    assert!(heartbeat_rate <= 8.0, "{heartbeat_rate} heartbeats per second");
+    assert!(update_rate <= 0.1, "{update_rate} update messages per second");
 }
--- a/crates/lagoonline/tests/control_platform.rs
+++ b/crates/lagoonline/tests/control_platform.rs
@@ -10,22 +10,22 @@
 #[rstest]
 #[case::slow(0.5, 1.0)]
 #[case::usual(20.0, 40.0)]
-fn a_budget_lets_through_its_burst_and_then_its_rate(#[case] rate: f64, #[case] burst: f64) {
+fn a_budget_allows_its_burst_and_then_its_rate(#[case] rate: f64, #[case] burst: f64) {
     // Calls are attempted every 10 ms for 100 s. At any time, no more calls may have been allowed
     // than burst and rate permit; in total, at least as many as the rate permits.
     let mut budget = platform::Budget::new(rate, burst, Moment::START);
-    let mut let_through = 0.0;
+    let mut allowed = 0.0;
     for step in 0..=10_000_u64 {
         let now = Moment::from_millis(step * 10);
-        let_through += f64::from(u8::from(budget.take(now)));
+        allowed += f64::from(u8::from(budget.take(now)));
         let most = burst + rate * now.since(Moment::START).as_secs_f64();
-        assert!(let_through <= most + 1e-6, "{let_through} calls at {now:?}");
+        assert!(allowed <= most + 1e-6, "{allowed} calls at {now:?}");
     }
-    assert!(let_through >= rate * 100.0, "{let_through} calls");
+    assert!(allowed >= rate * 100.0, "{allowed} calls");
 }
 
 #[test]
-fn a_budget_saves_no_more_than_its_burst() {
+fn an_unused_budget_accumulates_no_more_than_its_burst() {
     // A host that made no calls for a day must not make the calls of a whole day at once.
     let mut budget = platform::Budget::new(20.0, 40.0, Moment::START);
     let later = Moment::START + Span::from_secs(86_400);
@@ -34,30 +34,30 @@
 }
 
 #[test]
-fn a_breaker_tries_once_a_rest_during_an_outage_and_closes_after_it() {
+fn an_open_breaker_allows_one_trial_call_at_a_time_and_closes_on_an_answer() {
     // The platform is unavailable for a minute and every call fails. Of the hundred calls attempted
-    // per second, only one trial call per rest is made after the first five failures. The first
-    // call that is answered closes the breaker.
-    let rest = Span::from_secs(1);
-    let mut breaker = platform::Breaker::new(rest);
+    // per second, only one trial call per open duration is made after the first five failures. The
+    // first call that is answered closes the breaker.
+    let open_duration = Span::from_secs(1);
+    let mut breaker = platform::Breaker::new(open_duration);
     let mut random = rngs::SmallRng::seed_from_u64(1);
-    let mut made = 0;
+    let mut calls = 0;
     for step in 0..6_000_u64 {
         let now = Moment::from_millis(step * 10);
         if breaker.admit(now) {
-            made += 1;
+            calls += 1;
             breaker.record_failure(now, random.random());
         }
     }
-    assert!((5 + 59..=5 + 121).contains(&made), "{made} calls");
-    let back = Moment::from_millis(60_000) + rest;
-    assert!(breaker.admit(back));
+    assert!((5 + 59..=5 + 121).contains(&calls), "{calls} calls");
+    let recovered = Moment::from_millis(60_000) + open_duration;
+    assert!(breaker.admit(recovered));
     breaker.record_success();
-    assert!((0..100).all(|_| breaker.admit(back)));
+    assert!((0..100).all(|_| breaker.admit(recovered)));
 }
 
 #[test]
-fn a_breaker_stays_closed_while_calls_fail_now_and_then() {
+fn a_breaker_stays_closed_on_occasional_failures() {
     // One call in three fails. The platform is usable, so no call may be held back.
     let mut breaker = platform::Breaker::new(Span::from_secs(1));
     for step in 0..300_u64 {
@@ -72,14 +72,14 @@
 }
 
 #[test]
-fn trials_of_many_hosts_after_an_outage_do_not_come_at_once() {
-    // 350 hosts lose the platform at the same time. Their trial calls must be spread over half a
-    // rest, with no more than a quarter of them in any 50 ms.
-    let (rest, hosts) = (Span::from_secs(1), 350);
+fn trial_calls_of_many_hosts_are_spread_over_time() {
+    // 350 hosts lose the platform at the same time. Their trial calls must be spread over half of
+    // the open duration, with no more than a quarter of them in any 50 ms.
+    let (open_duration, hosts) = (Span::from_secs(1), 350);
     let mut random = rngs::SmallRng::seed_from_u64(2);
     let mut times = Vec::new();
     for _ in 0..hosts {
-        let mut breaker = platform::Breaker::new(rest);
+        let mut breaker = platform::Breaker::new(open_duration);
         for _ in 0..5 {
             breaker.record_failure(Moment::START, random.random());
         }
@@ -97,13 +97,10 @@
 #[case::third(3, 400)]
 #[case::limit(7, 5_000)]
 #[case::no_overflow(u32::MAX, 5_000)]
-fn waits_double_up_to_their_limit_and_are_drawn_from_zero(
-    #[case] failures: u32,
-    #[case] most: u64,
-) {
+fn delays_double_up_to_the_limit_with_full_jitter(#[case] failures: u32, #[case] bound_ms: u64) {
     let backoff = platform::Backoff::default();
     assert_eq!(backoff.delay(failures, 0.0), Span::ZERO);
-    assert_eq!(backoff.delay(failures, 0.5), Span::from_millis(most / 2));
-    assert_eq!(backoff.delay(failures, 1.0), Span::from_millis(most));
-    assert_eq!(backoff.delay(failures, 7.0), Span::from_millis(most));
+    assert_eq!(backoff.delay(failures, 0.5), Span::from_millis(bound_ms / 2));
+    assert_eq!(backoff.delay(failures, 1.0), Span::from_millis(bound_ms));
+    assert_eq!(backoff.delay(failures, 7.0), Span::from_millis(bound_ms));
 }
--- a/crates/lagoonline/tests/control_order.rs
+++ b/crates/lagoonline/tests/control_reconcile.rs
@@ -21,8 +21,10 @@
     Context { fence: id::Fence(5), checks_fence, in_flight }
 }
 
+// Guards against commands that the engine does not need, that a later lease holder has superseded,
+// or that terminate streams on an engine without fencing.
 #[rstest]
-#[case::as_wanted(actual("n", engine::Role::Long, 4), context(true, 0), Decision::Nothing)]
+#[case::in_desired_state(actual("n", engine::Role::Long, 4), context(true, 0), Decision::Nothing)]
 #[case::other_model(actual("x", engine::Role::Long, 4), context(true, 3), Decision::Send(load()))]
 #[case::other_role(
     actual("m", engine::Role::Short, 4),
@@ -31,12 +33,12 @@
 )]
 #[case::newer_holder(actual("x", engine::Role::Long, 6), context(true, 0), Decision::Superseded)]
 #[case::serving_and_unfenced(actual("x", engine::Role::Long, 4), context(false, 1), Decision::Wait)]
-#[case::late_order_obeyed(
+#[case::late_command_executed(
     actual("x", engine::Role::Long, 5),
     context(false, 0),
     Decision::Repair(load())
 )]
-fn a_look_at_an_engine_gives_one_decision(
+fn the_decision_depends_on_engine_state_and_fencing(
     #[case] actual: Actual,
     #[case] context: Context,
     #[case] decision: Decision,
@@ -45,7 +47,8 @@
 }
 
 #[test]
-fn a_loading_engine_is_left_alone() {
+fn a_loading_engine_gets_no_command() {
+    // Another command would interrupt the load, and at every reconciliation until it ends.
     let actual = Actual { loading: true, ..actual("x", engine::Role::Long, 5) };
     assert_eq!(reconcile::decide(&desired(), &actual, &context(true, 0)), Decision::Wait);
 }
