--- a/crates/lagoonline/examples/fleet_size.rs
+++ b/crates/lagoonline/examples/fleet_size.rs
@@ -39,18 +39,19 @@
 where
     Work: FnOnce() -> T,
 {
-    let began = time::Instant::now();
-    let made = work();
-    (made, began.elapsed().as_secs_f64() * 1e3)
+    let start = time::Instant::now();
+    let result = work();
+    (result, start.elapsed().as_secs_f64() * 1e3)
 }
 
 fn main() {
-    let word = std::env::args().nth(1);
-    let customers: usize = word.and_then(|word| word.parse().ok()).unwrap_or(26_000);
+    let argument = std::env::args().nth(1);
+    let customers: usize = argument.and_then(|argument| argument.parse().ok()).unwrap_or(26_000);
     let parse = |team: usize, version, weight| {
         let text = text(team, customers / TEAMS, weight);
         let team = id::Team::from(format!("team-{team}"));
-        document::Section::parse(team, id::Version(version), &text).expect("a good section")
+        document::Section::parse(team, id::Version(version), &text)
+            .expect("generated section is valid")
     };
     let start_kb = resident_kb();
     let sections: Vec<_> = (0..TEAMS).map(|team| parse(team, 1, 1)).collect();
@@ -62,12 +63,12 @@
     let ((), record_ms) = timed(|| log.record(&sections[0], &edited));
     let deltas = log.since(id::Version(1), &edited);
     let bytes: usize = deltas.iter().map(document::Delta::size).sum();
-    let (made, follow_ms) = timed(|| delta_log::apply(Some(&sections[0]), &deltas));
-    assert_eq!(made.as_deref(), Some(&*edited.text));
+    let (rebuilt, apply_ms) = timed(|| delta_log::apply(Some(&sections[0]), &deltas));
+    assert_eq!(rebuilt.as_deref(), Some(&*edited.text));
     println!(
         "{} customers, section of {} bytes: sections {sections_kb} KB, fleet {fleet_kb} KB, \
-         merge {merge_ms:.1} ms, parse a section {parse_ms:.1} ms, make a change {record_ms:.1} ms, \
-         apply it {follow_ms:.1} ms, change of {bytes} bytes",
+         merge {merge_ms:.1} ms, parse a section {parse_ms:.1} ms, compute a delta {record_ms:.1} ms, \
+         apply it {apply_ms:.1} ms, delta of {bytes} bytes",
         fleet.customers.len(),
         edited.text.len(),
     );
