--- a/crates/lagoonline/src/control/membership/group.rs
+++ b/crates/lagoonline/src/control/membership/group.rs
@@ -193,7 +193,8 @@
         (self.neighbours, self.heartbeat_peers) = (neighbours, peers);
     }
 
-    /// Returns extra heartbeat peers, one for each host that this steward has voted against.
+    /// Returns extra heartbeat peers while this steward has voted against live hosts: one for each
+    /// of them, and one more for each ring.
     ///
     /// If all neighbours of this host fail at once, it receives no votes and cannot declare anyone
     /// dead, so it would stay isolated with a list of dead hosts. Extra peers are added until one
