--- a/crates/lagoonline/src/control/document/store.rs
+++ b/crates/lagoonline/src/control/document/store.rs
@@ -181,21 +181,20 @@
     T: table::Table,
 {
     let next = id::Version(put.base.0 + 1);
-    let mut unknown = None;
+    // Error of an attempt whose answer was lost.
+    let mut lost = None;
     for _ in 0..MAX_ATTEMPTS {
         match try_store(table, put, next).await {
             Ok(version) => return Ok(version),
             Err(StoreError::Table(table::Error::Conflict { .. })) => {}
-            Err(StoreError::Table(error @ table::Error::Unknown { .. })) => unknown = Some(error),
+            Err(StoreError::Table(error @ table::Error::Unknown { .. })) => lost = Some(error),
             // An error after a lost answer does not tell whether the earlier call took effect.
-            Err(StoreError::Table(error)) => {
-                return Err(StoreError::Table(unknown.unwrap_or(error)));
-            }
+            Err(StoreError::Table(error)) => return Err(StoreError::Table(lost.unwrap_or(error))),
             Err(refusal) => return Err(refusal),
         }
     }
     let conflict = table::Error::Conflict { step: "store section" };
-    Err(StoreError::Table(unknown.unwrap_or(conflict)))
+    Err(StoreError::Table(lost.unwrap_or(conflict)))
 }
 
 async fn try_store<T>(table: &T, put: &Put, next: id::Version) -> Result<id::Version, StoreError>
