--- a/crates/lagoon-gateway/src/admit.rs
+++ b/crates/lagoon-gateway/src/admit.rs
@@ -1,4 +1,5 @@
-//! What lets a request in: a desired state, a route, a customer, and a key that can be trusted now.
+//! Admission of a request: finds its route and customer in the desired state and checks that the
+//! customer's key can still be trusted.
 
 use std::sync;
 
@@ -11,15 +12,17 @@
 use crate::forward;
 use crate::state;
 
-/// Age of the confirmation up to which a name that is unknown is told as unknown; beyond it the
-/// caller is asked to come back.
+/// Maximum age of the desired state's last confirmation at which an unknown route or key is
+/// reported as unknown. With an older confirmation the name may have been added since, so the
+/// caller is told to retry.
 const FRESH: clock::Span = clock::Span::from_millis(4_000);
 
-/// Lets a request in, or tells why not.
+/// Admits a request: resolves its route, customer, service and deadline.
 ///
 /// # Errors
 ///
-/// No desired state yet, no such route, no customer with its key, or a key that cannot be trusted now.
+/// No desired state has been read yet, no route matches, no customer has the key, or keys cannot be
+/// trusted now.
 pub(crate) fn admit(
     state: &sync::Arc<state::State>,
     request: forward::Request,
@@ -56,7 +59,8 @@
     })
 }
 
-/// A name that this host does not know: told as unknown only while the host is in touch.
+/// Returns the fault for a route or key that is not in this host's desired state. It is reported as
+/// unknown only if the desired state was confirmed recently.
 fn unknown(
     state: &state::State,
     age: Option<clock::Span>,
@@ -70,7 +74,8 @@
     answer::Fault::not_run(Reason::PlatformDown, Step::Authenticate, detail).after(come_back(state))
 }
 
-/// Whether keys can be trusted: one that was taken away is known within the bound.
+/// Checks that this host may accept keys: its desired state must have been confirmed recently
+/// enough for a revoked key to be refused within the configured bound.
 ///
 /// # Errors
 ///
@@ -85,11 +90,12 @@
         .after(come_back(state)))
 }
 
-/// When a caller may come back whom this host turns away because the platform is out of its reach.
+/// Returns the retry time for a caller that is rejected because this host cannot reach the
+/// platform.
 ///
-/// Load pattern: the platform turns some hosts away and serves the others. Their callers wait
-/// before they go to another host, which could have answered at once, and are late. While others
-/// say that they can, callers are sent on at once.
+/// The platform may be unreachable for some hosts only. A caller that waits here before it tries
+/// another host, which could have answered at once, misses its deadline. So callers are sent on at
+/// once while another host reports that it can trust keys.
 fn come_back(state: &state::State) -> clock::Span {
     if state.is_trusted_elsewhere() { forward::ELSEWHERE } else { forward::COME_BACK }
 }
--- a/crates/lagoon-gateway/src/answer.rs
+++ b/crates/lagoon-gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: an upstream's, passed on, and failures of our own.
+//! Answers to callers: forwarded answers of upstreams, and errors of this host.
 
 use lagoon_platform::head;
 use lagoonline::clock;
@@ -6,24 +6,24 @@
 use ntex::http;
 use ntex::web;
 
-/// Why a request ends without an upstream's answer.
+/// An error answered to a caller instead of an upstream's answer.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{}: {detail}", .reason.as_str())]
 pub(crate) struct Fault {
     /// What went wrong.
     pub(crate) reason: Reason,
-    /// Where.
+    /// The step that failed.
     pub(crate) step: Step,
-    /// What is known of its effect.
+    /// Whether the request may have run.
     pub(crate) outcome: Outcome,
-    /// More about it: the peer, the figures that decided.
+    /// Details for the caller: the peer, or the figures that decided.
     pub(crate) detail: String,
-    /// When to come back, where that helps.
+    /// When the caller should retry, if that helps.
     pub(crate) retry_after: Option<clock::Span>,
 }
 
 impl Fault {
-    /// A failure before any byte left for an upstream.
+    /// Creates the fault of a request of which no byte was sent to an upstream.
     pub(crate) fn not_run<Detail>(reason: Reason, step: Step, detail: Detail) -> Fault
     where
         Detail: Into<String>,
@@ -31,19 +31,19 @@
         Fault { reason, step, outcome: Outcome::NotRun, detail: detail.into(), retry_after: None }
     }
 
-    /// The same with a time to come back.
+    /// Sets the time after which the caller should retry.
     pub(crate) fn after(self, span: clock::Span) -> Fault {
         Fault { retry_after: Some(span), ..self }
     }
 
-    /// The same fault of a request of which an earlier attempt may have run: it must not be told as
-    /// not run.
+    /// Sets the outcome to unknown if an earlier attempt may have run (`lost`): the request must
+    /// not be reported as not run.
     pub(crate) fn if_lost(self, lost: bool) -> Fault {
         if lost { Fault { outcome: Outcome::Unknown, ..self } } else { self }
     }
 
-    /// The status that tells it. 503 promises that the request did not run and never will; where
-    /// that is unknown the status promises nothing.
+    /// Returns the HTTP status. 503 promises that the request did not run and never will. If that
+    /// is unknown, a status without this promise is used.
     pub(crate) fn status(&self) -> http::StatusCode {
         match (self.outcome, self.reason) {
             (_, Reason::Malformed) => http::StatusCode::BAD_REQUEST,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The answer.
+    /// Builds the HTTP answer.
     pub(crate) fn answer(&self, request_id: &str, closing: bool) -> web::HttpResponse {
         let body = serde_json::json!({"error": {
             "code": self.reason.as_str(),
@@ -77,7 +77,7 @@
     }
 }
 
-/// The head of an upstream's answer, ready for its body.
+/// Starts an answer with the head of an upstream's answer.
 pub(crate) fn pass_back(
     status: u16,
     fields: &[head::Field],
--- a/crates/lagoon-gateway/src/attempt.rs
+++ b/crates/lagoon-gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! What became of an attempt that brought no answer.
+//! Failed attempts at an upstream.
 
 use lagoonline::id;
 use lagoonline::outcome::{Outcome, Reason, Step};
@@ -6,20 +6,20 @@
 use crate::answer;
 use crate::forward;
 
-/// Why an attempt brought no answer that can be passed on.
+/// Why an attempt brought no answer that can be forwarded.
 #[derive(Debug)]
 pub(crate) enum Miss {
     /// Nothing was sent.
     Unsent(String),
-    /// The upstream said that it did not run the request; because of `helper` where that engine was
-    /// to read a part of the prompt.
+    /// The upstream reported that it did not run the request. `helper` is set if the engine at
+    /// fault is one that had to prefill a part of the prompt.
     Refused { helper: Option<id::Upstream>, detail: String },
-    /// It may have run.
+    /// The request may have run.
     Lost(String),
 }
 
 impl Miss {
-    /// The upstream at fault, where it is not the one that was asked.
+    /// Returns the upstream at fault, if it is not the one that was asked.
     pub(crate) fn at_fault(&self) -> Option<&id::Upstream> {
         match self {
             Miss::Refused { helper, .. } => helper.as_ref(),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Its word in the log.
+    /// Returns the name of the failure in the log.
     pub(crate) fn word(&self) -> &'static str {
         match self {
             Miss::Unsent(_) => "unsent",
@@ -37,15 +37,15 @@
         }
     }
 
-    /// What happened, with the upstream at which it did.
+    /// Returns what happened and at which upstream.
     pub(crate) fn detail(&self) -> &str {
         match self {
             Miss::Unsent(detail) | Miss::Refused { detail, .. } | Miss::Lost(detail) => detail,
         }
     }
 
-    /// What the caller is told if there is no further attempt. One that may have run is not asked to
-    /// come back: its status promises nothing.
+    /// Returns the fault for the caller if there is no further attempt. If the request may have
+    /// run, no retry time is given, since the status does not promise that a retry is safe.
     pub(crate) fn give_up(&self, outcome: Outcome) -> answer::Fault {
         let fault = failed(outcome, self.detail());
         match self {
@@ -55,7 +55,7 @@
     }
 }
 
-/// A failure of an upstream.
+/// Creates the fault of an upstream's failure.
 pub(crate) fn failed(outcome: Outcome, detail: &str) -> answer::Fault {
     let fault = answer::Fault::not_run(Reason::UpstreamFailed, Step::Dispatch, detail);
     answer::Fault { outcome, ..fault }
--- a/crates/lagoon-gateway/src/clock.rs
+++ b/crates/lagoon-gateway/src/clock.rs
@@ -3,11 +3,10 @@
 use lagoonline::clock;
 use nix::time;
 
-/// Monotonic time that goes on while the host is suspended.
+/// Monotonic time that includes the time for which the host was suspended.
 ///
-/// Failure answered: a host that was suspended for seconds wakes up and takes what it knew before
-/// for fresh, so a key taken away meanwhile still works. The usual monotonic clock stands still
-/// while a host is suspended; this one does not.
+/// The usual monotonic clock stops during a suspend. A host that was suspended for seconds would
+/// take what it knew before for recent, and a key revoked meanwhile would still work.
 ///
 /// ```
 /// use lagoonline::clock::Clock;
@@ -37,8 +36,8 @@
     }
 }
 
-/// Microseconds since the host started. The kernel has had this clock since Linux 2.6.39; without
-/// it the process cannot keep its promises and ends.
+/// Returns the microseconds since the host started. Linux has this clock since 2.6.39. Without it
+/// the process cannot enforce its time bounds, so it panics.
 fn micros() -> u64 {
     let now = match time::clock_gettime(time::ClockId::CLOCK_BOOTTIME) {
         Ok(now) => std::time::Duration::from(now),
--- a/crates/lagoon-gateway/src/connection.rs
+++ b/crates/lagoon-gateway/src/connection.rs
@@ -1,4 +1,4 @@
-//! Callers' connections of one server thread: which are idle.
+//! The callers' connections of one server thread, to find those that are idle.
 
 use std::cell;
 use std::collections;
@@ -6,7 +6,7 @@
 
 use ntex::io;
 
-/// A connection and the requests under way on it.
+/// A connection and the number of requests in progress on it.
 #[derive(Debug)]
 struct Connection {
     io: io::IoRef,
@@ -15,13 +15,13 @@
 
 type Open = collections::HashMap<io::Id, Connection>;
 
-/// The connections on which a request came.
+/// The connections on which a request has arrived.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Connections {
     open: rc::Rc<cell::RefCell<Open>>,
 }
 
-/// A request under way on a connection, until it is dropped.
+/// Guard of a request in progress on a connection.
 #[derive(Debug)]
 pub(crate) struct Busy {
     id: io::Id,
@@ -29,7 +29,7 @@
 }
 
 impl Connections {
-    /// A request came on the connection `io`.
+    /// Records that a request arrived on the connection `io`.
     pub(crate) fn busy(&self, io: &io::IoRef) -> Busy {
         let id = io.id();
         let mut open = self.open.borrow_mut();
@@ -38,7 +38,7 @@
         Busy { id, connections: self.clone() }
     }
 
-    /// Closes each connection without a request.
+    /// Closes every connection without a request in progress.
     pub(crate) fn close_idle(&self) {
         for connection in self.open.borrow().values() {
             if connection.busy == 0 {
--- a/crates/lagoon-gateway/src/crash.rs
+++ b/crates/lagoon-gateway/src/crash.rs
@@ -1,9 +1,9 @@
-//! Whether an upstream crashed under requests, or only their connections broke.
+//! Detection of upstream crashes when connections break.
 //!
-//! Failure answered: a connection ends for many reasons (resets, answers that are broken off, lost
-//! answers, an upstream that leaves), and only one of them is that the process behind it ended. So
-//! an upstream whose connection broke is connected to once: a process that ended refuses, one that
-//! lives accepts, and a host that is dark or cut off does neither.
+//! A connection can break for many reasons (reset, truncated answer, lost answer, a leaving
+//! upstream), and only one of them is that the process behind it ended. So one connection to the
+//! upstream is opened as a probe: it is refused if the process has ended, accepted if it is alive,
+//! and times out if its host is down or unreachable.
 
 use std::collections;
 use std::fmt;
@@ -19,20 +19,19 @@
 use crate::link;
 use crate::state;
 
-/// Longest time for a connection that tells whether an upstream ended: some round trips between
-/// zones.
+/// Timeout of a probe: some round trips between zones.
 const PROBE: clock::Span = clock::Span::from_millis(350);
 
-/// Requests whose connections broke, by upstream, while it is found out whether that one ended.
+/// Requests whose connections broke, by upstream, while that upstream is being probed.
 #[derive(Debug, Default)]
 pub(crate) struct Breaks(sync::Mutex<collections::HashMap<id::Upstream, Vec<Request>>>);
 
 /// A request whose connection broke.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Request {
-    /// What it is, whatever its id.
+    /// Fingerprint of the request, which does not depend on its id.
     pub(crate) fingerprint: fingerprint::Fingerprint,
-    /// How far the upstream was with it.
+    /// Progress of the upstream with the request.
     pub(crate) progress: quarantine::Progress,
 }
 
@@ -49,7 +48,7 @@
     }
 }
 
-/// What a connection told of an upstream.
+/// The result of a probe.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Probed {
     Ended,
@@ -68,7 +67,7 @@
 }
 
 impl forward::Admitted {
-    /// The connection to `upstream` broke under this request.
+    /// Records that the connection to `upstream` broke under this request, and probes the upstream.
     pub(crate) fn broke(&self, upstream: &id::Upstream, progress: quarantine::Progress) {
         let request = Request { fingerprint: self.fingerprint(), progress };
         let mut breaks = state::lock(&self.state.breaks.0);
@@ -100,8 +99,8 @@
         .info();
 }
 
-/// Whether `upstream` ended, as a connection tells. One that leaves ends as planned, and one that
-/// is no longer listed may be gone for long.
+/// Probes whether `upstream` has ended. The result is unknown for an upstream that is leaving,
+/// which ends as planned, and for one that is no longer listed, which may have ended long ago.
 async fn probe(state: &state::State, service: &id::Service, upstream: &id::Upstream) -> Probed {
     let entry = state.with_board(service, |board, _| board.entry(upstream.as_str()).cloned());
     let Some(entry) = entry.flatten().filter(|entry| !entry.leaving) else {
--- a/crates/lagoon-gateway/src/event.rs
+++ b/crates/lagoon-gateway/src/event.rs
@@ -1,22 +1,23 @@
-//! One line of the log: a JSON object that names what happened and what decided it.
+//! Log lines: each is a JSON object with an event and the values that explain it.
 
 use std::fmt;
 
-/// A line under construction.
+/// A log line under construction.
 ///
-/// The event's name is a constant of the caller; values are texts and numbers.
+/// The event and the keys are constants, so they are not escaped; values are escaped if they are
+/// text.
 #[derive(Debug)]
 pub(crate) struct Line {
     text: String,
 }
 
 impl Line {
-    /// A line about `event`.
+    /// Creates a line about `event`.
     pub(crate) fn new(event: &'static str) -> Line {
         Line { text: format!("\"event\":\"{event}\"") }
     }
 
-    /// Adds a text.
+    /// Adds a text value.
     pub(crate) fn text<T>(mut self, name: &'static str, value: T) -> Line
     where
         T: fmt::Display,
@@ -26,7 +27,7 @@
         self
     }
 
-    /// Adds a number.
+    /// Adds a number or a boolean.
     pub(crate) fn number<N>(mut self, name: &'static str, value: N) -> Line
     where
         N: fmt::Display,
@@ -35,17 +36,17 @@
         self
     }
 
-    /// Adds a span, in milliseconds.
+    /// Adds a time span in milliseconds.
     pub(crate) fn span(self, name: &'static str, value: std::time::Duration) -> Line {
         self.number(name, value.as_millis())
     }
 
-    /// Writes it as a state of the process that changed.
+    /// Logs the line at level info, for a change of state.
     pub(crate) fn info(self) {
         log::info!("{}", self.text);
     }
 
-    /// Writes it as something lost or refused.
+    /// Logs the line at level warn, for something lost or refused.
     pub(crate) fn warn(self) {
         log::warn!("{}", self.text);
     }
--- a/crates/lagoon-gateway/src/exchange.rs
+++ b/crates/lagoon-gateway/src/exchange.rs
@@ -1,8 +1,8 @@
-//! One request to an upstream or to the platform on a connection of its own.
+//! HTTP requests to an upstream or to the platform's store, each on a connection of its own.
 //!
-//! The connection is polled by whoever waits for the answer, not by a task: dropping an
-//! [`Exchange`] closes its connection at once, which is how an upstream learns that nobody waits
-//! for its answer any more.
+//! The connection is polled by the future that waits for the answer, not by a task. Dropping an
+//! [`Exchange`] therefore closes its connection at once, which tells the upstream that the answer
+//! is no longer needed.
 
 use std::future;
 use std::net;
@@ -20,20 +20,20 @@
 /// Body of a request.
 pub(crate) type Payload = http_body_util::Full<body::Bytes>;
 
-/// Why no answer, or no whole answer, came.
+/// Why there is no answer, or no complete one.
 #[derive(Clone, Debug, thiserror::Error)]
 pub(crate) enum Failure {
-    /// No connection came about, so no byte was sent.
+    /// The connection failed before any byte was sent.
     #[error("no connection: {0}")]
     Unsent(String),
-    /// The connection broke, or what came is no answer: the request may have been acted on.
+    /// The connection broke, or the answer is invalid: the request may have been acted on.
     #[error("lost: {0}")]
     Lost(String),
 }
 
 type Driver = http1::Connection<TokioIo<TcpStream>, Payload>;
 
-/// A connection with at most one request on it.
+/// A connection with at most one request in progress.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     sender: http1::SendRequest<Payload>,
@@ -72,7 +72,7 @@
         drive(&mut self.driver, answer).await.map_err(lost)
     }
 
-    /// The next bytes of an answer's body; `None` at its whole end.
+    /// Reads the next bytes of an answer's body; `None` at its end.
     ///
     /// # Errors
     ///
@@ -86,7 +86,7 @@
             match frame {
                 None => return Ok(None),
                 Some(Err(error)) => return Err(lost(error)),
-                // Trailers are no part of the body.
+                // Trailers are not part of the body.
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
                         return Ok(Some(data));
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The whole body, of at most `most` bytes.
+    /// Reads the complete body, of at most `most` bytes.
     ///
     /// # Errors
     ///
@@ -116,7 +116,7 @@
         Ok(bytes)
     }
 
-    /// Waits until the connection can take another request; false when it cannot.
+    /// Waits until the connection can take another request; returns false if it cannot.
     pub(crate) async fn settle(&mut self) -> bool {
         let ready = self.sender.ready();
         let ready = drive(&mut self.driver, ready).await.is_ok();
@@ -124,8 +124,8 @@
     }
 }
 
-/// Sends one request on a connection of its own; the status and the whole answer of at most `most`
-/// bytes, within `timeout`, of which the connection may take `connect`.
+/// Sends one request on a new connection. Returns the status and the body, of at most `most` bytes.
+/// The call must finish within `timeout`, and the connection must be open within `connect`.
 ///
 /// # Errors
 ///
@@ -153,7 +153,7 @@
     Failure::Lost(format!("{error}{source}"))
 }
 
-/// Polls the connection beside `work` until `work` is done.
+/// Polls the connection alongside `work` until `work` is done.
 async fn drive<Work>(driver: &mut Option<Driver>, work: Work) -> Work::Output
 where
     Work: Future,
@@ -163,7 +163,7 @@
         if let Some(connection) = driver
             && pin::Pin::new(connection).poll(context).is_ready()
         {
-            // Its failure reaches `work` as the failure of the request.
+            // `work` reports the connection's failure as the failure of the request.
             *driver = None;
         }
         work.as_mut().poll(context)
--- a/crates/lagoon-gateway/src/feed.rs
+++ b/crates/lagoon-gateway/src/feed.rs
@@ -1,5 +1,5 @@
-//! What this host knows of the platform's tables, and how news of them is taken in, whether read
-//! here or told by the host that reads for the zone.
+//! What this host knows of the platform's tables, and how changes are applied, whether this host
+//! reads them itself or receives them from the host that reads for the zone.
 
 use std::sync;
 
@@ -15,28 +15,28 @@
 use crate::relay;
 use crate::state;
 
-/// Two returns of the platform closer together than this are one, told by two ways.
+/// Recoveries of the platform closer together than this are the same one, reported twice.
 const SAME_RETURN: clock::Span = clock::Span::from_millis(500);
 
-/// A table that is shared between what reads it and what tells others of it.
+/// A table that is shared by its reader and the relay.
 pub(crate) type Table = sync::Arc<sync::Mutex<mirror::Mirror>>;
 
-/// The tables, and when they were last known to be complete.
+/// The tables, and when they were last confirmed to be complete.
 #[derive(Debug)]
 pub(crate) struct Feed {
     pub(crate) desired: Table,
     pub(crate) upstreams: Table,
     /// The entry hosts.
     pub(crate) hosts: Table,
-    /// When the list of upstreams was last known to be complete.
+    /// When the list of upstreams was last confirmed to be complete.
     listed_at: sync::Mutex<Option<clock::Moment>>,
     /// When the platform last answered again after an outage.
     returned_at: sync::Mutex<Option<clock::Moment>>,
-    /// Counts news.
+    /// Number of changes so far, to wake waiting relay requests.
     news: watch::Sender<u64>,
-    /// Whether this host reads for itself.
+    /// Whether this host reads the platform itself.
     reads: watch::Sender<bool>,
-    /// When another host last asked this one.
+    /// When another host last sent a relay request.
     asked_at: sync::Mutex<Option<clock::Moment>>,
 }
 
@@ -56,23 +56,23 @@
     }
 }
 
-/// Rows whose every byte counts.
+/// Compares rows of which every byte matters.
 pub(crate) fn same_bytes(_: &str, known: &[u8], value: &[u8]) -> bool {
     known == value
 }
 
-/// Entries of upstreams that only counted on.
+/// Compares entries of upstreams, ignoring fields that are not used, such as the heartbeat counter.
 fn same_entry(key: &str, known: &[u8], value: &[u8]) -> bool {
     entry::read(key, known).ok() == entry::read(key, value).ok()
 }
 
 impl Feed {
-    /// Whether this host reads for itself.
+    /// Whether this host reads the platform itself.
     pub(crate) fn reads(&self) -> bool {
         *self.reads.borrow()
     }
 
-    /// From now on this host reads for itself, or is told by another.
+    /// Sets whether this host reads the platform itself or relies on another host.
     pub(crate) fn set_reads(&self, reads: bool) {
         let changed = self.reads.send_if_modified(|now| std::mem::replace(now, reads) != reads);
         if changed {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Waits until this host reads for itself.
+    /// Waits until this host reads the platform itself.
     pub(crate) async fn until_reads(&self) {
         // The sender lives as long as this feed, so the wait ends only by a change.
         drop(self.reads.subscribe().wait_for(|reads| *reads).await);
@@ -91,33 +91,34 @@
         drop(self.reads.subscribe().wait_for(|reads| !*reads).await);
     }
 
-    /// Another host asks.
+    /// Records a relay request of another host.
     pub(crate) fn asked(&self, now: clock::Moment) {
         *state::lock(&self.asked_at) = Some(now);
     }
 
-    /// Whether another host asked of late: this one reads for it.
+    /// Whether another host has sent a relay request recently, so that this host reads for it.
     pub(crate) fn is_asked(&self, now: clock::Moment) -> bool {
         state::lock(&self.asked_at).is_some_and(|at| now.since(at) <= relay::ASKED)
     }
 
-    /// Tells of news as they come.
+    /// Returns a receiver that is notified of changes.
     pub(crate) fn watch_news(&self) -> watch::Receiver<u64> {
         self.news.subscribe()
     }
 
-    /// When the list of upstreams was last known to be complete.
+    /// Returns when the list of upstreams was last confirmed to be complete.
     pub(crate) fn listed_at(&self) -> Option<clock::Moment> {
         *state::lock(&self.listed_at)
     }
 
-    /// When the platform last answered again after an outage.
+    /// Returns when the platform last answered again after an outage.
     pub(crate) fn returned_at(&self) -> Option<clock::Moment> {
         *state::lock(&self.returned_at)
     }
 }
 
-/// The platform answered again at `at` after an outage; call it before the changes that it brings.
+/// Records that the platform answered again at `at` after an outage. Has to be called before the
+/// changes of that answer are applied.
 pub(crate) fn platform_returned(state: &state::State, at: clock::Moment) {
     let mut known = state::lock(&state.feed.returned_at);
     if known.is_none_or(|known| at.since(known) > SAME_RETURN) {
@@ -126,7 +127,7 @@
     }
 }
 
-/// Takes in rows of the desired state, which had no later change up to `at`.
+/// Applies changed rows of the desired state, which had no later change up to `at`.
 pub(crate) fn take_desired(state: &state::State, rows: &[store::Row], at: clock::Moment) {
     let row = rows.iter().rev().find(|row| row.key == desired::KEY);
     let text = row.and_then(|row| row.value.as_deref());
@@ -143,7 +144,7 @@
     }
 }
 
-/// Takes in rows of the list of upstreams, which had no later change up to `at`.
+/// Applies changed rows of the list of upstreams, which had no later change up to `at`.
 pub(crate) fn take_upstreams(state: &state::State, rows: &[store::Row], at: clock::Moment) {
     state.change_upstreams(rows.iter().map(read_entry).collect());
     let mut listed_at = state::lock(&state.feed.listed_at);
@@ -166,7 +167,7 @@
     }
 }
 
-/// Time since `at`; `None` where it never was.
+/// Returns the time since `at`.
 pub(crate) fn age(state: &state::State, at: Option<clock::Moment>) -> Option<clock::Span> {
     at.map(|at| state.clock.now().since(at))
 }
--- a/crates/lagoon-gateway/src/forward.rs
+++ b/crates/lagoon-gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! One caller's request: what lets it in, where it goes, and what its caller is told.
+//! Handling of one caller's request: admission, attempts at upstreams, and the answer.
 
 use std::net;
 use std::sync;
@@ -28,11 +28,11 @@
 use crate::underway;
 use crate::word;
 
-/// A caller's request, whole.
+/// A caller's request with its complete body.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) method: String,
-    /// Path and query, as sent.
+    /// Path and query as sent by the caller.
     pub(crate) target: String,
     pub(crate) path: String,
     pub(crate) host: String,
@@ -48,37 +48,37 @@
     }
 }
 
-/// Who waits for the answer; held until its last byte was handed over.
+/// The caller that waits for the answer; held until the last byte has been handed over.
 #[derive(Debug)]
 pub(crate) struct Caller {
     /// The caller's connection.
     pub(crate) io: Option<ntex::io::IoRef>,
-    /// Keeps that connection from counting as idle.
+    /// Keeps the connection from being closed as idle.
     pub(crate) _busy: Option<connection::Busy>,
-    /// Keeps the process from ending.
+    /// Keeps the process from shutting down.
     pub(crate) _active: state::Active,
 }
 
-/// Longest answer of a plain service that is kept until it is whole.
+/// Maximum size in bytes of an answer that is not streamed; it is buffered until complete.
 const WHOLE: usize = 8 << 20;
-/// Longest time for a connection to an upstream: zones are some milliseconds apart, and a lost
-/// packet is sent again after a fifth of a second.
+/// Timeout for connecting to an upstream: zones are some milliseconds apart, and a lost packet is
+/// retransmitted after 200 ms.
 const CONNECT: clock::Span = clock::Span::from_millis(350);
-/// Time that must be left for another attempt to be worth it.
+/// Minimum time left before the deadline for another attempt.
 pub(crate) const WORTH_TRYING: clock::Span = clock::Span::from_millis(40);
-/// When to come back if nothing better is known: a restarted upstream or a new version is seen
-/// within this.
+/// Retry time given to callers when nothing better is known: a restarted upstream or a new version
+/// is seen within this.
 pub(crate) const COME_BACK: clock::Span = clock::Span::from_millis(400);
-/// When a caller may come back whom only this host turns away: at once, to another.
+/// Retry time given to a caller that only this host rejects: at once, at another host.
 pub(crate) const ELSEWHERE: clock::Span = clock::Span::from_millis(20);
-/// Tokens from which a prompt ranks behind short ones in an engine.
+/// Prompt length in tokens from which a prompt ranks behind short ones in an engine.
 const MEDIUM_PROMPT: u64 = 25_000;
-/// Tokens from which it ranks behind those too.
+/// Prompt length in tokens from which a prompt ranks behind medium ones.
 const LONG_PROMPT: u64 = 110_000;
-/// Refusals that one request may meet beside its attempts.
+/// Refusals by upstreams that a request may meet in addition to its attempts.
 const REFUSALS: u32 = 2;
 
-/// What a request was let in as.
+/// An admitted request.
 #[derive(Debug)]
 pub(crate) struct Admitted {
     pub(crate) state: sync::Arc<state::State>,
@@ -87,7 +87,7 @@
     pub(crate) service: id::Service,
     pub(crate) customer: Option<id::Customer>,
     pub(crate) deadline: clock::Moment,
-    /// Worked out when it is first asked for.
+    /// Computed on first use.
     pub(crate) fingerprint: sync::OnceLock<fingerprint::Fingerprint>,
 }
 
@@ -98,15 +98,15 @@
     pub(crate) answer: hyper::Response<hyper::body::Incoming>,
     pub(crate) underway: underway::Underway,
     pub(crate) upstream: id::Upstream,
-    /// When the answer began.
+    /// When the head of the answer arrived.
     pub(crate) began: clock::Moment,
 }
 
-/// Answers `request`.
+/// Forwards `request` and returns the upstream's answer.
 ///
 /// # Errors
 ///
-/// Why no upstream's answer came.
+/// Why there is no answer of an upstream.
 pub(crate) async fn answer(
     state: &sync::Arc<state::State>,
     request: Request,
@@ -143,7 +143,7 @@
     loop {
         let secured = admitted.secure(&avoid).await.map_err(|fault| fault.if_lost(lost))?;
         let upstream = secured.placement.first.upstream.clone();
-        // Upstreams here know a request by its caller's id; an attempt needs none of its own.
+        // Upstreams identify a request by its caller's id, so an attempt needs no id of its own.
         let dispatched = held.dispatch(id::Attempt(0));
         attempts += 1;
         *may_have_run = true;
@@ -177,10 +177,10 @@
     }
 }
 
-/// An upstream's answer, checked as far as it must be before a caller sees any of it.
+/// An upstream's answer, checked as far as needed before the caller sees any of it.
 #[derive(Debug)]
 pub(crate) enum Taken {
-    /// The whole answer.
+    /// A complete answer.
     Whole { status: u16, fields: Vec<head::Field>, body: Bytes },
     /// A stream that has begun.
     Stream { status: u16, fields: Vec<head::Field>, live: Box<Live> },
@@ -212,7 +212,7 @@
         if self.route.kind.may_repeat() { request::Repeat::Allowed } else { request::Repeat::Never }
     }
 
-    /// Time until the request must be answered.
+    /// Returns the time until the request's deadline.
     pub(crate) fn left(&self) -> clock::Span {
         self.deadline.since(self.state.clock.now())
     }
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Whether another attempt is allowed and worth it; takes it from the budget.
+    /// Whether another attempt is allowed and worthwhile. Takes it from the retry budget.
     pub(crate) fn may_try_again(
         &self,
         attempts: u32,
@@ -244,7 +244,7 @@
         unsent || desk.is_some_and(|desk| state::lock(&desk).budget.take())
     }
 
-    /// Something of an answer came.
+    /// Records activity of an upstream: bytes of an answer arrived.
     pub(crate) fn heard(&self, upstream: &id::Upstream) {
         self.state.with_board(&self.service, |board, now| board.heard(upstream, now));
     }
@@ -281,7 +281,7 @@
                         self.broke(&first.upstream, self.before_answer());
                         return Err(attempt::Miss::Lost(format!("{}: {failure}", first.upstream)));
                     }
-                    // The last upstream that may be asked is waited for: it may merely be busy.
+                    // The last upstream that may be tried is not abandoned: it may merely be busy.
                     Err(_) if !self.may_repeat(attempts) => {}
                     Err(_) => {
                         let silent = self.state.clock.now().since(sent);
@@ -327,7 +327,7 @@
         request.body(exchange::Payload::new(self.request.body.clone()))
     }
 
-    /// What the request is, whatever its id.
+    /// Returns the fingerprint of the request, which does not depend on its id.
     pub(crate) fn fingerprint(&self) -> fingerprint::Fingerprint {
         let customer = self.customer.as_ref().map_or("", id::Customer::as_str);
         let request = &self.request;
@@ -335,8 +335,8 @@
         *self.fingerprint.get_or_init(compute)
     }
 
-    /// How far an upstream is known to be that has not begun to answer: only a stream begins with the
-    /// run.
+    /// Returns the known progress of an upstream that has not begun to answer. Only a streamed
+    /// answer begins when the request starts to run.
     fn before_answer(&self) -> quarantine::Progress {
         match self.route.kind {
             routing::Kind::Stream { .. } => quarantine::Progress::Waiting,
@@ -344,7 +344,7 @@
         }
     }
 
-    /// Rank in an engine: short prompts first.
+    /// Returns the request's rank in an engine: short prompts come first.
     fn rank(&self) -> Option<u8> {
         let prompt = self.request.call.prompt_tokens?;
         Some(match prompt {
@@ -362,7 +362,7 @@
         self.state.saw(&self.service, word::Seen::new(upstream, manner));
     }
 
-    /// Checks the head of an answer, and its body unless it is a stream.
+    /// Checks the head of an answer, and reads its body unless it is a stream.
     pub(crate) async fn take_answer(
         &self,
         mut live: Live,
@@ -414,7 +414,8 @@
         Ok(Taken::Whole { status, fields: passed, body: body.freeze() })
     }
 
-    /// The engine at `address`, which failed to help `first`; it is passed over for a while.
+    /// Records that the engine at `address` failed to help `first`, so that it is avoided for a
+    /// while. Returns its name if it is a known upstream other than `first`.
     fn blame(&self, first: &id::Upstream, address: net::SocketAddr) -> Option<id::Upstream> {
         let helper = self.state.with_board(&self.service, |board, _| board.at(address).cloned());
         let helper = helper.flatten().filter(|helper| helper != first)?;
--- a/crates/lagoon-gateway/src/hosts.rs
+++ b/crates/lagoon-gateway/src/hosts.rs
@@ -1,8 +1,8 @@
-//! The rows of the entry hosts at the platform.
+//! The table of entry hosts at the platform.
 //!
-//! Each host keeps one row with the addresses at which other hosts find it. The first host of a zone
-//! removes rows of its zone whose hosts have long been silent; a host whose row was removed though
-//! it lives writes it again.
+//! Each host keeps one row with the addresses at which other hosts reach it. The first host of a
+//! zone removes the rows of hosts in its zone that have been silent for long. A host whose row was
+//! removed while it is running writes it again.
 
 use std::net;
 use std::sync;
@@ -24,35 +24,35 @@
 
 /// Table of the entry hosts.
 const TABLE: &str = "lagoon-hosts";
-/// Longest time for the write of the own row.
+/// Timeout for the write of this host's row.
 const WRITE: clock::Span = clock::Span::from_millis(1_500);
-/// Pause before the write is tried again.
+/// Pause before a failed write is retried.
 const AGAIN: clock::Span = clock::Span::from_millis(700);
-/// Time for the other hosts to tell what they have under way: zones are some milliseconds apart,
-/// hosts answer at once, and what is lost on the way costs only efficiency.
+/// Time given to the other hosts to report their dispatches in flight: zones are some milliseconds
+/// apart and hosts answer at once. A lost answer costs only efficiency.
 const ANSWERS: clock::Span = clock::Span::from_millis(30);
 
-/// Pause after the first look at the rows.
+/// Maximum pause after the first read of the table.
 ///
-/// Load pattern: all hosts start within moments of each other. Each finds only the rows of those
-/// before it, so that many think that they are to read for their zone, and go on to read until the
-/// next look.
+/// When all hosts start within moments of each other, each finds only the rows of those before it.
+/// Many then believe that they have to read for their zone, and go on reading until the next read
+/// of this table.
 const SETTLED: clock::Span = clock::Span::from_millis(600);
 
-/// A host's row.
+/// The row of a host.
 #[derive(Debug, Deserialize, Serialize)]
 struct Row {
-    /// Where it hears words.
+    /// UDP address for datagrams from other hosts.
     address: net::SocketAddr,
-    /// Where it answers hosts of its zone.
+    /// TCP address at which it answers relay requests of hosts in its zone.
     reader: net::SocketAddr,
     zone: id::Zone,
-    /// Part of a processor core that it has.
+    /// Share of a processor core that the host may use.
     cores: f64,
 }
 
-/// Registers this host and follows the others. It hears words at `address`, and answers hosts of
-/// its zone at `reader`.
+/// Registers this host and follows the table of the others. This host receives datagrams at
+/// `address` and answers relay requests of its zone at `reader`.
 pub(crate) fn run(
     state: &sync::Arc<state::State>,
     address: net::SocketAddr,
@@ -65,7 +65,7 @@
     drop(ntex::rt::spawn(remove_gone(state.clone())));
 }
 
-/// Writes this host's row, again whenever it is gone.
+/// Writes this host's row, and writes it again whenever it is missing.
 async fn register(state: sync::Arc<state::State>, own: Row) {
     loop {
         write_row(&state, &own).await;
@@ -100,7 +100,7 @@
     let row = serde_json::json!(own).to_string();
     let call = store::put(TABLE, state.settings.node.host.as_str(), row.as_bytes());
     let mut tries = 0_u32;
-    // Writing the row again is harmless, so a lost answer needs no reading back.
+    // Writing the row again is harmless, so a lost answer needs no check.
     while let Err(error) = client.call(&call, WRITE).await {
         tries += 1;
         if tries == 1 {
@@ -111,7 +111,8 @@
     event::Line::new("registered").text("address", own.address).number("tries", tries).info();
 }
 
-/// Follows the rows while this host reads for itself; what another host reads comes by the relay.
+/// Follows the table while this host reads the platform itself; otherwise the rows come through the
+/// relay.
 async fn follow(state: sync::Arc<state::State>) {
     let wait = state.settings.tuning.hosts_wait;
     let mirror = state.feed.hosts.clone();
@@ -122,7 +123,7 @@
         watch.set_pause(&state);
         let news = tokio::select! {
             news = watch.next() => news,
-            // What this watch waits for comes by the relay now.
+            // The changes come through the relay now.
             () = state.feed.until_told() => continue,
         };
         take(&state, &news.rows);
@@ -138,7 +139,7 @@
     }
 }
 
-/// Takes in rows of hosts that changed.
+/// Applies changed rows of the table.
 pub(crate) fn take(state: &state::State, rows: &[store::Row]) {
     let own = state.settings.node.host.as_str();
     for row in rows {
@@ -154,7 +155,7 @@
     state.set_hosts(hosts, deciders);
 }
 
-/// Takes in the row of another host; one that was removed or cannot be read names no host.
+/// Applies the row of another host. A row that was removed or cannot be read removes the host.
 fn take_row(state: &state::State, row: &store::Row) {
     let host = id::Host::from(row.key.as_str());
     let text = row.value.as_ref();
--- a/crates/lagoon-gateway/src/lib.rs
+++ b/crates/lagoon-gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! An entry host of lagoonline on the users' platform: one process that takes callers' requests,
-//! decides by the library [`lagoonline`] where they go, and speaks to upstreams, to the platform's
+//! Entry host of lagoonline on the users' platform: one process that takes callers' requests,
+//! decides with the library [`lagoonline`] where they go, and talks to upstreams, to the platform's
 //! store and to the other entry hosts.
 //!
-//! The platform's names and formats are in the crate [`lagoon_platform`]; nothing here knows them.
+//! The platform's names and formats are confined to the crate [`lagoon_platform`].
 
 mod admit;
 mod answer;
--- a/crates/lagoon-gateway/src/link.rs
+++ b/crates/lagoon-gateway/src/link.rs
@@ -1,8 +1,8 @@
-//! Options of the process's TCP connections.
+//! TCP options of the process's connections.
 //!
-//! Failure answered: a peer without power, or behind a cut link, answers nothing and resets
-//! nothing; a connection to it hangs for minutes. Unacknowledged bytes break a connection after
-//! [`UNACKNOWLEDGED`], and probes find a silent peer on a connection that waits for its answer.
+//! A peer that lost power or is cut off neither answers nor resets its connections, which would
+//! hang for minutes. Unacknowledged bytes break a connection after [`UNACKNOWLEDGED`], and
+//! keepalive probes detect a dead peer on a connection that waits for an answer.
 
 use std::io;
 use std::net;
@@ -11,19 +11,19 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// Longest time without an acknowledgement: links lose packets, and a sender repeats one three
+/// Maximum time without an acknowledgement. Links lose packets, and a sender retransmits three
 /// times within this.
 const UNACKNOWLEDGED: time::Duration = time::Duration::from_millis(2_500);
-/// Silence before the first probe, and between probes.
+/// Idle time before the first keepalive probe, and interval between probes.
 const PROBE: time::Duration = time::Duration::from_secs(1);
-/// Probes without an answer that break the connection.
+/// Unanswered probes that break the connection.
 const PROBES: u32 = 3;
 
 /// Connects within `timeout`.
 ///
 /// # Errors
 ///
-/// No connection came about; nothing was sent.
+/// The connection failed; nothing was sent.
 pub(crate) async fn connect(
     address: net::SocketAddr,
     timeout: time::Duration,
@@ -35,11 +35,11 @@
     Ok(stream)
 }
 
-/// Sets the options of a connection.
+/// Sets the TCP options of a connection.
 ///
 /// # Errors
 ///
-/// The connection is gone.
+/// The connection is closed.
 pub(crate) fn tune(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/crates/lagoon-gateway/src/logs.rs
+++ b/crates/lagoon-gateway/src/logs.rs
@@ -1,10 +1,11 @@
-//! Structured logs on standard output: one JSON object a line, bounded, never blocking.
+//! Structured logs on standard output: one JSON object per line, with a bounded queue that never
+//! blocks.
 //!
-//! Failure answered: whoever reads the output stalls, the pipe fills, and every request waits for a
-//! log line; or a storm of failures spends the host's processor on lines. Lines go through a
-//! bounded channel to a thread that writes; a full channel drops the line and counts it, and the
-//! next line that gets through tells how many were dropped. Lines beyond a rate are dropped the
-//! same way, warnings last.
+//! If the reader of the output stalls and the pipe fills up, a blocking log would stall every
+//! request; and a burst of failures could spend the host's processor on log lines. So lines go
+//! through a bounded channel to a writer thread. A line that finds the channel full is dropped and
+//! counted, and the next line that is written reports the count. Lines beyond a rate limit are
+//! dropped in the same way, with a higher limit for warnings.
 
 use std::io;
 use std::io::Write;
@@ -14,14 +15,14 @@
 use std::thread;
 use std::time;
 
-/// Lines that wait to be written: a second's worth at the highest rate.
+/// Capacity of the queue: more than a second at the highest rate.
 const QUEUE: usize = 1_024;
-/// Lines a second beyond which information is dropped; ten requests a second write some forty.
+/// Lines per second beyond which info lines are dropped; ten requests a second write about forty.
 const RATE: u32 = 200;
-/// Lines a second beyond which warnings are dropped too.
+/// Lines per second beyond which warnings are dropped as well.
 const WARN_RATE: u32 = 400;
 
-/// Lines written in the current second.
+/// Lines counted in the current second.
 #[derive(Debug)]
 struct Rate {
     second: u64,
@@ -63,11 +64,11 @@
     fn flush(&self) {}
 }
 
-/// Starts the logs of the process.
+/// Starts logging for the process.
 ///
 /// # Errors
 ///
-/// The writing thread cannot be started, or logs were started before.
+/// The writer thread cannot be started, or logging was started before.
 pub fn start(level: log::LevelFilter) -> io::Result<()> {
     let (sender, receiver) = mpsc::sync_channel(QUEUE);
     let dropped = sync::Arc::new(atomic::AtomicU64::new(0));
@@ -113,7 +114,7 @@
             let note = writeln!(output, "{{\"event\":\"lines_dropped\",\"count\":{lost}}}");
             drop(note);
         }
-        // Nobody is left to be told when the output itself is gone.
+        // The output is closed, so there is nowhere to report it.
         if writeln!(output, "{line}").is_err() {
             return;
         }
--- a/crates/lagoon-gateway/src/main.rs
+++ b/crates/lagoon-gateway/src/main.rs
@@ -1,6 +1,6 @@
-//! An entry host on the users' platform: `lagoon-gateway [--node FILE] [--settings FILE] [--check]`.
+//! Entry host on the users' platform: `lagoon-gateway [--node FILE] [--settings FILE] [--check]`.
 //!
-//! Exit codes: 0 good, 1 failed, 2 bad usage or settings.
+//! Exit codes: 0 success, 1 failure, 2 bad usage or settings.
 
 use std::env;
 use std::io;
@@ -58,7 +58,7 @@
     node: &path::Path,
     own: Option<&path::Path>,
 ) -> io::Result<()> {
-    // Before anything can be asked to end: a signal that comes early drains too.
+    // Installed before the server starts, so that an early signal drains it too.
     let mut signals = signals::Signals::new()?;
     let running = lagoon_gateway::start(settings)?;
     let handle = running.handle();
@@ -67,8 +67,8 @@
         loop {
             match signals.wait() {
                 signals::Signal::End => handle.drain(),
-                // What the settings hold is fixed for a process's life: a change is checked and
-                // told, and takes force at the next start.
+                // Settings do not change while the process runs. New ones are checked and logged,
+                // and apply at the next start.
                 signals::Signal::Reload => {
                     let checked = lagoon_gateway::load(&node, own.as_deref());
                     handle.reloaded(checked.map(|_| ()));
--- a/crates/lagoon-gateway/src/mesh.rs
+++ b/crates/lagoon-gateway/src/mesh.rs
@@ -1,5 +1,5 @@
-//! Words between entry hosts: who they are, what is under way, how upstreams fare, and where
-//! requests are to go. [`routing::Roster`] decides who tells whom.
+//! Datagrams between entry hosts: heartbeats, dispatches in flight, health of upstreams, and
+//! questions to the zone's scheduler. [`routing::Roster`] decides which host reports to which.
 //!
 //! [`routing::Roster`]: lagoonline::routing::Roster
 
@@ -22,35 +22,35 @@
 use crate::state;
 use crate::word;
 
-/// Time between two heartbeats to hosts of this zone.
+/// Interval between heartbeats to hosts of this zone.
 const BEAT: clock::Span = clock::Span::from_millis(300);
-/// Heartbeats within the zone for each that goes to other zones.
+/// Heartbeats within the zone for each heartbeat to other zones.
 const FAR_BEATS: u64 = 3;
-/// What a host heard of later than this before a list of all that is under way may have begun after
-/// the list was made.
+/// A dispatch first seen within this time before a heartbeat's list of dispatches is kept even if
+/// the list does not name it: it may have begun after the list was made.
 const ON_THE_WAY: clock::Span = clock::Span::from_secs(1);
 /// Pause after the socket failed.
 const AGAIN: clock::Span = clock::Span::from_millis(700);
 
-/// Who is to hear a word.
+/// The hosts that receive an update.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Reach {
     /// Hosts of this zone.
     Near,
     /// Hosts of other zones.
     Far,
-    /// Both.
+    /// Hosts of all zones.
     All,
 }
 
-/// A word on its way to other hosts.
+/// An update queued for other hosts.
 #[derive(Clone, Debug)]
 pub(crate) struct Said {
     pub(crate) word: word::Word,
     pub(crate) reach: Reach,
 }
 
-/// Tells and hears words as long as the process lives.
+/// Starts the tasks that send and receive datagrams for as long as the process runs.
 ///
 /// # Errors
 ///
@@ -85,7 +85,7 @@
     }
 }
 
-/// Sends those of `batch` that are to reach `side` to `addresses`.
+/// Sends the updates of `batch` that are meant for `side` to `addresses`.
 fn send_words(state: &state::State, batch: &[Said], side: Reach, addresses: &[net::SocketAddr]) {
     let reached = batch.iter().filter(|said| said.reach == side || said.reach == Reach::All);
     let words: Vec<_> = reached.map(|said| said.word.clone()).collect();
@@ -98,8 +98,7 @@
     }
 }
 
-/// Tells the others now and then that this host is there and all that it has under way, and forgets
-/// those that fell silent.
+/// Sends heartbeats with the dispatches in flight, and forgets hosts whose heartbeats have stopped.
 async fn beat(state: sync::Arc<state::State>) {
     let mut count = 0;
     loop {
@@ -113,8 +112,7 @@
     }
 }
 
-/// Tells those who are to know what is under way that this host is there; they answer with what
-/// they have under way.
+/// Announces this host to those that track dispatches in flight; they answer with theirs.
 pub(crate) fn greet(state: &state::State) {
     beat_near(state);
     if state::lock(&state.peers).roster.is_candidate(state.clock.now()) {
@@ -138,8 +136,8 @@
     }
 }
 
-/// What the hosts of this zone have under way is told to other zones by the host that schedules for
-/// them, in a small zone by each.
+/// Sends a heartbeat to other zones. It lists what all hosts of this zone have in flight and is
+/// sent by the zone's scheduler; in a small zone without one, each host sends its own.
 fn beat_far(state: &state::State) {
     let now = state.clock.now();
     let peers = state::lock(&state.peers);
@@ -162,10 +160,10 @@
     }
 }
 
-/// Forgets what lives that fell silent had under way.
+/// Drops the dispatches of hosts whose heartbeats have stopped.
 ///
-/// Failure answered: a host loses power. Nobody says that its requests ended, and their places
-/// count as taken until their callers' time is over.
+/// When a host loses power, nobody reports that its requests ended. Without this, their slots would
+/// count as taken until the callers' deadlines.
 fn forget_silent(state: &state::State) {
     let silent = state::lock(&state.peers).take_silent(state.clock.now());
     for life in silent {
@@ -176,7 +174,7 @@
 
 async fn hear(state: sync::Arc<state::State>, socket: UdpSocket) {
     let mut buffer = vec![0; 1 << 16];
-    // What is told of a service that is not known yet would be lost.
+    // An update about a service that is not known yet would be lost.
     state.wait_for(state::Knowledge::Lists).await;
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
@@ -238,10 +236,10 @@
     }
 }
 
-/// Tells a life of a host that is heard of for the first time what is under way.
+/// Sends the dispatches in flight to a host incarnation that is seen for the first time.
 ///
-/// Failure answered: a host that has just started knows of nothing on the engines, believes that all
-/// are idle, and sends its first seconds of requests to the same ones.
+/// A host that has just started knows of no dispatches and believes that all engines are idle.
+/// Without this, it would send its first seconds of requests to the same engines.
 fn meet(state: &state::State, from: net::SocketAddr, life: u64, before: Option<u64>) {
     if let Some(before) = before {
         state.forget_life(before);
@@ -257,7 +255,7 @@
     }
 }
 
-/// Whether other zones hear `what` from the host that schedules for this one.
+/// Whether the zone's scheduler forwards `what` to other zones on behalf of its hosts.
 fn is_relayed(what: &word::What) -> bool {
     match what {
         word::What::First(_)
@@ -271,13 +269,14 @@
     }
 }
 
-/// Takes in a word of the life `from`, and tells other zones of it where `relays` says so.
+/// Applies an update of the host incarnation `from`, and forwards it to other zones if `relays` is
+/// set.
 fn take_word(state: &state::State, from: u64, word: word::Word, relays: bool) {
     let service = id::Service::from(word.service.as_str());
     let id = placement::WorkId { host: word.host.unwrap_or(from), number: word.number };
     let is_own = word.host.is_none();
     let Some(what) = word.what else {
-        // A later build's word.
+        // A kind of update that only a later build knows.
         return;
     };
     if relays && is_own && is_relayed(&what) {
--- a/crates/lagoon-gateway/src/metrics.rs
+++ b/crates/lagoon-gateway/src/metrics.rs
@@ -10,51 +10,51 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// What a counter of answers is split by.
+/// Labels of the counter of answers.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct Answered {
-    /// The service.
+    /// Name of the service; empty if no upstream's answer was forwarded.
     pub(crate) service: String,
-    /// The outcome, or why it failed.
+    /// `done` for a complete answer, otherwise the reason of the failure.
     pub(crate) reason: &'static str,
 }
 
-/// What a histogram of first events is split by.
+/// Labels of the histogram of first events.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct Length {
-    /// Class of the prompt's length.
+    /// Length class of the prompt.
     pub(crate) length: &'static str,
 }
 
-/// All of them.
+/// All metrics of the process.
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
-    /// Answers by service and reason; `done` for whole ones.
+    /// Answers by service and reason.
     pub(crate) answers: Family<Answered, Counter>,
-    /// Seconds to the first event, or to the answer, by the prompt's length.
+    /// Seconds to the first event, or to the answer if it is not streamed, by prompt length.
     pub(crate) first: Family<Length, Histogram>,
-    /// Dispatches beyond a request's first.
+    /// Dispatches beyond a request's first one.
     pub(crate) repeats: Counter,
-    /// Words to other hosts that were dropped.
+    /// Updates to other hosts that were dropped.
     pub(crate) words_lost: Counter,
-    /// Questions to a host that schedules which it left unanswered or turned down.
+    /// Questions that a scheduler left unanswered or rejected.
     pub(crate) schedulers_passed: Counter,
     /// Version of the desired state in force.
     pub(crate) desired_version: Gauge,
-    /// Milliseconds since that version was known to be the newest.
+    /// Milliseconds since that version was last known to be the newest.
     pub(crate) confirmation_age_ms: Gauge,
-    /// Reservations of engine memory that are not released yet.
+    /// Reservations of engine memory that have not been released yet.
     pub(crate) reservations: Gauge,
     /// Crashes of upstreams under requests of this host.
     pub(crate) crashes: Counter,
     /// Requests in quarantine.
     pub(crate) quarantined: Gauge,
-    /// Requests that were under way at crashes.
+    /// Requests that were in flight when an upstream crashed.
     pub(crate) suspects: Gauge,
     registry: sync::Arc<sync::Mutex<Registry>>,
 }
 
-/// From 5 ms to 20 s.
+/// Buckets from 5 ms to 20 s.
 fn seconds() -> Histogram {
     Histogram::new(exponential_buckets(0.005, 2.0, 13))
 }
@@ -101,13 +101,14 @@
         registry.register("suspects", "requests that were at crashes", self.suspects.clone());
     }
 
-    /// A request of `service` was answered.
+    /// Counts an answer of `service`, complete or with the `reason` of its failure.
     pub(crate) fn answered(&self, service: &str, reason: Option<outcome::Reason>) {
         let reason = reason.map_or("done", outcome::Reason::as_str);
         self.answers.get_or_create(&Answered { service: service.to_owned(), reason }).inc();
     }
 
-    /// The first event of an answer to a prompt of `tokens` came after `span`.
+    /// Records that the first event of an answer to a prompt of `tokens` tokens was sent after
+    /// `span`.
     pub(crate) fn first_event(&self, tokens: u64, span: std::time::Duration) {
         let length = match tokens {
             0 => "none",
@@ -118,11 +119,11 @@
         self.first.get_or_create(&Length { length }).observe(span.as_secs_f64());
     }
 
-    /// The metrics as text.
+    /// Encodes the metrics as text.
     ///
     /// # Errors
     ///
-    /// A value cannot be written.
+    /// A value cannot be encoded.
     pub(crate) fn encode(&self) -> Result<String, std::fmt::Error> {
         let mut text = String::new();
         let registry = crate::state::lock(&self.registry);
--- a/crates/lagoon-gateway/src/mirror.rs
+++ b/crates/lagoon-gateway/src/mirror.rs
@@ -1,17 +1,17 @@
-//! A table of the platform as this host knows it, from which it can tell others what changed.
+//! A local copy of a table of the platform, which can report the changes since a version.
 //!
-//! Upstreams write their entries each second with nothing in them changed but a counter. Such a
-//! row keeps the version of its last real change, so that neither this host nor those that ask it
-//! take it in again.
+//! Upstreams rewrite their entries every second, usually with only a counter changed. Such a row
+//! keeps the version of its last relevant change, so that neither this host nor those that ask it
+//! apply it again.
 
 use std::collections;
 
 use lagoon_platform::store;
 
-/// Rows that were removed and are still remembered, so that those who knew them can be told.
+/// Maximum number of removed rows that are kept, so that their removal can be reported.
 const REMOVED: usize = 1_000;
 
-/// Whether two values of the row with this key say the same.
+/// Compares two values of the row with the given key; true if they are equivalent.
 pub(crate) type Same = fn(&str, &[u8], &[u8]) -> bool;
 
 /// The rows of a table.
@@ -19,49 +19,51 @@
 pub(crate) struct Mirror {
     same: Same,
     rows: collections::BTreeMap<String, store::Row>,
-    /// Version up to which it is complete; `None` until all was read, and when history was lost.
+    /// Version up to which the copy is complete; `None` until all rows have been read, and again
+    /// when the platform no longer has the history of changes.
     version: Option<u64>,
-    /// Changes up to this version may have been forgotten.
+    /// Removals up to this version may have been dropped from the copy.
     base: u64,
-    /// Version of the last real change.
+    /// Version of the last relevant change.
     changed: u64,
 }
 
-/// What someone who knew a table up to some version is to be told.
+/// Changes of a table since some version, or all of its rows.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Part {
-    /// The rows that changed, or all.
+    /// The changed rows, or all rows.
     pub(crate) rows: Vec<store::Row>,
-    /// Whether these are all rows.
+    /// Whether `rows` are all rows of the table.
     pub(crate) all: bool,
-    /// Version up to which it is complete.
+    /// Version up to which `rows` is complete.
     pub(crate) version: u64,
 }
 
 impl Mirror {
-    /// An empty one, which knows nothing yet.
+    /// Creates an empty copy that is not complete yet.
     pub(crate) fn new(same: Same) -> Mirror {
         Mirror { same, rows: collections::BTreeMap::new(), version: None, base: 0, changed: 0 }
     }
 
-    /// Version up to which it is complete.
+    /// Returns the version up to which the copy is complete.
     pub(crate) fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// Version of the last real change.
+    /// Returns the version of the last relevant change.
     pub(crate) fn changed(&self) -> u64 {
         self.changed
     }
 
-    /// History was lost: all must be read again.
+    /// Marks the copy as incomplete, so that all rows are read again.
     pub(crate) fn forget(&mut self) {
         self.version = None;
     }
 
-    /// Takes in news, and returns the rows that really changed.
+    /// Applies changes, and returns the rows with relevant changes.
     ///
-    /// News may come by two ways, and a row older than what is known changes nothing.
+    /// Changes may arrive in two ways, directly and through the relay; a row older than the known
+    /// one is ignored.
     pub(crate) fn take(&mut self, part: Part) -> Vec<store::Row> {
         let stale = self.version.is_some_and(|known| known > part.version);
         if part.all && stale {
@@ -78,8 +80,8 @@
         changed
     }
 
-    /// What someone who knew the table up to `version` is to be told; `None` while this host does
-    /// not know it all.
+    /// Returns the changes since `version`, or all rows if it is `None` or too old. Returns `None`
+    /// while this copy is not complete.
     pub(crate) fn since(&self, version: Option<u64>) -> Option<Part> {
         let complete = self.version?;
         let known = version.filter(|version| *version >= self.base);
@@ -90,7 +92,7 @@
         Some(Part { rows: rows.cloned().collect(), all: known.is_none(), version: complete })
     }
 
-    /// Rows that are no longer among all.
+    /// Returns removals for the known rows that are missing in a complete list.
     fn gone(&self, part: &Part) -> Vec<store::Row> {
         let listed: collections::HashSet<_> = part.rows.iter().map(|row| &row.key).collect();
         let known = self.rows.values().filter(|row| row.value.is_some());
@@ -98,7 +100,7 @@
         gone.map(|row| store::Row { value: None, version: part.version, ..row.clone() }).collect()
     }
 
-    /// Keeps a row; whether it says something new.
+    /// Stores a row. Returns whether it differs from the known one.
     fn put(&mut self, row: &store::Row) -> bool {
         if let Some(known) = self.rows.get_mut(&row.key) {
             if known.version >= row.version {
--- a/crates/lagoon-gateway/src/peers.rs
+++ b/crates/lagoon-gateway/src/peers.rs
@@ -1,5 +1,5 @@
-//! The other entry hosts: where each hears words, which of its lives was heard of last, and which
-//! of them do what one host can do for others.
+//! The other entry hosts: their addresses, the latest incarnation of each, and the roster that
+//! assigns the tasks which one host does for others.
 
 use std::collections;
 use std::net;
@@ -8,18 +8,19 @@
 use lagoonline::id;
 use lagoonline::routing;
 
-/// Silence after which a life counts as over: ten heartbeats, or three of those between zones.
+/// Time without a datagram after which an incarnation counts as ended: ten heartbeats within the
+/// zone, or three between zones.
 const SILENCE: clock::Span = clock::Span::from_secs(3);
 
-/// A life of a host.
+/// An incarnation of a host: one run of its process.
 #[derive(Clone, Copy, Debug)]
 struct Life {
     number: u64,
-    /// When it was last heard of.
+    /// When its last datagram arrived.
     at: clock::Moment,
 }
 
-/// The other hosts.
+/// The other entry hosts.
 #[derive(Debug)]
 pub(crate) struct Peers {
     pub(crate) roster: routing::Roster,
@@ -28,12 +29,12 @@
     lives: collections::HashMap<net::SocketAddr, Life>,
 }
 
-/// What a word told of the life that said it.
+/// Whether the sender of a datagram was known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Met {
-    /// It was heard of before.
+    /// The incarnation was seen before.
     Known,
-    /// It is heard of for the first time; the number of the life that spoke there before.
+    /// The incarnation is seen for the first time; `before` is the previous one at its address.
     New { before: Option<u64> },
 }
 
@@ -47,7 +48,7 @@
         }
     }
 
-    /// A host is there, and hears words at `address`.
+    /// Adds a host that receives datagrams at `address`, or updates it.
     pub(crate) fn set(
         &mut self,
         host: &id::Host,
@@ -63,7 +64,7 @@
         self.names.insert(address, host.clone());
     }
 
-    /// A host is no longer there.
+    /// Removes a host.
     pub(crate) fn remove(&mut self, host: &id::Host) {
         self.roster.remove(host);
         if let Some(address) = self.addresses.remove(host) {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Words came from `address`, said by the life `number`.
+    /// Records a datagram of the incarnation `number` from `address`.
     pub(crate) fn heard(
         &mut self,
         address: net::SocketAddr,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Forgets lives that fell silent, and tells their numbers.
+    /// Removes the incarnations that have been silent too long, and returns their numbers.
     pub(crate) fn take_silent(&mut self, now: clock::Moment) -> Vec<u64> {
         let is_silent = |life: &Life| now.since(life.at) > SILENCE;
         let silent = self.lives.values().filter(|life| is_silent(life));
@@ -97,39 +98,40 @@
         silent
     }
 
-    /// Where the host `host` hears words.
+    /// Returns the address at which `host` receives datagrams.
     pub(crate) fn address(&self, host: &id::Host) -> Option<net::SocketAddr> {
         self.addresses.get(host).copied()
     }
 
-    /// Whether the host at `address` is in the zone `zone`.
+    /// Whether the host at `address` is in `zone`.
     pub(crate) fn is_in(&self, address: net::SocketAddr, zone: &id::Zone) -> bool {
         let host = self.names.get(&address);
         host.and_then(|host| self.roster.zone(host)).is_some_and(|known| known == zone)
     }
 
-    /// Whether the host at `address` is among `hosts`.
+    /// Whether the host at `address` is one of `hosts`.
     pub(crate) fn is_among(&self, address: net::SocketAddr, hosts: &[id::Host]) -> bool {
         self.names.get(&address).is_some_and(|host| hosts.contains(host))
     }
 
-    /// Numbers of the lives in `zone` that were heard of.
+    /// Returns the known incarnations of hosts in `zone`.
     pub(crate) fn lives_in(&self, zone: &id::Zone) -> collections::HashSet<u64> {
         let lives = self.lives.iter().filter(|(address, _)| self.is_in(**address, zone));
         lives.map(|(_, life)| life.number).collect()
     }
 
-    /// Where the hosts of this zone hear words that are to know what is under way.
+    /// Returns the addresses of the hosts in this zone that track dispatches in flight.
     pub(crate) fn near(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
         self.roster.near(now).iter().filter_map(|host| self.address(host)).collect()
     }
 
-    /// Where those of other zones do.
+    /// Returns the addresses of the hosts in other zones that track dispatches in flight.
     pub(crate) fn far(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
         self.roster.far(now).iter().filter_map(|host| self.address(host)).collect()
     }
 
-    /// The host that is to be asked where a request goes.
+    /// Returns the host that places requests for this zone, and its address. `None` if this host
+    /// places its own requests.
     pub(crate) fn scheduler(&self, now: clock::Moment) -> Option<(id::Host, net::SocketAddr)> {
         let host = self.roster.scheduler(now)?;
         let address = self.address(&host)?;
--- a/crates/lagoon-gateway/src/place.rs
+++ b/crates/lagoon-gateway/src/place.rs
@@ -1,4 +1,4 @@
-//! A place for a request: an upstream, with the memory that its prompt needs reserved.
+//! Placement of a request: chooses an upstream and reserves the memory that the prompt needs there.
 
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
@@ -16,11 +16,11 @@
 use crate::underway;
 use crate::word;
 
-/// Longest time between two looks for a place, for memory, or for engines with less to read: a
-/// tenth of what they may have to read.
+/// Maximum pause between two placement attempts while no engine has a free slot, free memory or a
+/// short enough prefill queue: a tenth of the prefill backlog that an engine may have.
 const BUSY_PAUSE: clock::Span = clock::Span::from_millis(40);
 
-/// A place for a request, and the memory reserved there.
+/// A chosen upstream, with the memory reserved for the request.
 #[derive(Debug)]
 pub(crate) struct Secured {
     pub(crate) placement: placement::Placement,
@@ -28,24 +28,25 @@
     pub(crate) underway: underway::Underway,
 }
 
-/// A pause drawn from half to one and a half of `span`, so that hosts do not all look at once.
+/// Returns a random pause between half and one and a half of `span`, so that hosts do not retry in
+/// step.
 fn spread(span: clock::Span) -> clock::Span {
     span.mul_f64(rand::rng().random_range(0.5..1.5))
 }
 
-/// A time to come back drawn from `span` on, so that callers neither return too early nor all at
-/// once.
+/// Returns a random retry time of at least `span`, so that callers neither return too early nor all
+/// at once.
 fn later(span: clock::Span) -> clock::Span {
     span.mul_f64(rand::rng().random_range(1.0..1.5))
 }
 
 impl forward::Admitted {
-    /// A place for the request, with the memory that it needs reserved. While there is none, the
-    /// request waits: memory is free again when a long answer ends.
+    /// Places the request and reserves the memory that it needs. Waits while there is no capacity:
+    /// memory becomes free when a long answer ends.
     ///
     /// # Errors
     ///
-    /// Why it gets none; nothing was sent.
+    /// Why the request cannot be placed; nothing was sent to an upstream.
     pub(crate) async fn secure(&self, avoid: &[id::Upstream]) -> Result<Secured, answer::Fault> {
         let first_try = self.state.clock.now();
         let mut lacking = None;
@@ -53,7 +54,8 @@
         loop {
             self.check_quarantine().await?;
             let waited = self.state.clock.now().since(first_try);
-            // What goes on elsewhere is late already; its caller still waits for it.
+            // A request that resumes on another upstream has already missed its target, but its
+            // caller is still waiting, so the target counts from now.
             let due = if avoid.is_empty() { self.request.arrived } else { first_try };
             let due = due + self.route.target;
             let decided = self.place(avoid, waited, due, turn).await;
@@ -70,7 +72,8 @@
                 }
                 Err(refusal) => return Err(self.refused(refusal)),
             };
-            // Begun first: a request that is not sent after all is told to have ended.
+            // Registered before the checks below: if the request is not sent after all, dropping
+            // this publishes that the dispatch ended.
             let mut underway = underway::Underway::begin(self, id, &placement, decider);
             self.check_time(&placement)?;
             if self.customer.is_some() {
@@ -99,11 +102,11 @@
         }
     }
 
-    /// Whether the first token is expected in the time that is left.
+    /// Checks that the first token is expected before the deadline.
     ///
     /// # Errors
     ///
-    /// It is not: sent all the same, the request would take an engine's time for nothing.
+    /// It is not. If sent anyway, the request would take engine time for nothing.
     fn check_time(&self, placement: &placement::Placement) -> Result<(), answer::Fault> {
         if placement.expected <= self.left() {
             return Ok(());
@@ -112,7 +115,7 @@
         Err(answer::Fault::not_run(Reason::CannotMeetDeadline, Step::Route, detail))
     }
 
-    /// Remembers that an engine did not reserve memory.
+    /// Logs and publishes that an engine did not reserve memory.
     fn note_refusal(&self, refusal: &reserve::Refusal, waited: clock::Span) {
         event::Line::new("not_reserved")
             .text("request", &self.request.call.request_id)
@@ -143,8 +146,8 @@
         reserve::take(&self.state, &name, first, &wanted, expected).await.map(Some)
     }
 
-    /// Where the request goes next, after it has waited for `waited`; its first event is due at
-    /// `due`, and `turn` names it while it waits.
+    /// Chooses where the request goes next, after it has waited for `waited`. Its first event is
+    /// due at `due`; `turn` identifies it while it waits.
     async fn place(
         &self,
         avoid: &[id::Upstream],
@@ -180,7 +183,7 @@
         let detail = format!("{}: {refusal}", self.service);
         let (reason, span) = match refusal {
             placement::Refusal::NoUpstream => (Reason::NoUpstream, forward::COME_BACK),
-            // Engines may be missing for a moment, and a status of the caller's own fault is final.
+            // Engines may be missing only for a moment, and a 4xx status would be final.
             placement::Refusal::TooLong => (Reason::Saturated, forward::COME_BACK),
             placement::Refusal::Busy(_) => (Reason::Saturated, forward::COME_BACK),
             placement::Refusal::Full(_, span) => (Reason::Saturated, later(span)),
@@ -188,7 +191,7 @@
         answer::Fault::not_run(reason, Step::Route, detail).after(span)
     }
 
-    /// The request waits, or waits for something else than before.
+    /// Logs that the request waits, at the first shortage and whenever the shortage changes.
     fn log_wait(&self, shortage: placement::Shortage, waited: clock::Span) {
         event::Line::new("waits")
             .text("request", &self.request.call.request_id)
--- a/crates/lagoon-gateway/src/quarantine/mod.rs
+++ b/crates/lagoon-gateway/src/quarantine/mod.rs
@@ -1,5 +1,6 @@
-//! Requests that crash upstreams: what this host sees, hears and tells of them, and the check that
-//! each request passes before it is sent. [`lagoonline::life::quarantine`] decides.
+//! Requests that crash upstreams: records crashes, exchanges evidence and verdicts with other
+//! hosts, and checks each request before it is sent. The verdicts themselves are made by
+//! [`lagoonline::life::quarantine`].
 
 mod operator;
 mod rows;
@@ -30,28 +31,27 @@
 pub(crate) use rows::run;
 pub(crate) use word::{Cleared, Crashed, Verdict};
 
-/// Least time between two times that a host is told verdicts which it seems to lack.
+/// Minimum time between two transfers of verdicts to the same host.
 const TOLD_AGAIN: clock::Span = clock::Span::from_millis(200);
-/// Most verdicts that it is told at once, drawn from all where there are more.
+/// Maximum number of verdicts in one transfer; if there are more, a random selection is sent.
 const MOST_TOLD: usize = 256;
 
-/// The quarantine as the threads of the process share it.
+/// The quarantine, shared by the threads of the process.
 #[derive(Debug, Default)]
 pub(crate) struct Keeper {
     quarantine: sync::Mutex<quarantine::Quarantine>,
-    /// That of the verdicts, which each batch of words carries.
+    /// Checksum of the verdicts, sent with each batch of updates.
     checksum: atomic::AtomicU64,
-    /// When hosts were last told verdicts.
+    /// When verdicts were last sent to each host.
     told: sync::Mutex<collections::HashMap<net::SocketAddr, clock::Moment>>,
 }
 
 impl forward::Admitted {
-    /// Lets the request be sent unless it is known to crash upstreams. One on which a decision is due
-    /// waits for it.
+    /// Allows the request to be sent unless it is in quarantine. Waits if a verdict on it is due.
     ///
     /// # Errors
     ///
-    /// It is in quarantine.
+    /// The request is in quarantine.
     pub(crate) async fn check_quarantine(&self) -> Result<(), answer::Fault> {
         if !self.is_noted() {
             return Ok(());
@@ -70,13 +70,13 @@
         }
     }
 
-    /// Whether there may be evidence or a verdict on the request.
+    /// Whether evidence or a verdict on the request may exist, judged by the length of its body.
     fn is_noted(&self) -> bool {
         let length = u64::try_from(self.request.body.len()).unwrap_or(u64::MAX);
         state::lock(&self.state.keeper.quarantine).knows_length(length)
     }
 
-    /// The request was answered whole.
+    /// Records that the request was answered completely, which clears it of suspicion.
     pub(crate) fn clear(&self) {
         if !self.is_noted() {
             return;
@@ -103,7 +103,7 @@
 }
 
 impl state::State {
-    /// `upstream` crashed under `requests` of this host.
+    /// Records that `upstream` crashed while it had `requests` of this host, and publishes it.
     pub(crate) fn crashed(
         &self,
         service: &id::Service,
@@ -126,7 +126,7 @@
         self.tell(words::Word::new(0, service, what));
     }
 
-    /// Another host told of a crash.
+    /// Applies another host's report of a crash.
     pub(crate) fn heard_crash(&self, crashed: &Crashed) {
         match crashed.suspects() {
             Ok(suspects) => {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Another host told of a suspect that was answered.
+    /// Applies another host's report that a suspect was answered.
     pub(crate) fn heard_cleared(&self, cleared: &Cleared) {
         match cleared.request.as_ref().map(word::Identity::fingerprint) {
             Some(Ok(fingerprint)) => {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Another host told a verdict.
+    /// Applies another host's verdict.
     pub(crate) fn heard_verdict(&self, verdict: &Verdict) {
         match verdict.record(self.clock.now()) {
             Ok(record) => self.merge(record, "host"),
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Takes in a verdict from `source`.
+    /// Merges a verdict that came from `source`.
     pub(crate) fn merge(&self, record: quarantine::Record, source: &str) {
         let now = self.clock.now();
         if !state::lock(&self.keeper.quarantine).merge(record, now) {
@@ -173,7 +173,7 @@
         self.sum_up();
     }
 
-    /// The request was answered; whether that is news.
+    /// Clears a request that was answered. Returns whether it was a suspect.
     fn clear(&self, fingerprint: &fingerprint::Fingerprint) -> bool {
         let now = self.clock.now();
         let (is_news, released) = state::lock(&self.keeper.quarantine).answered(fingerprint, now);
@@ -183,7 +183,7 @@
         is_news
     }
 
-    /// Ends the quarantine of a request; whether it was in one.
+    /// Ends the quarantine of a request. Returns whether it was in quarantine.
     fn release(&self, fingerprint: &fingerprint::Fingerprint) -> bool {
         let now = self.clock.now();
         let released = state::lock(&self.keeper.quarantine).release(fingerprint, now);
@@ -193,14 +193,15 @@
         released.is_some()
     }
 
-    /// Verdicts that hold, and those that were ended early.
+    /// Returns the verdicts in force, including those that were released early.
     pub(crate) fn verdicts(&self) -> Vec<quarantine::Record> {
         let now = self.clock.now();
         state::lock(&self.keeper.quarantine).records(now).copied().collect()
     }
 
-    /// Judges what is due and forgets what is old. Only a host that hears of the crashes of all hosts
-    /// judges: by its own alone, whatever lay beside a lethal request would look as bad.
+    /// Judges the suspects on which a verdict is due, and drops expired evidence. Only a host that
+    /// receives the crash reports of all hosts judges: by one host's crashes alone, every request
+    /// that ran beside a lethal one would look just as guilty.
     pub(crate) fn tend_quarantine(&self) {
         let now = self.clock.now();
         let judges = state::lock(&self.peers).roster.is_candidate(now);
@@ -222,7 +223,7 @@
         self.sum_up();
     }
 
-    /// Tells all hosts a verdict of this one.
+    /// Publishes a verdict of this host to all hosts.
     fn announce(&self, record: &quarantine::Record) {
         self.say(verdict_word(record, self.clock.now()), mesh::Reach::All);
         self.sum_up();
@@ -240,15 +241,15 @@
         self.metrics.suspects.set(i64::try_from(suspects).unwrap_or(i64::MAX));
     }
 
-    /// The checksum of this host's verdicts.
+    /// Returns the checksum of this host's verdicts.
     pub(crate) fn verdicts_checksum(&self) -> u64 {
         self.keeper.checksum.load(atomic::Ordering::Relaxed)
     }
 
-    /// Tells the host at `address` this host's verdicts if it knows others.
+    /// Sends this host's verdicts to the host at `address` if its checksum differs.
     ///
-    /// Failure answered: a word of a verdict is lost, or a host is started, paused or cut off when it
-    /// is said, and goes on sending a lethal request.
+    /// Without this, a host that was starting, paused or cut off when a verdict was published, or
+    /// that lost the datagram, would go on sending a lethal request.
     pub(crate) fn compare_verdicts(&self, address: net::SocketAddr, checksum: u64) {
         if checksum == self.verdicts_checksum() {
             return;
--- a/crates/lagoon-gateway/src/quarantine/operator.rs
+++ b/crates/lagoon-gateway/src/quarantine/operator.rs
@@ -1,4 +1,4 @@
-//! What operators ask of the quarantine, at the address of readiness.
+//! Operator calls to list and release quarantined requests, served at the readiness address.
 
 use lagoonline::clock::Clock as _;
 use lagoonline::life::fingerprint;
@@ -11,10 +11,10 @@
 
 /// Lists the verdicts.
 const LIST: &str = "/quarantine";
-/// Ends the quarantine of the fingerprint that follows.
+/// Prefix of the call that ends the quarantine of a fingerprint, which follows in the path.
 const RELEASE: &str = "/quarantine/release/";
 
-/// Answers a question on the quarantine; `None` if `path` asks something else.
+/// Handles a quarantine call. Returns `None` if `path` is not one.
 pub(crate) fn operate(
     state: &state::State,
     method: &http::Method,
--- a/crates/lagoon-gateway/src/quarantine/rows.rs
+++ b/crates/lagoon-gateway/src/quarantine/rows.rs
@@ -1,7 +1,7 @@
-//! Verdicts at the platform, where they outlast a kill of all hosts.
+//! Verdicts stored at the platform, so that they survive a crash of all hosts.
 //!
-//! Each host reads them once, after its start; from then on the others tell it. The first host of
-//! each zone writes those that are not there yet, and removes those that have lapsed.
+//! Each host reads them once after its start and then learns new ones from the other hosts. The
+//! first host of each zone writes those that are missing and removes those that have expired.
 
 use std::collections;
 use std::sync;
@@ -19,20 +19,20 @@
 
 /// Table of the verdicts.
 const TABLE: &str = "lagoon-quarantine";
-/// Longest time for a call.
+/// Timeout for a call of the store.
 const CALL: clock::Span = clock::Span::from_millis(1_500);
-/// Pause between two looks for verdicts to write, and after the first call that failed.
+/// Interval between two rounds of writes, and first pause after a failed call.
 const PAUSE: clock::Span = clock::Span::from_millis(700);
-/// Most calls between two pauses.
+/// Maximum number of writes, and of removals, in one round.
 const MOST_CALLS: usize = 10;
 
-/// A verdict's row; its key is the fingerprint.
+/// The row of a verdict; its key is the fingerprint.
 #[derive(Debug, Deserialize, Serialize)]
 struct Row {
     version: u32,
     times: u32,
     crashes: u32,
-    /// Unix time in milliseconds at which it lapses.
+    /// Unix time in milliseconds at which the verdict expires.
     until_ms: u64,
     released: bool,
 }
@@ -40,7 +40,7 @@
 /// Versions of the verdicts that the platform is known to hold.
 type Stored = collections::BTreeMap<fingerprint::Fingerprint, u32>;
 
-/// Reads the verdicts, then keeps those at the platform up to date.
+/// Reads the stored verdicts, then keeps them up to date.
 pub(crate) async fn run(state: sync::Arc<state::State>) {
     let mut client = client::Client::new(state.settings.node.store);
     let mut stored = Stored::new();
@@ -66,8 +66,9 @@
     }
 }
 
-/// Waits longer after each further failure, up to what a platform that is out bears; drawn from a
-/// range, so that hosts which lost it together do not call it together.
+/// Sleeps longer after each consecutive failure, up to the longest pause that the platform's call
+/// limits require. The pause is randomised so that hosts which lost the platform together do not
+/// call it together.
 async fn pause(state: &state::State, failures: u32) {
     let longest = state::lock(&state.peers).roster.longest_pause(state.clock.now());
     let span = PAUSE.saturating_mul(1_u32.checked_shl(failures).unwrap_or(u32::MAX));
@@ -88,14 +89,14 @@
             take(state, row, stored);
         }
         match rows.rows.last() {
-            // The key that follows the last one.
+            // The key right after the last one.
             Some(last) if rows.more => from = format!("{}\0", last.key),
             _ => return Ok(()),
         }
     }
 }
 
-/// Takes in a row; one that cannot be read says nothing of any request.
+/// Merges a row; one that cannot be read is logged and ignored.
 fn take(state: &state::State, row: &store::Row, stored: &mut Stored) {
     let Some(value) = &row.value else { return };
     let read = serde_json::from_slice::<Row>(value);
@@ -135,7 +136,7 @@
     for record in new {
         let row = serde_json::json!(row(state, &record)).to_string();
         let call = store::put(TABLE, &record.fingerprint.to_string(), row.as_bytes());
-        // Writing a verdict again is harmless, so a lost answer needs no reading back.
+        // Writing a verdict again is harmless, so a lost answer needs no check.
         client.call(&call, CALL).await?;
         stored.insert(record.fingerprint, record.version);
     }
--- a/crates/lagoon-gateway/src/quarantine/word.rs
+++ b/crates/lagoon-gateway/src/quarantine/word.rs
@@ -1,14 +1,14 @@
-//! What hosts tell each other of requests that crash upstreams.
+//! Messages between hosts about requests that crash upstreams.
 
 use lagoonline::clock;
 use lagoonline::id;
 use lagoonline::life::fingerprint;
 use lagoonline::life::quarantine;
 
-/// A request's fingerprint.
+/// The fingerprint of a request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Identity {
-    /// Length of its body, in bytes.
+    /// Length of the body in bytes.
     #[prost(uint64, tag = "1")]
     length: u64,
     /// Digest of customer, target and body.
@@ -21,11 +21,11 @@
         Identity { length: fingerprint.length(), digest: fingerprint.digest().to_vec() }
     }
 
-    /// The fingerprint.
+    /// Decodes the fingerprint.
     ///
     /// # Errors
     ///
-    /// The digest is none of this build's.
+    /// The digest has a length that this build does not know.
     pub(crate) fn fingerprint(&self) -> Result<fingerprint::Fingerprint, fingerprint::Malformed> {
         fingerprint::Fingerprint::from_parts(self.length, &self.digest)
     }
@@ -34,13 +34,13 @@
 /// An upstream crashed.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Crashed {
-    /// The upstream.
+    /// Name of the upstream.
     #[prost(string, tag = "1")]
     pub(crate) upstream: String,
-    /// Requests of the host that tells which had just begun there.
+    /// Requests of the reporting host that had just begun to run there.
     #[prost(message, repeated, tag = "2")]
     begun: Vec<Identity>,
-    /// Requests of that host which may still have waited there.
+    /// Requests of the reporting host that may still have been queued there.
     #[prost(message, repeated, tag = "3")]
     waiting: Vec<Identity>,
 }
@@ -58,11 +58,11 @@
         }
     }
 
-    /// The requests, and how much the crash speaks against each.
+    /// Decodes the requests, with the weight of the evidence against each.
     ///
     /// # Errors
     ///
-    /// A digest is none of this build's.
+    /// A digest has a length that this build does not know.
     pub(crate) fn suspects(&self) -> Result<Vec<quarantine::Suspect>, fingerprint::Malformed> {
         let begun = self.begun.iter().map(|request| (request, quarantine::Weight::Begun));
         let waiting = self.waiting.iter().map(|request| (request, quarantine::Weight::Waiting));
@@ -73,7 +73,7 @@
     }
 }
 
-/// A suspect was answered whole.
+/// A suspect was answered completely.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Cleared {
     /// The request.
@@ -87,19 +87,19 @@
     /// The request.
     #[prost(message, optional, tag = "1")]
     request: Option<Identity>,
-    /// Grows with each verdict on it.
+    /// Version of the verdict; grows with each verdict on the same request.
     #[prost(uint32, tag = "2")]
     version: u32,
-    /// How often it was in quarantine.
+    /// How often the request has been in quarantine.
     #[prost(uint32, tag = "3")]
     times: u32,
-    /// Crashes that proved it.
+    /// Number of crashes on which the verdict is based.
     #[prost(uint32, tag = "4")]
     crashes: u32,
-    /// Milliseconds until it lapses.
+    /// Milliseconds until the verdict expires.
     #[prost(uint64, tag = "5")]
     left_ms: u64,
-    /// Whether it was ended early.
+    /// Whether the quarantine was ended early.
     #[prost(bool, tag = "6")]
     released: bool,
 }
@@ -117,11 +117,11 @@
         }
     }
 
-    /// The verdict, heard at `now`.
+    /// Decodes the verdict, received at `now`.
     ///
     /// # Errors
     ///
-    /// It names no request that this build knows.
+    /// The request is missing, or its digest has a length that this build does not know.
     pub(crate) fn record(
         &self,
         now: clock::Moment,
--- a/crates/lagoon-gateway/src/question.rs
+++ b/crates/lagoon-gateway/src/question.rs
@@ -1,6 +1,5 @@
-//! Questions of hosts to the one that schedules for their zone, and its answers: datagrams of prost
-//! messages. One that is lost is made up for by the next host in order, or by the asking host's own
-//! choice.
+//! Messages between a host and its zone's scheduler, sent as prost datagrams. If a datagram is
+//! lost, the host asks the next scheduler in order or places the request itself.
 
 use lagoonline::clock;
 use lagoonline::id;
@@ -8,43 +7,44 @@
 
 use crate::word;
 
-/// Where a request is to go.
+/// Asks where to send one dispatch.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Question {
     /// Number of the dispatch at the asking host.
     #[prost(uint64, tag = "1")]
     pub(crate) number: u64,
-    /// Its service.
+    /// Service of the request.
     #[prost(string, tag = "2")]
     pub(crate) service: String,
-    /// Tokens of the prompt.
+    /// Prompt length in tokens.
     #[prost(uint64, tag = "3")]
     pub(crate) prompt: u64,
-    /// Most tokens of the answer.
+    /// Maximum answer length in tokens.
     #[prost(uint64, tag = "4")]
     pub(crate) answer: u64,
-    /// Milliseconds until its first event would be late.
+    /// Milliseconds until the first event is late.
     #[prost(uint32, tag = "5")]
     pub(crate) target_ms: u32,
-    /// Longest pause between events that is in time, in milliseconds.
+    /// Target for the longest gap between events, in milliseconds.
     #[prost(uint32, tag = "6")]
     pub(crate) gap_ms: u32,
-    /// Milliseconds that it has waited.
+    /// Milliseconds that the request has waited for a place.
     #[prost(uint32, tag = "7")]
     pub(crate) waited_ms: u32,
-    /// Milliseconds until it must be over.
+    /// Milliseconds until the request's deadline.
     #[prost(uint32, tag = "8")]
     pub(crate) left_ms: u32,
-    /// Upstreams that failed it.
+    /// Upstreams on which the request failed before.
     #[prost(string, repeated, tag = "9")]
     pub(crate) avoid: Vec<String>,
-    /// Number by which the asking host names it while it waits.
+    /// Number by which the asking host identifies the request while it waits.
     #[prost(uint64, tag = "10")]
     pub(crate) turn: u64,
 }
 
 impl Question {
-    /// What is asked for the dispatch `number` to `service`, which must be over in `left`.
+    /// Creates the question for the dispatch `number` to `service`, which has `left` until its
+    /// deadline.
     pub(crate) fn new(
         number: u64,
         service: &id::Service,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The demand of the life `asking` at a host of the zone `zone`.
+    /// Returns the demand of a request at the host incarnation `asking` in `zone`.
     pub(crate) fn demand<'a>(
         &self,
         asking: u64,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// What is under way once it is placed as `placed` at `now`.
+    /// Returns the board's record of the dispatch, placed as `placed` at `now`.
     pub(crate) fn work(
         &self,
         id: placement::WorkId,
@@ -98,52 +98,52 @@
     }
 }
 
-/// The answer to a question.
+/// The scheduler's answer to a question.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Answer {
     /// Number of the dispatch at the asking host.
     #[prost(uint64, tag = "1")]
     pub(crate) number: u64,
-    /// What was decided; absent where the host that was asked does not decide now.
+    /// The decision; absent if the host that was asked does not schedule now.
     #[prost(oneof = "Decision", tags = "2, 3")]
     pub(crate) decision: Option<Decision>,
 }
 
-/// What was decided.
+/// A scheduler's decision.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub(crate) enum Decision {
-    /// Where it goes.
+    /// The request was placed.
     #[prost(message, tag = "2")]
     Placed(Placed),
-    /// It cannot be placed now.
+    /// The request cannot be placed now.
     #[prost(message, tag = "3")]
     Refused(Refused),
 }
 
-/// Where a request goes.
+/// Where a request is sent.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Placed {
-    /// The upstream that gets it.
+    /// Upstream that answers the request.
     #[prost(string, tag = "1")]
     pub(crate) first: String,
-    /// Tokens of memory to reserve on it.
+    /// Tokens of memory to reserve on that upstream.
     #[prost(uint64, tag = "2")]
     pub(crate) reserve: u64,
-    /// The engines that read parts of its prompt.
+    /// Engines that prefill parts of the prompt.
     #[prost(message, repeated, tag = "3")]
     pub(crate) helpers: Vec<Helper>,
-    /// When its first token is expected, in milliseconds.
+    /// Expected time to the first token, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub(crate) expected_ms: u32,
-    /// What was believed of the upstream.
+    /// Estimated load of the upstream when it was chosen, for the log.
     #[prost(message, optional, tag = "5")]
     pub(crate) belief: Option<Belief>,
 }
 
-/// An engine that reads a part of a prompt.
+/// An engine that prefills a part of a prompt.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Helper {
-    /// The engine.
+    /// Name of the engine.
     #[prost(string, tag = "1")]
     pub(crate) upstream: String,
     /// Tokens of memory to reserve on it.
@@ -151,19 +151,19 @@
     pub(crate) reserve: u64,
 }
 
-/// What was believed of an upstream.
+/// Estimated load of an upstream.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Belief {
-    /// Milliseconds that it has to read.
+    /// Prefill time of its queue, in milliseconds.
     #[prost(double, tag = "1")]
     pub(crate) reading_ms: f64,
-    /// Answers that it writes.
+    /// Answers that it is decoding.
     #[prost(uint32, tag = "2")]
     pub(crate) writers: u32,
-    /// Places that are taken.
+    /// Slots in use.
     #[prost(uint32, tag = "3")]
     pub(crate) places: u32,
-    /// Milliseconds since something last came of it.
+    /// Milliseconds since the last sign of activity from it.
     #[prost(uint32, tag = "4")]
     pub(crate) heard_ms: u32,
 }
@@ -174,25 +174,25 @@
     /// The reason.
     #[prost(enumeration = "Reason", tag = "1")]
     pub(crate) reason: i32,
-    /// Milliseconds after which engines are expected to have what they lack, where they are full.
+    /// Milliseconds until the shortage is expected to end, for [`Reason::Full`].
     #[prost(uint32, tag = "2")]
     pub(crate) span_ms: u32,
-    /// What they lack, where it should wait or they are full.
+    /// What the engines lack, for [`Reason::Busy`] and [`Reason::Full`].
     #[prost(enumeration = "Shortage", tag = "3")]
     pub(crate) shortage: i32,
 }
 
-/// What engines lack.
+/// The capacity that engines lack.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, prost::Enumeration)]
 #[repr(i32)]
 pub(crate) enum Shortage {
-    /// A place for an answer.
+    /// A free slot.
     Place = 0,
-    /// Memory for a prompt.
+    /// Free memory for the prompt.
     Memory = 1,
-    /// Time to read a prompt.
+    /// Prefill time.
     Reading = 2,
-    /// Pauses that answers under way can bear.
+    /// Slack in the event gaps of running answers, which a prefill would delay.
     Pause = 3,
 }
 
@@ -222,13 +222,13 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, prost::Enumeration)]
 #[repr(i32)]
 pub(crate) enum Reason {
-    /// No upstream may be asked.
+    /// No upstream is available.
     NoUpstream = 0,
     /// The prompt is too long for all engines.
     TooLong = 1,
-    /// It should wait a moment.
+    /// No capacity now; the request should wait.
     Busy = 2,
-    /// It would come too late.
+    /// No capacity in time; the request would be late.
     Full = 3,
 }
 
@@ -285,8 +285,9 @@
 }
 
 impl Placed {
-    /// The placement, by what `board` knows of the upstreams; `None` where it does not know one or
-    /// knows that one is leaving: the list of the host that decided differs from this host's.
+    /// Resolves the placement against the upstreams on `board`. Returns `None` if one of them is
+    /// not listed here or is leaving: the scheduler's list of upstreams may differ from this
+    /// host's.
     pub(crate) fn placement(&self, board: &placement::Board) -> Option<placement::Placement> {
         let entry = |name: &str| board.entry(name).filter(|entry| !entry.leaving).cloned();
         let helper = |helper: &Helper| {
--- a/crates/lagoon-gateway/src/relay/follow.rs
+++ b/crates/lagoon-gateway/src/relay/follow.rs
@@ -1,4 +1,5 @@
-//! Asks the host that reads for the zone, and decides when to read here instead.
+//! The asking side of the relay: polls the host that reads for the zone, and decides when this host
+//! has to read the platform itself.
 
 use std::collections;
 use std::io;
@@ -19,20 +20,20 @@
 use crate::link;
 use crate::state;
 
-/// Longest time for a connection to another host of the zone: a lost packet comes again within it.
+/// Timeout for connecting to another host of the zone: a lost packet is retransmitted within it.
 const CONNECT: clock::Span = clock::Span::from_millis(350);
-/// What an answer may take beyond the time for which a reader holds the question: a lost packet
-/// comes again within it, and a change of the desired state is still in force in time.
+/// Time that an answer may take beyond the reader's hold time: a lost packet is retransmitted
+/// within it, and a change of the desired state is still applied in time.
 const SLACK: clock::Span = clock::Span::from_millis(350);
-/// Time between two looks for a reader while this host reads for itself.
+/// Interval between searches for a reader while this host reads the platform itself.
 const SEARCH: clock::Span = clock::Span::from_millis(1_000);
-/// Pause before hosts are asked again that did not read a moment ago.
+/// Pause before hosts that were not reading are asked again.
 const MOMENT: clock::Span = clock::Span::from_millis(150);
 
 /// Another host of the zone.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Member {
-    /// Where it answers.
+    /// Address at which it answers relay requests.
     pub(crate) address: net::SocketAddr,
     pub(crate) peer: routing::Peer,
 }
@@ -42,7 +43,7 @@
 
 type Known = collections::BTreeMap<id::Host, Member>;
 
-/// Follows the reader of the zone as long as the process lives.
+/// Follows the reader of the zone for as long as the process runs.
 pub(crate) async fn run(state: sync::Arc<state::State>) {
     let node = &state.settings.node;
     let settings = routing::SourceSettings {
@@ -55,7 +56,7 @@
     loop {
         update(&mut sources, &mut known, &state.members);
         match sources.next(state.clock.now()) {
-            // Those in order before this host do not read yet: one of them will in a moment.
+            // The hosts ranked before this one do not read yet, but one of them soon will.
             routing::Source::Platform
                 if is_fresh(&state, look) && !sources.is_first(state.clock.now()) =>
             {
@@ -85,7 +86,7 @@
     }
 }
 
-/// Turns away from a reader.
+/// Records why this host stopped following a reader.
 fn leave(state: &state::State, sources: &mut routing::Sources, host: &id::Host, ended: &Ended) {
     let now = state.clock.now();
     match ended {
@@ -95,17 +96,19 @@
     }
 }
 
-/// Whether what is known of the tables is no older than `span`, so that there is time to ask other hosts.
+/// Whether this host's knowledge of the tables is no older than `span`, so that there is time to
+/// ask other hosts.
 ///
-/// Load pattern: the host that reads for forty others ends. If each of them read for itself until it
-/// had found the next reader, the platform would get a hundred calls for one. Beyond this age it
-/// reads for itself, whatever others say: the platform may turn away just those that it asks.
+/// When the host that reads for forty others ends, the platform would get a hundred calls at once
+/// if each of them read for itself until it had found the next reader. Beyond this age a host does
+/// read for itself, whatever the others report: the platform may be refusing just the hosts that it
+/// asks.
 fn is_fresh(state: &state::State, span: clock::Span) -> bool {
     let ages = [state.confirmation_age(), feed::age(state, state.feed.listed_at())];
     ages.iter().all(|age| age.is_some_and(|age| age <= span))
 }
 
-/// Takes over which hosts there are.
+/// Updates `known` and `sources` from the current members of the zone.
 fn update(sources: &mut routing::Sources, known: &mut Known, members: &Members) {
     let now = state::lock(members).clone();
     for gone in known.keys().filter(|host| !now.contains_key(*host)) {
@@ -117,7 +120,7 @@
     *known = now;
 }
 
-/// Why a reader was left.
+/// Why this host stopped following a reader.
 #[derive(Debug, thiserror::Error)]
 enum Ended {
     #[error("it does not read now")]
@@ -134,12 +137,12 @@
     }
 }
 
-/// Asks one host again and again, and takes in what it tells, until it fails or another host comes
-/// before it.
+/// Asks one host repeatedly and applies its answers, until it fails or another host ranks before
+/// it.
 ///
-/// Failure answered: hosts that start together do not all know of each other, and the first one
-/// follows another that it met earlier. If it stayed there, all who ask it would be told that it
-/// does not read.
+/// Hosts that start together do not all know of each other at first, so the highest-ranked host may
+/// follow one that it met earlier. If it kept following, every host that asks it would be told that
+/// it does not read.
 async fn ask(
     state: &state::State,
     sources: &mut routing::Sources,
@@ -166,7 +169,7 @@
     Ok(super::framed(link::connect(address, CONNECT).await?))
 }
 
-/// Asks once, and takes in the answer.
+/// Sends one request and applies the answer.
 async fn talk(state: &state::State, link: &mut super::Link) -> Result<(), Ended> {
     let asked = state.clock.now();
     let ask = message::Ask {
@@ -185,7 +188,8 @@
     Ok(())
 }
 
-/// Takes in what a reader told; it knew as much at least when it was asked.
+/// Applies a reader's answer. The ages in it count from `asked`, the time of the request, and can
+/// only be too old.
 fn take_in(state: &state::State, news: message::News, asked: clock::Moment) {
     if let Some(returned) = news.returned_ms {
         let age = clock::Span::from_millis(returned);
--- a/crates/lagoon-gateway/src/relay/message.rs
+++ b/crates/lagoon-gateway/src/relay/message.rs
@@ -4,29 +4,30 @@
 
 use crate::mirror;
 
-/// What an asking host knows.
+/// A relay request: the versions that the asking host has.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Ask {
-    /// Version up to which it knows the desired state.
+    /// Version up to which it has the desired state.
     #[prost(uint64, optional, tag = "1")]
     pub(crate) desired: Option<u64>,
-    /// Version up to which it knows the list of upstreams.
+    /// Version up to which it has the list of upstreams.
     #[prost(uint64, optional, tag = "2")]
     pub(crate) upstreams: Option<u64>,
-    /// Version up to which it knows the entry hosts.
+    /// Version up to which it has the entry hosts.
     #[prost(uint64, optional, tag = "3")]
     pub(crate) hosts: Option<u64>,
 }
 
-/// What the reader tells it.
+/// The answer to a relay request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Told {
-    /// The rest; absent where the host that was asked does not read, or cannot.
+    /// Changes of the tables; absent if the host that was asked does not read the platform, or not
+    /// successfully.
     #[prost(message, optional, tag = "1")]
     pub(crate) news: Option<News>,
 }
 
-/// News of the tables.
+/// Changes of the tables.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct News {
     /// The desired state.
@@ -35,27 +36,27 @@
     /// The list of upstreams.
     #[prost(message, optional, tag = "2")]
     pub(crate) upstreams: Option<Table>,
-    /// Milliseconds since the platform answered again after an outage.
+    /// Milliseconds since the platform recovered from its last outage; absent if there was none.
     #[prost(uint64, optional, tag = "3")]
     pub(crate) returned_ms: Option<u64>,
-    /// The entry hosts; absent while the reader does not know them.
+    /// The entry hosts; absent until the reader has read them.
     #[prost(message, optional, tag = "4")]
     pub(crate) hosts: Option<Table>,
 }
 
-/// News of one table.
+/// Changes of one table.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Table {
-    /// The rows that changed, or all.
+    /// The changed rows, or all rows.
     #[prost(message, repeated, tag = "1")]
     pub(crate) rows: Vec<Row>,
-    /// Whether these are all rows.
+    /// Whether `rows` are all rows of the table.
     #[prost(bool, tag = "2")]
     pub(crate) all: bool,
-    /// Version up to which the table is known.
+    /// Version up to which the rows are complete.
     #[prost(uint64, tag = "3")]
     pub(crate) version: u64,
-    /// Milliseconds for which it has been known to be complete up to that version.
+    /// Milliseconds since the table was last confirmed to be complete up to that version.
     #[prost(uint64, tag = "4")]
     pub(crate) age_ms: u64,
 }
@@ -63,13 +64,13 @@
 /// One row.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Row {
-    /// Its key.
+    /// Key of the row.
     #[prost(string, tag = "1")]
     pub(crate) key: String,
-    /// Its value; absent where it was removed.
+    /// Value of the row; absent if the row was removed.
     #[prost(bytes = "vec", optional, tag = "2")]
     pub(crate) value: Option<Vec<u8>>,
-    /// The version that wrote it.
+    /// Version in which the row was written.
     #[prost(uint64, tag = "3")]
     pub(crate) version: u64,
 }
--- a/crates/lagoon-gateway/src/relay/mod.rs
+++ b/crates/lagoon-gateway/src/relay/mod.rs
@@ -1,10 +1,12 @@
-//! One host of a zone reads the platform's tables, and tells the others of the zone.
+//! Relay of the platform's tables within a zone: one host reads them and passes them on to the
+//! others.
 //!
-//! A host asks the reader what it does not know yet; the reader holds the question until there is
-//! news or a short time has passed. The reader says how old its own knowledge is, and the asking
-//! host counts that age from the moment at which it asked: however long either was frozen since,
-//! what it then believes to be confirmed was confirmed no earlier. A reader that is silent, cut off
-//! from the platform or about to end is left at once, and the host reads for itself.
+//! A host asks the reader for changes since the versions that it has. The reader holds the request
+//! until there is a change or a short time has passed. The answer carries the age of the reader's
+//! knowledge, and the asking host counts that age from the time of its request. So even if either
+//! host was suspended in between, the tables never seem more recently confirmed than they were. A
+//! host stops following a reader at once when it does not respond, has lost the platform or is
+//! about to end, and reads the platform itself.
 
 mod follow;
 mod message;
@@ -17,18 +19,19 @@
 pub(crate) use follow::{Member, Members, run as follow};
 pub(crate) use serve::run as serve;
 
-/// How long a reader holds a question that it has no news for. A silent reader is found out by it.
+/// How long a reader holds a request when it has no changes. It bounds the time until a dead reader
+/// is noticed.
 pub(crate) const HOLD: clock::Span = clock::Span::from_millis(600);
-/// Age of a reader's knowledge from which it no longer answers: one watch of the platform and a
-/// slow answer. With the time for which a question is held, and one that got no answer, keys are
-/// still believed for less than their bound.
+/// Maximum age of a reader's knowledge at which it still answers: one watch of the platform and a
+/// slow answer. With the hold time, and with one request that got no answer, keys are still trusted
+/// for less than the revocation bound.
 pub(crate) const STALE: clock::Span = clock::Span::from_millis(2_700);
-/// How long after a question a host reads at the pace of one that reads for others.
+/// Time after a relay request for which a host reads at the pace of one that reads for others.
 pub(crate) const ASKED: clock::Span = clock::Span::from_secs(3);
-/// Largest message: a table's rows, of 64 KB each at most.
+/// Maximum size of a message in bytes: the rows of a table, each of at most 64 KB.
 const LARGEST: usize = 8 << 20;
 
-/// A connection that carries messages.
+/// A connection that carries framed messages.
 pub(crate) type Link = Framed<TcpStream, LengthDelimitedCodec>;
 
 fn framed(stream: TcpStream) -> Link {
--- a/crates/lagoon-gateway/src/relay/serve.rs
+++ b/crates/lagoon-gateway/src/relay/serve.rs
@@ -1,4 +1,4 @@
-//! Answers hosts that ask what this host read.
+//! The reading side of the relay: answers hosts that ask for the tables.
 
 use std::io;
 use std::net;
@@ -16,12 +16,12 @@
 use crate::link;
 use crate::state;
 
-/// Longest time for an answer to leave: beyond it the asking host has long gone elsewhere.
+/// Timeout for sending an answer; by then the asking host has long turned to another.
 const WRITE: clock::Span = clock::Span::from_secs(2);
-/// Pause after a connection could not be accepted, as when descriptors have run out.
+/// Pause after a failed accept, for example when file descriptors have run out.
 const AGAIN: clock::Span = clock::Span::from_millis(200);
 
-/// Answers on `listener` as long as the process lives.
+/// Answers relay requests on `listener` for as long as the process runs.
 ///
 /// # Errors
 ///
@@ -64,16 +64,17 @@
     Ok(())
 }
 
-/// What a host that knows as much as `ask` says is told: at once where there is news, else after a
-/// short time; `None` while this host does not read.
+/// Answers a host that has the versions in `ask`: at once if there are changes, otherwise after the
+/// hold time. Returns `None` if this host does not read the platform.
 async fn answer(state: &state::State, ask: &message::Ask) -> Option<message::News> {
     let mut news = state.feed.watch_news();
     state.feed.asked(state.clock.now());
-    // A host that cannot answer says so at once. One that reads a table anew, since the platform
-    // forgot its history, knows it in a moment.
+    // Without recent knowledge of its own, this host says so at once instead of holding the
+    // request. Tables that are being read again, because the platform dropped its history, are
+    // available in a moment, so they do not count as missing here.
     ages(state)?;
     let waiting = news.wait_for(|_| knows_more(state, ask));
-    // Whether there was news or the time has passed, what is known now is told.
+    // Whether there was a change or the time has passed, the current state is sent.
     drop(tokio::time::timeout(super::HOLD, waiting).await);
     look(state, ask)
 }
@@ -84,8 +85,8 @@
         || ask.upstreams.is_none_or(|known| changed(&state.feed.upstreams) > known)
 }
 
-/// How long this host has known the desired state and the list of upstreams to be the newest;
-/// `None` where it does not read, or has not of late.
+/// Returns the ages of the last confirmations of the desired state and of the list of upstreams.
+/// Returns `None` if this host does not read the platform, or has not succeeded recently.
 fn ages(state: &state::State) -> Option<(clock::Span, clock::Span)> {
     if !state.feed.reads() || state.phase() > state::Phase::Serving {
         return None;
@@ -100,7 +101,8 @@
     let (desired_age, upstreams_age) = ages(state)?;
     let desired = state::lock(&state.feed.desired).since(ask.desired)?;
     let upstreams = state::lock(&state.feed.upstreams).since(ask.upstreams)?;
-    // The entry hosts are told whatever their age: a host that is heard of late costs only words.
+    // The entry hosts are sent whatever their age: learning of a host late costs only some
+    // messages.
     let hosts = state::lock(&state.feed.hosts).since(ask.hosts);
     let returned = feed::age(state, state.feed.returned_at());
     Some(message::News {
--- a/crates/lagoon-gateway/src/report.rs
+++ b/crates/lagoon-gateway/src/report.rs
@@ -1,11 +1,11 @@
-//! Load reports of model engines: how fast each works.
+//! Load reports of model engines, which tell how fast each works.
 //!
-//! Failure answered: an engine turns several times slower than published, and each long prompt of
-//! which it reads a part is late. An engine that only reads for others writes no answers whose gaps
-//! could tell; its own report does.
+//! An engine that becomes several times slower than published delays every long prompt of which it
+//! prefills a part. An engine that only prefills for others sends no answers from which this could
+//! be seen, but its report shows it.
 //!
-//! Each engine is asked by the first live host of its zone, which tells the others; see
-//! [`routing::Roster::asks`]. Two that differ on who that is ask the same engine twice.
+//! Each engine is asked by the first live host of its zone, which publishes the result; see
+//! [`routing::Roster::asks`]. If two hosts disagree about which is first, both ask the engine.
 
 use std::collections;
 use std::sync;
@@ -22,15 +22,16 @@
 use crate::state;
 use crate::word;
 
-/// Time between two reports of an engine: one that turned slow has got some five prompts by then.
+/// Interval between two reports of an engine: one that has become slow gets about five more prompts
+/// in this time.
 const PERIOD: clock::Span = clock::Span::from_millis(1_000);
-/// Time between two looks whether this host is the one to ask.
+/// Interval of the check whether this host has to ask.
 const LOOK: clock::Span = clock::Span::from_millis(250);
-/// Longest time for a report: an engine that is slower to answer is found out by its requests.
+/// Timeout for a report: an engine that answers later is detected through its requests.
 const ANSWER: clock::Span = clock::Span::from_millis(400);
-/// Longest report, in bytes.
+/// Maximum size of a report, in bytes.
 const LONGEST: usize = 64 << 10;
-/// Slowness from which the other hosts are told.
+/// Minimum slowness that is published to other hosts.
 const WORTH_TELLING: f64 = 1.1;
 
 /// Asks engines for their reports for as long as the process runs.
@@ -47,7 +48,7 @@
     }
 }
 
-/// The engines that this host asks now.
+/// Returns the engines that this host has to ask now.
 fn due(state: &state::State, rounds: &mut routing::Rounds) -> Vec<(id::Service, routing::Entry)> {
     let now = state.clock.now();
     if !state::lock(&state.peers).roster.leads(now) {
@@ -85,11 +86,11 @@
     }
 }
 
-/// The report of an engine.
+/// Fetches the report of an engine.
 ///
 /// # Errors
 ///
-/// There is no answer in time, or it is no report.
+/// There is no answer in time, or it is not a report.
 pub(crate) async fn fetch(entry: &routing::Entry) -> Result<engine::Report, String> {
     let request = hyper::Request::get(engine::REPORT_PATH)
         .header("host", entry.address.to_string())
--- a/crates/lagoon-gateway/src/reserve.rs
+++ b/crates/lagoon-gateway/src/reserve.rs
@@ -1,15 +1,16 @@
-//! Reservations of engine memory for a prompt larger than one engine.
+//! Reservations of engine memory for long prompts.
 //!
-//! All or nothing, in the order of the upstreams' names, so that two long prompts cannot each hold
-//! half of what they need. A reservation is short and renewed while its request runs: a host that
-//! dies leaves it to lapse within the bound on unused memory. At the end it is released; a release
-//! that is not answered is made again until the reservation has lapsed by itself.
+//! Reservations of one prompt are made all or nothing, in the order of the upstreams' names, so
+//! that two long prompts cannot each hold half of what they need. A reservation is short and is
+//! renewed while its request runs, so if the host dies, it expires within the bound on unused
+//! memory. When the request ends, the reservation is released; an unanswered release is retried
+//! until the reservation has expired by itself.
 //!
-//! Failure answered: the request is over at the engine that answers it, and its host does not know:
-//! the engine went dark, or its answer is lost. Renewed until its host's patience ends, the memory on
-//! the engines that helped would be kept beyond the bound on unused memory. So a round of renewals
-//! begins with the engine that answers, and while that is silent to the request only what an engine
-//! reports as used is renewed.
+//! A request may be over at the engine that answers it without the host knowing: the engine is
+//! unreachable, or its answer is lost. If the host renewed until its own timeout, the helping
+//! engines would hold memory beyond the bound on unused memory. So each round of renewals begins
+//! with the answering engine, and while the request shows no activity, only reservations that an
+//! engine reports as used are renewed.
 
 use std::sync;
 use std::time;
@@ -26,38 +27,38 @@
 use crate::report;
 use crate::state;
 
-/// Longest time for an order to be answered.
+/// Timeout for an order's answer.
 const ORDER: time::Duration = time::Duration::from_millis(600);
-/// Longest time for a connection.
+/// Timeout for connecting to an engine.
 const CONNECT: time::Duration = time::Duration::from_millis(300);
-/// Part of the bound on unused memory that a reservation lasts: what is lost with its host is back
-/// before the bound.
+/// Share of the bound on unused memory for which a reservation is held, so that the memory of a
+/// dead host is free again before the bound.
 const HOLD_SHARE: f64 = 0.85;
-/// Renewals within one hold: two may be lost.
+/// Renewals within one hold time: two may be lost.
 const RENEWALS: u32 = 3;
-/// Pause before a round of renewals is begun again that the answering engine left without a word.
+/// Pause before a round of renewals is repeated because the answering engine did not respond.
 const AGAIN: time::Duration = time::Duration::from_millis(150);
-/// How long after it was sent an order without an answer may still be carried out.
+/// Time for which an unanswered order may still be carried out.
 const LATE: time::Duration = time::Duration::from_secs(12);
-/// Releases within one hold of a reservation that a late order may have made anew: it lapses by
-/// itself within the bound, and its memory should not lie idle until then.
+/// Releases within one hold time of a reservation that a late order may have recreated. It would
+/// expire by itself within the bound, but its memory should not lie idle until then.
 const RELEASES: u32 = 3;
-/// Longest answer to an order.
+/// Maximum size of an order's answer, in bytes.
 const ANSWER: usize = 64 << 10;
 
-/// One reservation.
+/// One reservation on one engine.
 #[derive(Clone, Debug)]
 pub(crate) struct Ticket {
-    /// Its name at the engine.
+    /// Id of the reservation at the engine.
     pub(crate) id: String,
     entry: routing::Entry,
     tokens: u64,
-    /// When an order to reserve was last sent that is not answered.
+    /// When a reserve order was last sent that is still unanswered.
     unsure: sync::Arc<sync::Mutex<Option<clock::Moment>>>,
 }
 
 impl Ticket {
-    /// Reserves or renews.
+    /// Creates or renews the reservation. Returns the status of the engine's answer.
     async fn reserve(&self, state: &state::State) -> Result<u16, exchange::Failure> {
         *state::lock(&self.unsure) = Some(state.clock.now());
         let status =
@@ -66,16 +67,16 @@
         Ok(status)
     }
 
-    /// Whether an order to reserve without an answer may still be carried out.
+    /// Whether an unanswered reserve order may still be carried out.
     fn is_unsure(&self, now: clock::Moment) -> bool {
         state::lock(&self.unsure).is_some_and(|sent| now.since(sent) <= LATE)
     }
 }
 
-/// Until when the silence of a request says nothing.
+/// Time until which the request counts as active although its engine is silent.
 type Quiet = sync::Mutex<clock::Moment>;
 
-/// Reservations that are held; dropping them releases them.
+/// The reservations of one request; dropping them releases them.
 #[derive(Debug)]
 pub(crate) struct Held {
     state: sync::Arc<state::State>,
@@ -84,12 +85,12 @@
 }
 
 impl Held {
-    /// Something of the request's answer came.
+    /// Records activity of the request's engine: bytes of the answer arrived.
     pub(crate) fn heard(&self) {
         *state::lock(&self.quiet_until) = self.state.clock.now() + spare(&self.state);
     }
 
-    /// The ticket on the engine `upstream`.
+    /// Returns the id of the reservation on `upstream`.
     pub(crate) fn on(&self, upstream: &id::Upstream) -> Option<&str> {
         let found = self.tickets.iter().find(|ticket| ticket.entry.upstream == *upstream);
         found.map(|ticket| ticket.id.as_str())
@@ -119,17 +120,17 @@
     bounds.free.mul_f64(HOLD_SHARE).min(bounds.hold)
 }
 
-/// How long after a request has ended its memory may still be renewed.
+/// Returns how long after a request has ended its memory may still be renewed.
 fn spare(state: &state::State) -> time::Duration {
     state.settings.node.bounds.free.saturating_sub(hold(state))
 }
 
-/// Reserves memory on each of `wanted` for a prompt that `first` answers, whose first token is
+/// Reserves memory on each of `wanted` for a prompt that `first` answers and whose first token is
 /// expected after `expected`.
 ///
 /// # Errors
 ///
-/// The engine that did not grant it; what was granted is released.
+/// The engine that did not grant its reservation. Those already granted are released.
 pub(crate) async fn take(
     state: &sync::Arc<state::State>,
     name: &str,
@@ -145,7 +146,8 @@
     for (index, (entry, tokens)) in ordered.into_iter().enumerate() {
         let id = format!("{name}-{index}");
         let ticket = Ticket { id, entry, tokens, unsure: sync::Arc::default() };
-        // An order without an answer may be carried out: its ticket is released with the others.
+        // Added before the order is sent: an unanswered order may be carried out, so its
+        // reservation has to be released as well.
         held.tickets.push(ticket.clone());
         state.metrics.reservations.inc();
         let status = ticket.reserve(state).await;
@@ -162,7 +164,8 @@
     Ok(held)
 }
 
-/// Renews `tickets`, that of the engine `first` before the others, while the reservations are held.
+/// Renews `tickets`, the one of the engine `first` before the others, while the reservations are
+/// held.
 async fn renew(
     state: sync::Arc<state::State>,
     first: routing::Entry,
@@ -188,11 +191,12 @@
     }
 }
 
-/// One round of renewals.
+/// Runs one round of renewals.
 ///
 /// # Errors
 ///
-/// The engine `first` gave no word: nothing more was renewed.
+/// The engine `first` did not respond, or a reservation is no longer used. The rest was not
+/// renewed.
 async fn renew_all(
     state: &state::State,
     first: &routing::Entry,
@@ -226,11 +230,11 @@
     Ok(())
 }
 
-/// Whether the engine of `ticket` reports that a request uses it.
+/// Whether the engine reports that a request uses the reservation.
 ///
 /// # Errors
 ///
-/// The engine gave no report.
+/// The engine sent no report.
 async fn is_used(ticket: &Ticket) -> Result<bool, String> {
     let report = report::fetch(&ticket.entry).await?;
     let mut tickets = report.tickets.iter();
@@ -243,7 +247,7 @@
         let status = order(&ticket.entry, engine::release(&ticket.id)).await;
         let released = matches!(status, Ok(200 | 202 | 404 | 409 | head::MISDIRECTED));
         if released && ticket.is_unsure(state.clock.now()) {
-            // An order on its way may reserve it anew.
+            // A reserve order that is still on its way may recreate it.
             tokio::time::sleep(hold(&state) / RELEASES).await;
             continue;
         }
--- a/crates/lagoon-gateway/src/schedule.rs
+++ b/crates/lagoon-gateway/src/schedule.rs
@@ -1,5 +1,5 @@
-//! Where a request goes, in a zone in which one host decides for the others: the question of a
-//! host, and the answer of the one that decides.
+//! Placement by the zone's scheduler: one host places requests for all hosts of its zone. This
+//! module holds both sides, the host that asks and the scheduler that answers.
 
 use std::collections;
 use std::sync;
@@ -19,38 +19,40 @@
 use crate::underway;
 use crate::word;
 
-/// Time for an answer: hosts of a zone are well below a millisecond apart, and one that shares its
-/// core may stand still for some tens of milliseconds.
+/// Timeout for a scheduler's answer. Hosts of a zone are well below a millisecond apart, but one
+/// that shares its core may be stalled for some tens of milliseconds.
 const ANSWER: time::Duration = time::Duration::from_millis(60);
-/// Hosts that are asked for one request before its own host decides.
+/// Maximum number of schedulers that are asked for one request before this host places it itself.
 const ASKED: usize = 2;
 
-/// Questions of this host that wait for their answers.
+/// Questions of this host that have no answer yet, by dispatch number.
 #[derive(Debug, Default)]
 pub(crate) struct Questions {
     open: sync::Mutex<collections::HashMap<u64, oneshot::Sender<question::Answer>>>,
 }
 
 impl Questions {
-    /// Waits for the answer to the question about the dispatch `number`.
+    /// Registers a question for the dispatch `number` and returns the handle that receives its
+    /// answer.
     fn open(&self, number: u64) -> Open<'_> {
         let (sender, receiver) = oneshot::channel();
         state::lock(&self.open).insert(number, sender);
         Open { questions: self, number, receiver }
     }
 
-    /// An answer came.
+    /// Delivers an answer to the request that waits for it.
     pub(crate) fn answer(&self, answer: question::Answer) {
         let waiting = state::lock(&self.open).remove(&answer.number);
-        // An answer that comes too late finds nobody: its dispatch was told to have ended.
+        // A late answer has no receiver any more; the other hosts were already told that its
+        // dispatch ended.
         if let Some(waiting) = waiting {
             drop(waiting.send(answer));
         }
     }
 }
 
-/// A question that waits for its answer; forgotten when nobody waits any more, as when its caller
-/// leaves.
+/// A question without an answer yet. Dropping it unregisters the question, for example when the
+/// caller disconnects.
 #[derive(Debug)]
 struct Open<'a> {
     questions: &'a Questions,
@@ -64,7 +66,7 @@
     }
 }
 
-/// What was decided for a dispatch, and by whom.
+/// The result of placing a dispatch, and which host decided it.
 #[derive(Debug)]
 pub(crate) struct Decided {
     pub(crate) id: placement::WorkId,
@@ -72,8 +74,8 @@
     pub(crate) result: Result<placement::Placement, placement::Refusal>,
 }
 
-/// Asks the host that schedules for the zone; `None` where this host is to decide by itself, or
-/// none answers.
+/// Asks the zone's scheduler to place a request. Returns `None` if this host has to place it
+/// itself: there is no scheduler, or none answers.
 pub(crate) async fn ask(
     state: &state::State,
     service: &id::Service,
@@ -95,7 +97,7 @@
                 continue;
             }
             Err(_) => {
-                // It may have decided all the same.
+                // The scheduler may have placed the dispatch, and only its answer is lost.
                 state.say_ended(service, id);
                 pass_over(state, &host, "no answer in time");
                 continue;
@@ -125,8 +127,9 @@
     event::Line::new("scheduler_passed").text("host", host).text("why", why).info();
 }
 
-/// Decides a question of the life `asking`; a host that is about to end, or does not know yet what
-/// is under way, leaves the decision to another.
+/// Answers a question of the host incarnation `asking`. The decision is empty if this host is
+/// shutting down or does not know yet which dispatches are in flight; the asking host then asks
+/// another.
 pub(crate) fn decide(
     state: &state::State,
     asking: u64,
--- a/crates/lagoon-gateway/src/server.rs
+++ b/crates/lagoon-gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! The listening side: callers, readiness and metrics, and the process's end.
+//! The servers for callers, readiness and metrics, and the shutdown of the process.
 
 use std::io;
 use std::net;
@@ -27,22 +27,23 @@
 use crate::state;
 use crate::watch;
 
-/// Time between the balancer's questions is a second, and two misses take a host out; half a
-/// second to spare.
+/// Time between reporting not ready and refusing requests. The balancer checks every second and
+/// removes a host after two failed checks; half a second is to spare.
 const UNREADY: clock::Span = clock::Span::from_millis(2_500);
-/// Time before the kill at which no request is waited for any more: [`FLUSH`] and [`STOP`], and as
-/// much again for the process to end.
+/// Time before the kill at which the process stops waiting for requests: [`FLUSH`] plus [`STOP`],
+/// and as much again for the process to exit.
 const LAST: clock::Span = clock::Span::from_millis(500);
-/// Time for the last answers to leave: two round trips to a caller.
+/// Time for the last answers to be sent: two round trips to a caller.
 const FLUSH: clock::Span = clock::Span::from_millis(100);
-/// Longest time for the servers to stop; log lines are written meanwhile.
+/// Timeout for the servers to stop; log lines are written meanwhile.
 const STOP: clock::Span = clock::Span::from_millis(150);
-/// Time between two looks at what lapsed.
+/// Interval of the removal of expired state.
 pub(crate) const TICK: clock::Span = clock::Span::from_millis(100);
-/// Longest time for a head to arrive, in seconds; callers are told less, see `routing::Limits`.
+/// Timeout for the head of a request; the limit that callers are told is shorter, see
+/// `routing::Limits`.
 const HEAD_TIMEOUT: ntex::time::Seconds = ntex::time::Seconds(10);
-/// Longest idle time of a caller's connection: longer than callers keep one, so that none is
-/// closed under a request.
+/// Idle timeout of a caller's connection: longer than callers keep one, so that no connection is
+/// closed just as a request is sent.
 const KEEP_ALIVE: ntex::time::Seconds = ntex::time::Seconds(75);
 
 /// A running entry host.
@@ -61,22 +62,22 @@
 }
 
 impl Handle {
-    /// Where callers connect.
+    /// Returns the address at which callers connect.
     pub fn callers(&self) -> net::SocketAddr {
         self.callers
     }
 
-    /// Where readiness and metrics are asked for.
+    /// Returns the address of readiness, metrics and operator calls.
     pub fn ready(&self) -> net::SocketAddr {
         self.ready
     }
 
-    /// Starts the shutdown: unready, then no new requests, then the end.
+    /// Starts the shutdown: reports not ready, then refuses requests, then ends.
     pub fn drain(&self) {
         self.state.advance(state::Phase::Unready);
     }
 
-    /// Tells that settings were checked again, and how that went.
+    /// Logs the result of checking the settings again.
     pub fn reloaded(&self, checked: Result<(), String>) {
         match checked {
             Ok(()) => event::Line::new("reload").text("settings", "good").info(),
@@ -86,12 +87,12 @@
 }
 
 impl Running {
-    /// A handle to control it by.
+    /// Returns a handle to control the host.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Waits for the end.
+    /// Waits until the host has ended.
     ///
     /// # Errors
     ///
@@ -123,12 +124,12 @@
     Ok(Running { handle, thread })
 }
 
-/// What the process listens on.
+/// The sockets of the process.
 #[derive(Debug)]
 struct Sockets {
     callers: net::TcpListener,
     ready: net::TcpListener,
-    /// For other hosts of the zone.
+    /// Relay requests of other hosts of the zone.
     peers: net::TcpListener,
     words: net::UdpSocket,
 }
@@ -161,8 +162,7 @@
     state.reach(state::Phase::Unready).await;
     shut_down(&state).await;
     event::Line::new("stop").info();
-    // A stop waits for requests under way, beyond the grace time if need be; the process ends
-    // without it.
+    // Stopping waits for requests in progress, possibly beyond the grace time, so it has a timeout.
     let stopped = async {
         callers.stop(false).await;
         ready.stop(false).await;
@@ -171,8 +171,8 @@
     Ok(())
 }
 
-/// Unready first, so that the balancer stops sending; then no new connections; then the end of the
-/// last request, or of the time that is left.
+/// Shuts down: reports not ready so that the balancer stops sending, then refuses new requests,
+/// then waits for the last request or the end of the grace time.
 async fn shut_down(state: &state::State) {
     let started = state.clock.now();
     let grace = state.settings.node.bounds.grace.saturating_sub(LAST);
@@ -183,7 +183,7 @@
     let left = grace.saturating_sub(state.clock.now().since(started));
     let ended = tokio::time::timeout(left, active.wait_for(|count| *count == 0)).await.is_ok();
     event::Line::new("drained").number("all_ended", ended).info();
-    // The last answers are still on their way out of the buffers.
+    // The last answers are still in the send buffers.
     tokio::time::sleep(FLUSH).await;
 }
 
@@ -197,7 +197,7 @@
     }
 }
 
-/// Who connects to a listener.
+/// Which server a listener belongs to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Side {
     Callers,
@@ -239,14 +239,14 @@
     Ok(server.run())
 }
 
-/// Closes idle connections once no more requests are taken: one that came on them now might not
+/// Closes idle connections once requests are refused: a request that arrived on them now might not
 /// end before the process does.
 async fn close_idle(state: sync::Arc<state::State>, connections: connection::Connections) {
     state.reach(state::Phase::Draining).await;
     connections.close_idle();
 }
 
-/// Readiness, as the balancer asks for it, and metrics.
+/// Serves readiness for the balancer, metrics and the quarantine calls.
 fn look(state: &state::State, request: &web::HttpRequest) -> web::HttpResponse {
     if request.path() == "/metrics" {
         return match state.metrics.encode() {
@@ -317,19 +317,19 @@
     })
 }
 
-/// The headers of a caller's request.
+/// Returns the headers of a request.
 fn fields(request: &web::HttpRequest) -> Vec<(String, Vec<u8>)> {
     let headers = request.headers().iter();
     headers.map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec())).collect()
 }
 
-/// Longest body of a request, in bytes.
+/// Returns the maximum size of a request's body, in bytes.
 fn most_body(state: &state::State) -> usize {
     let table = state.table();
     table.map_or(routing::Limits::default().body_bytes, |table| table.limits().body_bytes)
 }
 
-/// A caller's request with its whole body, which another attempt may need again.
+/// Builds a request with its complete body, which is kept for further attempts.
 fn whole_request(
     request: &web::HttpRequest,
     fields: Vec<(String, Vec<u8>)>,
--- a/crates/lagoon-gateway/src/settings.rs
+++ b/crates/lagoon-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the process: the host's, as the platform writes them, and the product's own.
+//! Settings of the process: the host's, written by the platform, and the tuning of this program.
 
 use std::fs;
 use std::path;
@@ -9,50 +9,51 @@
 use lagoonline::load::placement;
 use lagoonline::routing;
 
-/// What the process runs with.
+/// All settings of the process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The host, as the platform describes it.
+    /// Settings of the host, written by the platform.
     pub node: node::Node,
-    /// The product's own figures.
+    /// Tuning of this program.
     pub tuning: Tuning,
 }
 
-/// The product's own figures; all have defaults.
+/// Tuning of this program; every setting has a default.
 #[derive(Clone, Debug)]
 pub struct Tuning {
-    /// Lines below this level are not logged.
+    /// Minimum level of the lines that are logged.
     pub level: log::LevelFilter,
-    /// How long the platform holds a watch of the desired state open, at most half of the bound on
-    /// keys: each call costs, and a version counts as confirmed from call to call.
+    /// How long the platform holds a watch of the desired state open, at most half of the key
+    /// revocation bound. Each call has a cost, and the version in force is confirmed once per call.
     pub desired_wait: clock::Span,
-    /// How long the platform holds a watch of the upstreams open. A connection that fell silent is
-    /// found out after it, and what changed meanwhile must still be in force within the bounds.
+    /// How long the platform holds a watch of the upstreams open. A dead connection is noticed only
+    /// after this time, and changes made meanwhile must still be applied within the bounds.
     pub upstreams_wait: clock::Span,
-    /// Pause after an answer of that watch, in which changes gather: several come in one call. At
-    /// most two fifths of the bound on leaving upstreams.
+    /// Pause after an answer of the upstreams watch, so that several changes arrive in one call.
+    /// Limited to two fifths of the bound on leaving upstreams.
     pub upstreams_pause: clock::Span,
     /// How long the platform holds a watch of the entry hosts open.
     pub hosts_wait: clock::Span,
-    /// Pause after an answer of that watch. Without it, sixty hosts that restart in turn wake every
-    /// watch of all hosts sixty times; a host that is heard of later only costs words.
+    /// Pause after an answer of the entry hosts watch. Without it, a rolling restart of sixty hosts
+    /// wakes the watch of every host sixty times; learning of a host later costs only some
+    /// messages.
     pub hosts_pause: clock::Span,
-    /// Silence after which the row of a host is removed. A host that is cut off for longer writes
-    /// its row again.
+    /// Time without heartbeats after which a host's row is removed. A host that is only cut off
+    /// writes its row again.
     pub hosts_gone: clock::Span,
-    /// Hosts of a zone from which on one of them reads the platform for the others, and one decides
-    /// where their requests go. A smaller zone saves less by it than a silent reader costs, which is
-    /// found out after a second.
+    /// Minimum number of hosts in a zone for one of them to read the platform for the others and
+    /// for one to place their requests. A smaller zone saves less than a failed reader costs, which
+    /// is noticed only after a second.
     pub relay_hosts: u64,
-    /// How long the platform holds a watch of a host that reads for others: what those believe is
-    /// older by it.
+    /// How long the platform holds a watch of a host that reads for others. It adds to the age of
+    /// what those hosts know.
     pub reader_wait: clock::Span,
-    /// Pause after an answer of the watch of the upstreams at such a host: few hosts read, so that
-    /// news may come sooner for fewer calls.
+    /// Pause after an answer of the upstreams watch at a host that reads for others. Few hosts
+    /// read, so changes can arrive sooner at fewer calls.
     pub reader_pause: clock::Span,
-    /// Time between two batches of words to the other entry hosts.
+    /// Time for which updates to the other entry hosts are collected into a batch.
     pub words_pause: clock::Span,
-    /// Figures of the placement.
+    /// Settings of the placement.
     pub placement: placement::Settings,
 }
 
@@ -76,7 +77,7 @@
 }
 
 impl Tuning {
-    /// Reads the product's own settings; what is absent has its default.
+    /// Reads the tuning; absent settings have their defaults.
     fn read(reader: &check::Reader<'_>) -> Tuning {
         let default = Tuning::default();
         let millis = |name: &str, span: clock::Span, most: u64| {
@@ -122,11 +123,11 @@
     }
 }
 
-/// Reads the host's settings, and the product's own where a file of them is given.
+/// Reads the host's settings, and the tuning if a file is given.
 ///
 /// # Errors
 ///
-/// The files that cannot be read or used, each fault on a line of its own.
+/// A file cannot be read or is invalid; one line per fault.
 ///
 /// ```
 /// use std::path::Path;
--- a/crates/lagoon-gateway/src/silence.rs
+++ b/crates/lagoon-gateway/src/silence.rs
@@ -1,4 +1,4 @@
-//! Upstreams that are silent to a request: when it is given up there.
+//! Decides when to abandon an upstream that does not respond to a request.
 
 use lagoonline::clock;
 use lagoonline::id;
@@ -7,44 +7,45 @@
 use crate::forward;
 use crate::state;
 
-/// Multiple of a route's target that an upstream may be later than expected before another is asked.
+/// Multiple of the route's target that an upstream may take beyond the expected time before another
+/// is tried.
 const PATIENT_TARGETS: u32 = 2;
-/// The same beside that multiple: a lost packet comes again within it.
+/// Additional time to wait: a lost packet is retransmitted within it.
 const PATIENCE: clock::Span = clock::Span::from_millis(300);
-/// Time between two looks at an upstream that is silent.
+/// Interval at which a silent upstream is checked.
 pub(crate) const LOOK: clock::Span = clock::Span::from_millis(250);
-/// An upstream that said something within this is alive: several of its passes.
+/// An upstream with activity within this time is alive: several of its batch steps.
 const ALIVE: clock::Span = clock::Span::from_millis(500);
 
 impl forward::Admitted {
-    /// Whether another attempt is within the budget.
+    /// Whether the retry budget allows another attempt.
     pub(crate) fn has_repeat(&self) -> bool {
         let desk = self.state.desk(&self.service);
         desk.is_some_and(|desk| state::lock(&desk).budget.has_one())
     }
 
-    /// Whether something came of an upstream of late: one that is silent to this request only may
-    /// be busy.
+    /// Whether an upstream has been active recently. If so, silence to a single request may mean
+    /// that it is busy.
     pub(crate) fn is_alive(&self, upstream: &id::Upstream) -> bool {
         let alive = |board: &mut placement::Board, now| board.is_alive(upstream, ALIVE, now);
         self.state.with_board(&self.service, alive).unwrap_or(false)
     }
 
-    /// Whether an upstream failed another request and nothing has come of it since.
+    /// Whether an upstream failed another request and has shown no activity since.
     pub(crate) fn is_lost(&self, upstream: &id::Upstream) -> bool {
         let lost = |board: &mut placement::Board, _| board.is_lost(upstream);
         self.state.with_board(&self.service, lost).unwrap_or(false)
     }
 
-    /// Whether the upstream has begun a later answer than that of the dispatch `id`.
+    /// Whether the upstream has begun to answer a request that was sent after the dispatch `id`.
     fn is_overtaken(&self, id: placement::WorkId) -> bool {
         let overtaken = |board: &mut placement::Board, _| board.is_overtaken(id);
         self.state.with_board(&self.service, overtaken).unwrap_or(false)
     }
 
-    /// Why the upstream of `placement` is given up that has been silent for `silent` since the
-    /// dispatch `id`, if it is. One that is lost is given up also where no repeat is left: the
-    /// caller, told at once, may go on elsewhere by itself.
+    /// Returns why to abandon the upstream of `placement`, which has been silent for `silent` since
+    /// the dispatch `id`; `None` to keep waiting. A lost upstream is abandoned even if no retry is
+    /// allowed: the caller learns of it at once and may retry elsewhere.
     pub(crate) fn give_up_after(
         &self,
         placement: &placement::Placement,
@@ -68,12 +69,13 @@
         }
     }
 
-    /// How long an upstream may be silent before another is asked, unless it is merely busy.
+    /// Returns how long an upstream may be silent before another is tried, unless it is merely
+    /// busy.
     fn patience(&self, expected: clock::Span) -> clock::Span {
         expected + self.route.target * PATIENT_TARGETS + PATIENCE
     }
 
-    /// Whether another upstream may be asked after so many attempts.
+    /// Whether another upstream may be tried after `attempts` attempts.
     pub(crate) fn may_repeat(&self, attempts: u32) -> bool {
         self.route.kind.may_repeat() && attempts < self.route.attempts
     }
--- a/crates/lagoon-gateway/src/state.rs
+++ b/crates/lagoon-gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What the process knows, shared by its threads; each part under its own lock.
+//! State shared by the threads of the process. Each part has a lock of its own.
 
 use std::collections;
 use std::net;
@@ -26,73 +26,77 @@
 use crate::settings;
 use crate::word;
 
-/// How far the process is on its way to its end.
+/// Phases of the process, from serving to shutdown.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Phase {
-    /// All is served.
+    /// Serves all requests.
     Serving,
-    /// Not ready, and connections close after their answer; all is served.
+    /// Reports not ready and closes connections after their answers, but serves all requests.
     Unready,
-    /// No new connections.
+    /// Accepts no new requests.
     Draining,
 }
 
-/// What is decided for one service.
+/// Scheduling state of one service.
 #[derive(Debug)]
 pub(crate) struct Desk {
-    /// What is under way on its upstreams.
+    /// Dispatches in flight on the service's upstreams.
     pub(crate) board: placement::Board,
-    /// Repeats that are left.
+    /// Retry budget of the service.
     pub(crate) budget: retry::Budget,
 }
 
-/// What the process knows since its start.
+/// How much the process has learned since its start.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Knowledge {
-    /// Not yet which routes and upstreams there are.
+    /// Neither routes nor upstreams are known.
     Nothing,
-    /// Routes and upstreams, but not what other hosts have under way on them.
+    /// Routes and upstreams are known, but not the dispatches that other hosts have in flight on
+    /// them.
     Lists,
-    /// As much as the other hosts told.
+    /// Other hosts have reported their dispatches in flight, or the time for it has passed.
     Loads,
 }
 
-/// Time from the start of the process in which requests wait for what other hosts have under way.
+/// Maximum time after the start for which requests wait until other hosts have reported their
+/// dispatches in flight.
 ///
-/// Failure answered: a host starts again within half a second, its callers are back at once, and it
-/// sends them all to the engine that it believes to be idle. If the platform is slow, callers are not
-/// held longer than a request to a busy engine takes.
+/// A host restarts within half a second and its callers reconnect at once. Without the wait it
+/// would send them all to the engine that it believes to be idle. When the platform is slow,
+/// callers are held no longer than a request to a busy engine takes.
 const ACQUAINTANCE: clock::Span = clock::Span::from_millis(400);
 
-/// Part of the bound on taken keys that the confirmation of the desired state may be old.
+/// Margin that is subtracted from the key revocation bound when the age of the last confirmation is
+/// checked.
 const KEY_MARGIN: clock::Span = clock::Span::from_millis(250);
-/// How long what another host said of its confirmation holds: hosts with callers say it many times
-/// a second, and in an outage all lose their confirmation within a second of each other.
+/// How long another host's report that it can trust keys stays valid. Hosts with callers report it
+/// many times a second, and in an outage all hosts lose their confirmation within a second of each
+/// other.
 const SAID: clock::Span = clock::Span::from_millis(500);
 
 type Desks = collections::HashMap<id::Service, sync::Arc<sync::Mutex<Desk>>>;
 
-/// Words to the other hosts that wait to be sent; two seconds' worth at the highest rate.
+/// Capacity of the queue of updates to the other hosts: two seconds at the highest rate.
 const WORDS: usize = 4_096;
 
-/// All that the process knows.
+/// The shared state of the process.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) settings: settings::Settings,
     pub(crate) clock: crate::Boot,
     pub(crate) metrics: metrics::Metrics,
-    /// This life of the process among the entry hosts.
+    /// Random number that identifies this run of the process among the entry hosts.
     pub(crate) number: u64,
     table: ArcSwapOption<routing::Table>,
     confirmation: sync::Mutex<routing::Confirmation>,
     registry: sync::Mutex<routing::Registry>,
-    /// What is known of the platform's tables.
+    /// Contents of the platform's tables.
     pub(crate) feed: feed::Feed,
-    /// Whether the list of upstreams was ever read.
+    /// Whether the list of upstreams has been read at least once.
     listed: atomic::AtomicBool,
     knowledge: watch::Sender<Knowledge>,
     started: clock::Moment,
-    /// When another host last said that it can trust keys.
+    /// When another host last reported that it can trust keys.
     trusted_elsewhere: sync::Mutex<Option<clock::Moment>>,
     pub(crate) desks: ArcSwap<Desks>,
     phase: watch::Sender<Phase>,
@@ -100,31 +104,31 @@
     dispatches: atomic::AtomicU64,
     hosts: atomic::AtomicUsize,
     deciders: atomic::AtomicUsize,
-    /// This host's row is gone from the platform's table.
+    /// Signalled when this host's row is missing from the platform's table.
     pub(crate) unregistered: Notify,
-    /// The other hosts.
+    /// The other entry hosts.
     pub(crate) peers: sync::Mutex<peers::Peers>,
-    /// Those of this zone, as the relay asks them.
+    /// The other hosts of this zone, as the relay uses them.
     pub(crate) members: relay::Members,
-    /// What this host asked the one that schedules for its zone.
+    /// Questions to the zone's scheduler that have no answer yet.
     pub(crate) questions: schedule::Questions,
-    /// Words that wait to be told.
+    /// Queue of updates to the other hosts.
     pub(crate) words: mpsc::Sender<mesh::Said>,
     pub(crate) socket: net::UdpSocket,
-    /// Requests whose connections broke.
+    /// Requests whose upstream connections broke and whose upstream is being probed.
     pub(crate) breaks: crash::Breaks,
     /// Requests that crash upstreams.
     pub(crate) keeper: quarantine::Keeper,
 }
 
-/// Locks; a panic of another holder leaves figures that are still whole.
+/// Locks `mutex` even if a holder panicked: every update leaves the data consistent.
 pub(crate) fn lock<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(sync::PoisonError::into_inner)
 }
 
 impl State {
-    /// The state of a process that knows nothing yet and sends words by `socket`, and the words that
-    /// it wants to tell.
+    /// Creates the state of a process that has read nothing yet and sends datagrams through
+    /// `socket`. Also returns the receiving end of the update queue.
     pub(crate) fn new(
         settings: settings::Settings,
         socket: net::UdpSocket,
@@ -169,12 +173,12 @@
         (sync::Arc::new(state), receiver)
     }
 
-    /// The desired state in force; `None` before the first.
+    /// Returns the desired state in force; `None` until the first is read.
     pub(crate) fn table(&self) -> Option<sync::Arc<routing::Table>> {
         self.table.load_full()
     }
 
-    /// Puts a version in force unless a later one is; it was the newest at `at`.
+    /// Puts a version in force unless a newer one is. The version was the newest at `at`.
     pub(crate) fn install(&self, desired: routing::Desired, at: clock::Moment) {
         let version = desired.version;
         let known = self.table.load().as_ref().map_or(0, |table| table.version());
@@ -193,26 +197,27 @@
         }
     }
 
-    /// The version in force was the newest at `at`.
+    /// Records that the version in force was the newest at `at`.
     pub(crate) fn confirm(&self, at: clock::Moment) {
         lock(&self.confirmation).confirm(at);
     }
 
-    /// Time since the version in force was known to be the newest.
+    /// Returns the time since the version in force was known to be the newest.
     pub(crate) fn confirmation_age(&self) -> Option<clock::Span> {
         lock(&self.confirmation).age(self.clock.now())
     }
 
-    /// The platform answers again since `at`.
+    /// Records that the platform has answered again since `at`.
     pub(crate) fn platform_returned(&self, at: clock::Moment) {
         lock(&self.registry).returned(at);
     }
 
-    /// Takes in changes of the list of upstreams.
+    /// Applies changes to the list of upstreams.
     pub(crate) fn change_upstreams(&self, changes: Vec<routing::Change>) {
         let is_first = !self.listed.swap(true, atomic::Ordering::Relaxed);
         if is_first {
-            // A line each would use up the lines of the start's second.
+            // One line for the first list: a line per upstream would use up the log rate of the
+            // first second.
             event::Line::new("upstreams_listed").number("upstreams", changes.len()).info();
         }
         if changes.is_empty() {
@@ -230,7 +235,7 @@
         self.refresh_desks();
     }
 
-    /// Drops what has lapsed.
+    /// Drops expired entries.
     pub(crate) fn expire(&self) {
         let now = self.clock.now();
         if lock(&self.registry).expire(now) {
@@ -241,7 +246,7 @@
         }
     }
 
-    /// Another host told how old its confirmation of the desired state is.
+    /// Records the age of another host's last confirmation of the desired state.
     pub(crate) fn heard_confirmation(&self, age_ms: Option<u32>) {
         let age = age_ms.map(word::span);
         if age.is_some() && self.trusts_keys(age) {
@@ -249,20 +254,20 @@
         }
     }
 
-    /// Whether keys can be trusted at a host whose desired state was confirmed so long ago, or never:
-    /// one that was taken away is known within the bound, where there is one.
+    /// Whether keys can be trusted at a host whose desired state was confirmed `age` ago, or never.
+    /// A revoked key must be refused within the revocation bound, if there is one.
     pub(crate) fn trusts_keys(&self, age: Option<clock::Span>) -> bool {
         let Some(bound) = self.settings.node.bounds.revoke else { return true };
         age.is_some_and(|age| age + KEY_MARGIN <= bound)
     }
 
-    /// Whether another host said of late that it can trust keys.
+    /// Whether another host reported recently that it can trust keys.
     pub(crate) fn is_trusted_elsewhere(&self) -> bool {
         let at = *lock(&self.trusted_elsewhere);
         at.is_some_and(|at| self.clock.now().since(at) <= SAID)
     }
 
-    /// The model engines of all services.
+    /// Returns the model engines of all services.
     pub(crate) fn engines(&self) -> Vec<(id::Service, routing::Entry)> {
         let mut engines = Vec::new();
         for (service, desk) in self.desks.load().iter() {
@@ -272,12 +277,13 @@
         engines
     }
 
-    /// What is decided for a service.
+    /// Returns the scheduling state of a service.
     pub(crate) fn desk(&self, service: &id::Service) -> Option<sync::Arc<sync::Mutex<Desk>>> {
         self.desks.load().get(service).cloned()
     }
 
-    /// Tells the board of a service what happened, at this moment; a service that is gone has none.
+    /// Calls `act` with the service's board and the current time. Returns `None` if the service
+    /// does not exist.
     pub(crate) fn with_board<Act, Told>(&self, service: &id::Service, act: Act) -> Option<Told>
     where
         Act: FnOnce(&mut placement::Board, clock::Moment) -> Told,
@@ -287,13 +293,13 @@
         Some(act(&mut desk.board, self.clock.now()))
     }
 
-    /// Waits until the process knows as much as `knowledge`.
+    /// Waits until the process has reached `knowledge`.
     pub(crate) async fn wait_for(&self, knowledge: Knowledge) {
         // The sender lives as long as this state, so the wait ends only by a change.
         drop(self.knowledge.subscribe().wait_for(|current| *current >= knowledge).await);
     }
 
-    /// The process knows as much as `knowledge`.
+    /// Records that the process has reached `knowledge`; a lower value is ignored.
     pub(crate) fn learn(&self, knowledge: Knowledge) {
         self.knowledge.send_if_modified(|current| {
             let more = knowledge > *current;
@@ -302,10 +308,10 @@
         });
     }
 
-    /// Waits until what other hosts have under way is known; not beyond [`ACQUAINTANCE`].
+    /// Waits until the dispatches in flight at other hosts are known, for at most [`ACQUAINTANCE`].
     pub(crate) async fn acquainted(&self) {
         let left = (self.started + ACQUAINTANCE).since(self.clock.now());
-        // Without an answer in time the host goes on with what it knows.
+        // On a timeout the host goes on with what it knows.
         drop(tokio::time::timeout(left, self.wait_for(Knowledge::Loads)).await);
     }
 
@@ -344,8 +350,7 @@
         sync::Arc::new(sync::Mutex::new(Desk { board, budget }))
     }
 
-    /// There are so many entry hosts, this one included, of which `deciders` decide where requests
-    /// go.
+    /// Sets the number of entry hosts, this one included, and how many of them place requests.
     pub(crate) fn set_hosts(&self, hosts: usize, deciders: usize) {
         let before = self.hosts.swap(hosts, atomic::Ordering::Relaxed);
         let decided = self.deciders.swap(deciders, atomic::Ordering::Relaxed);
@@ -360,23 +365,23 @@
         }
     }
 
-    /// The id of a new dispatch.
+    /// Returns the id of a new dispatch.
     pub(crate) fn next_work(&self) -> placement::WorkId {
         let number = self.dispatches.fetch_add(1, atomic::Ordering::Relaxed);
         placement::WorkId { host: self.number, number }
     }
 
-    /// Whether the process knows as much as `knowledge`.
+    /// Whether the process has reached `knowledge`.
     pub(crate) fn knows(&self, knowledge: Knowledge) -> bool {
         *self.knowledge.borrow() >= knowledge
     }
 
-    /// How far the process is.
+    /// Returns the current phase.
     pub(crate) fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Goes on to `phase`; never back.
+    /// Advances to `phase`; an earlier phase is ignored.
     pub(crate) fn advance(&self, phase: Phase) {
         self.phase.send_if_modified(|current| {
             let later = phase > *current;
@@ -385,25 +390,25 @@
         });
     }
 
-    /// Waits until the process is as far as `phase`.
+    /// Waits until the process has reached `phase`.
     pub(crate) async fn reach(&self, phase: Phase) {
         // The sender lives as long as this state, so the wait ends only by a change.
         drop(self.phase.subscribe().wait_for(|current| *current >= phase).await);
     }
 
-    /// Whether the host may be sent callers.
+    /// Whether the balancer may send callers to this host.
     pub(crate) fn is_ready(&self) -> bool {
         let listed = self.listed.load(atomic::Ordering::Relaxed);
         self.phase() == Phase::Serving && self.table.load().is_some() && listed
     }
 
-    /// Counts a request as under way until the guard is dropped.
+    /// Counts a request as active until the guard is dropped.
     pub(crate) fn enter(self: &sync::Arc<Self>) -> Active {
         self.active.send_modify(|count| *count += 1);
         Active { state: self.clone() }
     }
 
-    /// Requests under way.
+    /// Returns a receiver of the number of active requests.
     pub(crate) fn watch_active(&self) -> watch::Receiver<usize> {
         self.active.subscribe()
     }
@@ -423,7 +428,7 @@
     }
 }
 
-/// A request under way.
+/// Guard of an active request.
 #[derive(Debug)]
 pub(crate) struct Active {
     state: sync::Arc<State>,
--- a/crates/lagoon-gateway/src/store.rs
+++ b/crates/lagoon-gateway/src/store.rs
@@ -1,4 +1,4 @@
-//! Calls of the platform's store over one connection.
+//! Client of the platform's store.
 
 use std::net;
 use std::time;
@@ -7,29 +7,29 @@
 
 use crate::exchange;
 
-/// Longest time for a connection to the store: three round trips between zones and a lost packet.
+/// Timeout for connecting to the store: three round trips between zones and a lost packet.
 const CONNECT: time::Duration = time::Duration::from_millis(1_000);
-/// Longest answer: 1 MB of rows, and their JSON form.
+/// Maximum size of an answer in bytes: 1 MB of rows in their JSON form.
 const ANSWER: usize = 4 << 20;
 
-/// Why a call was not answered.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Trouble {
     /// The connection failed.
     #[error("{0}")]
     Failed(#[from] exchange::Failure),
-    /// No answer in time.
+    /// There was no answer in time.
     #[error("no answer within {0:?}")]
     Silent(time::Duration),
-    /// An answer that is none of the store's.
+    /// The answer is not one of the store's.
     #[error("{0}")]
     Unreadable(#[from] lagoon_platform::Unreadable),
-    /// The store refused the call; nothing was done.
+    /// The store refused the call and did nothing.
     #[error("refused with status {0}")]
     Refused(u16),
 }
 
-/// One connection to the store, opened when it is needed.
+/// A client with one connection to the store, opened when it is needed.
 #[derive(Debug)]
 pub(crate) struct Client {
     address: net::SocketAddr,
@@ -37,17 +37,17 @@
 }
 
 impl Client {
-    /// A client of the store at `address`.
+    /// Creates a client of the store at `address`.
     pub(crate) fn new(address: net::SocketAddr) -> Client {
         Client { address, exchange: None }
     }
 
-    /// Makes one call. After any trouble the connection is given up: an answer that comes late
-    /// must not be taken for the next call's.
+    /// Makes one call. After a failure the connection is closed, so that a late answer is not taken
+    /// for the answer to the next call.
     ///
     /// # Errors
     ///
-    /// Why there is no answer. A write may have been done all the same.
+    /// Why there is no answer. A write may have been performed all the same.
     pub(crate) async fn call(
         &mut self,
         call: &store::Call,
--- a/crates/lagoon-gateway/src/stream.rs
+++ b/crates/lagoon-gateway/src/stream.rs
@@ -1,10 +1,11 @@
-//! Streams of events to a caller: whole events only, and a visible end.
+//! Streaming of events to a caller: only complete events, and an end that shows whether the stream
+//! is complete.
 //!
-//! Failure answered: an upstream breaks off in the middle of an event, another goes on, and the
-//! caller reads half an event joined to the next; or a stream that broke off ends like a whole
-//! one. Only whole events are passed on, an answer that goes on elsewhere starts after the last
-//! event that was passed on, and a stream that cannot go on cuts the caller's connection without
-//! the end mark of its body.
+//! An upstream may break off in the middle of an event. If another one continued the stream
+//! naively, the caller would read half an event joined to the next; and a stream that broke off
+//! could look like a complete one. So only complete events are forwarded, a resumed answer starts
+//! after the last event that was forwarded, and if a stream cannot be resumed, the caller's
+//! connection is closed without the terminating chunk of the body.
 
 use std::pin;
 use std::task;
@@ -26,16 +27,16 @@
 use crate::forward;
 use crate::silence;
 
-/// Events that wait for a slow caller; while they wait the upstream is not read.
+/// Events buffered for a slow caller; while the buffer is full the upstream is not read.
 const WAITING: usize = 64;
-/// Pauses that an event may be late by before another upstream is asked.
+/// Multiple of the route's gap target for which an upstream may be silent before another is tried.
 const GAPS: u32 = 4;
-/// Silence below this says nothing: a lost packet comes again within it.
+/// Minimum silence before another upstream is tried: a lost packet is retransmitted within it.
 const LEAST_SILENCE: clock::Span = clock::Span::from_millis(900);
-/// What a stream may run beyond its route's time limit, so that one about to end does.
+/// Time that a stream may run beyond its deadline, so that one which is about to end can finish.
 const OVERTIME: clock::Span = clock::Span::from_millis(150);
 
-/// Longest time for a caller to take what was passed on before its stream broke.
+/// Timeout for the caller to receive what was forwarded before its stream broke.
 const CUT: clock::Span = clock::Span::from_secs(1);
 
 /// The body of a streamed answer.
@@ -55,7 +56,7 @@
     }
 }
 
-/// Passes the events of `live` to the body that is returned.
+/// Starts a task that forwards the events of `live`, and returns the body that it feeds.
 pub(crate) fn start(
     admitted: forward::Admitted,
     live: forward::Live,
@@ -91,10 +92,12 @@
     Body { events }
 }
 
-/// Closes the caller's connection after what was passed on, without the end mark of the body.
+/// Closes the caller's connection once the forwarded events are sent, without the terminating chunk
+/// of the body.
 ///
-/// An error handed to the server instead would be written into the body as an answer of its own.
-/// The body must not end either: it is held open until the connection is gone.
+/// An error passed to the server would be written into the body as an answer of its own, and ending
+/// the body would make the stream look complete. So the body is held open until the connection is
+/// closed.
 async fn cut(io: Option<&ntex::io::IoRef>, gone: &mpsc::Sender<util::Bytes>) {
     if let Some(io) = io {
         io.close();
@@ -118,12 +121,12 @@
 struct Relay {
     admitted: forward::Admitted,
     sender: mpsc::Sender<util::Bytes>,
-    /// Bytes of an event that is not whole yet.
+    /// Bytes of an incomplete event.
     buffer: BytesMut,
     last_event: Option<u64>,
     events: u64,
     upstreams: u32,
-    /// When the last event was passed on, and the longest pause before one.
+    /// When the last event was forwarded.
     passed: clock::Moment,
     longest_pause: clock::Span,
 }
@@ -161,7 +164,8 @@
             .info();
     }
 
-    /// Time since the last event was passed on, or since the arrival where none was.
+    /// Returns the time since the last event was forwarded, or since the request arrived if there
+    /// was none.
     fn silent(&self) -> clock::Span {
         let last = if self.events == 0 { self.admitted.request.arrived } else { self.passed };
         self.admitted.state.clock.now().since(last)
@@ -171,7 +175,8 @@
         self.admitted.state.clock.now().since(self.admitted.request.arrived)
     }
 
-    /// Relays one answer after the other until one is whole or none can go on.
+    /// Forwards answers of one upstream after another until one is complete or the stream cannot be
+    /// resumed.
     async fn relay(&mut self, mut live: forward::Live) -> End {
         let mut avoid: Vec<id::Upstream> = Vec::new();
         loop {
@@ -179,7 +184,8 @@
             let failure = match self.relay_one(live).await {
                 Ok(()) => {
                     self.admitted.answered(&upstream);
-                    // An answer without a length ends as if it were whole when its upstream crashes.
+                    // An answer without a length looks complete when its upstream crashes before
+                    // the first event.
                     if self.events > 0 {
                         self.admitted.clear();
                     }
@@ -205,7 +211,7 @@
         }
     }
 
-    /// Another upstream that goes on after the last event, if there may be one.
+    /// Resumes the stream after its last event on another upstream, if that is allowed.
     async fn go_on(
         &mut self,
         avoid: &mut Vec<id::Upstream>,
@@ -255,14 +261,15 @@
         None
     }
 
-    /// The connection to the upstream of `live` broke after so many `events`.
+    /// Reports that the connection to the upstream of `live` broke after `events` events of its
+    /// answer. Returns the failure's text.
     fn broke(&self, live: &forward::Live, events: u64, failure: &exchange::Failure) -> String {
         let span = self.admitted.state.clock.now().since(live.began);
         self.admitted.broke(&live.upstream, quarantine::Progress::Begun { span, events });
         failure.to_string()
     }
 
-    /// Relays one answer to its end.
+    /// Forwards one answer to its end.
     async fn relay_one(&mut self, mut live: forward::Live) -> Result<(), String> {
         let mut heard = self.admitted.state.clock.now();
         let before = self.events;
@@ -293,10 +300,10 @@
         }
     }
 
-    /// Whether the upstream is given up after it has been silent for `silent`.
+    /// Whether to abandon an upstream that has been silent for `silent`.
     fn gives_up_after(&self, upstream: &id::Upstream, silent: clock::Span) -> bool {
         let silence = self.silence();
-        // The last upstream that may be asked is waited for: it may merely be busy.
+        // The last upstream that may be tried is not abandoned: it may merely be busy.
         if self.upstreams >= self.admitted.route.attempts || silent < LEAST_SILENCE.min(silence) {
             return false;
         }
@@ -314,7 +321,7 @@
         (gap * GAPS).max(LEAST_SILENCE)
     }
 
-    /// Passes on each whole event of the buffer.
+    /// Forwards each complete event in the buffer.
     async fn pass_events(&mut self) -> Result<(), String> {
         while let Some(length) = whole_event(&self.buffer) {
             let event = self.buffer.split_to(length);
@@ -322,7 +329,8 @@
             if let (Some(number), Some(last)) = (number, self.last_event)
                 && number <= last
             {
-                // What the caller has already; an upstream that goes on may repeat its start.
+                // The caller has this event already; an upstream that resumes a stream may repeat
+                // its start.
                 continue;
             }
             self.last_event = number.or(self.last_event);
@@ -353,7 +361,7 @@
             .info();
     }
 
-    /// The body is whole: what is left of it is passed on as it is.
+    /// Forwards the rest of the buffer unchanged after the body has ended.
     async fn pass_rest(&mut self) -> Result<(), String> {
         if self.buffer.is_empty() {
             return Ok(());
@@ -368,7 +376,7 @@
     }
 }
 
-/// Length of the first event in `bytes`, its blank line included.
+/// Returns the length of the first event in `bytes`, including its blank line.
 fn whole_event(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
@@ -384,7 +392,7 @@
     None
 }
 
-/// The number in an event's `id` line.
+/// Returns the number in an event's `id` line.
 fn event_number(event: &[u8]) -> Option<u64> {
     let lines = event.split(|byte| *byte == b'\n');
     let mut ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
--- a/crates/lagoon-gateway/src/told.rs
+++ b/crates/lagoon-gateway/src/told.rs
@@ -1,4 +1,5 @@
-//! What this host tells the others of what it knows, and to whom; what it forgets by their word.
+//! Publishing of this host's state to other hosts, and removal of dispatches that other hosts
+//! report as ended.
 
 use std::collections;
 use std::net;
@@ -14,8 +15,8 @@
 use crate::word;
 
 impl state::State {
-    /// What a life of the host at `address`, heard of for the first time, is told of what is under
-    /// way: all that this host knows of its own zone, where that is for it to tell.
+    /// Returns the dispatches in flight to send to a new incarnation of the host at `address`:
+    /// those of this host's zone as far as this host is the one to report them.
     pub(crate) fn told_when_met(&self, address: net::SocketAddr) -> Vec<word::Word> {
         let now = self.clock.now();
         let zone = &self.settings.node.zone;
@@ -36,7 +37,8 @@
         self.under_way(|host| near || lives.contains(&host))
     }
 
-    /// What the lives of which `wanted` holds have under way, as words.
+    /// Returns updates that describe the dispatches in flight of the incarnations selected by
+    /// `wanted`.
     fn under_way<Wanted>(&self, wanted: Wanted) -> Vec<word::Word>
     where
         Wanted: Fn(u64) -> bool,
@@ -55,7 +57,8 @@
         words
     }
 
-    /// Numbers of the dispatches that each of `lives` has under way, of lives without any too.
+    /// Returns the numbers of the dispatches in flight for each of `lives`, with an empty list for
+    /// those that have none.
     pub(crate) fn numbers(&self, lives: &collections::HashSet<u64>) -> Vec<word::UnderWay> {
         let mut numbers: collections::HashMap<u64, Vec<u64>> =
             lives.iter().map(|life| (*life, Vec::new())).collect();
@@ -68,7 +71,7 @@
         numbers.into_iter().map(under_way).collect()
     }
 
-    /// A heartbeat.
+    /// Encodes a heartbeat.
     pub(crate) fn heartbeat(&self, under_way: Vec<word::UnderWay>, wants_answer: bool) -> Vec<u8> {
         let node = &self.settings.node;
         let beat = word::Beat {
@@ -81,24 +84,25 @@
         self.batch(word::Batch { beat: Some(beat), ..word::Batch::default() })
     }
 
-    /// The datagram of `batch`, said by this life.
+    /// Encodes `batch` as a datagram of this host.
     pub(crate) fn batch(&self, batch: word::Batch) -> Vec<u8> {
         self.said_always(batch).encode_to_vec()
     }
 
-    /// `batch` with what each batch of this life tells.
+    /// Adds to `batch` the fields that every batch of this host carries.
     fn said_always(&self, batch: word::Batch) -> word::Batch {
         let confirmed_ms = self.confirmation_age().map(word::millis);
         let verdicts = self.verdicts_checksum();
         word::Batch { host: self.number, confirmed_ms, verdicts, ..batch }
     }
 
-    /// The datagrams that carry `words` to the other hosts.
+    /// Encodes `words` as datagrams for the other hosts.
     pub(crate) fn datagrams(&self, words: Vec<word::Word>) -> Vec<Vec<u8>> {
         self.said_always(word::Batch::default()).datagrams(words)
     }
 
-    /// Sends `datagrams` to a host. One that cannot be sent now is lost, which costs only efficiency.
+    /// Sends `datagrams` to a host. A datagram that cannot be sent now is dropped, which costs only
+    /// efficiency.
     pub(crate) fn send(&self, address: net::SocketAddr, datagrams: &[Vec<u8>]) {
         for datagram in datagrams {
             if self.socket.send_to(datagram, address).is_err() {
@@ -107,15 +111,15 @@
         }
     }
 
-    /// Where the hosts of this zone, and those of others, hear words that are to know what is under
-    /// way.
+    /// Returns the addresses of the hosts that track dispatches in flight: those in this zone, and
+    /// those in other zones.
     pub(crate) fn reached(&self) -> (Vec<net::SocketAddr>, Vec<net::SocketAddr>) {
         let now = self.clock.now();
         let peers = state::lock(&self.peers);
         (peers.near(now), peers.far(now))
     }
 
-    /// Whether this host tells other zones what the host at `address` says.
+    /// Whether this host forwards updates of the host at `address` to other zones.
     pub(crate) fn relays_for(&self, address: net::SocketAddr) -> bool {
         let now = self.clock.now();
         let peers = state::lock(&self.peers);
@@ -123,13 +127,13 @@
         shared && peers.roster.leads(now) && peers.is_in(address, &self.settings.node.zone)
     }
 
-    /// A life of a host ended: what it had under way is over.
+    /// Drops the dispatches of a host incarnation that has ended.
     pub(crate) fn forget_life(&self, life: u64) {
         self.keep_only(life, &collections::HashSet::new(), clock::Span::ZERO);
     }
 
-    /// All that `life` has under way are the dispatches `numbers`: others of it that were heard of
-    /// longer than `span` ago are over. Other zones are told by the host that schedules for this one.
+    /// Drops the dispatches of `life` that are not among `numbers` and were first seen longer than
+    /// `span` ago. The zone's scheduler publishes their end to other zones.
     pub(crate) fn keep_only(
         &self,
         life: u64,
@@ -152,8 +156,8 @@
         }
     }
 
-    /// Tells what happened to a dispatch of this host: in a zone in which one host schedules for the
-    /// others, that host tells other zones.
+    /// Publishes an update of this host. In a zone with a scheduler, the scheduler forwards it to
+    /// other zones.
     pub(crate) fn tell(&self, word: word::Word) {
         let peers = state::lock(&self.peers);
         let near = peers.roster.is_own_shared() && !peers.roster.leads(self.clock.now());
@@ -161,23 +165,24 @@
         self.say(word, if near { mesh::Reach::Near } else { mesh::Reach::All });
     }
 
-    /// A dispatch of this host will not be made, or is over.
+    /// Publishes that a dispatch of this host ended or will not be made.
     pub(crate) fn say_ended(&self, service: &id::Service, id: placement::WorkId) {
         self.tell(word::Word::new(id.number, service, word::What::Ended(word::Nothing {})));
     }
 
-    /// Says a word to those in `reach`. A full channel loses it, which costs them only efficiency.
+    /// Queues an update for the hosts in `reach`. If the queue is full, the update is dropped,
+    /// which costs only efficiency.
     pub(crate) fn say(&self, word: word::Word, reach: mesh::Reach) {
         if self.words.try_send(mesh::Said { word, reach }).is_err() {
             self.metrics.words_lost.inc();
         }
     }
 
-    /// A request showed how an upstream of `service` fares. In a zone in which one host schedules
-    /// for the others, it is told.
+    /// Records how an upstream of `service` handled a request. In a zone with a scheduler, the
+    /// scheduler is told as well.
     ///
-    /// Load pattern: engines crash beside hundreds of hosts with two requests a second each. If each
-    /// host had to find out by itself, each crash would cost hundreds of requests.
+    /// When engines crash, each of hundreds of hosts with two requests a second would otherwise
+    /// have to find out by itself, and each crash would cost hundreds of requests.
     pub(crate) fn saw(&self, service: &id::Service, seen: word::Seen) {
         self.with_board(service, |board, now| seen.note(board, now));
         if state::lock(&self.peers).roster.is_own_shared() {
--- a/crates/lagoon-gateway/src/underway.rs
+++ b/crates/lagoon-gateway/src/underway.rs
@@ -1,4 +1,4 @@
-//! A dispatch under way, as this host and the others count it on its upstreams.
+//! A dispatch in flight, as this host and the others count it in the load of its upstreams.
 
 use std::sync;
 
@@ -12,38 +12,38 @@
 use crate::state;
 use crate::word;
 
-/// Who decided where a dispatch goes.
+/// The host that placed a dispatch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Decider {
-    /// This host, which tells the others.
+    /// This host, which publishes it to the others.
     Own,
-    /// The host that schedules for the zone, which has told them.
+    /// The zone's scheduler, which has published it already.
     Scheduler,
 }
 
-/// A dispatch that this host and the others count on its upstreams until it is dropped.
+/// A dispatch that is counted in the load of its upstreams until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Underway {
     state: sync::Arc<state::State>,
     service: id::Service,
     id: placement::WorkId,
     read: bool,
-    /// Released when the dispatch ends.
+    /// Memory reservations, released when the dispatch ends.
     reserved: Option<reserve::Held>,
 }
 
 impl Underway {
-    /// The memory that is reserved for it.
+    /// Returns the reservations of the dispatch, if any.
     pub(crate) fn reserved(&self) -> Option<&reserve::Held> {
         self.reserved.as_ref()
     }
 
-    /// Keeps `reserved` until it ends.
+    /// Keeps `reserved` until the dispatch ends.
     pub(crate) fn keep(&mut self, reserved: Option<reserve::Held>) {
         self.reserved = reserved;
     }
 
-    /// The dispatch `id` begins, placed as `placement` by `decider`.
+    /// Begins the dispatch `id`, placed by `decider` as `placement`.
     pub(crate) fn begin(
         admitted: &forward::Admitted,
         id: placement::WorkId,
@@ -70,7 +70,7 @@
         underway
     }
 
-    /// The first token came.
+    /// Records that the first token arrived.
     pub(crate) fn first_token(&mut self) {
         if std::mem::replace(&mut self.read, true) {
             return;
@@ -79,7 +79,7 @@
         self.tell(word::What::First(word::Nothing {}));
     }
 
-    /// Something of its answer came.
+    /// Records activity of the upstream: bytes of the answer arrived.
     pub(crate) fn heard(&self) {
         if let Some(reserved) = &self.reserved {
             reserved.heard();
--- a/crates/lagoon-gateway/src/watch.rs
+++ b/crates/lagoon-gateway/src/watch.rs
@@ -1,7 +1,7 @@
-//! Watches of the platform's tables: the desired state and the upstreams.
+//! Watches of the platform's tables.
 //!
-//! Each watch holds one call open until something changes. A call that fails is made again after a
-//! pause that grows and is drawn at random, so that hosts do not all return at once.
+//! Each watch keeps one call open until the table changes. A failed call is repeated after a
+//! randomised exponential backoff, so that hosts do not all return at once.
 
 use std::sync;
 
@@ -16,47 +16,47 @@
 use crate::state;
 use crate::store as client;
 
-/// What an answer may take beyond the time that the store was asked to wait: a slow store takes a
-/// quarter of a second, and a lost packet costs as much again.
+/// Time that an answer may take beyond the wait that was asked for: a slow store takes 250 ms, and
+/// a lost packet costs as much again.
 const SLACK: clock::Span = clock::Span::from_millis(800);
-/// Part of the bound on leaving upstreams that may pass between two looks at them: the rest is for a
-/// slow answer and a lost packet.
+/// Share of the bound on leaving upstreams that may pass between two reads of the list. The rest is
+/// for a slow answer and a lost packet.
 const PAUSE_SHARE: f64 = 0.4;
-/// First pause after a failed call.
+/// Pause after the first failed call.
 const FIRST_PAUSE: clock::Span = clock::Span::from_millis(60);
-/// Doublings of it.
+/// Maximum number of times that the pause is doubled.
 const DOUBLINGS: u32 = 5;
 
-/// Longest pause after the first look at the desired state.
+/// Maximum pause after the first read of the desired state.
 const SETTLED: clock::Span = clock::Span::from_millis(400);
 
-/// A table that is watched.
+/// A watch of one table.
 #[derive(Debug)]
 pub(crate) struct Watch {
     client: client::Client,
     name: &'static str,
     table: &'static str,
     wait: clock::Span,
-    /// What is known of the table, and up to which version.
+    /// The local copy of the table.
     mirror: feed::Table,
     failures: u32,
     longest_pause: clock::Span,
     clock: crate::Boot,
 }
 
-/// News of a table.
+/// Changes of a table.
 #[derive(Debug)]
 pub(crate) struct News {
-    /// The rows that changed.
+    /// The changed rows.
     pub(crate) rows: Vec<store::Row>,
     /// The table had no later change up to this moment.
     pub(crate) at: clock::Moment,
-    /// Whether the call before this one failed.
+    /// Whether the previous call failed.
     pub(crate) returned: bool,
 }
 
 impl Watch {
-    /// A watch of `table`, called `name` in logs.
+    /// Creates a watch of `table`, called `name` in logs.
     pub(crate) fn new(
         state: &state::State,
         name: &'static str,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The next news; waits through failures.
+    /// Waits for the next answer of the platform, through failures. Its rows may be empty.
     pub(crate) async fn next(&mut self) -> News {
         loop {
             let started = self.clock.now();
@@ -107,8 +107,9 @@
         version: u64,
         started: clock::Moment,
     ) -> Result<Option<News>, client::Trouble> {
-        // After a failure the first answer must come at once: it tells since when the store is
-        // back, and entries that vanish later than that have not lapsed but are gone.
+        // After a failure the first answer must come at once. It tells since when the store has
+        // been back; entries that vanish later have been removed and have not merely expired in the
+        // outage.
         let wait = if self.failures > 0 { clock::Span::ZERO } else { self.wait };
         let call = store::feed(self.table, version, wait);
         let reply = self.client.call(&call, wait + SLACK).await?;
@@ -120,7 +121,7 @@
             state::lock(&self.mirror).forget();
             return Ok(None);
         };
-        // An answer without changes says that there was none while the store waited.
+        // An answer without changes means that there was none while the store waited.
         let quiet = if rows.rows.is_empty() { started + wait } else { started };
         let at = quiet.min(self.clock.now());
         let part = mirror::Part { rows: rows.rows, all: false, version: rows.version };
@@ -134,7 +135,8 @@
         loop {
             let reply = self.client.call(&store::rows(self.table, &from), SLACK).await?;
             let store::Reply::Rows(page) = reply else { return Ok(None) };
-            // Changes between two pages come again by the feed after the first page's version.
+            // Changes made between two pages are reported by the feed after the first page's
+            // version.
             version = version.or(Some(page.version));
             rows.extend(page.rows);
             match rows.last() {
@@ -156,7 +158,7 @@
         News { rows, at, returned: self.failures > 0 }
     }
 
-    /// Calls a platform that fails no more often than this host is to.
+    /// Updates the longest pause between failing calls, which depends on this host's rank.
     pub(crate) fn set_pause(&mut self, state: &state::State) {
         self.longest_pause = longest_pause(state);
     }
@@ -179,7 +181,7 @@
     state::lock(&state.peers).roster.longest_pause(state.clock.now())
 }
 
-/// Keeps the desired state in force, while this host reads for itself.
+/// Keeps the desired state current while this host reads the platform itself.
 pub(crate) async fn desired(state: sync::Arc<state::State>) {
     let bound = state.settings.node.bounds.revoke.unwrap_or(clock::Span::MAX);
     let tuning = &state.settings.tuning;
@@ -194,12 +196,13 @@
         watch.set_pause(&state);
         let news = watch.next().await;
         feed::take_desired(&state, &news.rows, news.at);
-        // Nobody else can be asked yet at the first look; a moment later another host may read.
+        // No other host can be asked yet at the first read; a moment later another host may be
+        // reading.
         tokio::time::sleep(std::mem::take(&mut first_pause)).await;
     }
 }
 
-/// Keeps the list of upstreams, while this host reads for itself.
+/// Keeps the list of upstreams current while this host reads the platform itself.
 pub(crate) async fn upstreams(state: sync::Arc<state::State>) {
     let tuning = &state.settings.tuning;
     let pause = tuning.upstreams_pause.min(state.settings.node.bounds.leaving.mul_f64(PAUSE_SHARE));
