--- a/crates/lagoon-gateway/src/word.rs
+++ b/crates/lagoon-gateway/src/word.rs
@@ -1,8 +1,8 @@
-//! What entry hosts tell each other of the requests that they send: datagrams of prost messages.
+//! Messages between entry hosts about dispatches and upstreams, sent as prost datagrams.
 //!
-//! A word that is lost, late or doubled changes what a host believes of an engine's load, never
-//! what a caller is told. Verdicts of the quarantine are the exception: they decide what is refused,
-//! so hosts compare a checksum of them and tell each other what one lacks.
+//! A lost, late or duplicated update changes only a host's estimate of an engine's load, never an
+//! answer to a caller. Quarantine verdicts are the exception, since they decide which requests are
+//! refused; so hosts compare a checksum of their verdicts and send each other what is missing.
 
 use lagoonline::clock;
 use lagoonline::id;
@@ -12,132 +12,132 @@
 use crate::quarantine;
 use crate::question;
 
-/// A batch of words from one life of a host.
+/// A batch of updates from one host incarnation.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Batch {
-    /// Number of that life.
+    /// Number of the sending incarnation.
     #[prost(fixed64, tag = "1")]
     pub(crate) host: u64,
-    /// The words, in the order in which they were said.
+    /// The updates, in the order in which they happened.
     #[prost(message, repeated, tag = "2")]
     pub(crate) words: Vec<Word>,
-    /// Milliseconds since the host's desired state was last known to be the newest; absent before
-    /// the first.
+    /// Milliseconds since the sender's desired state was last confirmed to be the newest; absent
+    /// before the first confirmation.
     #[prost(uint32, optional, tag = "3")]
     pub(crate) confirmed_ms: Option<u32>,
-    /// Who the host is, now and then.
+    /// Heartbeat, sent periodically.
     #[prost(message, optional, tag = "4")]
     pub(crate) beat: Option<Beat>,
-    /// Questions where requests are to go.
+    /// Questions to the receiver as the zone's scheduler.
     #[prost(message, repeated, tag = "5")]
     pub(crate) questions: Vec<question::Question>,
-    /// Answers to such questions.
+    /// Answers to the receiver's questions.
     #[prost(message, repeated, tag = "6")]
     pub(crate) answers: Vec<question::Answer>,
-    /// Checksum of the verdicts that the host knows.
+    /// Checksum of the quarantine verdicts that the sender knows.
     #[prost(fixed64, tag = "7")]
     pub(crate) verdicts: u64,
 }
 
-/// A heartbeat: who the host is, and all that is under way for its callers.
+/// A heartbeat: identifies the host and lists its dispatches in flight.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Beat {
-    /// The host's name.
+    /// Name of the host.
     #[prost(string, tag = "1")]
     pub(crate) host: String,
-    /// Its zone.
+    /// Zone of the host.
     #[prost(string, tag = "2")]
     pub(crate) zone: String,
-    /// Part of a processor core that it has.
+    /// Share of a processor core that the host may use.
     #[prost(double, tag = "3")]
     pub(crate) cores: f64,
-    /// What it has under way, or what the hosts of its zone have.
+    /// Dispatches in flight of this host, or of all hosts in its zone.
     #[prost(message, repeated, tag = "4")]
     pub(crate) under_way: Vec<UnderWay>,
-    /// Whether it wants to be answered.
+    /// Whether the receiver should answer with a batch of its own.
     #[prost(bool, tag = "5")]
     pub(crate) wants_answer: bool,
 }
 
-/// All dispatches that one life of a host has under way.
+/// All dispatches in flight of one host incarnation.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct UnderWay {
-    /// Number of that life.
+    /// Number of the incarnation.
     #[prost(fixed64, tag = "1")]
     pub(crate) host: u64,
-    /// Their numbers.
+    /// Numbers of the dispatches.
     #[prost(uint64, repeated, tag = "2")]
     pub(crate) numbers: Vec<u64>,
 }
 
-/// One thing that happened to a dispatch.
+/// An update about a dispatch, or about an upstream of a service.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Word {
-    /// Number of the dispatch at its host.
+    /// Number of the dispatch at its host; 0 if the update is not about a dispatch.
     #[prost(uint64, tag = "1")]
     pub(crate) number: u64,
-    /// Its service.
+    /// Name of the service.
     #[prost(string, tag = "2")]
     pub(crate) service: String,
-    /// What happened.
+    /// What happened; absent if only a later build knows its kind.
     #[prost(oneof = "What", tags = "3, 4, 5, 6, 7, 8, 9, 10")]
     pub(crate) what: Option<What>,
-    /// The life whose dispatch it is, where that is not the one that tells.
+    /// Incarnation whose dispatch it is, if not the sender's.
     #[prost(fixed64, optional, tag = "20")]
     pub(crate) host: Option<u64>,
 }
 
 impl Word {
-    /// What happened to the dispatch with this number to `service`.
+    /// Creates an update about this host's dispatch `number` to `service`.
     pub(crate) fn new(number: u64, service: &id::Service, what: What) -> Word {
         Word { number, service: service.to_string(), what: Some(what), host: None }
     }
 
-    /// What happened to a dispatch of any host.
+    /// Creates an update about a dispatch of any host.
     pub(crate) fn about(id: placement::WorkId, service: &id::Service, what: What) -> Word {
         Word { host: Some(id.host), ..Word::new(id.number, service, what) }
     }
 }
 
-/// What happened to a dispatch.
+/// The kind of an update.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub(crate) enum What {
-    /// It was sent.
+    /// The dispatch was sent.
     #[prost(message, tag = "3")]
     Sent(Sent),
-    /// Its first token came.
+    /// Its first token arrived.
     #[prost(message, tag = "4")]
     First(Nothing),
-    /// It ended.
+    /// The dispatch ended.
     #[prost(message, tag = "5")]
     Ended(Nothing),
-    /// No dispatch: an engine of the service said how fast it works.
+    /// Not about a dispatch: an engine reported its speed.
     #[prost(message, tag = "6")]
     Reported(Reported),
-    /// No dispatch: a request showed how an upstream of the service fares.
+    /// Not about a dispatch: how an upstream handled a request.
     #[prost(message, tag = "7")]
     Seen(Seen),
-    /// No dispatch: an upstream crashed.
+    /// Not about a dispatch: an upstream crashed.
     #[prost(message, tag = "8")]
     Crashed(quarantine::Crashed),
-    /// No dispatch: a suspect was answered whole.
+    /// Not about a dispatch: a suspect was answered completely.
     #[prost(message, tag = "9")]
     Cleared(quarantine::Cleared),
-    /// No dispatch: a verdict on a request.
+    /// Not about a dispatch: a verdict on a request.
     #[prost(message, tag = "10")]
     Verdict(quarantine::Verdict),
 }
 
-/// How an upstream fared with a request.
+/// How an upstream handled a request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Seen {
-    /// The upstream.
+    /// Name of the upstream.
     #[prost(string, tag = "1")]
     pub(crate) upstream: String,
-    /// What it did.
+    /// What the upstream did, as a [`Manner`].
     #[prost(enumeration = "Manner", tag = "2")]
     pub(crate) manner: i32,
-    /// The upstream that could not reach it, where that was not the host.
+    /// Upstream that could not reach it; absent if it was the host.
     #[prost(string, optional, tag = "3")]
     pub(crate) from: Option<String>,
 }
@@ -146,39 +146,39 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, prost::Enumeration)]
 #[repr(i32)]
 pub(crate) enum Manner {
-    /// It answered.
+    /// Answered it.
     Answered = 0,
-    /// It answered with an error of its own.
+    /// Answered it with a server error.
     Erred = 1,
-    /// It could not be reached, or fell silent.
+    /// Was unreachable or stopped responding.
     Failed = 2,
-    /// It had no memory to reserve.
+    /// Had no memory to reserve.
     Full = 3,
 }
 
-/// What an engine said of itself.
+/// The speed that an engine reported.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Reported {
-    /// The engine.
+    /// Name of the engine.
     #[prost(string, tag = "1")]
     pub(crate) upstream: String,
-    /// Times its published pace that it takes.
+    /// Factor by which the engine is slower than its published speed.
     #[prost(double, tag = "2")]
     pub(crate) slowness: f64,
 }
 
 impl Seen {
-    /// What `upstream` did.
+    /// Creates an observation that `upstream` did `manner`.
     pub(crate) fn new(upstream: &id::Upstream, manner: Manner) -> Seen {
         Seen { upstream: upstream.to_string(), manner: manner.into(), from: None }
     }
 
-    /// The engine `from` could not reach `upstream`, which was to read a part of a prompt.
+    /// Creates an observation that the engine `from` could not reach its helper `upstream`.
     pub(crate) fn unhelped(from: &id::Upstream, upstream: &id::Upstream) -> Seen {
         Seen { from: Some(from.to_string()), ..Seen::new(upstream, Manner::Failed) }
     }
 
-    /// Lets `board` know.
+    /// Applies the observation to `board`.
     pub(crate) fn note(&self, board: &mut placement::Board, now: clock::Moment) {
         let upstream = id::Upstream::from(self.upstream.as_str());
         match (self.manner(), &self.from) {
@@ -193,45 +193,45 @@
     }
 }
 
-/// No more to say.
+/// An empty message.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub(crate) struct Nothing {}
 
-/// A dispatch as it was sent.
+/// A dispatch that was sent.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Sent {
-    /// The upstream that answers.
+    /// Upstream that answers the request.
     #[prost(string, tag = "1")]
     pub(crate) first: String,
-    /// Engines that read parts of the prompt.
+    /// Engines that prefill parts of the prompt.
     #[prost(string, repeated, tag = "2")]
     pub(crate) helpers: Vec<String>,
-    /// Tokens of memory reserved on the first helpers.
+    /// Tokens of memory reserved on each of `helpers`; may be shorter than that list.
     #[prost(uint64, repeated, tag = "3")]
     pub(crate) held: Vec<u64>,
-    /// Tokens of the prompt.
+    /// Prompt length in tokens.
     #[prost(uint64, tag = "4")]
     pub(crate) prompt: u64,
-    /// Longest pause between events that is in time, in milliseconds.
+    /// Target for the longest gap between events, in milliseconds.
     #[prost(uint32, tag = "5")]
     pub(crate) gap_ms: u32,
-    /// Time left at sending, in milliseconds.
+    /// Milliseconds until the deadline when the dispatch was sent.
     #[prost(uint32, tag = "6")]
     pub(crate) left_ms: u32,
 }
 
-/// The span of so many milliseconds in a word.
+/// Decodes a span from milliseconds.
 pub(crate) fn span(millis: u32) -> clock::Span {
     clock::Span::from_millis(u64::from(millis))
 }
 
-/// Whole milliseconds of `span`, as far as a word carries them.
+/// Encodes a span in whole milliseconds, limited to `u32::MAX`.
 pub(crate) fn millis(span: clock::Span) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
 
 impl Sent {
-    /// What is told of `work` at `now`.
+    /// Encodes `work` at `now`.
     pub(crate) fn new(work: &placement::Work, now: clock::Moment) -> Sent {
         Sent {
             first: work.first.to_string(),
@@ -243,7 +243,7 @@
         }
     }
 
-    /// The work that was told of, heard at `now`.
+    /// Decodes the work, received at `now`.
     pub(crate) fn work(self, id: placement::WorkId, now: clock::Moment) -> placement::Work {
         placement::Work {
             id,
@@ -257,11 +257,11 @@
     }
 }
 
-/// Bytes of a datagram that links carry in one packet.
+/// Maximum size of a datagram in bytes that fits into one packet on usual links.
 pub(crate) const DATAGRAM: usize = 1_350;
 
-/// `items` in parts that each fit into a datagram, one part at least; an item that is larger by
-/// itself stands alone.
+/// Splits `items` into parts that each fit into a datagram; returns at least one part. An item that
+/// is too large gets a part of its own.
 pub(crate) fn pack<Item>(items: Vec<Item>) -> Vec<Vec<Item>>
 where
     Item: Message,
@@ -285,9 +285,9 @@
 }
 
 impl Batch {
-    /// The datagrams that carry `words` beside what this batch holds, each within [`DATAGRAM`] where
-    /// a word allows it; one where
-    /// there are no words: it tells that the host is there.
+    /// Encodes `words` together with this batch's other fields as datagrams of at most [`DATAGRAM`]
+    /// bytes, unless a single update is larger. Without updates there is one datagram, which shows
+    /// that the host is alive.
     pub(crate) fn datagrams(&self, words: Vec<Word>) -> Vec<Vec<u8>> {
         let batch = |words| Batch { words, ..self.clone() };
         pack(words).into_iter().map(|words| batch(words).encode_to_vec()).collect()
--- a/crates/lagoon-gateway/tests/decider/mod.rs
+++ b/crates/lagoon-gateway/tests/decider/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the host that decides for its zone: it answers each question with one upstream.
+//! A stand-in of a zone's scheduler that answers every question with the same upstream.
 
 use std::net;
 use std::sync;
@@ -10,7 +10,7 @@
 
 use super::standin::Standin;
 
-/// What hosts tell each other, as far as questions need it.
+/// The messages between hosts, as far as questions and answers need them.
 #[derive(Clone, PartialEq, prost::Message)]
 struct Batch {
     #[prost(fixed64, tag = "1")]
@@ -41,14 +41,14 @@
     first: String,
 }
 
-/// The stand-in.
+/// The stand-in scheduler.
 #[derive(Debug)]
 pub struct Decider {
     asked: sync::Arc<atomic::AtomicUsize>,
 }
 
 impl Decider {
-    /// Registers as the largest host of the zone and names `upstream` to whoever asks.
+    /// Registers as the largest host of the zone and answers every question with `upstream`.
     pub fn start(standin: &Standin, upstream: &str) -> Decider {
         let socket = net::UdpSocket::bind("127.0.0.1:0").unwrap();
         let reader = net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
@@ -75,7 +75,7 @@
         Decider { asked }
     }
 
-    /// Questions that it got.
+    /// Returns the number of questions received.
     pub fn asked(&self) -> usize {
         self.asked.load(atomic::Ordering::SeqCst)
     }
--- a/crates/lagoon-gateway/tests/host/mod.rs
+++ b/crates/lagoon-gateway/tests/host/mod.rs
@@ -1,4 +1,4 @@
-//! An entry host before a stand-in of the platform's store, two engines and two replicas.
+//! An entry host with a stand-in of the platform's store, two engines and two replicas.
 
 use std::io::{Read, Write};
 use std::net;
@@ -8,7 +8,7 @@
 
 use super::standin::{self, Standin, event};
 
-/// Longest time that a step may take on a busy machine.
+/// Maximum time of a step on a busy machine.
 pub const PATIENCE: time::Duration = time::Duration::from_secs(20);
 
 /// A running host.
@@ -19,14 +19,14 @@
     pub ready: net::SocketAddr,
 }
 
-/// Where a host stands, and how it is set.
+/// Identity and settings of a host.
 #[derive(Clone, Copy, Debug)]
 pub struct Place<'a> {
     pub name: &'a str,
     pub zone: &'a str,
-    /// Hosts of a zone from which on one decides for the others.
+    /// Minimum number of hosts in a zone for one of them to place requests for the others.
     pub relay_hosts: u64,
-    /// Bound on keys that were taken away, in milliseconds.
+    /// Key revocation bound in milliseconds.
     pub revoke_ms: u64,
 }
 
@@ -48,7 +48,8 @@
     lagoon_platform::settings::read(&text).unwrap()
 }
 
-/// A desired state in which `keys` are valid and requests last `timeout` milliseconds at most.
+/// Returns a desired state in which `keys` are valid and requests time out after `timeout`
+/// milliseconds.
 pub fn desired(version: u64, keys: &[&str], timeout: u64) -> serde_json::Value {
     let engine = json!({"Slots": 16, "KvCacheTokens": 232000, "Stride": 43, "step_ms": 1.0,
         "read_per_s": 206000.0, "pairs_per_m": 0.138, "chunk": 2048});
@@ -70,7 +71,7 @@
 }
 
 impl Host {
-    /// A host that is ready, before two engines and two replicas.
+    /// Starts a host with two engines and two replicas, and waits until it is ready.
     pub fn start() -> Host {
         let standin = Standin::start();
         standin.put("op", "config", &desired(1, &["k1"], 10_000));
@@ -83,7 +84,7 @@
         Host::join(&standin, Place::default())
     }
 
-    /// One more host before `standin`, once it is ready.
+    /// Starts another host of `standin`, and waits until it is ready.
     pub fn join(standin: &Standin, place: Place<'_>) -> Host {
         let settings = lagoon_gateway::Settings {
             node: node(standin, place),
@@ -107,7 +108,7 @@
         host
     }
 
-    /// Waits until `check` holds.
+    /// Waits until `check` returns true; `what` names the awaited state in the failure message.
     pub fn until<Check>(&self, what: &str, mut check: Check)
     where
         Check: FnMut() -> bool,
@@ -119,12 +120,12 @@
         }
     }
 
-    /// Status of the answer to the balancer.
+    /// Returns the status of the readiness check.
     pub fn readiness(&self) -> u16 {
         exchange(self.ready, "GET /api/ready HTTP/1.1\r\nhost: h\r\n\r\n").0
     }
 
-    /// Requests that this host refuses since they crash engines.
+    /// Returns the number of quarantined requests.
     pub fn held(&self) -> usize {
         let list = exchange(self.ready, "GET /quarantine HTTP/1.1\r\nhost: h\r\n\r\n").1;
         let list: serde_json::Value = serde_json::from_str(&list).unwrap();
@@ -132,7 +133,7 @@
         held.filter(|verdict| verdict["released"] == false).count()
     }
 
-    /// Sends a request with `more` headers and reads its answer.
+    /// Sends a request with `more` headers and returns its answer.
     pub fn call(&self, method: &str, path: &str, key: &str, more: &str) -> (u16, String) {
         let head = format!(
             "{method} {path} HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: q1\r\n\
@@ -141,12 +142,12 @@
         exchange(self.callers, &head)
     }
 
-    /// Sends a short prompt and reads its answer.
+    /// Sends a short prompt and returns its answer.
     pub fn talk(&self) -> (u16, String) {
         self.call("POST", "/talk/a", "k1", "lagoonline-token-count: 5000,400\r\n")
     }
 
-    /// Requests that upstreams ran.
+    /// Returns the number of requests that upstreams ran.
     pub fn ran(&self) -> usize {
         self.standin.seen().iter().filter(|seen| seen.ran).count()
     }
@@ -160,8 +161,8 @@
     }
 }
 
-/// Sends a request and reads its answer; the status, and the body as far as it came. Status 0 is
-/// no answer. A chunked body that ends without its end mark has " CUT" behind it.
+/// Sends a request and returns the status and the body as far as it came. Status 0 means no answer.
+/// " CUT" is appended to a chunked body without its terminating chunk.
 pub fn exchange(address: net::SocketAddr, head: &str) -> (u16, String) {
     let mut stream = net::TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -204,7 +205,7 @@
     ended.then(|| (status, whole + " CUT"))
 }
 
-/// The events of a whole answer.
+/// Returns the events of a complete answer.
 pub fn all_events() -> String {
     (1..=standin::EVENTS).map(event).collect()
 }
--- a/crates/lagoon-gateway/tests/lethal.rs
+++ b/crates/lagoon-gateway/tests/lethal.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the engines which begin to run them, over several hosts and zones.
+//! Tests of requests that crash the engines which begin to run them, with several hosts and zones.
 
 #[path = "../../../platform/tests/standin/mod.rs"]
 #[allow(dead_code, reason = "each test program uses a part of it")]
@@ -15,20 +15,20 @@
 use host::{Host, PATIENCE, Place, all_events, desired, exchange};
 use standin::{LETHAL, Manner, Standin};
 
-/// Time after the third crash in which all hosts have learnt of it.
+/// Time after the third crash within which all hosts have the verdict.
 const STABLE_WINDOW: time::Duration = time::Duration::from_millis(3_000);
-/// Sends of a lethal request that may follow later.
+/// Number of times that a lethal request may still be sent after that.
 const LATE_SENDS: usize = 3;
-/// Engines before which the hosts stand.
+/// Number of engines behind the hosts.
 const ENGINES: usize = 8;
-/// Table of the requests that are refused.
+/// Table of the quarantine verdicts.
 const TABLE: &str = "lagoon-quarantine";
 /// Table of the entry hosts.
 const HOSTS: &str = "lagoon-hosts";
-/// Pause between two callers.
+/// Pause between two requests.
 const PAUSE: time::Duration = time::Duration::from_millis(80);
 
-/// A host that starts after the others.
+/// Settings of a host that starts after the others.
 fn late() -> Place<'static> {
     Place { name: "h5", zone: "c", ..Place::default() }
 }
@@ -37,7 +37,7 @@
     format!("e{number}")
 }
 
-/// Sends a prompt with `body` under the id `number`; the answer.
+/// Sends a prompt with `body` under the request id `number` and returns the answer.
 fn send(host: &Host, number: u64, body: &str) -> (u16, String) {
     let head = format!(
         "POST /talk/a HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: q{number}\r\n\
@@ -48,7 +48,7 @@
     exchange(host.callers, &head)
 }
 
-/// Hosts of two zones before the same engines.
+/// Hosts of two zones in front of the same engines.
 struct Fleet {
     standin: Standin,
     hosts: Vec<Host>,
@@ -60,7 +60,7 @@
         Fleet::start_with(Place::default())
     }
 
-    /// All hosts are set as `place` is.
+    /// Starts all hosts with the settings of `place`, except for name and zone.
     fn start_with(place: Place<'_>) -> Fleet {
         let standin = Standin::start();
         standin.put("op", "config", &desired(1, &["k1"], 10_000));
@@ -72,14 +72,15 @@
         Fleet { standin, hosts: hosts.into(), sent: 0 }
     }
 
-    /// Sends a prompt with `body`, under an id of its own, to the next host in turn; the answer.
+    /// Sends a prompt with `body` to the next host in turn, under a new request id, and returns the
+    /// answer.
     fn prompt(&mut self, body: &str) -> (u16, String) {
         self.sent += 1;
         let host = &self.hosts[self.sent as usize % self.hosts.len()];
         send(host, self.sent, body)
     }
 
-    /// Sends the lethal request again and again for `span`.
+    /// Sends the lethal request repeatedly for `span`.
     fn attack(&mut self, span: time::Duration) {
         let until = time::Instant::now() + span;
         while time::Instant::now() < until {
@@ -88,14 +89,14 @@
         }
     }
 
-    /// What all engines do from now on.
+    /// Sets the behaviour of all engines.
     fn all_engines(&self, manner: Manner) {
         for number in 0..ENGINES {
             self.standin.manner(&engine(number), manner);
         }
     }
 
-    /// Sends the lethal request until it is refused as such.
+    /// Sends the lethal request until it is refused because of the quarantine.
     fn attack_until_refused(&mut self) {
         let began = time::Instant::now();
         while !self.prompt(LETHAL).1.contains("quarantined") {
@@ -104,21 +105,21 @@
         }
     }
 
-    /// Waits until the platform holds the verdict; its key.
+    /// Waits until the platform has stored the verdict, and returns its key.
     fn await_row(&self) -> String {
         let keys = || self.standin.keys(TABLE);
         self.hosts[0].until("stored", || !keys().is_empty());
         keys().remove(0)
     }
 
-    /// Sends of the lethal request that reached an engine after `moment`.
+    /// Counts the lethal requests that reached an engine after `moment`.
     fn lethal_after(&self, moment: time::Instant) -> usize {
         let seen = self.standin.seen();
         let lethal = seen.iter().filter(|seen| seen.body == LETHAL.as_bytes());
         lethal.filter(|seen| seen.at > moment).count()
     }
 
-    /// When the third engine crashed.
+    /// Returns when the third engine crashed.
     fn third_crash(&self) -> time::Instant {
         let crashes = self.standin.crashes();
         assert!(crashes.len() >= 3, "{} engines crashed", crashes.len());
@@ -126,7 +127,7 @@
     }
 }
 
-/// Guards against sending a request on that has crashed three engines.
+/// A request that has crashed three engines must not be sent any more.
 #[rstest]
 #[case::each_host_judges(6)]
 #[case::one_host_of_each_zone_judges(2)]
@@ -138,7 +139,7 @@
     assert!(late <= LATE_SENDS, "sent {late} times more, {crashes} engines crashed");
 }
 
-/// Guards against hosts that forget a lethal request because all of them were killed.
+/// A verdict must survive a crash of all hosts, through the platform's table.
 #[rstest]
 fn a_kill_of_all_hosts_forgets_no_lethal_request() {
     let mut fleet = Fleet::start();
@@ -152,13 +153,13 @@
     assert!(late <= LATE_SENDS, "sent {late} times more after all hosts were killed");
 }
 
-/// Guards against a host that starts late and does not know what the others refuse.
+/// A host that starts after a verdict must learn it from the other hosts.
 #[rstest]
 fn a_host_that_starts_late_learns_from_the_others() {
     let mut fleet = Fleet::start();
     fleet.attack_until_refused();
     let row = fleet.await_row();
-    // The platform holds it no longer: only the other hosts can tell.
+    // The platform no longer has it, so only the other hosts can report it.
     fleet.standin.remove(TABLE, &row);
     let late = Host::join(&fleet.standin, late());
     late.until("learnt", || late.held() == 1);
@@ -170,7 +171,7 @@
     assert_eq!(fleet.lethal_after(began), 0);
 }
 
-/// Guards against refusing the prompts that lie beside a lethal one, popular ones among them.
+/// Requests that run beside a lethal one, even frequent ones, must not be quarantined.
 #[rstest]
 fn prompts_beside_a_lethal_one_are_answered() {
     let mut fleet = Fleet::start();
@@ -187,7 +188,7 @@
     assert_eq!(fleet.prompt("popular"), (200, all_events()));
 }
 
-/// Guards against refusing a request because its connections broke, whatever broke them.
+/// Connections that break for another reason than a crash must not lead to a quarantine.
 #[rstest]
 #[case::reset(Manner::LoseAnswer)]
 #[case::broken_off(Manner::BreakAfter(0))]
@@ -204,7 +205,7 @@
     assert_eq!(fleet.prompt("unlucky"), (200, all_events()));
 }
 
-/// Guards against a verdict that operators can neither see nor end.
+/// Operators must be able to list and to end a quarantine.
 #[rstest]
 fn operators_list_and_release_what_is_refused() {
     let mut fleet = Fleet::start();
@@ -220,11 +221,13 @@
     fleet.hosts[0].until("sent again", || fleet.standin.crashes().len() > crashes);
 }
 
-/// Guards against a zone that was cut off and goes on sending what the others refuse.
+/// A zone that was cut off when a verdict was made must learn it on reconnection, and not go on
+/// sending the request.
 #[rstest]
 fn a_zone_that_was_cut_off_learns_at_its_return() {
     let mut fleet = Fleet::start();
-    // Behind the cut the zone sees the engines, but neither the platform of the others nor them.
+    // Behind the partition the zone sees the engines, but neither the platform nor the hosts of the
+    // others.
     let behind = Standin::start();
     behind.put("op", "config", &desired(1, &["k1"], 10_000));
     behind.copy(&fleet.standin, "servers");
@@ -239,7 +242,7 @@
     assert_eq!(fleet.lethal_after(began), 0);
 }
 
-/// Guards against losing verdicts that are made while the platform is away.
+/// A verdict that is made while the platform is down must be stored when it is back.
 #[rstest]
 fn a_verdict_made_while_the_platform_is_away_is_kept() {
     let mut fleet = Fleet::start_with(Place { revoke_ms: 20_000, ..Place::default() });
--- a/crates/lagoon-gateway/tests/logs.rs
+++ b/crates/lagoon-gateway/tests/logs.rs
@@ -1,4 +1,4 @@
-//! What the log says of a request, by which a failure is explained afterwards.
+//! Tests of the log lines by which a failed request is explained afterwards.
 
 #[path = "../../../platform/tests/standin/mod.rs"]
 #[allow(dead_code, reason = "each test program uses a part of it")]
@@ -16,7 +16,7 @@
 use host::Host;
 use standin::Manner;
 
-/// Lines that the process has logged.
+/// Lines that this process has logged.
 static LINES: sync::Mutex<Vec<String>> = sync::Mutex::new(Vec::new());
 
 struct Lines;
@@ -33,7 +33,7 @@
     fn flush(&self) {}
 }
 
-/// Records the lines of this process from now on.
+/// Starts recording the lines of this process.
 fn record() {
     static STARTED: sync::Once = sync::Once::new();
     STARTED.call_once(|| {
@@ -42,7 +42,7 @@
     });
 }
 
-/// Guards against start lines lost behind a line for each of many upstreams.
+/// A log line for each of many upstreams would displace the other lines of the start.
 #[rstest]
 fn the_first_list_of_upstreams_is_one_line() {
     record();
@@ -52,7 +52,7 @@
     assert!(!lines.iter().any(|line| line.contains("\"upstream_listed\"")));
 }
 
-/// Guards against a failure line without the request's id when the caller left before its answer.
+/// The line about a caller that left before its answer must contain the request id.
 #[rstest]
 fn a_caller_that_left_is_logged_by_its_request_id() {
     record();
--- a/crates/lagoon-gateway/tests/path.rs
+++ b/crates/lagoon-gateway/tests/path.rs
@@ -1,4 +1,5 @@
-//! The whole path before a stand-in of the platform's store and upstreams, over sockets.
+//! Tests of the whole request path over sockets, with a stand-in of the platform's store and
+//! upstreams.
 
 #[path = "../../../platform/tests/standin/mod.rs"]
 #[allow(dead_code, reason = "each test program uses a part of it")]
@@ -17,8 +18,8 @@
 use host::{Host, PATIENCE, all_events, desired, exchange};
 use standin::{Manner, event};
 
-/// A quiet day: a stream, a booking and a lookup are answered whole; the upstream is shown the
-/// customer and never the key, and gets the time that is left.
+/// Without faults a stream, a booking and a lookup are answered completely. The upstream is given
+/// the customer but never the key, and the time that is left.
 #[rstest]
 fn a_quiet_day_is_served() {
     let host = Host::start();
@@ -36,7 +37,7 @@
     assert!(host.standin.seen().iter().any(|seen| seen.path == "/look/1?q=2"));
 }
 
-/// A booking's body reaches the replica as it was sent.
+/// A booking's body reaches the replica unchanged.
 #[rstest]
 fn a_body_is_passed_on_unchanged() {
     let host = Host::start();
@@ -49,8 +50,8 @@
     assert_eq!(host.standin.seen()[0].body, b"two\r\n\r\nlines"[..11]);
 }
 
-/// An engine runs a request and its answer is lost; there is no other engine. The caller hears 502:
-/// 503 would promise that it has not run.
+/// The only engine runs a request and its answer is lost. The caller must get 502, since 503 would
+/// promise that the request has not run.
 #[rstest]
 fn a_request_that_was_lost_is_not_told_as_not_run() {
     let host = Host::start();
@@ -61,8 +62,8 @@
     assert_eq!(host.ran(), 1);
 }
 
-/// A caller leaves in the middle of its stream. The engine stops within half a second: work for
-/// nobody would delay the others.
+/// The caller of a stream disconnects. The engine must stop within half a second, so that the
+/// abandoned work does not delay other requests.
 #[rstest]
 fn the_engine_stops_when_the_caller_leaves() {
     let host = Host::start();
@@ -78,7 +79,7 @@
     host.until("stopped", || host.standin.stopped() == 1);
 }
 
-/// A long prompt reserves its memory before it is sent and releases it when its answer has ended.
+/// A long prompt reserves its memory before it is sent, and releases it when the answer has ended.
 #[rstest]
 fn memory_of_a_long_prompt_comes_back() {
     let host = Host::start();
@@ -98,9 +99,9 @@
     assert!(named.contains(orders[0]["Id"].as_str().unwrap()), "{named} names no reservation");
 }
 
-/// A prompt larger than one engine is read by two, and the one that is to answer it falls silent. Its
-/// caller still waits, but the other engine's memory is no longer renewed: it lapses by itself and
-/// is back before the bound on unused memory, not only when the host's patience has ended.
+/// A prompt larger than one engine is prefilled by two, and the engine that has to answer stops
+/// responding. The caller still waits, but the memory on the helper must not be renewed: it has to
+/// be free within the bound on unused memory, not only after the host's own timeout.
 #[rstest]
 fn memory_for_an_engine_that_went_dark_is_not_renewed() {
     let host = Host::start();
@@ -129,15 +130,15 @@
     drop(caller.join());
 }
 
-/// An engine crashes in the middle of an event. The caller sees one whole stream: the half event
-/// is dropped, and the other engine goes on after the last event that was passed on.
+/// An engine crashes in the middle of an event. The caller must get one complete stream: the
+/// partial event is dropped, and the other engine resumes after the last event that was forwarded.
 #[rstest]
 fn a_stream_goes_on_at_another_engine() {
     let host = Host::start();
     host.standin.manner("e1", Manner::BreakAfter(4));
     host.standin.manner("e2", Manner::BreakAfter(4));
     let change = host.standin.clone();
-    // Whichever engine gets it first breaks; the other answers whole as soon as one has got it.
+    // The engine that gets the request first breaks off; the other answers completely from then on.
     std::thread::spawn(move || {
         while change.seen().is_empty() {
             std::thread::sleep(time::Duration::from_millis(1));
@@ -152,8 +153,8 @@
     assert_eq!(seen[1].headers["last-event-id"], "4");
 }
 
-/// Both engines break off. The caller's stream ends without its end mark and without any byte that
-/// no engine sent; it must not look complete.
+/// Both engines break off. The stream must end without its terminating chunk and without bytes that
+/// no engine sent, so that it does not look complete.
 #[rstest]
 fn a_stream_that_cannot_go_on_is_cut() {
     let host = Host::start();
@@ -164,8 +165,8 @@
     assert_eq!((status, body), (200, expected + " CUT"));
 }
 
-/// A replica runs a booking and its answer is lost. The caller hears 502, which promises nothing,
-/// and the booking is not sent again: a second run would book twice.
+/// A replica runs a booking and its answer is lost. The caller must get 502, which promises
+/// nothing, and the booking must not be sent again: a second run would book twice.
 #[rstest]
 fn a_booking_whose_answer_is_lost_runs_once() {
     let host = Host::start();
@@ -175,8 +176,8 @@
     assert_eq!(host.ran(), 1);
 }
 
-/// Both replicas say that they did not run a booking. The caller hears 503, which promises that it
-/// has not run, with a time to come back.
+/// Both replicas report that they did not run a booking. The caller must get 503, which promises
+/// that it has not run, and a retry time.
 #[rstest]
 fn a_booking_that_is_refused_has_not_run() {
     let host = Host::start();
@@ -186,7 +187,8 @@
     assert_eq!(host.ran(), 0);
 }
 
-/// A lookup may run again: the first replica loses its answer, the second one's reaches the caller.
+/// A lookup is idempotent: when the first replica loses its answer, the second one's answer is
+/// returned.
 #[rstest]
 fn a_lookup_is_tried_again() {
     let host = Host::start();
@@ -194,7 +196,8 @@
     assert_eq!(host.call("GET", "/look/1", "k1", "").0, 200);
 }
 
-/// An answer without the upstream's proof is nobody's: the caller must not see it as a success.
+/// An answer without the upstream's signature may come from anyone and must not be forwarded as a
+/// success.
 #[rstest]
 fn an_unproven_answer_is_not_passed_on() {
     let host = Host::start();
@@ -203,7 +206,7 @@
     assert_eq!(host.call("POST", "/book/1", "k1", "content-length: 0\r\n").0, 502);
 }
 
-/// A replica says that it is leaving. From then on every request goes to the other one.
+/// A replica registers as leaving. From then on all requests must go to the other one.
 #[rstest]
 fn a_leaving_upstream_gets_nothing_new() {
     let host = Host::start();
@@ -217,8 +220,8 @@
     assert!(host.standin.seen().iter().all(|seen| seen.upstream == "r2"));
 }
 
-/// A route is dropped and a key is taken away by a new version; both are refused from then on, and
-/// neither comes back with an older version.
+/// A new version removes a route and revokes a key. Both must be refused from then on, and an older
+/// version that is written later must not restore them.
 #[rstest]
 fn a_new_desired_state_is_in_force() {
     let host = Host::start();
@@ -232,8 +235,9 @@
     assert_eq!(host.call("GET", "/nowhere/1", "k2", "").0, 404);
 }
 
-/// The platform is out for longer than the bound on keys. Requests with a key are refused as not
-/// run, since it may have been taken away meanwhile; they are served again when it is back.
+/// The platform is down for longer than the key revocation bound. Requests with a key must be
+/// refused as not run, since the key may have been revoked meanwhile, and served again after the
+/// recovery.
 #[rstest]
 fn keys_are_not_trusted_beyond_their_bound() {
     let host = Host::start();
@@ -246,8 +250,8 @@
     host.until("served", || host.call("GET", "/look/1", "k1", "").0 == 200);
 }
 
-/// The host is told to end while a stream runs: it says that it is not ready, the stream ends
-/// whole, and the process ends by itself.
+/// The host is drained while a stream is running: it reports not ready, the stream ends completely,
+/// and then the process ends.
 #[rstest]
 fn a_drain_cuts_no_stream() {
     let mut host = Host::start();
@@ -267,8 +271,8 @@
     running.wait().unwrap();
 }
 
-/// An engine reports that it works four times slower than published. Within some seconds callers'
-/// prompts go to the other one only; when it reports its usual pace again, it gets some again.
+/// An engine reports that it works four times slower than published. Prompts must go to the other
+/// engine within some seconds, and to this one again after it reports its usual speed.
 #[rstest]
 fn a_slow_engine_gets_nothing_new() {
     let host = Host::start();
@@ -285,9 +289,9 @@
     host.until("used again", || talks_to("e1"));
 }
 
-/// An engine is gone, though it is still listed: the first engine of a long prompt refuses it since
-/// that helper is missing, and says which. The prompt must go on without that helper at once; asked
-/// again with it, the caller's prompt is refused three times and turned away.
+/// A helper engine is down but still listed, and the first engine of a long prompt refuses the
+/// request and names that helper. The prompt must be retried without that helper at once; otherwise
+/// it would be refused three times and rejected.
 #[rstest]
 fn a_helper_that_is_gone_is_left_out() {
     let host = Host::start();
@@ -304,9 +308,9 @@
     assert_eq!(prompts.count(), 4);
 }
 
-/// The platform turns this host away for longer than the bound on keys, and serves another one,
-/// which says so. A caller that is refused here is asked to come back at once, since the other host
-/// can serve it; while no host can, it is asked to wait.
+/// The platform refuses this host for longer than the key revocation bound but serves another host,
+/// which reports it. A caller that is refused here must be told to retry at once, since the other
+/// host can serve it; while no host can, it must be told to wait.
 #[rstest]
 fn callers_are_sent_to_hosts_that_can_serve_them() {
     let host = Host::start();
@@ -328,7 +332,7 @@
         line.unwrap().trim().parse().unwrap()
     };
     assert!(retry_after() >= 0.3, "sent away though no host can serve");
-    // A batch of no words: host number 7, confirmed 0 ms ago.
+    // A batch without updates: host number 7, confirmed 0 ms ago.
     let batch = [9, 7, 0, 0, 0, 0, 0, 0, 0, 0x18, 0];
     let peer = net::UdpSocket::bind("127.0.0.1:0").unwrap();
     host.until("sent on", || {
@@ -337,7 +341,7 @@
     });
 }
 
-/// Guards against a process that outlives its grace time since a request does not end.
+/// A request that does not end must not keep the process running beyond its grace time.
 #[rstest]
 fn a_drain_ends_within_the_grace_time() {
     let mut host = Host::start();
--- a/crates/lagoon-gateway/tests/relay.rs
+++ b/crates/lagoon-gateway/tests/relay.rs
@@ -1,5 +1,5 @@
-//! Several entry hosts of one zone, over sockets: one reads the platform for the others and decides
-//! where their requests go, and each tells it what it has under way.
+//! Tests of several entry hosts of one zone, over sockets: one reads the platform and places
+//! requests for the others, and each reports its dispatches in flight.
 
 #[path = "../../../platform/tests/standin/mod.rs"]
 #[allow(dead_code, reason = "each test program uses a part of it")]
@@ -17,16 +17,16 @@
 
 use standin::{Manner, Standin};
 
-/// Longest time that a step may take on a busy machine.
+/// Maximum time of a step on a busy machine.
 const PATIENCE: time::Duration = time::Duration::from_secs(20);
 /// How long one watch of the desired state is held.
 const WATCH: time::Duration = time::Duration::from_millis(300);
-/// Within this after the hosts are back, callers are served.
+/// Time after a restart of all hosts within which callers are served.
 const RECOVERY: time::Duration = time::Duration::from_secs(12);
-/// Bound on keys that were taken away.
+/// Key revocation bound.
 const REVOKE: time::Duration = time::Duration::from_millis(5_000);
 
-/// Silence after which a host is gone.
+/// Silence after which a host's row is removed.
 const GONE: time::Duration = time::Duration::from_millis(2_000);
 
 struct Host {
@@ -34,7 +34,8 @@
 }
 
 impl Host {
-    /// A host named `name` with a part of a core; the one with the largest part reads.
+    /// Starts the host `name` with a share of `cores`. The host with the largest share reads the
+    /// platform.
     fn start(standin: &Standin, name: &str, cores: f64) -> Host {
         let text = format!(
             "NodeName: {name}\nIp: 127.0.0.1\nZone: a\nListen:\n  Front: \"127.0.0.1:0\"\n  \
@@ -60,7 +61,7 @@
         host
     }
 
-    /// Status of an answer at the callers' address, or at that of readiness.
+    /// Returns the status of an answer at the callers' or at the readiness address.
     fn status(&self, side: &str, path: &str, key: &str) -> u16 {
         let handle = self.running.as_ref().unwrap().handle();
         status(if side == "ready" { handle.ready() } else { handle.callers() }, path, key)
@@ -85,12 +86,12 @@
     }
 }
 
-/// Status of the answer to a request.
+/// Returns the status of the answer to a request.
 fn status(address: net::SocketAddr, path: &str, key: &str) -> u16 {
     text(address, path, key).split(' ').nth(1).unwrap().parse().unwrap()
 }
 
-/// The answer to a request.
+/// Returns the answer to a request.
 fn text(address: net::SocketAddr, path: &str, key: &str) -> String {
     let mut stream = net::TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -123,7 +124,7 @@
         "Tenants": [{"Name": "c1", "ApiKeys": keys}]})
 }
 
-/// A desired state with one route, whose requests run once at most.
+/// Returns a desired state with one route, whose requests may run only once.
 fn bookings() -> serde_json::Value {
     let book = json!({"Name": "book", "Host": "x.example", "Prefix": "/book/", "Kind": "unsafe",
         "TimeoutMs": 20_000, "TargetLatencyMs": 200, "Service": "app", "MaxAttempts": 1});
@@ -132,14 +133,14 @@
     state
 }
 
-/// A platform with one replica, and two hosts of which the first reads for the second.
+/// Starts a platform with one replica, and two hosts of which the first reads for the second.
 fn zone() -> (Standin, Host, Host) {
     let standin = Standin::start();
     standin.put("op", "config", &desired(1, &["k1"]));
     standin.upstream("r1", "app", 6);
     let first = Host::start(&standin, "h1", 0.5);
     let second = Host::start(&standin, "h2", 0.1);
-    // Two hosts that each read for themselves would begin about 13 watches in this time.
+    // Two hosts that each read the platform would begin about 13 watches in this time.
     until("read by one host", || {
         let before = standin.watches("op");
         thread::sleep(WATCH * 20 / 3);
@@ -148,8 +149,8 @@
     (standin, first, second)
 }
 
-/// One host reads. A new key and a new replica are told to the other, whose callers are served by
-/// them, and a key that was taken away is refused there.
+/// A host that does not read the platform must get changes from the one that does: a new key and a
+/// new replica are used, and a revoked key is refused.
 #[rstest]
 fn a_host_that_does_not_read_is_told() {
     let (standin, _first, second) = zone();
@@ -165,8 +166,8 @@
     });
 }
 
-/// The host that reads ends. The other reads for itself at once: its callers with a key are served
-/// all the while, and a change that comes just then is in force within the bound of two seconds.
+/// The host that reads the platform ends. The other must read it at once: its callers are served
+/// all the while, and a change made at that moment is applied within two seconds.
 #[rstest]
 fn the_end_of_the_reader_is_made_up_for() {
     let (standin, mut first, second) = zone();
@@ -183,8 +184,8 @@
     until("told of the next key", || second.look("k3") == 200);
 }
 
-/// The platform is out. What one host tells the other grows old with it: neither serves a key
-/// beyond its bound, and both serve it again when the platform is back.
+/// The platform is down. What one host relays to the other ages as well: neither may accept a key
+/// beyond the revocation bound, and both must accept it again after the recovery.
 #[rstest]
 fn told_keys_are_not_trusted_beyond_their_bound() {
     let (standin, first, second) = zone();
@@ -201,9 +202,9 @@
     }
 }
 
-/// Three bookings are under way at the only replica, sent by one host, when another replica comes
-/// and another host starts. The new host is told of the three: its own first three go to the idle
-/// replica. Not told, it would share them out, and callers would wait behind those it does not know.
+/// Three bookings are in flight at the only replica when a second replica and a second host start.
+/// The new host must learn of the three and send its own first three bookings to the idle replica;
+/// otherwise it would spread them, and callers would queue behind bookings that it does not know.
 #[rstest]
 fn a_new_host_knows_what_is_under_way() {
     let standin = Standin::start();
@@ -227,8 +228,8 @@
     assert_eq!(send(&second, 3), ["r2", "r2", "r2"]);
 }
 
-/// A zone of two hosts before two replicas that hold what they get: bookings that callers send to
-/// either host.
+/// A zone of two hosts in front of two replicas that do not answer, for bookings sent to either
+/// host.
 struct Bookings {
     standin: Standin,
     hosts: Vec<Host>,
@@ -246,7 +247,7 @@
         Bookings { standin, hosts }
     }
 
-    /// Sends a booking to each of `hosts` and tells which replicas got them.
+    /// Sends a booking to each of `hosts` and returns the replicas that got them.
     fn book(&self, hosts: &[usize]) -> Vec<String> {
         let before = self.standin.seen().len();
         for host in hosts {
@@ -258,8 +259,8 @@
     }
 }
 
-/// Ten callers come to two hosts at the same moment. Each host alone would believe both replicas
-/// idle and send its first bookings where the other does; decided by one host, five go to each.
+/// Ten requests arrive at two hosts at the same time. Two hosts that place requests on their own
+/// would both start with the same idle replica; placed by one scheduler, five go to each replica.
 #[rstest]
 fn one_host_decides_for_its_zone() {
     let zone = Bookings::start();
@@ -269,8 +270,9 @@
     }
 }
 
-/// The host that decides for its zone ends. The other's callers are served all the while: first it
-/// says that it does not decide any more, then it is silent, and the other decides by itself.
+/// The zone's scheduler ends. The other host's callers must be served all the while: first the
+/// scheduler reports that it no longer schedules, then it does not answer, and the other host
+/// places requests itself.
 #[rstest]
 fn the_end_of_the_host_that_decides_is_made_up_for() {
     let mut zone = Bookings::start();
@@ -286,8 +288,9 @@
     assert!(began.elapsed() < time::Duration::from_secs(2), "after {:?}", began.elapsed());
 }
 
-/// A replica closes its connections without an answer, and one host's caller meets that. The other host learns of it from
-/// the host that decides for both: its caller's lookup goes to the sound replica at once.
+/// A replica closes its connections without an answer, and one host observes it. The other host
+/// must learn of it from the zone's scheduler, so that its lookups go to the healthy replica at
+/// once.
 #[rstest]
 fn a_failure_that_one_host_met_spares_the_others() {
     let (standin, first, second) = zone();
@@ -303,7 +306,7 @@
         assert_eq!(second.look("k1"), 200);
         missed(&second) > 0
     });
-    // Words gather for some milliseconds before they are sent.
+    // Updates are collected for some milliseconds before they are sent.
     thread::sleep(time::Duration::from_millis(100));
     let before = missed(&first);
     for _ in 0..20 {
@@ -312,8 +315,8 @@
     assert_eq!(missed(&first), before, "the other host met the failing replica too");
 }
 
-/// Guards against rows of replaced hosts that stay at the platform, and against the loss of a host
-/// that lives and whose row was removed.
+/// The rows of replaced hosts must be removed from the platform, and a running host whose row was
+/// removed must write it again.
 #[rstest]
 fn rows_of_hosts_that_are_gone_are_removed() {
     let (standin, _first, second) = zone();
@@ -329,7 +332,7 @@
     assert_eq!(second.look("k1"), 200);
 }
 
-/// Guards against a system that is not served again after all of its hosts were gone at once.
+/// Callers must be served again after all hosts were down at once.
 #[rstest]
 fn callers_are_served_again_after_all_hosts_were_gone() {
     let (standin, mut first, mut second) = zone();
@@ -346,8 +349,8 @@
     assert!(began.elapsed() < RECOVERY, "served after {:?}", began.elapsed());
 }
 
-/// Guards against a request sent to an upstream that the deciding host lists and this host knows to
-/// be leaving, or does not know.
+/// The scheduler may list an upstream that this host knows to be leaving, or does not know. A
+/// placement on it must not be used.
 #[rstest]
 #[case::leaving(true)]
 #[case::unknown(false)]
@@ -366,7 +369,7 @@
     } else {
         standin.remove("servers", "r9");
     }
-    // Two looks at the list.
+    // Time for two reads of the list.
     thread::sleep(time::Duration::from_millis(500));
     let before = standin.seen().len();
     let decider = decider::Decider::start(&standin, "r9");
--- a/crates/lagoon-gateway/tests/silence.rs
+++ b/crates/lagoon-gateway/tests/silence.rs
@@ -1,5 +1,5 @@
-//! Upstreams that fall silent under a request while their connections stay open, and the memory
-//! that such requests have reserved.
+//! Tests of upstreams that stop responding to a request while the connection stays open, and of the
+//! memory reserved for such requests.
 
 #[path = "../../../platform/tests/standin/mod.rs"]
 #[allow(dead_code, reason = "each test program uses a part of it")]
@@ -16,7 +16,7 @@
 use host::{Host, all_events, exchange};
 use standin::Manner;
 
-/// A host before one engine, whose requests are answered as `manner` says.
+/// Starts a host in front of one engine that behaves as `manner`.
 fn before_one_engine(manner: Manner) -> Host {
     let host = Host::start();
     host.standin.remove("servers", "e2");
@@ -25,7 +25,8 @@
     host
 }
 
-/// Sends a prompt of `tokens` on `route`; the answer, and how long it took.
+/// Sends a prompt of `tokens` tokens on `route`; the thread returns the answer and how long it
+/// took.
 fn prompt(
     host: &Host,
     route: &str,
@@ -43,7 +44,7 @@
     })
 }
 
-/// Names of the reservations in the orders that engines got, of the kind `op`.
+/// Returns the ids of the reservations in the orders of kind `op` that engines got.
 fn orders(host: &Host, op: &str) -> Vec<String> {
     let seen = host.standin.seen();
     let orders = seen.iter().filter(|seen| seen.path == "/api/order");
@@ -53,7 +54,7 @@
     orders.map(|order| order["Id"].as_str().unwrap().to_owned()).collect()
 }
 
-/// Guards against waiting for an engine that answers others but not this request.
+/// A request must not wait for an engine that answers later requests but not this one.
 #[rstest]
 fn a_prompt_leaves_an_engine_that_answers_later_ones() {
     let host = before_one_engine(Manner::Mute);
@@ -63,17 +64,18 @@
     assert_eq!(host.talk(), (200, all_events()));
     host.standin.upstream("e3", "llm", 16);
     while !muted.is_finished() {
-        // The engine stays alive: other callers' prompts are answered there.
+        // The engine stays alive: it answers the prompts of other callers.
         assert_eq!(host.talk(), (200, all_events()));
         thread::sleep(time::Duration::from_millis(100));
     }
     let (answer, took) = muted.join().unwrap();
     assert_eq!(answer, (200, all_events()));
-    // Callers of such prompts leave after two seconds without an event.
+    // Callers of such prompts give up after two seconds without an event.
     assert!(took < time::Duration::from_secs(2), "answered after {took:?}");
 }
 
-/// Guards against waiting out a long pause of an engine that is known to have gone silent.
+/// A stream with a long gap target must not wait for an engine that is known to have stopped
+/// responding.
 #[rstest]
 fn a_stream_leaves_an_engine_that_another_stream_lost() {
     let host = before_one_engine(Manner::HangAfter(3));
@@ -88,7 +90,7 @@
     }
 }
 
-/// Guards against renewing memory for a request that its engine has ended without an answer.
+/// Memory must not be renewed for a request that its engine has ended without an answer.
 #[rstest]
 fn memory_of_a_request_that_is_over_is_not_renewed() {
     let host = Host::start();
@@ -97,7 +99,7 @@
     }
     let caller = prompt(&host, "review", 300_000);
     host.until("sent", || host.standin.seen().iter().any(|seen| seen.path == "/review/a"));
-    // Its first token was due by now; the engines report that no request uses the memory.
+    // The first token is overdue by now, and the engines report that no request uses the memory.
     thread::sleep(time::Duration::from_secs(5));
     let before = orders(&host, "reserve").len();
     thread::sleep(time::Duration::from_millis(2_500));
@@ -106,7 +108,8 @@
     drop(caller.join());
 }
 
-/// Guards against memory that an order reserves which is carried out after its release.
+/// A reserve order may be carried out after its reservation was released; that memory must be
+/// released again.
 #[rstest]
 fn a_reservation_that_was_not_answered_is_released_again() {
     let host = before_one_engine(Manner::Hold);
