--- a/crates/lagoon-gateway/src/admit.rs
+++ b/crates/lagoon-gateway/src/admit.rs
@@ -15,7 +15,7 @@
 /// Maximum age of the desired state's last confirmation at which an unknown route or key is
 /// reported as unknown. With an older confirmation the name may have been added since, so the
 /// caller is told to retry.
-const FRESH: clock::Span = clock::Span::from_millis(4_000);
+const MAX_CONFIRMATION_AGE: clock::Span = clock::Span::from_millis(4_000);
 
 /// Admits a request: resolves its route, customer, service and deadline.
 ///
@@ -27,21 +27,26 @@
     state: &sync::Arc<state::State>,
     request: forward::Request,
 ) -> Result<forward::Admitted, answer::Fault> {
-    let Some(table) = state.table() else {
+    let Some(table) = state.routing_table() else {
         let detail = "no desired state yet";
         let fault = answer::Fault::not_run(Reason::PlatformDown, Step::Admit, detail);
-        return Err(fault.after(forward::COME_BACK));
+        return Err(fault.with_retry_after(forward::RETRY_AFTER));
     };
     let age = state.confirmation_age();
     let Some(route) = table.route(&request.host, &request.path) else {
-        return Err(unknown(state, age, Reason::UnknownName, "no such route"));
+        return Err(unknown_name(state, age, Reason::UnknownName, "no such route"));
     };
     let key = request.call.key.as_deref();
     let customer = match table.customer(route, key) {
         routing::Match::Open => None,
         routing::Match::Customer(customer) => Some(customer.name.clone()),
         routing::Match::Unknown => {
-            return Err(unknown(state, age, Reason::Unauthenticated, "no customer holds this key"));
+            return Err(unknown_name(
+                state,
+                age,
+                Reason::Unauthenticated,
+                "no customer holds this key",
+            ));
         }
     };
     if customer.is_some() {
@@ -61,17 +66,18 @@
 
 /// Returns the fault for a route or key that is not in this host's desired state. It is reported as
 /// unknown only if the desired state was confirmed recently.
-fn unknown(
+fn unknown_name(
     state: &state::State,
     age: Option<clock::Span>,
     reason: Reason,
     detail: &str,
 ) -> answer::Fault {
-    if age.is_some_and(|age| age <= FRESH) {
+    if age.is_some_and(|age| age <= MAX_CONFIRMATION_AGE) {
         return answer::Fault::not_run(reason, Step::Authenticate, detail);
     }
     let detail = format!("{detail}, and the desired state was last confirmed {age:?} ago");
-    answer::Fault::not_run(Reason::PlatformDown, Step::Authenticate, detail).after(come_back(state))
+    answer::Fault::not_run(Reason::PlatformDown, Step::Authenticate, detail)
+        .with_retry_after(retry_time(state))
 }
 
 /// Checks that this host may accept keys: its desired state must have been confirmed recently
@@ -87,7 +93,7 @@
     }
     let detail = format!("keys were last confirmed {age:?} ago");
     Err(answer::Fault::not_run(Reason::PlatformDown, Step::Authenticate, detail)
-        .after(come_back(state)))
+        .with_retry_after(retry_time(state)))
 }
 
 /// Returns the retry time for a caller that is rejected because this host cannot reach the
@@ -96,6 +102,6 @@
 /// The platform may be unreachable for some hosts only. A caller that waits here before it tries
 /// another host, which could have answered at once, misses its deadline. So callers are sent on at
 /// once while another host reports that it can trust keys.
-fn come_back(state: &state::State) -> clock::Span {
-    if state.is_trusted_elsewhere() { forward::ELSEWHERE } else { forward::COME_BACK }
+fn retry_time(state: &state::State) -> clock::Span {
+    if state.peer_trusts_keys() { forward::RETRY_ELSEWHERE_AFTER } else { forward::RETRY_AFTER }
 }
--- a/crates/lagoon-gateway/src/answer.rs
+++ b/crates/lagoon-gateway/src/answer.rs
@@ -32,13 +32,13 @@
     }
 
     /// Sets the time after which the caller should retry.
-    pub(crate) fn after(self, span: clock::Span) -> Fault {
+    pub(crate) fn with_retry_after(self, span: clock::Span) -> Fault {
         Fault { retry_after: Some(span), ..self }
     }
 
     /// Sets the outcome to unknown if an earlier attempt may have run (`lost`): the request must
     /// not be reported as not run.
-    pub(crate) fn if_lost(self, lost: bool) -> Fault {
+    pub(crate) fn or_unknown(self, lost: bool) -> Fault {
         if lost { Fault { outcome: Outcome::Unknown, ..self } } else { self }
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Builds the HTTP answer.
-    pub(crate) fn answer(&self, request_id: &str, closing: bool) -> web::HttpResponse {
+    pub(crate) fn to_response(&self, request_id: &str, closing: bool) -> web::HttpResponse {
         let body = serde_json::json!({"error": {
             "code": self.reason.as_str(),
             "message": self.detail,
@@ -71,14 +71,14 @@
         if let Some(span) = self.retry_after {
             builder.set_header("retry-after", format!("{:.2}", span.as_secs_f64()));
         }
-        let echo = head::echo(request_id);
+        let echo = head::request_id_field(request_id);
         builder.set_header(echo.name.as_str(), echo.value.as_slice());
         builder.content_type("application/json").body(body.to_string())
     }
 }
 
 /// Starts an answer with the head of an upstream's answer.
-pub(crate) fn pass_back(
+pub(crate) fn forward_head(
     status: u16,
     fields: &[head::Field],
     closing: bool,
--- a/crates/lagoon-gateway/src/attempt.rs
+++ b/crates/lagoon-gateway/src/attempt.rs
@@ -8,7 +8,7 @@
 
 /// Why an attempt brought no answer that can be forwarded.
 #[derive(Debug)]
-pub(crate) enum Miss {
+pub(crate) enum Failure {
     /// Nothing was sent.
     Unsent(String),
     /// The upstream reported that it did not run the request. `helper` is set if the engine at
@@ -18,45 +18,49 @@
     Lost(String),
 }
 
-impl Miss {
+impl Failure {
     /// Returns the upstream at fault, if it is not the one that was asked.
     pub(crate) fn at_fault(&self) -> Option<&id::Upstream> {
         match self {
-            Miss::Refused { helper, .. } => helper.as_ref(),
-            Miss::Unsent(_) | Miss::Lost(_) => None,
+            Failure::Refused { helper, .. } => helper.as_ref(),
+            Failure::Unsent(_) | Failure::Lost(_) => None,
         }
     }
 
     /// Returns the name of the failure in the log.
-    pub(crate) fn word(&self) -> &'static str {
+    pub(crate) fn label(&self) -> &'static str {
         match self {
-            Miss::Unsent(_) => "unsent",
-            Miss::Refused { helper: None, .. } => "refused",
-            Miss::Refused { helper: Some(_), .. } => "unhelped",
-            Miss::Lost(_) => "lost",
+            Failure::Unsent(_) => "unsent",
+            Failure::Refused { helper: None, .. } => "refused",
+            Failure::Refused { helper: Some(_), .. } => "unhelped",
+            Failure::Lost(_) => "lost",
         }
     }
 
     /// Returns what happened and at which upstream.
     pub(crate) fn detail(&self) -> &str {
         match self {
-            Miss::Unsent(detail) | Miss::Refused { detail, .. } | Miss::Lost(detail) => detail,
+            Failure::Unsent(detail) | Failure::Refused { detail, .. } | Failure::Lost(detail) => {
+                detail
+            }
         }
     }
 
     /// Returns the fault for the caller if there is no further attempt. If the request may have
     /// run, no retry time is given, since the status does not promise that a retry is safe.
-    pub(crate) fn give_up(&self, outcome: Outcome) -> answer::Fault {
-        let fault = failed(outcome, self.detail());
+    pub(crate) fn to_fault(&self, outcome: Outcome) -> answer::Fault {
+        let fault = upstream_fault(outcome, self.detail());
         match self {
-            Miss::Lost(_) => fault,
-            Miss::Unsent(_) | Miss::Refused { .. } => fault.after(forward::COME_BACK),
+            Failure::Lost(_) => fault,
+            Failure::Unsent(_) | Failure::Refused { .. } => {
+                fault.with_retry_after(forward::RETRY_AFTER)
+            }
         }
     }
 }
 
 /// Creates the fault of an upstream's failure.
-pub(crate) fn failed(outcome: Outcome, detail: &str) -> answer::Fault {
+pub(crate) fn upstream_fault(outcome: Outcome, detail: &str) -> answer::Fault {
     let fault = answer::Fault::not_run(Reason::UpstreamFailed, Step::Dispatch, detail);
     answer::Fault { outcome, ..fault }
 }
--- a/crates/lagoon-gateway/src/clock.rs
+++ b/crates/lagoon-gateway/src/clock.rs
@@ -10,22 +10,22 @@
 ///
 /// ```
 /// use lagoonline::clock::Clock;
-/// let clock = lagoon_gateway::Boot::default();
+/// let clock = lagoon_gateway::BootClock::default();
 /// let first = clock.now();
 /// assert!(clock.now() >= first);
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Boot {
+pub struct BootClock {
     start: u64,
 }
 
-impl Default for Boot {
+impl Default for BootClock {
     fn default() -> Self {
-        Boot { start: micros() }
+        BootClock { start: micros() }
     }
 }
 
-impl clock::Clock for Boot {
+impl clock::Clock for BootClock {
     fn now(&self) -> clock::Moment {
         clock::Moment::from_micros(micros().saturating_sub(self.start))
     }
--- a/crates/lagoon-gateway/src/connection.rs
+++ b/crates/lagoon-gateway/src/connection.rs
@@ -30,7 +30,7 @@
 
 impl Connections {
     /// Records that a request arrived on the connection `io`.
-    pub(crate) fn busy(&self, io: &io::IoRef) -> Busy {
+    pub(crate) fn track_request(&self, io: &io::IoRef) -> Busy {
         let id = io.id();
         let mut open = self.open.borrow_mut();
         open.retain(|_, connection| !connection.io.is_closed());
--- a/crates/lagoon-gateway/src/crash.rs
+++ b/crates/lagoon-gateway/src/crash.rs
@@ -16,15 +16,15 @@
 
 use crate::event;
 use crate::forward;
-use crate::link;
 use crate::state;
+use crate::tcp;
 
 /// Timeout of a probe: some round trips between zones.
-const PROBE: clock::Span = clock::Span::from_millis(350);
+const PROBE_TIMEOUT: clock::Span = clock::Span::from_millis(350);
 
 /// Requests whose connections broke, by upstream, while that upstream is being probed.
 #[derive(Debug, Default)]
-pub(crate) struct Breaks(sync::Mutex<collections::HashMap<id::Upstream, Vec<Request>>>);
+pub(crate) struct BrokenRequests(sync::Mutex<collections::HashMap<id::Upstream, Vec<Request>>>);
 
 /// A request whose connection broke.
 #[derive(Clone, Copy, Debug)]
@@ -50,33 +50,37 @@
 
 /// The result of a probe.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Probed {
+enum ProbeResult {
     Ended,
     Alive,
     Unknown,
 }
 
-impl Probed {
+impl ProbeResult {
     fn as_str(self) -> &'static str {
         match self {
-            Probed::Ended => "ended",
-            Probed::Alive => "alive",
-            Probed::Unknown => "unknown",
+            ProbeResult::Ended => "ended",
+            ProbeResult::Alive => "alive",
+            ProbeResult::Unknown => "unknown",
         }
     }
 }
 
 impl forward::Admitted {
     /// Records that the connection to `upstream` broke under this request, and probes the upstream.
-    pub(crate) fn broke(&self, upstream: &id::Upstream, progress: quarantine::Progress) {
+    pub(crate) fn record_broken_connection(
+        &self,
+        upstream: &id::Upstream,
+        progress: quarantine::Progress,
+    ) {
         let request = Request { fingerprint: self.fingerprint(), progress };
-        let mut breaks = state::lock(&self.state.breaks.0);
-        let waiting = breaks.entry(upstream.clone()).or_default();
+        let mut broken = state::lock(&self.state.broken_requests.0);
+        let waiting = broken.entry(upstream.clone()).or_default();
         waiting.push(request);
         let is_first = waiting.len() == 1;
-        drop(breaks);
+        drop(broken);
         if is_first {
-            drop(ntex::rt::spawn(find_out(
+            drop(ntex::rt::spawn(probe_upstream(
                 self.state.clone(),
                 self.service.clone(),
                 upstream.clone(),
@@ -85,30 +89,38 @@
     }
 }
 
-async fn find_out(state: sync::Arc<state::State>, service: id::Service, upstream: id::Upstream) {
-    let probed = probe(&state, &service, &upstream).await;
-    let requests = state::lock(&state.breaks.0).remove(&upstream).unwrap_or_default();
+async fn probe_upstream(
+    state: sync::Arc<state::State>,
+    service: id::Service,
+    upstream: id::Upstream,
+) {
+    let result = probe(&state, &service, &upstream).await;
+    let requests = state::lock(&state.broken_requests.0).remove(&upstream).unwrap_or_default();
     let listed: Vec<_> = requests.iter().map(ToString::to_string).collect();
-    if probed == Probed::Ended {
-        state.crashed(&service, &upstream, &requests);
+    if result == ProbeResult::Ended {
+        state.record_crash(&service, &upstream, &requests);
     }
     event::Line::new("upstream_probed")
         .text("upstream", &upstream)
-        .text("probed", probed.as_str())
+        .text("probed", result.as_str())
         .text("requests", listed.join(", "))
         .info();
 }
 
 /// Probes whether `upstream` has ended. The result is unknown for an upstream that is leaving,
 /// which ends as planned, and for one that is no longer listed, which may have ended long ago.
-async fn probe(state: &state::State, service: &id::Service, upstream: &id::Upstream) -> Probed {
-    let entry = state.with_board(service, |board, _| board.entry(upstream.as_str()).cloned());
+async fn probe(
+    state: &state::State,
+    service: &id::Service,
+    upstream: &id::Upstream,
+) -> ProbeResult {
+    let entry = state.with_placer(service, |placer, _| placer.entry(upstream.as_str()).cloned());
     let Some(entry) = entry.flatten().filter(|entry| !entry.leaving) else {
-        return Probed::Unknown;
+        return ProbeResult::Unknown;
     };
-    match link::connect(entry.address, PROBE).await {
-        Ok(_) => Probed::Alive,
-        Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => Probed::Ended,
-        Err(_) => Probed::Unknown,
+    match tcp::connect(entry.address, PROBE_TIMEOUT).await {
+        Ok(_) => ProbeResult::Alive,
+        Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => ProbeResult::Ended,
+        Err(_) => ProbeResult::Unknown,
     }
 }
--- a/crates/lagoon-gateway/src/exchange.rs
+++ b/crates/lagoon-gateway/src/exchange.rs
@@ -15,7 +15,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-use crate::link;
+use crate::tcp;
 
 /// Body of a request.
 pub(crate) type Payload = http_body_util::Full<body::Bytes>;
@@ -50,7 +50,7 @@
         address: net::SocketAddr,
         timeout: time::Duration,
     ) -> Result<Exchange, Failure> {
-        let stream = link::connect(address, timeout)
+        let stream = tcp::connect(address, timeout)
             .await
             .map_err(|error| Failure::Unsent(error.to_string()))?;
         let (sender, driver) = http1::handshake(TokioIo::new(stream))
@@ -96,20 +96,20 @@
         }
     }
 
-    /// Reads the complete body, of at most `most` bytes.
+    /// Reads the complete body, of at most `limit` bytes.
     ///
     /// # Errors
     ///
     /// [`Failure::Lost`]: the answer broke off or is longer.
-    pub(crate) async fn whole(
+    pub(crate) async fn read_body(
         &mut self,
         body: &mut body::Incoming,
-        most: usize,
+        limit: usize,
     ) -> Result<bytes::BytesMut, Failure> {
         let mut bytes = bytes::BytesMut::new();
         while let Some(chunk) = self.chunk(body).await? {
-            if bytes.len() + chunk.len() > most {
-                return Err(Failure::Lost(format!("an answer of over {most} bytes")));
+            if bytes.len() + chunk.len() > limit {
+                return Err(Failure::Lost(format!("an answer of over {limit} bytes")));
             }
             bytes.extend_from_slice(&chunk);
         }
@@ -117,14 +117,14 @@
     }
 
     /// Waits until the connection can take another request; returns false if it cannot.
-    pub(crate) async fn settle(&mut self) -> bool {
+    pub(crate) async fn wait_reusable(&mut self) -> bool {
         let ready = self.sender.ready();
         let ready = drive(&mut self.driver, ready).await.is_ok();
         ready && self.driver.is_some() && self.sender.is_ready()
     }
 }
 
-/// Sends one request on a new connection. Returns the status and the body, of at most `most` bytes.
+/// Sends one request on a new connection. Returns the status and the body, of at most `limit` bytes.
 /// The call must finish within `timeout`, and the connection must be open within `connect`.
 ///
 /// # Errors
@@ -135,12 +135,12 @@
     request: hyper::Request<Payload>,
     connect: time::Duration,
     timeout: time::Duration,
-    most: usize,
+    limit: usize,
 ) -> Result<(u16, bytes::BytesMut), Failure> {
     let work = async {
         let mut exchange = Exchange::open(address, connect).await?;
         let mut answer = exchange.send(request).await?;
-        let body = exchange.whole(answer.body_mut(), most).await?;
+        let body = exchange.read_body(answer.body_mut(), limit).await?;
         Ok((answer.status().as_u16(), body))
     };
     let timed = tokio::time::timeout(timeout, work).await;
--- a/crates/lagoon-gateway/src/forward.rs
+++ b/crates/lagoon-gateway/src/forward.rs
@@ -20,13 +20,13 @@
 use crate::connection;
 use crate::event;
 use crate::exchange;
+use crate::in_flight;
+use crate::message;
 use crate::place;
 use crate::reserve;
 use crate::silence;
 use crate::state;
 use crate::stream;
-use crate::underway;
-use crate::word;
 
 /// A caller's request with its complete body.
 #[derive(Debug)]
@@ -60,23 +60,23 @@
 }
 
 /// Maximum size in bytes of an answer that is not streamed; it is buffered until complete.
-const WHOLE: usize = 8 << 20;
+const MAX_BUFFERED_BODY: usize = 8 << 20;
 /// Timeout for connecting to an upstream: zones are some milliseconds apart, and a lost packet is
 /// retransmitted after 200 ms.
-const CONNECT: clock::Span = clock::Span::from_millis(350);
+const CONNECT_TIMEOUT: clock::Span = clock::Span::from_millis(350);
 /// Minimum time left before the deadline for another attempt.
-pub(crate) const WORTH_TRYING: clock::Span = clock::Span::from_millis(40);
+pub(crate) const MIN_TIME_LEFT: clock::Span = clock::Span::from_millis(40);
 /// Retry time given to callers when nothing better is known: a restarted upstream or a new version
 /// is seen within this.
-pub(crate) const COME_BACK: clock::Span = clock::Span::from_millis(400);
+pub(crate) const RETRY_AFTER: clock::Span = clock::Span::from_millis(400);
 /// Retry time given to a caller that only this host rejects: at once, at another host.
-pub(crate) const ELSEWHERE: clock::Span = clock::Span::from_millis(20);
+pub(crate) const RETRY_ELSEWHERE_AFTER: clock::Span = clock::Span::from_millis(20);
 /// Prompt length in tokens from which a prompt ranks behind short ones in an engine.
-const MEDIUM_PROMPT: u64 = 25_000;
+const MEDIUM_PROMPT_TOKENS: u64 = 25_000;
 /// Prompt length in tokens from which a prompt ranks behind medium ones.
-const LONG_PROMPT: u64 = 110_000;
+const LONG_PROMPT_TOKENS: u64 = 110_000;
 /// Refusals by upstreams that a request may meet in addition to its attempts.
-const REFUSALS: u32 = 2;
+const MAX_REFUSALS: u32 = 2;
 
 /// An admitted request.
 #[derive(Debug)]
@@ -93,13 +93,13 @@
 
 /// An attempt whose answer has begun.
 #[derive(Debug)]
-pub(crate) struct Live {
+pub(crate) struct OpenAnswer {
     pub(crate) exchange: exchange::Exchange,
     pub(crate) answer: hyper::Response<hyper::body::Incoming>,
-    pub(crate) underway: underway::Underway,
+    pub(crate) in_flight: in_flight::Guard,
     pub(crate) upstream: id::Upstream,
     /// When the head of the answer arrived.
-    pub(crate) began: clock::Moment,
+    pub(crate) head_at: clock::Moment,
 }
 
 /// Forwards `request` and returns the upstream's answer.
@@ -112,7 +112,7 @@
     request: Request,
     caller: Caller,
 ) -> Result<web::HttpResponse, answer::Fault> {
-    state.acquainted().await;
+    state.wait_for_loads().await;
     let admitted = admit::admit(state, request)?;
     let deadline = admitted.deadline;
     let mut may_have_run = false;
@@ -135,72 +135,75 @@
     caller: Caller,
     may_have_run: &mut bool,
 ) -> Result<web::HttpResponse, answer::Fault> {
-    let mut held = request::Held::new(admitted.repeat());
+    let mut held = request::Held::new(admitted.retry_rule());
     let mut avoid = Vec::new();
     let mut attempts = 0;
     let mut refusals = 0;
     let mut lost = false;
     loop {
-        let secured = admitted.secure(&avoid).await.map_err(|fault| fault.if_lost(lost))?;
-        let upstream = secured.placement.first.upstream.clone();
+        let allocation = admitted.allocate(&avoid).await.map_err(|fault| fault.or_unknown(lost))?;
+        let upstream = allocation.placement.first.upstream.clone();
         // Upstreams identify a request by its caller's id, so an attempt needs no id of its own.
         let dispatched = held.dispatch(id::Attempt(0));
         attempts += 1;
         *may_have_run = true;
         let resume = admitted.request.call.last_event;
-        let taken = match admitted.attempt(secured, resume, attempts).await {
-            Ok(live) => admitted.take_answer(live, avoid.len()).await,
-            Err(miss) => Err(miss),
+        let checked = match admitted.attempt(allocation, resume, attempts).await {
+            Ok(open) => admitted.check_answer(open, avoid.len()).await,
+            Err(failed) => Err(failed),
         };
-        let missed = match taken {
-            Ok(taken) => return Ok(taken.deliver(admitted, caller)),
-            Err(missed) => missed,
+        let failed = match checked {
+            Ok(checked) => return Ok(checked.deliver(admitted, caller)),
+            Err(failed) => failed,
         };
-        admitted.log_miss(&upstream, &missed);
-        avoid.push(missed.at_fault().unwrap_or(&upstream).clone());
-        held = match &missed {
-            attempt::Miss::Unsent(_) => dispatched.refused(),
-            attempt::Miss::Refused { .. } => {
+        admitted.log_failure(&upstream, &failed);
+        avoid.push(failed.at_fault().unwrap_or(&upstream).clone());
+        held = match &failed {
+            attempt::Failure::Unsent(_) => dispatched.refused(),
+            attempt::Failure::Refused { .. } => {
                 refusals += 1;
                 dispatched.refused()
             }
-            attempt::Miss::Lost(detail) => {
+            attempt::Failure::Lost(detail) => {
                 lost = true;
-                dispatched.lost().again().map_err(|outcome| attempt::failed(outcome, detail))?
+                dispatched
+                    .lost()
+                    .again()
+                    .map_err(|outcome| attempt::upstream_fault(outcome, detail))?
             }
         };
         *may_have_run = lost;
-        if !admitted.may_try_again(held.attempts(), refusals, &missed) {
-            return Err(missed.give_up(held.end()));
+        if !admitted.may_try_again(held.attempts(), refusals, &failed) {
+            return Err(failed.to_fault(held.end()));
         }
-        admitted.state.metrics.repeats.inc();
+        admitted.state.metrics.retries.inc();
     }
 }
 
 /// An upstream's answer, checked as far as needed before the caller sees any of it.
 #[derive(Debug)]
-pub(crate) enum Taken {
+pub(crate) enum CheckedAnswer {
     /// A complete answer.
     Whole { status: u16, fields: Vec<head::Field>, body: Bytes },
     /// A stream that has begun.
-    Stream { status: u16, fields: Vec<head::Field>, live: Box<Live> },
+    Stream { status: u16, fields: Vec<head::Field>, open: Box<OpenAnswer> },
 }
 
-impl Taken {
+impl CheckedAnswer {
     fn deliver(self, admitted: Admitted, caller: Caller) -> web::HttpResponse {
         let closing = admitted.state.phase() > state::Phase::Serving;
         match self {
-            Taken::Whole { status, fields, body } => {
+            CheckedAnswer::Whole { status, fields, body } => {
                 let span = admitted.state.clock.now().since(admitted.request.arrived);
                 admitted.state.metrics.first_event(0, span);
-                admitted.state.metrics.answered(admitted.service.as_str(), None);
+                admitted.state.metrics.count_answer(admitted.service.as_str(), None);
                 admitted.log_end("whole", status);
-                let mut builder = answer::pass_back(status, &fields, closing);
+                let mut builder = answer::forward_head(status, &fields, closing);
                 builder.body(ntex::util::Bytes::copy_from_slice(&body))
             }
-            Taken::Stream { status, fields, live } => {
-                let mut builder = answer::pass_back(status, &fields, closing);
-                let body = stream::start(admitted, *live, caller);
+            CheckedAnswer::Stream { status, fields, open } => {
+                let mut builder = answer::forward_head(status, &fields, closing);
+                let body = stream::start(admitted, *open, caller);
                 builder.streaming(body)
             }
         }
@@ -208,16 +211,16 @@
 }
 
 impl Admitted {
-    fn repeat(&self) -> request::Repeat {
+    fn retry_rule(&self) -> request::Repeat {
         if self.route.kind.may_repeat() { request::Repeat::Allowed } else { request::Repeat::Never }
     }
 
     /// Returns the time until the request's deadline.
-    pub(crate) fn left(&self) -> clock::Span {
+    pub(crate) fn time_left(&self) -> clock::Span {
         self.deadline.since(self.state.clock.now())
     }
 
-    pub(crate) fn gap(&self) -> clock::Span {
+    pub(crate) fn gap_target(&self) -> clock::Span {
         match self.route.kind {
             routing::Kind::Stream { gap, .. } => gap,
             routing::Kind::Idempotent | routing::Kind::Once => clock::Span::ZERO,
@@ -229,91 +232,99 @@
         &self,
         attempts: u32,
         refusals: u32,
-        missed: &attempt::Miss,
+        failed: &attempt::Failure,
     ) -> bool {
-        let within = match missed {
-            attempt::Miss::Unsent(_) => attempts < self.route.attempts + REFUSALS,
-            attempt::Miss::Refused { .. } => refusals <= REFUSALS,
-            attempt::Miss::Lost(_) => attempts < self.route.attempts + refusals,
+        let within = match failed {
+            attempt::Failure::Unsent(_) => attempts < self.route.attempts + MAX_REFUSALS,
+            attempt::Failure::Refused { .. } => refusals <= MAX_REFUSALS,
+            attempt::Failure::Lost(_) => attempts < self.route.attempts + refusals,
         };
-        if !within || self.left() < WORTH_TRYING {
+        if !within || self.time_left() < MIN_TIME_LEFT {
             return false;
         }
-        let unsent = matches!(missed, attempt::Miss::Unsent(_));
-        let desk = self.state.desk(&self.service);
-        unsent || desk.is_some_and(|desk| state::lock(&desk).budget.take())
+        let unsent = matches!(failed, attempt::Failure::Unsent(_));
+        let dispatcher = self.state.dispatcher(&self.service);
+        unsent || dispatcher.is_some_and(|dispatcher| state::lock(&dispatcher).budget.take())
     }
 
     /// Records activity of an upstream: bytes of an answer arrived.
-    pub(crate) fn heard(&self, upstream: &id::Upstream) {
-        self.state.with_board(&self.service, |board, now| board.heard(upstream, now));
+    pub(crate) fn record_activity(&self, upstream: &id::Upstream) {
+        self.state.with_placer(&self.service, |placer, now| placer.heard(upstream, now));
     }
 
     /// Sends the request to an upstream and waits for the head of its answer.
     pub(crate) async fn attempt(
         &self,
-        secured: place::Secured,
+        allocation: place::Allocation,
         last_event: Option<u64>,
         attempts: u32,
-    ) -> Result<Live, attempt::Miss> {
-        let place::Secured { placement, id: work_id, underway } = secured;
+    ) -> Result<OpenAnswer, attempt::Failure> {
+        let place::Allocation { placement, id: work_id, in_flight } = allocation;
         let first = &placement.first;
-        let connect = CONNECT.min(self.left());
+        let connect = CONNECT_TIMEOUT.min(self.time_left());
         let opened = exchange::Exchange::open(first.address, connect).await;
         let mut exchange = opened.map_err(|failure| {
-            self.suspect(&first.upstream);
-            attempt::Miss::Unsent(format!("{}: {failure}", first.upstream))
+            self.record_unreachable(&first.upstream);
+            attempt::Failure::Unsent(format!("{}: {failure}", first.upstream))
         })?;
-        let request = self.encode(&placement, underway.reserved(), last_event);
-        let request = request.map_err(|error| attempt::Miss::Unsent(error.to_string()))?;
+        let request = self.encode(&placement, in_flight.reservations(), last_event);
+        let request = request.map_err(|error| attempt::Failure::Unsent(error.to_string()))?;
         self.log_dispatch(&placement, work_id.number);
-        if let Some(desk) = self.state.desk(&self.service) {
-            state::lock(&desk).budget.first_attempt();
+        if let Some(dispatcher) = self.state.dispatcher(&self.service) {
+            state::lock(&dispatcher).budget.first_attempt();
         }
         let sent = self.state.clock.now();
         let answer = {
             let mut send = std::pin::pin!(exchange.send(request));
             loop {
-                match tokio::time::timeout(silence::LOOK, &mut send).await {
+                match tokio::time::timeout(silence::CHECK_INTERVAL, &mut send).await {
                     Ok(Ok(answer)) => break answer,
                     Ok(Err(failure)) => {
-                        self.suspect(&first.upstream);
-                        self.broke(&first.upstream, self.before_answer());
-                        return Err(attempt::Miss::Lost(format!("{}: {failure}", first.upstream)));
+                        self.record_unreachable(&first.upstream);
+                        self.record_broken_connection(
+                            &first.upstream,
+                            self.progress_before_answer(),
+                        );
+                        return Err(attempt::Failure::Lost(format!(
+                            "{}: {failure}",
+                            first.upstream
+                        )));
                     }
                     // The last upstream that may be tried is not abandoned: it may merely be busy.
-                    Err(_) if !self.may_repeat(attempts) => {}
+                    Err(_) if !self.may_retry(attempts) => {}
                     Err(_) => {
                         let silent = self.state.clock.now().since(sent);
-                        if let Some(why) = self.give_up_after(&placement, work_id, silent) {
-                            self.suspect(&first.upstream);
+                        if let Some(why) = self.abandon_reason(&placement, work_id, silent) {
+                            self.record_unreachable(&first.upstream);
                             let detail = format!("{}: {why}, for {silent:?}", first.upstream);
-                            return Err(attempt::Miss::Lost(detail));
+                            return Err(attempt::Failure::Lost(detail));
                         }
                     }
                 }
             }
         };
-        let began = self.state.clock.now();
-        Ok(Live { exchange, answer, underway, upstream: first.upstream.clone(), began })
+        let head_at = self.state.clock.now();
+        Ok(OpenAnswer { exchange, answer, in_flight, upstream: first.upstream.clone(), head_at })
     }
 
     fn encode(
         &self,
         placement: &placement::Placement,
-        reserved: Option<&reserve::Held>,
+        reservations: Option<&reserve::Reservations>,
         last_event: Option<u64>,
     ) -> Result<hyper::Request<exchange::Payload>, hyper::http::Error> {
         let helper = |helper: &placement::Helper| {
-            let ticket = reserved.and_then(|held| held.on(&helper.entry.upstream));
-            engine::helper(helper.entry.address, ticket)
+            let ticket =
+                reservations.and_then(|reservations| reservations.id_on(&helper.entry.upstream));
+            engine::format_helper(helper.entry.address, ticket)
         };
-        let own = reserved.and_then(|held| held.on(&placement.first.upstream));
-        let own = own.map(|ticket| engine::helper(placement.first.address, Some(ticket)));
+        let own =
+            reservations.and_then(|reservations| reservations.id_on(&placement.first.upstream));
+        let own = own.map(|ticket| engine::format_helper(placement.first.address, Some(ticket)));
         let dispatch = head::Dispatch {
             upstream: placement.first.upstream.clone(),
             customer: self.customer.clone(),
-            time_left: self.left(),
+            time_left: self.time_left(),
             rank: self.rank(),
             helpers: own.into_iter().chain(placement.helpers.iter().map(helper)).collect(),
             last_event,
@@ -321,7 +332,7 @@
         let mut request = hyper::Request::builder()
             .method(self.request.method.as_str())
             .uri(self.request.target.as_str());
-        for field in head::forward(self.request.head(), &dispatch) {
+        for field in head::forward_request(self.request.head(), &dispatch) {
             request = request.header(field.name, field.value);
         }
         request.body(exchange::Payload::new(self.request.body.clone()))
@@ -337,7 +348,7 @@
 
     /// Returns the known progress of an upstream that has not begun to answer. Only a streamed
     /// answer begins when the request starts to run.
-    fn before_answer(&self) -> quarantine::Progress {
+    fn progress_before_answer(&self) -> quarantine::Progress {
         match self.route.kind {
             routing::Kind::Stream { .. } => quarantine::Progress::Waiting,
             routing::Kind::Idempotent | routing::Kind::Once => quarantine::Progress::Unknown,
@@ -348,83 +359,88 @@
     fn rank(&self) -> Option<u8> {
         let prompt = self.request.call.prompt_tokens?;
         Some(match prompt {
-            0..MEDIUM_PROMPT => 1,
-            MEDIUM_PROMPT..LONG_PROMPT => 6,
+            0..MEDIUM_PROMPT_TOKENS => 1,
+            MEDIUM_PROMPT_TOKENS..LONG_PROMPT_TOKENS => 6,
             _ => 8,
         })
     }
 
-    pub(crate) fn suspect(&self, upstream: &id::Upstream) {
-        self.saw(upstream, word::Manner::Failed);
+    pub(crate) fn record_unreachable(&self, upstream: &id::Upstream) {
+        self.record_outcome(upstream, message::UpstreamOutcome::Failed);
     }
 
-    pub(crate) fn saw(&self, upstream: &id::Upstream, manner: word::Manner) {
-        self.state.saw(&self.service, word::Seen::new(upstream, manner));
+    pub(crate) fn record_outcome(&self, upstream: &id::Upstream, manner: message::UpstreamOutcome) {
+        self.state.record_observation(&self.service, message::Observation::new(upstream, manner));
     }
 
     /// Checks the head of an answer, and reads its body unless it is a stream.
-    pub(crate) async fn take_answer(
+    pub(crate) async fn check_answer(
         &self,
-        mut live: Live,
+        mut open: OpenAnswer,
         earlier: usize,
-    ) -> Result<Taken, attempt::Miss> {
-        let status = live.answer.status().as_u16();
-        let headers = live.answer.headers();
+    ) -> Result<CheckedAnswer, attempt::Failure> {
+        let status = open.answer.status().as_u16();
+        let headers = open.answer.headers();
         let fields: Vec<_> =
             headers.iter().map(|(name, value)| (name.as_str(), value.as_bytes())).collect();
         let read = head::read_answer(status, fields.iter().copied());
-        let passed = head::pass_back(fields.into_iter());
-        let peer = &live.upstream;
+        let passed = head::forward_answer(fields.into_iter());
+        let peer = &open.upstream;
         if read.not_run {
-            let helper = read.at_fault.and_then(|address| self.blame(peer, address));
+            let helper = read.at_fault.and_then(|address| self.record_failed_helper(peer, address));
             let by = helper.as_ref().map(|helper| format!(" by {helper}")).unwrap_or_default();
             let detail = format!("{peer}: refused with status {status}{by}");
-            return Err(attempt::Miss::Refused { helper, detail });
+            return Err(attempt::Failure::Refused { helper, detail });
         }
         let other = read.request_id.as_deref().is_some_and(|id| id != self.request.call.request_id);
         let good = (200..300).contains(&status);
         if other || good && (!read.proven || read.encoded) {
-            self.suspect(peer);
-            return Err(attempt::Miss::Lost(format!("{peer}: not the answer to this request")));
+            self.record_unreachable(peer);
+            return Err(attempt::Failure::Lost(format!("{peer}: not the answer to this request")));
         }
         let streams = matches!(self.route.kind, routing::Kind::Stream { .. });
         if good && streams {
-            live.underway.first_token();
-            return Ok(Taken::Stream { status, fields: passed, live: Box::new(live) });
+            open.in_flight.first_token();
+            return Ok(CheckedAnswer::Stream { status, fields: passed, open: Box::new(open) });
         }
-        let body = live.exchange.whole(live.answer.body_mut(), WHOLE).await;
+        let body = open.exchange.read_body(open.answer.body_mut(), MAX_BUFFERED_BODY).await;
         let body = body.map_err(|failure| {
-            self.broke(peer, quarantine::Progress::Unknown);
-            attempt::Miss::Lost(format!("{peer}: {failure}"))
+            self.record_broken_connection(peer, quarantine::Progress::Unknown);
+            attempt::Failure::Lost(format!("{peer}: {failure}"))
         })?;
         if status >= 500 {
-            self.saw(peer, word::Manner::Erred);
+            self.record_outcome(peer, message::UpstreamOutcome::Erred);
         }
         let repeatable = self.route.kind.may_repeat();
-        let last = earlier + 1 >= self.route.attempts as usize || self.left() < WORTH_TRYING;
+        let last = earlier + 1 >= self.route.attempts as usize || self.time_left() < MIN_TIME_LEFT;
         if status >= 500 && repeatable && !last {
-            return Err(attempt::Miss::Lost(format!("{peer}: answered with status {status}")));
+            return Err(attempt::Failure::Lost(format!("{peer}: answered with status {status}")));
         }
         if good {
-            self.answered(peer);
+            self.record_success(peer);
             if !body.is_empty() {
                 self.clear();
             }
         }
-        Ok(Taken::Whole { status, fields: passed, body: body.freeze() })
+        Ok(CheckedAnswer::Whole { status, fields: passed, body: body.freeze() })
     }
 
     /// Records that the engine at `address` failed to help `first`, so that it is avoided for a
     /// while. Returns its name if it is a known upstream other than `first`.
-    fn blame(&self, first: &id::Upstream, address: net::SocketAddr) -> Option<id::Upstream> {
-        let helper = self.state.with_board(&self.service, |board, _| board.at(address).cloned());
+    fn record_failed_helper(
+        &self,
+        first: &id::Upstream,
+        address: net::SocketAddr,
+    ) -> Option<id::Upstream> {
+        let helper = self.state.with_placer(&self.service, |placer, _| placer.at(address).cloned());
         let helper = helper.flatten().filter(|helper| helper != first)?;
-        self.state.saw(&self.service, word::Seen::unhelped(first, &helper));
+        self.state
+            .record_observation(&self.service, message::Observation::helper_failed(first, &helper));
         Some(helper)
     }
 
-    pub(crate) fn answered(&self, upstream: &id::Upstream) {
-        self.saw(upstream, word::Manner::Answered);
+    pub(crate) fn record_success(&self, upstream: &id::Upstream) {
+        self.record_outcome(upstream, message::UpstreamOutcome::Answered);
     }
 
     fn log_dispatch(&self, placement: &placement::Placement, number: u64) {
@@ -438,18 +454,18 @@
             .number("prompt_tokens", self.request.call.prompt_tokens.unwrap_or(0))
             .text("helpers", helpers.join(" "))
             .span("expected_ms", placement.expected)
-            .span("left_ms", self.left())
+            .span("left_ms", self.time_left())
             .text("believed", placement.belief)
             .text("believed_next", placement.next.map(|next| next.to_string()).unwrap_or_default())
             .info();
     }
 
-    pub(crate) fn log_miss(&self, upstream: &id::Upstream, missed: &attempt::Miss) {
+    pub(crate) fn log_failure(&self, upstream: &id::Upstream, failed: &attempt::Failure) {
         event::Line::new("attempt_missed")
             .text("request", &self.request.call.request_id)
             .text("upstream", upstream)
-            .text("outcome", missed.word())
-            .text("detail", missed.detail())
+            .text("outcome", failed.label())
+            .text("detail", failed.detail())
             .text("fingerprint", self.fingerprint())
             .warn();
     }
--- a/crates/lagoon-gateway/src/hosts.rs
+++ b/crates/lagoon-gateway/src/hosts.rs
@@ -25,19 +25,19 @@
 /// Table of the entry hosts.
 const TABLE: &str = "lagoon-hosts";
 /// Timeout for the write of this host's row.
-const WRITE: clock::Span = clock::Span::from_millis(1_500);
+const WRITE_TIMEOUT: clock::Span = clock::Span::from_millis(1_500);
 /// Pause before a failed write is retried.
-const AGAIN: clock::Span = clock::Span::from_millis(700);
+const WRITE_RETRY_PAUSE: clock::Span = clock::Span::from_millis(700);
 /// Time given to the other hosts to report their dispatches in flight: zones are some milliseconds
 /// apart and hosts answer at once. A lost answer costs only efficiency.
-const ANSWERS: clock::Span = clock::Span::from_millis(30);
+const LOADS_ANSWER_WAIT: clock::Span = clock::Span::from_millis(30);
 
 /// Maximum pause after the first read of the table.
 ///
 /// When all hosts start within moments of each other, each finds only the rows of those before it.
 /// Many then believe that they have to read for their zone, and go on reading until the next read
 /// of this table.
-const SETTLED: clock::Span = clock::Span::from_millis(600);
+const MAX_FIRST_PAUSE: clock::Span = clock::Span::from_millis(600);
 
 /// The row of a host.
 #[derive(Debug, Deserialize, Serialize)]
@@ -82,7 +82,7 @@
         let gone = state::lock(&state.peers).roster.gone(span, state.clock.now());
         for host in gone {
             let call = store::remove(TABLE, host.as_str());
-            match client.call(&call, WRITE).await {
+            match client.call(&call, WRITE_TIMEOUT).await {
                 Ok(_) => event::Line::new("host_forgotten").text("host", &host).info(),
                 Err(error) => {
                     event::Line::new("host_not_forgotten")
@@ -101,12 +101,12 @@
     let call = store::put(TABLE, state.settings.node.host.as_str(), row.as_bytes());
     let mut tries = 0_u32;
     // Writing the row again is harmless, so a lost answer needs no check.
-    while let Err(error) = client.call(&call, WRITE).await {
+    while let Err(error) = client.call(&call, WRITE_TIMEOUT).await {
         tries += 1;
         if tries == 1 {
             event::Line::new("registration_failed").text("error", error).warn();
         }
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(WRITE_RETRY_PAUSE).await;
     }
     event::Line::new("registered").text("address", own.address).number("tries", tries).info();
 }
@@ -115,24 +115,24 @@
 /// relay.
 async fn follow(state: sync::Arc<state::State>) {
     let wait = state.settings.tuning.hosts_wait;
-    let mirror = state.feed.hosts.clone();
+    let mirror = state.tables.hosts.clone();
     let mut watch = watch::Watch::new(&state, "entry hosts", TABLE, wait, mirror);
     let mut first = true;
     loop {
-        state.feed.until_reads().await;
-        watch.set_pause(&state);
-        let news = tokio::select! {
-            news = watch.next() => news,
+        state.tables.wait_until_reading().await;
+        watch.update_longest_pause(&state);
+        let changes = tokio::select! {
+            changes = watch.next() => changes,
             // The changes come through the relay now.
-            () = state.feed.until_told() => continue,
+            () = state.tables.wait_until_relayed() => continue,
         };
-        take(&state, &news.rows);
+        apply_rows(&state, &changes.rows);
         let pause = state.settings.tuning.hosts_pause;
         if std::mem::take(&mut first) {
-            mesh::greet(&state);
-            tokio::time::sleep(ANSWERS).await;
-            state.learn(state::Knowledge::Loads);
-            tokio::time::sleep(pause.min(SETTLED)).await;
+            mesh::announce(&state);
+            tokio::time::sleep(LOADS_ANSWER_WAIT).await;
+            state.raise_level(state::SyncLevel::Loads);
+            tokio::time::sleep(pause.min(MAX_FIRST_PAUSE)).await;
         } else {
             tokio::time::sleep(pause).await;
         }
@@ -140,11 +140,11 @@
 }
 
 /// Applies changed rows of the table.
-pub(crate) fn take(state: &state::State, rows: &[store::Row]) {
+pub(crate) fn apply_rows(state: &state::State, rows: &[store::Row]) {
     let own = state.settings.node.host.as_str();
     for row in rows {
         if row.key != own {
-            take_row(state, row);
+            apply_row(state, row);
         } else if row.value.is_none() {
             state.unregistered.notify_one();
         }
@@ -156,7 +156,7 @@
 }
 
 /// Applies the row of another host. A row that was removed or cannot be read removes the host.
-fn take_row(state: &state::State, row: &store::Row) {
+fn apply_row(state: &state::State, row: &store::Row) {
     let host = id::Host::from(row.key.as_str());
     let text = row.value.as_ref();
     let read = text.map(|text| serde_json::from_slice::<Row>(text));
--- a/crates/lagoon-gateway/src/underway.rs
+++ b/crates/lagoon-gateway/src/in_flight.rs
@@ -8,9 +8,9 @@
 
 use crate::forward;
 use crate::mesh;
+use crate::message;
 use crate::reserve;
 use crate::state;
-use crate::word;
 
 /// The host that placed a dispatch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -23,24 +23,24 @@
 
 /// A dispatch that is counted in the load of its upstreams until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Underway {
+pub(crate) struct Guard {
     state: sync::Arc<state::State>,
     service: id::Service,
     id: placement::WorkId,
-    read: bool,
+    prefilled: bool,
     /// Memory reservations, released when the dispatch ends.
-    reserved: Option<reserve::Held>,
+    reservations: Option<reserve::Reservations>,
 }
 
-impl Underway {
+impl Guard {
     /// Returns the reservations of the dispatch, if any.
-    pub(crate) fn reserved(&self) -> Option<&reserve::Held> {
-        self.reserved.as_ref()
+    pub(crate) fn reservations(&self) -> Option<&reserve::Reservations> {
+        self.reservations.as_ref()
     }
 
-    /// Keeps `reserved` until the dispatch ends.
-    pub(crate) fn keep(&mut self, reserved: Option<reserve::Held>) {
-        self.reserved = reserved;
+    /// Keeps `reservations` until the dispatch ends.
+    pub(crate) fn keep(&mut self, reservations: Option<reserve::Reservations>) {
+        self.reservations = reservations;
     }
 
     /// Begins the dispatch `id`, placed by `decider` as `placement`.
@@ -49,51 +49,52 @@
         id: placement::WorkId,
         placement: &placement::Placement,
         decider: Decider,
-    ) -> Underway {
+    ) -> Guard {
         let now = admitted.state.clock.now();
         let prompt = admitted.request.call.prompt_tokens.unwrap_or(0);
         let until = admitted.deadline;
-        let work = placement::Work::new(id, placement, prompt, admitted.gap(), until);
-        let sent = word::Sent::new(&work, now);
-        admitted.state.with_board(&admitted.service, |board, _| board.begin(work, now));
-        let underway = Underway {
+        let work = placement::Work::new(id, placement, prompt, admitted.gap_target(), until);
+        let sent = message::Dispatch::new(&work, now);
+        admitted.state.with_placer(&admitted.service, |placer, _| placer.begin(work, now));
+        let in_flight = Guard {
             state: admitted.state.clone(),
             service: admitted.service.clone(),
             id,
-            read: false,
-            reserved: None,
+            prefilled: false,
+            reservations: None,
         };
         if decider == Decider::Own {
-            let word = word::Word::new(id.number, &admitted.service, word::What::Sent(sent));
-            admitted.state.say(word, mesh::Reach::All);
+            let update =
+                message::Update::new(id.number, &admitted.service, message::Kind::Sent(sent));
+            admitted.state.queue_update(update, mesh::Audience::AllZones);
         }
-        underway
+        in_flight
     }
 
     /// Records that the first token arrived.
     pub(crate) fn first_token(&mut self) {
-        if std::mem::replace(&mut self.read, true) {
+        if std::mem::replace(&mut self.prefilled, true) {
             return;
         }
-        self.state.with_board(&self.service, |board, now| board.first_token(self.id, now));
-        self.tell(word::What::First(word::Nothing {}));
+        self.state.with_placer(&self.service, |placer, now| placer.first_token(self.id, now));
+        self.publish(message::Kind::First(message::Empty {}));
     }
 
     /// Records activity of the upstream: bytes of the answer arrived.
-    pub(crate) fn heard(&self) {
-        if let Some(reserved) = &self.reserved {
-            reserved.heard();
+    pub(crate) fn record_activity(&self) {
+        if let Some(reservations) = &self.reservations {
+            reservations.record_activity();
         }
     }
 
-    fn tell(&self, what: word::What) {
-        self.state.tell(word::Word::new(self.id.number, &self.service, what));
+    fn publish(&self, what: message::Kind) {
+        self.state.publish(message::Update::new(self.id.number, &self.service, what));
     }
 }
 
-impl Drop for Underway {
+impl Drop for Guard {
     fn drop(&mut self) {
-        self.state.with_board(&self.service, |board, now| board.end(self.id, now));
-        self.tell(word::What::Ended(word::Nothing {}));
+        self.state.with_placer(&self.service, |placer, now| placer.end(self.id, now));
+        self.publish(message::Kind::Ended(message::Empty {}));
     }
 }
--- a/crates/lagoon-gateway/src/logs.rs
+++ b/crates/lagoon-gateway/src/logs.rs
@@ -16,11 +16,11 @@
 use std::time;
 
 /// Capacity of the queue: more than a second at the highest rate.
-const QUEUE: usize = 1_024;
+const QUEUE_LENGTH: usize = 1_024;
 /// Lines per second beyond which info lines are dropped; ten requests a second write about forty.
-const RATE: u32 = 200;
+const INFO_LINES_PER_SECOND: u32 = 200;
 /// Lines per second beyond which warnings are dropped as well.
-const WARN_RATE: u32 = 400;
+const WARN_LINES_PER_SECOND: u32 = 400;
 
 /// Lines counted in the current second.
 #[derive(Debug)]
@@ -44,7 +44,8 @@
             *rate = Rate { second, lines: 0 };
         }
         rate.lines += 1;
-        rate.lines <= if level <= log::Level::Warn { WARN_RATE } else { RATE }
+        rate.lines
+            <= if level <= log::Level::Warn { WARN_LINES_PER_SECOND } else { INFO_LINES_PER_SECOND }
     }
 }
 
@@ -70,7 +71,7 @@
 ///
 /// The writer thread cannot be started, or logging was started before.
 pub fn start(level: log::LevelFilter) -> io::Result<()> {
-    let (sender, receiver) = mpsc::sync_channel(QUEUE);
+    let (sender, receiver) = mpsc::sync_channel(QUEUE_LENGTH);
     let dropped = sync::Arc::new(atomic::AtomicU64::new(0));
     let began = time::Instant::now();
     let output = Output {
--- a/crates/lagoon-gateway/src/mesh.rs
+++ b/crates/lagoon-gateway/src/mesh.rs
@@ -17,37 +17,37 @@
 use tokio::sync::mpsc;
 
 use crate::event;
+use crate::message;
 use crate::peers;
 use crate::schedule;
 use crate::state;
-use crate::word;
 
 /// Interval between heartbeats to hosts of this zone.
-const BEAT: clock::Span = clock::Span::from_millis(300);
+const HEARTBEAT_INTERVAL: clock::Span = clock::Span::from_millis(300);
 /// Heartbeats within the zone for each heartbeat to other zones.
-const FAR_BEATS: u64 = 3;
+const FAR_HEARTBEAT_EVERY: u64 = 3;
 /// A dispatch first seen within this time before a heartbeat's list of dispatches is kept even if
 /// the list does not name it: it may have begun after the list was made.
-const ON_THE_WAY: clock::Span = clock::Span::from_secs(1);
+const IN_TRANSIT_GRACE: clock::Span = clock::Span::from_secs(1);
 /// Pause after the socket failed.
-const AGAIN: clock::Span = clock::Span::from_millis(700);
+const SOCKET_RETRY_PAUSE: clock::Span = clock::Span::from_millis(700);
 
 /// The hosts that receive an update.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Reach {
+pub(crate) enum Audience {
     /// Hosts of this zone.
-    Near,
+    OwnZone,
     /// Hosts of other zones.
-    Far,
+    OtherZones,
     /// Hosts of all zones.
-    All,
+    AllZones,
 }
 
 /// An update queued for other hosts.
 #[derive(Clone, Debug)]
-pub(crate) struct Said {
-    pub(crate) word: word::Word,
-    pub(crate) reach: Reach,
+pub(crate) struct QueuedUpdate {
+    pub(crate) update: message::Update,
+    pub(crate) audience: Audience,
 }
 
 /// Starts the tasks that send and receive datagrams for as long as the process runs.
@@ -58,72 +58,79 @@
 pub(crate) fn run(
     state: &sync::Arc<state::State>,
     socket: net::UdpSocket,
-    said: mpsc::Receiver<Said>,
+    updates: mpsc::Receiver<QueuedUpdate>,
 ) -> std::io::Result<()> {
     let socket = UdpSocket::from_std(socket)?;
-    drop(ntex::rt::spawn(hear(state.clone(), socket)));
-    drop(ntex::rt::spawn(tell(state.clone(), said)));
-    drop(ntex::rt::spawn(beat(state.clone())));
+    drop(ntex::rt::spawn(receive(state.clone(), socket)));
+    drop(ntex::rt::spawn(send_updates(state.clone(), updates)));
+    drop(ntex::rt::spawn(send_heartbeats(state.clone())));
     Ok(())
 }
 
-async fn tell(state: sync::Arc<state::State>, mut said: mpsc::Receiver<Said>) {
+async fn send_updates(state: sync::Arc<state::State>, mut updates: mpsc::Receiver<QueuedUpdate>) {
     let mut batch = Vec::new();
     loop {
-        let count = said.recv_many(&mut batch, usize::MAX).await;
+        let count = updates.recv_many(&mut batch, usize::MAX).await;
         if count == 0 {
             return;
         }
-        tokio::time::sleep(state.settings.tuning.words_pause).await;
-        while let Ok(more) = said.try_recv() {
+        tokio::time::sleep(state.settings.tuning.batch_pause).await;
+        while let Ok(more) = updates.try_recv() {
             batch.push(more);
         }
-        let (near, far) = state.reached();
-        send_words(&state, &batch, Reach::Near, &near);
-        send_words(&state, &batch, Reach::Far, &far);
+        let (near, far) = state.tracking_addresses();
+        send_batch(&state, &batch, Audience::OwnZone, &near);
+        send_batch(&state, &batch, Audience::OtherZones, &far);
         batch.clear();
     }
 }
 
 /// Sends the updates of `batch` that are meant for `side` to `addresses`.
-fn send_words(state: &state::State, batch: &[Said], side: Reach, addresses: &[net::SocketAddr]) {
-    let reached = batch.iter().filter(|said| said.reach == side || said.reach == Reach::All);
-    let words: Vec<_> = reached.map(|said| said.word.clone()).collect();
-    if words.is_empty() {
+fn send_batch(
+    state: &state::State,
+    batch: &[QueuedUpdate],
+    side: Audience,
+    addresses: &[net::SocketAddr],
+) {
+    let reached = batch
+        .iter()
+        .filter(|queued| queued.audience == side || queued.audience == Audience::AllZones);
+    let updates: Vec<_> = reached.map(|queued| queued.update.clone()).collect();
+    if updates.is_empty() {
         return;
     }
-    let datagrams = state.datagrams(words);
+    let datagrams = state.encode_updates(updates);
     for address in addresses {
         state.send(*address, &datagrams);
     }
 }
 
 /// Sends heartbeats with the dispatches in flight, and forgets hosts whose heartbeats have stopped.
-async fn beat(state: sync::Arc<state::State>) {
+async fn send_heartbeats(state: sync::Arc<state::State>) {
     let mut count = 0;
     loop {
-        tokio::time::sleep(BEAT).await;
-        forget_silent(&state);
-        beat_near(&state);
-        if count % FAR_BEATS == 0 {
-            beat_far(&state);
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
+        forget_silent_hosts(&state);
+        send_zone_heartbeat(&state);
+        if count % FAR_HEARTBEAT_EVERY == 0 {
+            send_far_heartbeat(&state);
         }
         count += 1;
     }
 }
 
 /// Announces this host to those that track dispatches in flight; they answer with theirs.
-pub(crate) fn greet(state: &state::State) {
-    beat_near(state);
+pub(crate) fn announce(state: &state::State) {
+    send_zone_heartbeat(state);
     if state::lock(&state.peers).roster.is_candidate(state.clock.now()) {
-        beat_far(state);
+        send_far_heartbeat(state);
     }
 }
 
-fn beat_near(state: &state::State) {
+fn send_zone_heartbeat(state: &state::State) {
     let now = state.clock.now();
-    let own = collections::HashSet::from([state.number]);
-    let datagram = state.heartbeat(state.numbers(&own), true);
+    let own = collections::HashSet::from([state.incarnation]);
+    let datagram = state.encode_heartbeat(state.in_flight_numbers(&own), true);
     let mut peers = state::lock(&state.peers);
     let near = peers.roster.near(now);
     for host in &near {
@@ -138,22 +145,22 @@
 
 /// Sends a heartbeat to other zones. It lists what all hosts of this zone have in flight and is
 /// sent by the zone's scheduler; in a small zone without one, each host sends its own.
-fn beat_far(state: &state::State) {
+fn send_far_heartbeat(state: &state::State) {
     let now = state.clock.now();
     let peers = state::lock(&state.peers);
     let shared = peers.roster.is_own_shared();
     if shared && !peers.roster.leads(now) {
         return;
     }
-    let mut lives = collections::HashSet::from([state.number]);
+    let mut incarnations = collections::HashSet::from([state.incarnation]);
     if shared {
-        lives.extend(peers.lives_in(&state.settings.node.zone));
+        incarnations.extend(peers.incarnations_in(&state.settings.node.zone));
     }
-    let far = peers.far(now);
+    let far = peers.other_zone_addresses(now);
     drop(peers);
-    let datagrams: Vec<_> = word::pack(state.numbers(&lives))
+    let datagrams: Vec<_> = message::pack(state.in_flight_numbers(&incarnations))
         .into_iter()
-        .map(|under_way| state.heartbeat(under_way, false))
+        .map(|under_way| state.encode_heartbeat(under_way, false))
         .collect();
     for address in far {
         state.send(address, &datagrams);
@@ -164,36 +171,36 @@
 ///
 /// When a host loses power, nobody reports that its requests ended. Without this, their slots would
 /// count as taken until the callers' deadlines.
-fn forget_silent(state: &state::State) {
-    let silent = state::lock(&state.peers).take_silent(state.clock.now());
-    for life in silent {
-        event::Line::new("host_silent").number("life", life).info();
-        state.forget_life(life);
+fn forget_silent_hosts(state: &state::State) {
+    let silent = state::lock(&state.peers).remove_silent(state.clock.now());
+    for incarnation in silent {
+        event::Line::new("host_silent").number("life", incarnation).info();
+        state.forget_incarnation(incarnation);
     }
 }
 
-async fn hear(state: sync::Arc<state::State>, socket: UdpSocket) {
+async fn receive(state: sync::Arc<state::State>, socket: UdpSocket) {
     let mut buffer = vec![0; 1 << 16];
     // An update about a service that is not known yet would be lost.
-    state.wait_for(state::Knowledge::Lists).await;
+    state.wait_for_level(state::SyncLevel::Tables).await;
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
             Ok(heard) => heard,
             Err(error) => {
                 event::Line::new("words_unheard").text("error", error).warn();
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(SOCKET_RETRY_PAUSE).await;
                 continue;
             }
         };
-        match word::Batch::decode(&buffer[..length]) {
-            Ok(batch) => take_in(&state, from, batch),
+        match message::Batch::decode(&buffer[..length]) {
+            Ok(batch) => apply_batch(&state, from, batch),
             Err(error) => event::Line::new("words_unreadable").text("error", error).warn(),
         }
     }
 }
 
-fn take_in(state: &state::State, from: net::SocketAddr, batch: word::Batch) {
-    let life = batch.host;
+fn apply_batch(state: &state::State, from: net::SocketAddr, batch: message::Batch) {
+    let incarnation = batch.host;
     let now = state.clock.now();
     if let Some(beat) = &batch.beat {
         let standing =
@@ -201,38 +208,38 @@
         let host = id::Host::from(beat.host.as_str());
         state::lock(&state.peers).set(&host, standing, from, now);
     }
-    let met = state::lock(&state.peers).heard(from, life, now);
-    if let peers::Met::New { before } = met {
-        meet(state, from, life, before);
+    let contact = state::lock(&state.peers).record_datagram(from, incarnation, now);
+    if let peers::Contact::New { previous } = contact {
+        send_in_flight(state, from, incarnation, previous);
     }
-    state.heard_confirmation(batch.confirmed_ms);
-    let relays = state.relays_for(from);
-    for word in batch.words {
-        take_word(state, life, word, relays);
+    state.record_peer_confirmation(batch.confirmed_ms);
+    let forwards = state.forwards_for(from);
+    for update in batch.words {
+        apply_update(state, incarnation, update, forwards);
     }
     for question in &batch.questions {
-        let answer = schedule::decide(state, life, question);
+        let answer = schedule::decide(state, incarnation, question);
         state.send(
             from,
-            &[state.batch(word::Batch { answers: vec![answer], ..Default::default() })],
+            &[state.encode_batch(message::Batch { answers: vec![answer], ..Default::default() })],
         );
     }
     for answer in batch.answers {
-        state.questions.answer(answer);
+        state.questions.deliver(answer);
     }
     if let Some(beat) = batch.beat {
-        take_beat(state, from, beat);
+        apply_heartbeat(state, from, beat);
     }
     state.compare_verdicts(from, batch.verdicts);
 }
 
-fn take_beat(state: &state::State, from: net::SocketAddr, beat: word::Beat) {
+fn apply_heartbeat(state: &state::State, from: net::SocketAddr, beat: message::Heartbeat) {
     if beat.wants_answer {
-        state.send(from, &state.datagrams(Vec::new()));
+        state.send(from, &state.encode_updates(Vec::new()));
     }
     for under_way in beat.under_way {
         let numbers = under_way.numbers.into_iter().collect();
-        state.keep_only(under_way.host, &numbers, ON_THE_WAY);
+        state.retain_dispatches(under_way.host, &numbers, IN_TRANSIT_GRACE);
     }
 }
 
@@ -240,66 +247,72 @@
 ///
 /// A host that has just started knows of no dispatches and believes that all engines are idle.
 /// Without this, it would send its first seconds of requests to the same engines.
-fn meet(state: &state::State, from: net::SocketAddr, life: u64, before: Option<u64>) {
-    if let Some(before) = before {
-        state.forget_life(before);
+fn send_in_flight(
+    state: &state::State,
+    from: net::SocketAddr,
+    incarnation: u64,
+    previous: Option<u64>,
+) {
+    if let Some(previous) = previous {
+        state.forget_incarnation(previous);
     }
-    let words = state.told_when_met(from);
+    let updates = state.in_flight_for_new_host(from);
     event::Line::new("host_met")
         .text("address", from)
-        .number("life", life)
-        .number("words", words.len())
+        .number("life", incarnation)
+        .number("words", updates.len())
         .info();
-    if !words.is_empty() {
-        state.send(from, &state.datagrams(words));
+    if !updates.is_empty() {
+        state.send(from, &state.encode_updates(updates));
     }
 }
 
 /// Whether the zone's scheduler forwards `what` to other zones on behalf of its hosts.
-fn is_relayed(what: &word::What) -> bool {
+fn is_forwarded(what: &message::Kind) -> bool {
     match what {
-        word::What::First(_)
-        | word::What::Ended(_)
-        | word::What::Crashed(_)
-        | word::What::Cleared(_) => true,
-        word::What::Sent(_)
-        | word::What::Reported(_)
-        | word::What::Seen(_)
-        | word::What::Verdict(_) => false,
+        message::Kind::First(_)
+        | message::Kind::Ended(_)
+        | message::Kind::Crashed(_)
+        | message::Kind::Cleared(_) => true,
+        message::Kind::Sent(_)
+        | message::Kind::Reported(_)
+        | message::Kind::Seen(_)
+        | message::Kind::Verdict(_) => false,
     }
 }
 
-/// Applies an update of the host incarnation `from`, and forwards it to other zones if `relays` is
+/// Applies an update of the host incarnation `from`, and forwards it to other zones if `forwards` is
 /// set.
-fn take_word(state: &state::State, from: u64, word: word::Word, relays: bool) {
-    let service = id::Service::from(word.service.as_str());
-    let id = placement::WorkId { host: word.host.unwrap_or(from), number: word.number };
-    let is_own = word.host.is_none();
-    let Some(what) = word.what else {
+fn apply_update(state: &state::State, from: u64, update: message::Update, forwards: bool) {
+    let service = id::Service::from(update.service.as_str());
+    let id = placement::WorkId { host: update.host.unwrap_or(from), number: update.number };
+    let is_own = update.host.is_none();
+    let Some(what) = update.what else {
         // A kind of update that only a later build knows.
         return;
     };
-    if relays && is_own && is_relayed(&what) {
-        state.say(word::Word::about(id, &service, what.clone()), Reach::Far);
+    if forwards && is_own && is_forwarded(&what) {
+        state
+            .queue_update(message::Update::about(id, &service, what.clone()), Audience::OtherZones);
     }
     match &what {
-        word::What::Crashed(crashed) => return state.heard_crash(crashed),
-        word::What::Cleared(cleared) => return state.heard_cleared(cleared),
-        word::What::Verdict(verdict) => return state.heard_verdict(verdict),
+        message::Kind::Crashed(crashed) => return state.apply_crash(crashed),
+        message::Kind::Cleared(cleared) => return state.apply_cleared(cleared),
+        message::Kind::Verdict(verdict) => return state.apply_verdict(verdict),
         _ => {}
     }
-    let told = state.with_board(&service, |board, now| match what {
-        word::What::Sent(sent) => board.begin(sent.work(id, now), now),
-        word::What::First(_) => board.first_token(id, now),
-        word::What::Ended(_) => board.end(id, now),
-        word::What::Reported(report) => {
+    let output = state.with_placer(&service, |placer, now| match what {
+        message::Kind::Sent(sent) => placer.begin(sent.work(id, now), now),
+        message::Kind::First(_) => placer.first_token(id, now),
+        message::Kind::Ended(_) => placer.end(id, now),
+        message::Kind::Reported(report) => {
             let upstream = id::Upstream::from(report.upstream);
-            board.set_slowness(&upstream, report.slowness, now);
+            placer.set_slowness(&upstream, report.slowness, now);
         }
-        word::What::Seen(seen) => seen.note(board, now),
-        word::What::Crashed(_) | word::What::Cleared(_) | word::What::Verdict(_) => {}
+        message::Kind::Seen(seen) => seen.apply(placer, now),
+        message::Kind::Crashed(_) | message::Kind::Cleared(_) | message::Kind::Verdict(_) => {}
     });
-    if told.is_none() {
+    if output.is_none() {
         log::debug!("\"event\":\"word_of_unknown_service\"");
     }
 }
--- a/crates/lagoon-gateway/src/word.rs
+++ b/crates/lagoon-gateway/src/message.rs
@@ -20,14 +20,14 @@
     pub(crate) host: u64,
     /// The updates, in the order in which they happened.
     #[prost(message, repeated, tag = "2")]
-    pub(crate) words: Vec<Word>,
+    pub(crate) words: Vec<Update>,
     /// Milliseconds since the sender's desired state was last confirmed to be the newest; absent
     /// before the first confirmation.
     #[prost(uint32, optional, tag = "3")]
     pub(crate) confirmed_ms: Option<u32>,
     /// Heartbeat, sent periodically.
     #[prost(message, optional, tag = "4")]
-    pub(crate) beat: Option<Beat>,
+    pub(crate) beat: Option<Heartbeat>,
     /// Questions to the receiver as the zone's scheduler.
     #[prost(message, repeated, tag = "5")]
     pub(crate) questions: Vec<question::Question>,
@@ -41,7 +41,7 @@
 
 /// A heartbeat: identifies the host and lists its dispatches in flight.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct Beat {
+pub(crate) struct Heartbeat {
     /// Name of the host.
     #[prost(string, tag = "1")]
     pub(crate) host: String,
@@ -53,7 +53,7 @@
     pub(crate) cores: f64,
     /// Dispatches in flight of this host, or of all hosts in its zone.
     #[prost(message, repeated, tag = "4")]
-    pub(crate) under_way: Vec<UnderWay>,
+    pub(crate) under_way: Vec<Dispatches>,
     /// Whether the receiver should answer with a batch of its own.
     #[prost(bool, tag = "5")]
     pub(crate) wants_answer: bool,
@@ -61,7 +61,7 @@
 
 /// All dispatches in flight of one host incarnation.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct UnderWay {
+pub(crate) struct Dispatches {
     /// Number of the incarnation.
     #[prost(fixed64, tag = "1")]
     pub(crate) host: u64,
@@ -72,7 +72,7 @@
 
 /// An update about a dispatch, or about an upstream of a service.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct Word {
+pub(crate) struct Update {
     /// Number of the dispatch at its host; 0 if the update is not about a dispatch.
     #[prost(uint64, tag = "1")]
     pub(crate) number: u64,
@@ -80,43 +80,43 @@
     #[prost(string, tag = "2")]
     pub(crate) service: String,
     /// What happened; absent if only a later build knows its kind.
-    #[prost(oneof = "What", tags = "3, 4, 5, 6, 7, 8, 9, 10")]
-    pub(crate) what: Option<What>,
+    #[prost(oneof = "Kind", tags = "3, 4, 5, 6, 7, 8, 9, 10")]
+    pub(crate) what: Option<Kind>,
     /// Incarnation whose dispatch it is, if not the sender's.
     #[prost(fixed64, optional, tag = "20")]
     pub(crate) host: Option<u64>,
 }
 
-impl Word {
+impl Update {
     /// Creates an update about this host's dispatch `number` to `service`.
-    pub(crate) fn new(number: u64, service: &id::Service, what: What) -> Word {
-        Word { number, service: service.to_string(), what: Some(what), host: None }
+    pub(crate) fn new(number: u64, service: &id::Service, what: Kind) -> Update {
+        Update { number, service: service.to_string(), what: Some(what), host: None }
     }
 
     /// Creates an update about a dispatch of any host.
-    pub(crate) fn about(id: placement::WorkId, service: &id::Service, what: What) -> Word {
-        Word { host: Some(id.host), ..Word::new(id.number, service, what) }
+    pub(crate) fn about(id: placement::WorkId, service: &id::Service, what: Kind) -> Update {
+        Update { host: Some(id.host), ..Update::new(id.number, service, what) }
     }
 }
 
 /// The kind of an update.
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub(crate) enum What {
+pub(crate) enum Kind {
     /// The dispatch was sent.
     #[prost(message, tag = "3")]
-    Sent(Sent),
+    Sent(Dispatch),
     /// Its first token arrived.
     #[prost(message, tag = "4")]
-    First(Nothing),
+    First(Empty),
     /// The dispatch ended.
     #[prost(message, tag = "5")]
-    Ended(Nothing),
+    Ended(Empty),
     /// Not about a dispatch: an engine reported its speed.
     #[prost(message, tag = "6")]
-    Reported(Reported),
+    Reported(SlownessReport),
     /// Not about a dispatch: how an upstream handled a request.
     #[prost(message, tag = "7")]
-    Seen(Seen),
+    Seen(Observation),
     /// Not about a dispatch: an upstream crashed.
     #[prost(message, tag = "8")]
     Crashed(quarantine::Crashed),
@@ -130,12 +130,12 @@
 
 /// How an upstream handled a request.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct Seen {
+pub(crate) struct Observation {
     /// Name of the upstream.
     #[prost(string, tag = "1")]
     pub(crate) upstream: String,
-    /// What the upstream did, as a [`Manner`].
-    #[prost(enumeration = "Manner", tag = "2")]
+    /// What the upstream did, as a [`UpstreamOutcome`].
+    #[prost(enumeration = "UpstreamOutcome", tag = "2")]
     pub(crate) manner: i32,
     /// Upstream that could not reach it; absent if it was the host.
     #[prost(string, optional, tag = "3")]
@@ -145,7 +145,7 @@
 /// What an upstream did with a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, prost::Enumeration)]
 #[repr(i32)]
-pub(crate) enum Manner {
+pub(crate) enum UpstreamOutcome {
     /// Answered it.
     Answered = 0,
     /// Answered it with a server error.
@@ -158,7 +158,7 @@
 
 /// The speed that an engine reported.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct Reported {
+pub(crate) struct SlownessReport {
     /// Name of the engine.
     #[prost(string, tag = "1")]
     pub(crate) upstream: String,
@@ -167,27 +167,30 @@
     pub(crate) slowness: f64,
 }
 
-impl Seen {
+impl Observation {
     /// Creates an observation that `upstream` did `manner`.
-    pub(crate) fn new(upstream: &id::Upstream, manner: Manner) -> Seen {
-        Seen { upstream: upstream.to_string(), manner: manner.into(), from: None }
+    pub(crate) fn new(upstream: &id::Upstream, manner: UpstreamOutcome) -> Observation {
+        Observation { upstream: upstream.to_string(), manner: manner.into(), from: None }
     }
 
     /// Creates an observation that the engine `from` could not reach its helper `upstream`.
-    pub(crate) fn unhelped(from: &id::Upstream, upstream: &id::Upstream) -> Seen {
-        Seen { from: Some(from.to_string()), ..Seen::new(upstream, Manner::Failed) }
+    pub(crate) fn helper_failed(from: &id::Upstream, upstream: &id::Upstream) -> Observation {
+        Observation {
+            from: Some(from.to_string()),
+            ..Observation::new(upstream, UpstreamOutcome::Failed)
+        }
     }
 
-    /// Applies the observation to `board`.
-    pub(crate) fn note(&self, board: &mut placement::Board, now: clock::Moment) {
+    /// Applies the observation to `placer`.
+    pub(crate) fn apply(&self, placer: &mut placement::Board, now: clock::Moment) {
         let upstream = id::Upstream::from(self.upstream.as_str());
         match (self.manner(), &self.from) {
-            (Manner::Answered, _) => board.answered(&upstream, now),
-            (Manner::Erred, _) => board.erred(&upstream, now),
-            (Manner::Full, _) => board.full(&upstream, now),
-            (Manner::Failed, None) => board.suspect(&upstream, now),
-            (Manner::Failed, Some(from)) => {
-                board.helper_failed(&id::Upstream::from(from.as_str()), &upstream, now);
+            (UpstreamOutcome::Answered, _) => placer.answered(&upstream, now),
+            (UpstreamOutcome::Erred, _) => placer.erred(&upstream, now),
+            (UpstreamOutcome::Full, _) => placer.full(&upstream, now),
+            (UpstreamOutcome::Failed, None) => placer.suspect(&upstream, now),
+            (UpstreamOutcome::Failed, Some(from)) => {
+                placer.helper_failed(&id::Upstream::from(from.as_str()), &upstream, now);
             }
         }
     }
@@ -195,11 +198,11 @@
 
 /// An empty message.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub(crate) struct Nothing {}
+pub(crate) struct Empty {}
 
 /// A dispatch that was sent.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct Sent {
+pub(crate) struct Dispatch {
     /// Upstream that answers the request.
     #[prost(string, tag = "1")]
     pub(crate) first: String,
@@ -230,10 +233,10 @@
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
 
-impl Sent {
+impl Dispatch {
     /// Encodes `work` at `now`.
-    pub(crate) fn new(work: &placement::Work, now: clock::Moment) -> Sent {
-        Sent {
+    pub(crate) fn new(work: &placement::Work, now: clock::Moment) -> Dispatch {
+        Dispatch {
             first: work.first.to_string(),
             helpers: work.helpers.iter().map(ToString::to_string).collect(),
             held: work.held.clone(),
@@ -258,7 +261,7 @@
 }
 
 /// Maximum size of a datagram in bytes that fits into one packet on usual links.
-pub(crate) const DATAGRAM: usize = 1_350;
+pub(crate) const MAX_DATAGRAM_BYTES: usize = 1_350;
 
 /// Splits `items` into parts that each fit into a datagram; returns at least one part. An item that
 /// is too large gets a part of its own.
@@ -271,7 +274,7 @@
     let mut size = 0;
     for item in items {
         let length = item.encoded_len() + 4;
-        if size + length > DATAGRAM && !part.is_empty() {
+        if size + length > MAX_DATAGRAM_BYTES && !part.is_empty() {
             parts.push(std::mem::take(&mut part));
             size = 0;
         }
@@ -285,10 +288,10 @@
 }
 
 impl Batch {
-    /// Encodes `words` together with this batch's other fields as datagrams of at most [`DATAGRAM`]
+    /// Encodes `words` together with this batch's other fields as datagrams of at most [`MAX_DATAGRAM_BYTES`]
     /// bytes, unless a single update is larger. Without updates there is one datagram, which shows
     /// that the host is alive.
-    pub(crate) fn datagrams(&self, words: Vec<Word>) -> Vec<Vec<u8>> {
+    pub(crate) fn datagrams(&self, words: Vec<Update>) -> Vec<Vec<u8>> {
         let batch = |words| Batch { words, ..self.clone() };
         pack(words).into_iter().map(|words| batch(words).encode_to_vec()).collect()
     }
--- a/crates/lagoon-gateway/src/metrics.rs
+++ b/crates/lagoon-gateway/src/metrics.rs
@@ -32,13 +32,13 @@
     /// Answers by service and reason.
     pub(crate) answers: Family<Answered, Counter>,
     /// Seconds to the first event, or to the answer if it is not streamed, by prompt length.
-    pub(crate) first: Family<Length, Histogram>,
+    pub(crate) first_event_seconds: Family<Length, Histogram>,
     /// Dispatches beyond a request's first one.
-    pub(crate) repeats: Counter,
+    pub(crate) retries: Counter,
     /// Updates to other hosts that were dropped.
-    pub(crate) words_lost: Counter,
+    pub(crate) updates_dropped: Counter,
     /// Questions that a scheduler left unanswered or rejected.
-    pub(crate) schedulers_passed: Counter,
+    pub(crate) schedulers_skipped: Counter,
     /// Version of the desired state in force.
     pub(crate) desired_version: Gauge,
     /// Milliseconds since that version was last known to be the newest.
@@ -63,10 +63,10 @@
     fn default() -> Self {
         let metrics = Metrics {
             answers: Family::default(),
-            first: Family::new_with_constructor(seconds),
-            repeats: Counter::default(),
-            words_lost: Counter::default(),
-            schedulers_passed: Counter::default(),
+            first_event_seconds: Family::new_with_constructor(seconds),
+            retries: Counter::default(),
+            updates_dropped: Counter::default(),
+            schedulers_skipped: Counter::default(),
             desired_version: Gauge::default(),
             confirmation_age_ms: Gauge::default(),
             reservations: Gauge::default(),
@@ -85,11 +85,15 @@
         let mut registry = crate::state::lock(&self.registry);
         let registry = registry.sub_registry_with_prefix("lagoon_gateway");
         registry.register("answers", "answers by service and reason", self.answers.clone());
-        registry.register("first_seconds", "time to the first event", self.first.clone());
-        registry.register("repeats", "dispatches beyond the first", self.repeats.clone());
-        registry.register("words_lost", "words to hosts dropped", self.words_lost.clone());
+        registry.register(
+            "first_seconds",
+            "time to the first event",
+            self.first_event_seconds.clone(),
+        );
+        registry.register("repeats", "dispatches beyond the first", self.retries.clone());
+        registry.register("words_lost", "words to hosts dropped", self.updates_dropped.clone());
         let help = "questions that a scheduling host left unanswered or turned down";
-        registry.register("schedulers_passed", help, self.schedulers_passed.clone());
+        registry.register("schedulers_passed", help, self.schedulers_skipped.clone());
         registry.register("desired_version", "version in force", self.desired_version.clone());
         let help = "milliseconds since the version in force was known to be the newest";
         registry.register("confirmation_age_ms", help, self.confirmation_age_ms.clone());
@@ -102,7 +106,7 @@
     }
 
     /// Counts an answer of `service`, complete or with the `reason` of its failure.
-    pub(crate) fn answered(&self, service: &str, reason: Option<outcome::Reason>) {
+    pub(crate) fn count_answer(&self, service: &str, reason: Option<outcome::Reason>) {
         let reason = reason.map_or("done", outcome::Reason::as_str);
         self.answers.get_or_create(&Answered { service: service.to_owned(), reason }).inc();
     }
@@ -116,7 +120,7 @@
             10_000..100_000 => "medium",
             _ => "long",
         };
-        self.first.get_or_create(&Length { length }).observe(span.as_secs_f64());
+        self.first_event_seconds.get_or_create(&Length { length }).observe(span.as_secs_f64());
     }
 
     /// Encodes the metrics as text.
--- a/crates/lagoon-gateway/src/mirror.rs
+++ b/crates/lagoon-gateway/src/mirror.rs
@@ -9,28 +9,28 @@
 use lagoon_platform::store;
 
 /// Maximum number of removed rows that are kept, so that their removal can be reported.
-const REMOVED: usize = 1_000;
+const MAX_TOMBSTONES: usize = 1_000;
 
 /// Compares two values of the row with the given key; true if they are equivalent.
-pub(crate) type Same = fn(&str, &[u8], &[u8]) -> bool;
+pub(crate) type SameValue = fn(&str, &[u8], &[u8]) -> bool;
 
 /// The rows of a table.
 #[derive(Debug)]
 pub(crate) struct Mirror {
-    same: Same,
+    same: SameValue,
     rows: collections::BTreeMap<String, store::Row>,
     /// Version up to which the copy is complete; `None` until all rows have been read, and again
     /// when the platform no longer has the history of changes.
     version: Option<u64>,
     /// Removals up to this version may have been dropped from the copy.
-    base: u64,
+    pruned_up_to: u64,
     /// Version of the last relevant change.
-    changed: u64,
+    last_change: u64,
 }
 
 /// Changes of a table since some version, or all of its rows.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct Part {
+pub(crate) struct Delta {
     /// The changed rows, or all rows.
     pub(crate) rows: Vec<store::Row>,
     /// Whether `rows` are all rows of the table.
@@ -41,8 +41,14 @@
 
 impl Mirror {
     /// Creates an empty copy that is not complete yet.
-    pub(crate) fn new(same: Same) -> Mirror {
-        Mirror { same, rows: collections::BTreeMap::new(), version: None, base: 0, changed: 0 }
+    pub(crate) fn new(same: SameValue) -> Mirror {
+        Mirror {
+            same,
+            rows: collections::BTreeMap::new(),
+            version: None,
+            pruned_up_to: 0,
+            last_change: 0,
+        }
     }
 
     /// Returns the version up to which the copy is complete.
@@ -51,12 +57,12 @@
     }
 
     /// Returns the version of the last relevant change.
-    pub(crate) fn changed(&self) -> u64 {
-        self.changed
+    pub(crate) fn last_change(&self) -> u64 {
+        self.last_change
     }
 
     /// Marks the copy as incomplete, so that all rows are read again.
-    pub(crate) fn forget(&mut self) {
+    pub(crate) fn mark_incomplete(&mut self) {
         self.version = None;
     }
 
@@ -64,44 +70,44 @@
     ///
     /// Changes may arrive in two ways, directly and through the relay; a row older than the known
     /// one is ignored.
-    pub(crate) fn take(&mut self, part: Part) -> Vec<store::Row> {
-        let stale = self.version.is_some_and(|known| known > part.version);
-        if part.all && stale {
+    pub(crate) fn apply(&mut self, delta: Delta) -> Vec<store::Row> {
+        let stale = self.version.is_some_and(|known| known > delta.version);
+        if delta.all && stale {
             return Vec::new();
         }
-        let gone = if part.all { self.gone(&part) } else { Vec::new() };
-        if part.all && self.version.is_none() {
-            self.base = part.version;
+        let gone = if delta.all { self.removals(&delta) } else { Vec::new() };
+        if delta.all && self.version.is_none() {
+            self.pruned_up_to = delta.version;
         }
-        let rows = part.rows.into_iter().chain(gone);
-        let changed: Vec<_> = rows.filter(|row| self.put(row)).collect();
-        self.version = self.version.max(Some(part.version));
-        self.forget_removed();
+        let rows = delta.rows.into_iter().chain(gone);
+        let changed: Vec<_> = rows.filter(|row| self.store_row(row)).collect();
+        self.version = self.version.max(Some(delta.version));
+        self.prune_tombstones();
         changed
     }
 
     /// Returns the changes since `version`, or all rows if it is `None` or too old. Returns `None`
     /// while this copy is not complete.
-    pub(crate) fn since(&self, version: Option<u64>) -> Option<Part> {
+    pub(crate) fn changes_since(&self, version: Option<u64>) -> Option<Delta> {
         let complete = self.version?;
-        let known = version.filter(|version| *version >= self.base);
+        let known = version.filter(|version| *version >= self.pruned_up_to);
         let rows = self.rows.values().filter(|row| match known {
             Some(version) => row.version > version,
             None => row.value.is_some(),
         });
-        Some(Part { rows: rows.cloned().collect(), all: known.is_none(), version: complete })
+        Some(Delta { rows: rows.cloned().collect(), all: known.is_none(), version: complete })
     }
 
     /// Returns removals for the known rows that are missing in a complete list.
-    fn gone(&self, part: &Part) -> Vec<store::Row> {
-        let listed: collections::HashSet<_> = part.rows.iter().map(|row| &row.key).collect();
+    fn removals(&self, delta: &Delta) -> Vec<store::Row> {
+        let listed: collections::HashSet<_> = delta.rows.iter().map(|row| &row.key).collect();
         let known = self.rows.values().filter(|row| row.value.is_some());
         let gone = known.filter(|row| !listed.contains(&row.key));
-        gone.map(|row| store::Row { value: None, version: part.version, ..row.clone() }).collect()
+        gone.map(|row| store::Row { value: None, version: delta.version, ..row.clone() }).collect()
     }
 
     /// Stores a row. Returns whether it differs from the known one.
-    fn put(&mut self, row: &store::Row) -> bool {
+    fn store_row(&mut self, row: &store::Row) -> bool {
         if let Some(known) = self.rows.get_mut(&row.key) {
             if known.version >= row.version {
                 return false;
@@ -115,20 +121,20 @@
                 return false;
             }
         }
-        self.changed = self.changed.max(row.version);
+        self.last_change = self.last_change.max(row.version);
         self.rows.insert(row.key.clone(), row.clone());
         true
     }
 
-    fn forget_removed(&mut self) {
+    fn prune_tombstones(&mut self) {
         let removed = self.rows.values().filter(|row| row.value.is_none());
         let mut versions: Vec<u64> = removed.map(|row| row.version).collect();
-        if versions.len() <= REMOVED {
+        if versions.len() <= MAX_TOMBSTONES {
             return;
         }
         versions.sort_unstable();
-        self.base = self.base.max(versions[versions.len() - REMOVED / 2]);
-        let base = self.base;
-        self.rows.retain(|_, row| row.value.is_some() || row.version > base);
+        self.pruned_up_to = self.pruned_up_to.max(versions[versions.len() - MAX_TOMBSTONES / 2]);
+        let pruned_up_to = self.pruned_up_to;
+        self.rows.retain(|_, row| row.value.is_some() || row.version > pruned_up_to);
     }
 }
--- a/crates/lagoon-gateway/src/peers.rs
+++ b/crates/lagoon-gateway/src/peers.rs
@@ -10,11 +10,11 @@
 
 /// Time without a datagram after which an incarnation counts as ended: ten heartbeats within the
 /// zone, or three between zones.
-const SILENCE: clock::Span = clock::Span::from_secs(3);
+const SILENCE_TIMEOUT: clock::Span = clock::Span::from_secs(3);
 
 /// An incarnation of a host: one run of its process.
 #[derive(Clone, Copy, Debug)]
-struct Life {
+struct Incarnation {
     number: u64,
     /// When its last datagram arrived.
     at: clock::Moment,
@@ -26,16 +26,16 @@
     pub(crate) roster: routing::Roster,
     addresses: collections::HashMap<id::Host, net::SocketAddr>,
     names: collections::HashMap<net::SocketAddr, id::Host>,
-    lives: collections::HashMap<net::SocketAddr, Life>,
+    incarnations: collections::HashMap<net::SocketAddr, Incarnation>,
 }
 
 /// Whether the sender of a datagram was known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Met {
+pub(crate) enum Contact {
     /// The incarnation was seen before.
     Known,
-    /// The incarnation is seen for the first time; `before` is the previous one at its address.
-    New { before: Option<u64> },
+    /// The incarnation is seen for the first time; `previous` is the previous one at its address.
+    New { previous: Option<u64> },
 }
 
 impl Peers {
@@ -44,7 +44,7 @@
             roster,
             addresses: collections::HashMap::new(),
             names: collections::HashMap::new(),
-            lives: collections::HashMap::new(),
+            incarnations: collections::HashMap::new(),
         }
     }
 
@@ -57,9 +57,9 @@
         now: clock::Moment,
     ) {
         self.roster.set(host.clone(), standing, now);
-        let before = self.addresses.insert(host.clone(), address);
-        if let Some(before) = before.filter(|before| *before != address) {
-            self.names.remove(&before);
+        let previous = self.addresses.insert(host.clone(), address);
+        if let Some(previous) = previous.filter(|previous| *previous != address) {
+            self.names.remove(&previous);
         }
         self.names.insert(address, host.clone());
     }
@@ -73,28 +73,28 @@
     }
 
     /// Records a datagram of the incarnation `number` from `address`.
-    pub(crate) fn heard(
+    pub(crate) fn record_datagram(
         &mut self,
         address: net::SocketAddr,
         number: u64,
         now: clock::Moment,
-    ) -> Met {
+    ) -> Contact {
         if let Some(host) = self.names.get(&address) {
             self.roster.heard(host, now);
         }
-        let before = self.lives.insert(address, Life { number, at: now });
-        match before {
-            Some(before) if before.number == number => Met::Known,
-            before => Met::New { before: before.map(|life| life.number) },
+        let previous = self.incarnations.insert(address, Incarnation { number, at: now });
+        match previous {
+            Some(previous) if previous.number == number => Contact::Known,
+            previous => Contact::New { previous: previous.map(|incarnation| incarnation.number) },
         }
     }
 
     /// Removes the incarnations that have been silent too long, and returns their numbers.
-    pub(crate) fn take_silent(&mut self, now: clock::Moment) -> Vec<u64> {
-        let is_silent = |life: &Life| now.since(life.at) > SILENCE;
-        let silent = self.lives.values().filter(|life| is_silent(life));
-        let silent = silent.map(|life| life.number).collect();
-        self.lives.retain(|_, life| !is_silent(life));
+    pub(crate) fn remove_silent(&mut self, now: clock::Moment) -> Vec<u64> {
+        let is_silent = |incarnation: &Incarnation| now.since(incarnation.at) > SILENCE_TIMEOUT;
+        let silent = self.incarnations.values().filter(|incarnation| is_silent(incarnation));
+        let silent = silent.map(|incarnation| incarnation.number).collect();
+        self.incarnations.retain(|_, incarnation| !is_silent(incarnation));
         silent
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// Whether the host at `address` is in `zone`.
-    pub(crate) fn is_in(&self, address: net::SocketAddr, zone: &id::Zone) -> bool {
+    pub(crate) fn is_in_zone(&self, address: net::SocketAddr, zone: &id::Zone) -> bool {
         let host = self.names.get(&address);
         host.and_then(|host| self.roster.zone(host)).is_some_and(|known| known == zone)
     }
@@ -115,18 +115,19 @@
     }
 
     /// Returns the known incarnations of hosts in `zone`.
-    pub(crate) fn lives_in(&self, zone: &id::Zone) -> collections::HashSet<u64> {
-        let lives = self.lives.iter().filter(|(address, _)| self.is_in(**address, zone));
-        lives.map(|(_, life)| life.number).collect()
+    pub(crate) fn incarnations_in(&self, zone: &id::Zone) -> collections::HashSet<u64> {
+        let incarnations =
+            self.incarnations.iter().filter(|(address, _)| self.is_in_zone(**address, zone));
+        incarnations.map(|(_, incarnation)| incarnation.number).collect()
     }
 
     /// Returns the addresses of the hosts in this zone that track dispatches in flight.
-    pub(crate) fn near(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
+    pub(crate) fn zone_addresses(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
         self.roster.near(now).iter().filter_map(|host| self.address(host)).collect()
     }
 
     /// Returns the addresses of the hosts in other zones that track dispatches in flight.
-    pub(crate) fn far(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
+    pub(crate) fn other_zone_addresses(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
         self.roster.far(now).iter().filter_map(|host| self.address(host)).collect()
     }
 
--- a/crates/lagoon-gateway/src/quarantine/mod.rs
+++ b/crates/lagoon-gateway/src/quarantine/mod.rs
@@ -2,9 +2,9 @@
 //! hosts, and checks each request before it is sent. The verdicts themselves are made by
 //! [`lagoonline::life::quarantine`].
 
+mod message;
 mod operator;
 mod rows;
-mod word;
 
 use std::collections;
 use std::net;
@@ -23,27 +23,27 @@
 use crate::event;
 use crate::forward;
 use crate::mesh;
+use crate::message as messages;
 use crate::server;
 use crate::state;
-use crate::word as words;
 
-pub(crate) use operator::operate;
+pub(crate) use message::{Cleared, Crashed, Verdict};
+pub(crate) use operator::handle_operator_call;
 pub(crate) use rows::run;
-pub(crate) use word::{Cleared, Crashed, Verdict};
 
 /// Minimum time between two transfers of verdicts to the same host.
-const TOLD_AGAIN: clock::Span = clock::Span::from_millis(200);
+const RESEND_INTERVAL: clock::Span = clock::Span::from_millis(200);
 /// Maximum number of verdicts in one transfer; if there are more, a random selection is sent.
-const MOST_TOLD: usize = 256;
+const MAX_VERDICTS_SENT: usize = 256;
 
 /// The quarantine, shared by the threads of the process.
 #[derive(Debug, Default)]
-pub(crate) struct Keeper {
-    quarantine: sync::Mutex<quarantine::Quarantine>,
+pub(crate) struct Shared {
+    records: sync::Mutex<quarantine::Quarantine>,
     /// Checksum of the verdicts, sent with each batch of updates.
     checksum: atomic::AtomicU64,
     /// When verdicts were last sent to each host.
-    told: sync::Mutex<collections::HashMap<net::SocketAddr, clock::Moment>>,
+    last_sent: sync::Mutex<collections::HashMap<net::SocketAddr, clock::Moment>>,
 }
 
 impl forward::Admitted {
@@ -53,65 +53,65 @@
     ///
     /// The request is in quarantine.
     pub(crate) async fn check_quarantine(&self) -> Result<(), answer::Fault> {
-        if !self.is_noted() {
+        if !self.may_be_known() {
             return Ok(());
         }
         let fingerprint = self.fingerprint();
         loop {
             let now = self.state.clock.now();
-            let standing = state::lock(&self.state.keeper.quarantine).standing(&fingerprint, now);
+            let standing = state::lock(&self.state.quarantine.records).standing(&fingerprint, now);
             match standing {
                 quarantine::Standing::Free => return Ok(()),
                 quarantine::Standing::Undecided(span) => {
-                    tokio::time::sleep(span + server::TICK).await;
+                    tokio::time::sleep(span + server::EXPIRY_INTERVAL).await;
                 }
-                quarantine::Standing::Held(record) => return Err(held(&record, now)),
+                quarantine::Standing::Held(record) => return Err(quarantine_fault(&record, now)),
             }
         }
     }
 
     /// Whether evidence or a verdict on the request may exist, judged by the length of its body.
-    fn is_noted(&self) -> bool {
+    fn may_be_known(&self) -> bool {
         let length = u64::try_from(self.request.body.len()).unwrap_or(u64::MAX);
-        state::lock(&self.state.keeper.quarantine).knows_length(length)
+        state::lock(&self.state.quarantine.records).knows_length(length)
     }
 
     /// Records that the request was answered completely, which clears it of suspicion.
     pub(crate) fn clear(&self) {
-        if !self.is_noted() {
+        if !self.may_be_known() {
             return;
         }
         let fingerprint = self.fingerprint();
-        let is_news = self.state.clear(&fingerprint);
-        if is_news {
+        let was_suspect = self.state.clear_suspect(&fingerprint);
+        if was_suspect {
             event::Line::new("suspect_cleared")
                 .text("request", &self.request.call.request_id)
                 .text("fingerprint", fingerprint)
                 .info();
-            let cleared = Cleared { request: Some(word::Identity::new(&fingerprint)) };
-            let what = words::What::Cleared(cleared);
-            self.state.tell(words::Word::new(0, &self.service, what));
+            let cleared = Cleared { request: Some(message::Identity::new(&fingerprint)) };
+            let what = messages::Kind::Cleared(cleared);
+            self.state.publish(messages::Update::new(0, &self.service, what));
         }
     }
 }
 
-fn held(record: &quarantine::Record, now: clock::Moment) -> answer::Fault {
+fn quarantine_fault(record: &quarantine::Record, now: clock::Moment) -> answer::Fault {
     let left = record.until.since(now);
     let (fingerprint, crashes) = (&record.fingerprint, record.crashes);
     let detail = format!("{fingerprint}: {crashes} upstreams crashed under this request");
-    answer::Fault::not_run(Reason::Quarantined, Step::Admit, detail).after(left)
+    answer::Fault::not_run(Reason::Quarantined, Step::Admit, detail).with_retry_after(left)
 }
 
 impl state::State {
     /// Records that `upstream` crashed while it had `requests` of this host, and publishes it.
-    pub(crate) fn crashed(
+    pub(crate) fn record_crash(
         &self,
         service: &id::Service,
         upstream: &id::Upstream,
         requests: &[crash::Request],
     ) {
         self.metrics.crashes.inc();
-        let mut quarantine = state::lock(&self.keeper.quarantine);
+        let mut quarantine = state::lock(&self.quarantine.records);
         let suspect = |request: &crash::Request| {
             let weight = quarantine.weight(request.progress)?;
             Some(quarantine::Suspect { fingerprint: request.fingerprint, weight })
@@ -122,45 +122,45 @@
         }
         quarantine.crashed(upstream, &suspects, self.clock.now());
         drop(quarantine);
-        let what = words::What::Crashed(Crashed::new(upstream, &suspects));
-        self.tell(words::Word::new(0, service, what));
+        let what = messages::Kind::Crashed(Crashed::new(upstream, &suspects));
+        self.publish(messages::Update::new(0, service, what));
     }
 
     /// Applies another host's report of a crash.
-    pub(crate) fn heard_crash(&self, crashed: &Crashed) {
+    pub(crate) fn apply_crash(&self, crashed: &Crashed) {
         match crashed.suspects() {
             Ok(suspects) => {
                 let upstream = id::Upstream::from(crashed.upstream.as_str());
                 let now = self.clock.now();
-                state::lock(&self.keeper.quarantine).crashed(&upstream, &suspects, now);
+                state::lock(&self.quarantine.records).crashed(&upstream, &suspects, now);
             }
-            Err(error) => unreadable(error),
+            Err(error) => log_unreadable(error),
         }
     }
 
     /// Applies another host's report that a suspect was answered.
-    pub(crate) fn heard_cleared(&self, cleared: &Cleared) {
-        match cleared.request.as_ref().map(word::Identity::fingerprint) {
+    pub(crate) fn apply_cleared(&self, cleared: &Cleared) {
+        match cleared.request.as_ref().map(message::Identity::fingerprint) {
             Some(Ok(fingerprint)) => {
-                self.clear(&fingerprint);
+                self.clear_suspect(&fingerprint);
             }
-            Some(Err(error)) => unreadable(error),
-            None => unreadable(fingerprint::Malformed),
+            Some(Err(error)) => log_unreadable(error),
+            None => log_unreadable(fingerprint::Malformed),
         }
     }
 
     /// Applies another host's verdict.
-    pub(crate) fn heard_verdict(&self, verdict: &Verdict) {
+    pub(crate) fn apply_verdict(&self, verdict: &Verdict) {
         match verdict.record(self.clock.now()) {
-            Ok(record) => self.merge(record, "host"),
-            Err(error) => unreadable(error),
+            Ok(record) => self.merge_verdict(record, "host"),
+            Err(error) => log_unreadable(error),
         }
     }
 
     /// Merges a verdict that came from `source`.
-    pub(crate) fn merge(&self, record: quarantine::Record, source: &str) {
+    pub(crate) fn merge_verdict(&self, record: quarantine::Record, source: &str) {
         let now = self.clock.now();
-        if !state::lock(&self.keeper.quarantine).merge(record, now) {
+        if !state::lock(&self.quarantine.records).merge(record, now) {
             return;
         }
         event::Line::new("quarantine_learned")
@@ -170,25 +170,26 @@
             .number("released", record.released)
             .span("left_ms", record.until.since(now))
             .info();
-        self.sum_up();
+        self.refresh_summary();
     }
 
     /// Clears a request that was answered. Returns whether it was a suspect.
-    fn clear(&self, fingerprint: &fingerprint::Fingerprint) -> bool {
+    fn clear_suspect(&self, fingerprint: &fingerprint::Fingerprint) -> bool {
         let now = self.clock.now();
-        let (is_news, released) = state::lock(&self.keeper.quarantine).answered(fingerprint, now);
+        let (was_suspect, released) =
+            state::lock(&self.quarantine.records).answered(fingerprint, now);
         if let Some(record) = released {
-            self.announce(&record);
+            self.publish_verdict(&record);
         }
-        is_news
+        was_suspect
     }
 
     /// Ends the quarantine of a request. Returns whether it was in quarantine.
     fn release(&self, fingerprint: &fingerprint::Fingerprint) -> bool {
         let now = self.clock.now();
-        let released = state::lock(&self.keeper.quarantine).release(fingerprint, now);
+        let released = state::lock(&self.quarantine.records).release(fingerprint, now);
         if let Some(record) = &released {
-            self.announce(record);
+            self.publish_verdict(record);
         }
         released.is_some()
     }
@@ -196,16 +197,16 @@
     /// Returns the verdicts in force, including those that were released early.
     pub(crate) fn verdicts(&self) -> Vec<quarantine::Record> {
         let now = self.clock.now();
-        state::lock(&self.keeper.quarantine).records(now).copied().collect()
+        state::lock(&self.quarantine.records).records(now).copied().collect()
     }
 
     /// Judges the suspects on which a verdict is due, and drops expired evidence. Only a host that
     /// receives the crash reports of all hosts judges: by one host's crashes alone, every request
     /// that ran beside a lethal one would look just as guilty.
-    pub(crate) fn tend_quarantine(&self) {
+    pub(crate) fn update_quarantine(&self) {
         let now = self.clock.now();
         let judges = state::lock(&self.peers).roster.is_candidate(now);
-        let mut quarantine = state::lock(&self.keeper.quarantine);
+        let mut quarantine = state::lock(&self.quarantine.records);
         quarantine.expire(now);
         let verdicts = if judges { quarantine.judge(now) } else { Vec::new() };
         drop(quarantine);
@@ -218,32 +219,32 @@
                 .number("times", verdict.record.times)
                 .span("left_ms", verdict.record.until.since(now))
                 .warn();
-            self.announce(&verdict.record);
+            self.publish_verdict(&verdict.record);
         }
-        self.sum_up();
+        self.refresh_summary();
     }
 
     /// Publishes a verdict of this host to all hosts.
-    fn announce(&self, record: &quarantine::Record) {
-        self.say(verdict_word(record, self.clock.now()), mesh::Reach::All);
-        self.sum_up();
+    fn publish_verdict(&self, record: &quarantine::Record) {
+        self.queue_update(verdict_update(record, self.clock.now()), mesh::Audience::AllZones);
+        self.refresh_summary();
     }
 
-    fn sum_up(&self) {
+    fn refresh_summary(&self) {
         let now = self.clock.now();
-        let quarantine = state::lock(&self.keeper.quarantine);
+        let quarantine = state::lock(&self.quarantine.records);
         let checksum = quarantine.checksum(now);
         let held = quarantine.records(now).filter(|record| record.holds(now)).count();
         let suspects = quarantine.suspects();
         drop(quarantine);
-        self.keeper.checksum.store(checksum, atomic::Ordering::Relaxed);
+        self.quarantine.checksum.store(checksum, atomic::Ordering::Relaxed);
         self.metrics.quarantined.set(i64::try_from(held).unwrap_or(i64::MAX));
         self.metrics.suspects.set(i64::try_from(suspects).unwrap_or(i64::MAX));
     }
 
     /// Returns the checksum of this host's verdicts.
     pub(crate) fn verdicts_checksum(&self) -> u64 {
-        self.keeper.checksum.load(atomic::Ordering::Relaxed)
+        self.quarantine.checksum.load(atomic::Ordering::Relaxed)
     }
 
     /// Sends this host's verdicts to the host at `address` if its checksum differs.
@@ -255,25 +256,25 @@
             return;
         }
         let now = self.clock.now();
-        let mut told = state::lock(&self.keeper.told);
-        told.retain(|_, at| now.since(*at) < TOLD_AGAIN);
-        if told.contains_key(&address) {
+        let mut last_sent = state::lock(&self.quarantine.last_sent);
+        last_sent.retain(|_, at| now.since(*at) < RESEND_INTERVAL);
+        if last_sent.contains_key(&address) {
             return;
         }
-        told.insert(address, now);
-        drop(told);
+        last_sent.insert(address, now);
+        drop(last_sent);
         let verdicts = self.verdicts();
-        let some = verdicts.choose_multiple(&mut rand::rng(), MOST_TOLD);
-        let words = some.map(|record| verdict_word(record, now)).collect();
-        self.send(address, &self.datagrams(words));
+        let some = verdicts.choose_multiple(&mut rand::rng(), MAX_VERDICTS_SENT);
+        let updates = some.map(|record| verdict_update(record, now)).collect();
+        self.send(address, &self.encode_updates(updates));
     }
 }
 
-fn verdict_word(record: &quarantine::Record, now: clock::Moment) -> words::Word {
-    let what = words::What::Verdict(Verdict::new(record, now));
-    words::Word::new(0, &id::Service::default(), what)
+fn verdict_update(record: &quarantine::Record, now: clock::Moment) -> messages::Update {
+    let what = messages::Kind::Verdict(Verdict::new(record, now));
+    messages::Update::new(0, &id::Service::default(), what)
 }
 
-fn unreadable(error: fingerprint::Malformed) {
+fn log_unreadable(error: fingerprint::Malformed) {
     event::Line::new("quarantine_unreadable").text("error", error).warn();
 }
--- a/crates/lagoon-gateway/src/quarantine/operator.rs
+++ b/crates/lagoon-gateway/src/quarantine/operator.rs
@@ -15,7 +15,7 @@
 const RELEASE: &str = "/quarantine/release/";
 
 /// Handles a quarantine call. Returns `None` if `path` is not one.
-pub(crate) fn operate(
+pub(crate) fn handle_operator_call(
     state: &state::State,
     method: &http::Method,
     path: &str,
--- a/crates/lagoon-gateway/src/quarantine/rows.rs
+++ b/crates/lagoon-gateway/src/quarantine/rows.rs
@@ -20,11 +20,11 @@
 /// Table of the verdicts.
 const TABLE: &str = "lagoon-quarantine";
 /// Timeout for a call of the store.
-const CALL: clock::Span = clock::Span::from_millis(1_500);
+const CALL_TIMEOUT: clock::Span = clock::Span::from_millis(1_500);
 /// Interval between two rounds of writes, and first pause after a failed call.
-const PAUSE: clock::Span = clock::Span::from_millis(700);
+const WRITE_INTERVAL: clock::Span = clock::Span::from_millis(700);
 /// Maximum number of writes, and of removals, in one round.
-const MOST_CALLS: usize = 10;
+const MAX_CALLS: usize = 10;
 
 /// The row of a verdict; its key is the fingerprint.
 #[derive(Debug, Deserialize, Serialize)]
@@ -70,9 +70,9 @@
 /// limits require. The pause is randomised so that hosts which lost the platform together do not
 /// call it together.
 async fn pause(state: &state::State, failures: u32) {
-    let longest = state::lock(&state.peers).roster.longest_pause(state.clock.now());
-    let span = PAUSE.saturating_mul(1_u32.checked_shl(failures).unwrap_or(u32::MAX));
-    let span = span.min(longest.max(PAUSE));
+    let max_pause = state::lock(&state.peers).roster.longest_pause(state.clock.now());
+    let span = WRITE_INTERVAL.saturating_mul(1_u32.checked_shl(failures).unwrap_or(u32::MAX));
+    let span = span.min(max_pause.max(WRITE_INTERVAL));
     tokio::time::sleep(span.mul_f64(rand::rng().random_range(0.7..1.3))).await;
 }
 
@@ -80,13 +80,13 @@
     state: &state::State,
     client: &mut client::Client,
     stored: &mut Stored,
-) -> Result<(), client::Trouble> {
+) -> Result<(), client::Error> {
     let mut from = String::new();
     loop {
-        let reply = client.call(&store::rows(TABLE, &from), CALL).await?;
+        let reply = client.call(&store::rows(TABLE, &from), CALL_TIMEOUT).await?;
         let store::Reply::Rows(rows) = reply else { return Ok(()) };
         for row in &rows.rows {
-            take(state, row, stored);
+            merge_row(state, row, stored);
         }
         match rows.rows.last() {
             // The key right after the last one.
@@ -97,7 +97,7 @@
 }
 
 /// Merges a row; one that cannot be read is logged and ignored.
-fn take(state: &state::State, row: &store::Row, stored: &mut Stored) {
+fn merge_row(state: &state::State, row: &store::Row, stored: &mut Stored) {
     let Some(value) = &row.value else { return };
     let read = serde_json::from_slice::<Row>(value);
     match (row.key.parse::<fingerprint::Fingerprint>(), read) {
@@ -112,7 +112,7 @@
                 until: state.clock.now() + clock::Span::from_millis(left),
                 released: row.released,
             };
-            state.merge(record, "platform");
+            state.merge_verdict(record, "platform");
         }
         (Err(error), _) => unreadable(&row.key, &error.to_string()),
         (_, Err(error)) => unreadable(&row.key, &error.to_string()),
@@ -127,24 +127,24 @@
     state: &state::State,
     client: &mut client::Client,
     stored: &mut Stored,
-) -> Result<(), client::Trouble> {
+) -> Result<(), client::Error> {
     let records = state.verdicts();
     let is_new = |record: &&quarantine::Record| {
         stored.get(&record.fingerprint).is_none_or(|version| *version < record.version)
     };
-    let new: Vec<_> = records.iter().filter(is_new).take(MOST_CALLS).copied().collect();
+    let new: Vec<_> = records.iter().filter(is_new).take(MAX_CALLS).copied().collect();
     for record in new {
         let row = serde_json::json!(row(state, &record)).to_string();
         let call = store::put(TABLE, &record.fingerprint.to_string(), row.as_bytes());
         // Writing a verdict again is harmless, so a lost answer needs no check.
-        client.call(&call, CALL).await?;
+        client.call(&call, CALL_TIMEOUT).await?;
         stored.insert(record.fingerprint, record.version);
     }
     let known: collections::BTreeSet<_> = records.iter().map(|known| known.fingerprint).collect();
-    let lapsed = stored.keys().filter(|stored| !known.contains(stored));
-    let lapsed: Vec<_> = lapsed.take(MOST_CALLS).copied().collect();
-    for fingerprint in lapsed {
-        client.call(&store::remove(TABLE, &fingerprint.to_string()), CALL).await?;
+    let expired = stored.keys().filter(|stored| !known.contains(stored));
+    let expired: Vec<_> = expired.take(MAX_CALLS).copied().collect();
+    for fingerprint in expired {
+        client.call(&store::remove(TABLE, &fingerprint.to_string()), CALL_TIMEOUT).await?;
         stored.remove(&fingerprint);
     }
     Ok(())
--- a/crates/lagoon-gateway/src/question.rs
+++ b/crates/lagoon-gateway/src/question.rs
@@ -5,7 +5,7 @@
 use lagoonline::id;
 use lagoonline::load::placement;
 
-use crate::word;
+use crate::message;
 
 /// Asks where to send one dispatch.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -56,10 +56,10 @@
             service: service.to_string(),
             prompt: demand.prompt,
             answer: demand.answer,
-            target_ms: word::millis(demand.target),
-            gap_ms: word::millis(demand.gap),
-            waited_ms: word::millis(demand.waited),
-            left_ms: word::millis(left),
+            target_ms: message::millis(demand.target),
+            gap_ms: message::millis(demand.gap),
+            waited_ms: message::millis(demand.waited),
+            left_ms: message::millis(left),
             avoid: demand.avoid.iter().map(ToString::to_string).collect(),
             turn: demand.turn.number,
         }
@@ -76,9 +76,9 @@
         placement::Demand {
             prompt: self.prompt,
             answer: self.answer,
-            target: word::span(self.target_ms),
-            gap: word::span(self.gap_ms),
-            waited: word::span(self.waited_ms),
+            target: message::span(self.target_ms),
+            gap: message::span(self.gap_ms),
+            waited: message::span(self.waited_ms),
             turn: placement::WorkId { host: asking, number: self.turn },
             zone,
             avoid,
@@ -93,8 +93,8 @@
         placed: &placement::Placement,
         now: clock::Moment,
     ) -> placement::Work {
-        let left = word::span(self.left_ms);
-        placement::Work::new(id, placed, self.prompt, word::span(self.gap_ms), now + left)
+        let left = message::span(self.left_ms);
+        placement::Work::new(id, placed, self.prompt, message::span(self.gap_ms), now + left)
     }
 }
 
@@ -244,7 +244,7 @@
             placement::Refusal::TooLong => refused(Reason::TooLong),
             placement::Refusal::Busy(shortage) => lacking(Reason::Busy, shortage),
             placement::Refusal::Full(shortage, span) => {
-                Refused { span_ms: word::millis(span), ..lacking(Reason::Full, shortage) }
+                Refused { span_ms: message::millis(span), ..lacking(Reason::Full, shortage) }
             }
         }
     }
@@ -257,7 +257,7 @@
             Reason::NoUpstream => placement::Refusal::NoUpstream,
             Reason::TooLong => placement::Refusal::TooLong,
             Reason::Busy => placement::Refusal::Busy(shortage),
-            Reason::Full => placement::Refusal::Full(shortage, word::span(refused.span_ms)),
+            Reason::Full => placement::Refusal::Full(shortage, message::span(refused.span_ms)),
         }
     }
 }
@@ -273,23 +273,23 @@
             first: placement.first.upstream.to_string(),
             reserve: placement.reserve,
             helpers: placement.helpers.iter().map(helper).collect(),
-            expected_ms: word::millis(placement.expected),
+            expected_ms: message::millis(placement.expected),
             belief: Some(Belief {
                 reading_ms: belief.reading_ms,
                 writers: belief.writers,
                 places: u32::try_from(belief.places).unwrap_or(u32::MAX),
-                heard_ms: word::millis(belief.heard),
+                heard_ms: message::millis(belief.heard),
             }),
         }
     }
 }
 
 impl Placed {
-    /// Resolves the placement against the upstreams on `board`. Returns `None` if one of them is
+    /// Resolves the placement against the upstreams on `placer`. Returns `None` if one of them is
     /// not listed here or is leaving: the scheduler's list of upstreams may differ from this
     /// host's.
-    pub(crate) fn placement(&self, board: &placement::Board) -> Option<placement::Placement> {
-        let entry = |name: &str| board.entry(name).filter(|entry| !entry.leaving).cloned();
+    pub(crate) fn placement(&self, placer: &placement::Board) -> Option<placement::Placement> {
+        let entry = |name: &str| placer.entry(name).filter(|entry| !entry.leaving).cloned();
         let helper = |helper: &Helper| {
             let entry = entry(&helper.upstream)?;
             Some(placement::Helper { entry, reserve: helper.reserve })
@@ -298,13 +298,13 @@
             reading_ms: belief.reading_ms,
             writers: belief.writers,
             places: belief.places as usize,
-            heard: word::span(belief.heard_ms),
+            heard: message::span(belief.heard_ms),
         });
         Some(placement::Placement {
             first: entry(&self.first)?,
             reserve: self.reserve,
             helpers: self.helpers.iter().map(helper).collect::<Option<_>>()?,
-            expected: word::span(self.expected_ms),
+            expected: message::span(self.expected_ms),
             belief: belief.unwrap_or_default(),
             next: None,
         })
--- a/crates/lagoon-gateway/src/relay/follow.rs
+++ b/crates/lagoon-gateway/src/relay/follow.rs
@@ -15,20 +15,20 @@
 
 use super::message;
 use crate::event;
-use crate::feed;
 use crate::hosts;
-use crate::link;
 use crate::state;
+use crate::tables;
+use crate::tcp;
 
 /// Timeout for connecting to another host of the zone: a lost packet is retransmitted within it.
-const CONNECT: clock::Span = clock::Span::from_millis(350);
+const CONNECT_TIMEOUT: clock::Span = clock::Span::from_millis(350);
 /// Time that an answer may take beyond the reader's hold time: a lost packet is retransmitted
 /// within it, and a change of the desired state is still applied in time.
-const SLACK: clock::Span = clock::Span::from_millis(350);
+const ANSWER_SLACK: clock::Span = clock::Span::from_millis(350);
 /// Interval between searches for a reader while this host reads the platform itself.
-const SEARCH: clock::Span = clock::Span::from_millis(1_000);
+const SEARCH_INTERVAL: clock::Span = clock::Span::from_millis(1_000);
 /// Pause before hosts that were not reading are asked again.
-const MOMENT: clock::Span = clock::Span::from_millis(150);
+const NOT_READING_PAUSE: clock::Span = clock::Span::from_millis(150);
 
 /// Another host of the zone.
 #[derive(Clone, Copy, Debug)]
@@ -39,9 +39,9 @@
 }
 
 /// The other hosts of the zone.
-pub(crate) type Members = sync::Mutex<Known>;
+pub(crate) type Members = sync::Mutex<MemberMap>;
 
-type Known = collections::BTreeMap<id::Host, Member>;
+type MemberMap = collections::BTreeMap<id::Host, Member>;
 
 /// Follows the reader of the zone for as long as the process runs.
 pub(crate) async fn run(state: sync::Arc<state::State>) {
@@ -50,7 +50,7 @@
         least_hosts: state.settings.tuning.relay_hosts,
         ..routing::SourceSettings::default()
     };
-    let look = settings.look_span(node.bounds.apply);
+    let max_age = settings.look_span(node.bounds.apply);
     let mut sources = routing::Sources::new(settings, node.host.clone(), node.cpu_share);
     let mut known = collections::BTreeMap::new();
     loop {
@@ -58,41 +58,48 @@
         match sources.next(state.clock.now()) {
             // The hosts ranked before this one do not read yet, but one of them soon will.
             routing::Source::Platform
-                if is_fresh(&state, look) && !sources.is_first(state.clock.now()) =>
+                if is_fresh(&state, max_age) && !sources.is_first(state.clock.now()) =>
             {
-                tokio::time::sleep(MOMENT).await;
+                tokio::time::sleep(NOT_READING_PAUSE).await;
             }
             routing::Source::Platform => {
-                state.feed.set_reads(true);
-                tokio::time::sleep(SEARCH).await;
-                let age = feed::age(&state, state.feed.listed_at());
-                if age.is_none_or(|age| age > super::STALE) {
+                state.tables.set_reads_platform(true);
+                tokio::time::sleep(SEARCH_INTERVAL).await;
+                let age = tables::age(&state, state.tables.upstreams_confirmed_at());
+                if age.is_none_or(|age| age > super::MAX_ANSWER_AGE) {
                     sources.platform_failed(state.clock.now());
                 }
             }
             routing::Source::Peer(host) => {
                 let member = known.get(&host).copied();
-                let ended = match member {
-                    Some(member) => ask(&state, &mut sources, &mut known, &host, member).await,
-                    None => Ended::Silent("its address is not known".to_owned()),
+                let reason = match member {
+                    Some(member) => {
+                        follow_reader(&state, &mut sources, &mut known, &host, member).await
+                    }
+                    None => LeaveReason::Failed("its address is not known".to_owned()),
                 };
-                leave(&state, &mut sources, &host, &ended);
-                if !is_fresh(&state, look) {
-                    state.feed.set_reads(true);
+                record_leave(&state, &mut sources, &host, &reason);
+                if !is_fresh(&state, max_age) {
+                    state.tables.set_reads_platform(true);
                 }
-                event::Line::new("reader_left").text("host", &host).text("why", ended).info();
+                event::Line::new("reader_left").text("host", &host).text("why", reason).info();
             }
         }
     }
 }
 
 /// Records why this host stopped following a reader.
-fn leave(state: &state::State, sources: &mut routing::Sources, host: &id::Host, ended: &Ended) {
+fn record_leave(
+    state: &state::State,
+    sources: &mut routing::Sources,
+    host: &id::Host,
+    reason: &LeaveReason,
+) {
     let now = state.clock.now();
-    match ended {
-        Ended::Outranked => {}
-        Ended::NotReading => sources.idle(host, now),
-        Ended::Silent(_) => sources.failed(host, now),
+    match reason {
+        LeaveReason::Outranked => {}
+        LeaveReason::NotReading => sources.idle(host, now),
+        LeaveReason::Failed(_) => sources.failed(host, now),
     }
 }
 
@@ -104,12 +111,13 @@
 /// read for itself, whatever the others report: the platform may be refusing just the hosts that it
 /// asks.
 fn is_fresh(state: &state::State, span: clock::Span) -> bool {
-    let ages = [state.confirmation_age(), feed::age(state, state.feed.listed_at())];
+    let ages =
+        [state.confirmation_age(), tables::age(state, state.tables.upstreams_confirmed_at())];
     ages.iter().all(|age| age.is_some_and(|age| age <= span))
 }
 
 /// Updates `known` and `sources` from the current members of the zone.
-fn update(sources: &mut routing::Sources, known: &mut Known, members: &Members) {
+fn update(sources: &mut routing::Sources, known: &mut MemberMap, members: &Members) {
     let now = state::lock(members).clone();
     for gone in known.keys().filter(|host| !now.contains_key(*host)) {
         sources.remove_peer(gone);
@@ -122,18 +130,18 @@
 
 /// Why this host stopped following a reader.
 #[derive(Debug, thiserror::Error)]
-enum Ended {
+enum LeaveReason {
     #[error("it does not read now")]
     NotReading,
     #[error("another host comes before it")]
     Outranked,
     #[error("{0}")]
-    Silent(String),
+    Failed(String),
 }
 
-impl From<io::Error> for Ended {
-    fn from(error: io::Error) -> Ended {
-        Ended::Silent(error.to_string())
+impl From<io::Error> for LeaveReason {
+    fn from(error: io::Error) -> LeaveReason {
+        LeaveReason::Failed(error.to_string())
     }
 }
 
@@ -143,70 +151,70 @@
 /// Hosts that start together do not all know of each other at first, so the highest-ranked host may
 /// follow one that it met earlier. If it kept following, every host that asks it would be told that
 /// it does not read.
-async fn ask(
+async fn follow_reader(
     state: &state::State,
     sources: &mut routing::Sources,
-    known: &mut Known,
+    known: &mut MemberMap,
     host: &id::Host,
     member: Member,
-) -> Ended {
-    let mut link = match open(member.address).await {
-        Ok(link) => link,
-        Err(ended) => return ended,
+) -> LeaveReason {
+    let mut connection = match open(member.address).await {
+        Ok(connection) => connection,
+        Err(reason) => return reason,
     };
     loop {
-        if let Err(ended) = talk(state, &mut link).await {
-            return ended;
+        if let Err(reason) = poll(state, &mut connection).await {
+            return reason;
         }
         update(sources, known, &state.members);
         if sources.next(state.clock.now()) != routing::Source::Peer(host.clone()) {
-            return Ended::Outranked;
+            return LeaveReason::Outranked;
         }
     }
 }
 
-async fn open(address: net::SocketAddr) -> Result<super::Link, Ended> {
-    Ok(super::framed(link::connect(address, CONNECT).await?))
+async fn open(address: net::SocketAddr) -> Result<super::Connection, LeaveReason> {
+    Ok(super::framed(tcp::connect(address, CONNECT_TIMEOUT).await?))
 }
 
 /// Sends one request and applies the answer.
-async fn talk(state: &state::State, link: &mut super::Link) -> Result<(), Ended> {
-    let asked = state.clock.now();
-    let ask = message::Ask {
-        desired: state::lock(&state.feed.desired).version(),
-        upstreams: state::lock(&state.feed.upstreams).version(),
-        hosts: state::lock(&state.feed.hosts).version(),
+async fn poll(state: &state::State, connection: &mut super::Connection) -> Result<(), LeaveReason> {
+    let asked_at = state.clock.now();
+    let request = message::Request {
+        desired: state::lock(&state.tables.desired).version(),
+        upstreams: state::lock(&state.tables.upstreams).version(),
+        hosts: state::lock(&state.tables.hosts).version(),
     };
-    link.send(bytes::Bytes::from(ask.encode_to_vec())).await?;
-    let told = tokio::time::timeout(super::HOLD + SLACK, link.next()).await;
-    let told = told.map_err(|_| Ended::Silent("no answer in time".to_owned()))?;
-    let frame = told.ok_or_else(|| Ended::Silent("connection closed".to_owned()))??;
-    let told = message::Told::decode(frame).map_err(io::Error::from)?;
-    let news = told.news.ok_or(Ended::NotReading)?;
-    take_in(state, news, asked);
-    state.feed.set_reads(false);
+    connection.send(bytes::Bytes::from(request.encode_to_vec())).await?;
+    let response = tokio::time::timeout(super::HOLD_TIME + ANSWER_SLACK, connection.next()).await;
+    let response = response.map_err(|_| LeaveReason::Failed("no answer in time".to_owned()))?;
+    let frame = response.ok_or_else(|| LeaveReason::Failed("connection closed".to_owned()))??;
+    let response = message::Response::decode(frame).map_err(io::Error::from)?;
+    let changes = response.news.ok_or(LeaveReason::NotReading)?;
+    apply(state, changes, asked_at);
+    state.tables.set_reads_platform(false);
     Ok(())
 }
 
-/// Applies a reader's answer. The ages in it count from `asked`, the time of the request, and can
+/// Applies a reader's answer. The ages in it count from `asked_at`, the time of the request, and can
 /// only be too old.
-fn take_in(state: &state::State, news: message::News, asked: clock::Moment) {
-    if let Some(returned) = news.returned_ms {
+fn apply(state: &state::State, changes: message::Changes, asked_at: clock::Moment) {
+    if let Some(returned) = changes.returned_ms {
         let age = clock::Span::from_millis(returned);
-        feed::platform_returned(state, state.clock.now().before(age));
+        tables::platform_recovered(state, state.clock.now().before(age));
     }
-    if let Some(table) = news.desired {
-        let at = asked.before(clock::Span::from_millis(table.age_ms));
-        let rows = state::lock(&state.feed.desired).take(table.into_part());
-        feed::take_desired(state, &rows, at);
+    if let Some(table) = changes.desired {
+        let at = asked_at.before(clock::Span::from_millis(table.age_ms));
+        let rows = state::lock(&state.tables.desired).apply(table.into_delta());
+        tables::apply_desired(state, &rows, at);
     }
-    if let Some(table) = news.upstreams {
-        let at = asked.before(clock::Span::from_millis(table.age_ms));
-        let rows = state::lock(&state.feed.upstreams).take(table.into_part());
-        feed::take_upstreams(state, &rows, at);
+    if let Some(table) = changes.upstreams {
+        let at = asked_at.before(clock::Span::from_millis(table.age_ms));
+        let rows = state::lock(&state.tables.upstreams).apply(table.into_delta());
+        tables::apply_upstreams(state, &rows, at);
     }
-    if let Some(table) = news.hosts {
-        let rows = state::lock(&state.feed.hosts).take(table.into_part());
-        hosts::take(state, &rows);
+    if let Some(table) = changes.hosts {
+        let rows = state::lock(&state.tables.hosts).apply(table.into_delta());
+        hosts::apply_rows(state, &rows);
     }
 }
--- a/crates/lagoon-gateway/src/relay/message.rs
+++ b/crates/lagoon-gateway/src/relay/message.rs
@@ -6,7 +6,7 @@
 
 /// A relay request: the versions that the asking host has.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct Ask {
+pub(crate) struct Request {
     /// Version up to which it has the desired state.
     #[prost(uint64, optional, tag = "1")]
     pub(crate) desired: Option<u64>,
@@ -20,16 +20,16 @@
 
 /// The answer to a relay request.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct Told {
+pub(crate) struct Response {
     /// Changes of the tables; absent if the host that was asked does not read the platform, or not
     /// successfully.
     #[prost(message, optional, tag = "1")]
-    pub(crate) news: Option<News>,
+    pub(crate) news: Option<Changes>,
 }
 
 /// Changes of the tables.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct News {
+pub(crate) struct Changes {
     /// The desired state.
     #[prost(message, optional, tag = "1")]
     pub(crate) desired: Option<Table>,
@@ -76,19 +76,19 @@
 }
 
 impl Table {
-    pub(crate) fn new(part: mirror::Part, age: std::time::Duration) -> Table {
+    pub(crate) fn new(delta: mirror::Delta, age: std::time::Duration) -> Table {
         let row = |row: store::Row| Row { key: row.key, value: row.value, version: row.version };
         Table {
-            rows: part.rows.into_iter().map(row).collect(),
-            all: part.all,
-            version: part.version,
+            rows: delta.rows.into_iter().map(row).collect(),
+            all: delta.all,
+            version: delta.version,
             age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
         }
     }
 
-    pub(crate) fn into_part(self) -> mirror::Part {
+    pub(crate) fn into_delta(self) -> mirror::Delta {
         let row = |row: Row| store::Row { key: row.key, value: row.value, version: row.version };
-        mirror::Part {
+        mirror::Delta {
             rows: self.rows.into_iter().map(row).collect(),
             all: self.all,
             version: self.version,
--- a/crates/lagoon-gateway/src/relay/mod.rs
+++ b/crates/lagoon-gateway/src/relay/mod.rs
@@ -21,19 +21,19 @@
 
 /// How long a reader holds a request when it has no changes. It bounds the time until a dead reader
 /// is noticed.
-pub(crate) const HOLD: clock::Span = clock::Span::from_millis(600);
+pub(crate) const HOLD_TIME: clock::Span = clock::Span::from_millis(600);
 /// Maximum age of a reader's knowledge at which it still answers: one watch of the platform and a
 /// slow answer. With the hold time, and with one request that got no answer, keys are still trusted
 /// for less than the revocation bound.
-pub(crate) const STALE: clock::Span = clock::Span::from_millis(2_700);
+pub(crate) const MAX_ANSWER_AGE: clock::Span = clock::Span::from_millis(2_700);
 /// Time after a relay request for which a host reads at the pace of one that reads for others.
-pub(crate) const ASKED: clock::Span = clock::Span::from_secs(3);
+pub(crate) const READER_PACE_TIME: clock::Span = clock::Span::from_secs(3);
 /// Maximum size of a message in bytes: the rows of a table, each of at most 64 KB.
-const LARGEST: usize = 8 << 20;
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
 /// A connection that carries framed messages.
-pub(crate) type Link = Framed<TcpStream, LengthDelimitedCodec>;
+pub(crate) type Connection = Framed<TcpStream, LengthDelimitedCodec>;
 
-fn framed(stream: TcpStream) -> Link {
-    LengthDelimitedCodec::builder().max_frame_length(LARGEST).new_framed(stream)
+fn framed(stream: TcpStream) -> Connection {
+    LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_BYTES).new_framed(stream)
 }
--- a/crates/lagoon-gateway/src/relay/serve.rs
+++ b/crates/lagoon-gateway/src/relay/serve.rs
@@ -12,14 +12,14 @@
 
 use super::message;
 use crate::event;
-use crate::feed;
-use crate::link;
 use crate::state;
+use crate::tables;
+use crate::tcp;
 
 /// Timeout for sending an answer; by then the asking host has long turned to another.
-const WRITE: clock::Span = clock::Span::from_secs(2);
+const WRITE_TIMEOUT: clock::Span = clock::Span::from_secs(2);
 /// Pause after a failed accept, for example when file descriptors have run out.
-const AGAIN: clock::Span = clock::Span::from_millis(200);
+const ACCEPT_RETRY_PAUSE: clock::Span = clock::Span::from_millis(200);
 
 /// Answers relay requests on `listener` for as long as the process runs.
 ///
@@ -37,7 +37,7 @@
                 }
                 Err(error) => {
                     event::Line::new("host_not_accepted").text("error", error).warn();
-                    tokio::time::sleep(AGAIN).await;
+                    tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             }
         }
@@ -46,19 +46,22 @@
 }
 
 async fn serve(state: sync::Arc<state::State>, stream: TcpStream, peer: net::SocketAddr) {
-    if let Err(error) = talk(&state, stream).await {
+    if let Err(error) = serve_requests(&state, stream).await {
         event::Line::new("host_lost").text("peer", peer).text("error", error).info();
     }
 }
 
-async fn talk(state: &state::State, stream: TcpStream) -> io::Result<()> {
-    link::tune(&stream)?;
-    let mut link = super::framed(stream);
-    while let Some(frame) = link.next().await {
-        let ask = message::Ask::decode(frame?)?;
-        let told = message::Told { news: answer(state, &ask).await };
-        let sent =
-            tokio::time::timeout(WRITE, link.send(bytes::Bytes::from(told.encode_to_vec()))).await;
+async fn serve_requests(state: &state::State, stream: TcpStream) -> io::Result<()> {
+    tcp::set_options(&stream)?;
+    let mut connection = super::framed(stream);
+    while let Some(frame) = connection.next().await {
+        let request = message::Request::decode(frame?)?;
+        let response = message::Response { news: answer(state, &request).await };
+        let sent = tokio::time::timeout(
+            WRITE_TIMEOUT,
+            connection.send(bytes::Bytes::from(response.encode_to_vec())),
+        )
+        .await;
         sent.map_err(|_| io::Error::new(io::ErrorKind::TimedOut, "answer not taken"))??;
     }
     Ok(())
@@ -66,46 +69,46 @@
 
 /// Answers a host that has the versions in `ask`: at once if there are changes, otherwise after the
 /// hold time. Returns `None` if this host does not read the platform.
-async fn answer(state: &state::State, ask: &message::Ask) -> Option<message::News> {
-    let mut news = state.feed.watch_news();
-    state.feed.asked(state.clock.now());
+async fn answer(state: &state::State, request: &message::Request) -> Option<message::Changes> {
+    let mut changes = state.tables.watch_changes();
+    state.tables.record_request(state.clock.now());
     // Without recent knowledge of its own, this host says so at once instead of holding the
     // request. Tables that are being read again, because the platform dropped its history, are
     // available in a moment, so they do not count as missing here.
     ages(state)?;
-    let waiting = news.wait_for(|_| knows_more(state, ask));
+    let waiting = changes.wait_for(|_| has_changes(state, request));
     // Whether there was a change or the time has passed, the current state is sent.
-    drop(tokio::time::timeout(super::HOLD, waiting).await);
-    look(state, ask)
+    drop(tokio::time::timeout(super::HOLD_TIME, waiting).await);
+    snapshot(state, request)
 }
 
-fn knows_more(state: &state::State, ask: &message::Ask) -> bool {
-    let changed = |table: &feed::Table| state::lock(table).changed();
-    ask.desired.is_none_or(|known| changed(&state.feed.desired) > known)
-        || ask.upstreams.is_none_or(|known| changed(&state.feed.upstreams) > known)
+fn has_changes(state: &state::State, request: &message::Request) -> bool {
+    let changed = |table: &tables::Table| state::lock(table).last_change();
+    request.desired.is_none_or(|known| changed(&state.tables.desired) > known)
+        || request.upstreams.is_none_or(|known| changed(&state.tables.upstreams) > known)
 }
 
 /// Returns the ages of the last confirmations of the desired state and of the list of upstreams.
 /// Returns `None` if this host does not read the platform, or has not succeeded recently.
 fn ages(state: &state::State) -> Option<(clock::Span, clock::Span)> {
-    if !state.feed.reads() || state.phase() > state::Phase::Serving {
+    if !state.tables.reads_platform() || state.phase() > state::Phase::Serving {
         return None;
     }
-    let fresh = |age: Option<clock::Span>| age.filter(|age| *age <= super::STALE);
+    let fresh = |age: Option<clock::Span>| age.filter(|age| *age <= super::MAX_ANSWER_AGE);
     let desired = fresh(state.confirmation_age())?;
-    let upstreams = fresh(feed::age(state, state.feed.listed_at()))?;
+    let upstreams = fresh(tables::age(state, state.tables.upstreams_confirmed_at()))?;
     Some((desired, upstreams))
 }
 
-fn look(state: &state::State, ask: &message::Ask) -> Option<message::News> {
+fn snapshot(state: &state::State, request: &message::Request) -> Option<message::Changes> {
     let (desired_age, upstreams_age) = ages(state)?;
-    let desired = state::lock(&state.feed.desired).since(ask.desired)?;
-    let upstreams = state::lock(&state.feed.upstreams).since(ask.upstreams)?;
+    let desired = state::lock(&state.tables.desired).changes_since(request.desired)?;
+    let upstreams = state::lock(&state.tables.upstreams).changes_since(request.upstreams)?;
     // The entry hosts are sent whatever their age: learning of a host late costs only some
     // messages.
-    let hosts = state::lock(&state.feed.hosts).since(ask.hosts);
-    let returned = feed::age(state, state.feed.returned_at());
-    Some(message::News {
+    let hosts = state::lock(&state.tables.hosts).changes_since(request.hosts);
+    let returned = tables::age(state, state.tables.recovered_at());
+    Some(message::Changes {
         desired: Some(message::Table::new(desired, desired_age)),
         upstreams: Some(message::Table::new(upstreams, upstreams_age)),
         hosts: hosts.map(|hosts| message::Table::new(hosts, clock::Span::ZERO)),
--- a/crates/lagoon-gateway/src/report.rs
+++ b/crates/lagoon-gateway/src/report.rs
@@ -19,26 +19,26 @@
 
 use crate::event;
 use crate::exchange;
+use crate::message;
 use crate::state;
-use crate::word;
 
 /// Interval between two reports of an engine: one that has become slow gets about five more prompts
 /// in this time.
-const PERIOD: clock::Span = clock::Span::from_millis(1_000);
+const REPORT_INTERVAL: clock::Span = clock::Span::from_millis(1_000);
 /// Interval of the check whether this host has to ask.
-const LOOK: clock::Span = clock::Span::from_millis(250);
+const CHECK_INTERVAL: clock::Span = clock::Span::from_millis(250);
 /// Timeout for a report: an engine that answers later is detected through its requests.
-const ANSWER: clock::Span = clock::Span::from_millis(400);
+const REPORT_TIMEOUT: clock::Span = clock::Span::from_millis(400);
 /// Maximum size of a report, in bytes.
-const LONGEST: usize = 64 << 10;
+const MAX_REPORT_BYTES: usize = 64 << 10;
 /// Minimum slowness that is published to other hosts.
-const WORTH_TELLING: f64 = 1.1;
+const MIN_PUBLISHED_SLOWNESS: f64 = 1.1;
 
 /// Asks engines for their reports for as long as the process runs.
 pub(crate) async fn run(state: sync::Arc<state::State>) {
     let mut rounds = routing::Rounds::default();
     loop {
-        tokio::time::sleep(LOOK.mul_f64(rand::rng().random_range(0.9..1.1))).await;
+        tokio::time::sleep(CHECK_INTERVAL.mul_f64(rand::rng().random_range(0.9..1.1))).await;
         if state.phase() > state::Phase::Serving {
             return;
         }
@@ -57,7 +57,7 @@
     let mut engines = state.engines();
     let zones: collections::BTreeSet<_> =
         engines.iter().map(|(_, entry)| entry.zone.clone()).collect();
-    let asked = rounds.due(&state::lock(&state.peers).roster, &zones, PERIOD, now);
+    let asked = rounds.due(&state::lock(&state.peers).roster, &zones, REPORT_INTERVAL, now);
     engines.retain(|(_, entry)| asked.contains(&entry.zone));
     engines
 }
@@ -74,15 +74,15 @@
         }
     };
     let Some(slowness) = report.slowness else { return };
-    state.with_board(&service, |board, now| board.set_slowness(&entry.upstream, slowness, now));
-    if slowness >= WORTH_TELLING {
+    state.with_placer(&service, |placer, now| placer.set_slowness(&entry.upstream, slowness, now));
+    if slowness >= MIN_PUBLISHED_SLOWNESS {
         event::Line::new("engine_slow")
             .text("upstream", &entry.upstream)
             .number("times", slowness)
             .info();
         let upstream = entry.upstream.to_string();
-        let what = word::What::Reported(word::Reported { upstream, slowness });
-        state.tell(word::Word::new(0, &service, what));
+        let what = message::Kind::Reported(message::SlownessReport { upstream, slowness });
+        state.publish(message::Update::new(0, &service, what));
     }
 }
 
@@ -96,7 +96,9 @@
         .header("host", entry.address.to_string())
         .body(exchange::Payload::default())
         .map_err(|error| error.to_string())?;
-    let call = exchange::call(entry.address, request, ANSWER, ANSWER, LONGEST).await;
+    let call =
+        exchange::call(entry.address, request, REPORT_TIMEOUT, REPORT_TIMEOUT, MAX_REPORT_BYTES)
+            .await;
     let (_, body) = call.map_err(|failure| failure.to_string())?;
     engine::read_report(&body).map_err(|error| error.to_string())
 }
--- a/crates/lagoon-gateway/src/reserve.rs
+++ b/crates/lagoon-gateway/src/reserve.rs
@@ -23,84 +23,86 @@
 
 use crate::event;
 use crate::exchange;
-use crate::link;
 use crate::report;
 use crate::state;
+use crate::tcp;
 
 /// Timeout for an order's answer.
-const ORDER: time::Duration = time::Duration::from_millis(600);
+const ORDER_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 /// Timeout for connecting to an engine.
-const CONNECT: time::Duration = time::Duration::from_millis(300);
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(300);
 /// Share of the bound on unused memory for which a reservation is held, so that the memory of a
 /// dead host is free again before the bound.
 const HOLD_SHARE: f64 = 0.85;
 /// Renewals within one hold time: two may be lost.
-const RENEWALS: u32 = 3;
+const RENEWALS_PER_HOLD: u32 = 3;
 /// Pause before a round of renewals is repeated because the answering engine did not respond.
-const AGAIN: time::Duration = time::Duration::from_millis(150);
+const RENEWAL_RETRY_PAUSE: time::Duration = time::Duration::from_millis(150);
 /// Time for which an unanswered order may still be carried out.
-const LATE: time::Duration = time::Duration::from_secs(12);
+const LATE_ORDER_WINDOW: time::Duration = time::Duration::from_secs(12);
 /// Releases within one hold time of a reservation that a late order may have recreated. It would
 /// expire by itself within the bound, but its memory should not lie idle until then.
-const RELEASES: u32 = 3;
+const RELEASES_PER_HOLD: u32 = 3;
 /// Maximum size of an order's answer, in bytes.
-const ANSWER: usize = 64 << 10;
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
 /// One reservation on one engine.
 #[derive(Clone, Debug)]
-pub(crate) struct Ticket {
+pub(crate) struct Reservation {
     /// Id of the reservation at the engine.
     pub(crate) id: String,
     entry: routing::Entry,
     tokens: u64,
     /// When a reserve order was last sent that is still unanswered.
-    unsure: sync::Arc<sync::Mutex<Option<clock::Moment>>>,
+    unanswered_since: sync::Arc<sync::Mutex<Option<clock::Moment>>>,
 }
 
-impl Ticket {
+impl Reservation {
     /// Creates or renews the reservation. Returns the status of the engine's answer.
     async fn reserve(&self, state: &state::State) -> Result<u16, exchange::Failure> {
-        *state::lock(&self.unsure) = Some(state.clock.now());
+        *state::lock(&self.unanswered_since) = Some(state.clock.now());
         let status =
-            order(&self.entry, engine::reserve(&self.id, self.tokens, hold(state))).await?;
-        *state::lock(&self.unsure) = None;
+            send_order(&self.entry, engine::reserve_order(&self.id, self.tokens, hold_time(state)))
+                .await?;
+        *state::lock(&self.unanswered_since) = None;
         Ok(status)
     }
 
     /// Whether an unanswered reserve order may still be carried out.
-    fn is_unsure(&self, now: clock::Moment) -> bool {
-        state::lock(&self.unsure).is_some_and(|sent| now.since(sent) <= LATE)
+    fn may_be_carried_out(&self, now: clock::Moment) -> bool {
+        state::lock(&self.unanswered_since).is_some_and(|sent| now.since(sent) <= LATE_ORDER_WINDOW)
     }
 }
 
 /// Time until which the request counts as active although its engine is silent.
-type Quiet = sync::Mutex<clock::Moment>;
+type ActiveUntil = sync::Mutex<clock::Moment>;
 
 /// The reservations of one request; dropping them releases them.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct Reservations {
     state: sync::Arc<state::State>,
-    tickets: Vec<Ticket>,
-    quiet_until: sync::Arc<Quiet>,
+    reservations: Vec<Reservation>,
+    active_until: sync::Arc<ActiveUntil>,
 }
 
-impl Held {
+impl Reservations {
     /// Records activity of the request's engine: bytes of the answer arrived.
-    pub(crate) fn heard(&self) {
-        *state::lock(&self.quiet_until) = self.state.clock.now() + spare(&self.state);
+    pub(crate) fn record_activity(&self) {
+        *state::lock(&self.active_until) = self.state.clock.now() + renewal_slack(&self.state);
     }
 
     /// Returns the id of the reservation on `upstream`.
-    pub(crate) fn on(&self, upstream: &id::Upstream) -> Option<&str> {
-        let found = self.tickets.iter().find(|ticket| ticket.entry.upstream == *upstream);
-        found.map(|ticket| ticket.id.as_str())
+    pub(crate) fn id_on(&self, upstream: &id::Upstream) -> Option<&str> {
+        let found =
+            self.reservations.iter().find(|reservation| reservation.entry.upstream == *upstream);
+        found.map(|reservation| reservation.id.as_str())
     }
 }
 
-impl Drop for Held {
+impl Drop for Reservations {
     fn drop(&mut self) {
-        for ticket in self.tickets.drain(..) {
-            drop(ntex::rt::spawn(release(self.state.clone(), ticket)));
+        for reservation in self.reservations.drain(..) {
+            drop(ntex::rt::spawn(release(self.state.clone(), reservation)));
         }
     }
 }
@@ -111,18 +113,18 @@
 pub(crate) struct Refusal {
     pub(crate) upstream: id::Upstream,
     /// Whether the engine answered at all.
-    pub(crate) reached: bool,
+    pub(crate) answered: bool,
     pub(crate) detail: String,
 }
 
-fn hold(state: &state::State) -> time::Duration {
+fn hold_time(state: &state::State) -> time::Duration {
     let bounds = &state.settings.node.bounds;
     bounds.free.mul_f64(HOLD_SHARE).min(bounds.hold)
 }
 
 /// Returns how long after a request has ended its memory may still be renewed.
-fn spare(state: &state::State) -> time::Duration {
-    state.settings.node.bounds.free.saturating_sub(hold(state))
+fn renewal_slack(state: &state::State) -> time::Duration {
+    state.settings.node.bounds.free.saturating_sub(hold_time(state))
 }
 
 /// Reserves memory on each of `wanted` for a prompt that `first` answers and whose first token is
@@ -131,61 +133,62 @@
 /// # Errors
 ///
 /// The engine that did not grant its reservation. Those already granted are released.
-pub(crate) async fn take(
+pub(crate) async fn reserve_all(
     state: &sync::Arc<state::State>,
     name: &str,
     first: &routing::Entry,
     wanted: &[(routing::Entry, u64)],
     expected: clock::Span,
-) -> Result<Held, Refusal> {
+) -> Result<Reservations, Refusal> {
     let mut ordered = wanted.to_vec();
     ordered.sort_by(|a, b| a.0.upstream.cmp(&b.0.upstream));
-    let quiet_until = state.clock.now() + expected + spare(state);
-    let quiet_until = sync::Arc::new(sync::Mutex::new(quiet_until));
-    let mut held = Held { state: state.clone(), tickets: Vec::new(), quiet_until };
+    let active_until = state.clock.now() + expected + renewal_slack(state);
+    let active_until = sync::Arc::new(sync::Mutex::new(active_until));
+    let mut reservations_held =
+        Reservations { state: state.clone(), reservations: Vec::new(), active_until };
     for (index, (entry, tokens)) in ordered.into_iter().enumerate() {
         let id = format!("{name}-{index}");
-        let ticket = Ticket { id, entry, tokens, unsure: sync::Arc::default() };
+        let reservation = Reservation { id, entry, tokens, unanswered_since: sync::Arc::default() };
         // Added before the order is sent: an unanswered order may be carried out, so its
         // reservation has to be released as well.
-        held.tickets.push(ticket.clone());
+        reservations_held.reservations.push(reservation.clone());
         state.metrics.reservations.inc();
-        let status = ticket.reserve(state).await;
+        let status = reservation.reserve(state).await;
         if !matches!(status, Ok(200)) {
-            let reached = status.is_ok();
+            let answered = status.is_ok();
             let detail = status.map_or_else(|error| error.to_string(), |code| code.to_string());
-            return Err(Refusal { upstream: ticket.entry.upstream, reached, detail });
+            return Err(Refusal { upstream: reservation.entry.upstream, answered, detail });
         }
     }
-    let quiet_until = sync::Arc::downgrade(&held.quiet_until);
-    let mut tickets = held.tickets.clone();
-    tickets.sort_by_key(|ticket| ticket.entry.upstream != first.upstream);
-    drop(ntex::rt::spawn(renew(state.clone(), first.clone(), tickets, quiet_until)));
-    Ok(held)
+    let active_until = sync::Arc::downgrade(&reservations_held.active_until);
+    let mut reservations = reservations_held.reservations.clone();
+    reservations.sort_by_key(|reservation| reservation.entry.upstream != first.upstream);
+    drop(ntex::rt::spawn(renew(state.clone(), first.clone(), reservations, active_until)));
+    Ok(reservations_held)
 }
 
-/// Renews `tickets`, the one of the engine `first` before the others, while the reservations are
+/// Renews `reservations`, the one of the engine `first` before the others, while the reservations are
 /// held.
 async fn renew(
     state: sync::Arc<state::State>,
     first: routing::Entry,
-    tickets: Vec<Ticket>,
-    held: sync::Weak<Quiet>,
+    reservations: Vec<Reservation>,
+    reservations_held: sync::Weak<ActiveUntil>,
 ) {
-    let mut pause = hold(&state) / RENEWALS;
+    let mut pause = hold_time(&state) / RENEWALS_PER_HOLD;
     loop {
         tokio::time::sleep(pause).await;
-        if held.strong_count() == 0 {
+        if reservations_held.strong_count() == 0 {
             return;
         }
-        pause = match renew_all(&state, &first, &tickets, &held).await {
-            Ok(()) => hold(&state) / RENEWALS,
+        pause = match renew_round(&state, &first, &reservations, &reservations_held).await {
+            Ok(()) => hold_time(&state) / RENEWALS_PER_HOLD,
             Err(error) => {
                 event::Line::new("not_renewed")
                     .text("upstream", &first.upstream)
                     .text("error", error)
                     .warn();
-                AGAIN
+                RENEWAL_RETRY_PAUSE
             }
         };
     }
@@ -197,33 +200,38 @@
 ///
 /// The engine `first` did not respond, or a reservation is no longer used. The rest was not
 /// renewed.
-async fn renew_all(
+async fn renew_round(
     state: &state::State,
     first: &routing::Entry,
-    tickets: &[Ticket],
-    held: &sync::Weak<Quiet>,
+    reservations: &[Reservation],
+    reservations_held: &sync::Weak<ActiveUntil>,
 ) -> Result<(), String> {
-    if tickets.first().is_none_or(|ticket| ticket.entry.upstream != first.upstream) {
-        let called = link::connect(first.address, CONNECT).await;
+    if reservations.first().is_none_or(|reservation| reservation.entry.upstream != first.upstream) {
+        let called = tcp::connect(first.address, CONNECT_TIMEOUT).await;
         called.map_err(|error| error.to_string())?;
     }
-    for ticket in tickets {
-        let Some(quiet_until) = held.upgrade().map(|quiet| *state::lock(&quiet)) else {
+    for reservation in reservations {
+        let Some(active_until) =
+            reservations_held.upgrade().map(|active_until| *state::lock(&active_until))
+        else {
             return Ok(());
         };
-        if state.clock.now() > quiet_until && !is_used(ticket).await? {
-            return Err(format!("{}: no request uses {}", ticket.entry.upstream, ticket.id));
+        if state.clock.now() > active_until && !is_used(reservation).await? {
+            return Err(format!(
+                "{}: no request uses {}",
+                reservation.entry.upstream, reservation.id
+            ));
         }
-        let status = ticket.reserve(state).await;
+        let status = reservation.reserve(state).await;
         if matches!(status, Ok(200)) {
             continue;
         }
         event::Line::new("renewal_failed")
-            .text("reservation", &ticket.id)
-            .text("upstream", &ticket.entry.upstream)
+            .text("reservation", &reservation.id)
+            .text("upstream", &reservation.entry.upstream)
             .text("status", format!("{status:?}"))
             .warn();
-        if ticket.entry.upstream == first.upstream {
+        if reservation.entry.upstream == first.upstream {
             status.map_err(|error| error.to_string())?;
         }
     }
@@ -235,38 +243,39 @@
 /// # Errors
 ///
 /// The engine sent no report.
-async fn is_used(ticket: &Ticket) -> Result<bool, String> {
-    let report = report::fetch(&ticket.entry).await?;
-    let mut tickets = report.tickets.iter();
-    Ok(tickets.any(|known| known.id == ticket.id && known.state == engine::Use::Used))
+async fn is_used(reservation: &Reservation) -> Result<bool, String> {
+    let report = report::fetch(&reservation.entry).await?;
+    let mut reservations = report.tickets.iter();
+    Ok(reservations
+        .any(|known| known.id == reservation.id && known.state == engine::ReservationState::Used))
 }
 
-async fn release(state: sync::Arc<state::State>, ticket: Ticket) {
-    let lapsed = state.clock.now() + hold(&state);
+async fn release(state: sync::Arc<state::State>, reservation: Reservation) {
+    let expiry = state.clock.now() + hold_time(&state);
     loop {
-        let status = order(&ticket.entry, engine::release(&ticket.id)).await;
+        let status = send_order(&reservation.entry, engine::release_order(&reservation.id)).await;
         let released = matches!(status, Ok(200 | 202 | 404 | 409 | head::MISDIRECTED));
-        if released && ticket.is_unsure(state.clock.now()) {
+        if released && reservation.may_be_carried_out(state.clock.now()) {
             // A reserve order that is still on its way may recreate it.
-            tokio::time::sleep(hold(&state) / RELEASES).await;
+            tokio::time::sleep(hold_time(&state) / RELEASES_PER_HOLD).await;
             continue;
         }
-        if released || state.clock.now() >= lapsed {
+        if released || state.clock.now() >= expiry {
             if !released {
                 event::Line::new("release_failed")
-                    .text("reservation", &ticket.id)
-                    .text("upstream", &ticket.entry.upstream)
+                    .text("reservation", &reservation.id)
+                    .text("upstream", &reservation.entry.upstream)
                     .text("status", format!("{status:?}"))
                     .warn();
             }
             state.metrics.reservations.dec();
             return;
         }
-        tokio::time::sleep(ORDER / 3).await;
+        tokio::time::sleep(ORDER_TIMEOUT / 3).await;
     }
 }
 
-async fn order(entry: &routing::Entry, body: Vec<u8>) -> Result<u16, exchange::Failure> {
+async fn send_order(entry: &routing::Entry, body: Vec<u8>) -> Result<u16, exchange::Failure> {
     let text = String::from_utf8_lossy(&body).into_owned();
     let request = hyper::Request::post(engine::ORDER_PATH)
         .header("host", entry.address.to_string())
@@ -274,7 +283,9 @@
         .body(exchange::Payload::new(hyper::body::Bytes::from(body)))
         .map_err(|error| exchange::Failure::Unsent(error.to_string()))?;
     let began = time::Instant::now();
-    let answer = exchange::call(entry.address, request, CONNECT, ORDER, ANSWER).await;
+    let answer =
+        exchange::call(entry.address, request, CONNECT_TIMEOUT, ORDER_TIMEOUT, MAX_ANSWER_BYTES)
+            .await;
     let answer = answer.map(|(status, _)| status);
     let line = event::Line::new("memory_order")
         .text("order", text)
--- a/crates/lagoon-gateway/src/schedule.rs
+++ b/crates/lagoon-gateway/src/schedule.rs
@@ -13,36 +13,36 @@
 use tokio::sync::oneshot;
 
 use crate::event;
+use crate::in_flight;
 use crate::mesh;
+use crate::message;
 use crate::question;
 use crate::state;
-use crate::underway;
-use crate::word;
 
 /// Timeout for a scheduler's answer. Hosts of a zone are well below a millisecond apart, but one
 /// that shares its core may be stalled for some tens of milliseconds.
-const ANSWER: time::Duration = time::Duration::from_millis(60);
+const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(60);
 /// Maximum number of schedulers that are asked for one request before this host places it itself.
-const ASKED: usize = 2;
+const MAX_SCHEDULERS_ASKED: usize = 2;
 
 /// Questions of this host that have no answer yet, by dispatch number.
 #[derive(Debug, Default)]
-pub(crate) struct Questions {
-    open: sync::Mutex<collections::HashMap<u64, oneshot::Sender<question::Answer>>>,
+pub(crate) struct PendingQuestions {
+    senders: sync::Mutex<collections::HashMap<u64, oneshot::Sender<question::Answer>>>,
 }
 
-impl Questions {
+impl PendingQuestions {
     /// Registers a question for the dispatch `number` and returns the handle that receives its
     /// answer.
-    fn open(&self, number: u64) -> Open<'_> {
+    fn register(&self, number: u64) -> PendingQuestion<'_> {
         let (sender, receiver) = oneshot::channel();
-        state::lock(&self.open).insert(number, sender);
-        Open { questions: self, number, receiver }
+        state::lock(&self.senders).insert(number, sender);
+        PendingQuestion { questions: self, number, receiver }
     }
 
     /// Delivers an answer to the request that waits for it.
-    pub(crate) fn answer(&self, answer: question::Answer) {
-        let waiting = state::lock(&self.open).remove(&answer.number);
+    pub(crate) fn deliver(&self, answer: question::Answer) {
+        let waiting = state::lock(&self.senders).remove(&answer.number);
         // A late answer has no receiver any more; the other hosts were already told that its
         // dispatch ended.
         if let Some(waiting) = waiting {
@@ -54,23 +54,23 @@
 /// A question without an answer yet. Dropping it unregisters the question, for example when the
 /// caller disconnects.
 #[derive(Debug)]
-struct Open<'a> {
-    questions: &'a Questions,
+struct PendingQuestion<'a> {
+    questions: &'a PendingQuestions,
     number: u64,
     receiver: oneshot::Receiver<question::Answer>,
 }
 
-impl Drop for Open<'_> {
+impl Drop for PendingQuestion<'_> {
     fn drop(&mut self) {
-        state::lock(&self.questions.open).remove(&self.number);
+        state::lock(&self.questions.senders).remove(&self.number);
     }
 }
 
 /// The result of placing a dispatch, and which host decided it.
 #[derive(Debug)]
-pub(crate) struct Decided {
+pub(crate) struct PlacementResult {
     pub(crate) id: placement::WorkId,
-    pub(crate) decider: underway::Decider,
+    pub(crate) decider: in_flight::Decider,
     pub(crate) result: Result<placement::Placement, placement::Refusal>,
 }
 
@@ -81,37 +81,38 @@
     service: &id::Service,
     demand: &placement::Demand<'_>,
     left: clock::Span,
-) -> Option<Decided> {
-    for _ in 0..ASKED {
+) -> Option<PlacementResult> {
+    for _ in 0..MAX_SCHEDULERS_ASKED {
         let (host, address) = state::lock(&state.peers).scheduler(state.clock.now())?;
-        let id = state.next_work();
+        let id = state.next_dispatch_id();
         let question = question::Question::new(id.number, service, demand, left);
-        let batch = word::Batch { questions: vec![question], ..word::Batch::default() };
-        let mut open = state.questions.open(id.number);
-        state.send(address, &[state.batch(batch)]);
-        let answer = tokio::time::timeout(ANSWER, &mut open.receiver).await;
+        let batch = message::Batch { questions: vec![question], ..message::Batch::default() };
+        let mut pending = state.questions.register(id.number);
+        state.send(address, &[state.encode_batch(batch)]);
+        let answer = tokio::time::timeout(ANSWER_TIMEOUT, &mut pending.receiver).await;
         let decision = match answer {
             Ok(Ok(question::Answer { decision: Some(decision), .. })) => decision,
             Ok(_) => {
-                pass_over(state, &host, "it does not decide now");
+                skip_scheduler(state, &host, "it does not decide now");
                 continue;
             }
             Err(_) => {
                 // The scheduler may have placed the dispatch, and only its answer is lost.
-                state.say_ended(service, id);
-                pass_over(state, &host, "no answer in time");
+                state.publish_ended(service, id);
+                skip_scheduler(state, &host, "no answer in time");
                 continue;
             }
         };
-        let decided = |result| Decided { id, decider: underway::Decider::Scheduler, result };
+        let decided =
+            |result| PlacementResult { id, decider: in_flight::Decider::Scheduler, result };
         return match decision {
             question::Decision::Refused(refused) => {
                 Some(decided(Err(placement::Refusal::from(&refused))))
             }
             question::Decision::Placed(placed) => {
-                let known = state.with_board(service, |board, _| placed.placement(board));
+                let known = state.with_placer(service, |placer, _| placed.placement(placer));
                 let Some(placement) = known.flatten() else {
-                    state.say_ended(service, id);
+                    state.publish_ended(service, id);
                     return None;
                 };
                 Some(decided(Ok(placement)))
@@ -121,9 +122,9 @@
     None
 }
 
-fn pass_over(state: &state::State, host: &id::Host, why: &str) {
+fn skip_scheduler(state: &state::State, host: &id::Host, why: &str) {
     state::lock(&state.peers).roster.passed(host, state.clock.now());
-    state.metrics.schedulers_passed.inc();
+    state.metrics.schedulers_skipped.inc();
     event::Line::new("scheduler_passed").text("host", host).text("why", why).info();
 }
 
@@ -135,7 +136,8 @@
     asking: u64,
     question: &question::Question,
 ) -> question::Answer {
-    let decides = state.phase() == state::Phase::Serving && state.knows(state::Knowledge::Loads);
+    let decides =
+        state.phase() == state::Phase::Serving && state.has_reached(state::SyncLevel::Loads);
     let decision = if decides { place(state, asking, question) } else { None };
     question::Answer { number: question.number, decision }
 }
@@ -150,16 +152,19 @@
         question.avoid.iter().map(|name| id::Upstream::from(name.as_str())).collect();
     let demand = question.demand(asking, &state.settings.node.zone, &avoid, rand::rng().random());
     let id = placement::WorkId { host: asking, number: question.number };
-    let decided = state.with_board(&service, |board, now| {
-        let placed = board.place(&demand, now)?;
+    let decided = state.with_placer(&service, |placer, now| {
+        let placed = placer.place(&demand, now)?;
         let work = question.work(id, &placed, now);
-        let sent = word::Sent::new(&work, now);
-        board.begin(work, now);
+        let sent = message::Dispatch::new(&work, now);
+        placer.begin(work, now);
         Ok::<_, placement::Refusal>((question::Placed::from(&placed), sent))
     })?;
     Some(match decided {
         Ok((placed, sent)) => {
-            state.say(word::Word::about(id, &service, word::What::Sent(sent)), mesh::Reach::All);
+            state.queue_update(
+                message::Update::about(id, &service, message::Kind::Sent(sent)),
+                mesh::Audience::AllZones,
+            );
             question::Decision::Placed(placed)
         }
         Err(refusal) => question::Decision::Refused(question::Refused::from(refusal)),
--- a/crates/lagoon-gateway/src/server.rs
+++ b/crates/lagoon-gateway/src/server.rs
@@ -29,16 +29,16 @@
 
 /// Time between reporting not ready and refusing requests. The balancer checks every second and
 /// removes a host after two failed checks; half a second is to spare.
-const UNREADY: clock::Span = clock::Span::from_millis(2_500);
-/// Time before the kill at which the process stops waiting for requests: [`FLUSH`] plus [`STOP`],
+const UNREADY_TIME: clock::Span = clock::Span::from_millis(2_500);
+/// Time before the kill at which the process stops waiting for requests: [`FLUSH_TIME`] plus [`STOP_TIMEOUT`],
 /// and as much again for the process to exit.
-const LAST: clock::Span = clock::Span::from_millis(500);
+const EXIT_RESERVE: clock::Span = clock::Span::from_millis(500);
 /// Time for the last answers to be sent: two round trips to a caller.
-const FLUSH: clock::Span = clock::Span::from_millis(100);
+const FLUSH_TIME: clock::Span = clock::Span::from_millis(100);
 /// Timeout for the servers to stop; log lines are written meanwhile.
-const STOP: clock::Span = clock::Span::from_millis(150);
+const STOP_TIMEOUT: clock::Span = clock::Span::from_millis(150);
 /// Interval of the removal of expired state.
-pub(crate) const TICK: clock::Span = clock::Span::from_millis(100);
+pub(crate) const EXPIRY_INTERVAL: clock::Span = clock::Span::from_millis(100);
 /// Timeout for the head of a request; the limit that callers are told is shorter, see
 /// `routing::Limits`.
 const HEAD_TIMEOUT: ntex::time::Seconds = ntex::time::Seconds(10);
@@ -110,15 +110,15 @@
 pub fn start(settings: settings::Settings) -> io::Result<Running> {
     let callers = net::TcpListener::bind(settings.node.callers)?;
     let ready = net::TcpListener::bind(settings.node.ready)?;
-    let words = net::UdpSocket::bind((settings.node.ip, settings.node.ports.0))?;
-    words.set_nonblocking(true)?;
+    let datagrams = net::UdpSocket::bind((settings.node.ip, settings.node.ports.0))?;
+    datagrams.set_nonblocking(true)?;
     let peers = net::TcpListener::bind((settings.node.ip, settings.node.ports.0))?;
-    let (state, said) = state::State::new(settings, words.try_clone()?);
+    let (state, updates) = state::State::new(settings, datagrams.try_clone()?);
     let handle =
         Handle { callers: callers.local_addr()?, ready: ready.local_addr()?, state: state.clone() };
     let work = move || {
         let system = ntex::rt::System::build().name("gateway").build(ntex::rt::DefaultRuntime);
-        system.block_on(serve(state, Sockets { callers, ready, peers, words }, said))
+        system.block_on(serve(state, Sockets { callers, ready, peers, datagrams }, updates))
     };
     let thread = thread::Builder::new().name("gateway".to_owned()).spawn(work)?;
     Ok(Running { handle, thread })
@@ -131,13 +131,13 @@
     ready: net::TcpListener,
     /// Relay requests of other hosts of the zone.
     peers: net::TcpListener,
-    words: net::UdpSocket,
+    datagrams: net::UdpSocket,
 }
 
 async fn serve(
     state: sync::Arc<state::State>,
     sockets: Sockets,
-    said: mpsc::Receiver<mesh::Said>,
+    updates: mpsc::Receiver<mesh::QueuedUpdate>,
 ) -> io::Result<()> {
     let place = &state.settings.node;
     event::Line::new("start")
@@ -146,20 +146,20 @@
         .text("callers", place.callers)
         .text("store", place.store)
         .info();
-    let callers = listen(state.clone(), sockets.callers, Side::Callers)?;
-    let ready = listen(state.clone(), sockets.ready, Side::Ready)?;
+    let callers = listen(state.clone(), sockets.callers, Role::Callers)?;
+    let ready = listen(state.clone(), sockets.ready, Role::Ready)?;
     drop(ntex::rt::spawn(watch::desired(state.clone())));
     drop(ntex::rt::spawn(watch::upstreams(state.clone())));
     let peers = sockets.peers.local_addr()?;
     relay::serve(state.clone(), sockets.peers)?;
-    let address = sockets.words.local_addr()?;
-    mesh::run(&state, sockets.words, said)?;
+    let address = sockets.datagrams.local_addr()?;
+    mesh::run(&state, sockets.datagrams, updates)?;
     hosts::run(&state, address, peers);
     drop(ntex::rt::spawn(relay::follow(state.clone())));
     drop(ntex::rt::spawn(report::run(state.clone())));
     drop(ntex::rt::spawn(quarantine::run(state.clone())));
-    drop(ntex::rt::spawn(tick(state.clone())));
-    state.reach(state::Phase::Unready).await;
+    drop(ntex::rt::spawn(expire(state.clone())));
+    state.wait_for_phase(state::Phase::Unready).await;
     shut_down(&state).await;
     event::Line::new("stop").info();
     // Stopping waits for requests in progress, possibly beyond the grace time, so it has a timeout.
@@ -167,7 +167,7 @@
         callers.stop(false).await;
         ready.stop(false).await;
     };
-    drop(tokio::time::timeout(STOP, stopped).await);
+    drop(tokio::time::timeout(STOP_TIMEOUT, stopped).await);
     Ok(())
 }
 
@@ -175,23 +175,23 @@
 /// then waits for the last request or the end of the grace time.
 async fn shut_down(state: &state::State) {
     let started = state.clock.now();
-    let grace = state.settings.node.bounds.grace.saturating_sub(LAST);
+    let grace = state.settings.node.bounds.grace.saturating_sub(EXIT_RESERVE);
     let mut active = state.watch_active();
     event::Line::new("draining").number("active", *active.borrow()).info();
-    tokio::time::sleep(UNREADY.min(grace / 2)).await;
+    tokio::time::sleep(UNREADY_TIME.min(grace / 2)).await;
     state.advance(state::Phase::Draining);
     let left = grace.saturating_sub(state.clock.now().since(started));
     let ended = tokio::time::timeout(left, active.wait_for(|count| *count == 0)).await.is_ok();
     event::Line::new("drained").number("all_ended", ended).info();
     // The last answers are still in the send buffers.
-    tokio::time::sleep(FLUSH).await;
+    tokio::time::sleep(FLUSH_TIME).await;
 }
 
-async fn tick(state: sync::Arc<state::State>) {
+async fn expire(state: sync::Arc<state::State>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(EXPIRY_INTERVAL).await;
         state.expire();
-        state.tend_quarantine();
+        state.update_quarantine();
         let age = state.confirmation_age().unwrap_or_default();
         state.metrics.confirmation_age_ms.set(i64::try_from(age.as_millis()).unwrap_or(i64::MAX));
     }
@@ -199,7 +199,7 @@
 
 /// Which server a listener belongs to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Side {
+enum Role {
     Callers,
     Ready,
 }
@@ -207,7 +207,7 @@
 fn listen(
     state: sync::Arc<state::State>,
     listener: net::TcpListener,
-    side: Side,
+    role: Role,
 ) -> io::Result<ntex::server::Server> {
     let limits = routing::Limits::default();
     let config = http::HttpServiceConfig::new()
@@ -223,9 +223,9 @@
         let handler = move |request: web::HttpRequest, payload: web::types::Payload| {
             let (state, connections) = (state.clone(), connections.clone());
             async move {
-                match side {
-                    Side::Callers => caller(&state, &connections, &request, payload).await,
-                    Side::Ready => look(&state, &request),
+                match role {
+                    Role::Callers => handle_caller(&state, &connections, &request, payload).await,
+                    Role::Ready => handle_status(&state, &request),
                 }
             }
         };
@@ -242,12 +242,12 @@
 /// Closes idle connections once requests are refused: a request that arrived on them now might not
 /// end before the process does.
 async fn close_idle(state: sync::Arc<state::State>, connections: connection::Connections) {
-    state.reach(state::Phase::Draining).await;
+    state.wait_for_phase(state::Phase::Draining).await;
     connections.close_idle();
 }
 
 /// Serves readiness for the balancer, metrics and the quarantine calls.
-fn look(state: &state::State, request: &web::HttpRequest) -> web::HttpResponse {
+fn handle_status(state: &state::State, request: &web::HttpRequest) -> web::HttpResponse {
     if request.path() == "/metrics" {
         return match state.metrics.encode() {
             Ok(text) => web::HttpResponse::Ok().body(text),
@@ -257,7 +257,8 @@
             }
         };
     }
-    if let Some(answer) = quarantine::operate(state, request.method(), request.path()) {
+    if let Some(answer) = quarantine::handle_operator_call(state, request.method(), request.path())
+    {
         return answer;
     }
     if state.is_ready() {
@@ -267,7 +268,7 @@
     }
 }
 
-async fn caller(
+async fn handle_caller(
     state: &sync::Arc<state::State>,
     connections: &connection::Connections,
     request: &web::HttpRequest,
@@ -275,19 +276,20 @@
 ) -> web::HttpResponse {
     let arrived = state.clock.now();
     let io = request.io().cloned();
-    let busy = io.as_ref().map(|io| connections.busy(io));
-    let fields = fields(request);
+    let busy = io.as_ref().map(|io| connections.track_request(io));
+    let fields = headers(request);
     let call = head::read_call(fields.iter().map(|(name, value)| (name.as_str(), &value[..])));
     let id = call.request_id.clone();
     let work = async {
-        let body = whole(payload, most_body(state)).await?;
-        let request = whole_request(request, fields, call, body, arrived);
+        let body = read_body(payload, max_body_bytes(state)).await?;
+        let request = build_request(request, fields, call, body, arrived);
         if state.phase() >= state::Phase::Draining {
             let detail = "this host is shutting down";
             let fault = answer::Fault::not_run(Reason::Draining, Step::Admit, detail);
-            return Err(fault.after(forward::ELSEWHERE));
+            return Err(fault.with_retry_after(forward::RETRY_ELSEWHERE_AFTER));
         }
-        let caller = forward::Caller { io: io.clone(), _busy: busy, _active: state.enter() };
+        let caller =
+            forward::Caller { io: io.clone(), _busy: busy, _active: state.track_request() };
         forward::answer(state, request, caller).await
     };
     let result = match &io {
@@ -303,7 +305,7 @@
     };
     let closing = state.phase() > state::Phase::Serving;
     result.unwrap_or_else(|fault| {
-        state.metrics.answered("", Some(fault.reason));
+        state.metrics.count_answer("", Some(fault.reason));
         event::Line::new("failed")
             .text("request", &id)
             .text("reason", fault.reason.as_str())
@@ -313,24 +315,24 @@
             .number("status", fault.status().as_u16())
             .span("after_ms", state.clock.now().since(arrived))
             .warn();
-        fault.answer(&id, closing)
+        fault.to_response(&id, closing)
     })
 }
 
 /// Returns the headers of a request.
-fn fields(request: &web::HttpRequest) -> Vec<(String, Vec<u8>)> {
+fn headers(request: &web::HttpRequest) -> Vec<(String, Vec<u8>)> {
     let headers = request.headers().iter();
     headers.map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec())).collect()
 }
 
 /// Returns the maximum size of a request's body, in bytes.
-fn most_body(state: &state::State) -> usize {
-    let table = state.table();
+fn max_body_bytes(state: &state::State) -> usize {
+    let table = state.routing_table();
     table.map_or(routing::Limits::default().body_bytes, |table| table.limits().body_bytes)
 }
 
 /// Builds a request with its complete body, which is kept for further attempts.
-fn whole_request(
+fn build_request(
     request: &web::HttpRequest,
     fields: Vec<(String, Vec<u8>)>,
     call: head::Call,
@@ -351,7 +353,10 @@
     }
 }
 
-async fn whole(payload: web::types::Payload, most: usize) -> Result<bytes::Bytes, answer::Fault> {
+async fn read_body(
+    payload: web::types::Payload,
+    limit: usize,
+) -> Result<bytes::Bytes, answer::Fault> {
     use futures_util::StreamExt;
     let mut payload = payload.into_inner();
     let mut body = bytes::BytesMut::new();
@@ -359,8 +364,8 @@
         let chunk = chunk.map_err(|error| {
             answer::Fault::not_run(Reason::Malformed, Step::Read, error.to_string())
         })?;
-        if body.len() + chunk.len() > most {
-            let detail = format!("a body of over {most} bytes");
+        if body.len() + chunk.len() > limit {
+            let detail = format!("a body of over {limit} bytes");
             return Err(answer::Fault::not_run(Reason::TooLong, Step::Read, detail));
         }
         body.extend_from_slice(&chunk);
--- a/crates/lagoon-gateway/src/settings.rs
+++ b/crates/lagoon-gateway/src/settings.rs
@@ -52,7 +52,7 @@
     /// read, so changes can arrive sooner at fewer calls.
     pub reader_pause: clock::Span,
     /// Time for which updates to the other entry hosts are collected into a batch.
-    pub words_pause: clock::Span,
+    pub batch_pause: clock::Span,
     /// Settings of the placement.
     pub placement: placement::Settings,
 }
@@ -70,7 +70,7 @@
             reader_pause: clock::Span::from_millis(400),
             hosts_pause: clock::Span::from_millis(5_000),
             hosts_gone: clock::Span::from_secs(600),
-            words_pause: clock::Span::from_millis(8),
+            batch_pause: clock::Span::from_millis(8),
             placement: placement::Settings::default(),
         }
     }
@@ -117,7 +117,7 @@
             reader_pause: millis("reader_pause_ms", default.reader_pause, 1_000),
             hosts_pause: millis("hosts_pause_ms", default.hosts_pause, 30_000),
             hosts_gone: millis("hosts_gone_ms", default.hosts_gone, 86_400_000),
-            words_pause: millis("words_pause_ms", default.words_pause, 10_000),
+            batch_pause: millis("words_pause_ms", default.batch_pause, 10_000),
             placement,
         }
     }
--- a/crates/lagoon-gateway/src/silence.rs
+++ b/crates/lagoon-gateway/src/silence.rs
@@ -9,44 +9,45 @@
 
 /// Multiple of the route's target that an upstream may take beyond the expected time before another
 /// is tried.
-const PATIENT_TARGETS: u32 = 2;
+const PATIENCE_TARGETS: u32 = 2;
 /// Additional time to wait: a lost packet is retransmitted within it.
-const PATIENCE: clock::Span = clock::Span::from_millis(300);
+const LOST_PACKET_ALLOWANCE: clock::Span = clock::Span::from_millis(300);
 /// Interval at which a silent upstream is checked.
-pub(crate) const LOOK: clock::Span = clock::Span::from_millis(250);
+pub(crate) const CHECK_INTERVAL: clock::Span = clock::Span::from_millis(250);
 /// An upstream with activity within this time is alive: several of its batch steps.
-const ALIVE: clock::Span = clock::Span::from_millis(500);
+const ALIVE_WINDOW: clock::Span = clock::Span::from_millis(500);
 
 impl forward::Admitted {
     /// Whether the retry budget allows another attempt.
-    pub(crate) fn has_repeat(&self) -> bool {
-        let desk = self.state.desk(&self.service);
-        desk.is_some_and(|desk| state::lock(&desk).budget.has_one())
+    pub(crate) fn has_retry(&self) -> bool {
+        let dispatcher = self.state.dispatcher(&self.service);
+        dispatcher.is_some_and(|dispatcher| state::lock(&dispatcher).budget.has_one())
     }
 
     /// Whether an upstream has been active recently. If so, silence to a single request may mean
     /// that it is busy.
     pub(crate) fn is_alive(&self, upstream: &id::Upstream) -> bool {
-        let alive = |board: &mut placement::Board, now| board.is_alive(upstream, ALIVE, now);
-        self.state.with_board(&self.service, alive).unwrap_or(false)
+        let alive =
+            |placer: &mut placement::Board, now| placer.is_alive(upstream, ALIVE_WINDOW, now);
+        self.state.with_placer(&self.service, alive).unwrap_or(false)
     }
 
     /// Whether an upstream failed another request and has shown no activity since.
-    pub(crate) fn is_lost(&self, upstream: &id::Upstream) -> bool {
-        let lost = |board: &mut placement::Board, _| board.is_lost(upstream);
-        self.state.with_board(&self.service, lost).unwrap_or(false)
+    pub(crate) fn is_unresponsive(&self, upstream: &id::Upstream) -> bool {
+        let lost = |placer: &mut placement::Board, _| placer.is_lost(upstream);
+        self.state.with_placer(&self.service, lost).unwrap_or(false)
     }
 
     /// Whether the upstream has begun to answer a request that was sent after the dispatch `id`.
     fn is_overtaken(&self, id: placement::WorkId) -> bool {
-        let overtaken = |board: &mut placement::Board, _| board.is_overtaken(id);
-        self.state.with_board(&self.service, overtaken).unwrap_or(false)
+        let overtaken = |placer: &mut placement::Board, _| placer.is_overtaken(id);
+        self.state.with_placer(&self.service, overtaken).unwrap_or(false)
     }
 
     /// Returns why to abandon the upstream of `placement`, which has been silent for `silent` since
     /// the dispatch `id`; `None` to keep waiting. A lost upstream is abandoned even if no retry is
     /// allowed: the caller learns of it at once and may retry elsewhere.
-    pub(crate) fn give_up_after(
+    pub(crate) fn abandon_reason(
         &self,
         placement: &placement::Placement,
         id: placement::WorkId,
@@ -54,11 +55,11 @@
     ) -> Option<&'static str> {
         let upstream = &placement.first.upstream;
         let patience = self.patience(placement.expected);
-        if silent < placement.expected + PATIENCE {
+        if silent < placement.expected + LOST_PACKET_ALLOWANCE {
             None
-        } else if self.is_lost(upstream) {
+        } else if self.is_unresponsive(upstream) {
             Some("silent to others too")
-        } else if !self.has_repeat() || silent < patience {
+        } else if !self.has_retry() || silent < patience {
             None
         } else if self.is_overtaken(id) {
             Some("later requests were answered")
@@ -72,11 +73,11 @@
     /// Returns how long an upstream may be silent before another is tried, unless it is merely
     /// busy.
     fn patience(&self, expected: clock::Span) -> clock::Span {
-        expected + self.route.target * PATIENT_TARGETS + PATIENCE
+        expected + self.route.target * PATIENCE_TARGETS + LOST_PACKET_ALLOWANCE
     }
 
     /// Whether another upstream may be tried after `attempts` attempts.
-    pub(crate) fn may_repeat(&self, attempts: u32) -> bool {
+    pub(crate) fn may_retry(&self, attempts: u32) -> bool {
         self.route.kind.may_repeat() && attempts < self.route.attempts
     }
 }
