--- a/crates/lagoon-gateway/src/state.rs
+++ b/crates/lagoon-gateway/src/state.rs
@@ -16,15 +16,15 @@
 
 use crate::crash;
 use crate::event;
-use crate::feed;
 use crate::mesh;
+use crate::message;
 use crate::metrics;
 use crate::peers;
 use crate::quarantine;
 use crate::relay;
 use crate::schedule;
 use crate::settings;
-use crate::word;
+use crate::tables;
 
 /// Phases of the process, from serving to shutdown.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -39,21 +39,21 @@
 
 /// Scheduling state of one service.
 #[derive(Debug)]
-pub(crate) struct Desk {
+pub(crate) struct Dispatcher {
     /// Dispatches in flight on the service's upstreams.
-    pub(crate) board: placement::Board,
+    pub(crate) placer: placement::Board,
     /// Retry budget of the service.
     pub(crate) budget: retry::Budget,
 }
 
 /// How much the process has learned since its start.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(crate) enum Knowledge {
+pub(crate) enum SyncLevel {
     /// Neither routes nor upstreams are known.
     Nothing,
     /// Routes and upstreams are known, but not the dispatches that other hosts have in flight on
     /// them.
-    Lists,
+    Tables,
     /// Other hosts have reported their dispatches in flight, or the time for it has passed.
     Loads,
 }
@@ -64,46 +64,46 @@
 /// A host restarts within half a second and its callers reconnect at once. Without the wait it
 /// would send them all to the engine that it believes to be idle. When the platform is slow,
 /// callers are held no longer than a request to a busy engine takes.
-const ACQUAINTANCE: clock::Span = clock::Span::from_millis(400);
+const MAX_LOADS_WAIT: clock::Span = clock::Span::from_millis(400);
 
 /// Margin that is subtracted from the key revocation bound when the age of the last confirmation is
 /// checked.
-const KEY_MARGIN: clock::Span = clock::Span::from_millis(250);
+const KEY_AGE_MARGIN: clock::Span = clock::Span::from_millis(250);
 /// How long another host's report that it can trust keys stays valid. Hosts with callers report it
 /// many times a second, and in an outage all hosts lose their confirmation within a second of each
 /// other.
-const SAID: clock::Span = clock::Span::from_millis(500);
+const PEER_REPORT_VALIDITY: clock::Span = clock::Span::from_millis(500);
 
-type Desks = collections::HashMap<id::Service, sync::Arc<sync::Mutex<Desk>>>;
+type Dispatchers = collections::HashMap<id::Service, sync::Arc<sync::Mutex<Dispatcher>>>;
 
 /// Capacity of the queue of updates to the other hosts: two seconds at the highest rate.
-const WORDS: usize = 4_096;
+const UPDATE_QUEUE: usize = 4_096;
 
 /// The shared state of the process.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) settings: settings::Settings,
-    pub(crate) clock: crate::Boot,
+    pub(crate) clock: crate::BootClock,
     pub(crate) metrics: metrics::Metrics,
     /// Random number that identifies this run of the process among the entry hosts.
-    pub(crate) number: u64,
-    table: ArcSwapOption<routing::Table>,
+    pub(crate) incarnation: u64,
+    routing_table: ArcSwapOption<routing::Table>,
     confirmation: sync::Mutex<routing::Confirmation>,
     registry: sync::Mutex<routing::Registry>,
     /// Contents of the platform's tables.
-    pub(crate) feed: feed::Feed,
+    pub(crate) tables: tables::Tables,
     /// Whether the list of upstreams has been read at least once.
-    listed: atomic::AtomicBool,
-    knowledge: watch::Sender<Knowledge>,
-    started: clock::Moment,
+    upstreams_listed: atomic::AtomicBool,
+    level: watch::Sender<SyncLevel>,
+    started_at: clock::Moment,
     /// When another host last reported that it can trust keys.
-    trusted_elsewhere: sync::Mutex<Option<clock::Moment>>,
-    pub(crate) desks: ArcSwap<Desks>,
+    peer_trusted_at: sync::Mutex<Option<clock::Moment>>,
+    pub(crate) dispatchers: ArcSwap<Dispatchers>,
     phase: watch::Sender<Phase>,
     active: watch::Sender<usize>,
-    dispatches: atomic::AtomicU64,
-    hosts: atomic::AtomicUsize,
-    deciders: atomic::AtomicUsize,
+    dispatch_counter: atomic::AtomicU64,
+    host_count: atomic::AtomicUsize,
+    placing_hosts: atomic::AtomicUsize,
     /// Signalled when this host's row is missing from the platform's table.
     pub(crate) unregistered: Notify,
     /// The other entry hosts.
@@ -111,14 +111,14 @@
     /// The other hosts of this zone, as the relay uses them.
     pub(crate) members: relay::Members,
     /// Questions to the zone's scheduler that have no answer yet.
-    pub(crate) questions: schedule::Questions,
+    pub(crate) questions: schedule::PendingQuestions,
     /// Queue of updates to the other hosts.
-    pub(crate) words: mpsc::Sender<mesh::Said>,
+    pub(crate) updates: mpsc::Sender<mesh::QueuedUpdate>,
     pub(crate) socket: net::UdpSocket,
     /// Requests whose upstream connections broke and whose upstream is being probed.
-    pub(crate) breaks: crash::Breaks,
+    pub(crate) broken_requests: crash::BrokenRequests,
     /// Requests that crash upstreams.
-    pub(crate) keeper: quarantine::Keeper,
+    pub(crate) quarantine: quarantine::Shared,
 }
 
 /// Locks `mutex` even if a holder panicked: every update leaves the data consistent.
@@ -132,9 +132,9 @@
     pub(crate) fn new(
         settings: settings::Settings,
         socket: net::UdpSocket,
-    ) -> (sync::Arc<State>, mpsc::Receiver<mesh::Said>) {
-        let (words, receiver) = mpsc::channel(WORDS);
-        let clock = crate::Boot::default();
+    ) -> (sync::Arc<State>, mpsc::Receiver<mesh::QueuedUpdate>) {
+        let (updates, receiver) = mpsc::channel(UPDATE_QUEUE);
+        let clock = crate::BootClock::default();
         let node = &settings.node;
         let standing = routing::Standing { zone: node.zone.clone(), cores: node.cpu_share };
         let roster = routing::RosterSettings {
@@ -144,53 +144,53 @@
         let roster = routing::Roster::new(roster, node.host.clone(), standing, clock.now());
         let state = State {
             settings,
-            started: clock.now(),
+            started_at: clock.now(),
             clock,
             metrics: metrics::Metrics::default(),
-            number: rand::rng().random(),
-            table: ArcSwapOption::empty(),
+            incarnation: rand::rng().random(),
+            routing_table: ArcSwapOption::empty(),
             confirmation: sync::Mutex::default(),
             registry: sync::Mutex::default(),
-            feed: feed::Feed::default(),
-            listed: atomic::AtomicBool::new(false),
-            trusted_elsewhere: sync::Mutex::default(),
-            knowledge: watch::Sender::new(Knowledge::Nothing),
-            desks: ArcSwap::default(),
+            tables: tables::Tables::default(),
+            upstreams_listed: atomic::AtomicBool::new(false),
+            peer_trusted_at: sync::Mutex::default(),
+            level: watch::Sender::new(SyncLevel::Nothing),
+            dispatchers: ArcSwap::default(),
             phase: watch::Sender::new(Phase::Serving),
             active: watch::Sender::new(0),
-            dispatches: atomic::AtomicU64::new(0),
-            hosts: atomic::AtomicUsize::new(1),
-            deciders: atomic::AtomicUsize::new(1),
+            dispatch_counter: atomic::AtomicU64::new(0),
+            host_count: atomic::AtomicUsize::new(1),
+            placing_hosts: atomic::AtomicUsize::new(1),
             unregistered: Notify::new(),
             peers: sync::Mutex::new(peers::Peers::new(roster)),
             members: relay::Members::default(),
-            questions: schedule::Questions::default(),
-            words,
+            questions: schedule::PendingQuestions::default(),
+            updates,
             socket,
-            breaks: crash::Breaks::default(),
-            keeper: quarantine::Keeper::default(),
+            broken_requests: crash::BrokenRequests::default(),
+            quarantine: quarantine::Shared::default(),
         };
         (sync::Arc::new(state), receiver)
     }
 
     /// Returns the desired state in force; `None` until the first is read.
-    pub(crate) fn table(&self) -> Option<sync::Arc<routing::Table>> {
-        self.table.load_full()
+    pub(crate) fn routing_table(&self) -> Option<sync::Arc<routing::Table>> {
+        self.routing_table.load_full()
     }
 
     /// Puts a version in force unless a newer one is. The version was the newest at `at`.
     pub(crate) fn install(&self, desired: routing::Desired, at: clock::Moment) {
         let version = desired.version;
-        let known = self.table.load().as_ref().map_or(0, |table| table.version());
-        if self.table.load().is_none() || version > known {
+        let known = self.routing_table.load().as_ref().map_or(0, |table| table.version());
+        if self.routing_table.load().is_none() || version > known {
             event::Line::new("desired_state_in_force")
                 .number("version", version)
                 .number("previous", known)
                 .number("routes", desired.routes.len())
                 .info();
-            self.table.store(Some(sync::Arc::new(routing::Table::new(desired))));
+            self.routing_table.store(Some(sync::Arc::new(routing::Table::new(desired))));
             self.metrics.desired_version.set(i64::try_from(version).unwrap_or(i64::MAX));
-            self.refresh_desks();
+            self.refresh_dispatchers();
         }
         if version >= known {
             self.confirm(at);
@@ -208,13 +208,13 @@
     }
 
     /// Records that the platform has answered again since `at`.
-    pub(crate) fn platform_returned(&self, at: clock::Moment) {
+    pub(crate) fn platform_recovered(&self, at: clock::Moment) {
         lock(&self.registry).returned(at);
     }
 
     /// Applies changes to the list of upstreams.
-    pub(crate) fn change_upstreams(&self, changes: Vec<routing::Change>) {
-        let is_first = !self.listed.swap(true, atomic::Ordering::Relaxed);
+    pub(crate) fn apply_upstream_changes(&self, changes: Vec<routing::Change>) {
+        let is_first = !self.upstreams_listed.swap(true, atomic::Ordering::Relaxed);
         if is_first {
             // One line for the first list: a line per upstream would use up the log rate of the
             // first second.
@@ -232,25 +232,25 @@
             registry.apply(change, now);
         }
         drop(registry);
-        self.refresh_desks();
+        self.refresh_dispatchers();
     }
 
     /// Drops expired entries.
     pub(crate) fn expire(&self) {
         let now = self.clock.now();
         if lock(&self.registry).expire(now) {
-            self.refresh_desks();
+            self.refresh_dispatchers();
         }
-        for desk in self.desks.load().values() {
-            lock(desk).board.expire(now);
+        for dispatcher in self.dispatchers.load().values() {
+            lock(dispatcher).placer.expire(now);
         }
     }
 
     /// Records the age of another host's last confirmation of the desired state.
-    pub(crate) fn heard_confirmation(&self, age_ms: Option<u32>) {
-        let age = age_ms.map(word::span);
+    pub(crate) fn record_peer_confirmation(&self, age_ms: Option<u32>) {
+        let age = age_ms.map(message::span);
         if age.is_some() && self.trusts_keys(age) {
-            *lock(&self.trusted_elsewhere) = Some(self.clock.now());
+            *lock(&self.peer_trusted_at) = Some(self.clock.now());
         }
     }
 
@@ -258,65 +258,69 @@
     /// A revoked key must be refused within the revocation bound, if there is one.
     pub(crate) fn trusts_keys(&self, age: Option<clock::Span>) -> bool {
         let Some(bound) = self.settings.node.bounds.revoke else { return true };
-        age.is_some_and(|age| age + KEY_MARGIN <= bound)
+        age.is_some_and(|age| age + KEY_AGE_MARGIN <= bound)
     }
 
     /// Whether another host reported recently that it can trust keys.
-    pub(crate) fn is_trusted_elsewhere(&self) -> bool {
-        let at = *lock(&self.trusted_elsewhere);
-        at.is_some_and(|at| self.clock.now().since(at) <= SAID)
+    pub(crate) fn peer_trusts_keys(&self) -> bool {
+        let at = *lock(&self.peer_trusted_at);
+        at.is_some_and(|at| self.clock.now().since(at) <= PEER_REPORT_VALIDITY)
     }
 
     /// Returns the model engines of all services.
     pub(crate) fn engines(&self) -> Vec<(id::Service, routing::Entry)> {
         let mut engines = Vec::new();
-        for (service, desk) in self.desks.load().iter() {
-            let desk = lock(desk);
-            engines.extend(desk.board.engines().map(|entry| (service.clone(), entry.clone())));
+        for (service, dispatcher) in self.dispatchers.load().iter() {
+            let dispatcher = lock(dispatcher);
+            engines
+                .extend(dispatcher.placer.engines().map(|entry| (service.clone(), entry.clone())));
         }
         engines
     }
 
     /// Returns the scheduling state of a service.
-    pub(crate) fn desk(&self, service: &id::Service) -> Option<sync::Arc<sync::Mutex<Desk>>> {
-        self.desks.load().get(service).cloned()
+    pub(crate) fn dispatcher(
+        &self,
+        service: &id::Service,
+    ) -> Option<sync::Arc<sync::Mutex<Dispatcher>>> {
+        self.dispatchers.load().get(service).cloned()
     }
 
     /// Calls `act` with the service's board and the current time. Returns `None` if the service
     /// does not exist.
-    pub(crate) fn with_board<Act, Told>(&self, service: &id::Service, act: Act) -> Option<Told>
+    pub(crate) fn with_placer<Act, Output>(&self, service: &id::Service, act: Act) -> Option<Output>
     where
-        Act: FnOnce(&mut placement::Board, clock::Moment) -> Told,
+        Act: FnOnce(&mut placement::Board, clock::Moment) -> Output,
     {
-        let desk = self.desk(service)?;
-        let mut desk = lock(&desk);
-        Some(act(&mut desk.board, self.clock.now()))
+        let dispatcher = self.dispatcher(service)?;
+        let mut dispatcher = lock(&dispatcher);
+        Some(act(&mut dispatcher.placer, self.clock.now()))
     }
 
-    /// Waits until the process has reached `knowledge`.
-    pub(crate) async fn wait_for(&self, knowledge: Knowledge) {
+    /// Waits until the process has reached `level`.
+    pub(crate) async fn wait_for_level(&self, level: SyncLevel) {
         // The sender lives as long as this state, so the wait ends only by a change.
-        drop(self.knowledge.subscribe().wait_for(|current| *current >= knowledge).await);
+        drop(self.level.subscribe().wait_for(|current| *current >= level).await);
     }
 
-    /// Records that the process has reached `knowledge`; a lower value is ignored.
-    pub(crate) fn learn(&self, knowledge: Knowledge) {
-        self.knowledge.send_if_modified(|current| {
-            let more = knowledge > *current;
-            *current = knowledge.max(*current);
+    /// Records that the process has reached `level`; a lower value is ignored.
+    pub(crate) fn raise_level(&self, level: SyncLevel) {
+        self.level.send_if_modified(|current| {
+            let more = level > *current;
+            *current = level.max(*current);
             more
         });
     }
 
-    /// Waits until the dispatches in flight at other hosts are known, for at most [`ACQUAINTANCE`].
-    pub(crate) async fn acquainted(&self) {
-        let left = (self.started + ACQUAINTANCE).since(self.clock.now());
+    /// Waits until the dispatches in flight at other hosts are known, for at most [`MAX_LOADS_WAIT`].
+    pub(crate) async fn wait_for_loads(&self) {
+        let left = (self.started_at + MAX_LOADS_WAIT).since(self.clock.now());
         // On a timeout the host goes on with what it knows.
-        drop(tokio::time::timeout(left, self.wait_for(Knowledge::Loads)).await);
+        drop(tokio::time::timeout(left, self.wait_for_level(SyncLevel::Loads)).await);
     }
 
-    fn refresh_desks(&self) {
-        let Some(table) = self.table() else { return };
+    fn refresh_dispatchers(&self) {
+        let Some(table) = self.routing_table() else { return };
         let registry = lock(&self.registry);
         let mut by_service: collections::HashMap<id::Service, Vec<routing::Entry>> =
             table.services().map(|service| (service.name.clone(), Vec::new())).collect();
@@ -325,55 +329,55 @@
                 entries.push(entry.clone());
             }
         }
-        let known = self.desks.load_full();
-        let mut desks = Desks::default();
+        let known = self.dispatchers.load_full();
+        let mut dispatchers = Dispatchers::default();
         for (service, entries) in by_service {
             let pace = table.service(&service).and_then(|service| service.pace);
-            let desk = known.get(&service).cloned().unwrap_or_else(|| self.new_desk());
-            lock(&desk).board.set_upstreams(&entries, pace);
-            desks.insert(service, desk);
+            let dispatcher = known.get(&service).cloned().unwrap_or_else(|| self.new_dispatcher());
+            lock(&dispatcher).placer.set_upstreams(&entries, pace);
+            dispatchers.insert(service, dispatcher);
         }
-        self.desks.store(sync::Arc::new(desks));
-        if self.listed.load(atomic::Ordering::Relaxed) {
-            self.learn(Knowledge::Lists);
+        self.dispatchers.store(sync::Arc::new(dispatchers));
+        if self.upstreams_listed.load(atomic::Ordering::Relaxed) {
+            self.raise_level(SyncLevel::Tables);
         }
     }
 
-    fn new_desk(&self) -> sync::Arc<sync::Mutex<Desk>> {
-        let mut board =
+    fn new_dispatcher(&self) -> sync::Arc<sync::Mutex<Dispatcher>> {
+        let mut placer =
             placement::Board::new(self.settings.tuning.placement, self.settings.node.zone.clone());
         let mut budget = retry::Budget::default();
-        let hosts = self.hosts.load(atomic::Ordering::Relaxed);
+        let hosts = self.host_count.load(atomic::Ordering::Relaxed);
         budget.allow_ratio(self.settings.node.bounds.retry_ratio);
         budget.share_slack(self.settings.node.bounds.retry_slack, hosts);
-        board.set_deciders(self.deciders.load(atomic::Ordering::Relaxed));
-        sync::Arc::new(sync::Mutex::new(Desk { board, budget }))
+        placer.set_deciders(self.placing_hosts.load(atomic::Ordering::Relaxed));
+        sync::Arc::new(sync::Mutex::new(Dispatcher { placer, budget }))
     }
 
     /// Sets the number of entry hosts, this one included, and how many of them place requests.
     pub(crate) fn set_hosts(&self, hosts: usize, deciders: usize) {
-        let before = self.hosts.swap(hosts, atomic::Ordering::Relaxed);
-        let decided = self.deciders.swap(deciders, atomic::Ordering::Relaxed);
+        let before = self.host_count.swap(hosts, atomic::Ordering::Relaxed);
+        let decided = self.placing_hosts.swap(deciders, atomic::Ordering::Relaxed);
         if (before, decided) == (hosts, deciders) {
             return;
         }
         let slack = self.settings.node.bounds.retry_slack;
-        for desk in self.desks.load().values() {
-            let mut desk = lock(desk);
-            desk.budget.share_slack(slack, hosts);
-            desk.board.set_deciders(deciders);
+        for dispatcher in self.dispatchers.load().values() {
+            let mut dispatcher = lock(dispatcher);
+            dispatcher.budget.share_slack(slack, hosts);
+            dispatcher.placer.set_deciders(deciders);
         }
     }
 
     /// Returns the id of a new dispatch.
-    pub(crate) fn next_work(&self) -> placement::WorkId {
-        let number = self.dispatches.fetch_add(1, atomic::Ordering::Relaxed);
-        placement::WorkId { host: self.number, number }
+    pub(crate) fn next_dispatch_id(&self) -> placement::WorkId {
+        let number = self.dispatch_counter.fetch_add(1, atomic::Ordering::Relaxed);
+        placement::WorkId { host: self.incarnation, number }
     }
 
-    /// Whether the process has reached `knowledge`.
-    pub(crate) fn knows(&self, knowledge: Knowledge) -> bool {
-        *self.knowledge.borrow() >= knowledge
+    /// Whether the process has reached `level`.
+    pub(crate) fn has_reached(&self, level: SyncLevel) -> bool {
+        *self.level.borrow() >= level
     }
 
     /// Returns the current phase.
@@ -391,19 +395,19 @@
     }
 
     /// Waits until the process has reached `phase`.
-    pub(crate) async fn reach(&self, phase: Phase) {
+    pub(crate) async fn wait_for_phase(&self, phase: Phase) {
         // The sender lives as long as this state, so the wait ends only by a change.
         drop(self.phase.subscribe().wait_for(|current| *current >= phase).await);
     }
 
     /// Whether the balancer may send callers to this host.
     pub(crate) fn is_ready(&self) -> bool {
-        let listed = self.listed.load(atomic::Ordering::Relaxed);
-        self.phase() == Phase::Serving && self.table.load().is_some() && listed
+        let listed = self.upstreams_listed.load(atomic::Ordering::Relaxed);
+        self.phase() == Phase::Serving && self.routing_table.load().is_some() && listed
     }
 
     /// Counts a request as active until the guard is dropped.
-    pub(crate) fn enter(self: &sync::Arc<Self>) -> Active {
+    pub(crate) fn track_request(self: &sync::Arc<Self>) -> Active {
         self.active.send_modify(|count| *count += 1);
         Active { state: self.clone() }
     }
--- a/crates/lagoon-gateway/src/store.rs
+++ b/crates/lagoon-gateway/src/store.rs
@@ -8,22 +8,22 @@
 use crate::exchange;
 
 /// Timeout for connecting to the store: three round trips between zones and a lost packet.
-const CONNECT: time::Duration = time::Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
 /// Maximum size of an answer in bytes: 1 MB of rows in their JSON form.
-const ANSWER: usize = 4 << 20;
+const MAX_ANSWER_BYTES: usize = 4 << 20;
 
 /// Why a call failed.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum Trouble {
+pub(crate) enum Error {
     /// The connection failed.
     #[error("{0}")]
     Failed(#[from] exchange::Failure),
     /// There was no answer in time.
     #[error("no answer within {0:?}")]
-    Silent(time::Duration),
+    TimedOut(time::Duration),
     /// The answer is not one of the store's.
     #[error("{0}")]
-    Unreadable(#[from] lagoon_platform::Unreadable),
+    Invalid(#[from] lagoon_platform::DecodeError),
     /// The store refused the call and did nothing.
     #[error("refused with status {0}")]
     Refused(u16),
@@ -52,35 +52,35 @@
         &mut self,
         call: &store::Call,
         timeout: time::Duration,
-    ) -> Result<store::Reply, Trouble> {
-        let kept = self.exchange.take();
-        let work = tokio::time::timeout(timeout, self.make(kept, call));
-        let (exchange, reply) = work.await.map_err(|_| Trouble::Silent(timeout))??;
+    ) -> Result<store::Reply, Error> {
+        let idle = self.exchange.take();
+        let work = tokio::time::timeout(timeout, self.call_on(idle, call));
+        let (exchange, reply) = work.await.map_err(|_| Error::TimedOut(timeout))??;
         self.exchange = Some(exchange);
         match reply {
-            store::Reply::Refused(status) => Err(Trouble::Refused(status)),
+            store::Reply::Refused(status) => Err(Error::Refused(status)),
             reply => Ok(reply),
         }
     }
 
-    async fn make(
+    async fn call_on(
         &self,
-        kept: Option<exchange::Exchange>,
+        idle: Option<exchange::Exchange>,
         call: &store::Call,
-    ) -> Result<(exchange::Exchange, store::Reply), Trouble> {
+    ) -> Result<(exchange::Exchange, store::Reply), Error> {
         let mut usable = None;
-        if let Some(mut kept) = kept
-            && kept.settle().await
+        if let Some(mut idle) = idle
+            && idle.wait_reusable().await
         {
-            usable = Some(kept);
+            usable = Some(idle);
         }
         let mut exchange = match usable {
-            Some(kept) => kept,
-            None => exchange::Exchange::open(self.address, CONNECT).await?,
+            Some(idle) => idle,
+            None => exchange::Exchange::open(self.address, CONNECT_TIMEOUT).await?,
         };
         let mut answer = exchange.send(self.request(call)?).await?;
         let status = answer.status().as_u16();
-        let body = exchange.whole(answer.body_mut(), ANSWER).await?;
+        let body = exchange.read_body(answer.body_mut(), MAX_ANSWER_BYTES).await?;
         Ok((exchange, store::read(status, &body)?))
     }
 
--- a/crates/lagoon-gateway/src/stream.rs
+++ b/crates/lagoon-gateway/src/stream.rs
@@ -28,16 +28,16 @@
 use crate::silence;
 
 /// Events buffered for a slow caller; while the buffer is full the upstream is not read.
-const WAITING: usize = 64;
+const EVENT_BUFFER: usize = 64;
 /// Multiple of the route's gap target for which an upstream may be silent before another is tried.
-const GAPS: u32 = 4;
+const SILENT_GAPS: u32 = 4;
 /// Minimum silence before another upstream is tried: a lost packet is retransmitted within it.
-const LEAST_SILENCE: clock::Span = clock::Span::from_millis(900);
+const MIN_SILENCE: clock::Span = clock::Span::from_millis(900);
 /// Time that a stream may run beyond its deadline, so that one which is about to end can finish.
-const OVERTIME: clock::Span = clock::Span::from_millis(150);
+const MAX_OVERTIME: clock::Span = clock::Span::from_millis(150);
 
 /// Timeout for the caller to receive what was forwarded before its stream broke.
-const CUT: clock::Span = clock::Span::from_secs(1);
+const CUT_TIMEOUT: clock::Span = clock::Span::from_secs(1);
 
 /// The body of a streamed answer.
 #[derive(Debug)]
@@ -56,36 +56,36 @@
     }
 }
 
-/// Starts a task that forwards the events of `live`, and returns the body that it feeds.
+/// Starts a task that forwards the events of `open`, and returns the body that it feeds.
 pub(crate) fn start(
     admitted: forward::Admitted,
-    live: forward::Live,
+    open: forward::OpenAnswer,
     caller: forward::Caller,
 ) -> Body {
-    let (sender, events) = mpsc::channel(WAITING);
-    let gone = sender.clone();
-    let relay = Relay {
+    let (sender, events) = mpsc::channel(EVENT_BUFFER);
+    let body = sender.clone();
+    let forwarder = Forwarder {
         last_event: admitted.request.call.last_event,
         admitted,
         sender,
         buffer: BytesMut::new(),
         events: 0,
         upstreams: 1,
-        passed: clock::Moment::START,
+        last_forwarded: clock::Moment::START,
         longest_pause: clock::Span::ZERO,
     };
     drop(ntex::rt::spawn(async move {
-        let left = async {
+        let disconnected = async {
             match &caller.io {
                 Some(io) => tokio::select! {
                     () = io.on_disconnect() => {}
-                    () = gone.closed() => {}
+                    () = body.closed() => {}
                 },
-                None => gone.closed().await,
+                None => body.closed().await,
             }
         };
-        if relay.run(live, left).await == End::Broken {
-            cut(caller.io.as_ref(), &gone).await;
+        if forwarder.run(open, disconnected).await == End::Broken {
+            cut(caller.io.as_ref(), &body).await;
         }
         drop(caller);
     }));
@@ -98,15 +98,15 @@
 /// An error passed to the server would be written into the body as an answer of its own, and ending
 /// the body would make the stream look complete. So the body is held open until the connection is
 /// closed.
-async fn cut(io: Option<&ntex::io::IoRef>, gone: &mpsc::Sender<util::Bytes>) {
+async fn cut(io: Option<&ntex::io::IoRef>, body: &mpsc::Sender<util::Bytes>) {
     if let Some(io) = io {
         io.close();
     }
-    if tokio::time::timeout(CUT, gone.closed()).await.is_err()
+    if tokio::time::timeout(CUT_TIMEOUT, body.closed()).await.is_err()
         && let Some(io) = io
     {
         io.terminate();
-        gone.closed().await;
+        body.closed().await;
     }
 }
 
@@ -118,7 +118,7 @@
     Broken,
 }
 
-struct Relay {
+struct Forwarder {
     admitted: forward::Admitted,
     sender: mpsc::Sender<util::Bytes>,
     /// Bytes of an incomplete event.
@@ -127,47 +127,52 @@
     events: u64,
     upstreams: u32,
     /// When the last event was forwarded.
-    passed: clock::Moment,
+    last_forwarded: clock::Moment,
     longest_pause: clock::Span,
 }
 
-impl Relay {
-    async fn run<Left>(mut self, live: forward::Live, left: Left) -> End
+impl Forwarder {
+    async fn run<Disconnected>(
+        mut self,
+        open: forward::OpenAnswer,
+        disconnected: Disconnected,
+    ) -> End
     where
-        Left: Future<Output = ()>,
+        Disconnected: Future<Output = ()>,
     {
-        let mut left = pin::pin!(left);
+        let mut disconnected = pin::pin!(disconnected);
         let end = tokio::select! {
             biased;
-            end = self.relay(live) => end,
-            () = &mut left => End::CallerLeft,
+            end = self.forward_all(open) => end,
+            () = &mut disconnected => End::CallerLeft,
         };
-        self.tell(end);
+        self.log_end(end);
         end
     }
 
-    fn tell(&self, end: End) {
+    fn log_end(&self, end: End) {
         let (how, reason) = match end {
             End::Whole => ("whole", None),
             End::CallerLeft => ("caller_left", Some(Reason::CallerLeft)),
             End::Broken => ("broken", Some(Reason::UpstreamFailed)),
         };
-        self.admitted.state.metrics.answered(self.admitted.service.as_str(), reason);
+        self.admitted.state.metrics.count_answer(self.admitted.service.as_str(), reason);
         event::Line::new("stream_ended")
             .text("request", &self.admitted.request.call.request_id)
             .text("how", how)
             .number("events", self.events)
             .number("upstreams", self.upstreams)
             .span("longest_pause_ms", self.longest_pause)
-            .span("silent_ms", self.silent())
+            .span("silent_ms", self.silent_for())
             .span("after_ms", self.since_arrival())
             .info();
     }
 
     /// Returns the time since the last event was forwarded, or since the request arrived if there
     /// was none.
-    fn silent(&self) -> clock::Span {
-        let last = if self.events == 0 { self.admitted.request.arrived } else { self.passed };
+    fn silent_for(&self) -> clock::Span {
+        let last =
+            if self.events == 0 { self.admitted.request.arrived } else { self.last_forwarded };
         self.admitted.state.clock.now().since(last)
     }
 
@@ -177,13 +182,13 @@
 
     /// Forwards answers of one upstream after another until one is complete or the stream cannot be
     /// resumed.
-    async fn relay(&mut self, mut live: forward::Live) -> End {
+    async fn forward_all(&mut self, mut open: forward::OpenAnswer) -> End {
         let mut avoid: Vec<id::Upstream> = Vec::new();
         loop {
-            let upstream = live.upstream.clone();
-            let failure = match self.relay_one(live).await {
+            let upstream = open.upstream.clone();
+            let failure = match self.forward_answer(open).await {
                 Ok(()) => {
-                    self.admitted.answered(&upstream);
+                    self.admitted.record_success(&upstream);
                     // An answer without a length looks complete when its upstream crashes before
                     // the first event.
                     if self.events > 0 {
@@ -202,30 +207,30 @@
                 .span("after_ms", self.since_arrival())
                 .text("fingerprint", self.admitted.fingerprint())
                 .warn();
-            self.admitted.suspect(&upstream);
+            self.admitted.record_unreachable(&upstream);
             avoid.push(upstream);
-            match self.go_on(&mut avoid, failure).await {
-                Some(next) => live = next,
+            match self.resume(&mut avoid, failure).await {
+                Some(next) => open = next,
                 None => return End::Broken,
             }
         }
     }
 
     /// Resumes the stream after its last event on another upstream, if that is allowed.
-    async fn go_on(
+    async fn resume(
         &mut self,
         avoid: &mut Vec<id::Upstream>,
         failure: String,
-    ) -> Option<forward::Live> {
+    ) -> Option<forward::OpenAnswer> {
         let routing::Kind::Stream { resumable: true, .. } = self.admitted.route.kind else {
             return None;
         };
-        let mut missed = attempt::Miss::Lost(failure);
+        let mut failed = attempt::Failure::Lost(failure);
         let mut refusals = 0;
-        while self.admitted.may_try_again(self.upstreams, refusals, &missed) {
-            self.admitted.state.metrics.repeats.inc();
-            let secured = match self.admitted.secure(avoid).await {
-                Ok(secured) => secured,
+        while self.admitted.may_try_again(self.upstreams, refusals, &failed) {
+            self.admitted.state.metrics.retries.inc();
+            let allocation = match self.admitted.allocate(avoid).await {
+                Ok(allocation) => allocation,
                 Err(fault) => {
                     event::Line::new("stream_not_resumed")
                         .text("request", &self.admitted.request.call.request_id)
@@ -234,96 +239,105 @@
                     return None;
                 }
             };
-            let upstream = secured.placement.first.upstream.clone();
-            let taken =
-                match self.admitted.attempt(secured, self.last_event, self.upstreams + 1).await {
-                    Ok(live) => self.admitted.take_answer(live, avoid.len()).await,
-                    Err(miss) => Err(miss),
-                };
-            missed = match taken {
-                Ok(forward::Taken::Stream { live, .. }) => {
+            let upstream = allocation.placement.first.upstream.clone();
+            let checked = match self
+                .admitted
+                .attempt(allocation, self.last_event, self.upstreams + 1)
+                .await
+            {
+                Ok(open) => self.admitted.check_answer(open, avoid.len()).await,
+                Err(failed) => Err(failed),
+            };
+            failed = match checked {
+                Ok(forward::CheckedAnswer::Stream { open, .. }) => {
                     self.upstreams += 1;
-                    return Some(*live);
+                    return Some(*open);
                 }
-                Ok(forward::Taken::Whole { status, .. }) => {
-                    attempt::Miss::Lost(format!("{upstream}: answered with status {status}"))
+                Ok(forward::CheckedAnswer::Whole { status, .. }) => {
+                    attempt::Failure::Lost(format!("{upstream}: answered with status {status}"))
                 }
-                Err(missed) => missed,
+                Err(failed) => failed,
             };
-            match missed {
-                attempt::Miss::Refused { .. } => refusals += 1,
-                attempt::Miss::Lost(_) => self.upstreams += 1,
-                attempt::Miss::Unsent(_) => {}
+            match failed {
+                attempt::Failure::Refused { .. } => refusals += 1,
+                attempt::Failure::Lost(_) => self.upstreams += 1,
+                attempt::Failure::Unsent(_) => {}
             }
-            self.admitted.log_miss(&upstream, &missed);
-            avoid.push(missed.at_fault().unwrap_or(&upstream).clone());
+            self.admitted.log_failure(&upstream, &failed);
+            avoid.push(failed.at_fault().unwrap_or(&upstream).clone());
         }
         None
     }
 
-    /// Reports that the connection to the upstream of `live` broke after `events` events of its
+    /// Reports that the connection to the upstream of `open` broke after `events` events of its
     /// answer. Returns the failure's text.
-    fn broke(&self, live: &forward::Live, events: u64, failure: &exchange::Failure) -> String {
-        let span = self.admitted.state.clock.now().since(live.began);
-        self.admitted.broke(&live.upstream, quarantine::Progress::Begun { span, events });
+    fn record_broken_connection(
+        &self,
+        open: &forward::OpenAnswer,
+        events: u64,
+        failure: &exchange::Failure,
+    ) -> String {
+        let span = self.admitted.state.clock.now().since(open.head_at);
+        self.admitted
+            .record_broken_connection(&open.upstream, quarantine::Progress::Begun { span, events });
         failure.to_string()
     }
 
     /// Forwards one answer to its end.
-    async fn relay_one(&mut self, mut live: forward::Live) -> Result<(), String> {
-        let mut heard = self.admitted.state.clock.now();
+    async fn forward_answer(&mut self, mut open: forward::OpenAnswer) -> Result<(), String> {
+        let mut last_activity = self.admitted.state.clock.now();
         let before = self.events;
         loop {
-            let left = self.admitted.left() + OVERTIME;
-            let chunk = live.exchange.chunk(live.answer.body_mut());
-            let chunk = match tokio::time::timeout(silence::LOOK.min(left), chunk).await {
-                Ok(chunk) => {
-                    chunk.map_err(|failure| self.broke(&live, self.events - before, &failure))?
-                }
-                Err(_) if left <= silence::LOOK => return Err("out of time".to_owned()),
+            let left = self.admitted.time_left() + MAX_OVERTIME;
+            let chunk = open.exchange.chunk(open.answer.body_mut());
+            let chunk = match tokio::time::timeout(silence::CHECK_INTERVAL.min(left), chunk).await {
+                Ok(chunk) => chunk.map_err(|failure| {
+                    self.record_broken_connection(&open, self.events - before, &failure)
+                })?,
+                Err(_) if left <= silence::CHECK_INTERVAL => return Err("out of time".to_owned()),
                 Err(_) => {
-                    let silent = self.admitted.state.clock.now().since(heard);
-                    if self.gives_up_after(&live.upstream, silent) {
+                    let silent = self.admitted.state.clock.now().since(last_activity);
+                    if self.should_abandon(&open.upstream, silent) {
                         return Err(format!("silent for {silent:?}"));
                     }
                     continue;
                 }
             };
-            heard = self.admitted.state.clock.now();
-            self.admitted.heard(&live.upstream);
-            live.underway.heard();
+            last_activity = self.admitted.state.clock.now();
+            self.admitted.record_activity(&open.upstream);
+            open.in_flight.record_activity();
             let Some(chunk) = chunk else {
-                return self.pass_rest().await;
+                return self.forward_rest().await;
             };
             self.buffer.extend_from_slice(&chunk);
-            self.pass_events().await?;
+            self.forward_events().await?;
         }
     }
 
     /// Whether to abandon an upstream that has been silent for `silent`.
-    fn gives_up_after(&self, upstream: &id::Upstream, silent: clock::Span) -> bool {
-        let silence = self.silence();
+    fn should_abandon(&self, upstream: &id::Upstream, silent: clock::Span) -> bool {
+        let silence = self.silence_timeout();
         // The last upstream that may be tried is not abandoned: it may merely be busy.
-        if self.upstreams >= self.admitted.route.attempts || silent < LEAST_SILENCE.min(silence) {
+        if self.upstreams >= self.admitted.route.attempts || silent < MIN_SILENCE.min(silence) {
             return false;
         }
-        if self.admitted.is_lost(upstream) {
+        if self.admitted.is_unresponsive(upstream) {
             return true;
         }
-        let may_be_busy = !self.admitted.has_repeat() || self.admitted.is_alive(upstream);
+        let may_be_busy = !self.admitted.has_retry() || self.admitted.is_alive(upstream);
         silent >= silence * 2 || silent >= silence && !may_be_busy
     }
 
-    fn silence(&self) -> clock::Span {
+    fn silence_timeout(&self) -> clock::Span {
         let routing::Kind::Stream { gap, .. } = self.admitted.route.kind else {
             return clock::Span::MAX;
         };
-        (gap * GAPS).max(LEAST_SILENCE)
+        (gap * SILENT_GAPS).max(MIN_SILENCE)
     }
 
     /// Forwards each complete event in the buffer.
-    async fn pass_events(&mut self) -> Result<(), String> {
-        while let Some(length) = whole_event(&self.buffer) {
+    async fn forward_events(&mut self) -> Result<(), String> {
+        while let Some(length) = first_event_length(&self.buffer) {
             let event = self.buffer.split_to(length);
             let number = event_number(&event);
             if let (Some(number), Some(last)) = (number, self.last_event)
@@ -334,24 +348,24 @@
                 continue;
             }
             self.last_event = number.or(self.last_event);
-            self.pass(util::Bytes::copy_from_slice(&event)).await?;
+            self.forward(util::Bytes::copy_from_slice(&event)).await?;
             if self.events == 0 {
                 let tokens = self.admitted.request.call.prompt_tokens.unwrap_or(0);
                 self.admitted.state.metrics.first_event(tokens, self.since_arrival());
                 self.log_first();
             }
             self.events += 1;
-            self.note_pause();
+            self.record_pause();
         }
         Ok(())
     }
 
-    fn note_pause(&mut self) {
+    fn record_pause(&mut self) {
         let now = self.admitted.state.clock.now();
         if self.events > 1 {
-            self.longest_pause = self.longest_pause.max(now.since(self.passed));
+            self.longest_pause = self.longest_pause.max(now.since(self.last_forwarded));
         }
-        self.passed = now;
+        self.last_forwarded = now;
     }
 
     fn log_first(&self) {
@@ -362,22 +376,22 @@
     }
 
     /// Forwards the rest of the buffer unchanged after the body has ended.
-    async fn pass_rest(&mut self) -> Result<(), String> {
+    async fn forward_rest(&mut self) -> Result<(), String> {
         if self.buffer.is_empty() {
             return Ok(());
         }
         let rest = util::Bytes::copy_from_slice(&self.buffer);
         self.buffer.advance(rest.len());
-        self.pass(rest).await
+        self.forward(rest).await
     }
 
-    async fn pass(&mut self, bytes: util::Bytes) -> Result<(), String> {
+    async fn forward(&mut self, bytes: util::Bytes) -> Result<(), String> {
         self.sender.send(bytes).await.map_err(|_| "the caller left".to_owned())
     }
 }
 
 /// Returns the length of the first event in `bytes`, including its blank line.
-fn whole_event(bytes: &[u8]) -> Option<usize> {
+fn first_event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
--- a/crates/lagoon-gateway/src/feed.rs
+++ b/crates/lagoon-gateway/src/tables.rs
@@ -16,42 +16,42 @@
 use crate::state;
 
 /// Recoveries of the platform closer together than this are the same one, reported twice.
-const SAME_RETURN: clock::Span = clock::Span::from_millis(500);
+const SAME_RECOVERY: clock::Span = clock::Span::from_millis(500);
 
 /// A table that is shared by its reader and the relay.
 pub(crate) type Table = sync::Arc<sync::Mutex<mirror::Mirror>>;
 
 /// The tables, and when they were last confirmed to be complete.
 #[derive(Debug)]
-pub(crate) struct Feed {
+pub(crate) struct Tables {
     pub(crate) desired: Table,
     pub(crate) upstreams: Table,
     /// The entry hosts.
     pub(crate) hosts: Table,
     /// When the list of upstreams was last confirmed to be complete.
-    listed_at: sync::Mutex<Option<clock::Moment>>,
+    upstreams_confirmed_at: sync::Mutex<Option<clock::Moment>>,
     /// When the platform last answered again after an outage.
-    returned_at: sync::Mutex<Option<clock::Moment>>,
+    recovered_at: sync::Mutex<Option<clock::Moment>>,
     /// Number of changes so far, to wake waiting relay requests.
-    news: watch::Sender<u64>,
+    changes: watch::Sender<u64>,
     /// Whether this host reads the platform itself.
-    reads: watch::Sender<bool>,
+    reads_platform: watch::Sender<bool>,
     /// When another host last sent a relay request.
-    asked_at: sync::Mutex<Option<clock::Moment>>,
+    last_request_at: sync::Mutex<Option<clock::Moment>>,
 }
 
-impl Default for Feed {
+impl Default for Tables {
     fn default() -> Self {
         let table = |same| sync::Arc::new(sync::Mutex::new(mirror::Mirror::new(same)));
-        Feed {
+        Tables {
             desired: table(same_bytes),
             upstreams: table(same_entry),
             hosts: table(same_bytes),
-            listed_at: sync::Mutex::default(),
-            returned_at: sync::Mutex::default(),
-            news: watch::Sender::new(0),
-            reads: watch::Sender::new(true),
-            asked_at: sync::Mutex::default(),
+            upstreams_confirmed_at: sync::Mutex::default(),
+            recovered_at: sync::Mutex::default(),
+            changes: watch::Sender::new(0),
+            reads_platform: watch::Sender::new(true),
+            last_request_at: sync::Mutex::default(),
         }
     }
 }
@@ -66,92 +66,94 @@
     entry::read(key, known).ok() == entry::read(key, value).ok()
 }
 
-impl Feed {
+impl Tables {
     /// Whether this host reads the platform itself.
-    pub(crate) fn reads(&self) -> bool {
-        *self.reads.borrow()
+    pub(crate) fn reads_platform(&self) -> bool {
+        *self.reads_platform.borrow()
     }
 
     /// Sets whether this host reads the platform itself or relies on another host.
-    pub(crate) fn set_reads(&self, reads: bool) {
-        let changed = self.reads.send_if_modified(|now| std::mem::replace(now, reads) != reads);
+    pub(crate) fn set_reads_platform(&self, reads: bool) {
+        let changed =
+            self.reads_platform.send_if_modified(|now| std::mem::replace(now, reads) != reads);
         if changed {
             event::Line::new("reads_platform").number("reads", reads).info();
         }
     }
 
     /// Waits until this host reads the platform itself.
-    pub(crate) async fn until_reads(&self) {
-        // The sender lives as long as this feed, so the wait ends only by a change.
-        drop(self.reads.subscribe().wait_for(|reads| *reads).await);
+    pub(crate) async fn wait_until_reading(&self) {
+        // The sender lives as long as these tables, so the wait ends only by a change.
+        drop(self.reads_platform.subscribe().wait_for(|reads| *reads).await);
     }
 
     /// Waits until another host reads for this one.
-    pub(crate) async fn until_told(&self) {
-        drop(self.reads.subscribe().wait_for(|reads| !*reads).await);
+    pub(crate) async fn wait_until_relayed(&self) {
+        drop(self.reads_platform.subscribe().wait_for(|reads| !*reads).await);
     }
 
     /// Records a relay request of another host.
-    pub(crate) fn asked(&self, now: clock::Moment) {
-        *state::lock(&self.asked_at) = Some(now);
+    pub(crate) fn record_request(&self, now: clock::Moment) {
+        *state::lock(&self.last_request_at) = Some(now);
     }
 
     /// Whether another host has sent a relay request recently, so that this host reads for it.
-    pub(crate) fn is_asked(&self, now: clock::Moment) -> bool {
-        state::lock(&self.asked_at).is_some_and(|at| now.since(at) <= relay::ASKED)
+    pub(crate) fn reads_for_others(&self, now: clock::Moment) -> bool {
+        state::lock(&self.last_request_at)
+            .is_some_and(|at| now.since(at) <= relay::READER_PACE_TIME)
     }
 
     /// Returns a receiver that is notified of changes.
-    pub(crate) fn watch_news(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+    pub(crate) fn watch_changes(&self) -> watch::Receiver<u64> {
+        self.changes.subscribe()
     }
 
     /// Returns when the list of upstreams was last confirmed to be complete.
-    pub(crate) fn listed_at(&self) -> Option<clock::Moment> {
-        *state::lock(&self.listed_at)
+    pub(crate) fn upstreams_confirmed_at(&self) -> Option<clock::Moment> {
+        *state::lock(&self.upstreams_confirmed_at)
     }
 
     /// Returns when the platform last answered again after an outage.
-    pub(crate) fn returned_at(&self) -> Option<clock::Moment> {
-        *state::lock(&self.returned_at)
+    pub(crate) fn recovered_at(&self) -> Option<clock::Moment> {
+        *state::lock(&self.recovered_at)
     }
 }
 
 /// Records that the platform answered again at `at` after an outage. Has to be called before the
 /// changes of that answer are applied.
-pub(crate) fn platform_returned(state: &state::State, at: clock::Moment) {
-    let mut known = state::lock(&state.feed.returned_at);
-    if known.is_none_or(|known| at.since(known) > SAME_RETURN) {
+pub(crate) fn platform_recovered(state: &state::State, at: clock::Moment) {
+    let mut known = state::lock(&state.tables.recovered_at);
+    if known.is_none_or(|known| at.since(known) > SAME_RECOVERY) {
         *known = Some(at);
-        state.platform_returned(at);
+        state.platform_recovered(at);
     }
 }
 
 /// Applies changed rows of the desired state, which had no later change up to `at`.
-pub(crate) fn take_desired(state: &state::State, rows: &[store::Row], at: clock::Moment) {
+pub(crate) fn apply_desired(state: &state::State, rows: &[store::Row], at: clock::Moment) {
     let row = rows.iter().rev().find(|row| row.key == desired::KEY);
     let text = row.and_then(|row| row.value.as_deref());
     match text.map(desired::read) {
         Some(Ok(desired)) => {
             state.install(desired, at);
-            state.feed.news.send_modify(|count| *count += 1);
+            state.tables.changes.send_modify(|count| *count += 1);
         }
         Some(Err(error)) => {
             event::Line::new("desired_state_unreadable").text("error", error).warn();
         }
-        None if state.table().is_some() => state.confirm(at),
+        None if state.routing_table().is_some() => state.confirm(at),
         None => {}
     }
 }
 
 /// Applies changed rows of the list of upstreams, which had no later change up to `at`.
-pub(crate) fn take_upstreams(state: &state::State, rows: &[store::Row], at: clock::Moment) {
-    state.change_upstreams(rows.iter().map(read_entry).collect());
-    let mut listed_at = state::lock(&state.feed.listed_at);
-    *listed_at = (*listed_at).max(Some(at));
-    drop(listed_at);
+pub(crate) fn apply_upstreams(state: &state::State, rows: &[store::Row], at: clock::Moment) {
+    state.apply_upstream_changes(rows.iter().map(read_entry).collect());
+    let mut upstreams_confirmed_at = state::lock(&state.tables.upstreams_confirmed_at);
+    *upstreams_confirmed_at = (*upstreams_confirmed_at).max(Some(at));
+    drop(upstreams_confirmed_at);
     if !rows.is_empty() {
-        state.feed.news.send_modify(|count| *count += 1);
+        state.tables.changes.send_modify(|count| *count += 1);
     }
 }
 
--- a/crates/lagoon-gateway/src/link.rs
+++ b/crates/lagoon-gateway/src/tcp.rs
@@ -1,7 +1,7 @@
 //! TCP options of the process's connections.
 //!
 //! A peer that lost power or is cut off neither answers nor resets its connections, which would
-//! hang for minutes. Unacknowledged bytes break a connection after [`UNACKNOWLEDGED`], and
+//! hang for minutes. Unacknowledged bytes break a connection after [`UNACKNOWLEDGED_TIMEOUT`], and
 //! keepalive probes detect a dead peer on a connection that waits for an answer.
 
 use std::io;
@@ -13,9 +13,9 @@
 
 /// Maximum time without an acknowledgement. Links lose packets, and a sender retransmits three
 /// times within this.
-const UNACKNOWLEDGED: time::Duration = time::Duration::from_millis(2_500);
+const UNACKNOWLEDGED_TIMEOUT: time::Duration = time::Duration::from_millis(2_500);
 /// Idle time before the first keepalive probe, and interval between probes.
-const PROBE: time::Duration = time::Duration::from_secs(1);
+const PROBE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 /// Unanswered probes that break the connection.
 const PROBES: u32 = 3;
 
@@ -31,7 +31,7 @@
     let stream = tokio::time::timeout(timeout, TcpStream::connect(address))
         .await
         .map_err(|_| io::Error::new(io::ErrorKind::TimedOut, "no connection in time"))??;
-    tune(&stream)?;
+    set_options(&stream)?;
     Ok(stream)
 }
 
@@ -40,10 +40,13 @@
 /// # Errors
 ///
 /// The connection is closed.
-pub(crate) fn tune(stream: &TcpStream) -> io::Result<()> {
+pub(crate) fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
-    let probes = TcpKeepalive::new().with_time(PROBE).with_interval(PROBE).with_retries(PROBES);
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
+    let probes = TcpKeepalive::new()
+        .with_time(PROBE_INTERVAL)
+        .with_interval(PROBE_INTERVAL)
+        .with_retries(PROBES);
     socket.set_tcp_keepalive(&probes)
 }
--- a/crates/lagoon-gateway/src/watch.rs
+++ b/crates/lagoon-gateway/src/watch.rs
@@ -11,24 +11,24 @@
 use rand::Rng;
 
 use crate::event;
-use crate::feed;
 use crate::mirror;
 use crate::state;
 use crate::store as client;
+use crate::tables;
 
 /// Time that an answer may take beyond the wait that was asked for: a slow store takes 250 ms, and
 /// a lost packet costs as much again.
-const SLACK: clock::Span = clock::Span::from_millis(800);
+const ANSWER_SLACK: clock::Span = clock::Span::from_millis(800);
 /// Share of the bound on leaving upstreams that may pass between two reads of the list. The rest is
 /// for a slow answer and a lost packet.
 const PAUSE_SHARE: f64 = 0.4;
 /// Pause after the first failed call.
-const FIRST_PAUSE: clock::Span = clock::Span::from_millis(60);
+const FIRST_BACKOFF: clock::Span = clock::Span::from_millis(60);
 /// Maximum number of times that the pause is doubled.
-const DOUBLINGS: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 
 /// Maximum pause after the first read of the desired state.
-const SETTLED: clock::Span = clock::Span::from_millis(400);
+const MAX_FIRST_PAUSE: clock::Span = clock::Span::from_millis(400);
 
 /// A watch of one table.
 #[derive(Debug)]
@@ -38,21 +38,21 @@
     table: &'static str,
     wait: clock::Span,
     /// The local copy of the table.
-    mirror: feed::Table,
+    mirror: tables::Table,
     failures: u32,
     longest_pause: clock::Span,
-    clock: crate::Boot,
+    clock: crate::BootClock,
 }
 
 /// Changes of a table.
 #[derive(Debug)]
-pub(crate) struct News {
+pub(crate) struct Changes {
     /// The changed rows.
     pub(crate) rows: Vec<store::Row>,
     /// The table had no later change up to this moment.
     pub(crate) at: clock::Moment,
     /// Whether the previous call failed.
-    pub(crate) returned: bool,
+    pub(crate) recovered: bool,
 }
 
 impl Watch {
@@ -62,7 +62,7 @@
         name: &'static str,
         table: &'static str,
         wait: clock::Span,
-        mirror: feed::Table,
+        mirror: tables::Table,
     ) -> Watch {
         Watch {
             client: client::Client::new(state.settings.node.store),
@@ -77,63 +77,63 @@
     }
 
     /// Waits for the next answer of the platform, through failures. Its rows may be empty.
-    pub(crate) async fn next(&mut self) -> News {
+    pub(crate) async fn next(&mut self) -> Changes {
         loop {
             let started = self.clock.now();
             let known = state::lock(&self.mirror).version();
             let asked = match known {
-                Some(version) => self.changes(version, started).await,
+                Some(version) => self.read_changes(version, started).await,
                 None => self.read_all(started).await,
             };
             match asked {
-                Ok(Some(news)) => {
-                    if news.returned {
+                Ok(Some(changes)) => {
+                    if changes.recovered {
                         event::Line::new("dependency_regained")
                             .text("dependency", self.name)
                             .number("failures", self.failures)
                             .info();
                     }
                     self.failures = 0;
-                    return news;
+                    return changes;
                 }
                 Ok(None) => {}
-                Err(error) => self.pause(&error).await,
+                Err(error) => self.back_off(&error).await,
             }
         }
     }
 
-    async fn changes(
+    async fn read_changes(
         &mut self,
         version: u64,
         started: clock::Moment,
-    ) -> Result<Option<News>, client::Trouble> {
+    ) -> Result<Option<Changes>, client::Error> {
         // After a failure the first answer must come at once. It tells since when the store has
         // been back; entries that vanish later have been removed and have not merely expired in the
         // outage.
         let wait = if self.failures > 0 { clock::Span::ZERO } else { self.wait };
         let call = store::feed(self.table, version, wait);
-        let reply = self.client.call(&call, wait + SLACK).await?;
+        let reply = self.client.call(&call, wait + ANSWER_SLACK).await?;
         let store::Reply::Rows(rows) = reply else {
             event::Line::new("history_forgotten")
                 .text("dependency", self.name)
                 .number("version", version)
                 .info();
-            state::lock(&self.mirror).forget();
+            state::lock(&self.mirror).mark_incomplete();
             return Ok(None);
         };
         // An answer without changes means that there was none while the store waited.
-        let quiet = if rows.rows.is_empty() { started + wait } else { started };
-        let at = quiet.min(self.clock.now());
-        let part = mirror::Part { rows: rows.rows, all: false, version: rows.version };
-        Ok(Some(self.news(part, at)))
+        let unchanged_until = if rows.rows.is_empty() { started + wait } else { started };
+        let at = unchanged_until.min(self.clock.now());
+        let delta = mirror::Delta { rows: rows.rows, all: false, version: rows.version };
+        Ok(Some(self.apply(delta, at)))
     }
 
-    async fn read_all(&mut self, started: clock::Moment) -> Result<Option<News>, client::Trouble> {
+    async fn read_all(&mut self, started: clock::Moment) -> Result<Option<Changes>, client::Error> {
         let mut rows: Vec<store::Row> = Vec::new();
         let mut version = None;
         let mut from = String::new();
         loop {
-            let reply = self.client.call(&store::rows(self.table, &from), SLACK).await?;
+            let reply = self.client.call(&store::rows(self.table, &from), ANSWER_SLACK).await?;
             let store::Reply::Rows(page) = reply else { return Ok(None) };
             // Changes made between two pages are reported by the feed after the first page's
             // version.
@@ -144,26 +144,26 @@
                 _ => break,
             }
         }
-        let part = mirror::Part { rows, all: true, version: version.unwrap_or_default() };
+        let delta = mirror::Delta { rows, all: true, version: version.unwrap_or_default() };
         event::Line::new("table_read")
             .text("dependency", self.name)
-            .number("rows", part.rows.len())
-            .number("version", part.version)
+            .number("rows", delta.rows.len())
+            .number("version", delta.version)
             .info();
-        Ok(Some(self.news(part, started)))
+        Ok(Some(self.apply(delta, started)))
     }
 
-    fn news(&self, part: mirror::Part, at: clock::Moment) -> News {
-        let rows = state::lock(&self.mirror).take(part);
-        News { rows, at, returned: self.failures > 0 }
+    fn apply(&self, delta: mirror::Delta, at: clock::Moment) -> Changes {
+        let rows = state::lock(&self.mirror).apply(delta);
+        Changes { rows, at, recovered: self.failures > 0 }
     }
 
     /// Updates the longest pause between failing calls, which depends on this host's rank.
-    pub(crate) fn set_pause(&mut self, state: &state::State) {
+    pub(crate) fn update_longest_pause(&mut self, state: &state::State) {
         self.longest_pause = longest_pause(state);
     }
 
-    async fn pause(&mut self, error: &client::Trouble) {
+    async fn back_off(&mut self, error: &client::Error) {
         self.failures += 1;
         if self.failures == 1 {
             event::Line::new("dependency_lost")
@@ -171,9 +171,9 @@
                 .text("error", error)
                 .warn();
         }
-        let doubled = FIRST_PAUSE * 2u32.pow(self.failures.min(DOUBLINGS));
-        let most = doubled.min(self.longest_pause);
-        tokio::time::sleep(most.mul_f64(rand::rng().random_range(0.5..1.0))).await;
+        let doubled = FIRST_BACKOFF * 2u32.pow(self.failures.min(MAX_DOUBLINGS));
+        let limit = doubled.min(self.longest_pause);
+        tokio::time::sleep(limit.mul_f64(rand::rng().random_range(0.5..1.0))).await;
     }
 }
 
@@ -186,16 +186,16 @@
     let bound = state.settings.node.bounds.revoke.unwrap_or(clock::Span::MAX);
     let tuning = &state.settings.tuning;
     let wait = tuning.desired_wait.min(bound / 2);
-    let mirror = state.feed.desired.clone();
+    let mirror = state.tables.desired.clone();
     let mut watch = Watch::new(&state, "desired state", desired::TABLE, wait, mirror);
-    let mut first_pause = tuning.upstreams_pause.min(SETTLED);
+    let mut first_pause = tuning.upstreams_pause.min(MAX_FIRST_PAUSE);
     loop {
-        state.feed.until_reads().await;
-        let asked = state.feed.is_asked(state.clock.now());
+        state.tables.wait_until_reading().await;
+        let asked = state.tables.reads_for_others(state.clock.now());
         watch.wait = if asked { wait.min(tuning.reader_wait) } else { wait };
-        watch.set_pause(&state);
-        let news = watch.next().await;
-        feed::take_desired(&state, &news.rows, news.at);
+        watch.update_longest_pause(&state);
+        let changes = watch.next().await;
+        tables::apply_desired(&state, &changes.rows, changes.at);
         // No other host can be asked yet at the first read; a moment later another host may be
         // reading.
         tokio::time::sleep(std::mem::take(&mut first_pause)).await;
@@ -206,21 +206,21 @@
 pub(crate) async fn upstreams(state: sync::Arc<state::State>) {
     let tuning = &state.settings.tuning;
     let pause = tuning.upstreams_pause.min(state.settings.node.bounds.leaving.mul_f64(PAUSE_SHARE));
-    let mirror = state.feed.upstreams.clone();
+    let mirror = state.tables.upstreams.clone();
     let mut watch = Watch::new(&state, "upstreams", entry::TABLE, tuning.upstreams_wait, mirror);
     loop {
-        state.feed.until_reads().await;
-        watch.set_pause(&state);
-        let (wait, pause) = match state.feed.is_asked(state.clock.now()) {
+        state.tables.wait_until_reading().await;
+        watch.update_longest_pause(&state);
+        let (wait, pause) = match state.tables.reads_for_others(state.clock.now()) {
             true => (tuning.reader_wait, pause.min(tuning.reader_pause)),
             false => (tuning.upstreams_wait, pause),
         };
         watch.wait = wait;
-        let news = watch.next().await;
-        if news.returned {
-            feed::platform_returned(&state, state.clock.now());
+        let changes = watch.next().await;
+        if changes.recovered {
+            tables::platform_recovered(&state, state.clock.now());
         }
-        feed::take_upstreams(&state, &news.rows, news.at);
+        tables::apply_upstreams(&state, &changes.rows, changes.at);
         tokio::time::sleep(pause).await;
     }
 }
