--- a/crates/lagoon-gateway/src/mesh.rs
+++ b/crates/lagoon-gateway/src/mesh.rs
@@ -132,9 +132,9 @@
     let own = collections::HashSet::from([state.incarnation]);
     let datagram = state.encode_heartbeat(state.in_flight_numbers(&own), true);
     let mut peers = state::lock(&state.peers);
-    let near = peers.roster.near(now);
+    let near = peers.roster.zone_peers(now);
     for host in &near {
-        peers.roster.asked(host, now);
+        peers.roster.record_heartbeat_sent(host, now);
     }
     let addresses: Vec<_> = near.iter().filter_map(|host| peers.address(host)).collect();
     drop(peers);
@@ -148,8 +148,8 @@
 fn send_far_heartbeat(state: &state::State) {
     let now = state.clock.now();
     let peers = state::lock(&state.peers);
-    let shared = peers.roster.is_own_shared();
-    if shared && !peers.roster.leads(now) {
+    let shared = peers.roster.own_zone_has_scheduler();
+    if shared && !peers.roster.is_leader(now) {
         return;
     }
     let mut incarnations = collections::HashSet::from([state.incarnation]);
@@ -203,10 +203,10 @@
     let incarnation = batch.host;
     let now = state.clock.now();
     if let Some(beat) = &batch.beat {
-        let standing =
-            routing::Standing { zone: id::Zone::from(beat.zone.as_str()), cores: beat.cores };
+        let info =
+            routing::HostInfo { zone: id::Zone::from(beat.zone.as_str()), cores: beat.cores };
         let host = id::Host::from(beat.host.as_str());
-        state::lock(&state.peers).set(&host, standing, from, now);
+        state::lock(&state.peers).set(&host, info, from, now);
     }
     let contact = state::lock(&state.peers).record_datagram(from, incarnation, now);
     if let peers::Contact::New { previous } = contact {
--- a/crates/lagoon-gateway/src/peers.rs
+++ b/crates/lagoon-gateway/src/peers.rs
@@ -52,11 +52,11 @@
     pub(crate) fn set(
         &mut self,
         host: &id::Host,
-        standing: routing::Standing,
+        info: routing::HostInfo,
         address: net::SocketAddr,
         now: clock::Moment,
     ) {
-        self.roster.set(host.clone(), standing, now);
+        self.roster.upsert(host.clone(), info, now);
         let previous = self.addresses.insert(host.clone(), address);
         if let Some(previous) = previous.filter(|previous| *previous != address) {
             self.names.remove(&previous);
@@ -80,7 +80,7 @@
         now: clock::Moment,
     ) -> Contact {
         if let Some(host) = self.names.get(&address) {
-            self.roster.heard(host, now);
+            self.roster.record_contact(host, now);
         }
         let previous = self.incarnations.insert(address, Incarnation { number, at: now });
         match previous {
@@ -123,12 +123,12 @@
 
     /// Returns the addresses of the hosts in this zone that track dispatches in flight.
     pub(crate) fn zone_addresses(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
-        self.roster.near(now).iter().filter_map(|host| self.address(host)).collect()
+        self.roster.zone_peers(now).iter().filter_map(|host| self.address(host)).collect()
     }
 
     /// Returns the addresses of the hosts in other zones that track dispatches in flight.
     pub(crate) fn other_zone_addresses(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
-        self.roster.far(now).iter().filter_map(|host| self.address(host)).collect()
+        self.roster.remote_peers(now).iter().filter_map(|host| self.address(host)).collect()
     }
 
     /// Returns the host that places requests for this zone, and its address. `None` if this host
--- a/crates/lagoon-gateway/src/publish.rs
+++ b/crates/lagoon-gateway/src/publish.rs
@@ -22,15 +22,15 @@
         let zone = &self.settings.node.zone;
         let peers = state::lock(&self.peers);
         let roster = &peers.roster;
-        if !roster.is_own_shared() {
+        if !roster.own_zone_has_scheduler() {
             drop(peers);
             return self.in_flight_updates(|host| host == self.incarnation);
         }
-        let follows = peers.is_among(address, &roster.watched(now));
+        let follows = peers.is_among(address, &roster.heartbeat_targets(now));
         let in_own_zone = peers.is_in_zone(address, zone);
         if !roster.is_candidate(now)
             || in_own_zone && !follows
-            || !in_own_zone && !roster.leads(now)
+            || !in_own_zone && !roster.is_leader(now)
         {
             return Vec::new();
         }
@@ -135,8 +135,8 @@
     pub(crate) fn forwards_for(&self, address: net::SocketAddr) -> bool {
         let now = self.clock.now();
         let peers = state::lock(&self.peers);
-        let shared = peers.roster.is_own_shared();
-        shared && peers.roster.leads(now) && peers.is_in_zone(address, &self.settings.node.zone)
+        let shared = peers.roster.own_zone_has_scheduler();
+        shared && peers.roster.is_leader(now) && peers.is_in_zone(address, &self.settings.node.zone)
     }
 
     /// Drops the dispatches of a host incarnation that has ended.
@@ -154,16 +154,16 @@
     ) {
         let now = self.clock.now();
         let peers = state::lock(&self.peers);
-        let shared = peers.roster.is_own_shared();
+        let shared = peers.roster.own_zone_has_scheduler();
         let publishes = shared
-            && peers.roster.leads(now)
+            && peers.roster.is_leader(now)
             && peers.incarnations_in(&self.settings.node.zone).contains(&incarnation);
         drop(peers);
         for (service, dispatcher) in self.dispatchers.load().iter() {
             let over = state::lock(dispatcher).placer.keep_only(
                 incarnation,
                 numbers,
-                now.before(span),
+                now.saturating_sub(span),
                 now,
             );
             for id in over.into_iter().filter(|_| publishes) {
@@ -180,7 +180,8 @@
     /// other zones.
     pub(crate) fn publish(&self, update: message::Update) {
         let peers = state::lock(&self.peers);
-        let own_zone_only = peers.roster.is_own_shared() && !peers.roster.leads(self.clock.now());
+        let own_zone_only =
+            peers.roster.own_zone_has_scheduler() && !peers.roster.is_leader(self.clock.now());
         drop(peers);
         self.queue_update(
             update,
@@ -216,7 +217,7 @@
         observation: message::Observation,
     ) {
         self.with_placer(service, |placer, now| observation.apply(placer, now));
-        if state::lock(&self.peers).roster.is_own_shared() {
+        if state::lock(&self.peers).roster.own_zone_has_scheduler() {
             let update = message::Update::new(0, service, message::Kind::Seen(observation));
             self.queue_update(update, mesh::Audience::OwnZone);
         }
--- a/crates/lagoon-gateway/src/quarantine/mod.rs
+++ b/crates/lagoon-gateway/src/quarantine/mod.rs
@@ -14,7 +14,7 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::{fingerprint, quarantine};
+use lagoonline::lifecycle::{fingerprint, quarantine};
 use lagoonline::outcome::{Reason, Step};
 use rand::seq::IndexedRandom;
 
@@ -59,13 +59,15 @@
         let fingerprint = self.fingerprint();
         loop {
             let now = self.state.clock.now();
-            let standing = state::lock(&self.state.quarantine.records).standing(&fingerprint, now);
-            match standing {
-                quarantine::Standing::Free => return Ok(()),
-                quarantine::Standing::Undecided(span) => {
+            let status = state::lock(&self.state.quarantine.records).status(&fingerprint, now);
+            match status {
+                quarantine::Status::Allowed => return Ok(()),
+                quarantine::Status::Pending(span) => {
                     tokio::time::sleep(span + server::EXPIRY_INTERVAL).await;
                 }
-                quarantine::Standing::Held(record) => return Err(quarantine_fault(&record, now)),
+                quarantine::Status::Quarantined(record) => {
+                    return Err(quarantine_fault(&record, now));
+                }
             }
         }
     }
@@ -73,7 +75,7 @@
     /// Whether evidence or a verdict on the request may exist, judged by the length of its body.
     fn may_be_known(&self) -> bool {
         let length = u64::try_from(self.request.body.len()).unwrap_or(u64::MAX);
-        state::lock(&self.state.quarantine.records).knows_length(length)
+        state::lock(&self.state.quarantine.records).has_length(length)
     }
 
     /// Records that the request was answered completely, which clears it of suspicion.
@@ -96,7 +98,7 @@
 }
 
 fn quarantine_fault(record: &quarantine::Record, now: clock::Moment) -> answer::Fault {
-    let left = record.until.since(now);
+    let left = record.expires_at.since(now);
     let (fingerprint, crashes) = (&record.fingerprint, record.crashes);
     let detail = format!("{fingerprint}: {crashes} upstreams crashed under this request");
     answer::Fault::not_run(Reason::Quarantined, Step::Admit, detail).with_retry_after(left)
@@ -120,7 +122,7 @@
         if suspects.is_empty() {
             return;
         }
-        quarantine.crashed(upstream, &suspects, self.clock.now());
+        quarantine.record_crash(upstream, &suspects, self.clock.now());
         drop(quarantine);
         let what = messages::Kind::Crashed(Crashed::new(upstream, &suspects));
         self.publish(messages::Update::new(0, service, what));
@@ -132,7 +134,7 @@
             Ok(suspects) => {
                 let upstream = id::Upstream::from(crashed.upstream.as_str());
                 let now = self.clock.now();
-                state::lock(&self.quarantine.records).crashed(&upstream, &suspects, now);
+                state::lock(&self.quarantine.records).record_crash(&upstream, &suspects, now);
             }
             Err(error) => log_unreadable(error),
         }
@@ -168,7 +170,7 @@
             .text("source", source)
             .number("version", record.version)
             .number("released", record.released)
-            .span("left_ms", record.until.since(now))
+            .span("left_ms", record.expires_at.since(now))
             .info();
         self.refresh_summary();
     }
@@ -177,7 +179,7 @@
     fn clear_suspect(&self, fingerprint: &fingerprint::Fingerprint) -> bool {
         let now = self.clock.now();
         let (was_suspect, released) =
-            state::lock(&self.quarantine.records).answered(fingerprint, now);
+            state::lock(&self.quarantine.records).record_answer(fingerprint, now);
         if let Some(record) = released {
             self.publish_verdict(&record);
         }
@@ -208,7 +210,7 @@
         let judges = state::lock(&self.peers).roster.is_candidate(now);
         let mut quarantine = state::lock(&self.quarantine.records);
         quarantine.expire(now);
-        let verdicts = if judges { quarantine.judge(now) } else { Vec::new() };
+        let verdicts = if judges { quarantine.evaluate(now) } else { Vec::new() };
         drop(quarantine);
         for verdict in &verdicts {
             let upstreams: Vec<_> = verdict.upstreams.iter().map(id::Upstream::as_str).collect();
@@ -216,8 +218,8 @@
                 .text("fingerprint", verdict.record.fingerprint)
                 .text("upstreams", upstreams.join(" "))
                 .number("crashes", verdict.record.crashes)
-                .number("times", verdict.record.times)
-                .span("left_ms", verdict.record.until.since(now))
+                .number("times", verdict.record.occurrences)
+                .span("left_ms", verdict.record.expires_at.since(now))
                 .warn();
             self.publish_verdict(&verdict.record);
         }
@@ -234,7 +236,7 @@
         let now = self.clock.now();
         let quarantine = state::lock(&self.quarantine.records);
         let checksum = quarantine.checksum(now);
-        let held = quarantine.records(now).filter(|record| record.holds(now)).count();
+        let held = quarantine.records(now).filter(|record| record.is_active(now)).count();
         let suspects = quarantine.suspects();
         drop(quarantine);
         self.quarantine.checksum.store(checksum, atomic::Ordering::Relaxed);
--- a/crates/lagoon-gateway/src/quarantine/rows.rs
+++ b/crates/lagoon-gateway/src/quarantine/rows.rs
@@ -9,7 +9,7 @@
 use lagoon_platform::store;
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
-use lagoonline::life::{fingerprint, quarantine};
+use lagoonline::lifecycle::{fingerprint, quarantine};
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
@@ -53,7 +53,7 @@
     failures = 0;
     loop {
         pause(&state, failures).await;
-        if !state::lock(&state.peers).roster.leads(state.clock.now()) {
+        if !state::lock(&state.peers).roster.is_leader(state.clock.now()) {
             continue;
         }
         failures = match write(&state, &mut client, &mut stored).await {
@@ -70,7 +70,7 @@
 /// limits require. The pause is randomised so that hosts which lost the platform together do not
 /// call it together.
 async fn pause(state: &state::State, failures: u32) {
-    let max_pause = state::lock(&state.peers).roster.longest_pause(state.clock.now());
+    let max_pause = state::lock(&state.peers).roster.max_retry_pause(state.clock.now());
     let span = WRITE_INTERVAL.saturating_mul(1_u32.checked_shl(failures).unwrap_or(u32::MAX));
     let span = span.min(max_pause.max(WRITE_INTERVAL));
     tokio::time::sleep(span.mul_f64(rand::rng().random_range(0.7..1.3))).await;
@@ -107,9 +107,9 @@
             let record = quarantine::Record {
                 fingerprint,
                 version: row.version,
-                times: row.times,
+                occurrences: row.times,
                 crashes: row.crashes,
-                until: state.clock.now() + clock::Span::from_millis(left),
+                expires_at: state.clock.now() + clock::Span::from_millis(left),
                 released: row.released,
             };
             state.merge_verdict(record, "platform");
@@ -151,11 +151,11 @@
 }
 
 fn row(state: &state::State, record: &quarantine::Record) -> Row {
-    let left = record.until.since(state.clock.now()).as_millis();
+    let left = record.expires_at.since(state.clock.now()).as_millis();
     let left = u64::try_from(left).unwrap_or(u64::MAX);
     Row {
         version: record.version,
-        times: record.times,
+        times: record.occurrences,
         crashes: record.crashes,
         until_ms: state.clock.wall_millis().saturating_add(left),
         released: record.released,
--- a/crates/lagoon-gateway/src/relay/follow.rs
+++ b/crates/lagoon-gateway/src/relay/follow.rs
@@ -47,11 +47,11 @@
 pub(crate) async fn run(state: sync::Arc<state::State>) {
     let node = &state.settings.node;
     let settings = routing::SourceSettings {
-        least_hosts: state.settings.tuning.relay_hosts,
+        min_hosts: state.settings.tuning.relay_hosts,
         ..routing::SourceSettings::default()
     };
-    let max_age = settings.look_span(node.bounds.apply);
-    let mut sources = routing::Sources::new(settings, node.host.clone(), node.cpu_share);
+    let max_age = settings.search_span(node.bounds.apply);
+    let mut sources = routing::SourceSelector::new(settings, node.host.clone(), node.cpu_share);
     let mut known = collections::BTreeMap::new();
     loop {
         update(&mut sources, &mut known, &state.members);
@@ -67,7 +67,7 @@
                 tokio::time::sleep(SEARCH_INTERVAL).await;
                 let age = tables::age(&state, state.tables.upstreams_confirmed_at());
                 if age.is_none_or(|age| age > super::MAX_ANSWER_AGE) {
-                    sources.platform_failed(state.clock.now());
+                    sources.record_platform_failure(state.clock.now());
                 }
             }
             routing::Source::Peer(host) => {
@@ -91,15 +91,15 @@
 /// Records why this host stopped following a reader.
 fn record_leave(
     state: &state::State,
-    sources: &mut routing::Sources,
+    sources: &mut routing::SourceSelector,
     host: &id::Host,
     reason: &LeaveReason,
 ) {
     let now = state.clock.now();
     match reason {
         LeaveReason::Outranked => {}
-        LeaveReason::NotReading => sources.idle(host, now),
-        LeaveReason::Failed(_) => sources.failed(host, now),
+        LeaveReason::NotReading => sources.record_idle(host, now),
+        LeaveReason::Failed(_) => sources.record_failure(host, now),
     }
 }
 
@@ -117,7 +117,7 @@
 }
 
 /// Updates `known` and `sources` from the current members of the zone.
-fn update(sources: &mut routing::Sources, known: &mut MemberMap, members: &Members) {
+fn update(sources: &mut routing::SourceSelector, known: &mut MemberMap, members: &Members) {
     let now = state::lock(members).clone();
     for gone in known.keys().filter(|host| !now.contains_key(*host)) {
         sources.remove_peer(gone);
@@ -153,7 +153,7 @@
 /// it does not read.
 async fn follow_reader(
     state: &state::State,
-    sources: &mut routing::Sources,
+    sources: &mut routing::SourceSelector,
     known: &mut MemberMap,
     host: &id::Host,
     member: Member,
@@ -201,15 +201,15 @@
 fn apply(state: &state::State, changes: message::Changes, asked_at: clock::Moment) {
     if let Some(returned) = changes.returned_ms {
         let age = clock::Span::from_millis(returned);
-        tables::platform_recovered(state, state.clock.now().before(age));
+        tables::platform_recovered(state, state.clock.now().saturating_sub(age));
     }
     if let Some(table) = changes.desired {
-        let at = asked_at.before(clock::Span::from_millis(table.age_ms));
+        let at = asked_at.saturating_sub(clock::Span::from_millis(table.age_ms));
         let rows = state::lock(&state.tables.desired).apply(table.into_delta());
         tables::apply_desired(state, &rows, at);
     }
     if let Some(table) = changes.upstreams {
-        let at = asked_at.before(clock::Span::from_millis(table.age_ms));
+        let at = asked_at.saturating_sub(clock::Span::from_millis(table.age_ms));
         let rows = state::lock(&state.tables.upstreams).apply(table.into_delta());
         tables::apply_upstreams(state, &rows, at);
     }
--- a/crates/lagoon-gateway/src/report.rs
+++ b/crates/lagoon-gateway/src/report.rs
@@ -36,7 +36,7 @@
 
 /// Asks engines for their reports for as long as the process runs.
 pub(crate) async fn run(state: sync::Arc<state::State>) {
-    let mut rounds = routing::Rounds::default();
+    let mut rounds = routing::PollSchedule::default();
     loop {
         tokio::time::sleep(CHECK_INTERVAL.mul_f64(rand::rng().random_range(0.9..1.1))).await;
         if state.phase() > state::Phase::Serving {
@@ -49,9 +49,12 @@
 }
 
 /// Returns the engines that this host has to ask now.
-fn due(state: &state::State, rounds: &mut routing::Rounds) -> Vec<(id::Service, routing::Entry)> {
+fn due(
+    state: &state::State,
+    rounds: &mut routing::PollSchedule,
+) -> Vec<(id::Service, routing::Registration)> {
     let now = state.clock.now();
-    if !state::lock(&state.peers).roster.leads(now) {
+    if !state::lock(&state.peers).roster.is_leader(now) {
         return Vec::new();
     }
     let mut engines = state.engines();
@@ -62,7 +65,7 @@
     engines
 }
 
-async fn ask(state: sync::Arc<state::State>, service: id::Service, entry: routing::Entry) {
+async fn ask(state: sync::Arc<state::State>, service: id::Service, entry: routing::Registration) {
     let report = match fetch(&entry).await {
         Ok(report) => report,
         Err(error) => {
@@ -91,7 +94,7 @@
 /// # Errors
 ///
 /// There is no answer in time, or it is not a report.
-pub(crate) async fn fetch(entry: &routing::Entry) -> Result<engine::Report, String> {
+pub(crate) async fn fetch(entry: &routing::Registration) -> Result<engine::Report, String> {
     let request = hyper::Request::get(engine::REPORT_PATH)
         .header("host", entry.address.to_string())
         .body(exchange::Payload::default())
--- a/crates/lagoon-gateway/src/reserve.rs
+++ b/crates/lagoon-gateway/src/reserve.rs
@@ -51,7 +51,7 @@
 pub(crate) struct Reservation {
     /// Id of the reservation at the engine.
     pub(crate) id: String,
-    entry: routing::Entry,
+    entry: routing::Registration,
     tokens: u64,
     /// When a reserve order was last sent that is still unanswered.
     unanswered_since: sync::Arc<sync::Mutex<Option<clock::Moment>>>,
@@ -136,8 +136,8 @@
 pub(crate) async fn reserve_all(
     state: &sync::Arc<state::State>,
     name: &str,
-    first: &routing::Entry,
-    wanted: &[(routing::Entry, u64)],
+    first: &routing::Registration,
+    wanted: &[(routing::Registration, u64)],
     expected: clock::Span,
 ) -> Result<Reservations, Refusal> {
     let mut ordered = wanted.to_vec();
@@ -171,7 +171,7 @@
 /// held.
 async fn renew(
     state: sync::Arc<state::State>,
-    first: routing::Entry,
+    first: routing::Registration,
     reservations: Vec<Reservation>,
     reservations_held: sync::Weak<ActiveUntil>,
 ) {
@@ -202,7 +202,7 @@
 /// renewed.
 async fn renew_round(
     state: &state::State,
-    first: &routing::Entry,
+    first: &routing::Registration,
     reservations: &[Reservation],
     reservations_held: &sync::Weak<ActiveUntil>,
 ) -> Result<(), String> {
@@ -275,7 +275,10 @@
     }
 }
 
-async fn send_order(entry: &routing::Entry, body: Vec<u8>) -> Result<u16, exchange::Failure> {
+async fn send_order(
+    entry: &routing::Registration,
+    body: Vec<u8>,
+) -> Result<u16, exchange::Failure> {
     let text = String::from_utf8_lossy(&body).into_owned();
     let request = hyper::Request::post(engine::ORDER_PATH)
         .header("host", entry.address.to_string())
--- a/crates/lagoon-gateway/src/schedule.rs
+++ b/crates/lagoon-gateway/src/schedule.rs
@@ -123,7 +123,7 @@
 }
 
 fn skip_scheduler(state: &state::State, host: &id::Host, why: &str) {
-    state::lock(&state.peers).roster.passed(host, state.clock.now());
+    state::lock(&state.peers).roster.skip(host, state.clock.now());
     state.metrics.schedulers_skipped.inc();
     event::Line::new("scheduler_passed").text("host", host).text("why", why).info();
 }
--- a/crates/lagoon-gateway/src/state.rs
+++ b/crates/lagoon-gateway/src/state.rs
@@ -136,12 +136,12 @@
         let (updates, receiver) = mpsc::channel(UPDATE_QUEUE);
         let clock = crate::BootClock::default();
         let node = &settings.node;
-        let standing = routing::Standing { zone: node.zone.clone(), cores: node.cpu_share };
+        let info = routing::HostInfo { zone: node.zone.clone(), cores: node.cpu_share };
         let roster = routing::RosterSettings {
-            least_hosts: settings.tuning.relay_hosts,
+            min_hosts: settings.tuning.relay_hosts,
             ..routing::RosterSettings::default()
         };
-        let roster = routing::Roster::new(roster, node.host.clone(), standing, clock.now());
+        let roster = routing::Roster::new(roster, node.host.clone(), info, clock.now());
         let state = State {
             settings,
             started_at: clock.now(),
@@ -209,7 +209,7 @@
 
     /// Records that the platform has answered again since `at`.
     pub(crate) fn platform_recovered(&self, at: clock::Moment) {
-        lock(&self.registry).returned(at);
+        lock(&self.registry).record_recovery(at);
     }
 
     /// Applies changes to the list of upstreams.
@@ -268,7 +268,7 @@
     }
 
     /// Returns the model engines of all services.
-    pub(crate) fn engines(&self) -> Vec<(id::Service, routing::Entry)> {
+    pub(crate) fn engines(&self) -> Vec<(id::Service, routing::Registration)> {
         let mut engines = Vec::new();
         for (service, dispatcher) in self.dispatchers.load().iter() {
             let dispatcher = lock(dispatcher);
@@ -322,7 +322,7 @@
     fn refresh_dispatchers(&self) {
         let Some(table) = self.routing_table() else { return };
         let registry = lock(&self.registry);
-        let mut by_service: collections::HashMap<id::Service, Vec<routing::Entry>> =
+        let mut by_service: collections::HashMap<id::Service, Vec<routing::Registration>> =
             table.services().map(|service| (service.name.clone(), Vec::new())).collect();
         for entry in registry.entries() {
             if let Some(entries) = by_service.get_mut(&entry.service) {
--- a/crates/lagoon-net/src/steward/core/traffic.rs
+++ b/crates/lagoon-net/src/steward/core/traffic.rs
@@ -134,8 +134,8 @@
     /// Takes the platform's list: its leaving hosts become marks, and reports of hosts that are
     /// dead to their watchers and gone from the list are forgotten. The list lags, so alone it
     /// makes nobody dead.
-    pub(in crate::steward) fn take_hosts(&mut self, lines: &[hosts::Line]) {
-        let mark = |line: &hosts::Line| wire::Mark {
+    pub(in crate::steward) fn take_hosts(&mut self, lines: &[hosts::Entry]) {
+        let mark = |line: &hosts::Entry| wire::Mark {
             upstream: line.name.clone(),
             incarnation: line.incarnation.0,
             leaving: line.state == hosts::State::Leaving,
@@ -146,7 +146,7 @@
         let marks: Vec<_> = upstreams.map(mark).collect();
         self.take_marks(&marks, None);
         let listed = |host: &id::Host| lines.iter().any(|line| line.name == host.as_str());
-        let reports = self.board.reports().map(|(host, _)| host);
+        let reports = self.board.iter().map(|(host, _)| host);
         let gone = reports.filter(|host| !self.group.is_live(host) && !listed(host));
         for host in gone.cloned().collect::<Vec<_>>() {
             self.board.remove(&host);
--- a/crates/lagoonline/src/clock.rs
+++ b/crates/lagoonline/src/clock.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as plain numbers, so that every decision can be tested with a fake clock.
+//! Monotonic time as plain numbers, so that time-dependent logic can be tested with a fake clock.
 
 use std::ops;
 use std::sync::atomic;
@@ -8,7 +8,7 @@
 
 /// A point on one process's monotonic clock, in microseconds since that process started.
 ///
-/// Moments of two processes cannot be compared; what crosses a wire is the time left.
+/// Moments of different processes cannot be compared; messages carry the remaining time instead.
 ///
 /// ```
 /// use lagoonline::clock::{Moment, Span};
@@ -20,44 +20,45 @@
 pub struct Moment(u64);
 
 impl Moment {
-    /// The first moment of the process.
+    /// The moment at which the process started.
     pub const START: Moment = Moment(0);
-    /// A moment that never comes.
+    /// A moment that is never reached.
     pub const NEVER: Moment = Moment(u64::MAX);
 
-    /// A moment `micros` microseconds after the start.
+    /// Returns the moment `micros` microseconds after the start.
     pub const fn from_micros(micros: u64) -> Self {
         Moment(micros)
     }
 
-    /// A moment `millis` milliseconds after the start.
+    /// Returns the moment `millis` milliseconds after the start.
     pub const fn from_millis(millis: u64) -> Self {
         Moment(millis * 1_000)
     }
 
-    /// Microseconds since the start.
+    /// Returns the microseconds since the start.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Milliseconds since the start, rounded down.
+    /// Returns the milliseconds since the start, rounded down.
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Time from `earlier` to `self`; zero when `earlier` is the later of the two.
+    /// Returns the time from `earlier` to `self`, or zero if `earlier` is the later of the two.
     pub const fn since(self, earlier: Moment) -> Span {
         Span::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The moment `span` earlier, or the first one.
+    /// Returns the moment `span` earlier, or [`Moment::START`] if there is none.
     ///
     /// ```
     /// use lagoonline::clock::{Moment, Span};
-    /// assert_eq!(Moment::from_millis(9).before(Span::from_millis(4)), Moment::from_millis(5));
-    /// assert_eq!(Moment::from_millis(9).before(Span::from_secs(1)), Moment::START);
+    /// let moment = Moment::from_millis(9);
+    /// assert_eq!(moment.saturating_sub(Span::from_millis(4)), Moment::from_millis(5));
+    /// assert_eq!(moment.saturating_sub(Span::from_secs(1)), Moment::START);
     /// ```
-    pub fn before(self, span: Span) -> Moment {
+    pub fn saturating_sub(self, span: Span) -> Moment {
         Moment(self.0.saturating_sub(u64::try_from(span.as_micros()).unwrap_or(u64::MAX)))
     }
 }
@@ -70,35 +71,35 @@
     }
 }
 
-/// Where the time comes from.
+/// A source of time.
 pub trait Clock: Clone + Send + Sync + 'static {
-    /// The current moment of this process's monotonic clock.
+    /// Returns the current moment of this process's monotonic clock.
     fn now(&self) -> Moment;
 
-    /// Milliseconds since the Unix epoch by the host's wall clock, which may jump.
+    /// Returns the milliseconds since the Unix epoch on the host's wall clock, which may jump.
     fn wall_millis(&self) -> u64;
 }
 
-/// The host's clocks.
+/// The monotonic and wall clock of the operating system.
 ///
 /// ```
-/// use lagoonline::clock::{Clock, Host};
-/// let clock = Host::default();
+/// use lagoonline::clock::{Clock, System};
+/// let clock = System::default();
 /// let first = clock.now();
 /// assert!(clock.now() >= first);
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Host {
+pub struct System {
     start: time::Instant,
 }
 
-impl Default for Host {
+impl Default for System {
     fn default() -> Self {
-        Host { start: time::Instant::now() }
+        System { start: time::Instant::now() }
     }
 }
 
-impl Clock for Host {
+impl Clock for System {
     fn now(&self) -> Moment {
         Moment::START + self.start.elapsed()
     }
@@ -109,7 +110,7 @@
     }
 }
 
-/// A clock that moves only when told to; clones share the same time.
+/// A clock for tests that only moves when advanced; clones share the same time.
 ///
 /// ```
 /// use lagoonline::clock::{Clock, Fake, Moment, Span};
--- a/crates/lagoonline/tests/life_fuzz/memory.rs
+++ b/crates/lagoonline/tests/life_fuzz/memory.rs
@@ -1,18 +1,18 @@
-//! Entry hosts that die, pause and are cut off, engines that lose cancels, and a sweeper.
+//! Entry hosts that die, pause or are cut off, engines that lose cancels, and a reaper.
 //!
-//! The engines here never expire anything by themselves, so that only the sweep and the cancels
-//! bring memory back.
+//! The engines in this test have no expiry of their own, so memory is returned only by cancels and
+//! by the reaper.
 
 use std::collections::BTreeMap;
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::id;
-use lagoonline::life::reap;
+use lagoonline::lifecycle::reap;
 use lagoonline::port::engine;
 use proptest::prelude::*;
 use proptest_state_machine::StateMachineTest;
 
-/// The last two are of another zone, heard of by its word only.
+/// The last two hosts are in another zone and known only from its reports.
 const HOSTS: usize = 6;
 const OWN_ZONE: usize = 4;
 const ENGINES: usize = 2;
@@ -25,18 +25,18 @@
         engine: usize,
         bytes: u64,
     },
-    /// The host cancels one of its holdings; the request, or its answer, may be lost.
+    /// The host cancels one of its holdings; the cancel or its acknowledgement may be lost.
     Cancel {
         pick: usize,
     },
     Lose(bool),
     Crash(usize),
-    /// The host dies and nothing takes its place.
+    /// The host dies and is not replaced.
     Die(usize),
     RestartEngine(usize),
-    /// The sweeper hears no host.
+    /// Heartbeats of all other hosts stop reaching the reaper.
     CutOff(bool),
-    /// The other zone is out of the sweeper's reach.
+    /// The other zone becomes unreachable for the reaper.
     CutZone(bool),
     Pass {
         seconds: u64,
@@ -54,7 +54,7 @@
 struct Host {
     incarnation: u64,
     alive: bool,
-    cancels: reap::Cancels<(usize, u128)>,
+    cancels: reap::CancelQueue<(usize, u128)>,
 }
 
 pub struct World {
@@ -62,7 +62,7 @@
     hosts: Vec<Host>,
     held: BTreeMap<u128, Held>,
     next: u128,
-    sweep: reap::Sweep,
+    sweep: reap::Reaper,
     lose: bool,
     cut_off: bool,
     zone_cut: bool,
@@ -100,11 +100,15 @@
     id::Host::from(format!("host-{host}"))
 }
 
-fn cancels() -> reap::Cancels<(usize, u128)> {
-    // These engines have no expiry to wait for.
-    let limit = Span::from_secs(1_000_000);
+fn cancels() -> reap::CancelQueue<(usize, u128)> {
+    // The engines in this test have no expiry that would limit the retries.
+    let max_age = Span::from_secs(1_000_000);
     let safeguards = super::safeguards();
-    reap::Cancels::new(reap::Pace { limit, safeguards, ..reap::Pace::default() })
+    reap::CancelQueue::new(reap::RetryPolicy {
+        max_age,
+        safeguards,
+        ..reap::RetryPolicy::default()
+    })
 }
 
 impl World {
@@ -117,7 +121,7 @@
             hosts: (0..HOSTS).map(host).collect(),
             held: BTreeMap::new(),
             next: 1,
-            sweep: reap::Sweep::new(settings),
+            sweep: reap::Reaper::new(settings),
             lose: false,
             cut_off: false,
             zone_cut: false,
@@ -161,17 +165,19 @@
         gone.into_iter().for_each(|id| self.give_back(id));
     }
 
-    /// A second: heartbeats, due cancels, one sweep of each engine.
+    /// Advances time by one second: heartbeats, due cancels, and one pass of the reaper over each
+    /// engine.
     fn second(&mut self) {
         self.now = self.now + BEAT;
         for number in 0..HOSTS {
             if self.hosts[number].alive && !self.cut_off && number < OWN_ZONE {
-                self.sweep.heard(&owner(number, self.hosts[number].incarnation), self.now);
+                self.sweep
+                    .record_heartbeat(&owner(number, self.hosts[number].incarnation), self.now);
             }
             self.send_cancels(number);
         }
-        // The sweeper's own host always hears itself.
-        self.sweep.heard(&owner(0, self.hosts[0].incarnation), self.now);
+        // The reaper's own host always receives its own heartbeat.
+        self.sweep.record_heartbeat(&owner(0, self.hosts[0].incarnation), self.now);
         for engine in 0..ENGINES {
             self.sweep_engine(engine);
         }
@@ -184,12 +190,12 @@
         for (engine, id) in self.hosts[number].cancels.due(self.now, 1.0) {
             if !self.lose {
                 self.give_back(id);
-                self.hosts[number].cancels.acknowledged(&(engine, id));
+                self.hosts[number].cancels.acknowledge(&(engine, id));
             }
         }
     }
 
-    /// The word of an owner's zone, if it can be had.
+    /// Delivers the status of an owner from its zone, if the zone can be reached.
     fn answer(&mut self, owner: &id::Owner) {
         let number = (0..HOSTS).find(|number| name_of(*number) == owner.host).expect("a host");
         let host = &self.hosts[number];
@@ -197,12 +203,12 @@
             return;
         }
         if self.cut_off || self.zone_cut {
-            self.sweep.unsure(owner, self.now);
+            self.sweep.record_unsure(owner, self.now);
         } else if host.alive {
             let incarnation = id::Incarnation(host.incarnation);
-            self.sweep.told(&id::Owner { incarnation, ..owner.clone() }, self.now);
+            self.sweep.record_remote_alive(&id::Owner { incarnation, ..owner.clone() }, self.now);
         } else {
-            self.sweep.gone(owner, self.now);
+            self.sweep.record_gone(owner, self.now);
         }
     }
 
@@ -216,10 +222,10 @@
             expires_ms: 1,
         };
         let listed: Vec<_> = listed.map(holding).collect();
-        for owner in self.sweep.questions(&listed, self.now) {
+        for owner in self.sweep.owners_to_query(&listed, self.now) {
             self.answer(&owner);
         }
-        for id in self.sweep.releases(&name(engine), &listed, self.now) {
+        for id in self.sweep.releasable(&name(engine), &listed, self.now) {
             let id = id.parse::<id::Attempt>().expect("an id of ours").0;
             let held = &self.held[&id];
             let host = &self.hosts[held.host];
@@ -250,7 +256,7 @@
                 let host = &mut world.hosts[host];
                 *host = Host { incarnation: host.incarnation + 1, alive: true, cancels: cancels() };
             }
-            // At most one host is dead for good: more together look like a cut.
+            // At most one host is dead at a time, because several would look like a network cut.
             Step::Die(host) if world.hosts.iter().all(|host| host.alive) => {
                 world.hosts[host].alive = false;
             }
@@ -263,7 +269,8 @@
         world
     }
 
-    /// Faults end, hosts cancel what they hold: within a minute and a half nothing is left.
+    /// All faults end and the hosts cancel what they hold; after a minute and a half nothing may be
+    /// left.
     fn teardown(mut world: World) {
         world.lose = false;
         world.cut_off = false;
--- a/crates/lagoonline/tests/life_reap.rs
+++ b/crates/lagoonline/tests/life_reap.rs
@@ -1,22 +1,22 @@
-//! When a dead owner's holdings are released, by kind.
+//! Release of a dead owner's holdings, by kind.
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::id::{Owner, Upstream};
-use lagoonline::life::reap::{Settings, Sweep};
+use lagoonline::lifecycle::reap::{Reaper, Settings};
 use lagoonline::port::engine::{Holding, Kind};
 use rstest::rstest;
 
-/// An entry host restarts. A caller that comes back elsewhere within the time for taking over
-/// finds its stream on the engine; once it is taken over it is a live owner's and stays. What no
-/// caller can come back for is released at once.
+/// An entry host restarts. A caller that retries at another host within the takeover window must
+/// still find its stream on the engine. Once taken over, the stream has a live owner and is kept.
+/// Holdings that no caller can resume are released at once.
 #[rstest]
 #[case(Kind::Reservation, &[true, true])]
 #[case(Kind::Export, &[true, true])]
 #[case(Kind::Stream, &[false, true])]
 fn streams_wait_for_their_callers(#[case] kind: Kind, #[case] released: &[bool]) {
     let owner = |text: &str| text.parse::<Owner>().expect("an owner");
-    let takeover = Settings::default().takeover;
-    let mut sweep = Sweep::new(Settings::default());
+    let takeover = Settings::default().takeover_window;
+    let mut sweep = Reaper::new(Settings::default());
     let engine = Upstream::from("e");
     let held = |owner: &str| Holding {
         id: "a".into(),
@@ -25,11 +25,11 @@
         bytes: 1,
         expires_ms: 1,
     };
-    sweep.releases(&engine, &[held("h/1")], Moment::START);
-    sweep.heard(&owner("h/2"), Moment::START);
+    sweep.releasable(&engine, &[held("h/1")], Moment::START);
+    sweep.record_heartbeat(&owner("h/2"), Moment::START);
     for (at, expected) in [Span::ZERO, takeover].iter().zip(released) {
-        let ids = sweep.releases(&engine, &[held("h/1")], Moment::START + *at);
+        let ids = sweep.releasable(&engine, &[held("h/1")], Moment::START + *at);
         assert_eq!(!ids.is_empty(), *expected, "after {at:?}");
     }
-    assert!(sweep.releases(&engine, &[held("h/2")], Moment::START + takeover).is_empty());
+    assert!(sweep.releasable(&engine, &[held("h/2")], Moment::START + takeover).is_empty());
 }
