--- a/crates/lagoon-gateway/src/forward.rs
+++ b/crates/lagoon-gateway/src/forward.rs
@@ -142,7 +142,7 @@
     let mut lost = false;
     loop {
         let allocation = admitted.allocate(&avoid).await.map_err(|fault| fault.or_unknown(lost))?;
-        let upstream = allocation.placement.first.upstream.clone();
+        let upstream = allocation.placement.primary.upstream.clone();
         // Upstreams identify a request by its caller's id, so an attempt needs no id of its own.
         let dispatched = held.dispatch(id::Attempt(0));
         attempts += 1;
@@ -244,12 +244,12 @@
         }
         let unsent = matches!(failed, attempt::Failure::Unsent(_));
         let dispatcher = self.state.dispatcher(&self.service);
-        unsent || dispatcher.is_some_and(|dispatcher| state::lock(&dispatcher).budget.take())
+        unsent || dispatcher.is_some_and(|dispatcher| state::lock(&dispatcher).budget.take_retry())
     }
 
     /// Records activity of an upstream: bytes of an answer arrived.
     pub(crate) fn record_activity(&self, upstream: &id::Upstream) {
-        self.state.with_placer(&self.service, |placer, now| placer.heard(upstream, now));
+        self.state.with_placer(&self.service, |placer, now| placer.record_activity(upstream, now));
     }
 
     /// Sends the request to an upstream and waits for the head of its answer.
@@ -260,7 +260,7 @@
         attempts: u32,
     ) -> Result<OpenAnswer, attempt::Failure> {
         let place::Allocation { placement, id: work_id, in_flight } = allocation;
-        let first = &placement.first;
+        let first = &placement.primary;
         let connect = CONNECT_TIMEOUT.min(self.time_left());
         let opened = exchange::Exchange::open(first.address, connect).await;
         let mut exchange = opened.map_err(|failure| {
@@ -271,7 +271,7 @@
         let request = request.map_err(|error| attempt::Failure::Unsent(error.to_string()))?;
         self.log_dispatch(&placement, work_id.number);
         if let Some(dispatcher) = self.state.dispatcher(&self.service) {
-            state::lock(&dispatcher).budget.first_attempt();
+            state::lock(&dispatcher).budget.record_first_attempt();
         }
         let sent = self.state.clock.now();
         let answer = {
@@ -319,10 +319,10 @@
             engine::format_helper(helper.entry.address, ticket)
         };
         let own =
-            reservations.and_then(|reservations| reservations.id_on(&placement.first.upstream));
-        let own = own.map(|ticket| engine::format_helper(placement.first.address, Some(ticket)));
+            reservations.and_then(|reservations| reservations.id_on(&placement.primary.upstream));
+        let own = own.map(|ticket| engine::format_helper(placement.primary.address, Some(ticket)));
         let dispatch = head::Dispatch {
-            upstream: placement.first.upstream.clone(),
+            upstream: placement.primary.upstream.clone(),
             customer: self.customer.clone(),
             time_left: self.time_left(),
             rank: self.rank(),
@@ -432,7 +432,8 @@
         first: &id::Upstream,
         address: net::SocketAddr,
     ) -> Option<id::Upstream> {
-        let helper = self.state.with_placer(&self.service, |placer, _| placer.at(address).cloned());
+        let helper =
+            self.state.with_placer(&self.service, |placer, _| placer.upstream_at(address).cloned());
         let helper = helper.flatten().filter(|helper| helper != first)?;
         self.state
             .record_observation(&self.service, message::Observation::helper_failed(first, &helper));
@@ -449,14 +450,17 @@
         event::Line::new("dispatch")
             .text("request", &self.request.call.request_id)
             .text("route", &self.route.name)
-            .text("upstream", &placement.first.upstream)
+            .text("upstream", &placement.primary.upstream)
             .number("dispatch", number)
             .number("prompt_tokens", self.request.call.prompt_tokens.unwrap_or(0))
             .text("helpers", helpers.join(" "))
             .span("expected_ms", placement.expected)
             .span("left_ms", self.time_left())
-            .text("believed", placement.belief)
-            .text("believed_next", placement.next.map(|next| next.to_string()).unwrap_or_default())
+            .text("believed", placement.estimate)
+            .text(
+                "believed_next",
+                placement.runner_up.map(|next| next.to_string()).unwrap_or_default(),
+            )
             .info();
     }
 
--- a/crates/lagoon-gateway/src/hosts.rs
+++ b/crates/lagoon-gateway/src/hosts.rs
@@ -150,9 +150,9 @@
         }
     }
     let peers = state::lock(&state.peers);
-    let (hosts, deciders) = (peers.roster.count(), peers.roster.placing_hosts());
+    let (hosts, placing_hosts) = (peers.roster.count(), peers.roster.placing_hosts());
     drop(peers);
-    state.set_hosts(hosts, deciders);
+    state.set_hosts(hosts, placing_hosts);
 }
 
 /// Applies the row of another host. A row that was removed or cannot be read removes the host.
--- a/crates/lagoon-gateway/src/in_flight.rs
+++ b/crates/lagoon-gateway/src/in_flight.rs
@@ -26,7 +26,7 @@
 pub(crate) struct Guard {
     state: sync::Arc<state::State>,
     service: id::Service,
-    id: placement::WorkId,
+    id: placement::DispatchId,
     prefilled: bool,
     /// Memory reservations, released when the dispatch ends.
     reservations: Option<reserve::Reservations>,
@@ -46,16 +46,19 @@
     /// Begins the dispatch `id`, placed by `decider` as `placement`.
     pub(crate) fn begin(
         admitted: &forward::Admitted,
-        id: placement::WorkId,
+        id: placement::DispatchId,
         placement: &placement::Placement,
         decider: Decider,
     ) -> Guard {
         let now = admitted.state.clock.now();
         let prompt = admitted.request.call.prompt_tokens.unwrap_or(0);
         let until = admitted.deadline;
-        let work = placement::Work::new(id, placement, prompt, admitted.gap_target(), until);
-        let sent = message::Dispatch::new(&work, now);
-        admitted.state.with_placer(&admitted.service, |placer, _| placer.begin(work, now));
+        let dispatch =
+            placement::Dispatch::new(id, placement, prompt, admitted.gap_target(), until);
+        let sent = message::Dispatch::new(&dispatch, now);
+        admitted
+            .state
+            .with_placer(&admitted.service, |placer, _| placer.record_dispatch(dispatch, now));
         let in_flight = Guard {
             state: admitted.state.clone(),
             service: admitted.service.clone(),
@@ -76,7 +79,8 @@
         if std::mem::replace(&mut self.prefilled, true) {
             return;
         }
-        self.state.with_placer(&self.service, |placer, now| placer.first_token(self.id, now));
+        self.state
+            .with_placer(&self.service, |placer, now| placer.record_first_token(self.id, now));
         self.publish(message::Kind::First(message::Empty {}));
     }
 
@@ -94,7 +98,7 @@
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        self.state.with_placer(&self.service, |placer, now| placer.end(self.id, now));
+        self.state.with_placer(&self.service, |placer, now| placer.record_end(self.id, now));
         self.publish(message::Kind::Ended(message::Empty {}));
     }
 }
--- a/crates/lagoon-gateway/src/mesh.rs
+++ b/crates/lagoon-gateway/src/mesh.rs
@@ -285,7 +285,7 @@
 /// set.
 fn apply_update(state: &state::State, from: u64, update: message::Update, forwards: bool) {
     let service = id::Service::from(update.service.as_str());
-    let id = placement::WorkId { host: update.host.unwrap_or(from), number: update.number };
+    let id = placement::DispatchId { host: update.host.unwrap_or(from), number: update.number };
     let is_own = update.host.is_none();
     let Some(what) = update.what else {
         // A kind of update that only a later build knows.
@@ -302,9 +302,9 @@
         _ => {}
     }
     let output = state.with_placer(&service, |placer, now| match what {
-        message::Kind::Sent(sent) => placer.begin(sent.work(id, now), now),
-        message::Kind::First(_) => placer.first_token(id, now),
-        message::Kind::Ended(_) => placer.end(id, now),
+        message::Kind::Sent(sent) => placer.record_dispatch(sent.dispatch(id, now), now),
+        message::Kind::First(_) => placer.record_first_token(id, now),
+        message::Kind::Ended(_) => placer.record_end(id, now),
         message::Kind::Reported(report) => {
             let upstream = id::Upstream::from(report.upstream);
             placer.set_slowness(&upstream, report.slowness, now);
--- a/crates/lagoon-gateway/src/message.rs
+++ b/crates/lagoon-gateway/src/message.rs
@@ -94,7 +94,7 @@
     }
 
     /// Creates an update about a dispatch of any host.
-    pub(crate) fn about(id: placement::WorkId, service: &id::Service, what: Kind) -> Update {
+    pub(crate) fn about(id: placement::DispatchId, service: &id::Service, what: Kind) -> Update {
         Update { host: Some(id.host), ..Update::new(id.number, service, what) }
     }
 }
@@ -182,15 +182,15 @@
     }
 
     /// Applies the observation to `placer`.
-    pub(crate) fn apply(&self, placer: &mut placement::Board, now: clock::Moment) {
+    pub(crate) fn apply(&self, placer: &mut placement::Placer, now: clock::Moment) {
         let upstream = id::Upstream::from(self.upstream.as_str());
         match (self.manner(), &self.from) {
-            (UpstreamOutcome::Answered, _) => placer.answered(&upstream, now),
-            (UpstreamOutcome::Erred, _) => placer.erred(&upstream, now),
-            (UpstreamOutcome::Full, _) => placer.full(&upstream, now),
-            (UpstreamOutcome::Failed, None) => placer.suspect(&upstream, now),
+            (UpstreamOutcome::Answered, _) => placer.record_success(&upstream, now),
+            (UpstreamOutcome::Erred, _) => placer.record_error(&upstream, now),
+            (UpstreamOutcome::Full, _) => placer.mark_full(&upstream, now),
+            (UpstreamOutcome::Failed, None) => placer.record_unreachable(&upstream, now),
             (UpstreamOutcome::Failed, Some(from)) => {
-                placer.helper_failed(&id::Upstream::from(from.as_str()), &upstream, now);
+                placer.record_helper_failure(&id::Upstream::from(from.as_str()), &upstream, now);
             }
         }
     }
@@ -234,28 +234,32 @@
 }
 
 impl Dispatch {
-    /// Encodes `work` at `now`.
-    pub(crate) fn new(work: &placement::Work, now: clock::Moment) -> Dispatch {
+    /// Encodes `dispatch` at `now`.
+    pub(crate) fn new(dispatch: &placement::Dispatch, now: clock::Moment) -> Dispatch {
         Dispatch {
-            first: work.first.to_string(),
-            helpers: work.helpers.iter().map(ToString::to_string).collect(),
-            held: work.held.clone(),
-            prompt: work.prompt,
-            gap_ms: millis(work.gap),
-            left_ms: millis(work.until.since(now)),
+            first: dispatch.primary.to_string(),
+            helpers: dispatch.helpers.iter().map(ToString::to_string).collect(),
+            held: dispatch.helper_reserves.clone(),
+            prompt: dispatch.prompt_tokens,
+            gap_ms: millis(dispatch.max_gap),
+            left_ms: millis(dispatch.deadline.since(now)),
         }
     }
 
     /// Decodes the work, received at `now`.
-    pub(crate) fn work(self, id: placement::WorkId, now: clock::Moment) -> placement::Work {
-        placement::Work {
+    pub(crate) fn dispatch(
+        self,
+        id: placement::DispatchId,
+        now: clock::Moment,
+    ) -> placement::Dispatch {
+        placement::Dispatch {
             id,
-            first: id::Upstream::from(self.first),
+            primary: id::Upstream::from(self.first),
             helpers: self.helpers.into_iter().map(id::Upstream::from).collect(),
-            prompt: self.prompt,
-            held: self.held,
-            gap: span(self.gap_ms),
-            until: now + span(self.left_ms),
+            prompt_tokens: self.prompt,
+            helper_reserves: self.held,
+            max_gap: span(self.gap_ms),
+            deadline: now + span(self.left_ms),
         }
     }
 }
--- a/crates/lagoon-gateway/src/place.rs
+++ b/crates/lagoon-gateway/src/place.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(crate) struct Allocation {
     pub(crate) placement: placement::Placement,
-    pub(crate) id: placement::WorkId,
+    pub(crate) id: placement::DispatchId,
     pub(crate) in_flight: in_flight::Guard,
 }
 
@@ -53,7 +53,7 @@
     ) -> Result<Allocation, answer::Fault> {
         let started = self.state.clock.now();
         let mut last_shortage = None;
-        let turn = self.state.next_dispatch_id();
+        let waiter = self.state.next_dispatch_id();
         loop {
             self.check_quarantine().await?;
             let waited = self.state.clock.now().since(started);
@@ -61,7 +61,7 @@
             // caller is still waiting, so the target counts from now.
             let due = if avoid.is_empty() { self.request.arrived } else { started };
             let due = due + self.route.target;
-            let decided = self.choose(avoid, waited, due, turn).await;
+            let decided = self.choose(avoid, waited, due, waiter).await;
             let schedule::PlacementResult { id, decider, result } = decided;
             let placement = match result {
                 Ok(placement) => placement,
@@ -139,10 +139,10 @@
     async fn reserve(
         &self,
         placement: &placement::Placement,
-        id: placement::WorkId,
+        id: placement::DispatchId,
     ) -> Result<Option<reserve::Reservations>, reserve::Refusal> {
         let helpers = placement.helpers.iter().map(|helper| (&helper.entry, helper.reserve));
-        let wanted: Vec<_> = std::iter::once((&placement.first, placement.reserve))
+        let wanted: Vec<_> = std::iter::once((&placement.primary, placement.reserve))
             .chain(helpers)
             .filter(|(_, tokens)| *tokens > 0)
             .map(|(entry, tokens)| (entry.clone(), tokens))
@@ -151,37 +151,37 @@
             return Ok(None);
         }
         let name = format!("{:x}-{}", self.state.incarnation, id.number);
-        let (first, expected) = (&placement.first, placement.expected);
+        let (first, expected) = (&placement.primary, placement.expected);
         reserve::reserve_all(&self.state, &name, first, &wanted, expected).await.map(Some)
     }
 
     /// Chooses where the request goes next, after it has waited for `waited`. Its first event is
-    /// due at `due`; `turn` identifies it while it waits.
+    /// due at `due`; `waiter` identifies it while it waits.
     async fn choose(
         &self,
         avoid: &[id::Upstream],
         waited: clock::Span,
         due: clock::Moment,
-        turn: placement::WorkId,
+        waiter: placement::DispatchId,
     ) -> schedule::PlacementResult {
         let now = self.state.clock.now();
-        let demand = placement::Demand {
-            prompt: self.request.call.prompt_tokens.unwrap_or(0),
-            answer: self.request.call.answer_tokens.unwrap_or(0),
+        let request = placement::Request {
+            prompt_tokens: self.request.call.prompt_tokens.unwrap_or(0),
+            answer_tokens: self.request.call.answer_tokens.unwrap_or(0),
             target: due.since(now),
-            gap: self.gap_target(),
+            max_gap: self.gap_target(),
             waited,
-            turn,
+            waiter,
             zone: &self.state.settings.node.zone,
             avoid,
-            draw: rand::rng().random(),
+            random: rand::rng().random(),
         };
-        let asked = schedule::ask(&self.state, &self.service, &demand, self.time_left()).await;
+        let asked = schedule::ask(&self.state, &self.service, &request, self.time_left()).await;
         if let Some(decided) = asked {
             return decided;
         }
         let placed =
-            self.state.with_placer(&self.service, |placer, now| placer.place(&demand, now));
+            self.state.with_placer(&self.service, |placer, now| placer.place(&request, now));
         schedule::PlacementResult {
             id: self.state.next_dispatch_id(),
             decider: in_flight::Decider::Own,
--- a/crates/lagoon-gateway/src/publish.rs
+++ b/crates/lagoon-gateway/src/publish.rs
@@ -49,9 +49,10 @@
         let now = self.clock.now();
         let mut updates = Vec::new();
         for (service, dispatcher) in self.dispatchers.load().iter() {
-            for (work, read) in state::lock(dispatcher).placer.under_way(&wanted) {
-                let mut add = |what| updates.push(message::Update::about(work.id, service, what));
-                add(message::Kind::Sent(message::Dispatch::new(work, now)));
+            for (dispatch, read) in state::lock(dispatcher).placer.in_flight(&wanted) {
+                let mut add =
+                    |what| updates.push(message::Update::about(dispatch.id, service, what));
+                add(message::Kind::Sent(message::Dispatch::new(dispatch, now)));
                 if read {
                     add(message::Kind::First(message::Empty {}));
                 }
@@ -69,10 +70,10 @@
         let mut numbers: collections::HashMap<u64, Vec<u64>> =
             incarnations.iter().map(|incarnation| (*incarnation, Vec::new())).collect();
         for dispatcher in self.dispatchers.load().values() {
-            for (work, _) in
-                state::lock(dispatcher).placer.under_way(|host| incarnations.contains(&host))
+            for (dispatch, _) in
+                state::lock(dispatcher).placer.in_flight(|host| incarnations.contains(&host))
             {
-                numbers.entry(work.id.host).or_default().push(work.id.number);
+                numbers.entry(dispatch.id.host).or_default().push(dispatch.id.number);
             }
         }
         let under_way = |(host, numbers)| message::Dispatches { host, numbers };
@@ -160,7 +161,7 @@
             && peers.incarnations_in(&self.settings.node.zone).contains(&incarnation);
         drop(peers);
         for (service, dispatcher) in self.dispatchers.load().iter() {
-            let over = state::lock(dispatcher).placer.keep_only(
+            let over = state::lock(dispatcher).placer.retain_listed(
                 incarnation,
                 numbers,
                 now.saturating_sub(span),
@@ -190,7 +191,7 @@
     }
 
     /// Publishes that a dispatch of this host ended or will not be made.
-    pub(crate) fn publish_ended(&self, service: &id::Service, id: placement::WorkId) {
+    pub(crate) fn publish_ended(&self, service: &id::Service, id: placement::DispatchId) {
         self.publish(message::Update::new(
             id.number,
             service,
--- a/crates/lagoon-gateway/src/question.rs
+++ b/crates/lagoon-gateway/src/question.rs
@@ -48,53 +48,53 @@
     pub(crate) fn new(
         number: u64,
         service: &id::Service,
-        demand: &placement::Demand<'_>,
+        request: &placement::Request<'_>,
         left: clock::Span,
     ) -> Question {
         Question {
             number,
             service: service.to_string(),
-            prompt: demand.prompt,
-            answer: demand.answer,
-            target_ms: message::millis(demand.target),
-            gap_ms: message::millis(demand.gap),
-            waited_ms: message::millis(demand.waited),
+            prompt: request.prompt_tokens,
+            answer: request.answer_tokens,
+            target_ms: message::millis(request.target),
+            gap_ms: message::millis(request.max_gap),
+            waited_ms: message::millis(request.waited),
             left_ms: message::millis(left),
-            avoid: demand.avoid.iter().map(ToString::to_string).collect(),
-            turn: demand.turn.number,
+            avoid: request.avoid.iter().map(ToString::to_string).collect(),
+            turn: request.waiter.number,
         }
     }
 
     /// Returns the demand of a request at the host incarnation `asking` in `zone`.
-    pub(crate) fn demand<'a>(
+    pub(crate) fn request<'a>(
         &self,
         asking: u64,
         zone: &'a id::Zone,
         avoid: &'a [id::Upstream],
-        draw: u64,
-    ) -> placement::Demand<'a> {
-        placement::Demand {
-            prompt: self.prompt,
-            answer: self.answer,
+        random: u64,
+    ) -> placement::Request<'a> {
+        placement::Request {
+            prompt_tokens: self.prompt,
+            answer_tokens: self.answer,
             target: message::span(self.target_ms),
-            gap: message::span(self.gap_ms),
+            max_gap: message::span(self.gap_ms),
             waited: message::span(self.waited_ms),
-            turn: placement::WorkId { host: asking, number: self.turn },
+            waiter: placement::DispatchId { host: asking, number: self.turn },
             zone,
             avoid,
-            draw,
+            random,
         }
     }
 
     /// Returns the board's record of the dispatch, placed as `placed` at `now`.
-    pub(crate) fn work(
+    pub(crate) fn dispatch(
         &self,
-        id: placement::WorkId,
+        id: placement::DispatchId,
         placed: &placement::Placement,
         now: clock::Moment,
-    ) -> placement::Work {
+    ) -> placement::Dispatch {
         let left = message::span(self.left_ms);
-        placement::Work::new(id, placed, self.prompt, message::span(self.gap_ms), now + left)
+        placement::Dispatch::new(id, placed, self.prompt, message::span(self.gap_ms), now + left)
     }
 }
 
@@ -199,10 +199,10 @@
 impl From<placement::Shortage> for Shortage {
     fn from(shortage: placement::Shortage) -> Shortage {
         match shortage {
-            placement::Shortage::Place => Shortage::Place,
+            placement::Shortage::Slot => Shortage::Place,
             placement::Shortage::Memory => Shortage::Memory,
-            placement::Shortage::Reading => Shortage::Reading,
-            placement::Shortage::Pause => Shortage::Pause,
+            placement::Shortage::Prefill => Shortage::Reading,
+            placement::Shortage::Gap => Shortage::Pause,
         }
     }
 }
@@ -210,10 +210,10 @@
 impl From<Shortage> for placement::Shortage {
     fn from(shortage: Shortage) -> placement::Shortage {
         match shortage {
-            Shortage::Place => placement::Shortage::Place,
+            Shortage::Place => placement::Shortage::Slot,
             Shortage::Memory => placement::Shortage::Memory,
-            Shortage::Reading => placement::Shortage::Reading,
-            Shortage::Pause => placement::Shortage::Pause,
+            Shortage::Reading => placement::Shortage::Prefill,
+            Shortage::Pause => placement::Shortage::Gap,
         }
     }
 }
@@ -268,17 +268,17 @@
             upstream: helper.entry.upstream.to_string(),
             reserve: helper.reserve,
         };
-        let belief = &placement.belief;
+        let estimate = &placement.estimate;
         Placed {
-            first: placement.first.upstream.to_string(),
+            first: placement.primary.upstream.to_string(),
             reserve: placement.reserve,
             helpers: placement.helpers.iter().map(helper).collect(),
             expected_ms: message::millis(placement.expected),
             belief: Some(Belief {
-                reading_ms: belief.reading_ms,
-                writers: belief.writers,
-                places: u32::try_from(belief.places).unwrap_or(u32::MAX),
-                heard_ms: message::millis(belief.heard),
+                reading_ms: estimate.prefill_ms,
+                writers: estimate.decoding,
+                places: u32::try_from(estimate.used_slots).unwrap_or(u32::MAX),
+                heard_ms: message::millis(estimate.silence),
             }),
         }
     }
@@ -288,25 +288,25 @@
     /// Resolves the placement against the upstreams on `placer`. Returns `None` if one of them is
     /// not listed here or is leaving: the scheduler's list of upstreams may differ from this
     /// host's.
-    pub(crate) fn placement(&self, placer: &placement::Board) -> Option<placement::Placement> {
+    pub(crate) fn placement(&self, placer: &placement::Placer) -> Option<placement::Placement> {
         let entry = |name: &str| placer.entry(name).filter(|entry| !entry.leaving).cloned();
         let helper = |helper: &Helper| {
             let entry = entry(&helper.upstream)?;
             Some(placement::Helper { entry, reserve: helper.reserve })
         };
-        let belief = self.belief.as_ref().map(|belief| placement::Belief {
-            reading_ms: belief.reading_ms,
-            writers: belief.writers,
-            places: belief.places as usize,
-            heard: message::span(belief.heard_ms),
+        let estimate = self.belief.as_ref().map(|estimate| placement::Estimate {
+            prefill_ms: estimate.reading_ms,
+            decoding: estimate.writers,
+            used_slots: estimate.places as usize,
+            silence: message::span(estimate.heard_ms),
         });
         Some(placement::Placement {
-            first: entry(&self.first)?,
+            primary: entry(&self.first)?,
             reserve: self.reserve,
             helpers: self.helpers.iter().map(helper).collect::<Option<_>>()?,
             expected: message::span(self.expected_ms),
-            belief: belief.unwrap_or_default(),
-            next: None,
+            estimate: estimate.unwrap_or_default(),
+            runner_up: None,
         })
     }
 }
--- a/crates/lagoon-gateway/src/schedule.rs
+++ b/crates/lagoon-gateway/src/schedule.rs
@@ -69,7 +69,7 @@
 /// The result of placing a dispatch, and which host decided it.
 #[derive(Debug)]
 pub(crate) struct PlacementResult {
-    pub(crate) id: placement::WorkId,
+    pub(crate) id: placement::DispatchId,
     pub(crate) decider: in_flight::Decider,
     pub(crate) result: Result<placement::Placement, placement::Refusal>,
 }
@@ -79,13 +79,13 @@
 pub(crate) async fn ask(
     state: &state::State,
     service: &id::Service,
-    demand: &placement::Demand<'_>,
+    request: &placement::Request<'_>,
     left: clock::Span,
 ) -> Option<PlacementResult> {
     for _ in 0..MAX_SCHEDULERS_ASKED {
         let (host, address) = state::lock(&state.peers).scheduler(state.clock.now())?;
         let id = state.next_dispatch_id();
-        let question = question::Question::new(id.number, service, demand, left);
+        let question = question::Question::new(id.number, service, request, left);
         let batch = message::Batch { questions: vec![question], ..message::Batch::default() };
         let mut pending = state.questions.register(id.number);
         state.send(address, &[state.encode_batch(batch)]);
@@ -150,13 +150,13 @@
     let service = id::Service::from(question.service.as_str());
     let avoid: Vec<_> =
         question.avoid.iter().map(|name| id::Upstream::from(name.as_str())).collect();
-    let demand = question.demand(asking, &state.settings.node.zone, &avoid, rand::rng().random());
-    let id = placement::WorkId { host: asking, number: question.number };
+    let request = question.request(asking, &state.settings.node.zone, &avoid, rand::rng().random());
+    let id = placement::DispatchId { host: asking, number: question.number };
     let decided = state.with_placer(&service, |placer, now| {
-        let placed = placer.place(&demand, now)?;
-        let work = question.work(id, &placed, now);
-        let sent = message::Dispatch::new(&work, now);
-        placer.begin(work, now);
+        let placed = placer.place(&request, now)?;
+        let dispatch = question.dispatch(id, &placed, now);
+        let sent = message::Dispatch::new(&dispatch, now);
+        placer.record_dispatch(dispatch, now);
         Ok::<_, placement::Refusal>((question::Placed::from(&placed), sent))
     })?;
     Some(match decided {
--- a/crates/lagoon-gateway/src/silence.rs
+++ b/crates/lagoon-gateway/src/silence.rs
@@ -21,26 +21,26 @@
     /// Whether the retry budget allows another attempt.
     pub(crate) fn has_retry(&self) -> bool {
         let dispatcher = self.state.dispatcher(&self.service);
-        dispatcher.is_some_and(|dispatcher| state::lock(&dispatcher).budget.has_one())
+        dispatcher.is_some_and(|dispatcher| state::lock(&dispatcher).budget.has_retry())
     }
 
     /// Whether an upstream has been active recently. If so, silence to a single request may mean
     /// that it is busy.
     pub(crate) fn is_alive(&self, upstream: &id::Upstream) -> bool {
         let alive =
-            |placer: &mut placement::Board, now| placer.is_alive(upstream, ALIVE_WINDOW, now);
+            |placer: &mut placement::Placer, now| placer.is_alive(upstream, ALIVE_WINDOW, now);
         self.state.with_placer(&self.service, alive).unwrap_or(false)
     }
 
     /// Whether an upstream failed another request and has shown no activity since.
     pub(crate) fn is_unresponsive(&self, upstream: &id::Upstream) -> bool {
-        let lost = |placer: &mut placement::Board, _| placer.is_lost(upstream);
+        let lost = |placer: &mut placement::Placer, _| placer.is_unresponsive(upstream);
         self.state.with_placer(&self.service, lost).unwrap_or(false)
     }
 
     /// Whether the upstream has begun to answer a request that was sent after the dispatch `id`.
-    fn is_overtaken(&self, id: placement::WorkId) -> bool {
-        let overtaken = |placer: &mut placement::Board, _| placer.is_overtaken(id);
+    fn is_overtaken(&self, id: placement::DispatchId) -> bool {
+        let overtaken = |placer: &mut placement::Placer, _| placer.is_overtaken(id);
         self.state.with_placer(&self.service, overtaken).unwrap_or(false)
     }
 
@@ -50,10 +50,10 @@
     pub(crate) fn abandon_reason(
         &self,
         placement: &placement::Placement,
-        id: placement::WorkId,
+        id: placement::DispatchId,
         silent: clock::Span,
     ) -> Option<&'static str> {
-        let upstream = &placement.first.upstream;
+        let upstream = &placement.primary.upstream;
         let patience = self.patience(placement.expected);
         if silent < placement.expected + LOST_PACKET_ALLOWANCE {
             None
--- a/crates/lagoon-gateway/src/state.rs
+++ b/crates/lagoon-gateway/src/state.rs
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(crate) struct Dispatcher {
     /// Dispatches in flight on the service's upstreams.
-    pub(crate) placer: placement::Board,
+    pub(crate) placer: placement::Placer,
     /// Retry budget of the service.
     pub(crate) budget: retry::Budget,
 }
@@ -290,7 +290,7 @@
     /// does not exist.
     pub(crate) fn with_placer<Act, Output>(&self, service: &id::Service, act: Act) -> Option<Output>
     where
-        Act: FnOnce(&mut placement::Board, clock::Moment) -> Output,
+        Act: FnOnce(&mut placement::Placer, clock::Moment) -> Output,
     {
         let dispatcher = self.dispatcher(service)?;
         let mut dispatcher = lock(&dispatcher);
@@ -332,9 +332,9 @@
         let known = self.dispatchers.load_full();
         let mut dispatchers = Dispatchers::default();
         for (service, entries) in by_service {
-            let pace = table.service(&service).and_then(|service| service.pace);
+            let profile = table.service(&service).and_then(|service| service.profile);
             let dispatcher = known.get(&service).cloned().unwrap_or_else(|| self.new_dispatcher());
-            lock(&dispatcher).placer.set_upstreams(&entries, pace);
+            lock(&dispatcher).placer.set_upstreams(&entries, profile);
             dispatchers.insert(service, dispatcher);
         }
         self.dispatchers.store(sync::Arc::new(dispatchers));
@@ -345,34 +345,34 @@
 
     fn new_dispatcher(&self) -> sync::Arc<sync::Mutex<Dispatcher>> {
         let mut placer =
-            placement::Board::new(self.settings.tuning.placement, self.settings.node.zone.clone());
+            placement::Placer::new(self.settings.tuning.placement, self.settings.node.zone.clone());
         let mut budget = retry::Budget::default();
         let hosts = self.host_count.load(atomic::Ordering::Relaxed);
-        budget.allow_ratio(self.settings.node.bounds.retry_ratio);
-        budget.share_slack(self.settings.node.bounds.retry_slack, hosts);
-        placer.set_deciders(self.placing_hosts.load(atomic::Ordering::Relaxed));
+        budget.set_ratio(self.settings.node.bounds.retry_ratio);
+        budget.set_slack(self.settings.node.bounds.retry_slack, hosts);
+        placer.set_placing_hosts(self.placing_hosts.load(atomic::Ordering::Relaxed));
         sync::Arc::new(sync::Mutex::new(Dispatcher { placer, budget }))
     }
 
     /// Sets the number of entry hosts, this one included, and how many of them place requests.
-    pub(crate) fn set_hosts(&self, hosts: usize, deciders: usize) {
+    pub(crate) fn set_hosts(&self, hosts: usize, placing_hosts: usize) {
         let before = self.host_count.swap(hosts, atomic::Ordering::Relaxed);
-        let decided = self.placing_hosts.swap(deciders, atomic::Ordering::Relaxed);
-        if (before, decided) == (hosts, deciders) {
+        let decided = self.placing_hosts.swap(placing_hosts, atomic::Ordering::Relaxed);
+        if (before, decided) == (hosts, placing_hosts) {
             return;
         }
         let slack = self.settings.node.bounds.retry_slack;
         for dispatcher in self.dispatchers.load().values() {
             let mut dispatcher = lock(dispatcher);
-            dispatcher.budget.share_slack(slack, hosts);
-            dispatcher.placer.set_deciders(deciders);
+            dispatcher.budget.set_slack(slack, hosts);
+            dispatcher.placer.set_placing_hosts(placing_hosts);
         }
     }
 
     /// Returns the id of a new dispatch.
-    pub(crate) fn next_dispatch_id(&self) -> placement::WorkId {
+    pub(crate) fn next_dispatch_id(&self) -> placement::DispatchId {
         let number = self.dispatch_counter.fetch_add(1, atomic::Ordering::Relaxed);
-        placement::WorkId { host: self.incarnation, number }
+        placement::DispatchId { host: self.incarnation, number }
     }
 
     /// Whether the process has reached `level`.
--- a/crates/lagoon-gateway/src/stream.rs
+++ b/crates/lagoon-gateway/src/stream.rs
@@ -239,7 +239,7 @@
                     return None;
                 }
             };
-            let upstream = allocation.placement.first.upstream.clone();
+            let upstream = allocation.placement.primary.upstream.clone();
             let checked = match self
                 .admitted
                 .attempt(allocation, self.last_event, self.upstreams + 1)
--- a/crates/lagoonline/benches/decision.rs
+++ b/crates/lagoonline/benches/decision.rs
@@ -1,5 +1,5 @@
-//! Cost of one admission, one routing decision and one fingerprint, at today's size and at the
-//! target's.
+//! Cost of one admission, one routing decision, one limit check and one fingerprint, for a small
+//! and a large fleet.
 
 #![allow(missing_docs, reason = "the macro of the library makes a public function")]
 
@@ -46,8 +46,8 @@
     scheduler
 }
 
-fn asks(size: &Size) -> Vec<load::Ask> {
-    let ask = |index: usize| load::Ask {
+fn asks(size: &Size) -> Vec<load::Request> {
+    let ask = |index: usize| load::Request {
         customer: id::Customer::from(format!("c{index}")),
         team: id::Team::from(format!("t{}", index % 8)),
         weight: 1,
@@ -62,7 +62,7 @@
     (0..size.customers).map(ask).collect()
 }
 
-/// Times of single decisions, whose middle is printed: criterion tells means only.
+/// Durations of single decisions, whose median is printed because criterion reports only means.
 #[derive(Default)]
 struct Singles(Vec<Span>);
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// A request that finds a place: admission and routing together.
+/// A request that is placed at once: admission and routing together.
 fn place(criterion: &mut Criterion) {
     for size in &SIZES {
         let (mut scheduler, asks) = (scheduler(size), asks(size));
@@ -88,7 +88,7 @@
                 for _ in 0..count {
                     turn += 1;
                     let now = Moment::from_micros(turn as u64 * 1_000);
-                    let ask = load::Ask { arrived: now, ..asks[turn % asks.len()].clone() };
+                    let ask = load::Request { arrived: now, ..asks[turn % asks.len()].clone() };
                     let start = time::Instant::now();
                     let verdict = hint::black_box(scheduler.offer(now, ask));
                     let took = start.elapsed();
@@ -110,7 +110,7 @@
     scheduler.finish(now, placement.ticket, ending);
 }
 
-/// A request that finds every engine taken and waits, then leaves.
+/// A request that finds every engine occupied and waits, then leaves.
 fn wait(criterion: &mut Criterion) {
     for size in &SIZES {
         let (mut scheduler, asks) = (scheduler(size), asks(size));
@@ -134,7 +134,7 @@
                     spent += took;
                     singles.0.push(took);
                     if let Verdict::Wait(waiter) = verdict {
-                        scheduler.leave(waiter);
+                        scheduler.cancel(waiter);
                     }
                 }
                 spent
@@ -156,7 +156,7 @@
                 turn += 1;
                 let now = Moment::from_micros(turn as u64 * 100);
                 let customer = &asks[turn % asks.len()].customer;
-                hint::black_box(limits.take(now, customer, rate, 1_000).is_ok())
+                hint::black_box(limits.admit(now, customer, rate, 1_000).is_ok())
             });
         });
     }
--- a/crates/lagoonline/src/load/placement/mod.rs
+++ b/crates/lagoonline/src/load/placement/mod.rs
@@ -1,230 +1,236 @@
-//! Which upstream gets a request, and which engines help to read a long prompt.
+//! Chooses the upstream for a request, and the engines that help to prefill a long prompt.
 //!
-//! Load pattern: short prompts beside long ones in shares that swing tenfold within seconds, seen
-//! by many entry hosts of which each sends only a part. Least outstanding puts a short prompt
-//! behind a long one and two long ones on one engine. So a [`Board`] keeps what all hosts have
-//! under way on each engine, as far as this host was told, lets it drain at the engine's published
-//! pace, and places a request where its first token comes soonest and delays the fewest writers.
-//! Words of other hosts that are late or lost cost efficiency only: the engine's own refusal is
-//! final.
+//! Load pattern: short prompts mixed with long ones, in proportions that change tenfold within
+//! seconds, arriving through many entry hosts that each see only a part of the traffic.
+//! Least-outstanding balancing would queue a short prompt behind a long one, or two long ones on
+//! one engine. The [`Placer`] therefore tracks what all hosts have in flight on each engine, as far
+//! as this host has been told, advances it at the engine's published speed, and places a request
+//! where its first token is expected soonest while it delays the fewest other answers. Late or lost
+//! messages from other hosts only cost efficiency, since an engine enforces its own limits.
 
 use std::collections;
 use std::fmt;
 use std::net;
 
-use super::pass;
+use super::profile;
 use crate::clock;
 use crate::id;
 use crate::routing;
 
-mod cut;
 mod engine;
+mod partition;
+mod prefill;
 mod prompt;
-mod reading;
 mod settings;
-mod waiting;
+mod waitlist;
 
-pub use cut::Cuts;
 use engine::Engine;
-use reading::Reading;
+pub use partition::Partitions;
+use prefill::PrefillLoad;
 pub use settings::Settings;
-use waiting::Waiting;
+use waitlist::Waitlist;
 
-/// A request under way: the host that sent it, and its number there.
+/// Identifies a dispatch: the host that sent it, and its sequence number there.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct WorkId {
-    /// The host's number.
+pub struct DispatchId {
+    /// Number of the host.
     pub host: u64,
-    /// The host counts its dispatches.
+    /// Sequence number of the dispatch at that host.
     pub number: u64,
 }
 
-/// What a request under way costs the upstreams that work on it.
+/// A dispatched request and the load that it puts on upstreams.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Work {
-    /// Which it is.
-    pub id: WorkId,
+pub struct Dispatch {
+    /// Its identifier.
+    pub id: DispatchId,
     /// The upstream that answers it.
-    pub first: id::Upstream,
-    /// The engines that read parts of its prompt.
+    pub primary: id::Upstream,
+    /// The engines that prefill parts of its prompt.
     pub helpers: Vec<id::Upstream>,
-    /// Tokens of its prompt; 0 for a call of a plain service.
-    pub prompt: u64,
-    /// Tokens of its prompt whose memory lies at each of the first helpers.
-    pub held: Vec<u64>,
-    /// Longest pause between its events that is still in time.
-    pub gap: clock::Span,
-    /// When it is over at the latest.
-    pub until: clock::Moment,
+    /// Prompt length in tokens; 0 for a call of a plain service.
+    pub prompt_tokens: u64,
+    /// KV tokens reserved on each of the first helpers; further helpers have no reservation.
+    pub helper_reserves: Vec<u64>,
+    /// Longest pause between two events of the answer that still meets the objective.
+    pub max_gap: clock::Span,
+    /// Time by which it has ended at the latest.
+    pub deadline: clock::Moment,
 }
 
-impl Work {
-    /// The work of a request with a prompt of `prompt` tokens that is placed as `placed`, bears
-    /// pauses up to `gap` and is over at `until`.
+impl Dispatch {
+    /// The dispatch of a prompt of `prompt` tokens according to the placement `placement`, with the
+    /// gap limit `max_gap` and the deadline `deadline`.
     pub fn new(
-        id: WorkId,
-        placed: &Placement,
-        prompt: u64,
-        gap: clock::Span,
-        until: clock::Moment,
-    ) -> Work {
-        let held = placed.helpers.iter().map(|helper| helper.reserve).filter(|held| *held > 0);
-        Work {
+        id: DispatchId,
+        placement: &Placement,
+        prompt_tokens: u64,
+        max_gap: clock::Span,
+        deadline: clock::Moment,
+    ) -> Dispatch {
+        let reserves =
+            placement.helpers.iter().map(|helper| helper.reserve).filter(|reserve| *reserve > 0);
+        Dispatch {
             id,
-            first: placed.first.upstream.clone(),
-            helpers: placed.helpers.iter().map(|help| help.entry.upstream.clone()).collect(),
-            prompt,
-            held: held.collect(),
-            gap,
-            until,
+            primary: placement.primary.upstream.clone(),
+            helpers: placement.helpers.iter().map(|helper| helper.entry.upstream.clone()).collect(),
+            prompt_tokens,
+            helper_reserves: reserves.collect(),
+            max_gap,
+            deadline,
         }
     }
 }
 
-/// What is to be placed.
+/// A request that needs a placement.
 #[derive(Clone, Debug)]
-pub struct Demand<'a> {
-    /// Tokens of the prompt; 0 for a call of a plain service.
-    pub prompt: u64,
-    /// Most tokens of the answer.
-    pub answer: u64,
+pub struct Request<'a> {
+    /// Prompt length in tokens; 0 for a call of a plain service.
+    pub prompt_tokens: u64,
+    /// Most tokens that the answer may have.
+    pub answer_tokens: u64,
     /// Time left until the first event would be late.
     pub target: clock::Span,
-    /// Longest pause between events that is still in time.
-    pub gap: clock::Span,
+    /// Longest pause between two events of the answer that still meets the objective.
+    pub max_gap: clock::Span,
     /// How long it has waited at this host.
     pub waited: clock::Span,
-    /// Names the request while it waits.
-    pub turn: WorkId,
+    /// Identifies the request while it waits.
+    pub waiter: DispatchId,
     /// Zone of this host.
     pub zone: &'a id::Zone,
-    /// Upstreams that failed this request.
+    /// Upstreams that have already failed this request.
     pub avoid: &'a [id::Upstream],
-    /// A draw that spreads equal choices.
-    pub draw: u64,
+    /// Random number that breaks ties between equally good choices.
+    pub random: u64,
 }
 
-/// Where a request goes.
+/// The outcome of a placement decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
-    /// The upstream that gets it.
-    pub first: routing::Registration,
-    /// Tokens of memory to reserve on it; 0 for none.
+    /// The upstream that answers the request.
+    pub primary: routing::Registration,
+    /// KV tokens to reserve on it; 0 for no reservation.
     pub reserve: u64,
-    /// Engines that read parts of the prompt, in the order in which they are named to the first.
+    /// Engines that prefill parts of the prompt, in the order in which they are listed in the
+    /// request to the primary.
     pub helpers: Vec<Helper>,
-    /// When its first token is expected, from now.
+    /// Expected time from now to the first token.
     pub expected: clock::Span,
-    /// What was believed of the upstream that gets it.
-    pub belief: Belief,
-    /// What was believed of the next best one.
-    pub next: Option<Belief>,
+    /// Estimated state of the chosen upstream, for the log.
+    pub estimate: Estimate,
+    /// Estimated state of the second-best upstream, for the log.
+    pub runner_up: Option<Estimate>,
 }
 
-/// What was believed of an upstream when a request was placed.
+/// Estimated state of an upstream at the time of a placement decision.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Belief {
-    /// Milliseconds that it has to read.
-    pub reading_ms: f64,
-    /// Answers that it writes.
-    pub writers: u32,
-    /// Places that are taken, by answers written or to be written.
-    pub places: usize,
-    /// Time since something last came of it to this host.
-    pub heard: clock::Span,
+pub struct Estimate {
+    /// Queued prefill in milliseconds.
+    pub prefill_ms: f64,
+    /// Number of answers in decode.
+    pub decoding: u32,
+    /// Slots in use, by answers in prefill or decode.
+    pub used_slots: usize,
+    /// Time since this host last received anything from it.
+    pub silence: clock::Span,
 }
 
-impl fmt::Display for Belief {
+impl fmt::Display for Estimate {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Belief { reading_ms, writers, places, heard } = self;
-        let heard_ms = heard.as_millis();
-        write!(formatter, "reads {reading_ms:.0} ms, {writers} writers, {places} places, ")?;
-        write!(formatter, "heard {heard_ms} ms ago")
+        let Estimate { prefill_ms, decoding, used_slots, silence } = self;
+        let silence_ms = silence.as_millis();
+        write!(formatter, "reads {prefill_ms:.0} ms, {decoding} writers, {used_slots} places, ")?;
+        write!(formatter, "heard {silence_ms} ms ago")
     }
 }
 
-/// An engine that reads a part of a prompt for another.
+/// An engine that prefills a part of a prompt which another engine answers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Helper {
     /// The engine.
     pub entry: routing::Registration,
-    /// Tokens of memory to reserve on it; 0 for none.
+    /// KV tokens to reserve on it; 0 for no reservation.
     pub reserve: u64,
 }
 
 /// Why a request cannot be placed now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Refusal {
-    /// No upstream that may be asked.
+    /// No upstream is available.
     #[error("no upstream")]
     NoUpstream,
-    /// The prompt is larger than the memory of all engines together that may help.
+    /// The prompt needs more memory than all engines that may help have together.
     #[error("too long")]
     TooLong,
-    /// It should wait a moment at this host for what engines lack.
+    /// The request should wait briefly at this host for the missing resource.
     #[error("engines are busy: {0}")]
     Busy(Shortage),
-    /// It would come too late; engines are expected to have what they lack after this span.
+    /// The request would be late; the missing resource is expected to be free after this span.
     #[error("engines are full for {1:?}: {0}")]
     Full(Shortage, clock::Span),
 }
 
-/// What engines lack for a request that cannot be placed now.
+/// The resource that engines lack for a request that cannot be placed now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Shortage {
-    /// A place for its answer.
+    /// A free slot.
     #[error("no place")]
-    Place,
-    /// Memory for its prompt.
+    Slot,
+    /// KV memory for the prompt.
     #[error("no memory")]
     Memory,
-    /// Time to read its prompt soon enough.
+    /// Prefill capacity within the time limit.
     #[error("too much to read")]
-    Reading,
-    /// Pauses that answers under way can bear: its parts would make more of them late than its own
-    /// answer is worth.
+    Prefill,
+    /// Slack in the gap limits of in-flight answers: the prefill would make more of them late than
+    /// the request's own answer is worth.
     #[error("answers under way would be late")]
-    Pause,
+    Gap,
 }
 
-/// A request under way, and since when this host knows of it.
+/// A dispatch in flight, and when this host learned of it.
 #[derive(Clone, Debug)]
-struct Begun {
-    work: Work,
-    at: clock::Moment,
+struct Tracked {
+    dispatch: Dispatch,
+    known_since: clock::Moment,
 }
 
-/// What is under way on the upstreams of one service.
+/// Tracks the dispatches in flight on the upstreams of one service and places new requests.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct Placer {
     settings: Settings,
     upstreams: collections::BTreeMap<id::Upstream, Engine>,
-    works: collections::HashMap<WorkId, Begun>,
+    dispatches: collections::HashMap<DispatchId, Tracked>,
     zone: id::Zone,
-    cuts: Cuts,
-    /// What long prompts ask of the engines.
-    reading: Reading,
-    /// Prompts that wait for them.
-    waiting: Waiting,
+    partitions: Partitions,
+    /// Recent prefill demand of prompts with loose gap limits.
+    prefill_load: PrefillLoad,
+    /// Prompts that wait for a placement.
+    waitlist: Waitlist,
 }
 
-impl Board {
-    /// The board of a host in `zone`.
-    pub fn new(settings: Settings, zone: id::Zone) -> Board {
-        Board { settings, zone, ..Board::default() }
+impl Placer {
+    /// An empty tracker for a host in `zone`.
+    pub fn new(settings: Settings, zone: id::Zone) -> Placer {
+        Placer { settings, zone, ..Placer::default() }
     }
 
-    /// Takes in which upstreams there are; what is under way stays known.
-    pub fn set_upstreams(&mut self, entries: &[routing::Registration], pace: Option<pass::Pace>) {
+    /// Replaces the set of upstreams; dispatches in flight are kept.
+    pub fn set_upstreams(
+        &mut self,
+        entries: &[routing::Registration],
+        profile: Option<profile::Profile>,
+    ) {
         let names: collections::BTreeSet<_> = entries.iter().map(|entry| &entry.upstream).collect();
         self.upstreams.retain(|name, _| names.contains(name));
         for entry in entries {
             match self.upstreams.get_mut(&entry.upstream) {
-                Some(engine) => engine.update(entry.clone(), pace),
+                Some(engine) => engine.update(entry.clone(), profile),
                 None => {
-                    let mut engine = Engine::new(entry.clone(), pace);
-                    for begun in self.works.values() {
-                        engine.begin_if_on(&begun.work, clock::Moment::START);
+                    let mut engine = Engine::new(entry.clone(), profile);
+                    for tracked in self.dispatches.values() {
+                        engine.begin_if_on(&tracked.dispatch, clock::Moment::START);
                     }
                     self.upstreams.insert(entry.upstream.clone(), engine);
                 }
@@ -232,113 +238,120 @@
         }
     }
 
-    /// Requests under way.
-    pub fn works(&self) -> usize {
-        self.works.len()
+    /// Number of dispatches in flight.
+    pub fn dispatches(&self) -> usize {
+        self.dispatches.len()
     }
 
-    /// A request was sent.
+    /// Records that a request was dispatched.
     ///
-    /// What is told twice counts once: a host tells another all that it has under way when they
-    /// meet, and the same dispatch by itself.
-    pub fn begin(&mut self, work: Work, now: clock::Moment) {
-        if self.works.contains_key(&work.id) {
+    /// Repeated records of one dispatch count once: when two hosts connect, each sends a list of
+    /// all its dispatches in flight, and it also announces each dispatch separately.
+    pub fn record_dispatch(&mut self, dispatch: Dispatch, now: clock::Moment) {
+        if self.dispatches.contains_key(&dispatch.id) {
             return;
         }
-        for name in std::iter::once(&work.first).chain(&work.helpers) {
+        for name in std::iter::once(&dispatch.primary).chain(&dispatch.helpers) {
             if let Some(engine) = self.upstreams.get_mut(name) {
-                engine.begin_if_on(&work, now);
+                engine.begin_if_on(&dispatch, now);
             }
         }
-        self.reading.add(self.loose_read_ms(&work), now);
-        self.works.insert(work.id, Begun { work, at: now });
+        self.prefill_load.add(self.loose_prefill_ms(&dispatch), now);
+        self.dispatches.insert(dispatch.id, Tracked { dispatch, known_since: now });
     }
 
-    /// Milliseconds that an engine alone would read the prompt of `work`; 0 where its answer bears
-    /// only short pauses.
-    fn loose_read_ms(&self, work: &Work) -> f64 {
-        if work.gap <= self.settings.tight_gap {
+    /// Milliseconds in which a single engine would prefill the prompt of `dispatch`; 0 if its gap
+    /// limit is tight.
+    fn loose_prefill_ms(&self, dispatch: &Dispatch) -> f64 {
+        if dispatch.max_gap <= self.settings.tight_gap {
             return 0.0;
         }
-        let pace = self.upstreams.get(&work.first).and_then(Engine::pace);
-        pace.map_or(0.0, |pace| pace.read_ms(work.prompt))
+        let profile = self.upstreams.get(&dispatch.primary).and_then(Engine::profile);
+        profile.map_or(0.0, |profile| profile.prefill_ms(dispatch.prompt_tokens))
     }
 
-    /// There are so many hosts, this one included, that decide where requests go. Each is taken to
-    /// have as many prompts waiting as this one.
-    pub fn set_deciders(&mut self, deciders: usize) {
-        self.waiting.set_deciders(deciders);
+    /// Sets the number of hosts that place requests, including this one. Each of the others is
+    /// assumed to have as many waiting prompts as this one.
+    pub fn set_placing_hosts(&mut self, hosts: usize) {
+        self.waitlist.set_placing_hosts(hosts);
     }
 
-    /// Whether the prompt of `work` is read.
-    fn is_read(&self, work: &Work) -> bool {
-        self.upstreams.get(&work.first).is_some_and(|engine| engine.writes(work.id))
+    /// Whether the prompt of `dispatch` has been prefilled.
+    fn is_prefilled(&self, dispatch: &Dispatch) -> bool {
+        self.upstreams.get(&dispatch.primary).is_some_and(|engine| engine.writes(dispatch.id))
     }
 
-    /// The first token of a request came: its prompt is read.
-    pub fn first_token(&mut self, id: WorkId, now: clock::Moment) {
-        self.each_engine(id, |engine| engine.read_done(id, now));
+    /// Records the first token of a request, which shows that its prompt has been prefilled.
+    pub fn record_first_token(&mut self, id: DispatchId, now: clock::Moment) {
+        self.for_each_engine(id, |engine| engine.read_done(id, now));
     }
 
-    /// A request ended.
-    pub fn end(&mut self, id: WorkId, now: clock::Moment) {
-        self.each_engine(id, |engine| engine.end(id, now));
-        self.works.remove(&id);
+    /// Records the end of a request.
+    pub fn record_end(&mut self, id: DispatchId, now: clock::Moment) {
+        self.for_each_engine(id, |engine| engine.end(id, now));
+        self.dispatches.remove(&id);
     }
 
-    /// What the hosts of which `wanted` holds have under way, and whether its prompt is read.
-    pub fn under_way<Wanted>(&self, wanted: Wanted) -> impl Iterator<Item = (&Work, bool)>
+    /// The in-flight dispatches of the hosts that `wanted` selects, each with whether its prompt
+    /// has been prefilled.
+    pub fn in_flight<Wanted>(&self, wanted: Wanted) -> impl Iterator<Item = (&Dispatch, bool)>
     where
         Wanted: Fn(u64) -> bool,
     {
-        let works = self.works.values().map(|begun| &begun.work);
-        let works = works.filter(move |work| wanted(work.id.host));
-        works.map(|work| (work, self.is_read(work)))
+        let dispatches = self.dispatches.values().map(|tracked| &tracked.dispatch);
+        let dispatches = dispatches.filter(move |dispatch| wanted(dispatch.id.host));
+        dispatches.map(|dispatch| (dispatch, self.is_prefilled(dispatch)))
     }
 
-    /// Forgets what `host` does not have under way though this host knew of it before `before`: all
-    /// that it has are those of `numbers`.
+    /// Drops the dispatches of `host` that are not listed in `numbers` and that this host has known
+    /// of since `before` or earlier; `numbers` lists all dispatches that `host` has in flight.
+    /// Returns those dropped.
     ///
-    /// Failure answered: the word that a request ended is lost, and its place counts as taken until
-    /// its caller's time is over. A host that tells all that it has makes up for every lost word.
-    pub fn keep_only(
+    /// Failure answered: the message that a request ended is lost, and its slot would count as used
+    /// until the caller's deadline. The complete list of a host corrects all lost messages.
+    pub fn retain_listed(
         &mut self,
         host: u64,
         numbers: &collections::HashSet<u64>,
         before: clock::Moment,
         now: clock::Moment,
-    ) -> Vec<WorkId> {
-        let over = self.works.values().filter(|begun| {
-            let id = begun.work.id;
-            id.host == host && begun.at <= before && !numbers.contains(&id.number)
+    ) -> Vec<DispatchId> {
+        let over = self.dispatches.values().filter(|tracked| {
+            let id = tracked.dispatch.id;
+            id.host == host && tracked.known_since <= before && !numbers.contains(&id.number)
         });
-        let over: Vec<_> = over.map(|begun| begun.work.id).collect();
+        let over: Vec<_> = over.map(|tracked| tracked.dispatch.id).collect();
         for id in &over {
-            self.end(*id, now);
+            self.record_end(*id, now);
         }
         over
     }
 
-    /// Forgets what must be over, as of hosts that fell silent.
+    /// Drops dispatches past their deadline, such as those of hosts that stopped sending updates.
     pub fn expire(&mut self, now: clock::Moment) {
-        let works = self.works.values().map(|begun| &begun.work);
-        let due: Vec<_> = works.filter(|work| work.until <= now).map(|work| work.id).collect();
+        let dispatches = self.dispatches.values().map(|tracked| &tracked.dispatch);
+        let due: Vec<_> = dispatches
+            .filter(|dispatch| dispatch.deadline <= now)
+            .map(|dispatch| dispatch.id)
+            .collect();
         for id in due {
-            self.end(id, now);
+            self.record_end(id, now);
         }
     }
 
-    /// An upstream could not be reached, or fell silent: it is passed over for a while.
-    pub fn suspect(&mut self, upstream: &id::Upstream, now: clock::Moment) {
+    /// Records that an upstream could not be reached or stopped responding; it is avoided for a
+    /// while.
+    pub fn record_unreachable(&mut self, upstream: &id::Upstream, now: clock::Moment) {
         let span = self.settings.suspect_span;
         if let Some(engine) = self.upstreams.get_mut(upstream) {
             engine.failed(now, span);
-            self.cuts.failed(&self.zone, &engine.entry().zone, upstream, now);
+            self.partitions.record_failure(&self.zone, &engine.entry().zone, upstream, now);
         }
     }
 
-    /// The engine `first` could not reach `helper`, which was to read a part of a prompt.
-    pub fn helper_failed(
+    /// Records that the engine `first` could not reach `helper`, which was to prefill a part of a
+    /// prompt.
+    pub fn record_helper_failure(
         &mut self,
         first: &id::Upstream,
         helper: &id::Upstream,
@@ -348,182 +361,207 @@
         let span = self.settings.suspect_span;
         if let (Some(from), Some(engine)) = (from, self.upstreams.get_mut(helper)) {
             engine.failed(now, span);
-            self.cuts.failed(&from, &engine.entry().zone, helper, now);
+            self.partitions.record_failure(&from, &engine.entry().zone, helper, now);
         }
     }
 
-    /// The upstream that hears at `address`.
-    pub fn at(&self, address: net::SocketAddr) -> Option<&id::Upstream> {
+    /// The upstream that listens on `address`.
+    pub fn upstream_at(&self, address: net::SocketAddr) -> Option<&id::Upstream> {
         let mut entries = self.upstreams.values().map(Engine::entry);
         entries.find(|entry| entry.address == address).map(|entry| &entry.upstream)
     }
 
-    /// What is known of the upstream of this name.
+    /// The routing entry of the upstream with this name.
     pub fn entry(&self, name: &str) -> Option<&routing::Registration> {
         self.upstreams.get(name).map(Engine::entry)
     }
 
-    /// Something came from an upstream.
-    pub fn heard(&mut self, upstream: &id::Upstream, now: clock::Moment) {
+    /// Records that data arrived from an upstream.
+    pub fn record_activity(&mut self, upstream: &id::Upstream, now: clock::Moment) {
         if let Some(engine) = self.upstreams.get_mut(upstream) {
             engine.hear(now);
         }
     }
 
-    /// An upstream takes `factor` times its published pace.
+    /// Records that a pass of this upstream takes `factor` times as long as published.
     ///
-    /// Load pattern: a part of the engines turns several times slower for some seconds. Each prompt
-    /// that is sent there is late, and so is each long prompt of which one reads a part, and those
-    /// that wait behind it. While another engine is left, slow ones get nothing new.
+    /// Load pattern: some of the engines become several times slower for some seconds. Every prompt
+    /// sent to one of them is late, and so is every long prompt of which one prefills a part, and
+    /// the prompts queued behind it. Slow engines get no new requests as long as another engine is
+    /// available.
     pub fn set_slowness(&mut self, upstream: &id::Upstream, factor: f64, now: clock::Moment) {
         if let Some(engine) = self.upstreams.get_mut(upstream) {
             engine.set_slowness(factor, now);
         }
     }
 
-    /// The model engines.
+    /// The routing entries of the model engines, which are the upstreams with a performance
+    /// profile.
     pub fn engines(&self) -> impl Iterator<Item = &routing::Registration> {
-        let engines = self.upstreams.values().filter(|engine| engine.pace().is_some());
+        let engines = self.upstreams.values().filter(|engine| engine.profile().is_some());
         engines.map(Engine::entry)
     }
 
-    /// Whether something came from an upstream within `span` before `now`: one that is silent to a
-    /// single request is busy with others, not gone.
+    /// Whether anything arrived from an upstream within `span` before `now`. An upstream that is
+    /// silent on a single request but active on others is busy, not down.
     pub fn is_alive(&self, upstream: &id::Upstream, span: clock::Span, now: clock::Moment) -> bool {
         self.upstreams.get(upstream).is_some_and(|engine| now.since(engine.heard()) <= span)
     }
 
-    /// Whether an upstream failed another request and nothing has come of it since.
+    /// Whether an upstream failed another request and has sent nothing since.
     ///
-    /// Failure answered: an upstream goes silent under many requests. Each that waits for it on its
-    /// own waits as long as its own answer may pause, those with long pauses for seconds.
-    pub fn is_lost(&self, upstream: &id::Upstream) -> bool {
+    /// Failure answered: an upstream stops responding while it has many requests. Without this
+    /// check each request would wait for its own gap limit to pass, which can take seconds.
+    pub fn is_unresponsive(&self, upstream: &id::Upstream) -> bool {
         self.upstreams.get(upstream).is_some_and(Engine::is_lost)
     }
 
-    /// Whether the engine that is to answer `id` has begun a later answer of the same kind to a
-    /// prompt at least as long. An engine takes prompts of one kind in their order.
+    /// Whether the engine that should answer `id` has started a later answer with the same gap
+    /// limit to a prompt at least as long. An engine processes prompts of one kind in order of
+    /// arrival.
     ///
-    /// Failure answered: an engine works on, but never answers some of its requests. It is alive, so
-    /// those would be waited for until their callers have left.
-    pub fn is_overtaken(&self, id: WorkId) -> bool {
-        let Some(Begun { work, at }) = self.works.get(&id) else { return false };
-        let passes = |other: &&Begun| {
-            let Work { first, prompt, gap, .. } = &other.work;
-            other.at > *at && *first == work.first && *gap == work.gap && *prompt >= work.prompt
+    /// Failure answered: an engine keeps working but never answers some of its requests. Since the
+    /// engine is alive, these would be awaited until their callers give up.
+    pub fn is_overtaken(&self, id: DispatchId) -> bool {
+        let Some(Tracked { dispatch, known_since }) = self.dispatches.get(&id) else {
+            return false;
+        };
+        let passes = |other: &&Tracked| {
+            let Dispatch { primary, prompt_tokens, max_gap, .. } = &other.dispatch;
+            other.known_since > *known_since
+                && *primary == dispatch.primary
+                && *max_gap == dispatch.max_gap
+                && *prompt_tokens >= dispatch.prompt_tokens
         };
-        self.works.values().filter(passes).any(|other| self.is_read(&other.work))
+        self.dispatches.values().filter(passes).any(|other| self.is_prefilled(&other.dispatch))
     }
 
-    /// An engine had no memory to reserve: it is taken for full for a moment.
-    pub fn full(&mut self, upstream: &id::Upstream, now: clock::Moment) {
+    /// Records that an engine had no memory for a reservation; it counts as full for a short time.
+    pub fn mark_full(&mut self, upstream: &id::Upstream, now: clock::Moment) {
         let until = now + self.settings.full_span;
         if let Some(engine) = self.upstreams.get_mut(upstream) {
             engine.full(until);
         }
     }
 
-    /// An upstream answered with an error of its own.
+    /// Records that an upstream answered with an error of its own.
     ///
-    /// Load pattern: an upstream that fails its requests at once, with a good health check, is
-    /// always the least busy one and draws all of them. Its share of failures counts as delay.
-    pub fn erred(&mut self, upstream: &id::Upstream, now: clock::Moment) {
+    /// Load pattern: an upstream fails its requests at once although its health check succeeds. It
+    /// would always be the least loaded one and attract all requests, so its failure rate counts as
+    /// additional delay.
+    pub fn record_error(&mut self, upstream: &id::Upstream, now: clock::Moment) {
         if let Some(engine) = self.upstreams.get_mut(upstream) {
             engine.erred(now);
         }
     }
 
-    /// An upstream answered.
-    pub fn answered(&mut self, upstream: &id::Upstream, now: clock::Moment) {
+    /// Records that an upstream answered successfully.
+    pub fn record_success(&mut self, upstream: &id::Upstream, now: clock::Moment) {
         if let Some(engine) = self.upstreams.get_mut(upstream) {
             engine.answered(now);
-            self.cuts.answered(&self.zone, &engine.entry().zone);
+            self.partitions.record_success(&self.zone, &engine.entry().zone);
         }
     }
 
-    fn each_engine<Act>(&mut self, id: WorkId, mut act: Act)
+    fn for_each_engine<Act>(&mut self, id: DispatchId, mut act: Act)
     where
         Act: FnMut(&mut Engine),
     {
-        let Some(Begun { work, .. }) = self.works.get(&id) else { return };
-        for name in std::iter::once(&work.first).chain(&work.helpers) {
+        let Some(Tracked { dispatch, .. }) = self.dispatches.get(&id) else { return };
+        for name in std::iter::once(&dispatch.primary).chain(&dispatch.helpers) {
             if let Some(engine) = self.upstreams.get_mut(name) {
                 act(engine);
             }
         }
     }
 
-    /// Where `demand` goes.
+    /// Chooses the upstreams for `request`.
     ///
     /// # Errors
     ///
-    /// Why it cannot be placed now.
-    pub fn place(&mut self, demand: &Demand<'_>, now: clock::Moment) -> Result<Placement, Refusal> {
+    /// Returns the reason if the request cannot be placed now.
+    pub fn place(
+        &mut self,
+        request: &Request<'_>,
+        now: clock::Moment,
+    ) -> Result<Placement, Refusal> {
         for engine in self.upstreams.values_mut() {
             engine.advance(now);
         }
-        let usable = self.usable(demand, now);
+        let usable = self.usable(request, now);
         if usable.is_empty() {
             return Err(Refusal::NoUpstream);
         }
-        let pace = usable.iter().find_map(|engine| engine.pace());
-        match pace {
-            Some(pace) if demand.prompt > 0 => {
-                let placed = self.place_prompt(demand, &usable, pace, now);
+        let profile = usable.iter().find_map(|engine| engine.profile());
+        match profile {
+            Some(profile) if request.prompt_tokens > 0 => {
+                let placed = self.place_prompt(request, &usable, profile, now);
                 let waits = matches!(placed, Err(Refusal::Busy(_)));
-                self.waiting.note(demand.turn, pace.read_ms(demand.prompt), waits, now);
+                self.waitlist.note(
+                    request.waiter,
+                    profile.prefill_ms(request.prompt_tokens),
+                    waits,
+                    now,
+                );
                 placed
             }
-            _ => Ok(self.place_call(demand, &usable, now)),
+            _ => Ok(self.place_call(request, &usable, now)),
         }
     }
 
-    /// Upstreams that may be asked: those not suspected, or all when every one is.
-    fn usable(&self, demand: &Demand<'_>, now: clock::Moment) -> Vec<&Engine> {
+    /// Upstreams that may be used: those that look healthy, or all if none does.
+    fn usable(&self, request: &Request<'_>, now: clock::Moment) -> Vec<&Engine> {
         let open = |engine: &&Engine| {
-            !engine.entry().leaving && !demand.avoid.contains(&engine.entry().upstream)
+            !engine.entry().leaving && !request.avoid.contains(&engine.entry().upstream)
         };
         let all: Vec<&Engine> = self.upstreams.values().filter(open).collect();
         let sound = |engine: &&Engine| {
-            let cut = self.cuts.is_cut(&self.zone, &engine.entry().zone, now);
+            let cut = self.partitions.is_partitioned(&self.zone, &engine.entry().zone, now);
             !engine.is_suspect(now) && !cut && !engine.is_slow(now)
         };
         let mut found: Vec<&Engine> = all.iter().copied().filter(sound).collect();
-        // Those that fail come last: the first ones are kept for short prompts.
+        // Failing upstreams come last, because the first engines are the ones reserved for tight
+        // gap limits.
         found.sort_by_key(|engine| engine.errors(now) > FAILS);
         if found.is_empty() { all } else { found }
     }
 
-    /// A call of a plain service: the least used replica, in the own zone unless that is busier.
-    fn place_call(&self, demand: &Demand<'_>, usable: &[&Engine], now: clock::Moment) -> Placement {
+    /// Places a call of a plain service on the least-used replica, preferring the own zone unless
+    /// it is busier.
+    fn place_call(
+        &self,
+        request: &Request<'_>,
+        usable: &[&Engine],
+        now: clock::Moment,
+    ) -> Placement {
         let cost = |engine: &&&Engine| {
-            let remote = u64::from(engine.entry().zone != *demand.zone);
+            let remote = u64::from(engine.entry().zone != *request.zone);
             let slots = u64::from(engine.entry().slots.max(1));
             let used = engine.works() as u64 * 1_000 / slots;
             let errors = (engine.errors(now) * ERRORS_USED) as u64;
-            (used + remote * REMOTE_USED + errors, spread(demand.draw, engine))
+            (used + remote * REMOTE_USED + errors, spread(request.random, engine))
         };
-        let first = usable.iter().min_by_key(cost).map_or(usable[0], |engine| *engine);
+        let primary = usable.iter().min_by_key(cost).map_or(usable[0], |engine| *engine);
         Placement {
-            first: first.entry().clone(),
+            primary: primary.entry().clone(),
             reserve: 0,
             helpers: Vec::new(),
             expected: clock::Span::ZERO,
-            belief: first.belief(now),
-            next: None,
+            estimate: primary.estimate(now),
+            runner_up: None,
         }
     }
 }
 
-/// Share of failed requests above which an upstream counts as failing: twice what services fail of
-/// themselves.
+/// Failure rate above which an upstream counts as failing: twice the rate at which healthy services
+/// fail.
 const FAILS: f64 = 0.3;
-/// Thousandths of a replica's places that being in another zone counts as: two of six taken.
+/// Penalty for a replica in another zone, in thousandths of its slots: as if two of six were taken.
 const REMOTE_USED: u64 = 300;
-/// The same for failing every request: full twice over.
+/// Penalty for a failure rate of one, in thousandths of a replica's slots: as if twice overloaded.
 const ERRORS_USED: f64 = 2_000.0;
 
-/// An order of equal choices that differs from draw to draw.
+/// A pseudo-random order of upstreams that differs from request to request.
 fn spread(draw: u64, engine: &Engine) -> u64 {
     use std::hash::{Hash, Hasher};
     let mut hasher = collections::hash_map::DefaultHasher::new();
--- a/crates/lagoonline/src/load/retry.rs
+++ b/crates/lagoonline/src/load/retry.rs
@@ -1,96 +1,96 @@
-//! Retries draw on a budget that first attempts fill.
+//! Retry budget that is filled by first attempts.
 //!
-//! Load pattern: saturation or a dying engine, where many attempts fail at once. Without a budget
-//! each failure becomes another request, the load doubles when there is least room for it, and the
-//! overload feeds itself. A tenth of first attempts is enough for one engine in ten to die with
-//! all its work; the burst of ten lets a quiet host repeat at all.
+//! Load pattern: saturation or a failing engine, where many attempts fail at once. Without a budget
+//! each failure becomes another request, the load doubles when there is least capacity for it, and
+//! the overload feeds itself. A tenth of first attempts is enough for one engine in ten to fail
+//! with all its work; the burst of ten allows retries at a host with little traffic.
 //!
-//! No scenario uses the budget up since failing upstreams are left alone at once: its worth is not
-//! measured.
+//! No load scenario exhausts the budget, because failing upstreams are avoided at once.
 
-/// What one first attempt adds unless [`Budget::allow_ratio`] says otherwise.
-const SHARE: f64 = 0.1;
-/// Most that is kept.
-const BURST: f64 = 10.0;
+/// Retries added per first attempt unless [`Budget::set_ratio`] changes it.
+const DEFAULT_RATIO: f64 = 0.1;
+/// Largest number of retries that can accumulate.
+const MAX_BURST: f64 = 10.0;
 
 /// Retries that may still be made.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    left: f64,
+    available: f64,
     burst: f64,
-    /// What one first attempt adds.
-    share: f64,
+    /// Retries added per first attempt.
+    ratio: f64,
 }
 
 impl Default for Budget {
     fn default() -> Self {
-        Budget { left: BURST, burst: BURST, share: SHARE }
+        Budget { available: MAX_BURST, burst: MAX_BURST, ratio: DEFAULT_RATIO }
     }
 }
 
-/// Part of a slack that all hosts share which their bursts may use up: the rest is for hosts that
-/// come and go.
+/// Fraction of the slack shared by all hosts that their bursts may use together: the rest is for
+/// hosts that join and leave.
 const SLACK_SHARE: f64 = 0.6;
-/// Part of the retries allowed for each request that first attempts add: callers' requests that
-/// reach no upstream count too, and hosts that start bring a burst of their own.
+/// Fraction of the allowed retries per request that first attempts add: first attempts that reach no
+/// upstream add to the budget too, and starting hosts bring a burst of their own.
 const RATIO_SHARE: f64 = 0.75;
-/// Least burst: with less a quiet host could never repeat.
-const LEAST_BURST: f64 = 1.0;
+/// Smallest burst: with less, a host with little traffic could never retry.
+const MIN_BURST: f64 = 1.0;
 
 impl Budget {
-    /// Bounds the burst so that those of `hosts` hosts together stay within `slack`.
+    /// Limits the burst so that the bursts of `hosts` hosts together stay within `slack`.
     ///
-    /// Load pattern: hundreds of hosts, each of which may repeat a few requests at once, when many
-    /// upstreams fail together. Each within its own burst, they go far beyond what all may repeat.
+    /// Load pattern: many upstreams fail together in a fleet of hundreds of hosts, each of which
+    /// may retry a few requests at once. If each used its full burst, together they would exceed by
+    /// far the retries that are allowed for all.
     ///
     /// ```
     /// let mut budget = lagoonline::load::retry::Budget::default();
-    /// budget.share_slack(200.0, 60);
-    /// assert_eq!((0..100).filter(|_| budget.take()).count(), 2);
+    /// budget.set_slack(200.0, 60);
+    /// assert_eq!((0..100).filter(|_| budget.take_retry()).count(), 2);
     /// ```
-    pub fn share_slack(&mut self, slack: f64, hosts: usize) {
+    pub fn set_slack(&mut self, slack: f64, hosts: usize) {
         let share = slack * SLACK_SHARE / hosts.max(1) as f64;
-        self.burst = share.clamp(LEAST_BURST, BURST);
-        self.left = self.left.min(self.burst);
+        self.burst = share.clamp(MIN_BURST, MAX_BURST);
+        self.available = self.available.min(self.burst);
     }
 
-    /// Allows `ratio` retries for each request of all hosts.
+    /// Allows `ratio` retries per request of all hosts.
     ///
     /// ```
     /// let mut budget = lagoonline::load::retry::Budget::default();
-    /// while budget.take() {}
-    /// budget.allow_ratio(0.4);
-    /// for _ in 0..10 { budget.first_attempt(); }
-    /// assert_eq!((0..100).filter(|_| budget.take()).count(), 3);
+    /// while budget.take_retry() {}
+    /// budget.set_ratio(0.4);
+    /// for _ in 0..10 { budget.record_first_attempt(); }
+    /// assert_eq!((0..100).filter(|_| budget.take_retry()).count(), 3);
     /// ```
-    pub fn allow_ratio(&mut self, ratio: f64) {
-        self.share = ratio * RATIO_SHARE;
+    pub fn set_ratio(&mut self, ratio: f64) {
+        self.ratio = ratio * RATIO_SHARE;
     }
 
-    /// A first attempt was made.
+    /// Records a first attempt.
     ///
     /// ```
     /// let mut budget = lagoonline::load::retry::Budget::default();
-    /// assert_eq!((0..100).filter(|_| budget.take()).count(), 10);
-    /// for _ in 0..100 { budget.first_attempt(); }
-    /// assert_eq!((0..100).filter(|_| budget.take()).count(), 10);
+    /// assert_eq!((0..100).filter(|_| budget.take_retry()).count(), 10);
+    /// for _ in 0..100 { budget.record_first_attempt(); }
+    /// assert_eq!((0..100).filter(|_| budget.take_retry()).count(), 10);
     /// ```
-    pub fn first_attempt(&mut self) {
-        self.left = (self.left + self.share).min(self.burst);
+    pub fn record_first_attempt(&mut self) {
+        self.available = (self.available + self.ratio).min(self.burst);
     }
 
     /// Whether a retry is left.
-    pub fn has_one(&self) -> bool {
-        // Sums of tenths fall a rounding error short of a whole.
-        self.left >= 1.0 - 1e-9
+    pub fn has_retry(&self) -> bool {
+        // A sum of tenths can be a rounding error below a whole number.
+        self.available >= 1.0 - 1e-9
     }
 
-    /// Takes one retry, or says that there is none left.
-    pub fn take(&mut self) -> bool {
-        if !self.has_one() {
+    /// Takes one retry; returns false if none is left.
+    pub fn take_retry(&mut self) -> bool {
+        if !self.has_retry() {
             return false;
         }
-        self.left -= 1.0;
+        self.available -= 1.0;
         true
     }
 }
--- a/crates/lagoonline/tests/load_fuzz.rs
+++ b/crates/lagoonline/tests/load_fuzz.rs
@@ -1,4 +1,4 @@
-//! Stateful fuzzing of the scheduler before a simple oracle: what it was told and what it said.
+//! Stateful fuzzing of the scheduler against a simple oracle that records calls and results.
 
 use std::collections;
 use std::sync;
@@ -30,7 +30,7 @@
     Fleet { mask: u8 },
 }
 
-/// The steps do not depend on a model's state; the oracle lives beside the scheduler.
+/// The steps don't depend on a model's state; the oracle is part of [`World`].
 struct Steps;
 
 impl ReferenceStateMachine for Steps {
@@ -73,8 +73,8 @@
 struct World {
     scheduler: Scheduler,
     now: Moment,
-    waiting: collections::BTreeMap<Waiter, load::Ask>,
-    running: collections::BTreeMap<Ticket, (id::Upstream, load::Ask)>,
+    waiting: collections::BTreeMap<Waiter, load::Request>,
+    running: collections::BTreeMap<Ticket, (id::Upstream, load::Request)>,
     tickets: collections::BTreeSet<Ticket>,
     leaving: collections::BTreeSet<id::Upstream>,
 }
@@ -127,8 +127,8 @@
         }
     }
 
-    fn ask(&self, customer: u8, tokens: u64, deadline_ms: u64) -> load::Ask {
-        load::Ask {
+    fn ask(&self, customer: u8, tokens: u64, deadline_ms: u64) -> load::Request {
+        load::Request {
             customer: id::Customer::from(format!("c{customer}")),
             team: id::Team::from(format!("t{}", customer % 2)),
             weight: 1 + u32::from(customer),
@@ -167,7 +167,7 @@
                     let (upstream, ask) = self.running.remove(&ticket).unwrap();
                     self.learn_leaving(upstream, number);
                     let ending = ending(number);
-                    let verdict = self.scheduler.again(self.now, ticket, ending, ask.clone());
+                    let verdict = self.scheduler.retry(self.now, ticket, ending, ask.clone());
                     self.verdict(verdict, ask);
                 }
             }
@@ -175,7 +175,7 @@
                 let count = self.waiting.len().max(1);
                 if let Some(&waiter) = self.waiting.keys().nth(pick % count) {
                     self.waiting.remove(&waiter);
-                    self.scheduler.leave(waiter);
+                    self.scheduler.cancel(waiter);
                 }
             }
             Step::Leaving { upstream, leaving } => {
@@ -198,7 +198,7 @@
                 self.scheduler.observe(self.now, &name(upstream), &load);
             }
             Step::Fleet { mask } => {
-                // Marks of upstreams outside the fleet are the data path's to set again.
+                // The data path has to repeat the marks of upstreams that were outside the fleet.
                 self.scheduler.set_fleet(self.now, &fleet(mask), &id::Model::from("m"));
                 for upstream in self.leaving.clone() {
                     self.scheduler.set_leaving(self.now, &upstream, true);
@@ -209,7 +209,7 @@
     }
 
     fn learn_leaving(&mut self, upstream: id::Upstream, number: u8) {
-        // An upstream that left the fleet and came back is known afresh.
+        // An upstream that left the fleet and joined again has no earlier state.
         if number == 2 {
             self.scheduler.set_leaving(self.now, &upstream, true);
             self.leaving.insert(upstream);
@@ -220,7 +220,7 @@
         self.running.keys().nth(pick % self.running.len().max(1)).copied()
     }
 
-    fn verdict(&mut self, verdict: Verdict, ask: load::Ask) {
+    fn verdict(&mut self, verdict: Verdict, ask: load::Request) {
         match verdict {
             Verdict::Dispatch(placement) => self.dispatched(placement, ask),
             Verdict::Wait(waiter) => assert!(self.waiting.insert(waiter, ask).is_none()),
@@ -228,7 +228,7 @@
         }
     }
 
-    fn dispatched(&mut self, placement: load::Placement, ask: load::Ask) {
+    fn dispatched(&mut self, placement: load::Placement, ask: load::Request) {
         assert!(self.tickets.insert(placement.ticket), "a ticket was given twice");
         assert!(!self.leaving.contains(&placement.upstream), "a leaving upstream got work");
         self.running.insert(placement.ticket, (placement.upstream, ask));
@@ -289,7 +289,7 @@
         world.check();
     }
 
-    // All callers' deadlines pass and all work ends: nothing is left behind.
+    // After all deadlines have passed and all work has ended, nothing is left.
     fn teardown(mut world: World) {
         world.now = world.now + Span::from_secs(3_600);
         world.poll();
