--- a/crates/lagoon-gateway/src/mirror.rs
+++ b/crates/lagoon-gateway/src/mirror.rs
@@ -1,105 +1,113 @@
-//! A table of the platform as this host knows it, from which it can tell others what changed.
+//! A local copy of a table of the platform, which can report the changes since a version.
 //!
-//! Upstreams write their entries each second with nothing in them changed but a counter. Such a
-//! row keeps the version of its last real change, so that neither this host nor those that ask it
-//! take it in again.
+//! Upstreams rewrite their entries every second, usually with only a counter changed. Such a row
+//! keeps the version of its last relevant change, so that neither this host nor those that ask it
+//! apply it again.
 
 use std::collections;
 
 use lagoon_platform::store;
 
-/// Rows that were removed and are still remembered, so that those who knew them can be told.
-const REMOVED: usize = 1_000;
+/// Maximum number of removed rows that are kept, so that their removal can be reported.
+const MAX_TOMBSTONES: usize = 1_000;
 
-/// Whether two values of the row with this key say the same.
-pub(crate) type Same = fn(&str, &[u8], &[u8]) -> bool;
+/// Compares two values of the row with the given key; true if they are equivalent.
+pub(crate) type SameValue = fn(&str, &[u8], &[u8]) -> bool;
 
 /// The rows of a table.
 #[derive(Debug)]
 pub(crate) struct Mirror {
-    same: Same,
+    same: SameValue,
     rows: collections::BTreeMap<String, store::Row>,
-    /// Version up to which it is complete; `None` until all was read, and when history was lost.
+    /// Version up to which the copy is complete; `None` until all rows have been read, and again
+    /// when the platform no longer has the history of changes.
     version: Option<u64>,
-    /// Changes up to this version may have been forgotten.
-    base: u64,
-    /// Version of the last real change.
-    changed: u64,
+    /// Removals up to this version may have been dropped from the copy.
+    pruned_up_to: u64,
+    /// Version of the last relevant change.
+    last_change: u64,
 }
 
-/// What someone who knew a table up to some version is to be told.
+/// Changes of a table since some version, or all of its rows.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct Part {
-    /// The rows that changed, or all.
+pub(crate) struct Delta {
+    /// The changed rows, or all rows.
     pub(crate) rows: Vec<store::Row>,
-    /// Whether these are all rows.
+    /// Whether `rows` are all rows of the table.
     pub(crate) all: bool,
-    /// Version up to which it is complete.
+    /// Version up to which `rows` is complete.
     pub(crate) version: u64,
 }
 
 impl Mirror {
-    /// An empty one, which knows nothing yet.
-    pub(crate) fn new(same: Same) -> Mirror {
-        Mirror { same, rows: collections::BTreeMap::new(), version: None, base: 0, changed: 0 }
+    /// Creates an empty copy that is not complete yet.
+    pub(crate) fn new(same: SameValue) -> Mirror {
+        Mirror {
+            same,
+            rows: collections::BTreeMap::new(),
+            version: None,
+            pruned_up_to: 0,
+            last_change: 0,
+        }
     }
 
-    /// Version up to which it is complete.
+    /// Returns the version up to which the copy is complete.
     pub(crate) fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// Version of the last real change.
-    pub(crate) fn changed(&self) -> u64 {
-        self.changed
+    /// Returns the version of the last relevant change.
+    pub(crate) fn last_change(&self) -> u64 {
+        self.last_change
     }
 
-    /// History was lost: all must be read again.
-    pub(crate) fn forget(&mut self) {
+    /// Marks the copy as incomplete, so that all rows are read again.
+    pub(crate) fn mark_incomplete(&mut self) {
         self.version = None;
     }
 
-    /// Takes in news, and returns the rows that really changed.
+    /// Applies changes, and returns the rows with relevant changes.
     ///
-    /// News may come by two ways, and a row older than what is known changes nothing.
-    pub(crate) fn take(&mut self, part: Part) -> Vec<store::Row> {
-        let stale = self.version.is_some_and(|known| known > part.version);
-        if part.all && stale {
+    /// Changes may arrive in two ways, directly and through the relay; a row older than the known
+    /// one is ignored.
+    pub(crate) fn apply(&mut self, delta: Delta) -> Vec<store::Row> {
+        let stale = self.version.is_some_and(|known| known > delta.version);
+        if delta.all && stale {
             return Vec::new();
         }
-        let gone = if part.all { self.gone(&part) } else { Vec::new() };
-        if part.all && self.version.is_none() {
-            self.base = part.version;
+        let gone = if delta.all { self.removals(&delta) } else { Vec::new() };
+        if delta.all && self.version.is_none() {
+            self.pruned_up_to = delta.version;
         }
-        let rows = part.rows.into_iter().chain(gone);
-        let changed: Vec<_> = rows.filter(|row| self.put(row)).collect();
-        self.version = self.version.max(Some(part.version));
-        self.forget_removed();
+        let rows = delta.rows.into_iter().chain(gone);
+        let changed: Vec<_> = rows.filter(|row| self.store_row(row)).collect();
+        self.version = self.version.max(Some(delta.version));
+        self.prune_tombstones();
         changed
     }
 
-    /// What someone who knew the table up to `version` is to be told; `None` while this host does
-    /// not know it all.
-    pub(crate) fn since(&self, version: Option<u64>) -> Option<Part> {
+    /// Returns the changes since `version`, or all rows if it is `None` or too old. Returns `None`
+    /// while this copy is not complete.
+    pub(crate) fn changes_since(&self, version: Option<u64>) -> Option<Delta> {
         let complete = self.version?;
-        let known = version.filter(|version| *version >= self.base);
+        let known = version.filter(|version| *version >= self.pruned_up_to);
         let rows = self.rows.values().filter(|row| match known {
             Some(version) => row.version > version,
             None => row.value.is_some(),
         });
-        Some(Part { rows: rows.cloned().collect(), all: known.is_none(), version: complete })
+        Some(Delta { rows: rows.cloned().collect(), all: known.is_none(), version: complete })
     }
 
-    /// Rows that are no longer among all.
-    fn gone(&self, part: &Part) -> Vec<store::Row> {
-        let listed: collections::HashSet<_> = part.rows.iter().map(|row| &row.key).collect();
+    /// Returns removals for the known rows that are missing in a complete list.
+    fn removals(&self, delta: &Delta) -> Vec<store::Row> {
+        let listed: collections::HashSet<_> = delta.rows.iter().map(|row| &row.key).collect();
         let known = self.rows.values().filter(|row| row.value.is_some());
         let gone = known.filter(|row| !listed.contains(&row.key));
-        gone.map(|row| store::Row { value: None, version: part.version, ..row.clone() }).collect()
+        gone.map(|row| store::Row { value: None, version: delta.version, ..row.clone() }).collect()
     }
 
-    /// Keeps a row; whether it says something new.
-    fn put(&mut self, row: &store::Row) -> bool {
+    /// Stores a row. Returns whether it differs from the known one.
+    fn store_row(&mut self, row: &store::Row) -> bool {
         if let Some(known) = self.rows.get_mut(&row.key) {
             if known.version >= row.version {
                 return false;
@@ -113,20 +121,20 @@
                 return false;
             }
         }
-        self.changed = self.changed.max(row.version);
+        self.last_change = self.last_change.max(row.version);
         self.rows.insert(row.key.clone(), row.clone());
         true
     }
 
-    fn forget_removed(&mut self) {
+    fn prune_tombstones(&mut self) {
         let removed = self.rows.values().filter(|row| row.value.is_none());
         let mut versions: Vec<u64> = removed.map(|row| row.version).collect();
-        if versions.len() <= REMOVED {
+        if versions.len() <= MAX_TOMBSTONES {
             return;
         }
         versions.sort_unstable();
-        self.base = self.base.max(versions[versions.len() - REMOVED / 2]);
-        let base = self.base;
-        self.rows.retain(|_, row| row.value.is_some() || row.version > base);
+        self.pruned_up_to = self.pruned_up_to.max(versions[versions.len() - MAX_TOMBSTONES / 2]);
+        let pruned_up_to = self.pruned_up_to;
+        self.rows.retain(|_, row| row.value.is_some() || row.version > pruned_up_to);
     }
 }
--- a/crates/lagoon-gateway/src/place.rs
+++ b/crates/lagoon-gateway/src/place.rs
@@ -1,4 +1,4 @@
-//! A place for a request: an upstream, with the memory that its prompt needs reserved.
+//! Placement of a request: chooses an upstream and reserves the memory that the prompt needs there.
 
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
@@ -11,124 +11,136 @@
 use crate::answer;
 use crate::event;
 use crate::forward;
+use crate::in_flight;
+use crate::message;
 use crate::reserve;
 use crate::schedule;
-use crate::underway;
-use crate::word;
 
-/// Longest time between two looks for a place, for memory, or for engines with less to read: a
-/// tenth of what they may have to read.
-const BUSY_PAUSE: clock::Span = clock::Span::from_millis(40);
+/// Maximum pause between two placement attempts while no engine has a free slot, free memory or a
+/// short enough prefill queue: a tenth of the prefill backlog that an engine may have.
+const MAX_BUSY_PAUSE: clock::Span = clock::Span::from_millis(40);
 
-/// A place for a request, and the memory reserved there.
+/// A chosen upstream, with the memory reserved for the request.
 #[derive(Debug)]
-pub(crate) struct Secured {
+pub(crate) struct Allocation {
     pub(crate) placement: placement::Placement,
     pub(crate) id: placement::DispatchId,
-    pub(crate) underway: underway::Underway,
+    pub(crate) in_flight: in_flight::Guard,
 }
 
-/// A pause drawn from half to one and a half of `span`, so that hosts do not all look at once.
-fn spread(span: clock::Span) -> clock::Span {
+/// Returns a random pause between half and one and a half of `span`, so that hosts do not retry in
+/// step.
+fn jittered(span: clock::Span) -> clock::Span {
     span.mul_f64(rand::rng().random_range(0.5..1.5))
 }
 
-/// A time to come back drawn from `span` on, so that callers neither return too early nor all at
-/// once.
-fn later(span: clock::Span) -> clock::Span {
+/// Returns a random retry time of at least `span`, so that callers neither return too early nor all
+/// at once.
+fn jittered_retry_time(span: clock::Span) -> clock::Span {
     span.mul_f64(rand::rng().random_range(1.0..1.5))
 }
 
 impl forward::Admitted {
-    /// A place for the request, with the memory that it needs reserved. While there is none, the
-    /// request waits: memory is free again when a long answer ends.
+    /// Places the request and reserves the memory that it needs. Waits while there is no capacity:
+    /// memory becomes free when a long answer ends.
     ///
     /// # Errors
     ///
-    /// Why it gets none; nothing was sent.
-    pub(crate) async fn secure(&self, avoid: &[id::Upstream]) -> Result<Secured, answer::Fault> {
-        let first_try = self.state.clock.now();
-        let mut lacking = None;
-        let turn = self.state.next_work();
+    /// Why the request cannot be placed; nothing was sent to an upstream.
+    pub(crate) async fn allocate(
+        &self,
+        avoid: &[id::Upstream],
+    ) -> Result<Allocation, answer::Fault> {
+        let started = self.state.clock.now();
+        let mut last_shortage = None;
+        let waiter = self.state.next_dispatch_id();
         loop {
             self.check_quarantine().await?;
-            let waited = self.state.clock.now().since(first_try);
-            // What goes on elsewhere is late already; its caller still waits for it.
-            let due = if avoid.is_empty() { self.request.arrived } else { first_try };
+            let waited = self.state.clock.now().since(started);
+            // A request that resumes on another upstream has already missed its target, but its
+            // caller is still waiting, so the target counts from now.
+            let due = if avoid.is_empty() { self.request.arrived } else { started };
             let due = due + self.route.target;
-            let decided = self.place(avoid, waited, due, turn).await;
-            let schedule::Decided { id, decider, result } = decided;
+            let decided = self.choose(avoid, waited, due, waiter).await;
+            let schedule::PlacementResult { id, decider, result } = decided;
             let placement = match result {
                 Ok(placement) => placement,
-                Err(placement::Refusal::Busy(shortage)) if self.left() > forward::WORTH_TRYING => {
-                    if lacking.replace(shortage) != Some(shortage) {
+                Err(placement::Refusal::Busy(shortage))
+                    if self.time_left() > forward::MIN_TIME_LEFT =>
+                {
+                    if last_shortage.replace(shortage) != Some(shortage) {
                         self.log_wait(shortage, waited);
                     }
-                    let pause = BUSY_PAUSE.min(self.route.target / 20);
-                    tokio::time::sleep(spread(pause)).await;
+                    let pause = MAX_BUSY_PAUSE.min(self.route.target / 20);
+                    tokio::time::sleep(jittered(pause)).await;
                     continue;
                 }
-                Err(refusal) => return Err(self.refused(refusal)),
+                Err(refusal) => return Err(self.placement_fault(refusal)),
             };
-            // Begun first: a request that is not sent after all is told to have ended.
-            let mut underway = underway::Underway::begin(self, id, &placement, decider);
+            // Registered before the checks below: if the request is not sent after all, dropping
+            // this publishes that the dispatch ended.
+            let mut in_flight = in_flight::Guard::begin(self, id, &placement, decider);
             self.check_time(&placement)?;
             if self.customer.is_some() {
                 admit::check_key_age(&self.state)?;
             }
             match self.reserve(&placement, id).await {
-                Ok(reserved) => {
-                    underway.keep(reserved);
+                Ok(reservations) => {
+                    in_flight.keep(reservations);
                     self.check_quarantine().await?;
-                    return Ok(Secured { placement, id, underway });
+                    return Ok(Allocation { placement, id, in_flight });
                 }
                 Err(refusal) => {
-                    drop(underway);
-                    self.note_refusal(&refusal, waited);
-                    tokio::time::sleep(spread(BUSY_PAUSE)).await;
+                    drop(in_flight);
+                    self.record_refusal(&refusal, waited);
+                    tokio::time::sleep(jittered(MAX_BUSY_PAUSE)).await;
                     if waited > self.route.target * 2 {
                         let fault = answer::Fault::not_run(
                             Reason::Saturated,
                             Step::Route,
                             refusal.to_string(),
                         );
-                        return Err(fault.after(forward::COME_BACK));
+                        return Err(fault.with_retry_after(forward::RETRY_AFTER));
                     }
                 }
             }
         }
     }
 
-    /// Whether the first token is expected in the time that is left.
+    /// Checks that the first token is expected before the deadline.
     ///
     /// # Errors
     ///
-    /// It is not: sent all the same, the request would take an engine's time for nothing.
+    /// It is not. If sent anyway, the request would take engine time for nothing.
     fn check_time(&self, placement: &placement::Placement) -> Result<(), answer::Fault> {
-        if placement.expected <= self.left() {
+        if placement.expected <= self.time_left() {
             return Ok(());
         }
         let detail = format!("first token expected after {:?}", placement.expected);
         Err(answer::Fault::not_run(Reason::CannotMeetDeadline, Step::Route, detail))
     }
 
-    /// Remembers that an engine did not reserve memory.
-    fn note_refusal(&self, refusal: &reserve::Refusal, waited: clock::Span) {
+    /// Logs and publishes that an engine did not reserve memory.
+    fn record_refusal(&self, refusal: &reserve::Refusal, waited: clock::Span) {
         event::Line::new("not_reserved")
             .text("request", &self.request.call.request_id)
             .text("upstream", &refusal.upstream)
             .text("detail", &refusal.detail)
             .span("waited_ms", waited)
             .info();
-        let manner = if refusal.reached { word::Manner::Full } else { word::Manner::Failed };
-        self.saw(&refusal.upstream, manner);
+        let manner = if refusal.answered {
+            message::UpstreamOutcome::Full
+        } else {
+            message::UpstreamOutcome::Failed
+        };
+        self.record_outcome(&refusal.upstream, manner);
     }
 
     async fn reserve(
         &self,
         placement: &placement::Placement,
         id: placement::DispatchId,
-    ) -> Result<Option<reserve::Held>, reserve::Refusal> {
+    ) -> Result<Option<reserve::Reservations>, reserve::Refusal> {
         let helpers = placement.helpers.iter().map(|helper| (&helper.entry, helper.reserve));
         let wanted: Vec<_> = std::iter::once((&placement.primary, placement.reserve))
             .chain(helpers)
@@ -138,57 +150,58 @@
         if wanted.is_empty() {
             return Ok(None);
         }
-        let name = format!("{:x}-{}", self.state.number, id.number);
+        let name = format!("{:x}-{}", self.state.incarnation, id.number);
         let (first, expected) = (&placement.primary, placement.expected);
-        reserve::take(&self.state, &name, first, &wanted, expected).await.map(Some)
+        reserve::reserve_all(&self.state, &name, first, &wanted, expected).await.map(Some)
     }
 
-    /// Where the request goes next, after it has waited for `waited`; its first event is due at
-    /// `due`, and `turn` names it while it waits.
-    async fn place(
+    /// Chooses where the request goes next, after it has waited for `waited`. Its first event is
+    /// due at `due`; `waiter` identifies it while it waits.
+    async fn choose(
         &self,
         avoid: &[id::Upstream],
         waited: clock::Span,
         due: clock::Moment,
-        turn: placement::DispatchId,
-    ) -> schedule::Decided {
+        waiter: placement::DispatchId,
+    ) -> schedule::PlacementResult {
         let now = self.state.clock.now();
-        let demand = placement::Request {
+        let request = placement::Request {
             prompt_tokens: self.request.call.prompt_tokens.unwrap_or(0),
             answer_tokens: self.request.call.answer_tokens.unwrap_or(0),
             target: due.since(now),
-            max_gap: self.gap(),
+            max_gap: self.gap_target(),
             waited,
-            waiter: turn,
+            waiter,
             zone: &self.state.settings.node.zone,
             avoid,
             random: rand::rng().random(),
         };
-        let asked = schedule::ask(&self.state, &self.service, &demand, self.left()).await;
+        let asked = schedule::ask(&self.state, &self.service, &request, self.time_left()).await;
         if let Some(decided) = asked {
             return decided;
         }
-        let placed = self.state.with_board(&self.service, |board, now| board.place(&demand, now));
-        schedule::Decided {
-            id: self.state.next_work(),
-            decider: underway::Decider::Own,
+        let placed =
+            self.state.with_placer(&self.service, |placer, now| placer.place(&request, now));
+        schedule::PlacementResult {
+            id: self.state.next_dispatch_id(),
+            decider: in_flight::Decider::Own,
             result: placed.unwrap_or(Err(placement::Refusal::NoUpstream)),
         }
     }
 
-    fn refused(&self, refusal: placement::Refusal) -> answer::Fault {
+    fn placement_fault(&self, refusal: placement::Refusal) -> answer::Fault {
         let detail = format!("{}: {refusal}", self.service);
         let (reason, span) = match refusal {
-            placement::Refusal::NoUpstream => (Reason::NoUpstream, forward::COME_BACK),
-            // Engines may be missing for a moment, and a status of the caller's own fault is final.
-            placement::Refusal::TooLong => (Reason::Saturated, forward::COME_BACK),
-            placement::Refusal::Busy(_) => (Reason::Saturated, forward::COME_BACK),
-            placement::Refusal::Full(_, span) => (Reason::Saturated, later(span)),
+            placement::Refusal::NoUpstream => (Reason::NoUpstream, forward::RETRY_AFTER),
+            // Engines may be missing only for a moment, and a 4xx status would be final.
+            placement::Refusal::TooLong => (Reason::Saturated, forward::RETRY_AFTER),
+            placement::Refusal::Busy(_) => (Reason::Saturated, forward::RETRY_AFTER),
+            placement::Refusal::Full(_, span) => (Reason::Saturated, jittered_retry_time(span)),
         };
-        answer::Fault::not_run(reason, Step::Route, detail).after(span)
+        answer::Fault::not_run(reason, Step::Route, detail).with_retry_after(span)
     }
 
-    /// The request waits, or waits for something else than before.
+    /// Logs that the request waits, at the first shortage and whenever the shortage changes.
     fn log_wait(&self, shortage: placement::Shortage, waited: clock::Span) {
         event::Line::new("waits")
             .text("request", &self.request.call.request_id)
--- a/crates/lagoon-gateway/src/report.rs
+++ b/crates/lagoon-gateway/src/report.rs
@@ -1,11 +1,11 @@
-//! Load reports of model engines: how fast each works.
+//! Load reports of model engines, which tell how fast each works.
 //!
-//! Failure answered: an engine turns several times slower than published, and each long prompt of
-//! which it reads a part is late. An engine that only reads for others writes no answers whose gaps
-//! could tell; its own report does.
+//! An engine that becomes several times slower than published delays every long prompt of which it
+//! prefills a part. An engine that only prefills for others sends no answers from which this could
+//! be seen, but its report shows it.
 //!
-//! Each engine is asked by the first live host of its zone, which tells the others; see
-//! [`routing::Roster::asks`]. Two that differ on who that is ask the same engine twice.
+//! Each engine is asked by the first live host of its zone, which publishes the result; see
+//! [`routing::Roster::asks`]. If two hosts disagree about which is first, both ask the engine.
 
 use std::collections;
 use std::sync;
@@ -19,25 +19,26 @@
 
 use crate::event;
 use crate::exchange;
+use crate::message;
 use crate::state;
-use crate::word;
 
-/// Time between two reports of an engine: one that turned slow has got some five prompts by then.
-const PERIOD: clock::Span = clock::Span::from_millis(1_000);
-/// Time between two looks whether this host is the one to ask.
-const LOOK: clock::Span = clock::Span::from_millis(250);
-/// Longest time for a report: an engine that is slower to answer is found out by its requests.
-const ANSWER: clock::Span = clock::Span::from_millis(400);
-/// Longest report, in bytes.
-const LONGEST: usize = 64 << 10;
-/// Slowness from which the other hosts are told.
-const WORTH_TELLING: f64 = 1.1;
+/// Interval between two reports of an engine: one that has become slow gets about five more prompts
+/// in this time.
+const REPORT_INTERVAL: clock::Span = clock::Span::from_millis(1_000);
+/// Interval of the check whether this host has to ask.
+const CHECK_INTERVAL: clock::Span = clock::Span::from_millis(250);
+/// Timeout for a report: an engine that answers later is detected through its requests.
+const REPORT_TIMEOUT: clock::Span = clock::Span::from_millis(400);
+/// Maximum size of a report, in bytes.
+const MAX_REPORT_BYTES: usize = 64 << 10;
+/// Minimum slowness that is published to other hosts.
+const MIN_PUBLISHED_SLOWNESS: f64 = 1.1;
 
 /// Asks engines for their reports for as long as the process runs.
 pub(crate) async fn run(state: sync::Arc<state::State>) {
     let mut rounds = routing::PollSchedule::default();
     loop {
-        tokio::time::sleep(LOOK.mul_f64(rand::rng().random_range(0.9..1.1))).await;
+        tokio::time::sleep(CHECK_INTERVAL.mul_f64(rand::rng().random_range(0.9..1.1))).await;
         if state.phase() > state::Phase::Serving {
             return;
         }
@@ -47,7 +48,7 @@
     }
 }
 
-/// The engines that this host asks now.
+/// Returns the engines that this host has to ask now.
 fn due(
     state: &state::State,
     rounds: &mut routing::PollSchedule,
@@ -59,7 +60,7 @@
     let mut engines = state.engines();
     let zones: collections::BTreeSet<_> =
         engines.iter().map(|(_, entry)| entry.zone.clone()).collect();
-    let asked = rounds.due(&state::lock(&state.peers).roster, &zones, PERIOD, now);
+    let asked = rounds.due(&state::lock(&state.peers).roster, &zones, REPORT_INTERVAL, now);
     engines.retain(|(_, entry)| asked.contains(&entry.zone));
     engines
 }
@@ -76,29 +77,31 @@
         }
     };
     let Some(slowness) = report.slowness else { return };
-    state.with_board(&service, |board, now| board.set_slowness(&entry.upstream, slowness, now));
-    if slowness >= WORTH_TELLING {
+    state.with_placer(&service, |placer, now| placer.set_slowness(&entry.upstream, slowness, now));
+    if slowness >= MIN_PUBLISHED_SLOWNESS {
         event::Line::new("engine_slow")
             .text("upstream", &entry.upstream)
             .number("times", slowness)
             .info();
         let upstream = entry.upstream.to_string();
-        let what = word::What::Reported(word::Reported { upstream, slowness });
-        state.tell(word::Word::new(0, &service, what));
+        let what = message::Kind::Reported(message::SlownessReport { upstream, slowness });
+        state.publish(message::Update::new(0, &service, what));
     }
 }
 
-/// The report of an engine.
+/// Fetches the report of an engine.
 ///
 /// # Errors
 ///
-/// There is no answer in time, or it is no report.
+/// There is no answer in time, or it is not a report.
 pub(crate) async fn fetch(entry: &routing::Registration) -> Result<engine::Report, String> {
     let request = hyper::Request::get(engine::REPORT_PATH)
         .header("host", entry.address.to_string())
         .body(exchange::Payload::default())
         .map_err(|error| error.to_string())?;
-    let call = exchange::call(entry.address, request, ANSWER, ANSWER, LONGEST).await;
+    let call =
+        exchange::call(entry.address, request, REPORT_TIMEOUT, REPORT_TIMEOUT, MAX_REPORT_BYTES)
+            .await;
     let (_, body) = call.map_err(|failure| failure.to_string())?;
     engine::read_report(&body).map_err(|error| error.to_string())
 }
--- a/crates/lagoon-gateway/src/stream.rs
+++ b/crates/lagoon-gateway/src/stream.rs
@@ -1,10 +1,11 @@
-//! Streams of events to a caller: whole events only, and a visible end.
+//! Streaming of events to a caller: only complete events, and an end that shows whether the stream
+//! is complete.
 //!
-//! Failure answered: an upstream breaks off in the middle of an event, another goes on, and the
-//! caller reads half an event joined to the next; or a stream that broke off ends like a whole
-//! one. Only whole events are passed on, an answer that goes on elsewhere starts after the last
-//! event that was passed on, and a stream that cannot go on cuts the caller's connection without
-//! the end mark of its body.
+//! An upstream may break off in the middle of an event. If another one continued the stream
+//! naively, the caller would read half an event joined to the next; and a stream that broke off
+//! could look like a complete one. So only complete events are forwarded, a resumed answer starts
+//! after the last event that was forwarded, and if a stream cannot be resumed, the caller's
+//! connection is closed without the terminating chunk of the body.
 
 use std::pin;
 use std::task;
@@ -26,17 +27,17 @@
 use crate::forward;
 use crate::silence;
 
-/// Events that wait for a slow caller; while they wait the upstream is not read.
-const WAITING: usize = 64;
-/// Pauses that an event may be late by before another upstream is asked.
-const GAPS: u32 = 4;
-/// Silence below this says nothing: a lost packet comes again within it.
-const LEAST_SILENCE: clock::Span = clock::Span::from_millis(900);
-/// What a stream may run beyond its route's time limit, so that one about to end does.
-const OVERTIME: clock::Span = clock::Span::from_millis(150);
+/// Events buffered for a slow caller; while the buffer is full the upstream is not read.
+const EVENT_BUFFER: usize = 64;
+/// Multiple of the route's gap target for which an upstream may be silent before another is tried.
+const SILENT_GAPS: u32 = 4;
+/// Minimum silence before another upstream is tried: a lost packet is retransmitted within it.
+const MIN_SILENCE: clock::Span = clock::Span::from_millis(900);
+/// Time that a stream may run beyond its deadline, so that one which is about to end can finish.
+const MAX_OVERTIME: clock::Span = clock::Span::from_millis(150);
 
-/// Longest time for a caller to take what was passed on before its stream broke.
-const CUT: clock::Span = clock::Span::from_secs(1);
+/// Timeout for the caller to receive what was forwarded before its stream broke.
+const CUT_TIMEOUT: clock::Span = clock::Span::from_secs(1);
 
 /// The body of a streamed answer.
 #[derive(Debug)]
@@ -55,55 +56,57 @@
     }
 }
 
-/// Passes the events of `live` to the body that is returned.
+/// Starts a task that forwards the events of `open`, and returns the body that it feeds.
 pub(crate) fn start(
     admitted: forward::Admitted,
-    live: forward::Live,
+    open: forward::OpenAnswer,
     caller: forward::Caller,
 ) -> Body {
-    let (sender, events) = mpsc::channel(WAITING);
-    let gone = sender.clone();
-    let relay = Relay {
+    let (sender, events) = mpsc::channel(EVENT_BUFFER);
+    let body = sender.clone();
+    let forwarder = Forwarder {
         last_event: admitted.request.call.last_event,
         admitted,
         sender,
         buffer: BytesMut::new(),
         events: 0,
         upstreams: 1,
-        passed: clock::Moment::START,
+        last_forwarded: clock::Moment::START,
         longest_pause: clock::Span::ZERO,
     };
     drop(ntex::rt::spawn(async move {
-        let left = async {
+        let disconnected = async {
             match &caller.io {
                 Some(io) => tokio::select! {
                     () = io.on_disconnect() => {}
-                    () = gone.closed() => {}
+                    () = body.closed() => {}
                 },
-                None => gone.closed().await,
+                None => body.closed().await,
             }
         };
-        if relay.run(live, left).await == End::Broken {
-            cut(caller.io.as_ref(), &gone).await;
+        if forwarder.run(open, disconnected).await == End::Broken {
+            cut(caller.io.as_ref(), &body).await;
         }
         drop(caller);
     }));
     Body { events }
 }
 
-/// Closes the caller's connection after what was passed on, without the end mark of the body.
+/// Closes the caller's connection once the forwarded events are sent, without the terminating chunk
+/// of the body.
 ///
-/// An error handed to the server instead would be written into the body as an answer of its own.
-/// The body must not end either: it is held open until the connection is gone.
-async fn cut(io: Option<&ntex::io::IoRef>, gone: &mpsc::Sender<util::Bytes>) {
+/// An error passed to the server would be written into the body as an answer of its own, and ending
+/// the body would make the stream look complete. So the body is held open until the connection is
+/// closed.
+async fn cut(io: Option<&ntex::io::IoRef>, body: &mpsc::Sender<util::Bytes>) {
     if let Some(io) = io {
         io.close();
     }
-    if tokio::time::timeout(CUT, gone.closed()).await.is_err()
+    if tokio::time::timeout(CUT_TIMEOUT, body.closed()).await.is_err()
         && let Some(io) = io
     {
         io.terminate();
-        gone.closed().await;
+        body.closed().await;
     }
 }
 
@@ -115,55 +118,61 @@
     Broken,
 }
 
-struct Relay {
+struct Forwarder {
     admitted: forward::Admitted,
     sender: mpsc::Sender<util::Bytes>,
-    /// Bytes of an event that is not whole yet.
+    /// Bytes of an incomplete event.
     buffer: BytesMut,
     last_event: Option<u64>,
     events: u64,
     upstreams: u32,
-    /// When the last event was passed on, and the longest pause before one.
-    passed: clock::Moment,
+    /// When the last event was forwarded.
+    last_forwarded: clock::Moment,
     longest_pause: clock::Span,
 }
 
-impl Relay {
-    async fn run<Left>(mut self, live: forward::Live, left: Left) -> End
+impl Forwarder {
+    async fn run<Disconnected>(
+        mut self,
+        open: forward::OpenAnswer,
+        disconnected: Disconnected,
+    ) -> End
     where
-        Left: Future<Output = ()>,
+        Disconnected: Future<Output = ()>,
     {
-        let mut left = pin::pin!(left);
+        let mut disconnected = pin::pin!(disconnected);
         let end = tokio::select! {
             biased;
-            end = self.relay(live) => end,
-            () = &mut left => End::CallerLeft,
+            end = self.forward_all(open) => end,
+            () = &mut disconnected => End::CallerLeft,
         };
-        self.tell(end);
+        self.log_end(end);
         end
     }
 
-    fn tell(&self, end: End) {
+    fn log_end(&self, end: End) {
         let (how, reason) = match end {
             End::Whole => ("whole", None),
             End::CallerLeft => ("caller_left", Some(Reason::CallerLeft)),
             End::Broken => ("broken", Some(Reason::UpstreamFailed)),
         };
-        self.admitted.state.metrics.answered(self.admitted.service.as_str(), reason);
+        self.admitted.state.metrics.count_answer(self.admitted.service.as_str(), reason);
         event::Line::new("stream_ended")
             .text("request", &self.admitted.request.call.request_id)
             .text("how", how)
             .number("events", self.events)
             .number("upstreams", self.upstreams)
             .span("longest_pause_ms", self.longest_pause)
-            .span("silent_ms", self.silent())
+            .span("silent_ms", self.silent_for())
             .span("after_ms", self.since_arrival())
             .info();
     }
 
-    /// Time since the last event was passed on, or since the arrival where none was.
-    fn silent(&self) -> clock::Span {
-        let last = if self.events == 0 { self.admitted.request.arrived } else { self.passed };
+    /// Returns the time since the last event was forwarded, or since the request arrived if there
+    /// was none.
+    fn silent_for(&self) -> clock::Span {
+        let last =
+            if self.events == 0 { self.admitted.request.arrived } else { self.last_forwarded };
         self.admitted.state.clock.now().since(last)
     }
 
@@ -171,15 +180,17 @@
         self.admitted.state.clock.now().since(self.admitted.request.arrived)
     }
 
-    /// Relays one answer after the other until one is whole or none can go on.
-    async fn relay(&mut self, mut live: forward::Live) -> End {
+    /// Forwards answers of one upstream after another until one is complete or the stream cannot be
+    /// resumed.
+    async fn forward_all(&mut self, mut open: forward::OpenAnswer) -> End {
         let mut avoid: Vec<id::Upstream> = Vec::new();
         loop {
-            let upstream = live.upstream.clone();
-            let failure = match self.relay_one(live).await {
+            let upstream = open.upstream.clone();
+            let failure = match self.forward_answer(open).await {
                 Ok(()) => {
-                    self.admitted.answered(&upstream);
-                    // An answer without a length ends as if it were whole when its upstream crashes.
+                    self.admitted.record_success(&upstream);
+                    // An answer without a length looks complete when its upstream crashes before
+                    // the first event.
                     if self.events > 0 {
                         self.admitted.clear();
                     }
@@ -196,30 +207,30 @@
                 .span("after_ms", self.since_arrival())
                 .text("fingerprint", self.admitted.fingerprint())
                 .warn();
-            self.admitted.suspect(&upstream);
+            self.admitted.record_unreachable(&upstream);
             avoid.push(upstream);
-            match self.go_on(&mut avoid, failure).await {
-                Some(next) => live = next,
+            match self.resume(&mut avoid, failure).await {
+                Some(next) => open = next,
                 None => return End::Broken,
             }
         }
     }
 
-    /// Another upstream that goes on after the last event, if there may be one.
-    async fn go_on(
+    /// Resumes the stream after its last event on another upstream, if that is allowed.
+    async fn resume(
         &mut self,
         avoid: &mut Vec<id::Upstream>,
         failure: String,
-    ) -> Option<forward::Live> {
+    ) -> Option<forward::OpenAnswer> {
         let routing::Kind::Stream { resumable: true, .. } = self.admitted.route.kind else {
             return None;
         };
-        let mut missed = attempt::Miss::Lost(failure);
+        let mut failed = attempt::Failure::Lost(failure);
         let mut refusals = 0;
-        while self.admitted.may_try_again(self.upstreams, refusals, &missed) {
-            self.admitted.state.metrics.repeats.inc();
-            let secured = match self.admitted.secure(avoid).await {
-                Ok(secured) => secured,
+        while self.admitted.may_try_again(self.upstreams, refusals, &failed) {
+            self.admitted.state.metrics.retries.inc();
+            let allocation = match self.admitted.allocate(avoid).await {
+                Ok(allocation) => allocation,
                 Err(fault) => {
                     event::Line::new("stream_not_resumed")
                         .text("request", &self.admitted.request.call.request_id)
@@ -228,122 +239,133 @@
                     return None;
                 }
             };
-            let upstream = secured.placement.primary.upstream.clone();
-            let taken =
-                match self.admitted.attempt(secured, self.last_event, self.upstreams + 1).await {
-                    Ok(live) => self.admitted.take_answer(live, avoid.len()).await,
-                    Err(miss) => Err(miss),
-                };
-            missed = match taken {
-                Ok(forward::Taken::Stream { live, .. }) => {
+            let upstream = allocation.placement.primary.upstream.clone();
+            let checked = match self
+                .admitted
+                .attempt(allocation, self.last_event, self.upstreams + 1)
+                .await
+            {
+                Ok(open) => self.admitted.check_answer(open, avoid.len()).await,
+                Err(failed) => Err(failed),
+            };
+            failed = match checked {
+                Ok(forward::CheckedAnswer::Stream { open, .. }) => {
                     self.upstreams += 1;
-                    return Some(*live);
+                    return Some(*open);
                 }
-                Ok(forward::Taken::Whole { status, .. }) => {
-                    attempt::Miss::Lost(format!("{upstream}: answered with status {status}"))
+                Ok(forward::CheckedAnswer::Whole { status, .. }) => {
+                    attempt::Failure::Lost(format!("{upstream}: answered with status {status}"))
                 }
-                Err(missed) => missed,
+                Err(failed) => failed,
             };
-            match missed {
-                attempt::Miss::Refused { .. } => refusals += 1,
-                attempt::Miss::Lost(_) => self.upstreams += 1,
-                attempt::Miss::Unsent(_) => {}
+            match failed {
+                attempt::Failure::Refused { .. } => refusals += 1,
+                attempt::Failure::Lost(_) => self.upstreams += 1,
+                attempt::Failure::Unsent(_) => {}
             }
-            self.admitted.log_miss(&upstream, &missed);
-            avoid.push(missed.at_fault().unwrap_or(&upstream).clone());
+            self.admitted.log_failure(&upstream, &failed);
+            avoid.push(failed.at_fault().unwrap_or(&upstream).clone());
         }
         None
     }
 
-    /// The connection to the upstream of `live` broke after so many `events`.
-    fn broke(&self, live: &forward::Live, events: u64, failure: &exchange::Failure) -> String {
-        let span = self.admitted.state.clock.now().since(live.began);
-        self.admitted.broke(&live.upstream, quarantine::Progress::Begun { span, events });
+    /// Reports that the connection to the upstream of `open` broke after `events` events of its
+    /// answer. Returns the failure's text.
+    fn record_broken_connection(
+        &self,
+        open: &forward::OpenAnswer,
+        events: u64,
+        failure: &exchange::Failure,
+    ) -> String {
+        let span = self.admitted.state.clock.now().since(open.head_at);
+        self.admitted
+            .record_broken_connection(&open.upstream, quarantine::Progress::Begun { span, events });
         failure.to_string()
     }
 
-    /// Relays one answer to its end.
-    async fn relay_one(&mut self, mut live: forward::Live) -> Result<(), String> {
-        let mut heard = self.admitted.state.clock.now();
+    /// Forwards one answer to its end.
+    async fn forward_answer(&mut self, mut open: forward::OpenAnswer) -> Result<(), String> {
+        let mut last_activity = self.admitted.state.clock.now();
         let before = self.events;
         loop {
-            let left = self.admitted.left() + OVERTIME;
-            let chunk = live.exchange.chunk(live.answer.body_mut());
-            let chunk = match tokio::time::timeout(silence::LOOK.min(left), chunk).await {
-                Ok(chunk) => {
-                    chunk.map_err(|failure| self.broke(&live, self.events - before, &failure))?
-                }
-                Err(_) if left <= silence::LOOK => return Err("out of time".to_owned()),
+            let left = self.admitted.time_left() + MAX_OVERTIME;
+            let chunk = open.exchange.chunk(open.answer.body_mut());
+            let chunk = match tokio::time::timeout(silence::CHECK_INTERVAL.min(left), chunk).await {
+                Ok(chunk) => chunk.map_err(|failure| {
+                    self.record_broken_connection(&open, self.events - before, &failure)
+                })?,
+                Err(_) if left <= silence::CHECK_INTERVAL => return Err("out of time".to_owned()),
                 Err(_) => {
-                    let silent = self.admitted.state.clock.now().since(heard);
-                    if self.gives_up_after(&live.upstream, silent) {
+                    let silent = self.admitted.state.clock.now().since(last_activity);
+                    if self.should_abandon(&open.upstream, silent) {
                         return Err(format!("silent for {silent:?}"));
                     }
                     continue;
                 }
             };
-            heard = self.admitted.state.clock.now();
-            self.admitted.heard(&live.upstream);
-            live.underway.heard();
+            last_activity = self.admitted.state.clock.now();
+            self.admitted.record_activity(&open.upstream);
+            open.in_flight.record_activity();
             let Some(chunk) = chunk else {
-                return self.pass_rest().await;
+                return self.forward_rest().await;
             };
             self.buffer.extend_from_slice(&chunk);
-            self.pass_events().await?;
+            self.forward_events().await?;
         }
     }
 
-    /// Whether the upstream is given up after it has been silent for `silent`.
-    fn gives_up_after(&self, upstream: &id::Upstream, silent: clock::Span) -> bool {
-        let silence = self.silence();
-        // The last upstream that may be asked is waited for: it may merely be busy.
-        if self.upstreams >= self.admitted.route.attempts || silent < LEAST_SILENCE.min(silence) {
+    /// Whether to abandon an upstream that has been silent for `silent`.
+    fn should_abandon(&self, upstream: &id::Upstream, silent: clock::Span) -> bool {
+        let silence = self.silence_timeout();
+        // The last upstream that may be tried is not abandoned: it may merely be busy.
+        if self.upstreams >= self.admitted.route.attempts || silent < MIN_SILENCE.min(silence) {
             return false;
         }
-        if self.admitted.is_lost(upstream) {
+        if self.admitted.is_unresponsive(upstream) {
             return true;
         }
-        let may_be_busy = !self.admitted.has_repeat() || self.admitted.is_alive(upstream);
+        let may_be_busy = !self.admitted.has_retry() || self.admitted.is_alive(upstream);
         silent >= silence * 2 || silent >= silence && !may_be_busy
     }
 
-    fn silence(&self) -> clock::Span {
+    fn silence_timeout(&self) -> clock::Span {
         let routing::Kind::Stream { gap, .. } = self.admitted.route.kind else {
             return clock::Span::MAX;
         };
-        (gap * GAPS).max(LEAST_SILENCE)
+        (gap * SILENT_GAPS).max(MIN_SILENCE)
     }
 
-    /// Passes on each whole event of the buffer.
-    async fn pass_events(&mut self) -> Result<(), String> {
-        while let Some(length) = whole_event(&self.buffer) {
+    /// Forwards each complete event in the buffer.
+    async fn forward_events(&mut self) -> Result<(), String> {
+        while let Some(length) = first_event_length(&self.buffer) {
             let event = self.buffer.split_to(length);
             let number = event_number(&event);
             if let (Some(number), Some(last)) = (number, self.last_event)
                 && number <= last
             {
-                // What the caller has already; an upstream that goes on may repeat its start.
+                // The caller has this event already; an upstream that resumes a stream may repeat
+                // its start.
                 continue;
             }
             self.last_event = number.or(self.last_event);
-            self.pass(util::Bytes::copy_from_slice(&event)).await?;
+            self.forward(util::Bytes::copy_from_slice(&event)).await?;
             if self.events == 0 {
                 let tokens = self.admitted.request.call.prompt_tokens.unwrap_or(0);
                 self.admitted.state.metrics.first_event(tokens, self.since_arrival());
                 self.log_first();
             }
             self.events += 1;
-            self.note_pause();
+            self.record_pause();
         }
         Ok(())
     }
 
-    fn note_pause(&mut self) {
+    fn record_pause(&mut self) {
         let now = self.admitted.state.clock.now();
         if self.events > 1 {
-            self.longest_pause = self.longest_pause.max(now.since(self.passed));
+            self.longest_pause = self.longest_pause.max(now.since(self.last_forwarded));
         }
-        self.passed = now;
+        self.last_forwarded = now;
     }
 
     fn log_first(&self) {
@@ -353,23 +375,23 @@
             .info();
     }
 
-    /// The body is whole: what is left of it is passed on as it is.
-    async fn pass_rest(&mut self) -> Result<(), String> {
+    /// Forwards the rest of the buffer unchanged after the body has ended.
+    async fn forward_rest(&mut self) -> Result<(), String> {
         if self.buffer.is_empty() {
             return Ok(());
         }
         let rest = util::Bytes::copy_from_slice(&self.buffer);
         self.buffer.advance(rest.len());
-        self.pass(rest).await
+        self.forward(rest).await
     }
 
-    async fn pass(&mut self, bytes: util::Bytes) -> Result<(), String> {
+    async fn forward(&mut self, bytes: util::Bytes) -> Result<(), String> {
         self.sender.send(bytes).await.map_err(|_| "the caller left".to_owned())
     }
 }
 
-/// Length of the first event in `bytes`, its blank line included.
-fn whole_event(bytes: &[u8]) -> Option<usize> {
+/// Returns the length of the first event in `bytes`, including its blank line.
+fn first_event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
@@ -384,7 +406,7 @@
     None
 }
 
-/// The number in an event's `id` line.
+/// Returns the number in an event's `id` line.
 fn event_number(event: &[u8]) -> Option<u64> {
     let lines = event.split(|byte| *byte == b'\n');
     let mut ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
