--- a/crates/lagoon-gateway/src/crash.rs
+++ b/crates/lagoon-gateway/src/crash.rs
@@ -1,9 +1,9 @@
-//! Whether an upstream crashed under requests, or only their connections broke.
+//! Detection of upstream crashes when connections break.
 //!
-//! Failure answered: a connection ends for many reasons (resets, answers that are broken off, lost
-//! answers, an upstream that leaves), and only one of them is that the process behind it ended. So
-//! an upstream whose connection broke is connected to once: a process that ended refuses, one that
-//! lives accepts, and a host that is dark or cut off does neither.
+//! A connection can break for many reasons (reset, truncated answer, lost answer, a leaving
+//! upstream), and only one of them is that the process behind it ended. So one connection to the
+//! upstream is opened as a probe: it is refused if the process has ended, accepted if it is alive,
+//! and times out if its host is down or unreachable.
 
 use std::collections;
 use std::fmt;
@@ -16,23 +16,22 @@
 
 use crate::event;
 use crate::forward;
-use crate::link;
 use crate::state;
+use crate::tcp;
 
-/// Longest time for a connection that tells whether an upstream ended: some round trips between
-/// zones.
-const PROBE: clock::Span = clock::Span::from_millis(350);
+/// Timeout of a probe: some round trips between zones.
+const PROBE_TIMEOUT: clock::Span = clock::Span::from_millis(350);
 
-/// Requests whose connections broke, by upstream, while it is found out whether that one ended.
+/// Requests whose connections broke, by upstream, while that upstream is being probed.
 #[derive(Debug, Default)]
-pub(crate) struct Breaks(sync::Mutex<collections::HashMap<id::Upstream, Vec<Request>>>);
+pub(crate) struct BrokenRequests(sync::Mutex<collections::HashMap<id::Upstream, Vec<Request>>>);
 
 /// A request whose connection broke.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Request {
-    /// What it is, whatever its id.
+    /// Fingerprint of the request, which does not depend on its id.
     pub(crate) fingerprint: fingerprint::Fingerprint,
-    /// How far the upstream was with it.
+    /// Progress of the upstream with the request.
     pub(crate) progress: quarantine::Progress,
 }
 
@@ -49,35 +48,39 @@
     }
 }
 
-/// What a connection told of an upstream.
+/// The result of a probe.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Probed {
+enum ProbeResult {
     Ended,
     Alive,
     Unknown,
 }
 
-impl Probed {
+impl ProbeResult {
     fn as_str(self) -> &'static str {
         match self {
-            Probed::Ended => "ended",
-            Probed::Alive => "alive",
-            Probed::Unknown => "unknown",
+            ProbeResult::Ended => "ended",
+            ProbeResult::Alive => "alive",
+            ProbeResult::Unknown => "unknown",
         }
     }
 }
 
 impl forward::Admitted {
-    /// The connection to `upstream` broke under this request.
-    pub(crate) fn broke(&self, upstream: &id::Upstream, progress: quarantine::Progress) {
+    /// Records that the connection to `upstream` broke under this request, and probes the upstream.
+    pub(crate) fn record_broken_connection(
+        &self,
+        upstream: &id::Upstream,
+        progress: quarantine::Progress,
+    ) {
         let request = Request { fingerprint: self.fingerprint(), progress };
-        let mut breaks = state::lock(&self.state.breaks.0);
-        let waiting = breaks.entry(upstream.clone()).or_default();
+        let mut broken = state::lock(&self.state.broken_requests.0);
+        let waiting = broken.entry(upstream.clone()).or_default();
         waiting.push(request);
         let is_first = waiting.len() == 1;
-        drop(breaks);
+        drop(broken);
         if is_first {
-            drop(ntex::rt::spawn(find_out(
+            drop(ntex::rt::spawn(probe_upstream(
                 self.state.clone(),
                 self.service.clone(),
                 upstream.clone(),
@@ -86,30 +89,38 @@
     }
 }
 
-async fn find_out(state: sync::Arc<state::State>, service: id::Service, upstream: id::Upstream) {
-    let probed = probe(&state, &service, &upstream).await;
-    let requests = state::lock(&state.breaks.0).remove(&upstream).unwrap_or_default();
+async fn probe_upstream(
+    state: sync::Arc<state::State>,
+    service: id::Service,
+    upstream: id::Upstream,
+) {
+    let result = probe(&state, &service, &upstream).await;
+    let requests = state::lock(&state.broken_requests.0).remove(&upstream).unwrap_or_default();
     let listed: Vec<_> = requests.iter().map(ToString::to_string).collect();
-    if probed == Probed::Ended {
-        state.crashed(&service, &upstream, &requests);
+    if result == ProbeResult::Ended {
+        state.record_crash(&service, &upstream, &requests);
     }
     event::Line::new("upstream_probed")
         .text("upstream", &upstream)
-        .text("probed", probed.as_str())
+        .text("probed", result.as_str())
         .text("requests", listed.join(", "))
         .info();
 }
 
-/// Whether `upstream` ended, as a connection tells. One that leaves ends as planned, and one that
-/// is no longer listed may be gone for long.
-async fn probe(state: &state::State, service: &id::Service, upstream: &id::Upstream) -> Probed {
-    let entry = state.with_board(service, |board, _| board.entry(upstream.as_str()).cloned());
+/// Probes whether `upstream` has ended. The result is unknown for an upstream that is leaving,
+/// which ends as planned, and for one that is no longer listed, which may have ended long ago.
+async fn probe(
+    state: &state::State,
+    service: &id::Service,
+    upstream: &id::Upstream,
+) -> ProbeResult {
+    let entry = state.with_placer(service, |placer, _| placer.entry(upstream.as_str()).cloned());
     let Some(entry) = entry.flatten().filter(|entry| !entry.leaving) else {
-        return Probed::Unknown;
+        return ProbeResult::Unknown;
     };
-    match link::connect(entry.address, PROBE).await {
-        Ok(_) => Probed::Alive,
-        Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => Probed::Ended,
-        Err(_) => Probed::Unknown,
+    match tcp::connect(entry.address, PROBE_TIMEOUT).await {
+        Ok(_) => ProbeResult::Alive,
+        Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => ProbeResult::Ended,
+        Err(_) => ProbeResult::Unknown,
     }
 }
--- a/crates/lagoonline/src/control/document/store.rs
+++ b/crates/lagoonline/src/control/document/store.rs
@@ -23,7 +23,7 @@
 pub const HEAD_KEY: &str = "document";
 
 /// Maximum number of attempts of a put that conflicts with concurrent puts of other teams.
-const ATTEMPTS: usize = 16;
+const MAX_ATTEMPTS: usize = 16;
 
 /// Value of the head row: the versions of all sections and the put that wrote them.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -181,8 +181,9 @@
     T: table::Table,
 {
     let next = id::Version(put.base.0 + 1);
+    // Error of an attempt whose answer was lost.
     let mut lost = None;
-    for _ in 0..ATTEMPTS {
+    for _ in 0..MAX_ATTEMPTS {
         match try_store(table, put, next).await {
             Ok(version) => return Ok(version),
             Err(StoreError::Table(table::Error::Conflict { .. })) => {}
