--- /dev/null
+++ b/crates/lagoon-gateway/src/in_flight.rs
@@ -0,0 +1,104 @@
+//! A dispatch in flight, as this host and the others count it in the load of its upstreams.
+
+use std::sync;
+
+use lagoonline::clock::Clock as _;
+use lagoonline::id;
+use lagoonline::load::placement;
+
+use crate::forward;
+use crate::mesh;
+use crate::message;
+use crate::reserve;
+use crate::state;
+
+/// The host that placed a dispatch.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub(crate) enum Decider {
+    /// This host, which publishes it to the others.
+    Own,
+    /// The zone's scheduler, which has published it already.
+    Scheduler,
+}
+
+/// A dispatch that is counted in the load of its upstreams until it is dropped.
+#[derive(Debug)]
+pub(crate) struct Guard {
+    state: sync::Arc<state::State>,
+    service: id::Service,
+    id: placement::DispatchId,
+    prefilled: bool,
+    /// Memory reservations, released when the dispatch ends.
+    reservations: Option<reserve::Reservations>,
+}
+
+impl Guard {
+    /// Returns the reservations of the dispatch, if any.
+    pub(crate) fn reservations(&self) -> Option<&reserve::Reservations> {
+        self.reservations.as_ref()
+    }
+
+    /// Keeps `reservations` until the dispatch ends.
+    pub(crate) fn keep(&mut self, reservations: Option<reserve::Reservations>) {
+        self.reservations = reservations;
+    }
+
+    /// Begins the dispatch `id`, placed by `decider` as `placement`.
+    pub(crate) fn begin(
+        admitted: &forward::Admitted,
+        id: placement::DispatchId,
+        placement: &placement::Placement,
+        decider: Decider,
+    ) -> Guard {
+        let now = admitted.state.clock.now();
+        let prompt = admitted.request.call.prompt_tokens.unwrap_or(0);
+        let until = admitted.deadline;
+        let dispatch =
+            placement::Dispatch::new(id, placement, prompt, admitted.gap_target(), until);
+        let sent = message::Dispatch::new(&dispatch, now);
+        admitted
+            .state
+            .with_placer(&admitted.service, |placer, _| placer.record_dispatch(dispatch, now));
+        let in_flight = Guard {
+            state: admitted.state.clone(),
+            service: admitted.service.clone(),
+            id,
+            prefilled: false,
+            reservations: None,
+        };
+        if decider == Decider::Own {
+            let update =
+                message::Update::new(id.number, &admitted.service, message::Kind::Sent(sent));
+            admitted.state.queue_update(update, mesh::Audience::AllZones);
+        }
+        in_flight
+    }
+
+    /// Records that the first token arrived.
+    pub(crate) fn first_token(&mut self) {
+        if std::mem::replace(&mut self.prefilled, true) {
+            return;
+        }
+        self.state
+            .with_placer(&self.service, |placer, now| placer.record_first_token(self.id, now));
+        self.publish(message::Kind::First(message::Empty {}));
+    }
+
+    /// Records activity of the upstream: bytes of the answer arrived.
+    pub(crate) fn record_activity(&self) {
+        if let Some(reservations) = &self.reservations {
+            reservations.record_activity();
+        }
+    }
+
+    fn publish(&self, what: message::Kind) {
+        self.state.publish(message::Update::new(self.id.number, &self.service, what));
+    }
+}
+
+impl Drop for Guard {
+    fn drop(&mut self) {
+        self.state.with_placer(&self.service, |placer, now| placer.record_end(self.id, now));
+        self.publish(message::Kind::Ended(message::Empty {}));
+    }
+}
--- a/crates/lagoon-gateway/src/metrics.rs
+++ b/crates/lagoon-gateway/src/metrics.rs
@@ -10,51 +10,51 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// What a counter of answers is split by.
+/// Labels of the counter of answers.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct Answered {
-    /// The service.
+    /// Name of the service; empty if no upstream's answer was forwarded.
     pub(crate) service: String,
-    /// The outcome, or why it failed.
+    /// `done` for a complete answer, otherwise the reason of the failure.
     pub(crate) reason: &'static str,
 }
 
-/// What a histogram of first events is split by.
+/// Labels of the histogram of first events.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct Length {
-    /// Class of the prompt's length.
+    /// Length class of the prompt.
     pub(crate) length: &'static str,
 }
 
-/// All of them.
+/// All metrics of the process.
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
-    /// Answers by service and reason; `done` for whole ones.
+    /// Answers by service and reason.
     pub(crate) answers: Family<Answered, Counter>,
-    /// Seconds to the first event, or to the answer, by the prompt's length.
-    pub(crate) first: Family<Length, Histogram>,
-    /// Dispatches beyond a request's first.
-    pub(crate) repeats: Counter,
-    /// Words to other hosts that were dropped.
-    pub(crate) words_lost: Counter,
-    /// Questions to a host that schedules which it left unanswered or turned down.
-    pub(crate) schedulers_passed: Counter,
+    /// Seconds to the first event, or to the answer if it is not streamed, by prompt length.
+    pub(crate) first_event_seconds: Family<Length, Histogram>,
+    /// Dispatches beyond a request's first one.
+    pub(crate) retries: Counter,
+    /// Updates to other hosts that were dropped.
+    pub(crate) updates_dropped: Counter,
+    /// Questions that a scheduler left unanswered or rejected.
+    pub(crate) schedulers_skipped: Counter,
     /// Version of the desired state in force.
     pub(crate) desired_version: Gauge,
-    /// Milliseconds since that version was known to be the newest.
+    /// Milliseconds since that version was last known to be the newest.
     pub(crate) confirmation_age_ms: Gauge,
-    /// Reservations of engine memory that are not released yet.
+    /// Reservations of engine memory that have not been released yet.
     pub(crate) reservations: Gauge,
     /// Crashes of upstreams under requests of this host.
     pub(crate) crashes: Counter,
     /// Requests in quarantine.
     pub(crate) quarantined: Gauge,
-    /// Requests that were under way at crashes.
+    /// Requests that were in flight when an upstream crashed.
     pub(crate) suspects: Gauge,
     registry: sync::Arc<sync::Mutex<Registry>>,
 }
 
-/// From 5 ms to 20 s.
+/// Buckets from 5 ms to 20 s.
 fn seconds() -> Histogram {
     Histogram::new(exponential_buckets(0.005, 2.0, 13))
 }
@@ -63,10 +63,10 @@
     fn default() -> Self {
         let metrics = Metrics {
             answers: Family::default(),
-            first: Family::new_with_constructor(seconds),
-            repeats: Counter::default(),
-            words_lost: Counter::default(),
-            schedulers_passed: Counter::default(),
+            first_event_seconds: Family::new_with_constructor(seconds),
+            retries: Counter::default(),
+            updates_dropped: Counter::default(),
+            schedulers_skipped: Counter::default(),
             desired_version: Gauge::default(),
             confirmation_age_ms: Gauge::default(),
             reservations: Gauge::default(),
@@ -85,11 +85,15 @@
         let mut registry = crate::state::lock(&self.registry);
         let registry = registry.sub_registry_with_prefix("lagoon_gateway");
         registry.register("answers", "answers by service and reason", self.answers.clone());
-        registry.register("first_seconds", "time to the first event", self.first.clone());
-        registry.register("repeats", "dispatches beyond the first", self.repeats.clone());
-        registry.register("words_lost", "words to hosts dropped", self.words_lost.clone());
+        registry.register(
+            "first_seconds",
+            "time to the first event",
+            self.first_event_seconds.clone(),
+        );
+        registry.register("repeats", "dispatches beyond the first", self.retries.clone());
+        registry.register("words_lost", "words to hosts dropped", self.updates_dropped.clone());
         let help = "questions that a scheduling host left unanswered or turned down";
-        registry.register("schedulers_passed", help, self.schedulers_passed.clone());
+        registry.register("schedulers_passed", help, self.schedulers_skipped.clone());
         registry.register("desired_version", "version in force", self.desired_version.clone());
         let help = "milliseconds since the version in force was known to be the newest";
         registry.register("confirmation_age_ms", help, self.confirmation_age_ms.clone());
@@ -101,13 +105,14 @@
         registry.register("suspects", "requests that were at crashes", self.suspects.clone());
     }
 
-    /// A request of `service` was answered.
-    pub(crate) fn answered(&self, service: &str, reason: Option<outcome::Reason>) {
+    /// Counts an answer of `service`, complete or with the `reason` of its failure.
+    pub(crate) fn count_answer(&self, service: &str, reason: Option<outcome::Reason>) {
         let reason = reason.map_or("done", outcome::Reason::as_str);
         self.answers.get_or_create(&Answered { service: service.to_owned(), reason }).inc();
     }
 
-    /// The first event of an answer to a prompt of `tokens` came after `span`.
+    /// Records that the first event of an answer to a prompt of `tokens` tokens was sent after
+    /// `span`.
     pub(crate) fn first_event(&self, tokens: u64, span: std::time::Duration) {
         let length = match tokens {
             0 => "none",
@@ -115,14 +120,14 @@
             10_000..100_000 => "medium",
             _ => "long",
         };
-        self.first.get_or_create(&Length { length }).observe(span.as_secs_f64());
+        self.first_event_seconds.get_or_create(&Length { length }).observe(span.as_secs_f64());
     }
 
-    /// The metrics as text.
+    /// Encodes the metrics as text.
     ///
     /// # Errors
     ///
-    /// A value cannot be written.
+    /// A value cannot be encoded.
     pub(crate) fn encode(&self) -> Result<String, std::fmt::Error> {
         let mut text = String::new();
         let registry = crate::state::lock(&self.registry);
