--- a/crates/lagoon-gateway/src/peers.rs
+++ b/crates/lagoon-gateway/src/peers.rs
@@ -1,5 +1,5 @@
-//! The other entry hosts: where each hears words, which of its lives was heard of last, and which
-//! of them do what one host can do for others.
+//! The other entry hosts: their addresses, the latest incarnation of each, and the roster that
+//! assigns the tasks which one host does for others.
 
 use std::collections;
 use std::net;
@@ -8,33 +8,34 @@
 use lagoonline::id;
 use lagoonline::routing;
 
-/// Silence after which a life counts as over: ten heartbeats, or three of those between zones.
-const SILENCE: clock::Span = clock::Span::from_secs(3);
+/// Time without a datagram after which an incarnation counts as ended: ten heartbeats within the
+/// zone, or three between zones.
+const SILENCE_TIMEOUT: clock::Span = clock::Span::from_secs(3);
 
-/// A life of a host.
+/// An incarnation of a host: one run of its process.
 #[derive(Clone, Copy, Debug)]
-struct Life {
+struct Incarnation {
     number: u64,
-    /// When it was last heard of.
+    /// When its last datagram arrived.
     at: clock::Moment,
 }
 
-/// The other hosts.
+/// The other entry hosts.
 #[derive(Debug)]
 pub(crate) struct Peers {
     pub(crate) roster: routing::Roster,
     addresses: collections::HashMap<id::Host, net::SocketAddr>,
     names: collections::HashMap<net::SocketAddr, id::Host>,
-    lives: collections::HashMap<net::SocketAddr, Life>,
+    incarnations: collections::HashMap<net::SocketAddr, Incarnation>,
 }
 
-/// What a word told of the life that said it.
+/// Whether the sender of a datagram was known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Met {
-    /// It was heard of before.
+pub(crate) enum Contact {
+    /// The incarnation was seen before.
     Known,
-    /// It is heard of for the first time; the number of the life that spoke there before.
-    New { before: Option<u64> },
+    /// The incarnation is seen for the first time; `previous` is the previous one at its address.
+    New { previous: Option<u64> },
 }
 
 impl Peers {
@@ -43,27 +44,27 @@
             roster,
             addresses: collections::HashMap::new(),
             names: collections::HashMap::new(),
-            lives: collections::HashMap::new(),
+            incarnations: collections::HashMap::new(),
         }
     }
 
-    /// A host is there, and hears words at `address`.
+    /// Adds a host that receives datagrams at `address`, or updates it.
     pub(crate) fn set(
         &mut self,
         host: &id::Host,
-        standing: routing::HostInfo,
+        info: routing::HostInfo,
         address: net::SocketAddr,
         now: clock::Moment,
     ) {
-        self.roster.upsert(host.clone(), standing, now);
-        let before = self.addresses.insert(host.clone(), address);
-        if let Some(before) = before.filter(|before| *before != address) {
-            self.names.remove(&before);
+        self.roster.upsert(host.clone(), info, now);
+        let previous = self.addresses.insert(host.clone(), address);
+        if let Some(previous) = previous.filter(|previous| *previous != address) {
+            self.names.remove(&previous);
         }
         self.names.insert(address, host.clone());
     }
 
-    /// A host is no longer there.
+    /// Removes a host.
     pub(crate) fn remove(&mut self, host: &id::Host) {
         self.roster.remove(host);
         if let Some(address) = self.addresses.remove(host) {
@@ -71,65 +72,67 @@
         }
     }
 
-    /// Words came from `address`, said by the life `number`.
-    pub(crate) fn heard(
+    /// Records a datagram of the incarnation `number` from `address`.
+    pub(crate) fn record_datagram(
         &mut self,
         address: net::SocketAddr,
         number: u64,
         now: clock::Moment,
-    ) -> Met {
+    ) -> Contact {
         if let Some(host) = self.names.get(&address) {
             self.roster.record_contact(host, now);
         }
-        let before = self.lives.insert(address, Life { number, at: now });
-        match before {
-            Some(before) if before.number == number => Met::Known,
-            before => Met::New { before: before.map(|life| life.number) },
+        let previous = self.incarnations.insert(address, Incarnation { number, at: now });
+        match previous {
+            Some(previous) if previous.number == number => Contact::Known,
+            previous => Contact::New { previous: previous.map(|incarnation| incarnation.number) },
         }
     }
 
-    /// Forgets lives that fell silent, and tells their numbers.
-    pub(crate) fn take_silent(&mut self, now: clock::Moment) -> Vec<u64> {
-        let is_silent = |life: &Life| now.since(life.at) > SILENCE;
-        let silent = self.lives.values().filter(|life| is_silent(life));
-        let silent = silent.map(|life| life.number).collect();
-        self.lives.retain(|_, life| !is_silent(life));
+    /// Removes the incarnations that have been silent too long, and returns their numbers.
+    pub(crate) fn remove_silent(&mut self, now: clock::Moment) -> Vec<u64> {
+        let is_silent = |incarnation: &Incarnation| now.since(incarnation.at) > SILENCE_TIMEOUT;
+        let silent = self.incarnations.values().filter(|incarnation| is_silent(incarnation));
+        let silent = silent.map(|incarnation| incarnation.number).collect();
+        self.incarnations.retain(|_, incarnation| !is_silent(incarnation));
         silent
     }
 
-    /// Where the host `host` hears words.
+    /// Returns the address at which `host` receives datagrams.
     pub(crate) fn address(&self, host: &id::Host) -> Option<net::SocketAddr> {
         self.addresses.get(host).copied()
     }
 
-    /// Whether the host at `address` is in the zone `zone`.
-    pub(crate) fn is_in(&self, address: net::SocketAddr, zone: &id::Zone) -> bool {
+    /// Whether the host at `address` is in `zone`.
+    pub(crate) fn is_in_zone(&self, address: net::SocketAddr, zone: &id::Zone) -> bool {
         let host = self.names.get(&address);
         host.and_then(|host| self.roster.zone(host)).is_some_and(|known| known == zone)
     }
 
-    /// Whether the host at `address` is among `hosts`.
+    /// Whether the host at `address` is one of `hosts`.
     pub(crate) fn is_among(&self, address: net::SocketAddr, hosts: &[id::Host]) -> bool {
         self.names.get(&address).is_some_and(|host| hosts.contains(host))
     }
 
-    /// Numbers of the lives in `zone` that were heard of.
-    pub(crate) fn lives_in(&self, zone: &id::Zone) -> collections::HashSet<u64> {
-        let lives = self.lives.iter().filter(|(address, _)| self.is_in(**address, zone));
-        lives.map(|(_, life)| life.number).collect()
+    /// Returns the known incarnations of hosts in `zone`.
+    pub(crate) fn incarnations_in(&self, zone: &id::Zone) -> collections::HashSet<u64> {
+        let incarnations =
+            self.incarnations.iter().filter(|(address, _)| self.is_in_zone(**address, zone));
+        incarnations.map(|(_, incarnation)| incarnation.number).collect()
     }
 
-    /// Where the hosts of this zone hear words that are to know what is under way.
-    pub(crate) fn near(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
+    /// Returns the addresses of the hosts in this zone that track dispatches in flight.
+    pub(crate) fn zone_addresses(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
         self.roster.zone_peers(now).iter().filter_map(|host| self.address(host)).collect()
     }
 
-    /// Where those of other zones do.
-    pub(crate) fn far(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
+    /// Returns the addresses of the hosts in other zones that track dispatches in flight.
+    pub(crate) fn other_zone_addresses(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
         self.roster.remote_peers(now).iter().filter_map(|host| self.address(host)).collect()
     }
 
-    /// The host that is to be asked where a request goes.
+    /// Returns the host that places requests for this zone, and its address. `None` if this host
+    /// places its own requests.
     pub(crate) fn scheduler(&self, now: clock::Moment) -> Option<(id::Host, net::SocketAddr)> {
         let host = self.roster.scheduler(now)?;
         let address = self.address(&host)?;
--- a/crates/lagoon-gateway/src/relay/follow.rs
+++ b/crates/lagoon-gateway/src/relay/follow.rs
@@ -1,4 +1,5 @@
-//! Asks the host that reads for the zone, and decides when to read here instead.
+//! The asking side of the relay: polls the host that reads for the zone, and decides when this host
+//! has to read the platform itself.
 
 use std::collections;
 use std::io;
@@ -14,104 +15,109 @@
 
 use super::message;
 use crate::event;
-use crate::feed;
 use crate::hosts;
-use crate::link;
 use crate::state;
-
-/// Longest time for a connection to another host of the zone: a lost packet comes again within it.
-const CONNECT: clock::Span = clock::Span::from_millis(350);
-/// What an answer may take beyond the time for which a reader holds the question: a lost packet
-/// comes again within it, and a change of the desired state is still in force in time.
-const SLACK: clock::Span = clock::Span::from_millis(350);
-/// Time between two looks for a reader while this host reads for itself.
-const SEARCH: clock::Span = clock::Span::from_millis(1_000);
-/// Pause before hosts are asked again that did not read a moment ago.
-const MOMENT: clock::Span = clock::Span::from_millis(150);
+use crate::tables;
+use crate::tcp;
+
+/// Timeout for connecting to another host of the zone: a lost packet is retransmitted within it.
+const CONNECT_TIMEOUT: clock::Span = clock::Span::from_millis(350);
+/// Time that an answer may take beyond the reader's hold time: a lost packet is retransmitted
+/// within it, and a change of the desired state is still applied in time.
+const ANSWER_SLACK: clock::Span = clock::Span::from_millis(350);
+/// Interval between searches for a reader while this host reads the platform itself.
+const SEARCH_INTERVAL: clock::Span = clock::Span::from_millis(1_000);
+/// Pause before hosts that were not reading are asked again.
+const NOT_READING_PAUSE: clock::Span = clock::Span::from_millis(150);
 
 /// Another host of the zone.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Member {
-    /// Where it answers.
+    /// Address at which it answers relay requests.
     pub(crate) address: net::SocketAddr,
     pub(crate) peer: routing::Peer,
 }
 
 /// The other hosts of the zone.
-pub(crate) type Members = sync::Mutex<Known>;
+pub(crate) type Members = sync::Mutex<MemberMap>;
 
-type Known = collections::BTreeMap<id::Host, Member>;
+type MemberMap = collections::BTreeMap<id::Host, Member>;
 
-/// Follows the reader of the zone as long as the process lives.
+/// Follows the reader of the zone for as long as the process runs.
 pub(crate) async fn run(state: sync::Arc<state::State>) {
     let node = &state.settings.node;
     let settings = routing::SourceSettings {
         min_hosts: state.settings.tuning.relay_hosts,
         ..routing::SourceSettings::default()
     };
-    let look = settings.search_span(node.bounds.apply);
+    let max_age = settings.search_span(node.bounds.apply);
     let mut sources = routing::SourceSelector::new(settings, node.host.clone(), node.cpu_share);
     let mut known = collections::BTreeMap::new();
     loop {
         update(&mut sources, &mut known, &state.members);
         match sources.next(state.clock.now()) {
-            // Those in order before this host do not read yet: one of them will in a moment.
+            // The hosts ranked before this one do not read yet, but one of them soon will.
             routing::Source::Platform
-                if is_fresh(&state, look) && !sources.is_first(state.clock.now()) =>
+                if is_fresh(&state, max_age) && !sources.is_first(state.clock.now()) =>
             {
-                tokio::time::sleep(MOMENT).await;
+                tokio::time::sleep(NOT_READING_PAUSE).await;
             }
             routing::Source::Platform => {
-                state.feed.set_reads(true);
-                tokio::time::sleep(SEARCH).await;
-                let age = feed::age(&state, state.feed.listed_at());
-                if age.is_none_or(|age| age > super::STALE) {
+                state.tables.set_reads_platform(true);
+                tokio::time::sleep(SEARCH_INTERVAL).await;
+                let age = tables::age(&state, state.tables.upstreams_confirmed_at());
+                if age.is_none_or(|age| age > super::MAX_ANSWER_AGE) {
                     sources.record_platform_failure(state.clock.now());
                 }
             }
             routing::Source::Peer(host) => {
                 let member = known.get(&host).copied();
-                let ended = match member {
-                    Some(member) => ask(&state, &mut sources, &mut known, &host, member).await,
-                    None => Ended::Silent("its address is not known".to_owned()),
+                let reason = match member {
+                    Some(member) => {
+                        follow_reader(&state, &mut sources, &mut known, &host, member).await
+                    }
+                    None => LeaveReason::Failed("its address is not known".to_owned()),
                 };
-                leave(&state, &mut sources, &host, &ended);
-                if !is_fresh(&state, look) {
-                    state.feed.set_reads(true);
+                record_leave(&state, &mut sources, &host, &reason);
+                if !is_fresh(&state, max_age) {
+                    state.tables.set_reads_platform(true);
                 }
-                event::Line::new("reader_left").text("host", &host).text("why", ended).info();
+                event::Line::new("reader_left").text("host", &host).text("why", reason).info();
             }
         }
     }
 }
 
-/// Turns away from a reader.
-fn leave(
+/// Records why this host stopped following a reader.
+fn record_leave(
     state: &state::State,
     sources: &mut routing::SourceSelector,
     host: &id::Host,
-    ended: &Ended,
+    reason: &LeaveReason,
 ) {
     let now = state.clock.now();
-    match ended {
-        Ended::Outranked => {}
-        Ended::NotReading => sources.record_idle(host, now),
-        Ended::Silent(_) => sources.record_failure(host, now),
+    match reason {
+        LeaveReason::Outranked => {}
+        LeaveReason::NotReading => sources.record_idle(host, now),
+        LeaveReason::Failed(_) => sources.record_failure(host, now),
     }
 }
 
-/// Whether what is known of the tables is no older than `span`, so that there is time to ask other hosts.
+/// Whether this host's knowledge of the tables is no older than `span`, so that there is time to
+/// ask other hosts.
 ///
-/// Load pattern: the host that reads for forty others ends. If each of them read for itself until it
-/// had found the next reader, the platform would get a hundred calls for one. Beyond this age it
-/// reads for itself, whatever others say: the platform may turn away just those that it asks.
+/// When the host that reads for forty others ends, the platform would get a hundred calls at once
+/// if each of them read for itself until it had found the next reader. Beyond this age a host does
+/// read for itself, whatever the others report: the platform may be refusing just the hosts that it
+/// asks.
 fn is_fresh(state: &state::State, span: clock::Span) -> bool {
-    let ages = [state.confirmation_age(), feed::age(state, state.feed.listed_at())];
+    let ages =
+        [state.confirmation_age(), tables::age(state, state.tables.upstreams_confirmed_at())];
     ages.iter().all(|age| age.is_some_and(|age| age <= span))
 }
 
-/// Takes over which hosts there are.
-fn update(sources: &mut routing::SourceSelector, known: &mut Known, members: &Members) {
+/// Updates `known` and `sources` from the current members of the zone.
+fn update(sources: &mut routing::SourceSelector, known: &mut MemberMap, members: &Members) {
     let now = state::lock(members).clone();
     for gone in known.keys().filter(|host| !now.contains_key(*host)) {
         sources.remove_peer(gone);
@@ -122,92 +128,93 @@
     *known = now;
 }
 
-/// Why a reader was left.
+/// Why this host stopped following a reader.
 #[derive(Debug, thiserror::Error)]
-enum Ended {
+enum LeaveReason {
     #[error("it does not read now")]
     NotReading,
     #[error("another host comes before it")]
     Outranked,
     #[error("{0}")]
-    Silent(String),
+    Failed(String),
 }
 
-impl From<io::Error> for Ended {
-    fn from(error: io::Error) -> Ended {
-        Ended::Silent(error.to_string())
+impl From<io::Error> for LeaveReason {
+    fn from(error: io::Error) -> LeaveReason {
+        LeaveReason::Failed(error.to_string())
     }
 }
 
-/// Asks one host again and again, and takes in what it tells, until it fails or another host comes
-/// before it.
+/// Asks one host repeatedly and applies its answers, until it fails or another host ranks before
+/// it.
 ///
-/// Failure answered: hosts that start together do not all know of each other, and the first one
-/// follows another that it met earlier. If it stayed there, all who ask it would be told that it
-/// does not read.
-async fn ask(
+/// Hosts that start together do not all know of each other at first, so the highest-ranked host may
+/// follow one that it met earlier. If it kept following, every host that asks it would be told that
+/// it does not read.
+async fn follow_reader(
     state: &state::State,
     sources: &mut routing::SourceSelector,
-    known: &mut Known,
+    known: &mut MemberMap,
     host: &id::Host,
     member: Member,
-) -> Ended {
-    let mut link = match open(member.address).await {
-        Ok(link) => link,
-        Err(ended) => return ended,
+) -> LeaveReason {
+    let mut connection = match open(member.address).await {
+        Ok(connection) => connection,
+        Err(reason) => return reason,
     };
     loop {
-        if let Err(ended) = talk(state, &mut link).await {
-            return ended;
+        if let Err(reason) = poll(state, &mut connection).await {
+            return reason;
         }
         update(sources, known, &state.members);
         if sources.next(state.clock.now()) != routing::Source::Peer(host.clone()) {
-            return Ended::Outranked;
+            return LeaveReason::Outranked;
         }
     }
 }
 
-async fn open(address: net::SocketAddr) -> Result<super::Link, Ended> {
-    Ok(super::framed(link::connect(address, CONNECT).await?))
+async fn open(address: net::SocketAddr) -> Result<super::Connection, LeaveReason> {
+    Ok(super::framed(tcp::connect(address, CONNECT_TIMEOUT).await?))
 }
 
-/// Asks once, and takes in the answer.
-async fn talk(state: &state::State, link: &mut super::Link) -> Result<(), Ended> {
-    let asked = state.clock.now();
-    let ask = message::Ask {
-        desired: state::lock(&state.feed.desired).version(),
-        upstreams: state::lock(&state.feed.upstreams).version(),
-        hosts: state::lock(&state.feed.hosts).version(),
+/// Sends one request and applies the answer.
+async fn poll(state: &state::State, connection: &mut super::Connection) -> Result<(), LeaveReason> {
+    let asked_at = state.clock.now();
+    let request = message::Request {
+        desired: state::lock(&state.tables.desired).version(),
+        upstreams: state::lock(&state.tables.upstreams).version(),
+        hosts: state::lock(&state.tables.hosts).version(),
     };
-    link.send(bytes::Bytes::from(ask.encode_to_vec())).await?;
-    let told = tokio::time::timeout(super::HOLD + SLACK, link.next()).await;
-    let told = told.map_err(|_| Ended::Silent("no answer in time".to_owned()))?;
-    let frame = told.ok_or_else(|| Ended::Silent("connection closed".to_owned()))??;
-    let told = message::Told::decode(frame).map_err(io::Error::from)?;
-    let news = told.news.ok_or(Ended::NotReading)?;
-    take_in(state, news, asked);
-    state.feed.set_reads(false);
+    connection.send(bytes::Bytes::from(request.encode_to_vec())).await?;
+    let response = tokio::time::timeout(super::HOLD_TIME + ANSWER_SLACK, connection.next()).await;
+    let response = response.map_err(|_| LeaveReason::Failed("no answer in time".to_owned()))?;
+    let frame = response.ok_or_else(|| LeaveReason::Failed("connection closed".to_owned()))??;
+    let response = message::Response::decode(frame).map_err(io::Error::from)?;
+    let changes = response.news.ok_or(LeaveReason::NotReading)?;
+    apply(state, changes, asked_at);
+    state.tables.set_reads_platform(false);
     Ok(())
 }
 
-/// Takes in what a reader told; it knew as much at least when it was asked.
-fn take_in(state: &state::State, news: message::News, asked: clock::Moment) {
-    if let Some(returned) = news.returned_ms {
+/// Applies a reader's answer. The ages in it count from `asked_at`, the time of the request, and can
+/// only be too old.
+fn apply(state: &state::State, changes: message::Changes, asked_at: clock::Moment) {
+    if let Some(returned) = changes.returned_ms {
         let age = clock::Span::from_millis(returned);
-        feed::platform_returned(state, state.clock.now().saturating_sub(age));
+        tables::platform_recovered(state, state.clock.now().saturating_sub(age));
     }
-    if let Some(table) = news.desired {
-        let at = asked.saturating_sub(clock::Span::from_millis(table.age_ms));
-        let rows = state::lock(&state.feed.desired).take(table.into_part());
-        feed::take_desired(state, &rows, at);
+    if let Some(table) = changes.desired {
+        let at = asked_at.saturating_sub(clock::Span::from_millis(table.age_ms));
+        let rows = state::lock(&state.tables.desired).apply(table.into_delta());
+        tables::apply_desired(state, &rows, at);
     }
-    if let Some(table) = news.upstreams {
-        let at = asked.saturating_sub(clock::Span::from_millis(table.age_ms));
-        let rows = state::lock(&state.feed.upstreams).take(table.into_part());
-        feed::take_upstreams(state, &rows, at);
+    if let Some(table) = changes.upstreams {
+        let at = asked_at.saturating_sub(clock::Span::from_millis(table.age_ms));
+        let rows = state::lock(&state.tables.upstreams).apply(table.into_delta());
+        tables::apply_upstreams(state, &rows, at);
     }
-    if let Some(table) = news.hosts {
-        let rows = state::lock(&state.feed.hosts).take(table.into_part());
-        hosts::take(state, &rows);
+    if let Some(table) = changes.hosts {
+        let rows = state::lock(&state.tables.hosts).apply(table.into_delta());
+        hosts::apply_rows(state, &rows);
     }
 }
