--- a/crates/lagoonline/src/load/admit.rs
+++ b/crates/lagoonline/src/load/admit.rs
@@ -6,8 +6,8 @@
 //! the predicted wait is too long, so a caller that respects it finds the queue short enough. It is
 //! spread by a quarter; otherwise all callers refused in one burst would return in one burst.
 //!
-//! At twice capacity 4,479 answers are in time and 28,741 late without it, 43,097 and none with it
-//! (`docs/measurements/load.md`, as for all measurements quoted in this folder).
+//! At twice capacity 4,479 answers are in time and 28,741 late without admission control, 43,097
+//! and none with it (`docs/measurements/load.md`, as for all measurements quoted in this folder).
 
 use crate::clock;
 use crate::outcome;
--- a/crates/lagoonline/src/load/clear.rs
+++ b/crates/lagoonline/src/load/clear.rs
@@ -7,17 +7,18 @@
 //! seconds, and only if it is off by at least three quarters of one: long prompts stay for tens of
 //! seconds, so an engine that changes sides at every burst serves neither kind well.
 //!
-//! In runs of 300 s short prompts are no slower without it (p95 315 ms, with it 341).
+//! In runs of 300 s short prompts are no slower without engines kept clear (p95 315 ms, with them
+//! 341).
 
 use crate::clock;
 use crate::control::document;
 
 /// Half-life of the observed mix, in seconds.
-const HALF_LIFE: f64 = 30.0;
+const HALF_LIFE_SECONDS: f64 = 30.0;
 /// Shortest time between two changes.
 const MIN_CHANGE_INTERVAL: clock::Span = clock::Span::from_secs(5);
 /// Difference from the wanted number, in engines, from which the number changes.
-const HYSTERESIS: f64 = 0.75;
+const HYSTERESIS_ENGINES: f64 = 0.75;
 /// Largest share of the engines that is kept clear while there are long prompts.
 const MAX_SHARE: f64 = 0.8;
 /// Engines left to long prompts, as a multiple of their fraction of the work: these engines also
@@ -39,7 +40,7 @@
 impl ClearShare {
     /// Records the arrival of a prompt of this class and length.
     pub fn record_arrival(&mut self, now: clock::Moment, class: document::Class, tokens: u64) {
-        let decay = (-now.since(self.updated_at).as_secs_f64() / HALF_LIFE).exp2();
+        let decay = (-now.since(self.updated_at).as_secs_f64() / HALF_LIFE_SECONDS).exp2();
         self.updated_at = now;
         for work in &mut self.work {
             *work *= decay;
@@ -63,7 +64,9 @@
         let wanted = wanted * all as f64;
         let most = all.saturating_sub(1);
         let difference = wanted - self.engines as f64;
-        if difference.abs() >= HYSTERESIS && now.since(self.last_change) >= MIN_CHANGE_INTERVAL {
+        if difference.abs() >= HYSTERESIS_ENGINES
+            && now.since(self.last_change) >= MIN_CHANGE_INTERVAL
+        {
             self.engines = if difference > 0.0 { self.engines + 1 } else { self.engines - 1 };
             self.last_change = now;
         }
--- a/crates/lagoonline/src/load/floor.rs
+++ b/crates/lagoonline/src/load/floor.rs
@@ -8,14 +8,14 @@
 //! the usual 600 s. It applies to every engine, because a host does not know in time where the
 //! other hosts have sent their long prompts.
 //!
-//! Without it 24 medium prompts end late at 1.2 times capacity, with it none.
+//! Without the floor 24 medium prompts end late at 1.2 times capacity, with it none.
 
 use crate::clock;
 
 /// Floor as a multiple of the longer prompts' fraction of the work.
 const FLOOR_FACTOR: f64 = 1.5;
 /// Lowest and highest floor; the lowest applies to predictions while few longer prompts arrive.
-const BOUNDS: (f64, f64) = (0.05, 0.25);
+const FLOOR_BOUNDS: (f64, f64) = (0.05, 0.25);
 
 /// Fraction of an engine's rate reserved for longer prompts, by their fraction of the work.
 ///
@@ -25,7 +25,7 @@
 /// assert_eq!(floor::share(0.5), 0.25);
 /// ```
 pub fn share(longer: f64) -> f64 {
-    (FLOOR_FACTOR * longer).clamp(BOUNDS.0, BOUNDS.1)
+    (FLOOR_FACTOR * longer).clamp(FLOOR_BOUNDS.0, FLOOR_BOUNDS.1)
 }
 
 /// Factor by which one host may exceed its even share of the rest, because hosts are not equally
--- a/crates/lagoonline/src/load/limit.rs
+++ b/crates/lagoonline/src/load/limit.rs
@@ -8,11 +8,11 @@
 //! a customer can thus use the whole limit, and no shares have to be agreed.
 //!
 //! Error bound: a host admits requests only while its bucket is above zero, and learns of the use
-//! at other hosts after a lag of at most D. In any time t the zone therefore admits at most `rate *
-//! t + burst + (hosts - 1) * rate * D` and one request per host: the burst is divided by the hosts,
-//! and only the use of the last D is unknown. With a report every 250 ms, 39 hosts and a customer
-//! that uses all of them evenly, the excess is at most 10 s of its rate, once; it is paid back
-//! because buckets go below zero.
+//! at other hosts after a lag of at most D. In any time t the zone therefore admits at most
+//! `rate * t + burst + (hosts - 1) * rate * D` and one request per host: the burst is divided by
+//! the hosts, and only the use of the last D is unknown. With a report every 250 ms, 39 hosts and a
+//! customer that uses all of them evenly, the excess is at most 10 s of its rate, once; it is paid
+//! back because buckets go below zero.
 //!
 //! A host that receives no reports for three seconds is partitioned from the others or its steward
 //! is down. It then fills its buckets at its even share of the rate, since the other hosts keep
--- a/crates/lagoonline/src/load/mod.rs
+++ b/crates/lagoonline/src/load/mod.rs
@@ -1,14 +1,14 @@
 //! Load management: admission, queueing, refusal and routing of requests.
 //!
-//! There are two independent decision makers. [`Scheduler`] decides for one model at one entry host;
-//! its upstreams report their load. [`placement`] decides for one service whose engines publish a
-//! performance [`profile`]; its hosts tell each other what they have in flight.
+//! There are two independent decision makers. [`Scheduler`] decides for one model at one entry
+//! host; its upstreams report their load. [`placement`] decides for one service whose engines
+//! publish a performance [`profile`]; its hosts tell each other what they have in flight.
 //!
 //! A request to the [`Scheduler`] passes [`admit`] according to the [`predict`]ions, the queue
-//! ([`fair`] within length classes), the routing (by each upstream's [`rate`], [`ramp`], [`outlier`]
-//! state and [`prefix`] cache, with some engines kept [`clear`] of long prompts and a [`floor`] of
-//! each engine's rate reserved for longer ones), and possibly [`retry`]; prompts larger than one
-//! engine go to a [`group`]. [`rebalance`] moves engines between models.
+//! ([`fair`] within length classes), the routing (by each upstream's [`rate`], [`ramp`],
+//! [`outlier`] state and [`prefix`] cache, with some engines kept [`clear`] of long prompts and a
+//! [`floor`] of each engine's rate reserved for longer ones), and possibly [`retry`]; prompts
+//! larger than one engine go to a [`group`]. [`rebalance`] moves engines between models.
 
 pub mod admit;
 mod baseline;
--- a/crates/lagoonline/src/load/outlier.rs
+++ b/crates/lagoonline/src/load/outlier.rs
@@ -7,7 +7,8 @@
 //! fault of the callers or of this host, which looks as if every upstream failed, from ejecting the
 //! whole zone.
 //!
-//! Without it 499 requests are refused after one engine of eight crashes, with it none.
+//! Without the circuit breaker 499 requests are refused after one engine of eight crashes, with it
+//! none.
 
 use crate::clock;
 
--- a/crates/lagoonline/src/load/placement/engine.rs
+++ b/crates/lagoonline/src/load/placement/engine.rs
@@ -68,7 +68,7 @@
 /// Factor by which one answer reduces the remembered failure rate.
 const SUCCESS_FACTOR: f64 = 0.8;
 /// Half-life of the remembered failure rate in seconds; an avoided upstream is thereby tried again.
-const FAILURE_HALF_LIFE_S: f64 = 1.5;
+const FAILURE_HALF_LIFE_SECONDS: f64 = 1.5;
 
 /// An upstream and the dispatches in flight on it.
 #[derive(Clone, Debug)]
@@ -225,7 +225,7 @@
     /// Recent share of failed requests, decayed up to `now`.
     pub(super) fn failure_rate(&self, now: clock::Moment) -> f64 {
         let span = now.since(self.failure_rate_at).as_secs_f64();
-        self.failure_rate * 0.5_f64.powf(span / FAILURE_HALF_LIFE_S)
+        self.failure_rate * 0.5_f64.powf(span / FAILURE_HALF_LIFE_SECONDS)
     }
 
     pub(super) fn record_success(&mut self, now: clock::Moment) {
--- a/crates/lagoonline/src/load/placement/mod.rs
+++ b/crates/lagoonline/src/load/placement/mod.rs
@@ -428,9 +428,7 @@
     /// Failure mode: an engine keeps working but never answers some of its requests. Since the
     /// engine is alive, these would be awaited until their callers give up.
     pub fn is_overtaken(&self, id: DispatchId) -> bool {
-        let Some(Tracked { dispatch, since }) = self.dispatches.get(&id) else {
-            return false;
-        };
+        let Some(Tracked { dispatch, since }) = self.dispatches.get(&id) else { return false };
         let overtakes = |other: &&Tracked| {
             let Dispatch { primary, prompt_tokens, max_gap, .. } = &other.dispatch;
             other.since > *since
--- a/crates/lagoonline/src/load/placement/prefill.rs
+++ b/crates/lagoonline/src/load/placement/prefill.rs
@@ -8,7 +8,7 @@
 /// Decay time in seconds, after which a prompt counts about a third: long enough that a single
 /// prompt does not change the division of engines, short enough that the division follows a mix
 /// that changes within seconds.
-const DECAY_S: f64 = 1.5;
+const DECAY_SECONDS: f64 = 1.5;
 
 /// Exponentially decayed sum of the prefill time of dispatched prompts.
 #[derive(Clone, Copy, Debug, Default)]
@@ -28,10 +28,10 @@
 
     /// Number of engines that this demand keeps busy.
     pub(super) fn engines(&self, now: clock::Moment) -> f64 {
-        self.decayed_ms(now) / (DECAY_S * 1e3)
+        self.decayed_ms(now) / (DECAY_SECONDS * 1e3)
     }
 
     fn decayed_ms(&self, now: clock::Moment) -> f64 {
-        self.sum_ms * (-now.since(self.at).as_secs_f64() / DECAY_S).exp()
+        self.sum_ms * (-now.since(self.at).as_secs_f64() / DECAY_SECONDS).exp()
     }
 }
--- a/crates/lagoonline/src/load/prefix.rs
+++ b/crates/lagoonline/src/load/prefix.rs
@@ -8,8 +8,8 @@
 //! only removes the cached tokens from it, so a busy engine loses the prefix to another as soon as
 //! its queue costs more than the prefill saved.
 //!
-//! The p95 with few prefixes is 177 ms without it and 171 ms with it: a small gain where every
-//! engine soon has all of them cached.
+//! The p95 with few prefixes is 177 ms without affinity and 171 ms with it: a small gain where
+//! every engine soon has all of them cached.
 
 use std::collections;
 
--- a/crates/lagoonline/src/load/rate.rs
+++ b/crates/lagoonline/src/load/rate.rs
@@ -16,8 +16,8 @@
 //! of the upstreams are slow at once, since upstreams that all look slow together are only busier
 //! than predicted.
 //!
-//! Without it 2.3% of the requests still go to a fivefold slower engine after two seconds, with it
-//! 0.5%.
+//! Without this module 2.3% of the requests still go to a fivefold slower engine after two seconds,
+//! with it 0.5%.
 
 use std::collections;
 
@@ -27,7 +27,7 @@
 /// Weight of one sample.
 const GAIN: f64 = 0.2;
 /// Half-life in seconds of the distance of the ratio from 1 without new samples.
-const HALF_LIFE: f64 = 10.0;
+const HALF_LIFE_SECONDS: f64 = 10.0;
 /// Lateness below this is noise caused by the engine's chunks, in seconds.
 const NOISE_SECONDS: f64 = 0.1;
 /// Slowness from which on an upstream gets probes only, and below which it gets load again.
@@ -147,7 +147,7 @@
         if self.excess == 0.0 {
             return 0.0;
         }
-        self.excess * (-seconds(self.last_sample, now) / HALF_LIFE).exp2()
+        self.excess * (-seconds(self.last_sample, now) / HALF_LIFE_SECONDS).exp2()
     }
 
     fn take(&mut self, ticket: scheduler::Ticket) -> Option<Pending> {
--- a/crates/lagoonline/src/load/route.rs
+++ b/crates/lagoonline/src/load/route.rs
@@ -25,8 +25,8 @@
 const PENDING_LONG_PENALTY_SECONDS: f64 = 2.0;
 /// Fraction of the bound on long prefill that medium prompts may fill.
 const MEDIUM_FRACTION: f64 = 0.5;
-/// The same for medium prompts that have waited long: they were admitted and should not end in a
-/// refusal.
+/// Fraction that medium prompts may fill if they have waited long: they were admitted and should
+/// not end in a refusal.
 const AGED_FRACTION: f64 = 0.75;
 /// Fraction of the zone's engines that customers over their share leave to the others. Priority
 /// alone is not enough: a new request waits for the current chunk, and a heavy customer would have
@@ -48,9 +48,11 @@
 /// Resources that a request needs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Need {
+    /// Class by the length of the prompt.
     pub class: document::Class,
     /// Class as which it is ranked, by length and the customer's share.
     pub rank: document::Class,
+    /// Prompt length in tokens.
     pub tokens: u64,
     /// KV memory for prompt and answer, in tokens.
     pub kv: u64,
@@ -69,7 +71,9 @@
 /// Chosen upstreams, and the predicted seconds to the first token.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Route {
+    /// One upstream, by its index.
     Single { index: usize, seconds: f64 },
+    /// Several engines that hold the prompt together.
     Group { plan: group::Plan, seconds: f64 },
 }
 
@@ -171,6 +175,7 @@
             && (upstream.requests > 0 || !upstream.slowness.may_probe(self.now, hosts))
     }
 
+    /// Whether the bounds on outstanding prefill and the share of long prompts allow the request.
     fn has_room(&self, upstream: &upstream::Upstream, need: &Need, rate: f64) -> bool {
         let is_clear = upstream.local_index.is_some_and(|rank| rank < self.clear_count)
             || upstream.role == engine::Role::Short;
@@ -250,6 +255,7 @@
         Some(Route::Group { plan, seconds })
     }
 
+    /// The best upstream among those with the prefix cached and a sample of all, own zone first.
     fn best_of_all(&self, need: &Need, random: u64) -> Option<(usize, f64)> {
         let mut best = None;
         for &(number, tokens) in &need.hits {
@@ -311,6 +317,7 @@
         true
     }
 
+    /// The better of the first two suitable upstreams out of a few random ones.
     fn better_of_two(&self, need: &Need, random: u64) -> Option<(usize, f64)> {
         let count = self.upstreams.len().max(1) as u64;
         let draws = (0..2 * RANDOM_PAIRS as u64).map(|shift| (random >> (16 * shift)) % count);
--- a/crates/lagoonline/src/load/tokens.rs
+++ b/crates/lagoonline/src/load/tokens.rs
@@ -11,7 +11,7 @@
 /// Fraction of the difference by which one answer changes the estimate.
 const GAIN: f64 = 0.05;
 /// Smallest and largest plausible number of bytes per token.
-const BOUNDS: (f64, f64) = (0.5, 16.0);
+const BYTES_PER_TOKEN_BOUNDS: (f64, f64) = (0.5, 16.0);
 
 /// Bytes per token of one model.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -35,7 +35,10 @@
     /// assert!((195..=205).contains(&ratio.tokens(400)));
     /// ```
     pub fn new(bytes_per_token: f64) -> Self {
-        Ratio { bytes_per_token: bytes_per_token.clamp(BOUNDS.0, BOUNDS.1) }
+        Ratio {
+            bytes_per_token: bytes_per_token
+                .clamp(BYTES_PER_TOKEN_BOUNDS.0, BYTES_PER_TOKEN_BOUNDS.1),
+        }
     }
 
     /// Expected tokens in a prompt of `bytes` bytes.
@@ -48,7 +51,8 @@
         if bytes == 0 || tokens == 0 {
             return;
         }
-        let seen = (bytes as f64 / tokens as f64).clamp(BOUNDS.0, BOUNDS.1);
+        let seen = (bytes as f64 / tokens as f64)
+            .clamp(BYTES_PER_TOKEN_BOUNDS.0, BYTES_PER_TOKEN_BOUNDS.1);
         self.bytes_per_token += GAIN * (seen - self.bytes_per_token);
     }
 }
--- a/crates/lagoonline/src/load/usage.rs
+++ b/crates/lagoonline/src/load/usage.rs
@@ -15,7 +15,7 @@
 
 /// Half-life of recorded use in seconds: a few queue lengths rather than a minute, so that a
 /// customer which stops sending soon has normal rank again.
-const HALF_LIFE: f64 = 5.0;
+const HALF_LIFE_SECONDS: f64 = 5.0;
 /// Multiple of the fair share from which on a customer is over it.
 const OVER_FACTOR: f64 = 2.5;
 /// Decayed tokens below which a customer counts as inactive.
@@ -99,5 +99,5 @@
 }
 
 fn decay(from: clock::Moment, now: clock::Moment) -> f64 {
-    (-now.since(from).as_secs_f64() / HALF_LIFE).exp2()
+    (-now.since(from).as_secs_f64() / HALF_LIFE_SECONDS).exp2()
 }
--- a/crates/lagoonline/tests/load_placement.rs
+++ b/crates/lagoonline/tests/load_placement.rs
@@ -13,7 +13,9 @@
 use lagoonline::routing;
 use rstest::rstest;
 
+/// Tight gap limit, as of short prompts.
 const TIGHT: Span = Span::from_millis(250);
+/// Loose gap limit, as of long prompts.
 const LOOSE: Span = Span::from_millis(1_000);
 
 fn profile() -> profile::Profile {
