--- a/crates/lagoonline/tests/load_placement.rs
+++ b/crates/lagoonline/tests/load_placement.rs
@@ -257,14 +257,14 @@
 #[rstest]
 fn a_short_prompt_goes_where_a_slot_is_free() {
     let mut sim = sim_with_slots(8, 4);
-    let full = |sim: &mut Simulation, first: usize, prompt: u64| {
-        let id = sim.record_remote_dispatch(first, Vec::new(), prompt, TIGHT);
+    let occupy = |sim: &mut Simulation, primary: usize, prompt: u64| {
+        let id = sim.record_remote_dispatch(primary, Vec::new(), prompt, TIGHT);
         sim.placer.record_first_token(id, sim.now);
     };
-    full(&mut sim, 0, 210_000);
+    occupy(&mut sim, 0, 210_000);
     for engine in 1..5 {
         for _ in 0..4 {
-            full(&mut sim, engine, 5_000);
+            occupy(&mut sim, engine, 5_000);
         }
     }
     for _ in 0..8 {
@@ -281,8 +281,8 @@
 #[rstest]
 fn engines_with_own_prompts_do_not_help() {
     let mut sim = sim_with_slots(32, 10);
-    for first in 0..16 {
-        sim.record_remote_dispatch(first, Vec::new(), 9_000, LOOSE);
+    for primary in 0..16 {
+        sim.record_remote_dispatch(primary, Vec::new(), 9_000, LOOSE);
     }
     sim.record_remote_dispatch(31, (16..31).map(name).collect(), 92_000, LOOSE);
     let placed = sim.place(200_000, LOOSE, 400).unwrap();
@@ -328,8 +328,8 @@
 #[rstest]
 fn idle_engines_are_used_while_others_are_behind() {
     let mut sim = sim_with_slots(190, 10);
-    for first in 0..100 {
-        sim.record_remote_dispatch(first, Vec::new(), 180_000, LOOSE);
+    for primary in 0..100 {
+        sim.record_remote_dispatch(primary, Vec::new(), 180_000, LOOSE);
     }
     let placed = sim.place(250_000, LOOSE, 0).expect("sent at once");
     assert!(placed.expected < Span::from_secs(1), "expected after {:?}", placed.expected);
@@ -365,14 +365,14 @@
     let before = sim.now;
     sim.advance(50);
     let (late, _) = sim.send(5_000, TIGHT).unwrap();
-    let still = [1, 2].into();
-    let over = sim.placer.retain_listed(1, &still, before, sim.now);
-    let numbers: collections::BTreeSet<_> = over.iter().map(|id| id.number).collect();
+    let listed = [1, 2].into();
+    let dropped = sim.placer.retain_listed(1, &listed, before, sim.now);
+    let numbers: collections::BTreeSet<_> = dropped.iter().map(|id| id.number).collect();
     assert_eq!(numbers, [3, 4, 5].into());
     let left: collections::BTreeSet<_> =
         sim.placer.in_flight(|_| true).map(|(dispatch, _)| dispatch.id.number).collect();
     assert_eq!(left, [1, 2, late.number].into());
-    assert!(sim.placer.retain_listed(2, &still, sim.now, sim.now).is_empty());
+    assert!(sim.placer.retain_listed(2, &listed, sim.now, sim.now).is_empty());
 }
 
 /// Guards against using slow engines. A quarter of the engines reports a fourfold slowdown, which
@@ -428,8 +428,8 @@
     let mut sim = Simulation::new(18);
     sim.burst(200);
     assert!(matches!(sim.place(600_000, LOOSE, 0), Err(placement::Refusal::Busy(_))));
-    let patience = sim.place(600_000, LOOSE, 6_000);
-    assert!(matches!(patience, Err(placement::Refusal::Full(..))), "{patience:?}");
+    let refused = sim.place(600_000, LOOSE, 6_000);
+    assert!(matches!(refused, Err(placement::Refusal::Full(..))), "{refused:?}");
     sim.advance(11_000);
     sim.placer.expire(sim.now);
     assert!(sim.place(600_000, LOOSE, 0).is_ok());
@@ -560,11 +560,11 @@
 /// Guards against helpers that the primary cannot reach: two zones are partitioned from each other,
 /// though this host, in a third zone, reaches both. Such a prompt would be refused.
 #[rstest]
-fn helpers_are_within_reach_of_the_first_engine() {
+fn helpers_are_within_reach_of_the_primary() {
     let mut sim = Simulation::new(18);
-    for (first, helper) in [("e01", "e02"), ("e04", "e05")] {
-        let (first, helper) = (id::Upstream::from(first), id::Upstream::from(helper));
-        sim.placer.record_helper_failure(&first, &helper, sim.now);
+    for (primary, helper) in [("e01", "e02"), ("e04", "e05")] {
+        let (primary, helper) = (id::Upstream::from(primary), id::Upstream::from(helper));
+        sim.placer.record_helper_failure(&primary, &helper, sim.now);
     }
     let near: Vec<_> = (0..18).step_by(3).map(|index| entry(index, "a").upstream).collect();
     let request = placement::Request { avoid: &near, random: 3, ..sim.request() };
@@ -597,10 +597,10 @@
     let mut sim = Simulation::new(9);
     let bad = id::Upstream::from("e00");
     let mut failed = 0;
-    let mut writing = collections::VecDeque::new();
+    let mut decoding = collections::VecDeque::new();
     for _ in 0..200 {
-        if writing.len() > 40 {
-            sim.placer.record_end(writing.pop_front().unwrap(), sim.now);
+        if decoding.len() > 40 {
+            sim.placer.record_end(decoding.pop_front().unwrap(), sim.now);
         }
         let (id, placed) = sim.send(5_000, TIGHT).unwrap();
         sim.advance(10);
@@ -611,7 +611,7 @@
         } else {
             sim.placer.record_first_token(id, sim.now);
             sim.placer.record_success(&placed.primary.upstream, sim.now);
-            writing.push_back(id);
+            decoding.push_back(id);
         }
     }
     assert!(failed <= 10, "{failed} of 200 requests went to the engine that fails them");
