--- a/crates/lagoonline/src/control/document/body.rs
+++ b/crates/lagoonline/src/control/document/body.rs
@@ -18,7 +18,7 @@
     pub customers: collections::BTreeMap<id::Customer, Customer>,
     /// The team's models.
     pub models: collections::BTreeMap<id::Model, Model>,
-    /// The team's plain services: upstream services other than model engines.
+    /// The team's plain services, which are HTTP services other than model engines.
     pub services: collections::BTreeMap<id::Service, Service>,
     /// The team's upstreams.
     pub upstreams: collections::BTreeMap<id::Upstream, Upstream>,
@@ -212,9 +212,9 @@
 pub struct Policy {
     /// SHA-256 of each key that is authorized to change this section.
     pub team_keys: Vec<KeyHash>,
-    /// Weight of the time to first token, by length class; raised by Lakeshore, for example.
+    /// Weight of the time to first token, by length class. The Lakeshore team sets it higher.
     pub first_token_weight: [f64; 4],
-    /// Weight of the slowdown of short requests; raised by Vatuwaqa, for example.
+    /// Weight of the slowdown of short requests. The Vatuwaqa team sets it higher.
     pub short_slowdown_weight: f64,
     /// Service-level objectives.
     pub objectives: Vec<Objective>,
--- a/crates/lagoonline/src/control/lease.rs
+++ b/crates/lagoonline/src/control/lease.rs
@@ -43,6 +43,7 @@
 struct Row {
     /// Holder as `HOST/INCARNATION`; empty if the lease was released.
     holder: String,
+    /// Fencing number; raised each time the lease is acquired, not when it is renewed.
     fence: id::Fence,
     /// Expiry by the holder's wall clock; informational, for operators only.
     expires_wall_ms: u64,
@@ -63,7 +64,8 @@
 enum State {
     /// The state of the row is not known.
     Unknown,
-    /// Another contender holds the lease; this row version was first seen at `since`.
+    /// Another contender holds the lease; this row version was first seen at `since`. A renewal
+    /// changes the version and restarts the wait.
     Watching { version: u64, since: clock::Moment },
     /// Held by this contender; the last write was sent at `sent`.
     Held { fence: id::Fence, version: u64, sent: clock::Moment },
--- a/crates/lagoonline/src/control/replication.rs
+++ b/crates/lagoonline/src/control/replication.rs
@@ -85,14 +85,14 @@
     }
 }
 
-/// Status report of an entry host.
+/// Status of an entry host, as reported by its entry process and steward.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Report {
     /// Availability zone of the host.
     pub zone: id::Zone,
     /// Incarnation of the entry process.
     pub incarnation: id::Incarnation,
-    /// Sequence number within the incarnation, assigned by the steward of the host.
+    /// Sequence number of the report within the incarnation, assigned by the steward of the host.
     pub number: u64,
     /// Whether the steward has been without an entry process for so long that the host cannot serve
     /// any requests.
@@ -174,7 +174,7 @@
     }
 
     /// Applies a report that lists only the versions that changed since the last report of the same
-    /// incarnation.
+    /// incarnation; returns the same as [`Reports::apply`].
     pub fn apply_partial(&mut self, host: &id::Host, mut report: Report) -> bool {
         let known = self.reports.get(host);
         let known = known.filter(|known| known.incarnation == report.incarnation);
