--- a/crates/lagoon-net/src/engine/event.rs
+++ b/crates/lagoon-net/src/engine/event.rs
@@ -68,6 +68,7 @@
     },
 }
 
+/// An event as it is sent: a chunk has `n` and `t`, the end event `end`, an abort `error`.
 #[derive(serde::Deserialize)]
 struct Raw<'a> {
     a: &'a str,
@@ -159,6 +160,7 @@
     lines.filter_map(|line| line.strip_prefix(b"data: ")).map(parse)
 }
 
+/// Parses the JSON text of one event.
 fn parse(line: &[u8]) -> Result<Event<'_>, StreamError> {
     let malformed = |error: serde_json::Error| StreamError::Malformed(error.to_string());
     let raw: Raw<'_> = serde_json::from_slice(line).map_err(malformed)?;
--- a/crates/lagoon-net/src/engine/mod.rs
+++ b/crates/lagoon-net/src/engine/mod.rs
@@ -264,6 +264,7 @@
     Some(serde_json::from_slice::<Holdings>(&body).ok()?.holdings)
 }
 
+/// Checks the head of a streamed response and returns its events.
 async fn read_head(
     response: Result<client::ClientResponse, client::error::ClientError>,
     attempt: id::Attempt,
@@ -295,6 +296,7 @@
     code: String,
 }
 
+/// Returns the failure that a response with an error status stands for.
 async fn read_refusal(response: &client::ClientResponse) -> Failure {
     let status = response.status();
     let body = response.body().limit(MAX_REFUSAL_BYTES).await;
--- a/crates/lagoon-net/src/entry/call.rs
+++ b/crates/lagoon-net/src/entry/call.rs
@@ -90,6 +90,7 @@
     Ok(index)
 }
 
+/// Returns the requested deadline, or the customer's default without the header.
 fn read_deadline(
     customer: &document::Customer,
     headers: &http::HeaderMap,
@@ -109,6 +110,7 @@
     }
 }
 
+/// Returns the idempotency key, if there is one.
 fn read_key(headers: &http::HeaderMap) -> Result<Option<String>, fault::Fault> {
     let Some(value) = headers.get("idempotency-key") else { return Ok(None) };
     let bytes = value.as_bytes();
@@ -119,6 +121,7 @@
     Ok(value.to_str().ok().map(str::to_owned))
 }
 
+/// Returns the resume position, which needs an idempotency key; 0 without the header.
 fn read_resume_from(headers: &http::HeaderMap, keyed: bool) -> Result<u64, fault::Fault> {
     let Some(value) = headers.get("lagoon-resume-from") else { return Ok(0) };
     let from = value.to_str().ok().and_then(|text| text.parse().ok());
--- a/crates/lagoon-net/src/entry/fault.rs
+++ b/crates/lagoon-net/src/entry/fault.rs
@@ -83,6 +83,7 @@
         response.content_type("application/json").body(self.to_json())
     }
 
+    /// Returns the value of `Retry-After`, which only refusals have by default.
     fn retry_after(&self) -> Option<clock::Span> {
         let refusal = matches!(self.failure.reason.status(), 429 | 503);
         self.failure.retry_after.or(refusal.then_some(DEFAULT_RETRY_AFTER))
--- a/crates/lagoon-net/src/entry/metrics.rs
+++ b/crates/lagoon-net/src/entry/metrics.rs
@@ -38,6 +38,7 @@
     histogram::Histogram::new(LATENCY_BOUNDS)
 }
 
+/// Labels of ended requests.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct RequestLabels {
     kind: &'static str,
@@ -46,6 +47,7 @@
     reason: &'static str,
 }
 
+/// Labels of the time to the first token.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct FirstLabels {
     class: &'static str,
@@ -53,17 +55,20 @@
     zone: String,
 }
 
+/// Labels of the time to the end of a response.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct CompletionLabels {
     class: &'static str,
     model: String,
 }
 
+/// Label of metrics by model.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct ModelLabels {
     model: String,
 }
 
+/// Labels of a customer's ended requests; beyond the limit the customer is `other`.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct CustomerLabels {
     customer: String,
@@ -92,11 +97,13 @@
     }
 }
 
+/// Label of metrics by team.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct TeamLabels {
     team: String,
 }
 
+/// Label of counters by cause.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct CauseLabels {
     cause: &'static str,
@@ -182,6 +189,7 @@
         metrics
     }
 
+    /// Registers the counters. Only `requests` has a `zone` label.
     fn register_counters(&mut self, zone: &id::Zone) {
         let Metrics { registry, .. } = self;
         let in_zone = ("zone".into(), zone.to_string().into());
@@ -307,26 +315,32 @@
         self.short_slowdown.get_or_create(&labels).observe(ratio);
     }
 
+    /// Counts a dispatch by its result.
     pub(crate) fn count_attempt(&self, cause: &'static str) {
         self.attempts.get_or_create(&CauseLabels { cause }).inc();
     }
 
+    /// Counts a further dispatch of a request by its reason.
     pub(crate) fn count_retry(&self, cause: &'static str) {
         self.retries.get_or_create(&CauseLabels { cause }).inc();
     }
 
+    /// Counts a resumption of a stream by its result.
     pub(crate) fn count_resume(&self, cause: &'static str) {
         self.resumes.get_or_create(&CauseLabels { cause }).inc();
     }
 
+    /// Counts a chunk that was not delivered, by what was wrong with it.
     pub(crate) fn count_refused_chunk(&self, cause: &'static str) {
         self.chunks_refused.get_or_create(&CauseLabels { cause }).inc();
     }
 
+    /// Counts a cancel by its result.
     pub(crate) fn count_cancel(&self, cause: &'static str) {
         self.cancels.get_or_create(&CauseLabels { cause }).inc();
     }
 
+    /// Counts an idempotency key by what was done with it.
     pub(crate) fn count_claim(&self, cause: &'static str) {
         self.claims.get_or_create(&CauseLabels { cause }).inc();
     }
@@ -341,6 +355,7 @@
         self.section_version.get_or_create(&TeamLabels { team: team.to_string() }).set(version);
     }
 
+    /// Records the time from the arrival of a request to its first token.
     pub(crate) fn observe_first_token(
         &self,
         class: document::Class,
@@ -364,6 +379,8 @@
         }
     }
 
+    /// Records the time from the arrival of a request to the end of its response. `prompt` is the
+    /// number of prompt tokens and of those found in the cache.
     pub(crate) fn observe_completion(
         &self,
         class: document::Class,
--- a/crates/lagoon-net/src/entry/prompt.rs
+++ b/crates/lagoon-net/src/entry/prompt.rs
@@ -65,6 +65,7 @@
     Ok(Prompt { model: fields.model.into_owned(), stream, answer_tokens, bytes, prefixes })
 }
 
+/// Checks that the prompt has the JSON type that the endpoint expects.
 fn check_type(endpoint: Endpoint, prompt: &str) -> Result<(), String> {
     match (endpoint, prompt.as_bytes().first()) {
         (Endpoint::Completions, Some(b'"' | b'[')) | (Endpoint::Chat, Some(b'[')) => Ok(()),
@@ -129,6 +130,7 @@
         }
     }
 
+    /// Hashes decoded text and records the hash at each multiple of [`PREFIX_STEP`] bytes.
     fn hash_text(&mut self, mut text: &[u8]) {
         while !text.is_empty() {
             let missing = PREFIX_STEP - self.bytes % PREFIX_STEP;
--- a/crates/lagoon-net/src/entry/render.rs
+++ b/crates/lagoon-net/src/entry/render.rs
@@ -25,6 +25,7 @@
 }
 
 impl Usage {
+    /// Returns the `finish_reason` of the OpenAI API.
     fn finish_reason(self) -> &'static str {
         if self.limit_reached { "length" } else { "stop" }
     }
@@ -49,6 +50,7 @@
 }
 
 impl Metadata {
+    /// Returns the `id` of the response.
     fn response_id(&self) -> String {
         match self.endpoint {
             prompt::Endpoint::Completions => format!("cmpl-{}", self.id),
--- a/crates/lagoon-net/src/entry/replica.rs
+++ b/crates/lagoon-net/src/entry/replica.rs
@@ -152,6 +152,7 @@
         Replicas { replicas, queues }
     }
 
+    /// Sets whether a replica is leaving; a leaving one gets no new calls.
     pub(crate) fn set_leaving(&self, upstream: &id::Upstream, leaving: bool) {
         if let Some(replica) = self.replicas.get(upstream) {
             replica.leaving.store(leaving, atomic::Ordering::Relaxed);
--- a/crates/lagoon-net/src/entry/request_body.rs
+++ b/crates/lagoon-net/src/entry/request_body.rs
@@ -31,6 +31,7 @@
 }
 
 impl RequestBody {
+    /// Creates a streamed body. Fails if its announced length exceeds the limit.
     pub(crate) fn new(
         state: &sync::Arc<state::State>,
         headers: &http::HeaderMap,
@@ -75,6 +76,8 @@
         self.0.fault.borrow().clone()
     }
 
+    /// Returns the body for one dispatch. A streamed body is consumed by the first dispatch that reads
+    /// from it.
     pub(crate) fn to_http(&self) -> http_body::Body {
         if self.0.empty {
             return http_body::Body::None;
@@ -99,6 +102,7 @@
         }
     }
 
+    /// Reads the next chunk. A fault of the caller is stored and ends the body with an error.
     async fn read(
         &self,
         payload: &mut http::Payload,
--- a/crates/lagoon-net/src/entry/server.rs
+++ b/crates/lagoon-net/src/entry/server.rs
@@ -235,7 +235,7 @@
     }
 }
 
-/// Returns when the server may stop.
+/// Waits for a drain to begin and to end. The server may stop when this returns.
 async fn run_until_drained(state: &sync::Arc<state::State>) {
     let mut phase = state.watch_phase();
     // `state` owns the sender, so the wait ends only when the phase changes.
--- a/crates/lagoon-net/src/entry/settings.rs
+++ b/crates/lagoon-net/src/entry/settings.rs
@@ -240,6 +240,7 @@
     if faults.is_empty() { Ok(sections) } else { Err(check::Faults(faults)) }
 }
 
+/// Parses the sections of all teams. What is wrong in them is added to `faults`.
 fn read_sections(
     value: Value,
     pointer: &str,
--- a/crates/lagoon-net/tests/entry/claims.rs
+++ b/crates/lagoon-net/tests/entry/claims.rs
@@ -1,4 +1,6 @@
 //! Idempotency keys over real sockets, with the stand-in platform.
+//!
+//! The customer `crew` books at the service `pickup`, which a stand-in replica (runner) serves.
 
 use std::io::Write as _;
 use std::sync;
--- a/crates/lagoon-net/tests/entry/drain.rs
+++ b/crates/lagoon-net/tests/entry/drain.rs
@@ -13,6 +13,7 @@
     engine::Settings { decode_ms: 500.0, ..host::quick() }
 }
 
+/// Starts a streamed call and reads the beginning of its response.
 fn begin(host: &host::Host, tokens: u64) -> std::net::TcpStream {
     let mut stream = host.connect();
     let call = host::completion("tin", tokens, true);
--- a/crates/lagoon-net/tests/entry/host.rs
+++ b/crates/lagoon-net/tests/entry/host.rs
@@ -24,6 +24,7 @@
 /// Timeout of every wait in the tests.
 pub const PATIENCE: time::Duration = time::Duration::from_secs(20);
 
+/// A running entry host and its stand-in engines.
 pub struct Host {
     pub running: entry::Running,
     pub engines: Vec<server::Running<engine::Engine>>,
@@ -138,7 +139,7 @@
         self.exchange(&request("GET", "/metrics", "", ""))
     }
 
-    /// Stops the host and checks that its requests released everything.
+    /// Checks that all requests released their resources, and drains the host.
     pub fn finish(self) {
         let handle = self.running.handle();
         wait_until("no request holds a resource", || {
@@ -186,6 +187,7 @@
     json!({"model": "model", "prompt": prompt, "max_tokens": tokens, "stream": stream}).to_string()
 }
 
+/// Returns the status code of a response.
 pub fn status(answer: &str) -> &str {
     answer.get(9..12).unwrap_or("none")
 }
--- a/crates/lagoon-net/tests/entry/leaving.rs
+++ b/crates/lagoon-net/tests/entry/leaving.rs
@@ -21,15 +21,21 @@
 const SETTLE_TIME: time::Duration = time::Duration::from_secs(4);
 /// Pause between two calls, long enough to stay below the customer's rate limit.
 const CALL_PAUSE: time::Duration = time::Duration::from_millis(40);
+/// Time for which no new call may arrive afterwards, while the list is stale.
 const WATCH_TIME: time::Duration = time::Duration::from_secs(3);
 
+/// How the hosts learn that the engine is leaving.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Source {
+    /// From the platform's list of hosts.
     List,
+    /// From the engine's refusal, at each host.
     Refusal,
+    /// From the engine's refusal at the other host.
     Peer,
 }
 
+/// Two entry hosts with a steward each, two engines and the platform.
 struct Site {
     platform: server::Running<platform::Platform>,
     engines: Vec<server::Running<engine::Engine>>,
@@ -74,6 +80,7 @@
         self.engines[0].node().record().attempts.len() + refused
     }
 
+    /// Sets the state of the first engine in the platform's list.
     fn list(&self, state: &str) {
         let incarnation = self.engines[0].node().record().incarnation;
         let (name, zone, state) = ("engine-0".into(), "suva".into(), state.into());
--- a/crates/lagoon-net/tests/entry/service.rs
+++ b/crates/lagoon-net/tests/entry/service.rs
@@ -1,4 +1,6 @@
 //! Plain services: what is forwarded, and what the caller gets when a call fails.
+//!
+//! The service `pickup` is served by stand-in replicas (runners); a POST to it is a booking.
 
 use std::io::Write as _;
 use std::net;
--- a/crates/lagoon-net/tests/entry/stream.rs
+++ b/crates/lagoon-net/tests/entry/stream.rs
@@ -9,6 +9,7 @@
 
 use crate::host;
 
+/// Starts a host whose engines all have `faults`.
 fn faulty(faults: engine::Faults, continues: bool, engines: usize) -> host::Host {
     let host = host::Host::start_with(vec![host::quick(); engines], continues, |settings| settings);
     for engine in &host.engines {
--- a/crates/lagoon-net/tests/entry/takeover.rs
+++ b/crates/lagoon-net/tests/entry/takeover.rs
@@ -18,6 +18,7 @@
 const ATTEMPT: id::Attempt = id::Attempt(7);
 const TOKENS: u64 = 40;
 
+/// A new host, the table with the dead host's claim, and the body of the interrupted call.
 struct Fixture {
     host: host::Host,
     rows: claims::Table,
@@ -57,11 +58,13 @@
     Fixture { host, rows, call }
 }
 
+/// Returns the headers of a retry that resumes at `from`.
 fn from_header(from: Option<u64>) -> String {
     let resume = from.map(|from| format!("Lagoon-Resume-From: {from}\r\n"));
     format!("Idempotency-Key: k1\r\n{}", resume.unwrap_or_default())
 }
 
+/// Returns the number of tokens in a complete response.
 fn tokens(answer: &str, stream: bool) -> u64 {
     if stream {
         assert!(answer.contains("data: [DONE]"), "{answer}");
