--- a/crates/lagoonline/src/lifecycle/quarantine/evidence.rs
+++ b/crates/lagoonline/src/lifecycle/quarantine/evidence.rs
@@ -72,8 +72,9 @@
     /// Returns the id of the crash that a report about `upstream` made now belongs to; reports
     /// within the dedup window share one id.
     fn crash_id(&mut self, upstream: &id::Upstream, now: clock::Moment) -> u64 {
-        let same = self.settings.dedup_window;
-        let recent = self.crashes.iter().rev().take_while(|(_, crash)| now.since(crash.at) < same);
+        let window = self.settings.dedup_window;
+        let recent =
+            self.crashes.iter().rev().take_while(|(_, crash)| now.since(crash.at) < window);
         let mut recent = recent.filter(|(_, crash)| crash.upstream == *upstream);
         if let Some((id, _)) = recent.next() {
             return *id;
@@ -90,11 +91,11 @@
     /// told.
     pub(super) fn record_answer(&mut self, request: &Fingerprint, now: clock::Moment) -> bool {
         let was_suspect = self.drop_suspect(request);
-        let before = self.answered.get(request).copied();
-        if !was_suspect && before.is_none() {
+        let previous = self.answered.get(request).copied();
+        if !was_suspect && previous.is_none() {
             return false;
         }
-        let is_stale = before.is_none_or(|at| now.since(at) * 2 > self.settings.trust_duration);
+        let is_stale = previous.is_none_or(|at| now.since(at) * 2 > self.settings.trust_duration);
         if was_suspect || is_stale {
             self.answered.insert(*request, now);
         }
@@ -193,9 +194,10 @@
     where
         Probation: Fn(&Fingerprint) -> bool,
     {
-        let settled = |crash: &&Crash| now.since(crash.at) >= self.settings.settle_time;
-        let weigh =
-            |request: &Fingerprint| self.weigh(request, self.unexplained(request).filter(settled));
+        let is_settled = |crash: &&Crash| now.since(crash.at) >= self.settings.settle_time;
+        let weigh = |request: &Fingerprint| {
+            self.weigh(request, self.unexplained(request).filter(is_settled))
+        };
         let proves = |request: &Fingerprint, weight: usize| {
             if on_probation(request) {
                 return weight >= Weight::Begun.points();
--- a/crates/lagoonline/src/lifecycle/reap.rs
+++ b/crates/lagoonline/src/lifecycle/reap.rs
@@ -323,15 +323,15 @@
                 self.record_seen(&owner, now, None);
             }
         }
-        let forget = self.settings.forget_after;
-        self.owners.retain(|_, state| now.since(state.last_seen) <= forget);
+        let forget_after = self.settings.forget_after;
+        self.owners.retain(|_, state| now.since(state.last_seen) <= forget_after);
         let is_cut_off = self.is_cut_off(now);
         let before = self.orphaned.remove(upstream).unwrap_or_default();
         let orphaned = holdings.iter().filter(|holding| self.is_orphaned(holding, is_cut_off, now));
         let since = |id: &String| before.get(id).copied().unwrap_or(now);
         let orphaned: Vec<_> = orphaned.map(|holding| (holding, since(&holding.id))).collect();
-        let noted = orphaned.iter().map(|(holding, since)| (holding.id.clone(), *since));
-        self.orphaned.insert(upstream.clone(), noted.collect());
+        let first_found = orphaned.iter().map(|(holding, since)| (holding.id.clone(), *since));
+        self.orphaned.insert(upstream.clone(), first_found.collect());
         let due =
             orphaned.iter().filter(|(holding, since)| self.is_releasable(holding, *since, now));
         due.map(|(holding, _)| holding.id.clone()).collect()
--- a/crates/lagoonline/src/lifecycle/stream.rs
+++ b/crates/lagoonline/src/lifecycle/stream.rs
@@ -24,7 +24,7 @@
         expected: u64,
     },
     /// At least one chunk is missing before this one.
-    #[error("chunk {got} received, {expected} was expected")]
+    #[error("chunk {got} came, {expected} was expected")]
     Gap {
         /// Number of the received chunk.
         got: u64,
--- a/crates/lagoonline/src/routing/roster.rs
+++ b/crates/lagoonline/src/routing/roster.rs
@@ -179,10 +179,10 @@
         if !self.is_leader(now) {
             return Vec::new();
         }
-        let of_zone = |known: &HostState| known.info.zone == self.info.zone;
-        let gone = self.hosts.iter().filter(|(_, known)| of_zone(known));
-        let gone = gone.filter(|(_, known)| known.silent_for(now) > span);
-        gone.map(|(host, _)| host.clone()).collect()
+        let in_zone = |known: &HostState| known.info.zone == self.info.zone;
+        let silent = self.hosts.iter().filter(|(_, known)| in_zone(known));
+        let silent = silent.filter(|(_, known)| known.silent_for(now) > span);
+        silent.map(|(host, _)| host.clone()).collect()
     }
 
     /// Returns the number of known hosts, including this one.
@@ -193,10 +193,10 @@
     /// Returns the number of hosts that make scheduling decisions: one for each zone with a
     /// scheduler, and all hosts of the other zones.
     pub fn placing_hosts(&self) -> usize {
-        let of_zone = |(zone, hosts): (&id::Zone, &Vec<id::Host>)| {
+        let in_zone = |(zone, hosts): (&id::Zone, &Vec<id::Host>)| {
             if self.has_scheduler(zone) { 1 } else { hosts.len() }
         };
-        self.ranks.iter().map(of_zone).sum()
+        self.ranks.iter().map(in_zone).sum()
     }
 
     /// Records a message from a host.
@@ -244,9 +244,9 @@
             return None;
         }
         let mut candidates = self.candidates(now);
-        let open =
+        let is_available =
             |host: &id::Host| self.hosts.get(host).is_none_or(|known| known.is_available(now));
-        candidates.find(|host| open(host)).filter(|host| **host != self.own).cloned()
+        candidates.find(|host| is_available(host)).filter(|host| **host != self.own).cloned()
     }
 
     /// Returns whether this host is the first live host of its zone.
@@ -310,7 +310,7 @@
     /// other. For a zone that is not heard from, more hosts are therefore told until its scheduler
     /// answers.
     pub fn remote_peers(&self, now: clock::Moment) -> Vec<id::Host> {
-        let mut far = Vec::new();
+        let mut peers = Vec::new();
         for (zone, hosts) in &self.ranks {
             if *zone == self.info.zone {
                 continue;
@@ -325,9 +325,9 @@
                 .iter()
                 .enumerate()
                 .filter(|(rank, host)| *rank < first || self.is_heard(host, now));
-            far.extend(wanted.map(|(_, host)| host.clone()));
+            peers.extend(wanted.map(|(_, host)| host.clone()));
         }
-        far
+        peers
     }
 
     /// Returns whether this host polls the engines of `zone` for load reports. The first live host
@@ -343,8 +343,8 @@
         let heard = |zone: &id::Zone| self.ranked(zone).any(|host| self.is_heard(host, now));
         let first = self.ranks.keys().find(|zone| **zone == self.info.zone || heard(zone));
         // Before this time no host of another zone can have been heard.
-        let listened = now.since(self.started) > self.settings.remote_timeout;
-        listened && !heard(zone) && first == Some(&self.info.zone)
+        let has_listened = now.since(self.started) > self.settings.remote_timeout;
+        has_listened && !heard(zone) && first == Some(&self.info.zone)
     }
 
     /// Returns the first live hosts of this zone, which may include this one.
--- a/crates/lagoonline/tests/life_fuzz/main.rs
+++ b/crates/lagoonline/tests/life_fuzz/main.rs
@@ -69,7 +69,7 @@
     fn apply((): (), _: &S) {}
 }
 
-fn number<N>(name: &str, default: N) -> N
+fn env_number<N>(name: &str, default: N) -> N
 where
     N: std::str::FromStr,
 {
@@ -85,7 +85,7 @@
         cases,
         failure_persistence: None,
         max_shrink_iters: shrinks,
-        rng_seed: test_runner::RngSeed::Fixed(number("LAGOON_FUZZ_SEED", SEED)),
+        rng_seed: test_runner::RngSeed::Fixed(env_number("LAGOON_FUZZ_SEED", SEED)),
         ..test_runner::Config::default()
     };
     let mut runner = test_runner::TestRunner::new(config.clone());
@@ -98,39 +98,39 @@
     result.map_err(|error| error.to_string())
 }
 
-/// Runs `usual` cases, or the number from the environment; returns whether at least `usual` were
-/// run.
-fn holds<M, S>(usual: u32, steps: ops::Range<usize>) -> bool
+/// Runs `default_cases` cases, or the number given by the environment; returns whether at least
+/// `default_cases` were run.
+fn run_cases<M, S>(default_cases: u32, steps: ops::Range<usize>) -> bool
 where
     M: StateMachineTest<Reference = Script<S>>,
     S: Steps,
 {
-    let cases = number("LAGOON_FUZZ_CASES", usual);
+    let cases = env_number("LAGOON_FUZZ_CASES", default_cases);
     assert_eq!(run::<M, S>(cases, 2_000, steps), Ok(()));
-    assert!(cases < usual || STEPS.get() >= 10_000, "{} steps", STEPS.get());
-    cases >= usual
+    assert!(cases < default_cases || STEPS.get() >= 10_000, "{} steps", STEPS.get());
+    cases >= default_cases
 }
 
 #[test]
 fn claims_hold_under_faults() {
-    let is_full = holds::<machine::Machine, _>(500, CLAIM_STEPS);
+    let is_full = run_cases::<machine::Machine, _>(500, CLAIM_STEPS);
     let tally = machine::tally();
     assert!(!is_full || tally.ran > 500 && tally.replayed > 50, "{tally:?}");
 }
 
 #[test]
 fn memory_returns() {
-    holds::<memory::Machine, _>(300, OTHER_STEPS);
+    run_cases::<memory::Machine, _>(300, OTHER_STEPS);
 }
 
 #[test]
 fn leaving_upstreams_get_nothing_new() {
-    holds::<marks::Machine, _>(300, OTHER_STEPS);
+    run_cases::<marks::Machine, _>(300, OTHER_STEPS);
 }
 
 #[test]
 fn streams_are_whole() {
-    holds::<streams::Machine, _>(300, OTHER_STEPS);
+    run_cases::<streams::Machine, _>(300, OTHER_STEPS);
 }
 
 #[rstest]
