--- a/crates/lagoonline/src/lifecycle/claim/driver.rs
+++ b/crates/lagoonline/src/lifecycle/claim/driver.rs
@@ -67,9 +67,14 @@
 /// The result of rewriting a claim row owned by this host.
 enum RewriteResult {
     Written,
+    /// The row is gone or holds another claim.
     Superseded,
+    /// The row must no longer be written.
     TooLate,
-    Unknown { last_version: u64 },
+    /// No attempt got a definite reply.
+    Unknown {
+        last_version: u64,
+    },
 }
 
 /// Manages the idempotency keys of one entry host.
--- a/crates/lagoonline/src/lifecycle/claim/settings.rs
+++ b/crates/lagoonline/src/lifecycle/claim/settings.rs
@@ -16,7 +16,8 @@
     /// How long after a request's deadline its row may still be written. Must be hours shorter than
     /// the retention.
     pub write_grace: clock::Span,
-    /// `Retry-After` for requests refused because the platform is unreachable.
+    /// `Retry-After` for requests refused because the platform is unreachable, or because an earlier
+    /// request with the key may have run.
     pub retry_after: clock::Span,
     /// Safeguards in force; all of them outside of mutation tests.
     pub safeguards: safeguard::Set,
--- a/crates/lagoonline/src/lifecycle/reap.rs
+++ b/crates/lagoonline/src/lifecycle/reap.rs
@@ -47,6 +47,7 @@
     }
 }
 
+/// Retry state of a pending cancel.
 #[derive(Clone, Copy, Debug)]
 struct Retry {
     at: clock::Moment,
@@ -170,6 +171,7 @@
     }
 }
 
+/// What is known of the latest incarnation of an owner.
 #[derive(Clone, Copy, Debug)]
 struct OwnerState {
     incarnation: id::Incarnation,
@@ -282,6 +284,7 @@
         owners.filter(needs_query).collect()
     }
 
+    /// Updates the state of an owner unless a later incarnation of it is known.
     fn record_seen(
         &mut self,
         owner: &id::Owner,
@@ -352,6 +355,8 @@
         }
     }
 
+    /// Returns whether the owner of a holding is dead: replaced by a later incarnation, or not seen
+    /// for the timeout while this host is not cut off.
     fn is_orphaned(&self, holding: &engine::Holding, is_cut_off: bool, now: clock::Moment) -> bool {
         let Ok(owner) = holding.owner.parse::<id::Owner>() else {
             return false;
@@ -375,8 +380,8 @@
     /// last heartbeats of all hosts are about equally old, and all of them must have dropped out by
     /// the time the first host counts as dead.
     fn is_cut_off(&self, now: clock::Moment) -> bool {
-        let recent = self.settings.owner_timeout / 2;
-        let is_recent = |beat: clock::Moment| now.since(beat) <= recent;
+        let max_age = self.settings.owner_timeout / 2;
+        let is_recent = |beat: clock::Moment| now.since(beat) <= max_age;
         let local = self.owners.values().filter(|state| !state.is_remote);
         let heard =
             local.clone().filter(|state| state.last_heartbeat.is_some_and(is_recent)).count();
--- a/crates/lagoonline/src/routing/registry.rs
+++ b/crates/lagoonline/src/routing/registry.rs
@@ -52,6 +52,7 @@
     entries: collections::BTreeMap<id::Upstream, Registration>,
     /// Registrations that vanished around an outage, and until when they stay in use.
     vanished: collections::BTreeMap<id::Upstream, clock::Moment>,
+    /// When the platform last recovered from an outage.
     recovered_at: Option<clock::Moment>,
 }
 
@@ -108,6 +109,7 @@
         self.entries.values()
     }
 
+    /// Drops a registration, or keeps it for the grace time if it vanished around an outage.
     fn remove(&mut self, upstream: id::Upstream, now: clock::Moment) {
         let until = self.recovered_at.map(|at| at + self.settings.recovery_grace);
         let leaving = self.entries.get(&upstream).is_none_or(|entry| entry.leaving);
--- a/crates/lagoonline/src/routing/roster.rs
+++ b/crates/lagoonline/src/routing/roster.rs
@@ -81,9 +81,11 @@
     info: HostInfo,
     /// When its row was first seen.
     first_seen: clock::Moment,
+    /// When the last message from it arrived.
     last_contact: Option<clock::Moment>,
     /// When the first heartbeat that it has not answered was sent.
     unanswered_since: Option<clock::Moment>,
+    /// Until when it is not asked, because it did not answer or declined a question.
     skipped_until: Option<clock::Moment>,
 }
 
@@ -119,7 +121,7 @@
 /// All known hosts, ranked within each zone by the order in which they become its scheduler.
 ///
 /// ```
-/// use lagoonline::{clock::Moment, id::{Host, Zone}, routing::{Roster, RosterSettings, HostInfo}};
+/// use lagoonline::{clock::Moment, id::{Host, Zone}, routing::{HostInfo, Roster, RosterSettings}};
 /// let settings = RosterSettings { min_hosts: 2, ..RosterSettings::default() };
 /// let info = |cores| HostInfo { zone: Zone::from("z"), cores };
 /// let now = Moment::from_millis(10);
@@ -193,10 +195,10 @@
     /// Returns the number of hosts that make scheduling decisions: one for each zone with a
     /// scheduler, and all hosts of the other zones.
     pub fn placing_hosts(&self) -> usize {
-        let in_zone = |(zone, hosts): (&id::Zone, &Vec<id::Host>)| {
+        let placing = |(zone, hosts): (&id::Zone, &Vec<id::Host>)| {
             if self.has_scheduler(zone) { 1 } else { hosts.len() }
         };
-        self.ranks.iter().map(in_zone).sum()
+        self.ranks.iter().map(placing).sum()
     }
 
     /// Records a message from a host.
@@ -281,17 +283,17 @@
     /// dead ones still get heartbeats so that their return is noticed.
     pub fn heartbeat_targets(&self, now: clock::Moment) -> Vec<id::Host> {
         let mut live = 0;
-        let mut watched = Vec::new();
+        let mut targets = Vec::new();
         for host in self.ranked(&self.info.zone).take(self.settings.max_heartbeat_targets) {
             if live == self.settings.candidates {
                 break;
             }
             live += usize::from(self.is_live(host, now));
             if *host != self.own {
-                watched.push(host.clone());
+                targets.push(host.clone());
             }
         }
-        watched
+        targets
     }
 
     /// Returns the hosts of this zone that must be told what is in flight.
@@ -331,8 +333,8 @@
     }
 
     /// Returns whether this host polls the engines of `zone` for load reports. The first live host
-    /// of a zone does so. If no host of a zone is heard from, the first live host of the first
-    /// other zone by name does it instead.
+    /// of a zone does so. If no host of a zone is heard from, the first live host of another zone
+    /// does it instead: of the zones that are heard from, the first by name.
     pub fn polls(&self, zone: &id::Zone, now: clock::Moment) -> bool {
         if !self.is_leader(now) {
             return false;
@@ -365,6 +367,7 @@
         self.hosts.get(host).is_some_and(|known| known.is_heard(&self.settings, now))
     }
 
+    /// Rebuilds the ranks after a host was added, changed or removed.
     fn rank_hosts(&mut self) {
         let own = (&self.own, &self.info);
         let others = self.hosts.iter().map(|(host, known)| (host, &known.info));
--- a/crates/lagoonline/src/routing/source.rs
+++ b/crates/lagoonline/src/routing/source.rs
@@ -102,6 +102,7 @@
     own: id::Host,
     cores: f64,
     peers: collections::BTreeMap<id::Host, Peer>,
+    /// Hosts that are skipped, and until when.
     skipped_until: collections::BTreeMap<id::Host, clock::Moment>,
 }
 
