--- a/crates/lagoon-gateway/src/answer.rs
+++ b/crates/lagoon-gateway/src/answer.rs
@@ -80,14 +80,14 @@
 /// Starts an answer with the head of an upstream's answer.
 pub(crate) fn forward_head(
     status: u16,
-    fields: &[head::Field],
+    headers: &[head::Header],
     closing: bool,
 ) -> web::HttpResponseBuilder {
     let status =
         http::StatusCode::from_u16(status).unwrap_or(http::StatusCode::INTERNAL_SERVER_ERROR);
     let mut builder = web::HttpResponse::build(status);
-    for field in fields {
-        builder.header(field.name.as_str(), field.value.as_slice());
+    for header in headers {
+        builder.header(header.name.as_str(), header.value.as_slice());
     }
     if closing {
         builder.force_close();
--- a/crates/lagoon-gateway/src/connection.rs
+++ b/crates/lagoon-gateway/src/connection.rs
@@ -13,12 +13,12 @@
     busy: usize,
 }
 
-type Open = collections::HashMap<io::Id, Connection>;
+type OpenConnections = collections::HashMap<io::Id, Connection>;
 
 /// The connections on which a request has arrived.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Connections {
-    open: rc::Rc<cell::RefCell<Open>>,
+    open: rc::Rc<cell::RefCell<OpenConnections>>,
 }
 
 /// Guard of a request in progress on a connection.
--- a/crates/lagoon-gateway/src/exchange.rs
+++ b/crates/lagoon-gateway/src/exchange.rs
@@ -124,12 +124,12 @@
     }
 }
 
-/// Sends one request on a new connection. Returns the status and the body, of at most `limit` bytes.
-/// The call must finish within `timeout`, and the connection must be open within `connect`.
+/// Sends one request on a new connection. Returns the status and the body, of at most `limit`
+/// bytes. The call must finish within `timeout`, and the connection must be open within `connect`.
 ///
 /// # Errors
 ///
-/// [`Failure`]: no connection, or no whole answer in time.
+/// [`Failure`]: no connection, or no complete answer in time.
 pub(crate) async fn call(
     address: net::SocketAddr,
     request: hyper::Request<Payload>,
--- a/crates/lagoon-gateway/src/forward.rs
+++ b/crates/lagoon-gateway/src/forward.rs
@@ -36,7 +36,7 @@
     pub(crate) target: String,
     pub(crate) path: String,
     pub(crate) host: String,
-    pub(crate) fields: Vec<(String, Vec<u8>)>,
+    pub(crate) headers: Vec<(String, Vec<u8>)>,
     pub(crate) body: Bytes,
     pub(crate) call: head::Call,
     pub(crate) arrived: clock::Moment,
@@ -44,7 +44,7 @@
 
 impl Request {
     fn head(&self) -> impl Iterator<Item = (&str, &[u8])> + Clone {
-        self.fields.iter().map(|(name, value)| (name.as_str(), value.as_slice()))
+        self.headers.iter().map(|(name, value)| (name.as_str(), value.as_slice()))
     }
 }
 
@@ -135,7 +135,7 @@
     caller: Caller,
     may_have_run: &mut bool,
 ) -> Result<web::HttpResponse, answer::Fault> {
-    let mut held = request::Pending::new(admitted.retry_rule());
+    let mut pending = request::Pending::new(admitted.retry_rule());
     let mut avoid = Vec::new();
     let mut attempts = 0;
     let mut refusals = 0;
@@ -144,7 +144,7 @@
         let allocation = admitted.allocate(&avoid).await.map_err(|fault| fault.or_unknown(lost))?;
         let upstream = allocation.placement.primary.upstream.clone();
         // Upstreams identify a request by its caller's id, so an attempt needs no id of its own.
-        let dispatched = held.dispatch(id::Attempt(0));
+        let dispatched = pending.dispatch(id::Attempt(0));
         attempts += 1;
         *may_have_run = true;
         let resume = admitted.request.call.last_event;
@@ -158,7 +158,7 @@
         };
         admitted.log_failure(&upstream, &failed);
         avoid.push(failed.at_fault().unwrap_or(&upstream).clone());
-        held = match &failed {
+        pending = match &failed {
             attempt::Failure::Unsent(_) => dispatched.refused(),
             attempt::Failure::Refused { .. } => {
                 refusals += 1;
@@ -173,8 +173,8 @@
             }
         };
         *may_have_run = lost;
-        if !admitted.may_try_again(held.attempts(), refusals, &failed) {
-            return Err(failed.to_fault(held.end()));
+        if !admitted.take_retry(pending.attempts(), refusals, &failed) {
+            return Err(failed.to_fault(pending.end()));
         }
         admitted.state.metrics.retries.inc();
     }
@@ -184,25 +184,25 @@
 #[derive(Debug)]
 pub(crate) enum CheckedAnswer {
     /// A complete answer.
-    Whole { status: u16, fields: Vec<head::Field>, body: Bytes },
+    Complete { status: u16, headers: Vec<head::Header>, body: Bytes },
     /// A stream that has begun.
-    Stream { status: u16, fields: Vec<head::Field>, open: Box<OpenAnswer> },
+    Stream { status: u16, headers: Vec<head::Header>, open: Box<OpenAnswer> },
 }
 
 impl CheckedAnswer {
     fn deliver(self, admitted: Admitted, caller: Caller) -> web::HttpResponse {
         let closing = admitted.state.phase() > state::Phase::Serving;
         match self {
-            CheckedAnswer::Whole { status, fields, body } => {
+            CheckedAnswer::Complete { status, headers, body } => {
                 let span = admitted.state.clock.now().since(admitted.request.arrived);
                 admitted.state.metrics.first_event(0, span);
                 admitted.state.metrics.count_answer(admitted.service.as_str(), None);
                 admitted.log_end("whole", status);
-                let mut builder = answer::forward_head(status, &fields, closing);
+                let mut builder = answer::forward_head(status, &headers, closing);
                 builder.body(ntex::util::Bytes::copy_from_slice(&body))
             }
-            CheckedAnswer::Stream { status, fields, open } => {
-                let mut builder = answer::forward_head(status, &fields, closing);
+            CheckedAnswer::Stream { status, headers, open } => {
+                let mut builder = answer::forward_head(status, &headers, closing);
                 let body = stream::start(admitted, *open, caller);
                 builder.streaming(body)
             }
@@ -228,7 +228,7 @@
     }
 
     /// Whether another attempt is allowed and worthwhile. Takes it from the retry budget.
-    pub(crate) fn may_try_again(
+    pub(crate) fn take_retry(
         &self,
         attempts: u32,
         refusals: u32,
@@ -259,7 +259,7 @@
         last_event: Option<u64>,
         attempts: u32,
     ) -> Result<OpenAnswer, attempt::Failure> {
-        let place::Allocation { placement, id: work_id, in_flight } = allocation;
+        let place::Allocation { placement, id: dispatch_id, in_flight } = allocation;
         let first = &placement.primary;
         let connect = CONNECT_TIMEOUT.min(self.time_left());
         let opened = exchange::Exchange::open(first.address, connect).await;
@@ -269,7 +269,7 @@
         })?;
         let request = self.encode(&placement, in_flight.reservations(), last_event);
         let request = request.map_err(|error| attempt::Failure::Unsent(error.to_string()))?;
-        self.log_dispatch(&placement, work_id.number);
+        self.log_dispatch(&placement, dispatch_id.number);
         if let Some(dispatcher) = self.state.dispatcher(&self.service) {
             state::lock(&dispatcher).budget.record_first_attempt();
         }
@@ -294,7 +294,7 @@
                     Err(_) if !self.may_retry(attempts) => {}
                     Err(_) => {
                         let silent = self.state.clock.now().since(sent);
-                        if let Some(why) = self.abandon_reason(&placement, work_id, silent) {
+                        if let Some(why) = self.abandon_reason(&placement, dispatch_id, silent) {
                             self.record_unreachable(&first.upstream);
                             let detail = format!("{}: {why}, for {silent:?}", first.upstream);
                             return Err(attempt::Failure::Lost(detail));
@@ -314,13 +314,14 @@
         last_event: Option<u64>,
     ) -> Result<hyper::Request<exchange::Payload>, hyper::http::Error> {
         let helper = |helper: &placement::Helper| {
-            let ticket =
+            let reservation =
                 reservations.and_then(|reservations| reservations.id_on(&helper.entry.upstream));
-            engine::format_helper(helper.entry.address, ticket)
+            engine::format_helper(helper.entry.address, reservation)
         };
         let own =
             reservations.and_then(|reservations| reservations.id_on(&placement.primary.upstream));
-        let own = own.map(|ticket| engine::format_helper(placement.primary.address, Some(ticket)));
+        let own = own
+            .map(|reservation| engine::format_helper(placement.primary.address, Some(reservation)));
         let dispatch = head::Dispatch {
             upstream: placement.primary.upstream.clone(),
             customer: self.customer.clone(),
@@ -369,22 +370,26 @@
         self.record_outcome(upstream, message::UpstreamOutcome::Failed);
     }
 
-    pub(crate) fn record_outcome(&self, upstream: &id::Upstream, manner: message::UpstreamOutcome) {
-        self.state.record_observation(&self.service, message::Observation::new(upstream, manner));
+    pub(crate) fn record_outcome(
+        &self,
+        upstream: &id::Upstream,
+        outcome: message::UpstreamOutcome,
+    ) {
+        self.state.record_observation(&self.service, message::Observation::new(upstream, outcome));
     }
 
     /// Checks the head of an answer, and reads its body unless it is a stream.
     pub(crate) async fn check_answer(
         &self,
         mut open: OpenAnswer,
-        earlier: usize,
+        earlier_attempts: usize,
     ) -> Result<CheckedAnswer, attempt::Failure> {
         let status = open.answer.status().as_u16();
         let headers = open.answer.headers();
         let fields: Vec<_> =
             headers.iter().map(|(name, value)| (name.as_str(), value.as_bytes())).collect();
         let read = head::read_answer(status, fields.iter().copied());
-        let passed = head::forward_answer(fields.into_iter());
+        let forwarded = head::forward_answer(fields.into_iter());
         let peer = &open.upstream;
         if read.not_run {
             let helper = read.at_fault.and_then(|address| self.record_failed_helper(peer, address));
@@ -392,16 +397,17 @@
             let detail = format!("{peer}: refused with status {status}{by}");
             return Err(attempt::Failure::Refused { helper, detail });
         }
-        let other = read.request_id.as_deref().is_some_and(|id| id != self.request.call.request_id);
-        let good = (200..300).contains(&status);
-        if other || good && (!read.proven || read.encoded) {
+        let wrong_request =
+            read.request_id.as_deref().is_some_and(|id| id != self.request.call.request_id);
+        let success = (200..300).contains(&status);
+        if wrong_request || success && (!read.proven || read.encoded) {
             self.record_unreachable(peer);
             return Err(attempt::Failure::Lost(format!("{peer}: not the answer to this request")));
         }
         let streams = matches!(self.route.kind, routing::Kind::Stream { .. });
-        if good && streams {
-            open.in_flight.first_token();
-            return Ok(CheckedAnswer::Stream { status, fields: passed, open: Box::new(open) });
+        if success && streams {
+            open.in_flight.record_first_token();
+            return Ok(CheckedAnswer::Stream { status, headers: forwarded, open: Box::new(open) });
         }
         let body = open.exchange.read_body(open.answer.body_mut(), MAX_BUFFERED_BODY).await;
         let body = body.map_err(|failure| {
@@ -412,17 +418,18 @@
             self.record_outcome(peer, message::UpstreamOutcome::Erred);
         }
         let repeatable = self.route.kind.may_repeat();
-        let last = earlier + 1 >= self.route.attempts as usize || self.time_left() < MIN_TIME_LEFT;
-        if status >= 500 && repeatable && !last {
+        let is_last = earlier_attempts + 1 >= self.route.attempts as usize
+            || self.time_left() < MIN_TIME_LEFT;
+        if status >= 500 && repeatable && !is_last {
             return Err(attempt::Failure::Lost(format!("{peer}: answered with status {status}")));
         }
-        if good {
+        if success {
             self.record_success(peer);
             if !body.is_empty() {
                 self.clear();
             }
         }
-        Ok(CheckedAnswer::Whole { status, fields: passed, body: body.freeze() })
+        Ok(CheckedAnswer::Complete { status, headers: forwarded, body: body.freeze() })
     }
 
     /// Records that the engine at `address` failed to help `first`, so that it is avoided for a
--- a/crates/lagoon-gateway/src/hosts.rs
+++ b/crates/lagoon-gateway/src/hosts.rs
@@ -120,7 +120,7 @@
     let mut first = true;
     loop {
         state.tables.wait_until_reading().await;
-        watch.update_longest_pause(&state);
+        watch.update_max_pause(&state);
         let changes = tokio::select! {
             changes = watch.next() => changes,
             // The changes come through the relay now.
@@ -152,7 +152,7 @@
     let peers = state::lock(&state.peers);
     let (hosts, placing_hosts) = (peers.roster.count(), peers.roster.placing_hosts());
     drop(peers);
-    state.set_hosts(hosts, placing_hosts);
+    state.set_host_counts(hosts, placing_hosts);
 }
 
 /// Applies the row of another host. A row that was removed or cannot be read removes the host.
--- a/crates/lagoon-gateway/src/in_flight.rs
+++ b/crates/lagoon-gateway/src/in_flight.rs
@@ -52,9 +52,9 @@
     ) -> Guard {
         let now = admitted.state.clock.now();
         let prompt = admitted.request.call.prompt_tokens.unwrap_or(0);
-        let until = admitted.deadline;
+        let deadline = admitted.deadline;
         let dispatch =
-            placement::Dispatch::new(id, placement, prompt, admitted.gap_target(), until);
+            placement::Dispatch::new(id, placement, prompt, admitted.gap_target(), deadline);
         let sent = message::Dispatch::new(&dispatch, now);
         admitted
             .state
@@ -75,7 +75,7 @@
     }
 
     /// Records that the first token arrived.
-    pub(crate) fn first_token(&mut self) {
+    pub(crate) fn record_first_token(&mut self) {
         if std::mem::replace(&mut self.prefilled, true) {
             return;
         }
--- a/crates/lagoon-gateway/src/mesh.rs
+++ b/crates/lagoon-gateway/src/mesh.rs
@@ -25,7 +25,7 @@
 /// Interval between heartbeats to hosts of this zone.
 const HEARTBEAT_INTERVAL: clock::Span = clock::Span::from_millis(300);
 /// Heartbeats within the zone for each heartbeat to other zones.
-const FAR_HEARTBEAT_EVERY: u64 = 3;
+const HEARTBEATS_PER_REMOTE_HEARTBEAT: u64 = 3;
 /// A dispatch first seen within this time before a heartbeat's list of dispatches is kept even if
 /// the list does not name it: it may have begun after the list was made.
 const IN_TRANSIT_GRACE: clock::Span = clock::Span::from_secs(1);
@@ -78,24 +78,24 @@
         while let Ok(more) = updates.try_recv() {
             batch.push(more);
         }
-        let (near, far) = state.tracking_addresses();
-        send_batch(&state, &batch, Audience::OwnZone, &near);
-        send_batch(&state, &batch, Audience::OtherZones, &far);
+        let (own_zone, remote) = state.tracking_addresses();
+        send_batch(&state, &batch, Audience::OwnZone, &own_zone);
+        send_batch(&state, &batch, Audience::OtherZones, &remote);
         batch.clear();
     }
 }
 
-/// Sends the updates of `batch` that are meant for `side` to `addresses`.
+/// Sends the updates of `batch` that are meant for `audience` to `addresses`.
 fn send_batch(
     state: &state::State,
     batch: &[QueuedUpdate],
-    side: Audience,
+    audience: Audience,
     addresses: &[net::SocketAddr],
 ) {
-    let reached = batch
+    let selected = batch
         .iter()
-        .filter(|queued| queued.audience == side || queued.audience == Audience::AllZones);
-    let updates: Vec<_> = reached.map(|queued| queued.update.clone()).collect();
+        .filter(|queued| queued.audience == audience || queued.audience == Audience::AllZones);
+    let updates: Vec<_> = selected.map(|queued| queued.update.clone()).collect();
     if updates.is_empty() {
         return;
     }
@@ -112,8 +112,8 @@
         tokio::time::sleep(HEARTBEAT_INTERVAL).await;
         forget_silent_hosts(&state);
         send_zone_heartbeat(&state);
-        if count % FAR_HEARTBEAT_EVERY == 0 {
-            send_far_heartbeat(&state);
+        if count % HEARTBEATS_PER_REMOTE_HEARTBEAT == 0 {
+            send_remote_heartbeat(&state);
         }
         count += 1;
     }
@@ -123,7 +123,7 @@
 pub(crate) fn announce(state: &state::State) {
     send_zone_heartbeat(state);
     if state::lock(&state.peers).roster.is_candidate(state.clock.now()) {
-        send_far_heartbeat(state);
+        send_remote_heartbeat(state);
     }
 }
 
@@ -132,11 +132,11 @@
     let own = collections::HashSet::from([state.incarnation]);
     let datagram = state.encode_heartbeat(state.in_flight_numbers(&own), true);
     let mut peers = state::lock(&state.peers);
-    let near = peers.roster.zone_peers(now);
-    for host in &near {
+    let own_zone = peers.roster.zone_peers(now);
+    for host in &own_zone {
         peers.roster.record_heartbeat_sent(host, now);
     }
-    let addresses: Vec<_> = near.iter().filter_map(|host| peers.address(host)).collect();
+    let addresses: Vec<_> = own_zone.iter().filter_map(|host| peers.address(host)).collect();
     drop(peers);
     for address in addresses {
         state.send(address, std::slice::from_ref(&datagram));
@@ -145,24 +145,24 @@
 
 /// Sends a heartbeat to other zones. It lists what all hosts of this zone have in flight and is
 /// sent by the zone's scheduler; in a small zone without one, each host sends its own.
-fn send_far_heartbeat(state: &state::State) {
+fn send_remote_heartbeat(state: &state::State) {
     let now = state.clock.now();
     let peers = state::lock(&state.peers);
-    let shared = peers.roster.own_zone_has_scheduler();
-    if shared && !peers.roster.is_leader(now) {
+    let has_scheduler = peers.roster.own_zone_has_scheduler();
+    if has_scheduler && !peers.roster.is_leader(now) {
         return;
     }
     let mut incarnations = collections::HashSet::from([state.incarnation]);
-    if shared {
+    if has_scheduler {
         incarnations.extend(peers.incarnations_in(&state.settings.node.zone));
     }
-    let far = peers.other_zone_addresses(now);
+    let remote = peers.remote_addresses(now);
     drop(peers);
     let datagrams: Vec<_> = message::pack(state.in_flight_numbers(&incarnations))
         .into_iter()
-        .map(|under_way| state.encode_heartbeat(under_way, false))
+        .map(|dispatches| state.encode_heartbeat(dispatches, false))
         .collect();
-    for address in far {
+    for address in remote {
         state.send(address, &datagrams);
     }
 }
@@ -185,7 +185,7 @@
     state.wait_for_level(state::SyncLevel::Tables).await;
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
-            Ok(heard) => heard,
+            Ok(received) => received,
             Err(error) => {
                 event::Line::new("words_unheard").text("error", error).warn();
                 tokio::time::sleep(SOCKET_RETRY_PAUSE).await;
@@ -237,9 +237,9 @@
     if beat.wants_answer {
         state.send(from, &state.encode_updates(Vec::new()));
     }
-    for under_way in beat.under_way {
-        let numbers = under_way.numbers.into_iter().collect();
-        state.retain_dispatches(under_way.host, &numbers, IN_TRANSIT_GRACE);
+    for dispatches in beat.under_way {
+        let numbers = dispatches.numbers.into_iter().collect();
+        state.retain_dispatches(dispatches.host, &numbers, IN_TRANSIT_GRACE);
     }
 }
 
@@ -281,8 +281,8 @@
     }
 }
 
-/// Applies an update of the host incarnation `from`, and forwards it to other zones if `forwards` is
-/// set.
+/// Applies an update of the host incarnation `from`, and forwards it to other zones if `forwards`
+/// is set.
 fn apply_update(state: &state::State, from: u64, update: message::Update, forwards: bool) {
     let service = id::Service::from(update.service.as_str());
     let id = placement::DispatchId { host: update.host.unwrap_or(from), number: update.number };
@@ -301,7 +301,7 @@
         message::Kind::Verdict(verdict) => return state.apply_verdict(verdict),
         _ => {}
     }
-    let output = state.with_placer(&service, |placer, now| match what {
+    let applied = state.with_placer(&service, |placer, now| match what {
         message::Kind::Sent(sent) => placer.record_dispatch(sent.dispatch(id, now), now),
         message::Kind::First(_) => placer.record_first_token(id, now),
         message::Kind::Ended(_) => placer.record_end(id, now),
@@ -312,7 +312,7 @@
         message::Kind::Seen(seen) => seen.apply(placer, now),
         message::Kind::Crashed(_) | message::Kind::Cleared(_) | message::Kind::Verdict(_) => {}
     });
-    if output.is_none() {
+    if applied.is_none() {
         log::debug!("\"event\":\"word_of_unknown_service\"");
     }
 }
--- a/crates/lagoon-gateway/src/message.rs
+++ b/crates/lagoon-gateway/src/message.rs
@@ -134,7 +134,7 @@
     /// Name of the upstream.
     #[prost(string, tag = "1")]
     pub(crate) upstream: String,
-    /// What the upstream did, as a [`UpstreamOutcome`].
+    /// What the upstream did, as an [`UpstreamOutcome`].
     #[prost(enumeration = "UpstreamOutcome", tag = "2")]
     pub(crate) manner: i32,
     /// Upstream that could not reach it; absent if it was the host.
@@ -168,9 +168,9 @@
 }
 
 impl Observation {
-    /// Creates an observation that `upstream` did `manner`.
-    pub(crate) fn new(upstream: &id::Upstream, manner: UpstreamOutcome) -> Observation {
-        Observation { upstream: upstream.to_string(), manner: manner.into(), from: None }
+    /// Creates an observation that `upstream` did `outcome`.
+    pub(crate) fn new(upstream: &id::Upstream, outcome: UpstreamOutcome) -> Observation {
+        Observation { upstream: upstream.to_string(), manner: outcome.into(), from: None }
     }
 
     /// Creates an observation that the engine `from` could not reach its helper `upstream`.
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Decodes the work, received at `now`.
+    /// Decodes the dispatch, received at `now`.
     pub(crate) fn dispatch(
         self,
         id: placement::DispatchId,
@@ -292,11 +292,11 @@
 }
 
 impl Batch {
-    /// Encodes `words` together with this batch's other fields as datagrams of at most [`MAX_DATAGRAM_BYTES`]
-    /// bytes, unless a single update is larger. Without updates there is one datagram, which shows
-    /// that the host is alive.
-    pub(crate) fn datagrams(&self, words: Vec<Update>) -> Vec<Vec<u8>> {
-        let batch = |words| Batch { words, ..self.clone() };
-        pack(words).into_iter().map(|words| batch(words).encode_to_vec()).collect()
+    /// Encodes `words` together with this batch's other fields as datagrams of at most
+    /// [`MAX_DATAGRAM_BYTES`] bytes, unless a single update is larger. Without updates there is one
+    /// datagram, which shows that the host is alive.
+    pub(crate) fn datagrams(&self, updates: Vec<Update>) -> Vec<Vec<u8>> {
+        let batch = |updates| Batch { words: updates, ..self.clone() };
+        pack(updates).into_iter().map(|updates| batch(updates).encode_to_vec()).collect()
     }
 }
--- a/crates/lagoon-gateway/src/mirror.rs
+++ b/crates/lagoon-gateway/src/mirror.rs
@@ -17,13 +17,15 @@
 /// The rows of a table.
 #[derive(Debug)]
 pub(crate) struct Mirror {
+    /// Decides whether a change of a row is relevant.
     same: SameValue,
     rows: collections::BTreeMap<String, store::Row>,
     /// Version up to which the copy is complete; `None` until all rows have been read, and again
     /// when the platform no longer has the history of changes.
     version: Option<u64>,
-    /// Removals up to this version may have been dropped from the copy.
-    pruned_up_to: u64,
+    /// Version since which the copy has every change; earlier removals precede the first full read
+    /// or were pruned.
+    history_start: u64,
     /// Version of the last relevant change.
     last_change: u64,
 }
@@ -46,7 +48,7 @@
             same,
             rows: collections::BTreeMap::new(),
             version: None,
-            pruned_up_to: 0,
+            history_start: 0,
             last_change: 0,
         }
     }
@@ -77,7 +79,7 @@
         }
         let gone = if delta.all { self.removals(&delta) } else { Vec::new() };
         if delta.all && self.version.is_none() {
-            self.pruned_up_to = delta.version;
+            self.history_start = delta.version;
         }
         let rows = delta.rows.into_iter().chain(gone);
         let changed: Vec<_> = rows.filter(|row| self.store_row(row)).collect();
@@ -90,7 +92,7 @@
     /// while this copy is not complete.
     pub(crate) fn changes_since(&self, version: Option<u64>) -> Option<Delta> {
         let complete = self.version?;
-        let known = version.filter(|version| *version >= self.pruned_up_to);
+        let known = version.filter(|version| *version >= self.history_start);
         let rows = self.rows.values().filter(|row| match known {
             Some(version) => row.version > version,
             None => row.value.is_some(),
@@ -126,6 +128,7 @@
         true
     }
 
+    /// Drops the older half of the removed rows when there are too many.
     fn prune_tombstones(&mut self) {
         let removed = self.rows.values().filter(|row| row.value.is_none());
         let mut versions: Vec<u64> = removed.map(|row| row.version).collect();
@@ -133,8 +136,8 @@
             return;
         }
         versions.sort_unstable();
-        self.pruned_up_to = self.pruned_up_to.max(versions[versions.len() - MAX_TOMBSTONES / 2]);
-        let pruned_up_to = self.pruned_up_to;
-        self.rows.retain(|_, row| row.value.is_some() || row.version > pruned_up_to);
+        self.history_start = self.history_start.max(versions[versions.len() - MAX_TOMBSTONES / 2]);
+        let history_start = self.history_start;
+        self.rows.retain(|_, row| row.value.is_some() || row.version > history_start);
     }
 }
--- a/crates/lagoon-gateway/src/peers.rs
+++ b/crates/lagoon-gateway/src/peers.rs
@@ -127,7 +127,7 @@
     }
 
     /// Returns the addresses of the hosts in other zones that track dispatches in flight.
-    pub(crate) fn other_zone_addresses(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
+    pub(crate) fn remote_addresses(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
         self.roster.remote_peers(now).iter().filter_map(|host| self.address(host)).collect()
     }
 
--- a/crates/lagoon-gateway/src/place.rs
+++ b/crates/lagoon-gateway/src/place.rs
@@ -61,8 +61,8 @@
             // caller is still waiting, so the target counts from now.
             let due = if avoid.is_empty() { self.request.arrived } else { started };
             let due = due + self.route.target;
-            let decided = self.choose(avoid, waited, due, waiter).await;
-            let schedule::PlacementResult { id, decider, result } = decided;
+            let chosen = self.choose(avoid, waited, due, waiter).await;
+            let schedule::PlacementResult { id, decider, result } = chosen;
             let placement = match result {
                 Ok(placement) => placement,
                 Err(placement::Refusal::Busy(shortage))
@@ -128,12 +128,12 @@
             .text("detail", &refusal.detail)
             .span("waited_ms", waited)
             .info();
-        let manner = if refusal.answered {
+        let outcome = if refusal.answered {
             message::UpstreamOutcome::Full
         } else {
             message::UpstreamOutcome::Failed
         };
-        self.record_outcome(&refusal.upstream, manner);
+        self.record_outcome(&refusal.upstream, outcome);
     }
 
     async fn reserve(
@@ -151,8 +151,8 @@
             return Ok(None);
         }
         let name = format!("{:x}-{}", self.state.incarnation, id.number);
-        let (first, expected) = (&placement.primary, placement.expected);
-        reserve::reserve_all(&self.state, &name, first, &wanted, expected).await.map(Some)
+        let (primary, expected) = (&placement.primary, placement.expected);
+        reserve::reserve_all(&self.state, &name, primary, &wanted, expected).await.map(Some)
     }
 
     /// Chooses where the request goes next, after it has waited for `waited`. Its first event is
@@ -176,9 +176,9 @@
             avoid,
             random: rand::rng().random(),
         };
-        let asked = schedule::ask(&self.state, &self.service, &request, self.time_left()).await;
-        if let Some(decided) = asked {
-            return decided;
+        let scheduled = schedule::ask(&self.state, &self.service, &request, self.time_left()).await;
+        if let Some(result) = scheduled {
+            return result;
         }
         let placed =
             self.state.with_placer(&self.service, |placer, now| placer.place(&request, now));
--- a/crates/lagoon-gateway/src/publish.rs
+++ b/crates/lagoon-gateway/src/publish.rs
@@ -26,10 +26,10 @@
             drop(peers);
             return self.in_flight_updates(|host| host == self.incarnation);
         }
-        let follows = peers.is_among(address, &roster.heartbeat_targets(now));
+        let is_target = peers.is_among(address, &roster.heartbeat_targets(now));
         let in_own_zone = peers.is_in_zone(address, zone);
         if !roster.is_candidate(now)
-            || in_own_zone && !follows
+            || in_own_zone && !is_target
             || !in_own_zone && !roster.is_leader(now)
         {
             return Vec::new();
@@ -49,11 +49,11 @@
         let now = self.clock.now();
         let mut updates = Vec::new();
         for (service, dispatcher) in self.dispatchers.load().iter() {
-            for (dispatch, read) in state::lock(dispatcher).placer.in_flight(&wanted) {
+            for (dispatch, prefilled) in state::lock(dispatcher).placer.in_flight(&wanted) {
                 let mut add =
                     |what| updates.push(message::Update::about(dispatch.id, service, what));
                 add(message::Kind::Sent(message::Dispatch::new(dispatch, now)));
-                if read {
+                if prefilled {
                     add(message::Kind::First(message::Empty {}));
                 }
             }
@@ -61,8 +61,8 @@
         updates
     }
 
-    /// Returns the numbers of the dispatches in flight for each of `incarnations`, with an empty list for
-    /// those that have none.
+    /// Returns the numbers of the dispatches in flight for each of `incarnations`, with an empty
+    /// list for those that have none.
     pub(crate) fn in_flight_numbers(
         &self,
         incarnations: &collections::HashSet<u64>,
@@ -76,8 +76,8 @@
                 numbers.entry(dispatch.id.host).or_default().push(dispatch.id.number);
             }
         }
-        let under_way = |(host, numbers)| message::Dispatches { host, numbers };
-        numbers.into_iter().map(under_way).collect()
+        let dispatches = |(host, numbers)| message::Dispatches { host, numbers };
+        numbers.into_iter().map(dispatches).collect()
     }
 
     /// Encodes a heartbeat.
@@ -129,15 +129,17 @@
     pub(crate) fn tracking_addresses(&self) -> (Vec<net::SocketAddr>, Vec<net::SocketAddr>) {
         let now = self.clock.now();
         let peers = state::lock(&self.peers);
-        (peers.zone_addresses(now), peers.other_zone_addresses(now))
+        (peers.zone_addresses(now), peers.remote_addresses(now))
     }
 
     /// Whether this host forwards updates of the host at `address` to other zones.
     pub(crate) fn forwards_for(&self, address: net::SocketAddr) -> bool {
         let now = self.clock.now();
         let peers = state::lock(&self.peers);
-        let shared = peers.roster.own_zone_has_scheduler();
-        shared && peers.roster.is_leader(now) && peers.is_in_zone(address, &self.settings.node.zone)
+        let has_scheduler = peers.roster.own_zone_has_scheduler();
+        has_scheduler
+            && peers.roster.is_leader(now)
+            && peers.is_in_zone(address, &self.settings.node.zone)
     }
 
     /// Drops the dispatches of a host incarnation that has ended.
@@ -145,8 +147,8 @@
         self.retain_dispatches(incarnation, &collections::HashSet::new(), clock::Span::ZERO);
     }
 
-    /// Drops the dispatches of `incarnation` that are not among `numbers` and were first seen longer than
-    /// `span` ago. The zone's scheduler publishes their end to other zones.
+    /// Drops the dispatches of `incarnation` that are not among `numbers` and were first seen
+    /// longer than `span` ago. The zone's scheduler publishes their end to other zones.
     pub(crate) fn retain_dispatches(
         &self,
         incarnation: u64,
@@ -155,19 +157,19 @@
     ) {
         let now = self.clock.now();
         let peers = state::lock(&self.peers);
-        let shared = peers.roster.own_zone_has_scheduler();
-        let publishes = shared
+        let has_scheduler = peers.roster.own_zone_has_scheduler();
+        let publishes = has_scheduler
             && peers.roster.is_leader(now)
             && peers.incarnations_in(&self.settings.node.zone).contains(&incarnation);
         drop(peers);
         for (service, dispatcher) in self.dispatchers.load().iter() {
-            let over = state::lock(dispatcher).placer.retain_listed(
+            let ended_ids = state::lock(dispatcher).placer.retain_listed(
                 incarnation,
                 numbers,
                 now.saturating_sub(span),
                 now,
             );
-            for id in over.into_iter().filter(|_| publishes) {
+            for id in ended_ids.into_iter().filter(|_| publishes) {
                 let ended = message::Kind::Ended(message::Empty {});
                 self.queue_update(
                     message::Update::about(id, service, ended),
--- a/crates/lagoon-gateway/src/quarantine/mod.rs
+++ b/crates/lagoon-gateway/src/quarantine/mod.rs
@@ -1,6 +1,6 @@
 //! Requests that crash upstreams: records crashes, exchanges evidence and verdicts with other
 //! hosts, and checks each request before it is sent. The verdicts themselves are made by
-//! [`lagoonline::life::quarantine`].
+//! [`lagoonline::lifecycle::quarantine`].
 
 mod message;
 mod operator;
@@ -236,11 +236,11 @@
         let now = self.clock.now();
         let quarantine = state::lock(&self.quarantine.records);
         let checksum = quarantine.checksum(now);
-        let held = quarantine.records(now).filter(|record| record.is_active(now)).count();
+        let active = quarantine.records(now).filter(|record| record.is_active(now)).count();
         let suspects = quarantine.suspects();
         drop(quarantine);
         self.quarantine.checksum.store(checksum, atomic::Ordering::Relaxed);
-        self.metrics.quarantined.set(i64::try_from(held).unwrap_or(i64::MAX));
+        self.metrics.quarantined.set(i64::try_from(active).unwrap_or(i64::MAX));
         self.metrics.suspects.set(i64::try_from(suspects).unwrap_or(i64::MAX));
     }
 
@@ -266,8 +266,8 @@
         last_sent.insert(address, now);
         drop(last_sent);
         let verdicts = self.verdicts();
-        let some = verdicts.choose_multiple(&mut rand::rng(), MAX_VERDICTS_SENT);
-        let updates = some.map(|record| verdict_update(record, now)).collect();
+        let selected = verdicts.choose_multiple(&mut rand::rng(), MAX_VERDICTS_SENT);
+        let updates = selected.map(|record| verdict_update(record, now)).collect();
         self.send(address, &self.encode_updates(updates));
     }
 }
--- a/crates/lagoon-gateway/src/quarantine/rows.rs
+++ b/crates/lagoon-gateway/src/quarantine/rows.rs
@@ -66,8 +66,8 @@
     }
 }
 
-/// Sleeps longer after each consecutive failure, up to the longest pause that the platform's call
-/// limits require. The pause is randomised so that hosts which lost the platform together do not
+/// Sleeps longer after each consecutive failure, up to the longest pause that the roster sets for
+/// this host. The pause is randomised so that hosts which lost the platform together do not
 /// call it together.
 async fn pause(state: &state::State, failures: u32) {
     let max_pause = state::lock(&state.peers).roster.max_retry_pause(state.clock.now());
@@ -114,12 +114,12 @@
             };
             state.merge_verdict(record, "platform");
         }
-        (Err(error), _) => unreadable(&row.key, &error.to_string()),
-        (_, Err(error)) => unreadable(&row.key, &error.to_string()),
+        (Err(error), _) => log_unreadable(&row.key, &error.to_string()),
+        (_, Err(error)) => log_unreadable(&row.key, &error.to_string()),
     }
 }
 
-fn unreadable(key: &str, error: &str) {
+fn log_unreadable(key: &str, error: &str) {
     event::Line::new("quarantine_unreadable").text("key", key).text("error", error).warn();
 }
 
--- a/crates/lagoon-gateway/src/question.rs
+++ b/crates/lagoon-gateway/src/question.rs
@@ -43,13 +43,13 @@
 }
 
 impl Question {
-    /// Creates the question for the dispatch `number` to `service`, which has `left` until its
+    /// Creates the question for the dispatch `number` to `service`, which has `time_left` until its
     /// deadline.
     pub(crate) fn new(
         number: u64,
         service: &id::Service,
         request: &placement::Request<'_>,
-        left: clock::Span,
+        time_left: clock::Span,
     ) -> Question {
         Question {
             number,
@@ -59,13 +59,13 @@
             target_ms: message::millis(request.target),
             gap_ms: message::millis(request.max_gap),
             waited_ms: message::millis(request.waited),
-            left_ms: message::millis(left),
+            left_ms: message::millis(time_left),
             avoid: request.avoid.iter().map(ToString::to_string).collect(),
             turn: request.waiter.number,
         }
     }
 
-    /// Returns the demand of a request at the host incarnation `asking` in `zone`.
+    /// Decodes the placement request of the host incarnation `asking` in `zone`.
     pub(crate) fn request<'a>(
         &self,
         asking: u64,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Returns the board's record of the dispatch, placed as `placed` at `now`.
+    /// Returns the record of the dispatch, placed as `placed` at `now`.
     pub(crate) fn dispatch(
         &self,
         id: placement::DispatchId,
@@ -137,7 +137,7 @@
     pub(crate) expected_ms: u32,
     /// Estimated load of the upstream when it was chosen, for the log.
     #[prost(message, optional, tag = "5")]
-    pub(crate) belief: Option<Belief>,
+    pub(crate) belief: Option<Estimate>,
 }
 
 /// An engine that prefills a part of a prompt.
@@ -153,7 +153,7 @@
 
 /// Estimated load of an upstream.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct Belief {
+pub(crate) struct Estimate {
     /// Prefill time of its queue, in milliseconds.
     #[prost(double, tag = "1")]
     pub(crate) reading_ms: f64,
@@ -274,7 +274,7 @@
             reserve: placement.reserve,
             helpers: placement.helpers.iter().map(helper).collect(),
             expected_ms: message::millis(placement.expected),
-            belief: Some(Belief {
+            belief: Some(Estimate {
                 reading_ms: estimate.prefill_ms,
                 writers: estimate.decoding,
                 places: u32::try_from(estimate.used_slots).unwrap_or(u32::MAX),
--- a/crates/lagoon-gateway/src/relay/follow.rs
+++ b/crates/lagoon-gateway/src/relay/follow.rs
@@ -54,7 +54,7 @@
     let mut sources = routing::SourceSelector::new(settings, node.host.clone(), node.cpu_share);
     let mut known = collections::BTreeMap::new();
     loop {
-        update(&mut sources, &mut known, &state.members);
+        update_members(&mut sources, &mut known, &state.members);
         match sources.next(state.clock.now()) {
             // The hosts ranked before this one do not read yet, but one of them soon will.
             routing::Source::Platform
@@ -76,7 +76,7 @@
                     Some(member) => {
                         follow_reader(&state, &mut sources, &mut known, &host, member).await
                     }
-                    None => LeaveReason::Failed("its address is not known".to_owned()),
+                    None => LeaveReason::Failed("its address is unknown".to_owned()),
                 };
                 record_leave(&state, &mut sources, &host, &reason);
                 if !is_fresh(&state, max_age) {
@@ -117,10 +117,10 @@
 }
 
 /// Updates `known` and `sources` from the current members of the zone.
-fn update(sources: &mut routing::SourceSelector, known: &mut MemberMap, members: &Members) {
+fn update_members(sources: &mut routing::SourceSelector, known: &mut MemberMap, members: &Members) {
     let now = state::lock(members).clone();
-    for gone in known.keys().filter(|host| !now.contains_key(*host)) {
-        sources.remove_peer(gone);
+    for removed in known.keys().filter(|host| !now.contains_key(*host)) {
+        sources.remove_peer(removed);
     }
     for (host, member) in &now {
         sources.set_peer(host.clone(), member.peer);
@@ -131,9 +131,9 @@
 /// Why this host stopped following a reader.
 #[derive(Debug, thiserror::Error)]
 enum LeaveReason {
-    #[error("it does not read now")]
+    #[error("it does not read the platform")]
     NotReading,
-    #[error("another host comes before it")]
+    #[error("another host ranks before it")]
     Outranked,
     #[error("{0}")]
     Failed(String),
@@ -166,7 +166,7 @@
         if let Err(reason) = poll(state, &mut connection).await {
             return reason;
         }
-        update(sources, known, &state.members);
+        update_members(sources, known, &state.members);
         if sources.next(state.clock.now()) != routing::Source::Peer(host.clone()) {
             return LeaveReason::Outranked;
         }
@@ -196,11 +196,11 @@
     Ok(())
 }
 
-/// Applies a reader's answer. The ages in it count from `asked_at`, the time of the request, and can
-/// only be too old.
+/// Applies a reader's answer. The ages in it count from `asked_at`, the time of the request, and
+/// can only be too old.
 fn apply(state: &state::State, changes: message::Changes, asked_at: clock::Moment) {
-    if let Some(returned) = changes.returned_ms {
-        let age = clock::Span::from_millis(returned);
+    if let Some(recovered_ms) = changes.returned_ms {
+        let age = clock::Span::from_millis(recovered_ms);
         tables::platform_recovered(state, state.clock.now().saturating_sub(age));
     }
     if let Some(table) = changes.desired {
--- a/crates/lagoon-gateway/src/relay/serve.rs
+++ b/crates/lagoon-gateway/src/relay/serve.rs
@@ -62,13 +62,15 @@
             connection.send(bytes::Bytes::from(response.encode_to_vec())),
         )
         .await;
-        sent.map_err(|_| io::Error::new(io::ErrorKind::TimedOut, "answer not taken"))??;
+        sent.map_err(|_| {
+            io::Error::new(io::ErrorKind::TimedOut, "timed out while sending the answer")
+        })??;
     }
     Ok(())
 }
 
-/// Answers a host that has the versions in `ask`: at once if there are changes, otherwise after the
-/// hold time. Returns `None` if this host does not read the platform.
+/// Answers a host that has the versions in `request`: at once if there are changes, otherwise after
+/// the hold time. Returns `None` if this host does not read the platform.
 async fn answer(state: &state::State, request: &message::Request) -> Option<message::Changes> {
     let mut changes = state.tables.watch_changes();
     state.tables.record_request(state.clock.now());
@@ -107,11 +109,11 @@
     // The entry hosts are sent whatever their age: learning of a host late costs only some
     // messages.
     let hosts = state::lock(&state.tables.hosts).changes_since(request.hosts);
-    let returned = tables::age(state, state.tables.recovered_at());
+    let recovery_age = tables::age(state, state.tables.recovered_at());
     Some(message::Changes {
         desired: Some(message::Table::new(desired, desired_age)),
         upstreams: Some(message::Table::new(upstreams, upstreams_age)),
         hosts: hosts.map(|hosts| message::Table::new(hosts, clock::Span::ZERO)),
-        returned_ms: returned.map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
+        returned_ms: recovery_age.map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
     })
 }
--- a/crates/lagoon-gateway/src/report.rs
+++ b/crates/lagoon-gateway/src/report.rs
@@ -5,7 +5,7 @@
 //! be seen, but its report shows it.
 //!
 //! Each engine is asked by the first live host of its zone, which publishes the result; see
-//! [`routing::Roster::asks`]. If two hosts disagree about which is first, both ask the engine.
+//! [`routing::Roster::polls`]. If two hosts disagree about which is first, both ask the engine.
 
 use std::collections;
 use std::sync;
--- a/crates/lagoon-gateway/src/reserve.rs
+++ b/crates/lagoon-gateway/src/reserve.rs
@@ -68,8 +68,8 @@
         Ok(status)
     }
 
-    /// Whether an unanswered reserve order may still be carried out.
-    fn may_be_carried_out(&self, now: clock::Moment) -> bool {
+    /// Whether the engine may still carry out an unanswered reserve order.
+    fn has_pending_order(&self, now: clock::Moment) -> bool {
         state::lock(&self.unanswered_since).is_some_and(|sent| now.since(sent) <= LATE_ORDER_WINDOW)
     }
 }
@@ -144,14 +144,13 @@
     ordered.sort_by(|a, b| a.0.upstream.cmp(&b.0.upstream));
     let active_until = state.clock.now() + expected + renewal_slack(state);
     let active_until = sync::Arc::new(sync::Mutex::new(active_until));
-    let mut reservations_held =
-        Reservations { state: state.clone(), reservations: Vec::new(), active_until };
+    let mut held = Reservations { state: state.clone(), reservations: Vec::new(), active_until };
     for (index, (entry, tokens)) in ordered.into_iter().enumerate() {
         let id = format!("{name}-{index}");
         let reservation = Reservation { id, entry, tokens, unanswered_since: sync::Arc::default() };
         // Added before the order is sent: an unanswered order may be carried out, so its
         // reservation has to be released as well.
-        reservations_held.reservations.push(reservation.clone());
+        held.reservations.push(reservation.clone());
         state.metrics.reservations.inc();
         let status = reservation.reserve(state).await;
         if !matches!(status, Ok(200)) {
@@ -160,28 +159,28 @@
             return Err(Refusal { upstream: reservation.entry.upstream, answered, detail });
         }
     }
-    let active_until = sync::Arc::downgrade(&reservations_held.active_until);
-    let mut reservations = reservations_held.reservations.clone();
+    let active_until = sync::Arc::downgrade(&held.active_until);
+    let mut reservations = held.reservations.clone();
     reservations.sort_by_key(|reservation| reservation.entry.upstream != first.upstream);
     drop(ntex::rt::spawn(renew(state.clone(), first.clone(), reservations, active_until)));
-    Ok(reservations_held)
+    Ok(held)
 }
 
-/// Renews `reservations`, the one of the engine `first` before the others, while the reservations are
-/// held.
+/// Renews `reservations`, the one of the engine `first` before the others, while the reservations
+/// are held.
 async fn renew(
     state: sync::Arc<state::State>,
     first: routing::Registration,
     reservations: Vec<Reservation>,
-    reservations_held: sync::Weak<ActiveUntil>,
+    activity: sync::Weak<ActiveUntil>,
 ) {
     let mut pause = hold_time(&state) / RENEWALS_PER_HOLD;
     loop {
         tokio::time::sleep(pause).await;
-        if reservations_held.strong_count() == 0 {
+        if activity.strong_count() == 0 {
             return;
         }
-        pause = match renew_round(&state, &first, &reservations, &reservations_held).await {
+        pause = match renew_round(&state, &first, &reservations, &activity).await {
             Ok(()) => hold_time(&state) / RENEWALS_PER_HOLD,
             Err(error) => {
                 event::Line::new("not_renewed")
@@ -204,15 +203,14 @@
     state: &state::State,
     first: &routing::Registration,
     reservations: &[Reservation],
-    reservations_held: &sync::Weak<ActiveUntil>,
+    activity: &sync::Weak<ActiveUntil>,
 ) -> Result<(), String> {
     if reservations.first().is_none_or(|reservation| reservation.entry.upstream != first.upstream) {
-        let called = tcp::connect(first.address, CONNECT_TIMEOUT).await;
-        called.map_err(|error| error.to_string())?;
+        let connected = tcp::connect(first.address, CONNECT_TIMEOUT).await;
+        connected.map_err(|error| error.to_string())?;
     }
     for reservation in reservations {
-        let Some(active_until) =
-            reservations_held.upgrade().map(|active_until| *state::lock(&active_until))
+        let Some(active_until) = activity.upgrade().map(|active_until| *state::lock(&active_until))
         else {
             return Ok(());
         };
@@ -255,7 +253,7 @@
     loop {
         let status = send_order(&reservation.entry, engine::release_order(&reservation.id)).await;
         let released = matches!(status, Ok(200 | 202 | 404 | 409 | head::MISDIRECTED));
-        if released && reservation.may_be_carried_out(state.clock.now()) {
+        if released && reservation.has_pending_order(state.clock.now()) {
             // A reserve order that is still on its way may recreate it.
             tokio::time::sleep(hold_time(&state) / RELEASES_PER_HOLD).await;
             continue;
--- a/crates/lagoon-gateway/src/schedule.rs
+++ b/crates/lagoon-gateway/src/schedule.rs
@@ -80,12 +80,12 @@
     state: &state::State,
     service: &id::Service,
     request: &placement::Request<'_>,
-    left: clock::Span,
+    time_left: clock::Span,
 ) -> Option<PlacementResult> {
     for _ in 0..MAX_SCHEDULERS_ASKED {
         let (host, address) = state::lock(&state.peers).scheduler(state.clock.now())?;
         let id = state.next_dispatch_id();
-        let question = question::Question::new(id.number, service, request, left);
+        let question = question::Question::new(id.number, service, request, time_left);
         let batch = message::Batch { questions: vec![question], ..message::Batch::default() };
         let mut pending = state.questions.register(id.number);
         state.send(address, &[state.encode_batch(batch)]);
@@ -93,7 +93,7 @@
         let decision = match answer {
             Ok(Ok(question::Answer { decision: Some(decision), .. })) => decision,
             Ok(_) => {
-                skip_scheduler(state, &host, "it does not decide now");
+                skip_scheduler(state, &host, "it is not scheduling now");
                 continue;
             }
             Err(_) => {
@@ -103,19 +103,19 @@
                 continue;
             }
         };
-        let decided =
+        let by_scheduler =
             |result| PlacementResult { id, decider: in_flight::Decider::Scheduler, result };
         return match decision {
             question::Decision::Refused(refused) => {
-                Some(decided(Err(placement::Refusal::from(&refused))))
+                Some(by_scheduler(Err(placement::Refusal::from(&refused))))
             }
             question::Decision::Placed(placed) => {
-                let known = state.with_placer(service, |placer, _| placed.placement(placer));
-                let Some(placement) = known.flatten() else {
+                let placement = state.with_placer(service, |placer, _| placed.placement(placer));
+                let Some(placement) = placement.flatten() else {
                     state.publish_ended(service, id);
                     return None;
                 };
-                Some(decided(Ok(placement)))
+                Some(by_scheduler(Ok(placement)))
             }
         };
     }
--- a/crates/lagoon-gateway/src/server.rs
+++ b/crates/lagoon-gateway/src/server.rs
@@ -30,8 +30,8 @@
 /// Time between reporting not ready and refusing requests. The balancer checks every second and
 /// removes a host after two failed checks; half a second is to spare.
 const UNREADY_TIME: clock::Span = clock::Span::from_millis(2_500);
-/// Time before the kill at which the process stops waiting for requests: [`FLUSH_TIME`] plus [`STOP_TIMEOUT`],
-/// and as much again for the process to exit.
+/// Time before the kill at which the process stops waiting for requests: [`FLUSH_TIME`] plus
+/// [`STOP_TIMEOUT`], and as much again for the process to exit.
 const EXIT_RESERVE: clock::Span = clock::Span::from_millis(500);
 /// Time for the last answers to be sent: two round trips to a caller.
 const FLUSH_TIME: clock::Span = clock::Span::from_millis(100);
@@ -139,12 +139,12 @@
     sockets: Sockets,
     updates: mpsc::Receiver<mesh::QueuedUpdate>,
 ) -> io::Result<()> {
-    let place = &state.settings.node;
+    let node = &state.settings.node;
     event::Line::new("start")
-        .text("host", &place.host)
-        .text("zone", &place.zone)
-        .text("callers", place.callers)
-        .text("store", place.store)
+        .text("host", &node.host)
+        .text("zone", &node.zone)
+        .text("callers", node.callers)
+        .text("store", node.store)
         .info();
     let callers = listen(state.clone(), sockets.callers, Role::Callers)?;
     let ready = listen(state.clone(), sockets.ready, Role::Ready)?;
@@ -187,6 +187,7 @@
     tokio::time::sleep(FLUSH_TIME).await;
 }
 
+/// Periodically removes expired state and updates the quarantine and the confirmation age metric.
 async fn expire(state: sync::Arc<state::State>) {
     loop {
         tokio::time::sleep(EXPIRY_INTERVAL).await;
@@ -201,6 +202,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Role {
     Callers,
+    /// Readiness, metrics and operator calls.
     Ready,
 }
 
@@ -268,6 +270,7 @@
     }
 }
 
+/// Reads a caller's request and answers it.
 async fn handle_caller(
     state: &sync::Arc<state::State>,
     connections: &connection::Connections,
@@ -277,12 +280,12 @@
     let arrived = state.clock.now();
     let io = request.io().cloned();
     let busy = io.as_ref().map(|io| connections.track_request(io));
-    let fields = headers(request);
-    let call = head::read_call(fields.iter().map(|(name, value)| (name.as_str(), &value[..])));
+    let headers = headers(request);
+    let call = head::read_call(headers.iter().map(|(name, value)| (name.as_str(), &value[..])));
     let id = call.request_id.clone();
     let work = async {
         let body = read_body(payload, max_body_bytes(state)).await?;
-        let request = build_request(request, fields, call, body, arrived);
+        let request = build_request(request, headers, call, body, arrived);
         if state.phase() >= state::Phase::Draining {
             let detail = "this host is shutting down";
             let fault = answer::Fault::not_run(Reason::Draining, Step::Admit, detail);
@@ -334,7 +337,7 @@
 /// Builds a request with its complete body, which is kept for further attempts.
 fn build_request(
     request: &web::HttpRequest,
-    fields: Vec<(String, Vec<u8>)>,
+    headers: Vec<(String, Vec<u8>)>,
     call: head::Call,
     body: bytes::Bytes,
     arrived: clock::Moment,
@@ -349,7 +352,7 @@
         body,
         call,
         arrived,
-        fields,
+        headers,
     }
 }
 
--- a/crates/lagoon-gateway/src/silence.rs
+++ b/crates/lagoon-gateway/src/silence.rs
@@ -34,8 +34,8 @@
 
     /// Whether an upstream failed another request and has shown no activity since.
     pub(crate) fn is_unresponsive(&self, upstream: &id::Upstream) -> bool {
-        let lost = |placer: &mut placement::Placer, _| placer.is_unresponsive(upstream);
-        self.state.with_placer(&self.service, lost).unwrap_or(false)
+        let unresponsive = |placer: &mut placement::Placer, _| placer.is_unresponsive(upstream);
+        self.state.with_placer(&self.service, unresponsive).unwrap_or(false)
     }
 
     /// Whether the upstream has begun to answer a request that was sent after the dispatch `id`.
--- a/crates/lagoon-gateway/src/state.rs
+++ b/crates/lagoon-gateway/src/state.rs
@@ -37,10 +37,10 @@
     Draining,
 }
 
-/// Scheduling state of one service.
+/// Placement state and retry budget of one service.
 #[derive(Debug)]
 pub(crate) struct Dispatcher {
-    /// Dispatches in flight on the service's upstreams.
+    /// Places requests and tracks the dispatches in flight on the service's upstreams.
     pub(crate) placer: placement::Placer,
     /// Retry budget of the service.
     pub(crate) budget: retry::Budget,
@@ -77,7 +77,7 @@
 type Dispatchers = collections::HashMap<id::Service, sync::Arc<sync::Mutex<Dispatcher>>>;
 
 /// Capacity of the queue of updates to the other hosts: two seconds at the highest rate.
-const UPDATE_QUEUE: usize = 4_096;
+const UPDATE_QUEUE_CAPACITY: usize = 4_096;
 
 /// The shared state of the process.
 #[derive(Debug)]
@@ -87,22 +87,30 @@
     pub(crate) metrics: metrics::Metrics,
     /// Random number that identifies this run of the process among the entry hosts.
     pub(crate) incarnation: u64,
+    /// The desired state in force.
     routing_table: ArcSwapOption<routing::Table>,
+    /// When the desired state was last confirmed to be the newest.
     confirmation: sync::Mutex<routing::Confirmation>,
+    /// The registered upstreams.
     registry: sync::Mutex<routing::Registry>,
     /// Contents of the platform's tables.
     pub(crate) tables: tables::Tables,
     /// Whether the list of upstreams has been read at least once.
     upstreams_listed: atomic::AtomicBool,
-    level: watch::Sender<SyncLevel>,
+    sync_level: watch::Sender<SyncLevel>,
     started_at: clock::Moment,
     /// When another host last reported that it can trust keys.
     peer_trusted_at: sync::Mutex<Option<clock::Moment>>,
+    /// The dispatchers of the services in the desired state.
     pub(crate) dispatchers: ArcSwap<Dispatchers>,
     phase: watch::Sender<Phase>,
+    /// Number of active requests.
     active: watch::Sender<usize>,
+    /// Number of the next dispatch.
     dispatch_counter: atomic::AtomicU64,
+    /// Number of entry hosts, including this one.
     host_count: atomic::AtomicUsize,
+    /// Number of hosts that place requests.
     placing_hosts: atomic::AtomicUsize,
     /// Signalled when this host's row is missing from the platform's table.
     pub(crate) unregistered: Notify,
@@ -133,7 +141,7 @@
         settings: settings::Settings,
         socket: net::UdpSocket,
     ) -> (sync::Arc<State>, mpsc::Receiver<mesh::QueuedUpdate>) {
-        let (updates, receiver) = mpsc::channel(UPDATE_QUEUE);
+        let (updates, receiver) = mpsc::channel(UPDATE_QUEUE_CAPACITY);
         let clock = crate::BootClock::default();
         let node = &settings.node;
         let info = routing::HostInfo { zone: node.zone.clone(), cores: node.cpu_share };
@@ -154,7 +162,7 @@
             tables: tables::Tables::default(),
             upstreams_listed: atomic::AtomicBool::new(false),
             peer_trusted_at: sync::Mutex::default(),
-            level: watch::Sender::new(SyncLevel::Nothing),
+            sync_level: watch::Sender::new(SyncLevel::Nothing),
             dispatchers: ArcSwap::default(),
             phase: watch::Sender::new(Phase::Serving),
             active: watch::Sender::new(0),
@@ -278,7 +286,7 @@
         engines
     }
 
-    /// Returns the scheduling state of a service.
+    /// Returns the dispatcher of a service.
     pub(crate) fn dispatcher(
         &self,
         service: &id::Service,
@@ -286,7 +294,7 @@
         self.dispatchers.load().get(service).cloned()
     }
 
-    /// Calls `act` with the service's board and the current time. Returns `None` if the service
+    /// Calls `act` with the service's placer and the current time. Returns `None` if the service
     /// does not exist.
     pub(crate) fn with_placer<Act, Output>(&self, service: &id::Service, act: Act) -> Option<Output>
     where
@@ -300,25 +308,27 @@
     /// Waits until the process has reached `level`.
     pub(crate) async fn wait_for_level(&self, level: SyncLevel) {
         // The sender lives as long as this state, so the wait ends only by a change.
-        drop(self.level.subscribe().wait_for(|current| *current >= level).await);
+        drop(self.sync_level.subscribe().wait_for(|current| *current >= level).await);
     }
 
     /// Records that the process has reached `level`; a lower value is ignored.
     pub(crate) fn raise_level(&self, level: SyncLevel) {
-        self.level.send_if_modified(|current| {
+        self.sync_level.send_if_modified(|current| {
             let more = level > *current;
             *current = level.max(*current);
             more
         });
     }
 
-    /// Waits until the dispatches in flight at other hosts are known, for at most [`MAX_LOADS_WAIT`].
+    /// Waits until the dispatches in flight at other hosts are known, for at most
+    /// [`MAX_LOADS_WAIT`].
     pub(crate) async fn wait_for_loads(&self) {
         let left = (self.started_at + MAX_LOADS_WAIT).since(self.clock.now());
         // On a timeout the host goes on with what it knows.
         drop(tokio::time::timeout(left, self.wait_for_level(SyncLevel::Loads)).await);
     }
 
+    /// Updates the dispatchers to the services of the desired state and the registered upstreams.
     fn refresh_dispatchers(&self) {
         let Some(table) = self.routing_table() else { return };
         let registry = lock(&self.registry);
@@ -355,10 +365,11 @@
     }
 
     /// Sets the number of entry hosts, this one included, and how many of them place requests.
-    pub(crate) fn set_hosts(&self, hosts: usize, placing_hosts: usize) {
-        let before = self.host_count.swap(hosts, atomic::Ordering::Relaxed);
-        let decided = self.placing_hosts.swap(placing_hosts, atomic::Ordering::Relaxed);
-        if (before, decided) == (hosts, placing_hosts) {
+    pub(crate) fn set_host_counts(&self, hosts: usize, placing_hosts: usize) {
+        let previous_hosts = self.host_count.swap(hosts, atomic::Ordering::Relaxed);
+        let previous_placing_hosts =
+            self.placing_hosts.swap(placing_hosts, atomic::Ordering::Relaxed);
+        if (previous_hosts, previous_placing_hosts) == (hosts, placing_hosts) {
             return;
         }
         let slack = self.settings.node.bounds.retry_slack;
@@ -377,7 +388,7 @@
 
     /// Whether the process has reached `level`.
     pub(crate) fn has_reached(&self, level: SyncLevel) -> bool {
-        *self.level.borrow() >= level
+        *self.sync_level.borrow() >= level
     }
 
     /// Returns the current phase.
--- a/crates/lagoon-gateway/src/stream.rs
+++ b/crates/lagoon-gateway/src/stream.rs
@@ -113,18 +113,22 @@
 /// How a stream ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum End {
-    Whole,
+    Complete,
     CallerLeft,
     Broken,
 }
 
+/// Forwards one stream to its caller, from one upstream after another.
 struct Forwarder {
     admitted: forward::Admitted,
     sender: mpsc::Sender<util::Bytes>,
     /// Bytes of an incomplete event.
     buffer: BytesMut,
+    /// Number of the last event that the caller has.
     last_event: Option<u64>,
+    /// Events forwarded so far.
     events: u64,
+    /// Upstreams tried so far.
     upstreams: u32,
     /// When the last event was forwarded.
     last_forwarded: clock::Moment,
@@ -152,7 +156,7 @@
 
     fn log_end(&self, end: End) {
         let (how, reason) = match end {
-            End::Whole => ("whole", None),
+            End::Complete => ("whole", None),
             End::CallerLeft => ("caller_left", Some(Reason::CallerLeft)),
             End::Broken => ("broken", Some(Reason::UpstreamFailed)),
         };
@@ -194,7 +198,7 @@
                     if self.events > 0 {
                         self.admitted.clear();
                     }
-                    return End::Whole;
+                    return End::Complete;
                 }
                 Err(failure) => failure,
             };
@@ -227,7 +231,7 @@
         };
         let mut failed = attempt::Failure::Lost(failure);
         let mut refusals = 0;
-        while self.admitted.may_try_again(self.upstreams, refusals, &failed) {
+        while self.admitted.take_retry(self.upstreams, refusals, &failed) {
             self.admitted.state.metrics.retries.inc();
             let allocation = match self.admitted.allocate(avoid).await {
                 Ok(allocation) => allocation,
@@ -253,7 +257,7 @@
                     self.upstreams += 1;
                     return Some(*open);
                 }
-                Ok(forward::CheckedAnswer::Whole { status, .. }) => {
+                Ok(forward::CheckedAnswer::Complete { status, .. }) => {
                     attempt::Failure::Lost(format!("{upstream}: answered with status {status}"))
                 }
                 Err(failed) => failed,
@@ -286,15 +290,17 @@
     /// Forwards one answer to its end.
     async fn forward_answer(&mut self, mut open: forward::OpenAnswer) -> Result<(), String> {
         let mut last_activity = self.admitted.state.clock.now();
-        let before = self.events;
+        let events_before = self.events;
         loop {
             let left = self.admitted.time_left() + MAX_OVERTIME;
             let chunk = open.exchange.chunk(open.answer.body_mut());
             let chunk = match tokio::time::timeout(silence::CHECK_INTERVAL.min(left), chunk).await {
                 Ok(chunk) => chunk.map_err(|failure| {
-                    self.record_broken_connection(&open, self.events - before, &failure)
+                    self.record_broken_connection(&open, self.events - events_before, &failure)
                 })?,
-                Err(_) if left <= silence::CHECK_INTERVAL => return Err("out of time".to_owned()),
+                Err(_) if left <= silence::CHECK_INTERVAL => {
+                    return Err("deadline passed".to_owned());
+                }
                 Err(_) => {
                     let silent = self.admitted.state.clock.now().since(last_activity);
                     if self.should_abandon(&open.upstream, silent) {
--- a/crates/lagoon-gateway/src/watch.rs
+++ b/crates/lagoon-gateway/src/watch.rs
@@ -34,13 +34,16 @@
 #[derive(Debug)]
 pub(crate) struct Watch {
     client: client::Client,
+    /// Name of the table in logs.
     name: &'static str,
     table: &'static str,
+    /// How long the platform holds a call open.
     wait: clock::Span,
     /// The local copy of the table.
     mirror: tables::Table,
+    /// Consecutive failed calls.
     failures: u32,
-    longest_pause: clock::Span,
+    max_pause: clock::Span,
     clock: crate::BootClock,
 }
 
@@ -71,7 +74,7 @@
             wait,
             mirror,
             failures: 0,
-            longest_pause: longest_pause(state),
+            max_pause: max_pause(state),
             clock: state.clock,
         }
     }
@@ -81,11 +84,11 @@
         loop {
             let started = self.clock.now();
             let known = state::lock(&self.mirror).version();
-            let asked = match known {
+            let result = match known {
                 Some(version) => self.read_changes(version, started).await,
                 None => self.read_all(started).await,
             };
-            match asked {
+            match result {
                 Ok(Some(changes)) => {
                     if changes.recovered {
                         event::Line::new("dependency_regained")
@@ -159,8 +162,8 @@
     }
 
     /// Updates the longest pause between failing calls, which depends on this host's rank.
-    pub(crate) fn update_longest_pause(&mut self, state: &state::State) {
-        self.longest_pause = longest_pause(state);
+    pub(crate) fn update_max_pause(&mut self, state: &state::State) {
+        self.max_pause = max_pause(state);
     }
 
     async fn back_off(&mut self, error: &client::Error) {
@@ -172,12 +175,12 @@
                 .warn();
         }
         let doubled = FIRST_BACKOFF * 2u32.pow(self.failures.min(MAX_DOUBLINGS));
-        let limit = doubled.min(self.longest_pause);
+        let limit = doubled.min(self.max_pause);
         tokio::time::sleep(limit.mul_f64(rand::rng().random_range(0.5..1.0))).await;
     }
 }
 
-fn longest_pause(state: &state::State) -> clock::Span {
+fn max_pause(state: &state::State) -> clock::Span {
     state::lock(&state.peers).roster.max_retry_pause(state.clock.now())
 }
 
@@ -191,9 +194,9 @@
     let mut first_pause = tuning.upstreams_pause.min(MAX_FIRST_PAUSE);
     loop {
         state.tables.wait_until_reading().await;
-        let asked = state.tables.reads_for_others(state.clock.now());
-        watch.wait = if asked { wait.min(tuning.reader_wait) } else { wait };
-        watch.update_longest_pause(&state);
+        let for_others = state.tables.reads_for_others(state.clock.now());
+        watch.wait = if for_others { wait.min(tuning.reader_wait) } else { wait };
+        watch.update_max_pause(&state);
         let changes = watch.next().await;
         tables::apply_desired(&state, &changes.rows, changes.at);
         // No other host can be asked yet at the first read; a moment later another host may be
@@ -210,7 +213,7 @@
     let mut watch = Watch::new(&state, "upstreams", entry::TABLE, tuning.upstreams_wait, mirror);
     loop {
         state.tables.wait_until_reading().await;
-        watch.update_longest_pause(&state);
+        watch.update_max_pause(&state);
         let (wait, pause) = match state.tables.reads_for_others(state.clock.now()) {
             true => (tuning.reader_wait, pause.min(tuning.reader_pause)),
             false => (tuning.upstreams_wait, pause),
--- a/crates/lagoon-gateway/tests/host/mod.rs
+++ b/crates/lagoon-gateway/tests/host/mod.rs
@@ -9,7 +9,7 @@
 use super::standin::{self, Standin, event};
 
 /// Maximum time of a step on a busy machine.
-pub const PATIENCE: time::Duration = time::Duration::from_secs(20);
+pub const STEP_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 /// A running host.
 pub struct Host {
@@ -115,7 +115,7 @@
     {
         let began = time::Instant::now();
         while !check() {
-            assert!(began.elapsed() < PATIENCE, "not {what} in time");
+            assert!(began.elapsed() < STEP_TIMEOUT, "not {what} in time");
             std::thread::sleep(time::Duration::from_millis(10));
         }
     }
@@ -126,11 +126,11 @@
     }
 
     /// Returns the number of quarantined requests.
-    pub fn held(&self) -> usize {
+    pub fn quarantined_count(&self) -> usize {
         let list = exchange(self.ready, "GET /quarantine HTTP/1.1\r\nhost: h\r\n\r\n").1;
         let list: serde_json::Value = serde_json::from_str(&list).unwrap();
-        let held = list["quarantine"].as_array().unwrap().iter();
-        held.filter(|verdict| verdict["released"] == false).count()
+        let verdicts = list["quarantine"].as_array().unwrap().iter();
+        verdicts.filter(|verdict| verdict["released"] == false).count()
     }
 
     /// Sends a request with `more` headers and returns its answer.
@@ -148,8 +148,8 @@
     }
 
     /// Returns the number of requests that upstreams ran.
-    pub fn ran(&self) -> usize {
-        self.standin.seen().iter().filter(|seen| seen.ran).count()
+    pub fn ran_count(&self) -> usize {
+        self.standin.received_requests().iter().filter(|seen| seen.ran).count()
     }
 }
 
@@ -165,7 +165,7 @@
 /// " CUT" is appended to a chunked body without its terminating chunk.
 pub fn exchange(address: net::SocketAddr, head: &str) -> (u16, String) {
     let mut stream = net::TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
     stream.write_all(head.as_bytes()).unwrap();
     let mut bytes = Vec::new();
     let mut buffer = [0; 4096];
--- a/crates/lagoon-gateway/tests/lethal.rs
+++ b/crates/lagoon-gateway/tests/lethal.rs
@@ -12,8 +12,8 @@
 
 use rstest::rstest;
 
-use host::{Host, PATIENCE, Place, all_events, desired, exchange};
-use standin::{LETHAL, Manner, Standin};
+use host::{Host, Place, STEP_TIMEOUT, all_events, desired, exchange};
+use standin::{Behavior, LETHAL, Standin};
 
 /// Time after the third crash within which all hosts have the verdict.
 const STABLE_WINDOW: time::Duration = time::Duration::from_millis(3_000);
@@ -29,7 +29,7 @@
 const PAUSE: time::Duration = time::Duration::from_millis(80);
 
 /// Settings of a host that starts after the others.
-fn late() -> Place<'static> {
+fn late_host() -> Place<'static> {
     Place { name: "h5", zone: "c", ..Place::default() }
 }
 
@@ -81,7 +81,7 @@
     }
 
     /// Sends the lethal request repeatedly for `span`.
-    fn attack(&mut self, span: time::Duration) {
+    fn send_lethal_for(&mut self, span: time::Duration) {
         let until = time::Instant::now() + span;
         while time::Instant::now() < until {
             self.prompt(LETHAL);
@@ -90,23 +90,23 @@
     }
 
     /// Sets the behaviour of all engines.
-    fn all_engines(&self, manner: Manner) {
+    fn all_engines(&self, behavior: Behavior) {
         for number in 0..ENGINES {
-            self.standin.manner(&engine(number), manner);
+            self.standin.behavior(&engine(number), behavior);
         }
     }
 
     /// Sends the lethal request until it is refused because of the quarantine.
-    fn attack_until_refused(&mut self) {
+    fn send_lethal_until_refused(&mut self) {
         let began = time::Instant::now();
         while !self.prompt(LETHAL).1.contains("quarantined") {
-            assert!(began.elapsed() < PATIENCE, "not refused in time");
+            assert!(began.elapsed() < STEP_TIMEOUT, "not refused in time");
             thread::sleep(PAUSE);
         }
     }
 
     /// Waits until the platform has stored the verdict, and returns its key.
-    fn await_row(&self) -> String {
+    fn wait_for_row(&self) -> String {
         let keys = || self.standin.keys(TABLE);
         self.hosts[0].until("stored", || !keys().is_empty());
         keys().remove(0)
@@ -114,7 +114,7 @@
 
     /// Counts the lethal requests that reached an engine after `moment`.
     fn lethal_after(&self, moment: time::Instant) -> usize {
-        let seen = self.standin.seen();
+        let seen = self.standin.received_requests();
         let lethal = seen.iter().filter(|seen| seen.body == LETHAL.as_bytes());
         lethal.filter(|seen| seen.at > moment).count()
     }
@@ -133,7 +133,7 @@
 #[case::one_host_of_each_zone_judges(2)]
 fn a_request_that_crashed_three_engines_is_sent_no_more(#[case] relay_hosts: u64) {
     let mut fleet = Fleet::start_with(Place { relay_hosts, ..Place::default() });
-    fleet.attack(STABLE_WINDOW * 2);
+    fleet.send_lethal_for(STABLE_WINDOW * 2);
     let late = fleet.lethal_after(fleet.third_crash() + STABLE_WINDOW);
     let crashes = fleet.standin.crashes().len();
     assert!(late <= LATE_SENDS, "sent {late} times more, {crashes} engines crashed");
@@ -141,28 +141,28 @@
 
 /// A verdict must survive a crash of all hosts, through the platform's table.
 #[rstest]
-fn a_kill_of_all_hosts_forgets_no_lethal_request() {
+fn verdicts_survive_a_crash_of_all_hosts() {
     let mut fleet = Fleet::start();
-    fleet.attack_until_refused();
-    fleet.await_row();
+    fleet.send_lethal_until_refused();
+    fleet.wait_for_row();
     fleet.hosts.clear();
     let began = time::Instant::now();
-    fleet.hosts.push(Host::join(&fleet.standin, late()));
-    fleet.attack(STABLE_WINDOW);
+    fleet.hosts.push(Host::join(&fleet.standin, late_host()));
+    fleet.send_lethal_for(STABLE_WINDOW);
     let late = fleet.lethal_after(began);
     assert!(late <= LATE_SENDS, "sent {late} times more after all hosts were killed");
 }
 
 /// A host that starts after a verdict must learn it from the other hosts.
 #[rstest]
-fn a_host_that_starts_late_learns_from_the_others() {
+fn a_late_host_learns_verdicts_from_other_hosts() {
     let mut fleet = Fleet::start();
-    fleet.attack_until_refused();
-    let row = fleet.await_row();
+    fleet.send_lethal_until_refused();
+    let row = fleet.wait_for_row();
     // The platform no longer has it, so only the other hosts can report it.
     fleet.standin.remove(TABLE, &row);
-    let late = Host::join(&fleet.standin, late());
-    late.until("learnt", || late.held() == 1);
+    let late = Host::join(&fleet.standin, late_host());
+    late.until("learnt", || late.quarantined_count() == 1);
     fleet.hosts = vec![late];
     let began = time::Instant::now();
     let (status, body) = fleet.prompt(LETHAL);
@@ -190,31 +190,31 @@
 
 /// Connections that break for another reason than a crash must not lead to a quarantine.
 #[rstest]
-#[case::reset(Manner::LoseAnswer)]
-#[case::broken_off(Manner::BreakAfter(0))]
-#[case::spoiled(Manner::Unproven)]
-fn connections_that_break_refuse_no_request(#[case] manner: Manner) {
+#[case::reset(Behavior::DropAnswer)]
+#[case::broken_off(Behavior::BreakAfter(0))]
+#[case::spoiled(Behavior::Unsigned)]
+fn broken_connections_do_not_quarantine_a_request(#[case] behavior: Behavior) {
     let mut fleet = Fleet::start();
-    fleet.all_engines(manner);
+    fleet.all_engines(behavior);
     for _ in 0..6 {
         let (_, answer) = fleet.prompt("unlucky");
         assert!(!answer.contains("quarantined"), "{answer}");
         thread::sleep(PAUSE);
     }
-    fleet.all_engines(Manner::Whole);
+    fleet.all_engines(Behavior::Complete);
     assert_eq!(fleet.prompt("unlucky"), (200, all_events()));
 }
 
 /// Operators must be able to list and to end a quarantine.
 #[rstest]
-fn operators_list_and_release_what_is_refused() {
+fn operators_can_list_and_release_quarantined_requests() {
     let mut fleet = Fleet::start();
-    fleet.attack_until_refused();
-    let row = fleet.await_row();
+    fleet.send_lethal_until_refused();
+    let row = fleet.wait_for_row();
     let release = format!("POST /quarantine/release/{row} HTTP/1.1\r\nhost: h\r\n\r\n");
     assert_eq!(exchange(fleet.hosts[0].ready, &release).0, 200);
     for host in &fleet.hosts {
-        host.until("released", || host.held() == 0);
+        host.until("released", || host.quarantined_count() == 0);
     }
     let crashes = fleet.standin.crashes().len();
     fleet.prompt(LETHAL);
@@ -224,18 +224,18 @@
 /// A zone that was cut off when a verdict was made must learn it on reconnection, and not go on
 /// sending the request.
 #[rstest]
-fn a_zone_that_was_cut_off_learns_at_its_return() {
+fn a_zone_learns_verdicts_after_a_partition() {
     let mut fleet = Fleet::start();
     // Behind the partition the zone sees the engines, but neither the platform nor the hosts of the
     // others.
     let behind = Standin::start();
     behind.put("op", "config", &desired(1, &["k1"], 10_000));
     behind.copy(&fleet.standin, "servers");
-    let host = Host::join(&behind, late());
-    fleet.attack_until_refused();
-    assert_eq!(host.held(), 0);
+    let host = Host::join(&behind, late_host());
+    fleet.send_lethal_until_refused();
+    assert_eq!(host.quarantined_count(), 0);
     behind.copy(&fleet.standin, HOSTS);
-    host.until("learnt", || host.held() == 1);
+    host.until("learnt", || host.quarantined_count() == 1);
     let began = time::Instant::now();
     fleet.hosts = vec![host];
     assert_eq!(fleet.prompt(LETHAL).0, 503);
@@ -244,14 +244,14 @@
 
 /// A verdict that is made while the platform is down must be stored when it is back.
 #[rstest]
-fn a_verdict_made_while_the_platform_is_away_is_kept() {
+fn a_verdict_made_during_a_platform_outage_is_stored() {
     let mut fleet = Fleet::start_with(Place { revoke_ms: 20_000, ..Place::default() });
-    fleet.standin.set_out(true);
-    fleet.attack_until_refused();
+    fleet.standin.set_down(true);
+    fleet.send_lethal_until_refused();
     for host in &fleet.hosts {
-        host.until("told", || host.held() == 1);
+        host.until("told", || host.quarantined_count() == 1);
     }
     assert!(fleet.standin.keys(TABLE).is_empty());
-    fleet.standin.set_out(false);
-    fleet.await_row();
+    fleet.standin.set_down(false);
+    fleet.wait_for_row();
 }
--- a/crates/lagoon-gateway/tests/logs.rs
+++ b/crates/lagoon-gateway/tests/logs.rs
@@ -14,7 +14,7 @@
 use rstest::rstest;
 
 use host::Host;
-use standin::Manner;
+use standin::Behavior;
 
 /// Lines that this process has logged.
 static LINES: sync::Mutex<Vec<String>> = sync::Mutex::new(Vec::new());
@@ -57,13 +57,13 @@
 fn a_caller_that_left_is_logged_by_its_request_id() {
     record();
     let host = Host::start();
-    host.standin.manner("e1", Manner::Hold);
-    host.standin.manner("e2", Manner::Hold);
+    host.standin.behavior("e1", Behavior::Hold);
+    host.standin.behavior("e2", Behavior::Hold);
     let mut stream = net::TcpStream::connect(host.callers).unwrap();
     let head = "POST /talk/a HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: left-early\r\n\
          authorization: Token k1\r\nlagoonline-token-count: 5000,400\r\n\r\n";
     stream.write_all(head.as_bytes()).unwrap();
-    host.until("sent", || !host.standin.seen().is_empty());
+    host.until("sent", || !host.standin.received_requests().is_empty());
     drop(stream);
     let logged = |line: &String| line.contains("caller_left") && line.contains("left-early");
     host.until("logged", || LINES.lock().unwrap().iter().any(logged));
--- a/crates/lagoon-gateway/tests/path.rs
+++ b/crates/lagoon-gateway/tests/path.rs
@@ -15,26 +15,26 @@
 use rstest::rstest;
 use serde_json::json;
 
-use host::{Host, PATIENCE, all_events, desired, exchange};
-use standin::{Manner, event};
+use host::{Host, STEP_TIMEOUT, all_events, desired, exchange};
+use standin::{Behavior, event};
 
 /// Without faults a stream, a booking and a lookup are answered completely. The upstream is given
 /// the customer but never the key, and the time that is left.
 #[rstest]
-fn a_quiet_day_is_served() {
+fn requests_are_served_without_faults() {
     let host = Host::start();
     assert_eq!(host.talk(), (200, all_events()));
     let (status, body) = host.call("POST", "/book/1", "k1", "content-length: 0\r\n");
     assert!(status == 200 && body.starts_with("done by r"), "{status} {body}");
     assert_eq!(host.call("GET", "/look/1?q=2", "k1", "").0, 200);
-    for seen in host.standin.seen() {
+    for seen in host.standin.received_requests() {
         assert_eq!(seen.headers["lagoonline-tenant"], "c1");
         assert!(!seen.headers.contains_key("authorization"));
         assert_eq!(seen.headers["lagoonline-target-instance"], seen.upstream);
         let left: u64 = seen.headers["lagoonline-request-deadline"].parse().unwrap();
         assert!(left <= 8_000, "{left} ms handed on");
     }
-    assert!(host.standin.seen().iter().any(|seen| seen.path == "/look/1?q=2"));
+    assert!(host.standin.received_requests().iter().any(|seen| seen.path == "/look/1?q=2"));
 }
 
 /// A booking's body reaches the replica unchanged.
@@ -47,19 +47,19 @@
          authorization: Token k1\r\n{more}"
     );
     assert_eq!(exchange(host.callers, &head).0, 200);
-    assert_eq!(host.standin.seen()[0].body, b"two\r\n\r\nlines"[..11]);
+    assert_eq!(host.standin.received_requests()[0].body, b"two\r\n\r\nlines"[..11]);
 }
 
 /// The only engine runs a request and its answer is lost. The caller must get 502, since 503 would
 /// promise that the request has not run.
 #[rstest]
-fn a_request_that_was_lost_is_not_told_as_not_run() {
+fn a_lost_request_is_not_reported_as_not_run() {
     let host = Host::start();
     host.standin.remove("servers", "e2");
     std::thread::sleep(time::Duration::from_millis(500));
-    host.standin.manner("e1", Manner::LoseAnswer);
+    host.standin.behavior("e1", Behavior::DropAnswer);
     assert_eq!(host.talk().0, 502);
-    assert_eq!(host.ran(), 1);
+    assert_eq!(host.ran_count(), 1);
 }
 
 /// The caller of a stream disconnects. The engine must stop within half a second, so that the
@@ -67,8 +67,8 @@
 #[rstest]
 fn the_engine_stops_when_the_caller_leaves() {
     let host = Host::start();
-    host.standin.manner("e1", Manner::Slow);
-    host.standin.manner("e2", Manner::Slow);
+    host.standin.behavior("e1", Behavior::Slow);
+    host.standin.behavior("e2", Behavior::Slow);
     let mut stream = net::TcpStream::connect(host.callers).unwrap();
     let head = "POST /talk/a HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: q1\r\n\
          authorization: Token k1\r\nlagoonline-token-count: 5000,400\r\n\r\n";
@@ -81,12 +81,12 @@
 
 /// A long prompt reserves its memory before it is sent, and releases it when the answer has ended.
 #[rstest]
-fn memory_of_a_long_prompt_comes_back() {
+fn memory_of_a_long_prompt_is_released() {
     let host = Host::start();
     let call = host.call("POST", "/talk/a", "k1", "lagoonline-token-count: 150000,400\r\n");
     assert_eq!(call, (200, all_events()));
     let orders = || -> Vec<serde_json::Value> {
-        let seen = host.standin.seen();
+        let seen = host.standin.received_requests();
         let orders = seen.iter().filter(|seen| seen.path == "/api/order");
         orders.map(|seen| serde_json::from_slice(&seen.body).unwrap()).collect()
     };
@@ -94,7 +94,7 @@
     let orders = orders();
     assert_eq!(orders[0]["Op"], "reserve");
     assert!(orders.iter().all(|order| order["Id"] == orders[0]["Id"]));
-    let sent = host.standin.seen();
+    let sent = host.standin.received_requests();
     let named = sent.iter().find_map(|seen| seen.headers.get("lagoonline-helpers")).unwrap();
     assert!(named.contains(orders[0]["Id"].as_str().unwrap()), "{named} names no reservation");
 }
@@ -103,22 +103,22 @@
 /// responding. The caller still waits, but the memory on the helper must not be renewed: it has to
 /// be free within the bound on unused memory, not only after the host's own timeout.
 #[rstest]
-fn memory_for_an_engine_that_went_dark_is_not_renewed() {
+fn memory_is_not_renewed_for_an_unresponsive_engine() {
     let host = Host::start();
     for name in ["e1", "e2"] {
-        host.standin.manner(name, Manner::Mute);
+        host.standin.behavior(name, Behavior::Mute);
     }
     let (callers, standin) = (host.callers, host.standin.clone());
     let head = "POST /talk/a HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: q1\r\n\
         authorization: Token k1\r\nlagoonline-request-deadline: 9000\r\n\
         lagoonline-token-count: 300000,400\r\n\r\n";
     let caller = std::thread::spawn(move || exchange(callers, head));
-    let prompt = || standin.seen().into_iter().find(|seen| seen.path == "/talk/a");
+    let prompt = || standin.received_requests().into_iter().find(|seen| seen.path == "/talk/a");
     host.until("sent", || prompt().is_some());
     let first = prompt().unwrap().upstream;
-    standin.manner(&first, Manner::Hold);
+    standin.behavior(&first, Behavior::Hold);
     let renewals = || {
-        let seen = standin.seen();
+        let seen = standin.received_requests();
         let orders = seen.iter().filter(|seen| seen.path == "/api/order" && seen.upstream != first);
         orders.filter(|seen| String::from_utf8_lossy(&seen.body).contains("reserve")).count()
     };
@@ -133,33 +133,33 @@
 /// An engine crashes in the middle of an event. The caller must get one complete stream: the
 /// partial event is dropped, and the other engine resumes after the last event that was forwarded.
 #[rstest]
-fn a_stream_goes_on_at_another_engine() {
+fn a_stream_resumes_on_another_engine() {
     let host = Host::start();
-    host.standin.manner("e1", Manner::BreakAfter(4));
-    host.standin.manner("e2", Manner::BreakAfter(4));
+    host.standin.behavior("e1", Behavior::BreakAfter(4));
+    host.standin.behavior("e2", Behavior::BreakAfter(4));
     let change = host.standin.clone();
     // The engine that gets the request first breaks off; the other answers completely from then on.
     std::thread::spawn(move || {
-        while change.seen().is_empty() {
+        while change.received_requests().is_empty() {
             std::thread::sleep(time::Duration::from_millis(1));
         }
-        let first = change.seen()[0].upstream.clone();
+        let first = change.received_requests()[0].upstream.clone();
         let other = if first == "e1" { "e2" } else { "e1" };
-        change.manner(other, Manner::Whole);
+        change.behavior(other, Behavior::Complete);
     });
     let (status, body) = host.talk();
     assert_eq!((status, body), (200, all_events()));
-    let seen = host.standin.seen();
+    let seen = host.standin.received_requests();
     assert_eq!(seen[1].headers["last-event-id"], "4");
 }
 
 /// Both engines break off. The stream must end without its terminating chunk and without bytes that
 /// no engine sent, so that it does not look complete.
 #[rstest]
-fn a_stream_that_cannot_go_on_is_cut() {
+fn a_stream_that_cannot_resume_is_cut() {
     let host = Host::start();
-    host.standin.manner("e1", Manner::BreakAfter(2));
-    host.standin.manner("e2", Manner::BreakAfter(2));
+    host.standin.behavior("e1", Behavior::BreakAfter(2));
+    host.standin.behavior("e2", Behavior::BreakAfter(2));
     let (status, body) = host.talk();
     let expected: String = (1..=2).map(event).collect();
     assert_eq!((status, body), (200, expected + " CUT"));
@@ -170,45 +170,45 @@
 #[rstest]
 fn a_booking_whose_answer_is_lost_runs_once() {
     let host = Host::start();
-    host.standin.manner("r1", Manner::LoseAnswer);
-    host.standin.manner("r2", Manner::LoseAnswer);
+    host.standin.behavior("r1", Behavior::DropAnswer);
+    host.standin.behavior("r2", Behavior::DropAnswer);
     assert_eq!(host.call("POST", "/book/1", "k1", "content-length: 0\r\n").0, 502);
-    assert_eq!(host.ran(), 1);
+    assert_eq!(host.ran_count(), 1);
 }
 
 /// Both replicas report that they did not run a booking. The caller must get 503, which promises
 /// that it has not run, and a retry time.
 #[rstest]
-fn a_booking_that_is_refused_has_not_run() {
+fn a_refused_booking_is_reported_as_not_run() {
     let host = Host::start();
-    host.standin.manner("r1", Manner::Refuse);
-    host.standin.manner("r2", Manner::Refuse);
+    host.standin.behavior("r1", Behavior::Refuse);
+    host.standin.behavior("r2", Behavior::Refuse);
     assert_eq!(host.call("POST", "/book/1", "k1", "content-length: 0\r\n").0, 503);
-    assert_eq!(host.ran(), 0);
+    assert_eq!(host.ran_count(), 0);
 }
 
 /// A lookup is idempotent: when the first replica loses its answer, the second one's answer is
 /// returned.
 #[rstest]
-fn a_lookup_is_tried_again() {
+fn a_lookup_is_retried() {
     let host = Host::start();
-    host.standin.manner("r1", Manner::LoseAnswer);
+    host.standin.behavior("r1", Behavior::DropAnswer);
     assert_eq!(host.call("GET", "/look/1", "k1", "").0, 200);
 }
 
 /// An answer without the upstream's signature may come from anyone and must not be forwarded as a
 /// success.
 #[rstest]
-fn an_unproven_answer_is_not_passed_on() {
+fn an_unsigned_answer_is_not_forwarded() {
     let host = Host::start();
-    host.standin.manner("r1", Manner::Unproven);
-    host.standin.manner("r2", Manner::Unproven);
+    host.standin.behavior("r1", Behavior::Unsigned);
+    host.standin.behavior("r2", Behavior::Unsigned);
     assert_eq!(host.call("POST", "/book/1", "k1", "content-length: 0\r\n").0, 502);
 }
 
 /// A replica registers as leaving. From then on all requests must go to the other one.
 #[rstest]
-fn a_leaving_upstream_gets_nothing_new() {
+fn a_leaving_upstream_gets_no_new_requests() {
     let host = Host::start();
     let entry = json!({"Service": "app", "Address": "127.0.0.1:1", "Zone": "a", "Slots": 6,
         "State": "draining"});
@@ -217,13 +217,13 @@
     for _ in 0..8 {
         assert_eq!(host.call("GET", "/look/1", "k1", "").0, 200);
     }
-    assert!(host.standin.seen().iter().all(|seen| seen.upstream == "r2"));
+    assert!(host.standin.received_requests().iter().all(|seen| seen.upstream == "r2"));
 }
 
 /// A new version removes a route and revokes a key. Both must be refused from then on, and an older
 /// version that is written later must not restore them.
 #[rstest]
-fn a_new_desired_state_is_in_force() {
+fn a_new_desired_state_is_applied() {
     let host = Host::start();
     assert_eq!(host.call("GET", "/look/1", "k1", "").0, 200);
     host.standin.put("op", "config", &desired(3, &["k2"], 10_000));
@@ -239,14 +239,14 @@
 /// refused as not run, since the key may have been revoked meanwhile, and served again after the
 /// recovery.
 #[rstest]
-fn keys_are_not_trusted_beyond_their_bound() {
+fn keys_are_refused_after_the_revocation_bound() {
     let host = Host::start();
-    host.standin.set_out(true);
+    host.standin.set_down(true);
     host.until("refused", || host.call("GET", "/look/1", "k1", "").0 == 503);
-    let before = host.ran();
+    let before = host.ran_count();
     assert_eq!(host.call("GET", "/look/1", "k1", "").0, 503);
-    assert_eq!(host.ran(), before);
-    host.standin.set_out(false);
+    assert_eq!(host.ran_count(), before);
+    host.standin.set_down(false);
     host.until("served", || host.call("GET", "/look/1", "k1", "").0 == 200);
 }
 
@@ -255,8 +255,8 @@
 #[rstest]
 fn a_drain_cuts_no_stream() {
     let mut host = Host::start();
-    host.standin.manner("e1", Manner::Slow);
-    host.standin.manner("e2", Manner::Slow);
+    host.standin.behavior("e1", Behavior::Slow);
+    host.standin.behavior("e2", Behavior::Slow);
     let running = host.running.take().unwrap();
     let callers = host.callers;
     let stream = std::thread::spawn(move || {
@@ -264,7 +264,7 @@
              authorization: Token k1\r\nlagoonline-token-count: 5000,400\r\n\r\n";
         exchange(callers, head)
     });
-    host.until("streaming", || !host.standin.seen().is_empty());
+    host.until("streaming", || !host.standin.received_requests().is_empty());
     running.handle().drain();
     host.until("unready", || host.readiness() == 503);
     assert_eq!(stream.join().unwrap(), (200, all_events()));
@@ -274,18 +274,18 @@
 /// An engine reports that it works four times slower than published. Prompts must go to the other
 /// engine within some seconds, and to this one again after it reports its usual speed.
 #[rstest]
-fn a_slow_engine_gets_nothing_new() {
+fn a_slow_engine_gets_no_new_requests() {
     let host = Host::start();
     let talks_to = |name: &str| {
         (0..6).any(|_| {
             assert_eq!(host.talk(), (200, all_events()));
-            host.standin.seen().last().is_some_and(|seen| seen.upstream == name)
+            host.standin.received_requests().last().is_some_and(|seen| seen.upstream == name)
         })
     };
     host.until("used", || talks_to("e1"));
-    host.standin.manner("e1", Manner::Slowed);
+    host.standin.behavior("e1", Behavior::Slowed);
     host.until("left alone", || !talks_to("e1"));
-    host.standin.manner("e1", Manner::Whole);
+    host.standin.behavior("e1", Behavior::Complete);
     host.until("used again", || talks_to("e1"));
 }
 
@@ -293,18 +293,22 @@
 /// request and names that helper. The prompt must be retried without that helper at once; otherwise
 /// it would be refused three times and rejected.
 #[rstest]
-fn a_helper_that_is_gone_is_left_out() {
+fn a_dead_helper_is_left_out() {
     let host = Host::start();
     for name in ["e3", "e4", "e5", "e6", "e7", "e8"] {
         host.standin.upstream(name, "llm", 16);
     }
     std::thread::sleep(time::Duration::from_millis(500));
-    host.standin.manner("e5", Manner::NoHelp);
+    host.standin.behavior("e5", Behavior::NoHelp);
     for _ in 0..4 {
         let call = host.call("POST", "/talk/a", "k1", "lagoonline-token-count: 100000,400\r\n");
         assert_eq!(call, (200, all_events()));
     }
-    let prompts = host.standin.seen().into_iter().filter(|seen| seen.path == "/talk/a" && seen.ran);
+    let prompts = host
+        .standin
+        .received_requests()
+        .into_iter()
+        .filter(|seen| seen.path == "/talk/a" && seen.ran);
     assert_eq!(prompts.count(), 4);
 }
 
@@ -312,18 +316,18 @@
 /// which reports it. A caller that is refused here must be told to retry at once, since the other
 /// host can serve it; while no host can, it must be told to wait.
 #[rstest]
-fn callers_are_sent_to_hosts_that_can_serve_them() {
+fn callers_are_sent_to_hosts_that_can_trust_keys() {
     let host = Host::start();
     host.until("registered", || host.standin.row("lagoon-hosts", "h1").is_some());
     let row = host.standin.row("lagoon-hosts", "h1").unwrap();
     let address: net::SocketAddr = row["address"].as_str().unwrap().parse().unwrap();
-    host.standin.set_out(true);
+    host.standin.set_down(true);
     host.until("refused", || host.call("GET", "/look/1", "k1", "").0 == 503);
     let retry_after = || -> f64 {
         let head = "GET /look/1 HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: q1\r\n\
              authorization: Token k1\r\nconnection: close\r\n\r\n";
         let mut stream = net::TcpStream::connect(host.callers).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
         stream.write_all(head.as_bytes()).unwrap();
         let mut text = String::new();
         stream.read_to_string(&mut text).unwrap();
@@ -345,17 +349,17 @@
 #[rstest]
 fn a_drain_ends_within_the_grace_time() {
     let mut host = Host::start();
-    host.standin.manner("e1", Manner::Slow);
-    host.standin.manner("e2", Manner::Slow);
-    host.standin.manner("r1", Manner::Hold);
-    host.standin.manner("r2", Manner::Hold);
+    host.standin.behavior("e1", Behavior::Slow);
+    host.standin.behavior("e2", Behavior::Slow);
+    host.standin.behavior("r1", Behavior::Hold);
+    host.standin.behavior("r2", Behavior::Hold);
     let callers = host.callers;
     let booking = std::thread::spawn(move || {
         let head = "POST /book/1 HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: q1\r\n\
              authorization: Token k1\r\ncontent-length: 0\r\n\r\n";
         exchange(callers, head)
     });
-    host.until("sent", || !host.standin.seen().is_empty());
+    host.until("sent", || !host.standin.received_requests().is_empty());
     let running = host.running.take().unwrap();
     let began = time::Instant::now();
     running.handle().drain();
--- a/crates/lagoon-gateway/tests/relay.rs
+++ b/crates/lagoon-gateway/tests/relay.rs
@@ -5,7 +5,7 @@
 #[allow(dead_code, reason = "each test program uses a part of it")]
 mod standin;
 
-mod decider;
+mod scheduler;
 
 use std::io::{Read, Write};
 use std::net;
@@ -15,10 +15,10 @@
 use rstest::rstest;
 use serde_json::json;
 
-use standin::{Manner, Standin};
+use standin::{Behavior, Standin};
 
 /// Maximum time of a step on a busy machine.
-const PATIENCE: time::Duration = time::Duration::from_secs(20);
+const STEP_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 /// How long one watch of the desired state is held.
 const WATCH: time::Duration = time::Duration::from_millis(300);
 /// Time after a restart of all hosts within which callers are served.
@@ -27,7 +27,7 @@
 const REVOKE: time::Duration = time::Duration::from_millis(5_000);
 
 /// Silence after which a host's row is removed.
-const GONE: time::Duration = time::Duration::from_millis(2_000);
+const HOST_GONE_TIME: time::Duration = time::Duration::from_millis(2_000);
 
 struct Host {
     running: Option<lagoon_gateway::Running>,
@@ -51,7 +51,7 @@
                 desired_wait: WATCH,
                 relay_hosts: 2,
                 hosts_pause: time::Duration::from_millis(20),
-                hosts_gone: GONE,
+                hosts_gone: HOST_GONE_TIME,
                 upstreams_pause: time::Duration::from_millis(20),
                 ..Default::default()
             },
@@ -71,7 +71,7 @@
         self.status("callers", "/look/1", key)
     }
 
-    fn end(&mut self) {
+    fn drain(&mut self) {
         let running = self.running.take().unwrap();
         running.handle().drain();
         running.wait().unwrap();
@@ -94,7 +94,7 @@
 /// Returns the answer to a request.
 fn text(address: net::SocketAddr, path: &str, key: &str) -> String {
     let mut stream = net::TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
     let head = format!(
         "GET {path} HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: q1\r\n\
          authorization: Token {key}\r\nconnection: close\r\n\r\n"
@@ -111,7 +111,7 @@
 {
     let began = time::Instant::now();
     while !check() {
-        assert!(began.elapsed() < PATIENCE, "not {what} in time");
+        assert!(began.elapsed() < STEP_TIMEOUT, "not {what} in time");
         thread::sleep(time::Duration::from_millis(10));
     }
 }
@@ -152,7 +152,7 @@
 /// A host that does not read the platform must get changes from the one that does: a new key and a
 /// new replica are used, and a revoked key is refused.
 #[rstest]
-fn a_host_that_does_not_read_is_told() {
+fn a_host_that_does_not_read_gets_changes_relayed() {
     let (standin, _first, second) = zone();
     assert_eq!(second.look("k1"), 200);
     standin.put("op", "config", &desired(2, &["k2"]));
@@ -162,16 +162,16 @@
     standin.remove("servers", "r1");
     until("served by the new replica", || {
         assert_eq!(second.look("k2"), 200);
-        standin.seen().last().is_some_and(|seen| seen.upstream == "r2")
+        standin.received_requests().last().is_some_and(|seen| seen.upstream == "r2")
     });
 }
 
 /// The host that reads the platform ends. The other must read it at once: its callers are served
 /// all the while, and a change made at that moment is applied within two seconds.
 #[rstest]
-fn the_end_of_the_reader_is_made_up_for() {
+fn a_host_takes_over_when_the_reader_ends() {
     let (standin, mut first, second) = zone();
-    let ending = thread::spawn(move || first.end());
+    let ending = thread::spawn(move || first.drain());
     standin.put("op", "config", &desired(2, &["k1", "k2"]));
     let began = time::Instant::now();
     until("told of the key", || second.look("k2") == 200);
@@ -187,16 +187,16 @@
 /// The platform is down. What one host relays to the other ages as well: neither may accept a key
 /// beyond the revocation bound, and both must accept it again after the recovery.
 #[rstest]
-fn told_keys_are_not_trusted_beyond_their_bound() {
+fn relayed_keys_are_refused_after_the_revocation_bound() {
     let (standin, first, second) = zone();
-    standin.set_out(true);
+    standin.set_down(true);
     let began = time::Instant::now();
     for host in [&second, &first] {
         until("refused", || host.look("k1") == 503);
     }
     let seen = began.elapsed();
     assert!(seen < REVOKE + time::Duration::from_millis(500), "refused only after {seen:?}");
-    standin.set_out(false);
+    standin.set_down(false);
     for host in [&second, &first] {
         until("served", || host.look("k1") == 200);
     }
@@ -206,20 +206,23 @@
 /// The new host must learn of the three and send its own first three bookings to the idle replica;
 /// otherwise it would spread them, and callers would queue behind bookings that it does not know.
 #[rstest]
-fn a_new_host_knows_what_is_under_way() {
+fn a_new_host_learns_dispatches_in_flight() {
     let standin = Standin::start();
     standin.put("op", "config", &bookings());
     let send = |host: &Host, count: usize| {
-        let before = standin.seen().len();
+        let before = standin.received_requests().len();
         for _ in 0..count {
             let handle = host.running.as_ref().unwrap().handle();
             thread::spawn(move || status(handle.callers(), "/book/1", "k1"));
         }
-        until("sent", || standin.seen().len() == before + count);
-        standin.seen()[before..].iter().map(|seen| seen.upstream.clone()).collect::<Vec<_>>()
+        until("sent", || standin.received_requests().len() == before + count);
+        standin.received_requests()[before..]
+            .iter()
+            .map(|seen| seen.upstream.clone())
+            .collect::<Vec<_>>()
     };
-    standin.manner("r1", Manner::Hold);
-    standin.manner("r2", Manner::Hold);
+    standin.behavior("r1", Behavior::Hold);
+    standin.behavior("r2", Behavior::Hold);
     standin.upstream("r1", "app", 6);
     let first = Host::start(&standin, "h1", 0.5);
     assert_eq!(send(&first, 3), ["r1", "r1", "r1"]);
@@ -240,7 +243,7 @@
         let standin = Standin::start();
         standin.put("op", "config", &bookings());
         for name in ["r1", "r2"] {
-            standin.manner(name, Manner::Hold);
+            standin.behavior(name, Behavior::Hold);
             standin.upstream(name, "app", 6);
         }
         let hosts = vec![Host::start(&standin, "h1", 0.5), Host::start(&standin, "h2", 0.1)];
@@ -249,20 +252,23 @@
 
     /// Sends a booking to each of `hosts` and returns the replicas that got them.
     fn book(&self, hosts: &[usize]) -> Vec<String> {
-        let before = self.standin.seen().len();
+        let before = self.standin.received_requests().len();
         for host in hosts {
             let callers = self.hosts[*host].running.as_ref().unwrap().handle().callers();
             thread::spawn(move || status(callers, "/book/1", "k1"));
         }
-        until("sent", || self.standin.seen().len() == before + hosts.len());
-        self.standin.seen()[before..].iter().map(|seen| seen.upstream.clone()).collect()
+        until("sent", || self.standin.received_requests().len() == before + hosts.len());
+        self.standin.received_requests()[before..]
+            .iter()
+            .map(|seen| seen.upstream.clone())
+            .collect()
     }
 }
 
 /// Ten requests arrive at two hosts at the same time. Two hosts that place requests on their own
 /// would both start with the same idle replica; placed by one scheduler, five go to each replica.
 #[rstest]
-fn one_host_decides_for_its_zone() {
+fn one_host_places_requests_for_its_zone() {
     let zone = Bookings::start();
     let sent = zone.book(&[0, 1, 0, 1, 0, 1, 0, 1, 0, 1]);
     for replica in ["r1", "r2"] {
@@ -274,11 +280,11 @@
 /// scheduler reports that it no longer schedules, then it does not answer, and the other host
 /// places requests itself.
 #[rstest]
-fn the_end_of_the_host_that_decides_is_made_up_for() {
+fn a_host_places_requests_itself_when_the_scheduler_ends() {
     let mut zone = Bookings::start();
     zone.book(&[1, 1]);
     let mut first = zone.hosts.remove(0);
-    let ending = thread::spawn(move || first.end());
+    let ending = thread::spawn(move || first.drain());
     while !ending.is_finished() {
         zone.book(&[0]);
     }
@@ -292,9 +298,9 @@
 /// must learn of it from the zone's scheduler, so that its lookups go to the healthy replica at
 /// once.
 #[rstest]
-fn a_failure_that_one_host_met_spares_the_others() {
+fn a_failing_upstream_is_avoided_by_other_hosts() {
     let (standin, first, second) = zone();
-    standin.manner("r0", Manner::LoseAnswer);
+    standin.behavior("r0", Behavior::DropAnswer);
     standin.upstream("r0", "app", 6);
     let missed = |host: &Host| -> u64 {
         let ready = host.running.as_ref().unwrap().handle().ready();
@@ -318,7 +324,7 @@
 /// The rows of replaced hosts must be removed from the platform, and a running host whose row was
 /// removed must write it again.
 #[rstest]
-fn rows_of_hosts_that_are_gone_are_removed() {
+fn rows_of_dead_hosts_are_removed() {
     let (standin, _first, second) = zone();
     let row = |name: &str| standin.row("lagoon-hosts", name);
     let mut gone = row("h2").unwrap();
@@ -334,10 +340,10 @@
 
 /// Callers must be served again after all hosts were down at once.
 #[rstest]
-fn callers_are_served_again_after_all_hosts_were_gone() {
+fn callers_are_served_after_a_restart_of_all_hosts() {
     let (standin, mut first, mut second) = zone();
-    let ending = thread::spawn(move || first.end());
-    second.end();
+    let ending = thread::spawn(move || first.drain());
+    second.drain();
     ending.join().unwrap();
     standin.put("op", "config", &desired(2, &["k2"]));
     let began = time::Instant::now();
@@ -354,7 +360,7 @@
 #[rstest]
 #[case::leaving(true)]
 #[case::unknown(false)]
-fn a_decision_for_an_upstream_that_is_not_listed_here_is_not_used(#[case] known: bool) {
+fn a_placement_on_an_unlisted_upstream_is_not_used(#[case] known: bool) {
     let standin = Standin::start();
     standin.put("op", "config", &desired(1, &["k1"]));
     standin.upstream("r1", "app", 6);
@@ -371,11 +377,11 @@
     }
     // Time for two reads of the list.
     thread::sleep(time::Duration::from_millis(500));
-    let before = standin.seen().len();
-    let decider = decider::Decider::start(&standin, "r9");
+    let before = standin.received_requests().len();
+    let scheduler = scheduler::Scheduler::start(&standin, "r9");
     until("asked", || {
         assert_eq!(host.look("k1"), 200);
-        decider.asked() > 0
+        scheduler.question_count() > 0
     });
-    assert!(standin.seen()[before..].iter().all(|seen| seen.upstream == "r1"));
+    assert!(standin.received_requests()[before..].iter().all(|seen| seen.upstream == "r1"));
 }
--- a/crates/lagoon-gateway/tests/decider/mod.rs
+++ b/crates/lagoon-gateway/tests/scheduler/mod.rs
@@ -43,40 +43,40 @@
 
 /// The stand-in scheduler.
 #[derive(Debug)]
-pub struct Decider {
-    asked: sync::Arc<atomic::AtomicUsize>,
+pub struct Scheduler {
+    questions: sync::Arc<atomic::AtomicUsize>,
 }
 
-impl Decider {
+impl Scheduler {
     /// Registers as the largest host of the zone and answers every question with `upstream`.
-    pub fn start(standin: &Standin, upstream: &str) -> Decider {
+    pub fn start(standin: &Standin, upstream: &str) -> Scheduler {
         let socket = net::UdpSocket::bind("127.0.0.1:0").unwrap();
         let reader = net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let address = socket.local_addr().unwrap().to_string();
         let row =
             json!({"address": address, "reader": reader.to_string(), "zone": "a", "cores": 0.9});
         standin.put("lagoon-hosts", "h0", &row);
-        let asked = sync::Arc::new(atomic::AtomicUsize::new(0));
-        let (counter, upstream) = (asked.clone(), upstream.to_owned());
+        let questions = sync::Arc::new(atomic::AtomicUsize::new(0));
+        let (counter, upstream) = (questions.clone(), upstream.to_owned());
         thread::spawn(move || {
             let mut buffer = [0; 4_096];
             while let Ok((length, from)) = socket.recv_from(&mut buffer) {
-                let heard = Batch::decode(&buffer[..length]).unwrap();
-                counter.fetch_add(heard.questions.len(), atomic::Ordering::SeqCst);
+                let received = Batch::decode(&buffer[..length]).unwrap();
+                counter.fetch_add(received.questions.len(), atomic::Ordering::SeqCst);
                 let answer = |question: &Question| Answer {
                     number: question.number,
                     placed: Some(Placed { first: upstream.clone() }),
                 };
-                let answers = heard.questions.iter().map(answer).collect();
-                let said = Batch { host: 9, answers, ..Batch::default() };
-                socket.send_to(&said.encode_to_vec(), from).unwrap();
+                let answers = received.questions.iter().map(answer).collect();
+                let reply = Batch { host: 9, answers, ..Batch::default() };
+                socket.send_to(&reply.encode_to_vec(), from).unwrap();
             }
         });
-        Decider { asked }
+        Scheduler { questions }
     }
 
     /// Returns the number of questions received.
-    pub fn asked(&self) -> usize {
-        self.asked.load(atomic::Ordering::SeqCst)
+    pub fn question_count(&self) -> usize {
+        self.questions.load(atomic::Ordering::SeqCst)
     }
 }
--- a/crates/lagoon-gateway/tests/silence.rs
+++ b/crates/lagoon-gateway/tests/silence.rs
@@ -14,14 +14,14 @@
 use rstest::rstest;
 
 use host::{Host, all_events, exchange};
-use standin::Manner;
+use standin::Behavior;
 
-/// Starts a host in front of one engine that behaves as `manner`.
-fn before_one_engine(manner: Manner) -> Host {
+/// Starts a host in front of one engine that behaves as `behavior`.
+fn before_one_engine(behavior: Behavior) -> Host {
     let host = Host::start();
     host.standin.remove("servers", "e2");
     thread::sleep(time::Duration::from_millis(300));
-    host.standin.manner("e1", manner);
+    host.standin.behavior("e1", behavior);
     host
 }
 
@@ -46,7 +46,7 @@
 
 /// Returns the ids of the reservations in the orders of kind `op` that engines got.
 fn orders(host: &Host, op: &str) -> Vec<String> {
-    let seen = host.standin.seen();
+    let seen = host.standin.received_requests();
     let orders = seen.iter().filter(|seen| seen.path == "/api/order");
     let orders =
         orders.map(|seen| serde_json::from_slice::<serde_json::Value>(&seen.body).unwrap());
@@ -56,19 +56,19 @@
 
 /// A request must not wait for an engine that answers later requests but not this one.
 #[rstest]
-fn a_prompt_leaves_an_engine_that_answers_later_ones() {
-    let host = before_one_engine(Manner::Mute);
-    let muted = prompt(&host, "talk", 5_000);
-    host.until("sent", || !host.standin.seen().is_empty());
-    host.standin.manner("e1", Manner::Whole);
+fn a_prompt_leaves_an_engine_that_answers_later_requests() {
+    let host = before_one_engine(Behavior::Mute);
+    let unanswered = prompt(&host, "talk", 5_000);
+    host.until("sent", || !host.standin.received_requests().is_empty());
+    host.standin.behavior("e1", Behavior::Complete);
     assert_eq!(host.talk(), (200, all_events()));
     host.standin.upstream("e3", "llm", 16);
-    while !muted.is_finished() {
+    while !unanswered.is_finished() {
         // The engine stays alive: it answers the prompts of other callers.
         assert_eq!(host.talk(), (200, all_events()));
         thread::sleep(time::Duration::from_millis(100));
     }
-    let (answer, took) = muted.join().unwrap();
+    let (answer, took) = unanswered.join().unwrap();
     assert_eq!(answer, (200, all_events()));
     // Callers of such prompts give up after two seconds without an event.
     assert!(took < time::Duration::from_secs(2), "answered after {took:?}");
@@ -77,11 +77,11 @@
 /// A stream with a long gap target must not wait for an engine that is known to have stopped
 /// responding.
 #[rstest]
-fn a_stream_leaves_an_engine_that_another_stream_lost() {
-    let host = before_one_engine(Manner::HangAfter(3));
+fn a_stream_leaves_an_engine_that_failed_another_stream() {
+    let host = before_one_engine(Behavior::HangAfter(3));
     let review = prompt(&host, "review", 5_000);
     let talk = prompt(&host, "talk", 5_000);
-    host.until("sent", || host.standin.seen().len() == 2);
+    host.until("sent", || host.standin.received_requests().len() == 2);
     host.standin.upstream("e3", "llm", 16);
     for (stream, most) in [(talk, 2_500), (review, 3_000)] {
         let (answer, took) = stream.join().unwrap();
@@ -92,13 +92,15 @@
 
 /// Memory must not be renewed for a request that its engine has ended without an answer.
 #[rstest]
-fn memory_of_a_request_that_is_over_is_not_renewed() {
+fn memory_of_an_ended_request_is_not_renewed() {
     let host = Host::start();
     for name in ["e1", "e2"] {
-        host.standin.manner(name, Manner::Mute);
+        host.standin.behavior(name, Behavior::Mute);
     }
     let caller = prompt(&host, "review", 300_000);
-    host.until("sent", || host.standin.seen().iter().any(|seen| seen.path == "/review/a"));
+    host.until("sent", || {
+        host.standin.received_requests().iter().any(|seen| seen.path == "/review/a")
+    });
     // The first token is overdue by now, and the engines report that no request uses the memory.
     thread::sleep(time::Duration::from_secs(5));
     let before = orders(&host, "reserve").len();
@@ -111,12 +113,12 @@
 /// A reserve order may be carried out after its reservation was released; that memory must be
 /// released again.
 #[rstest]
-fn a_reservation_that_was_not_answered_is_released_again() {
-    let host = before_one_engine(Manner::Hold);
+fn an_unanswered_reservation_is_released_again() {
+    let host = before_one_engine(Behavior::Hold);
     let caller = prompt(&host, "review", 150_000);
     host.until("ordered", || !orders(&host, "reserve").is_empty());
     let id = orders(&host, "reserve").remove(0);
-    host.standin.manner("e1", Manner::Whole);
+    host.standin.behavior("e1", Behavior::Complete);
     let releases = || orders(&host, "release").iter().filter(|released| **released == id).count();
     host.until("released", || releases() >= 1);
     host.until("released again", || releases() >= 3);
