--- a/crates/lagoon-net/src/entry/call.rs
+++ b/crates/lagoon-net/src/entry/call.rs
@@ -68,6 +68,8 @@
     }
 }
 
+/// Finds the customer of the bearer token. The hashes of all its keys are compared in constant
+/// time.
 fn authenticate(
     fleet: &view::Fleet,
     headers: &http::HeaderMap,
@@ -88,6 +90,7 @@
     Ok(index)
 }
 
+/// Returns the requested deadline, or the customer's default without the header.
 fn read_deadline(
     customer: &document::Customer,
     headers: &http::HeaderMap,
@@ -100,13 +103,14 @@
     match span {
         Some(span) if span <= customer.max_deadline => Ok(span),
         _ => {
-            let most = customer.max_deadline.as_millis();
-            let detail = format!("Lagoon-Deadline-Ms must be a whole number of 1 to {most}");
+            let max_ms = customer.max_deadline.as_millis();
+            let detail = format!("Lagoon-Deadline-Ms must be a whole number of 1 to {max_ms}");
             Err(malformed(detail))
         }
     }
 }
 
+/// Returns the idempotency key, if there is one.
 fn read_key(headers: &http::HeaderMap) -> Result<Option<String>, fault::Fault> {
     let Some(value) = headers.get("idempotency-key") else { return Ok(None) };
     let bytes = value.as_bytes();
@@ -117,6 +121,7 @@
     Ok(value.to_str().ok().map(str::to_owned))
 }
 
+/// Returns the resume position, which needs an idempotency key; 0 without the header.
 fn read_resume_from(headers: &http::HeaderMap, keyed: bool) -> Result<u64, fault::Fault> {
     let Some(value) = headers.get("lagoon-resume-from") else { return Ok(0) };
     let from = value.to_str().ok().and_then(|text| text.parse().ok());
--- a/crates/lagoon-net/src/entry/request_body.rs
+++ b/crates/lagoon-net/src/entry/request_body.rs
@@ -31,15 +31,16 @@
 }
 
 impl RequestBody {
+    /// Creates a streamed body. Fails if its announced length exceeds the limit.
     pub(crate) fn new(
         state: &sync::Arc<state::State>,
         headers: &http::HeaderMap,
         payload: http::Payload,
     ) -> Result<RequestBody, fault::Fault> {
         let length = body::content_length(headers);
-        let most = state.settings.limits.service_body_bytes;
-        if length.is_some_and(|length| length > most) {
-            return Err(body::too_long(most));
+        let max_bytes = state.settings.limits.service_body_bytes;
+        if length.is_some_and(|length| length > max_bytes) {
+            return Err(body::too_long(max_bytes));
         }
         let chunked = headers.contains_key("transfer-encoding");
         let inner = Inner {
@@ -75,6 +76,8 @@
         self.0.fault.borrow().clone()
     }
 
+    /// Returns the body for one dispatch. A streamed body is consumed by the first dispatch that reads
+    /// from it.
     pub(crate) fn to_http(&self) -> http_body::Body {
         if self.0.empty {
             return http_body::Body::None;
@@ -99,6 +102,7 @@
         }
     }
 
+    /// Reads the next chunk. A fault of the caller is stored and ends the body with an error.
     async fn read(
         &self,
         payload: &mut http::Payload,
