--- a/crates/lagoon-entry/src/main.rs
+++ b/crates/lagoon-entry/src/main.rs
@@ -50,7 +50,7 @@
     logs::start(&settings.logs, PROGRAM)?;
     let (host, zone) = (settings.host.clone(), settings.zone.clone());
     // Before anything can be asked to end: a signal that comes early drains too.
-    let mut terminations = signals::Terminations::new()?;
+    let mut terminations = signals::TerminationSignals::new()?;
     let running = entry::start(settings)?;
     log::info!("{host} in {zone} listens on {}", running.address());
     let handle = running.handle();
--- a/crates/lagoon-gateway/src/main.rs
+++ b/crates/lagoon-gateway/src/main.rs
@@ -66,7 +66,7 @@
     thread::spawn(move || {
         loop {
             match signals.wait() {
-                signals::Signal::End => handle.drain(),
+                signals::Signal::Terminate => handle.drain(),
                 // Settings do not change while the process runs. New ones are checked and logged,
                 // and apply at the next start.
                 signals::Signal::Reload => {
--- a/crates/lagoon-net/examples/control_bench/main.rs
+++ b/crates/lagoon-net/examples/control_bench/main.rs
@@ -53,7 +53,7 @@
 }
 
 impl link::Sink for Sink {
-    fn take(&mut self, update: link::Update) {
+    fn apply(&mut self, update: link::Update) {
         if let link::Update::Fleet { fleet, complete } = update {
             let version = fleet.versions.get(self.team).map_or(0, |version| version.0);
             let mut board = self.board.lock().unwrap();
@@ -271,7 +271,7 @@
     let costs = probe::Costs::read(&stewards).since(&before, LOOK.as_secs_f64());
     let resident_kb = (probe::resident_kb() - before_kb) / total as u64;
     let known_deaths = |stewards: &[steward::Running]| -> u64 {
-        let deaths = stewards.iter().map(|steward| &steward.counters().deaths);
+        let deaths = stewards.iter().map(|steward| &steward.counters().members_declared_dead);
         deaths.map(|deaths| deaths.load(atomic::Ordering::Relaxed)).sum()
     };
     let false_deaths = known_deaths(&stewards);
--- a/crates/lagoon-net/examples/control_bench/probe.rs
+++ b/crates/lagoon-net/examples/control_bench/probe.rs
@@ -94,7 +94,8 @@
             let bytes = (sum(&self.nodes) - sum(&before.nodes)) as f64 / seconds / count;
             ((*name).to_owned(), json!(bytes.round()))
         };
-        let kinds: serde_json::Map<_, _> = steward::KINDS.iter().enumerate().map(kind).collect();
+        let kinds: serde_json::Map<_, _> =
+            steward::PEER_MESSAGE_KINDS.iter().enumerate().map(kind).collect();
         json!({
             "datagrams_sent": mean(|node| node.datagrams_sent),
             "datagrams_received": mean(|node| node.datagrams_received),
--- a/crates/lagoon-net/src/entry/link/mod.rs
+++ b/crates/lagoon-net/src/entry/link/mod.rs
@@ -184,7 +184,7 @@
 pub(crate) struct Sink(pub(crate) sync::Arc<state::State>);
 
 impl link::Sink for Sink {
-    fn take(&mut self, update: link::Update) {
+    fn apply(&mut self, update: link::Update) {
         let state = &self.0;
         match update {
             link::Update::Fleet { fleet, complete } => {
--- a/crates/lagoon-net/src/link/client.rs
+++ b/crates/lagoon-net/src/link/client.rs
@@ -47,7 +47,7 @@
 /// Takes updates; called on the link's thread, so it must not block.
 pub trait Sink {
     /// Takes one update.
-    fn take(&mut self, update: Update);
+    fn apply(&mut self, update: Update);
 }
 
 /// State of the entry process that it reports.
@@ -234,9 +234,9 @@
         match body {
             wire::Body::Sections(sections) => self.take_sections(&sections, sink),
             wire::Body::Digest(digest) => return self.give_back(&digest),
-            wire::Body::Loads(loads) => sink.take(Update::Loads(loads.loads)),
+            wire::Body::Loads(loads) => sink.apply(Update::Loads(loads.loads)),
             wire::Body::Marks(marks) => self.take_marks(marks.marks, sink),
-            wire::Body::Spending(spending) => sink.take(Update::Spending(spending)),
+            wire::Body::Spending(spending) => sink.apply(Update::Spending(spending)),
             // Nothing else is meant for an entry process.
             _ => {}
         }
@@ -261,7 +261,7 @@
         if changed || completed {
             let merged = view::Fleet::merge(self.replica.sections().map(sync::Arc::as_ref));
             let (fleet, complete) = (sync::Arc::new(merged), self.complete);
-            sink.take(Update::Fleet { fleet, complete });
+            sink.apply(Update::Fleet { fleet, complete });
         }
     }
 
@@ -284,11 +284,11 @@
         let incarnation = self.settings.incarnation.0;
         let drains = |mark: &wire::Mark| mark.leaving && mark.incarnation >= incarnation;
         if marks.iter().any(|mark| own(mark) && drains(mark)) {
-            sink.take(Update::Drain);
+            sink.apply(Update::Drain);
         }
         let marks: Vec<_> = marks.into_iter().filter(|mark| !own(mark)).collect();
         if !marks.is_empty() {
-            sink.take(Update::Marks(marks));
+            sink.apply(Update::Marks(marks));
         }
     }
 }
--- a/crates/lagoon-net/src/logs.rs
+++ b/crates/lagoon-net/src/logs.rs
@@ -23,12 +23,12 @@
     /// Where lines go.
     pub target: Target,
     /// Crates whose lines are dropped.
-    pub silent: &'static [&'static str],
+    pub muted_crates: &'static [&'static str],
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { level: log::LevelFilter::Info, target: Target::Stderr, silent: &[] }
+        Settings { level: log::LevelFilter::Info, target: Target::Stderr, muted_crates: &[] }
     }
 }
 
@@ -48,7 +48,7 @@
             "stderr" => Target::Stderr,
             path => Target::File(path.into()),
         };
-        Settings { level: level.unwrap_or(log::LevelFilter::Info), target, silent: &[] }
+        Settings { level: level.unwrap_or(log::LevelFilter::Info), target, muted_crates: &[] }
     }
 }
 
@@ -73,7 +73,7 @@
     for library in CHATTY {
         dispatch = dispatch.level_for(library, settings.level.min(log::LevelFilter::Warn));
     }
-    for library in settings.silent {
+    for library in settings.muted_crates {
         dispatch = dispatch.level_for(*library, log::LevelFilter::Off);
     }
     let dispatch = match &settings.target {
--- a/crates/lagoon-net/src/operator/client.rs
+++ b/crates/lagoon-net/src/operator/client.rs
@@ -31,7 +31,7 @@
     },
     /// No steward answered in time; a put may have been stored.
     #[error("no steward answered: {0}")]
-    Silent(String),
+    NoAnswer(String),
 }
 
 /// What is asked for.
@@ -55,7 +55,7 @@
 
 /// Where a version is in force.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Standing {
+pub struct SectionStatus {
     /// The version asked for.
     pub version: u64,
     /// Whether every live entry host of every zone reports it in force.
@@ -66,7 +66,7 @@
 
 /// Which part of the idle ledger is summed, and by what.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Days {
+pub struct UsageQuery {
     /// What it is summed by: a `ledger::Grouping`.
     pub by: String,
     /// First day, counted from the Unix epoch.
@@ -75,12 +75,12 @@
     pub to_day: u64,
 }
 
-impl Days {
+impl UsageQuery {
     /// As [`Request::text`].
     ///
     /// ```
     /// use lagoon_net::operator;
-    /// let days = operator::Days { by: "team".to_owned(), from_day: 20_000, to_day: 20_001 };
+    /// let days = operator::UsageQuery { by: "team".to_owned(), from_day: 20_000, to_day: 20_001 };
     /// assert_eq!(days.text(), r#"{"by":"team","from_day":20000,"to_day":20001}"#);
     /// ```
     pub fn text(&self) -> String {
@@ -112,8 +112,8 @@
             put: id::Attempt(rand::random()).to_string(),
         };
         let backoff = platform::Backoff { limit: RETRY_LIMIT, ..platform::Backoff::default() };
-        let deadline = time::Instant::now() + self.settings.patience;
-        let mut last = Error::Silent("none is in the settings".to_owned());
+        let deadline = time::Instant::now() + self.settings.total_timeout;
+        let mut last = Error::NoAnswer("none is in the settings".to_owned());
         let mut failures = 0;
         let first = rand::random_range(0..self.settings.stewards.len().max(1));
         for address in self.settings.stewards.iter().cycle().skip(first) {
@@ -136,7 +136,7 @@
     }
 
     async fn ask(&self, address: net::SocketAddr, call: &wire::Call) -> Result<Value, Error> {
-        let silent = |why: String| Error::Silent(format!("{address}: {why}"));
+        let silent = |why: String| Error::NoAnswer(format!("{address}: {why}"));
         match time::timeout(self.settings.timeout, self.exchange(address, call)).await {
             Err(_) => Err(silent("timed out".to_owned())),
             Ok(Err(error)) => Err(silent(error.to_string())),
@@ -171,12 +171,12 @@
     /// # Errors
     ///
     /// As [`Client::call`].
-    pub async fn standing(&self, team: &str, version: u64) -> Result<Standing, Error> {
+    pub async fn section_status(&self, team: &str, version: u64) -> Result<SectionStatus, Error> {
         let verb = Some(wire::Verb::SectionStatus);
         let team = team.to_owned();
         let request = Request { verb, team, version, ..Request::default() };
         let value = self.call(&request).await?;
-        Ok(read_standing(&value))
+        Ok(read_section_status(&value))
     }
 
     /// Asks again until the version is accepted or `limit` has passed; the last answer.
@@ -189,10 +189,10 @@
         team: &str,
         version: u64,
         limit: clock::Span,
-    ) -> Result<Standing, Error> {
+    ) -> Result<SectionStatus, Error> {
         let deadline = time::Instant::now() + limit;
         loop {
-            let standing = self.standing(team, version).await?;
+            let standing = self.section_status(team, version).await?;
             if standing.accepted || time::Instant::now() >= deadline {
                 return Ok(standing);
             }
@@ -214,7 +214,7 @@
 /// Whether another try may help: nobody answered, or the platform did not answer the steward.
 fn is_passing(error: &Error) -> bool {
     match error {
-        Error::Silent(_) => true,
+        Error::NoAnswer(_) => true,
         Error::Refused { code, .. } => matches!(code.as_str(), "unknown" | "platform" | "silent"),
     }
 }
@@ -222,7 +222,7 @@
 /// Whether a put may have been stored.
 fn is_unsure(error: &Error) -> bool {
     match error {
-        Error::Silent(_) => true,
+        Error::NoAnswer(_) => true,
         Error::Refused { code, .. } => code == "unknown",
     }
 }
@@ -238,7 +238,7 @@
     Err(Error::Refused { code: text("code"), message: text("message"), details })
 }
 
-fn read_standing(value: &Value) -> Standing {
+fn read_section_status(value: &Value) -> SectionStatus {
     let mut missing = Vec::new();
     for zone in value["zones"].as_array().into_iter().flatten() {
         let name = zone["zone"].as_str().unwrap_or_default();
@@ -250,7 +250,7 @@
             missing.push(format!("zone {name}: {host} has version {}", line[1]));
         }
     }
-    Standing {
+    SectionStatus {
         version: value["version"].as_u64().unwrap_or_default(),
         accepted: value["accepted"].as_bool().unwrap_or(false),
         missing,
--- a/crates/lagoon-net/src/operator/settings.rs
+++ b/crates/lagoon-net/src/operator/settings.rs
@@ -19,7 +19,7 @@
     /// Longest time for one steward's answer.
     pub timeout: clock::Span,
     /// Longest time for a whole call over all tries.
-    pub patience: clock::Span,
+    pub total_timeout: clock::Span,
 }
 
 impl Default for Settings {
@@ -29,7 +29,7 @@
             fleet_key: wire::Key::new(&[]),
             key: String::new(),
             timeout: clock::Span::from_secs(5),
-            patience: clock::Span::from_secs(15),
+            total_timeout: clock::Span::from_secs(15),
         }
     }
 }
@@ -62,7 +62,7 @@
             fleet_key: wire::Key::new(reader.required("fleet_key").as_bytes()),
             key: reader.required("key"),
             timeout: clock::Span::from_millis(timeout),
-            patience: clock::Span::from_millis(patience),
+            total_timeout: clock::Span::from_millis(patience),
         }
     }
 }
--- a/crates/lagoon-net/src/platform/client.rs
+++ b/crates/lagoon-net/src/platform/client.rs
@@ -47,7 +47,7 @@
     /// ```
     /// use lagoon_net::platform;
     /// let limits = platform::Limits::new(platform::Settings::default());
-    /// assert!(!limits.is_resting());
+    /// assert!(!limits.is_breaker_open());
     /// ```
     pub fn new(settings: settings::Settings) -> sync::Arc<Self> {
         let clock = clock::System::default();
@@ -57,7 +57,7 @@
         let rules = Rules {
             reads: budget(settings.reads_per_second),
             writes: budget(settings.writes_per_second),
-            breaker: platform::Breaker::new(settings.rest),
+            breaker: platform::Breaker::new(settings.breaker_pause),
         };
         sync::Arc::new(Limits { settings, clock, rules: sync::Mutex::new(rules) })
     }
@@ -67,7 +67,7 @@
     }
 
     /// Whether calls are held back because the platform failed lately.
-    pub fn is_resting(&self) -> bool {
+    pub fn is_breaker_open(&self) -> bool {
         !self.rules().breaker.clone().admit(self.clock.now())
     }
 
--- a/crates/lagoon-net/src/platform/settings.rs
+++ b/crates/lagoon-net/src/platform/settings.rs
@@ -17,7 +17,7 @@
     /// Writes a second that this process may make. The platform has several hundred for all.
     pub writes_per_second: f64,
     /// Time for which no call is made after several in a row failed.
-    pub rest: clock::Span,
+    pub breaker_pause: clock::Span,
 }
 
 impl Default for Settings {
@@ -27,7 +27,7 @@
             timeout: clock::Span::from_millis(1_500),
             reads_per_second: 20.0,
             writes_per_second: 5.0,
-            rest: clock::Span::from_secs(1),
+            breaker_pause: clock::Span::from_secs(1),
         }
     }
 }
@@ -56,7 +56,7 @@
                 usual.writes_per_second,
                 0.01..=1e5,
             ),
-            rest: clock::Span::from_millis(rest),
+            breaker_pause: clock::Span::from_millis(rest),
         }
     }
 }
--- a/crates/lagoon-net/src/signals.rs
+++ b/crates/lagoon-net/src/signals.rs
@@ -7,13 +7,13 @@
 
 /// Asks of the host to end the process.
 #[derive(Debug)]
-pub struct Terminations {
+pub struct TerminationSignals {
     runtime: runtime::Runtime,
     term: unix::Signal,
     int: unix::Signal,
 }
 
-impl Terminations {
+impl TerminationSignals {
     /// From now on these signals no longer end the process by themselves.
     ///
     /// # Errors
@@ -21,21 +21,21 @@
     /// The signals cannot be received.
     ///
     /// ```
-    /// let terminations = lagoon_net::signals::Terminations::new();
+    /// let terminations = lagoon_net::signals::TerminationSignals::new();
     /// assert!(terminations.is_ok());
     /// ```
-    pub fn new() -> io::Result<Terminations> {
+    pub fn new() -> io::Result<TerminationSignals> {
         let runtime = runtime::Builder::new_current_thread().enable_io().build()?;
         let guard = runtime.enter();
         let term = unix::signal(unix::SignalKind::terminate())?;
         let int = unix::signal(unix::SignalKind::interrupt())?;
         drop(guard);
-        Ok(Terminations { runtime, term, int })
+        Ok(TerminationSignals { runtime, term, int })
     }
 
     /// Blocks the thread until the next one.
     pub fn wait(&mut self) {
-        let Terminations { runtime, term, int } = self;
+        let TerminationSignals { runtime, term, int } = self;
         runtime.block_on(async {
             tokio::select! {
                 _ = term.recv() => {}
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Signal {
     /// To end.
-    End,
+    Terminate,
     /// To read its settings again.
     Reload,
 }
@@ -57,7 +57,7 @@
 /// Asks to end and to reload.
 #[derive(Debug)]
 pub struct Signals {
-    ends: Terminations,
+    ends: TerminationSignals,
     hangup: unix::Signal,
 }
 
@@ -72,7 +72,7 @@
     /// assert!(lagoon_net::signals::Signals::new().is_ok());
     /// ```
     pub fn new() -> io::Result<Signals> {
-        let ends = Terminations::new()?;
+        let ends = TerminationSignals::new()?;
         let guard = ends.runtime.enter();
         let hangup = unix::signal(unix::SignalKind::hangup())?;
         drop(guard);
@@ -81,11 +81,11 @@
 
     /// Blocks the thread until the next one.
     pub fn wait(&mut self) -> Signal {
-        let Signals { ends: Terminations { runtime, term, int }, hangup } = self;
+        let Signals { ends: TerminationSignals { runtime, term, int }, hangup } = self;
         runtime.block_on(async {
             tokio::select! {
-                _ = term.recv() => Signal::End,
-                _ = int.recv() => Signal::End,
+                _ = term.recv() => Signal::Terminate,
+                _ = int.recv() => Signal::Terminate,
                 _ = hangup.recv() => Signal::Reload,
             }
         })
--- a/crates/lagoon-net/src/steward/beat.rs
+++ b/crates/lagoon-net/src/steward/beat.rs
@@ -25,7 +25,7 @@
     let mut flushes = time::interval(FLUSH);
     flushes.set_missed_tick_behavior(time::MissedTickBehavior::Skip);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Skip);
-    let mut window = wire::Window::default();
+    let mut window = wire::ReplayWindow::default();
     let mut buffer = [0; wire::DATAGRAM_LIMIT];
     let mut sequence = 0;
     loop {
@@ -48,7 +48,7 @@
     }
 }
 
-fn hear(context: &Context, window: &mut wire::Window, sealed: &[u8]) {
+fn hear(context: &Context, window: &mut wire::ReplayWindow, sealed: &[u8]) {
     let counters = context.core.borrow().counters.clone();
     core::Counters::add(&counters.datagrams_received, 1);
     core::Counters::add(&counters.datagram_bytes_received, sealed.len() as u64);
@@ -116,7 +116,7 @@
             membership::Change::Live(host) => log::info!("{host} lives"),
             membership::Change::Dead(host) => {
                 log::warn!("{host} is dead");
-                core::Counters::add(&core.counters.deaths, 1);
+                core::Counters::add(&core.counters.members_declared_dead, 1);
             }
         }
     }
--- a/crates/lagoon-net/src/steward/calls.rs
+++ b/crates/lagoon-net/src/steward/calls.rs
@@ -349,7 +349,7 @@
 async fn usage_report(context: &Context, call: &wire::Call) -> Outcome {
     authorize_operator(context, call)?;
     let bad = |message: String| Failure::new("bad_call", message);
-    let days: operator::Days =
+    let days: operator::UsageQuery =
         serde_json::from_str(&call.text).map_err(|error| bad(error.to_string()))?;
     let grouping = days.by.parse::<ledger::Grouping>().map_err(|error| bad(error.to_string()))?;
     let found = usage::report(platform(context)?, grouping, &days).await;
--- a/crates/lagoon-net/src/steward/core/brief.rs
+++ b/crates/lagoon-net/src/steward/core/brief.rs
@@ -26,7 +26,7 @@
 /// What the heartbeats of one round carry, and who knows it already.
 #[derive(Default)]
 pub(in crate::steward) struct Room {
-    loads: Vec<(wire::BriefLine, collections::BTreeSet<id::Host>)>,
+    loads: Vec<(wire::CompactLoad, collections::BTreeSet<id::Host>)>,
     spendings: Vec<(wire::Spending, id::Host)>,
 }
 
@@ -37,7 +37,7 @@
         let lines: Vec<_> = unknown.map(|(line, _)| *line).collect();
         let spendings = self.spendings.iter().filter(|(_, from)| from != to);
         wire::Heartbeat {
-            loads: (!lines.is_empty()).then(|| wire::brief(&lines)),
+            loads: (!lines.is_empty()).then(|| wire::compact_loads(&lines)),
             spendings: spendings.map(|(spending, _)| spending.clone()).collect(),
         }
     }
@@ -73,32 +73,32 @@
             for_spending -= bytes.min(for_spending);
             room.spendings.push((spending, from));
         }
-        while left >= wire::BRIEF_LINE_BYTES {
+        while left >= wire::COMPACT_LOAD_BYTES {
             let Some((line, knows)) = self.next_load() else { break };
-            left -= wire::BRIEF_LINE_BYTES;
+            left -= wire::COMPACT_LOAD_BYTES;
             room.loads.push((line, knows));
         }
         room
     }
 
     /// The next load to be told: where the last heartbeat ended, this one goes on.
-    fn next_load(&mut self) -> Option<(wire::BriefLine, collections::BTreeSet<id::Host>)> {
+    fn next_load(&mut self) -> Option<(wire::CompactLoad, collections::BTreeSet<id::Host>)> {
         let after = (ops::Bound::Excluded(self.told.clone()), ops::Bound::Unbounded);
         let next = self.untold.range(after).next().or_else(|| self.untold.iter().next());
         let name = next.map(|(name, _)| name.clone())?;
         let knows = self.untold.remove(&name)?;
         let seen = self.loads.get(&name)?;
         let age_ms = super::age_ms(self.clock.now(), seen.read);
-        let line = wire::BriefLine::new(&name, &seen.load, age_ms);
+        let line = wire::CompactLoad::new(&name, &seen.load, age_ms);
         self.told = name;
         Some((line, knows))
     }
 
     /// Takes loads that came with a heartbeat, and passes on what is new.
-    pub(in crate::steward) fn take_brief(&mut self, from: &id::Host, brief: &wire::Brief) {
+    pub(in crate::steward) fn take_brief(&mut self, from: &id::Host, brief: &wire::CompactLoads) {
         let now = self.clock.now();
         let mut fresh = Vec::new();
-        for line in wire::brief_lines(brief) {
+        for line in wire::parse_compact_loads(brief) {
             let Some(Some(upstream)) = self.codes.get(&line.upstream) else { continue };
             let Some(known) = self.loads.get_mut(upstream) else { continue };
             let Some(load) = line.load(&known.load) else { continue };
--- a/crates/lagoon-net/src/steward/core/document.rs
+++ b/crates/lagoon-net/src/steward/core/document.rs
@@ -125,7 +125,7 @@
             if deltas.is_empty() {
                 return wire::section(section);
             }
-            wire::section_by(section, &deltas)
+            wire::section_with_deltas(section, &deltas)
         };
         sections.iter().map(told).collect()
     }
--- a/crates/lagoon-net/src/steward/core/message.rs
+++ b/crates/lagoon-net/src/steward/core/message.rs
@@ -28,7 +28,7 @@
 
     fn take_members(&mut self, members: &wire::Members, from: LinkId) {
         let now = self.clock.now();
-        let fresh = self.group.apply(&wire::news(members), now);
+        let fresh = self.group.apply(&wire::membership_updates(members), now);
         self.removed.retain(|host| !self.group.is_live(host));
         self.tell_members(&fresh, Some(from));
     }
--- a/crates/lagoon-net/src/steward/core/mod.rs
+++ b/crates/lagoon-net/src/steward/core/mod.rs
@@ -62,8 +62,8 @@
     pub datagram_bytes_received: atomic::AtomicU64,
     /// Datagrams received.
     pub datagrams_received: atomic::AtomicU64,
-    /// Bytes of frames sent to other hosts, by kind of message: see [`KINDS`].
-    pub kind_bytes_sent: [atomic::AtomicU64; KINDS.len()],
+    /// Bytes of frames sent to other hosts, by kind of message: see [`PEER_MESSAGE_KINDS`].
+    pub kind_bytes_sent: [atomic::AtomicU64; PEER_MESSAGE_KINDS.len()],
     /// Connections refused.
     pub connections_refused: atomic::AtomicU64,
     /// Sections applied.
@@ -71,9 +71,9 @@
     /// Changes of sections that did not fit what was in force: whole texts were asked for.
     pub deltas_refused: atomic::AtomicU64,
     /// Members held to be dead.
-    pub deaths: atomic::AtomicU64,
+    pub members_declared_dead: atomic::AtomicU64,
     /// Orders that were written after their lease had ended.
-    pub late_orders: atomic::AtomicU64,
+    pub late_commands: atomic::AtomicU64,
     /// Holdings of dead owners that engines gave back.
     pub holdings_released: atomic::AtomicU64,
     /// Failed calls of the platform.
@@ -81,9 +81,10 @@
 }
 
 /// Kinds of messages that stewards send each other.
-pub const KINDS: [&str; 6] = ["digest", "sections", "loads", "marks", "members", "statuses"];
+pub const PEER_MESSAGE_KINDS: [&str; 6] =
+    ["digest", "sections", "loads", "marks", "members", "statuses"];
 
-/// Place of a message's kind in [`KINDS`]; those that no host sends to another have none.
+/// Place of a message's kind in [`PEER_MESSAGE_KINDS`]; kinds that no host sends another: none.
 pub(in crate::steward) fn kind(body: &wire::Body) -> Option<usize> {
     let name = match body {
         wire::Body::Digest(_) => "digest",
@@ -100,7 +101,7 @@
         | wire::Body::Call(_)
         | wire::Body::Reply(_) => return None,
     };
-    KINDS.iter().position(|kind| *kind == name)
+    PEER_MESSAGE_KINDS.iter().position(|kind| *kind == name)
 }
 
 impl Counters {
--- a/crates/lagoon-net/src/steward/fetch.rs
+++ b/crates/lagoon-net/src/steward/fetch.rs
@@ -62,9 +62,9 @@
             }
         }
         let wait = if failures == 0 {
-            context.settings.poll.mul_f64(rand::random_range(0.9..1.1))
+            context.settings.poll_interval.mul_f64(rand::random_range(0.9..1.1))
         } else {
-            backoff.delay(failures, rand::random()).max(context.settings.poll / 2)
+            backoff.delay(failures, rand::random()).max(context.settings.poll_interval / 2)
         };
         tokio::time::sleep(wait).await;
     }
--- a/crates/lagoon-net/src/steward/mod.rs
+++ b/crates/lagoon-net/src/steward/mod.rs
@@ -30,7 +30,7 @@
 use tokio::net as tokio_net;
 use tokio::sync::watch;
 
-pub use self::core::{Counters, KINDS};
+pub use self::core::{Counters, PEER_MESSAGE_KINDS};
 pub use settings::Settings;
 
 use crate::platform;
--- a/crates/lagoon-net/src/steward/observe.rs
+++ b/crates/lagoon-net/src/steward/observe.rs
@@ -19,7 +19,7 @@
         for (upstream, address) in owned(&context) {
             rt::spawn(observe(context.clone(), http.clone(), upstream, address));
         }
-        let wait = context.settings.observe.mul_f64(rand::random_range(0.9..1.1));
+        let wait = context.settings.observe_interval.mul_f64(rand::random_range(0.9..1.1));
         tokio::time::sleep(wait).await;
     }
 }
--- a/crates/lagoon-net/src/steward/orders.rs
+++ b/crates/lagoon-net/src/steward/orders.rs
@@ -193,7 +193,7 @@
         let answer = time::timeout(flight, sent).await;
         if !self.lease.record_sent(&permit) {
             let counters = self.context.core.borrow().counters.clone();
-            core::Counters::add(&counters.late_orders, 1);
+            core::Counters::add(&counters.late_commands, 1);
         }
         match answer {
             Ok(Ok(response)) if response.status() == http::StatusCode::OK => {
--- a/crates/lagoon-net/src/steward/settings.rs
+++ b/crates/lagoon-net/src/steward/settings.rs
@@ -44,11 +44,11 @@
     /// Leases of orders.
     pub lease: lease::Settings,
     /// Time between two reads of the document's head by the zone's fetcher.
-    pub poll: clock::Span,
+    pub poll_interval: clock::Span,
     /// Time between two reads of the load of an upstream that this steward observes.
-    pub observe: clock::Span,
+    pub observe_interval: clock::Span,
     /// Time between two looks at what an engine that this steward observes holds.
-    pub sweep: clock::Span,
+    pub sweep_interval: clock::Span,
     /// When an owner of engine memory counts as dead.
     pub reap: reap::Settings,
     /// Retention of idempotency keys.
@@ -73,9 +73,9 @@
             operator_keys: Vec::new(),
             membership: membership::Settings::default(),
             lease: lease::Settings::default(),
-            poll: clock::Span::from_millis(500),
-            observe: clock::Span::from_millis(OBSERVE_MS),
-            sweep: clock::Span::from_millis(SWEEP_MS),
+            poll_interval: clock::Span::from_millis(500),
+            observe_interval: clock::Span::from_millis(OBSERVE_MS),
+            sweep_interval: clock::Span::from_millis(SWEEP_MS),
             reap: reap::Settings::default(),
             claims: claim::SweepSettings::default(),
             logs: logs::Settings::default(),
@@ -109,9 +109,9 @@
             operator_keys: read_keys(reader),
             membership: reader.child("membership", read_membership).unwrap_or_default(),
             lease: usual.lease,
-            poll: clock::Span::from_millis(poll),
-            observe: clock::Span::from_millis(observe),
-            sweep: clock::Span::from_millis(sweep),
+            poll_interval: clock::Span::from_millis(poll),
+            observe_interval: clock::Span::from_millis(observe),
+            sweep_interval: clock::Span::from_millis(sweep),
             reap: usual.reap,
             claims: read_claims(reader),
             logs: reader.child("logs", logs::Settings::read).unwrap_or_default(),
--- a/crates/lagoon-net/src/steward/sweep.rs
+++ b/crates/lagoon-net/src/steward/sweep.rs
@@ -31,7 +31,7 @@
     let mut sweep = reap::Reaper::new(context.settings.reap.clone());
     let mut neighbours = collections::BTreeSet::new();
     loop {
-        let wait = context.settings.sweep.mul_f64(rand::random_range(0.9..1.1));
+        let wait = context.settings.sweep_interval.mul_f64(rand::random_range(0.9..1.1));
         tokio::time::sleep(wait).await;
         let now = context.clock.now();
         for (host, word) in own_words(&context).await {
--- a/crates/lagoon-net/src/steward/usage.rs
+++ b/crates/lagoon-net/src/steward/usage.rs
@@ -55,7 +55,7 @@
 ) {
     let core = context.core.borrow();
     let (wall_ms, now) = (context.clock.wall_millis(), context.clock.now());
-    let stale = context.settings.observe * MISSED;
+    let stale = context.settings.observe_interval * MISSED;
     let accounts = &core.accounts;
     let in_zone = |name: &id::Upstream| {
         core.fleet.upstream(name).is_some_and(|upstream| upstream.entry.zone == *core.zone())
@@ -110,7 +110,7 @@
 pub(super) async fn report<T>(
     table: &T,
     grouping: ledger::Grouping,
-    days: &operator::Days,
+    days: &operator::UsageQuery,
 ) -> Result<Option<Report>, table::Error>
 where
     T: table::Table,
--- a/crates/lagoon-net/src/wire/auth.rs
+++ b/crates/lagoon-net/src/wire/auth.rs
@@ -68,13 +68,13 @@
 ///
 /// ```
 /// use lagoon_net::wire;
-/// let mut window = wire::Window::default();
+/// let mut window = wire::ReplayWindow::default();
 /// let frame = wire::Frame { sender: "suva-1".into(), sequence: 3, wall_ms: 9, ..Default::default() };
 /// assert!(window.admit(&frame, 10));
 /// assert!(!window.admit(&frame, 10));
 /// ```
 #[derive(Debug, Default)]
-pub struct Window {
+pub struct ReplayWindow {
     senders: collections::HashMap<String, Seen>,
 }
 
@@ -85,7 +85,7 @@
     bits: u64,
 }
 
-impl Window {
+impl ReplayWindow {
     /// Whether `frame` is new at `wall_ms`; remembers it if so.
     pub fn admit(&mut self, frame: &message::Frame, wall_ms: u64) -> bool {
         if frame.wall_ms.abs_diff(wall_ms) > CLOCK_SKEW_MS || frame.sequence == 0 {
--- a/crates/lagoon-net/src/wire/brief.rs
+++ b/crates/lagoon-net/src/wire/compact.rs
@@ -19,7 +19,7 @@
 
 /// Bytes that one line takes on the wire, about: a code of four bytes, a life of two, a sequence
 /// of three, and five numbers of one or two.
-pub const BRIEF_LINE_BYTES: usize = 16;
+pub const COMPACT_LOAD_BYTES: usize = 16;
 
 /// Code of an upstream's name. Two names of one fleet may share one; both are then told in full.
 pub fn name_code(name: &str) -> u32 {
@@ -28,18 +28,18 @@
 }
 
 /// Code of an upstream's life.
-pub fn life_code(incarnation: u64) -> u32 {
+pub fn incarnation_code(incarnation: u64) -> u32 {
     let mixed = incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     u32::try_from(mixed >> (64 - LIFE_BITS)).unwrap_or_default()
 }
 
-/// One line of a [`message::Brief`].
+/// One line of a [`message::CompactLoads`].
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct BriefLine {
+pub struct CompactLoad {
     /// Code of the upstream's name.
     pub upstream: u32,
     /// Code of its life.
-    pub life: u32,
+    pub incarnation: u32,
     /// Count of its reports.
     pub sequence: u64,
     /// Milliseconds since it was read.
@@ -54,13 +54,13 @@
     u32::try_from(number).unwrap_or(u32::MAX)
 }
 
-impl BriefLine {
+impl CompactLoad {
     /// What a load says in short.
     pub fn new(upstream: &id::Upstream, load: &engine::Load, age_ms: u64) -> Self {
         let free = load.kv_free_tokens.min(load.kv_tokens);
-        BriefLine {
+        CompactLoad {
             upstream: name_code(upstream.as_str()),
-            life: life_code(load.incarnation),
+            incarnation: incarnation_code(load.incarnation),
             sequence: load.sequence,
             age_ms,
             running: load.running,
@@ -82,12 +82,12 @@
     /// use lagoonline::port::engine;
     /// let known = engine::Load { kv_tokens: 1_270, incarnation: 7, ..Default::default() };
     /// let load = engine::Load { running: 3, kv_free_tokens: 640, sequence: 2, ..known };
-    /// let line = wire::BriefLine::new(&"e".into(), &load, 0);
+    /// let line = wire::CompactLoad::new(&"e".into(), &load, 0);
     /// assert_eq!(line.load(&known), Some(engine::Load { kv_free_tokens: 640, ..load }));
     /// assert_eq!(line.load(&engine::Load { incarnation: 8, ..known }), None);
     /// ```
     pub fn load(&self, known: &engine::Load) -> Option<engine::Load> {
-        if life_code(known.incarnation) != self.life {
+        if incarnation_code(known.incarnation) != self.incarnation {
             return None;
         }
         let free = u128::from(known.kv_tokens) * u128::from(self.kv_free_parts);
@@ -107,14 +107,14 @@
 /// ```
 /// use lagoon_net::wire;
 /// use lagoonline::port::engine;
-/// let line = wire::BriefLine::new(&"e".into(), &engine::Load::default(), 200);
-/// assert_eq!(wire::brief_lines(&wire::brief(&[line])), [line]);
+/// let line = wire::CompactLoad::new(&"e".into(), &engine::Load::default(), 200);
+/// assert_eq!(wire::parse_compact_loads(&wire::compact_loads(&[line])), [line]);
 /// ```
-pub fn brief(lines: &[BriefLine]) -> message::Brief {
-    let mut brief = message::Brief::default();
+pub fn compact_loads(lines: &[CompactLoad]) -> message::CompactLoads {
+    let mut brief = message::CompactLoads::default();
     for line in lines {
         brief.upstreams.push(line.upstream);
-        brief.lives.push(line.life);
+        brief.lives.push(line.incarnation);
         brief.sequences.push(line.sequence);
         brief.running.push(line.running);
         brief.waiting.push(line.waiting);
@@ -126,7 +126,7 @@
 }
 
 /// Lines of a message; none when its columns differ in length.
-pub fn brief_lines(brief: &message::Brief) -> Vec<BriefLine> {
+pub fn parse_compact_loads(brief: &message::CompactLoads) -> Vec<CompactLoad> {
     let count = brief.upstreams.len();
     let numbers = [&brief.lives, &brief.running, &brief.waiting, &brief.prefill_thousands];
     let more = [&brief.kv_free_parts, &brief.ages];
@@ -134,9 +134,9 @@
     if lengths.any(|length| length != count) || brief.sequences.len() != count {
         return Vec::new();
     }
-    let line = |index: usize| BriefLine {
+    let line = |index: usize| CompactLoad {
         upstream: brief.upstreams[index],
-        life: brief.lives[index],
+        incarnation: brief.lives[index],
         sequence: brief.sequences[index],
         age_ms: u64::from(brief.ages[index]) * AGE_UNIT_MS,
         running: brief.running[index],
--- a/crates/lagoon-net/src/wire/convert.rs
+++ b/crates/lagoon-net/src/wire/convert.rs
@@ -42,7 +42,10 @@
 }
 
 /// A section as a message has it, told by changes of a version that the receiver has.
-pub fn section_by(section: &document::Section, deltas: &[document::Delta]) -> message::Section {
+pub fn section_with_deltas(
+    section: &document::Section,
+    deltas: &[document::Delta],
+) -> message::Section {
     message::Section {
         team: section.team.to_string(),
         version: section.version.0,
@@ -118,7 +121,7 @@
 }
 
 /// News of members from a message; members whose address is malformed are left out.
-pub fn news(members: &message::Members) -> Vec<membership::Update> {
+pub fn membership_updates(members: &message::Members) -> Vec<membership::Update> {
     let member = |line: &message::Member| {
         Some(membership::Update::Member(membership::Member {
             host: id::Host::from(line.host.as_str()),
--- a/crates/lagoon-net/src/wire/message.rs
+++ b/crates/lagoon-net/src/wire/message.rs
@@ -117,7 +117,7 @@
 pub struct Heartbeat {
     /// Loads that changed.
     #[prost(message, optional, tag = "5")]
-    pub loads: Option<Brief>,
+    pub loads: Option<CompactLoads>,
     /// Use by customers who are near their limits.
     #[prost(message, repeated, tag = "6")]
     pub spendings: Vec<Spending>,
@@ -126,7 +126,7 @@
 /// Loads in short, in columns of equal length: a tenth of the bytes of [`Loads`]. What does not
 /// change within an upstream's life is left out, and known from [`Loads`].
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Brief {
+pub struct CompactLoads {
     /// Codes of the upstreams' names.
     #[prost(fixed32, repeated, tag = "1")]
     pub upstreams: Vec<u32>,
--- a/crates/lagoon-net/src/wire/mod.rs
+++ b/crates/lagoon-net/src/wire/mod.rs
@@ -2,13 +2,13 @@
 //! prefixed frames, each authenticated with a key that the fleet shares.
 
 mod auth;
-mod brief;
 mod codec;
+mod compact;
 mod convert;
 mod message;
 
 pub use auth::*;
-pub use brief::*;
 pub use codec::*;
+pub use compact::*;
 pub use convert::*;
 pub use message::*;
--- a/crates/lagoon-net/tests/control.rs
+++ b/crates/lagoon-net/tests/control.rs
@@ -44,7 +44,7 @@
 }
 
 impl link::Sink for Sink {
-    fn take(&mut self, update: link::Update) {
+    fn apply(&mut self, update: link::Update) {
         if let link::Update::Loads(loads) = &update {
             let names = loads.iter().map(|load| load.upstream.clone());
             self.loads.lock().unwrap().extend(names);
@@ -155,7 +155,7 @@
             stewards,
             fleet_key: wire::Key::new(b"fleet"),
             key: OPERATOR_KEY.to_owned(),
-            patience: LONG,
+            total_timeout: LONG,
             ..operator::Settings::default()
         })
     }
@@ -171,7 +171,7 @@
         Ok(value["version"].as_u64().unwrap())
     }
 
-    fn wait_accepted(&self, version: u64) -> operator::Standing {
+    fn wait_accepted(&self, version: u64) -> operator::SectionStatus {
         block_on(self.client().wait_accepted("labels", version, LONG)).unwrap()
     }
 
--- a/crates/lagoon-net/tests/memory_sweep.rs
+++ b/crates/lagoon-net/tests/memory_sweep.rs
@@ -25,7 +25,7 @@
 struct Silent;
 
 impl link::Sink for Silent {
-    fn take(&mut self, _: link::Update) {}
+    fn apply(&mut self, _: link::Update) {}
 }
 
 /// What the stewards see of an entry process: a link that reports until it is dropped.
@@ -81,7 +81,7 @@
             stewards: fleet.stewards.iter().map(steward::Running::address).collect(),
             fleet_key: wire::Key::new(b"fleet"),
             key: "operators".to_owned(),
-            patience: PATIENCE,
+            total_timeout: PATIENCE,
             ..Default::default()
         });
         let put = lagoon_net::operator::Request {
@@ -105,7 +105,7 @@
             platform: Some(client::Settings { address, ..client::Settings::default() }),
             peers: self.stewards.iter().map(steward::Running::address).collect(),
             operator_keys: vec![<sha2::Sha256 as sha2::Digest>::digest("operators").into()],
-            sweep: Span::from_millis(100),
+            sweep_interval: Span::from_millis(100),
             reap: reap::Settings {
                 owner_timeout: silence,
                 takeover_window: silence,
--- a/crates/lagoon-net/tests/wire.rs
+++ b/crates/lagoon-net/tests/wire.rs
@@ -146,7 +146,7 @@
 
     #[test]
     fn a_datagram_is_admitted_once(order in prop::collection::vec(1_u64..100, 1..200)) {
-        let mut window = wire::Window::default();
+        let mut window = wire::ReplayWindow::default();
         let mut admitted = std::collections::BTreeSet::new();
         for sequence in order {
             let frame = wire::Frame { sequence, ..Default::default() };
--- a/crates/lagoon-standin/src/main.rs
+++ b/crates/lagoon-standin/src/main.rs
@@ -36,7 +36,7 @@
     if args.check {
         return process::ExitCode::SUCCESS;
     }
-    let logs = logs::Settings { silent: &ACCEPTING, ..logs::Settings::default() };
+    let logs = logs::Settings { muted_crates: &ACCEPTING, ..logs::Settings::default() };
     if let Err(error) = logs::start(&logs, PROGRAM) {
         return program::failed(PROGRAM, &error);
     }
--- a/crates/lagoonctl/src/print.rs
+++ b/crates/lagoonctl/src/print.rs
@@ -26,8 +26,8 @@
 }
 
 /// Says where a version is in force and what is missing.
-pub(crate) fn standing(team: &str, standing: &operator::Standing, json: bool) {
-    let operator::Standing { version, accepted, missing } = standing;
+pub(crate) fn standing(team: &str, standing: &operator::SectionStatus, json: bool) {
+    let operator::SectionStatus { version, accepted, missing } = standing;
     if json {
         let value = json!({ "version": version, "accepted": accepted, "missing": missing });
         return println!("{value}");
--- a/crates/lagoonctl/src/run.rs
+++ b/crates/lagoonctl/src/run.rs
@@ -29,7 +29,7 @@
             arguments::SectionCommand::Check(check) => section_check(&client, check, json).await,
             arguments::SectionCommand::Put(put) => section_put(&client, put, json).await,
             arguments::SectionCommand::Status(status) => {
-                let standing = client.standing(&status.team, status.version).await;
+                let standing = client.section_status(&status.team, status.version).await;
                 standing.map(|standing| finish(&status.team, &standing, json))
             }
         },
@@ -71,7 +71,7 @@
     if to < from {
         return Err("the last day is before the first".to_owned());
     }
-    let days = operator::Days { by: usage.by.clone(), from_day: from, to_day: to };
+    let days = operator::UsageQuery { by: usage.by.clone(), from_day: from, to_day: to };
     Ok(days.text())
 }
 
@@ -152,7 +152,7 @@
     Ok(finish(&put.team, &standing, json))
 }
 
-fn finish(team: &str, standing: &operator::Standing, json: bool) -> u8 {
+fn finish(team: &str, standing: &operator::SectionStatus, json: bool) -> u8 {
     print::standing(team, standing, json);
     if standing.accepted { GOOD } else { program::FAILED }
 }
