--- a/crates/lagoon-net/src/entry/link/tests.rs
+++ b/crates/lagoon-net/src/entry/link/tests.rs
@@ -25,7 +25,7 @@
 /// An upstream refuses a call before any incarnation of it is known, as a plain service does. The
 /// refusal applies to the first incarnation that is reported.
 #[test]
-fn a_refusal_before_any_life_is_known_counts() {
+fn a_refusal_before_any_incarnation_is_known_counts() {
     let (link, upstream) = (Link::default(), Upstream::from("runner"));
     link.report_leaving(&upstream);
     assert_eq!(link.merge(&upstream, mark(5, false)), Some(true));
--- a/crates/lagoon-net/src/entry/prompt/tests.rs
+++ b/crates/lagoon-net/src/entry/prompt/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn finds_what_decisions_need() {
+fn extracts_the_fields_for_scheduling() {
     let body = br#"{"model":"m","stream":true,"max_tokens":7,"prompt":"a\nb","x":[1,{}]}"#;
     let prompt = parse(Endpoint::Completions, body).unwrap();
     assert_eq!((prompt.model.as_str(), prompt.stream, prompt.answer_tokens), ("m", true, 7));
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn hashes_at_each_step_of_the_decoded_text() {
+fn hashes_the_decoded_text_at_each_step() {
     let plain = format!(r#"{{"model":"m","prompt":"{}"}}"#, "a".repeat(9_000));
     let escaped = format!(r#"{{"model":"m","prompt":"\u0061{}"}}"#, "a".repeat(8_999));
     let plain = parse(Endpoint::Completions, plain.as_bytes()).unwrap();
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn refuses_what_cannot_be_a_call() {
+fn rejects_invalid_bodies() {
     assert!(parse(Endpoint::Completions, b"{").is_err());
     assert!(parse(Endpoint::Completions, b"{\"model\":\"m\",\"prompt\":\"\xff\"}").is_err());
     assert!(parse(Endpoint::Chat, br#"{"model":"m","prompt":"a"}"#).is_err());
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn hashes_a_chat_like_its_contents_joined() {
+fn hashes_a_chat_like_its_concatenated_contents() {
     let half = "a".repeat(5_000);
     let plain = format!(r#"{{"model":"m","prompt":"{half}{half}"}}"#);
     let chat = format!(
