--- a/crates/lagoon-gateway/src/admit.rs
+++ b/crates/lagoon-gateway/src/admit.rs
@@ -36,7 +36,7 @@
     let Some(route) = table.route(&request.host, &request.path) else {
         return Err(unknown_name(state, age, Reason::UnknownName, "no such route"));
     };
-    let key = request.call.key.as_deref();
+    let key = request.head.key.as_deref();
     let customer = match table.customer(route, key) {
         routing::KeyMatch::Open => None,
         routing::KeyMatch::Customer(customer) => Some(customer.name.clone()),
@@ -52,7 +52,7 @@
     if customer.is_some() {
         check_key_age(state)?;
     }
-    let wait = request.call.time_left.unwrap_or(route.timeout).min(route.timeout);
+    let wait = request.head.time_left.unwrap_or(route.timeout).min(route.timeout);
     Ok(forward::Admitted {
         state: state.clone(),
         service: route.service(rand::rng().random()).clone(),
--- a/crates/lagoon-gateway/src/forward.rs
+++ b/crates/lagoon-gateway/src/forward.rs
@@ -38,12 +38,12 @@
     pub(crate) host: String,
     pub(crate) headers: Vec<(String, Vec<u8>)>,
     pub(crate) body: Bytes,
-    pub(crate) call: head::Call,
+    pub(crate) head: head::Request,
     pub(crate) arrived: clock::Moment,
 }
 
 impl Request {
-    fn head(&self) -> impl Iterator<Item = (&str, &[u8])> + Clone {
+    fn header_pairs(&self) -> impl Iterator<Item = (&str, &[u8])> + Clone {
         self.headers.iter().map(|(name, value)| (name.as_str(), value.as_slice()))
     }
 }
@@ -147,7 +147,7 @@
         let dispatched = pending.dispatch(id::Attempt(0));
         attempts += 1;
         *may_have_run = true;
-        let resume = admitted.request.call.last_event;
+        let resume = admitted.request.head.last_event;
         let checked = match admitted.attempt(allocation, resume, attempts).await {
             Ok(open) => admitted.check_answer(open, avoid.len()).await,
             Err(failed) => Err(failed),
@@ -333,7 +333,7 @@
         let mut request = hyper::Request::builder()
             .method(self.request.method.as_str())
             .uri(self.request.target.as_str());
-        for field in head::forward_request(self.request.head(), &dispatch) {
+        for field in head::forward_request(self.request.header_pairs(), &dispatch) {
             request = request.header(field.name, field.value);
         }
         request.body(exchange::Payload::new(self.request.body.clone()))
@@ -358,7 +358,7 @@
 
     /// Returns the request's rank in an engine: short prompts come first.
     fn rank(&self) -> Option<u8> {
-        let prompt = self.request.call.prompt_tokens?;
+        let prompt = self.request.head.prompt_tokens?;
         Some(match prompt {
             0..MEDIUM_PROMPT_TOKENS => 1,
             MEDIUM_PROMPT_TOKENS..LONG_PROMPT_TOKENS => 6,
@@ -398,7 +398,7 @@
             return Err(attempt::Failure::Refused { helper, detail });
         }
         let wrong_request =
-            read.request_id.as_deref().is_some_and(|id| id != self.request.call.request_id);
+            read.request_id.as_deref().is_some_and(|id| id != self.request.head.request_id);
         let success = (200..300).contains(&status);
         if wrong_request || success && (!read.proven || read.encoded) {
             self.record_unreachable(peer);
@@ -455,11 +455,11 @@
         let helpers: Vec<_> =
             placement.helpers.iter().map(|helper| helper.entry.upstream.as_str()).collect();
         event::Line::new("dispatch")
-            .text("request", &self.request.call.request_id)
+            .text("request", &self.request.head.request_id)
             .text("route", &self.route.name)
             .text("upstream", &placement.primary.upstream)
             .number("dispatch", number)
-            .number("prompt_tokens", self.request.call.prompt_tokens.unwrap_or(0))
+            .number("prompt_tokens", self.request.head.prompt_tokens.unwrap_or(0))
             .text("helpers", helpers.join(" "))
             .span("expected_ms", placement.expected)
             .span("left_ms", self.time_left())
@@ -473,7 +473,7 @@
 
     pub(crate) fn log_failure(&self, upstream: &id::Upstream, failed: &attempt::Failure) {
         event::Line::new("attempt_missed")
-            .text("request", &self.request.call.request_id)
+            .text("request", &self.request.head.request_id)
             .text("upstream", upstream)
             .text("outcome", failed.label())
             .text("detail", failed.detail())
@@ -484,7 +484,7 @@
     pub(crate) fn log_end(&self, how: &str, status: u16) {
         let span = self.state.clock.now().since(self.request.arrived);
         event::Line::new("answered")
-            .text("request", &self.request.call.request_id)
+            .text("request", &self.request.head.request_id)
             .text("route", &self.route.name)
             .text("how", how)
             .number("status", status)
--- a/crates/lagoon-gateway/src/hosts.rs
+++ b/crates/lagoon-gateway/src/hosts.rs
@@ -1,8 +1,8 @@
 //! The table of entry hosts at the platform.
 //!
-//! Each host keeps one row with the addresses at which other hosts reach it. The first host of a
-//! zone removes the rows of hosts in its zone that have been silent for long. A host whose row was
-//! removed while it is running writes it again.
+//! Each host keeps one row with the addresses at which other hosts reach it. The leader of a zone,
+//! its first live host by rank, removes the rows of hosts in its zone that have been silent for
+//! long. A host whose row was removed while it is running writes it again.
 
 use std::net;
 use std::sync;
@@ -35,8 +35,8 @@
 /// Maximum pause after the first read of the table.
 ///
 /// When all hosts start within moments of each other, each finds only the rows of those before it.
-/// Many then believe that they have to read for their zone, and go on reading until the next read
-/// of this table.
+/// Many then believe that they rank first and have to read the platform for their zone, and go on
+/// doing so until the next read of this table.
 const MAX_FIRST_PAUSE: clock::Span = clock::Span::from_millis(600);
 
 /// The row of a host.
@@ -73,7 +73,7 @@
     }
 }
 
-/// Removes the rows of hosts that are gone, while this host is the first of its zone.
+/// Removes the rows of hosts that have been silent too long, while this host leads its zone.
 async fn remove_gone(state: sync::Arc<state::State>) {
     let span = state.settings.tuning.hosts_gone;
     let mut client = client::Client::new(state.settings.node.store);
--- a/crates/lagoon-gateway/src/in_flight.rs
+++ b/crates/lagoon-gateway/src/in_flight.rs
@@ -51,7 +51,7 @@
         decider: Decider,
     ) -> Guard {
         let now = admitted.state.clock.now();
-        let prompt = admitted.request.call.prompt_tokens.unwrap_or(0);
+        let prompt = admitted.request.head.prompt_tokens.unwrap_or(0);
         let deadline = admitted.deadline;
         let dispatch =
             placement::Dispatch::new(id, placement, prompt, admitted.gap_target(), deadline);
--- a/crates/lagoon-gateway/src/message.rs
+++ b/crates/lagoon-gateway/src/message.rs
@@ -292,7 +292,7 @@
 }
 
 impl Batch {
-    /// Encodes `words` together with this batch's other fields as datagrams of at most
+    /// Encodes `updates` together with this batch's other fields as datagrams of at most
     /// [`MAX_DATAGRAM_BYTES`] bytes, unless a single update is larger. Without updates there is one
     /// datagram, which shows that the host is alive.
     pub(crate) fn datagrams(&self, updates: Vec<Update>) -> Vec<Vec<u8>> {
--- a/crates/lagoon-gateway/src/place.rs
+++ b/crates/lagoon-gateway/src/place.rs
@@ -123,7 +123,7 @@
     /// Logs and publishes that an engine did not reserve memory.
     fn record_refusal(&self, refusal: &reserve::Refusal, waited: clock::Span) {
         event::Line::new("not_reserved")
-            .text("request", &self.request.call.request_id)
+            .text("request", &self.request.head.request_id)
             .text("upstream", &refusal.upstream)
             .text("detail", &refusal.detail)
             .span("waited_ms", waited)
@@ -166,8 +166,8 @@
     ) -> schedule::PlacementResult {
         let now = self.state.clock.now();
         let request = placement::Request {
-            prompt_tokens: self.request.call.prompt_tokens.unwrap_or(0),
-            answer_tokens: self.request.call.answer_tokens.unwrap_or(0),
+            prompt_tokens: self.request.head.prompt_tokens.unwrap_or(0),
+            answer_tokens: self.request.head.answer_tokens.unwrap_or(0),
             target: due.since(now),
             max_gap: self.gap_target(),
             waited,
@@ -204,9 +204,9 @@
     /// Logs that the request waits, at the first shortage and whenever the shortage changes.
     fn log_wait(&self, shortage: placement::Shortage, waited: clock::Span) {
         event::Line::new("waits")
-            .text("request", &self.request.call.request_id)
+            .text("request", &self.request.head.request_id)
             .text("route", &self.route.name)
-            .number("prompt_tokens", self.request.call.prompt_tokens.unwrap_or(0))
+            .number("prompt_tokens", self.request.head.prompt_tokens.unwrap_or(0))
             .text("engines", shortage)
             .span("waited_ms", waited)
             .info();
--- a/crates/lagoon-gateway/src/quarantine/message.rs
+++ b/crates/lagoon-gateway/src/quarantine/message.rs
@@ -47,14 +47,14 @@
 
 impl Crashed {
     pub(crate) fn new(upstream: &id::Upstream, suspects: &[quarantine::Suspect]) -> Crashed {
-        let of = |weight| {
+        let with_weight = |weight| {
             let suspects = suspects.iter().filter(move |suspect| suspect.weight == weight);
             suspects.map(|suspect| Identity::new(&suspect.fingerprint)).collect()
         };
         Crashed {
             upstream: upstream.to_string(),
-            begun: of(quarantine::Weight::Begun),
-            waiting: of(quarantine::Weight::Waiting),
+            begun: with_weight(quarantine::Weight::Begun),
+            waiting: with_weight(quarantine::Weight::Waiting),
         }
     }
 
--- a/crates/lagoon-gateway/src/quarantine/mod.rs
+++ b/crates/lagoon-gateway/src/quarantine/mod.rs
@@ -87,7 +87,7 @@
         let was_suspect = self.state.clear_suspect(&fingerprint);
         if was_suspect {
             event::Line::new("suspect_cleared")
-                .text("request", &self.request.call.request_id)
+                .text("request", &self.request.head.request_id)
                 .text("fingerprint", fingerprint)
                 .info();
             let cleared = Cleared { request: Some(message::Identity::new(&fingerprint)) };
@@ -202,15 +202,15 @@
         state::lock(&self.quarantine.records).records(now).copied().collect()
     }
 
-    /// Judges the suspects on which a verdict is due, and drops expired evidence. Only a host that
-    /// receives the crash reports of all hosts judges: by one host's crashes alone, every request
-    /// that ran beside a lethal one would look just as guilty.
+    /// Evaluates the suspects on which a verdict is due, and drops expired evidence. Only a host
+    /// that receives the crash reports of all hosts does so: by one host's crashes alone, every
+    /// request that ran beside a lethal one would look just as guilty.
     pub(crate) fn update_quarantine(&self) {
         let now = self.clock.now();
-        let judges = state::lock(&self.peers).roster.is_candidate(now);
+        let evaluates = state::lock(&self.peers).roster.is_candidate(now);
         let mut quarantine = state::lock(&self.quarantine.records);
         quarantine.expire(now);
-        let verdicts = if judges { quarantine.evaluate(now) } else { Vec::new() };
+        let verdicts = if evaluates { quarantine.evaluate(now) } else { Vec::new() };
         drop(quarantine);
         for verdict in &verdicts {
             let upstreams: Vec<_> = verdict.upstreams.iter().map(id::Upstream::as_str).collect();
--- a/crates/lagoon-gateway/src/quarantine/rows.rs
+++ b/crates/lagoon-gateway/src/quarantine/rows.rs
@@ -1,7 +1,7 @@
 //! Verdicts stored at the platform, so that they survive a crash of all hosts.
 //!
 //! Each host reads them once after its start and then learns new ones from the other hosts. The
-//! first host of each zone writes those that are missing and removes those that have expired.
+//! leader of each zone writes those that are missing and removes those that have expired.
 
 use std::collections;
 use std::sync;
@@ -67,7 +67,7 @@
 }
 
 /// Sleeps longer after each consecutive failure, up to the longest pause that the roster sets for
-/// this host. The pause is randomised so that hosts which lost the platform together do not
+/// this host. The pause is randomized so that hosts which lost the platform together do not
 /// call it together.
 async fn pause(state: &state::State, failures: u32) {
     let max_pause = state::lock(&state.peers).roster.max_retry_pause(state.clock.now());
--- a/crates/lagoon-gateway/src/relay/serve.rs
+++ b/crates/lagoon-gateway/src/relay/serve.rs
@@ -16,7 +16,7 @@
 use crate::tables;
 use crate::tcp;
 
-/// Timeout for sending an answer; by then the asking host has long turned to another.
+/// Timeout for sending an answer; by then the asking host has given up on this one.
 const WRITE_TIMEOUT: clock::Span = clock::Span::from_secs(2);
 /// Pause after a failed accept, for example when file descriptors have run out.
 const ACCEPT_RETRY_PAUSE: clock::Span = clock::Span::from_millis(200);
--- a/crates/lagoon-gateway/src/report.rs
+++ b/crates/lagoon-gateway/src/report.rs
@@ -4,8 +4,8 @@
 //! prefills a part. An engine that only prefills for others sends no answers from which this could
 //! be seen, but its report shows it.
 //!
-//! Each engine is asked by the first live host of its zone, which publishes the result; see
-//! [`routing::Roster::polls`]. If two hosts disagree about which is first, both ask the engine.
+//! Each engine is polled by the leader of its zone, which publishes the result; see
+//! [`routing::Roster::polls`]. If two hosts disagree about who leads, both poll the engine.
 
 use std::collections;
 use std::sync;
@@ -25,7 +25,7 @@
 /// Interval between two reports of an engine: one that has become slow gets about five more prompts
 /// in this time.
 const REPORT_INTERVAL: clock::Span = clock::Span::from_millis(1_000);
-/// Interval of the check whether this host has to ask.
+/// Interval of the check whether this host has to poll.
 const CHECK_INTERVAL: clock::Span = clock::Span::from_millis(250);
 /// Timeout for a report: an engine that answers later is detected through its requests.
 const REPORT_TIMEOUT: clock::Span = clock::Span::from_millis(400);
@@ -34,7 +34,7 @@
 /// Minimum slowness that is published to other hosts.
 const MIN_PUBLISHED_SLOWNESS: f64 = 1.1;
 
-/// Asks engines for their reports for as long as the process runs.
+/// Polls the engines that fall to this host for as long as the process runs.
 pub(crate) async fn run(state: sync::Arc<state::State>) {
     let mut rounds = routing::PollSchedule::default();
     loop {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Returns the engines that this host has to ask now.
+/// Returns the engines that this host has to poll now.
 fn due(
     state: &state::State,
     rounds: &mut routing::PollSchedule,
--- a/crates/lagoon-gateway/src/server.rs
+++ b/crates/lagoon-gateway/src/server.rs
@@ -281,11 +281,11 @@
     let io = request.io().cloned();
     let busy = io.as_ref().map(|io| connections.track_request(io));
     let headers = headers(request);
-    let call = head::read_call(headers.iter().map(|(name, value)| (name.as_str(), &value[..])));
-    let id = call.request_id.clone();
+    let head = head::read_request(headers.iter().map(|(name, value)| (name.as_str(), &value[..])));
+    let id = head.request_id.clone();
     let work = async {
         let body = read_body(payload, max_body_bytes(state)).await?;
-        let request = build_request(request, headers, call, body, arrived);
+        let request = build_request(request, headers, head, body, arrived);
         if state.phase() >= state::Phase::Draining {
             let detail = "this host is shutting down";
             let fault = answer::Fault::not_run(Reason::Draining, Step::Admit, detail);
@@ -338,7 +338,7 @@
 fn build_request(
     request: &web::HttpRequest,
     headers: Vec<(String, Vec<u8>)>,
-    call: head::Call,
+    head: head::Request,
     body: bytes::Bytes,
     arrived: clock::Moment,
 ) -> forward::Request {
@@ -350,7 +350,7 @@
         path: request.uri().path().to_owned(),
         host: host.to_owned(),
         body,
-        call,
+        head,
         arrived,
         headers,
     }
--- a/crates/lagoon-gateway/src/state.rs
+++ b/crates/lagoon-gateway/src/state.rs
@@ -314,9 +314,9 @@
     /// Records that the process has reached `level`; a lower value is ignored.
     pub(crate) fn raise_level(&self, level: SyncLevel) {
         self.sync_level.send_if_modified(|current| {
-            let more = level > *current;
+            let raised = level > *current;
             *current = level.max(*current);
-            more
+            raised
         });
     }
 
--- a/crates/lagoon-gateway/src/stream.rs
+++ b/crates/lagoon-gateway/src/stream.rs
@@ -65,7 +65,7 @@
     let (sender, events) = mpsc::channel(EVENT_BUFFER);
     let body = sender.clone();
     let forwarder = Forwarder {
-        last_event: admitted.request.call.last_event,
+        last_event: admitted.request.head.last_event,
         admitted,
         sender,
         buffer: BytesMut::new(),
@@ -162,7 +162,7 @@
         };
         self.admitted.state.metrics.count_answer(self.admitted.service.as_str(), reason);
         event::Line::new("stream_ended")
-            .text("request", &self.admitted.request.call.request_id)
+            .text("request", &self.admitted.request.head.request_id)
             .text("how", how)
             .number("events", self.events)
             .number("upstreams", self.upstreams)
@@ -204,7 +204,7 @@
             };
             self.buffer.clear();
             event::Line::new("stream_broke")
-                .text("request", &self.admitted.request.call.request_id)
+                .text("request", &self.admitted.request.head.request_id)
                 .text("upstream", &upstream)
                 .text("error", &failure)
                 .number("events", self.events)
@@ -237,7 +237,7 @@
                 Ok(allocation) => allocation,
                 Err(fault) => {
                     event::Line::new("stream_not_resumed")
-                        .text("request", &self.admitted.request.call.request_id)
+                        .text("request", &self.admitted.request.head.request_id)
                         .text("detail", &fault)
                         .warn();
                     return None;
@@ -356,7 +356,7 @@
             self.last_event = number.or(self.last_event);
             self.forward(util::Bytes::copy_from_slice(&event)).await?;
             if self.events == 0 {
-                let tokens = self.admitted.request.call.prompt_tokens.unwrap_or(0);
+                let tokens = self.admitted.request.head.prompt_tokens.unwrap_or(0);
                 self.admitted.state.metrics.first_event(tokens, self.since_arrival());
                 self.log_first();
             }
@@ -376,7 +376,7 @@
 
     fn log_first(&self) {
         event::Line::new("first_event")
-            .text("request", &self.admitted.request.call.request_id)
+            .text("request", &self.admitted.request.head.request_id)
             .span("after_ms", self.since_arrival())
             .info();
     }
--- a/crates/lagoon-gateway/src/watch.rs
+++ b/crates/lagoon-gateway/src/watch.rs
@@ -1,7 +1,7 @@
 //! Watches of the platform's tables.
 //!
 //! Each watch keeps one call open until the table changes. A failed call is repeated after a
-//! randomised exponential backoff, so that hosts do not all return at once.
+//! randomized exponential backoff, so that hosts do not all return at once.
 
 use std::sync;
 
--- a/crates/lagoon-gateway/tests/host/mod.rs
+++ b/crates/lagoon-gateway/tests/host/mod.rs
@@ -21,7 +21,7 @@
 
 /// Identity and settings of a host.
 #[derive(Clone, Copy, Debug)]
-pub struct Place<'a> {
+pub struct HostSettings<'a> {
     pub name: &'a str,
     pub zone: &'a str,
     /// Minimum number of hosts in a zone for one of them to place requests for the others.
@@ -30,15 +30,15 @@
     pub revoke_ms: u64,
 }
 
-impl Default for Place<'_> {
+impl Default for HostSettings<'_> {
     fn default() -> Self {
         let relay_hosts = lagoon_gateway::Tuning::default().relay_hosts;
-        Place { name: "h1", zone: "a", relay_hosts, revoke_ms: 1_500 }
+        HostSettings { name: "h1", zone: "a", relay_hosts, revoke_ms: 1_500 }
     }
 }
 
-fn node(standin: &Standin, place: Place<'_>) -> lagoon_platform::settings::Node {
-    let Place { name, zone, revoke_ms, .. } = place;
+fn node(standin: &Standin, settings: HostSettings<'_>) -> lagoon_platform::settings::Node {
+    let HostSettings { name, zone, revoke_ms, .. } = settings;
     let text = format!(
         "NodeName: {name}\nIp: 127.0.0.1\nZone: {zone}\nListen:\n  Front: \"127.0.0.1:0\"\n  \
          Ready: \"127.0.0.1:0\"\nInternalPorts: [0, 0]\nPlatform:\n  Address: \"{}\"\n\
@@ -81,18 +81,18 @@
         for name in ["r1", "r2"] {
             standin.upstream(name, "app", 6);
         }
-        Host::join(&standin, Place::default())
+        Host::join(&standin, HostSettings::default())
     }
 
     /// Starts another host of `standin`, and waits until it is ready.
-    pub fn join(standin: &Standin, place: Place<'_>) -> Host {
+    pub fn join(standin: &Standin, settings: HostSettings<'_>) -> Host {
         let settings = lagoon_gateway::Settings {
-            node: node(standin, place),
+            node: node(standin, settings),
             tuning: lagoon_gateway::Tuning {
                 desired_wait: time::Duration::from_millis(400),
                 upstreams_pause: time::Duration::from_millis(20),
                 hosts_pause: time::Duration::from_millis(20),
-                relay_hosts: place.relay_hosts,
+                relay_hosts: settings.relay_hosts,
                 ..Default::default()
             },
         };
@@ -149,7 +149,7 @@
 
     /// Returns the number of requests that upstreams ran.
     pub fn ran_count(&self) -> usize {
-        self.standin.received_requests().iter().filter(|seen| seen.ran).count()
+        self.standin.received_requests().iter().filter(|request| request.ran).count()
     }
 }
 
--- a/crates/lagoon-gateway/tests/lethal.rs
+++ b/crates/lagoon-gateway/tests/lethal.rs
@@ -12,7 +12,7 @@
 
 use rstest::rstest;
 
-use host::{Host, Place, STEP_TIMEOUT, all_events, desired, exchange};
+use host::{Host, HostSettings, STEP_TIMEOUT, all_events, desired, exchange};
 use standin::{Behavior, LETHAL, Standin};
 
 /// Time after the third crash within which all hosts have the verdict.
@@ -29,8 +29,8 @@
 const PAUSE: time::Duration = time::Duration::from_millis(80);
 
 /// Settings of a host that starts after the others.
-fn late_host() -> Place<'static> {
-    Place { name: "h5", zone: "c", ..Place::default() }
+fn late_host() -> HostSettings<'static> {
+    HostSettings { name: "h5", zone: "c", ..HostSettings::default() }
 }
 
 fn engine(number: usize) -> String {
@@ -57,18 +57,19 @@
 
 impl Fleet {
     fn start() -> Fleet {
-        Fleet::start_with(Place::default())
+        Fleet::start_with(HostSettings::default())
     }
 
     /// Starts all hosts with the settings of `place`, except for name and zone.
-    fn start_with(place: Place<'_>) -> Fleet {
+    fn start_with(settings: HostSettings<'_>) -> Fleet {
         let standin = Standin::start();
         standin.put("op", "config", &desired(1, &["k1"], 10_000));
         for number in 0..ENGINES {
             standin.upstream(&engine(number), "llm", 16);
         }
-        let places = [("h1", "a"), ("h2", "a"), ("h3", "b"), ("h4", "b")];
-        let hosts = places.map(|(name, zone)| Host::join(&standin, Place { name, zone, ..place }));
+        let names = [("h1", "a"), ("h2", "a"), ("h3", "b"), ("h4", "b")];
+        let hosts =
+            names.map(|(name, zone)| Host::join(&standin, HostSettings { name, zone, ..settings }));
         Fleet { standin, hosts: hosts.into(), sent: 0 }
     }
 
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Sets the behaviour of all engines.
+    /// Sets the behavior of all engines.
     fn all_engines(&self, behavior: Behavior) {
         for number in 0..ENGINES {
             self.standin.behavior(&engine(number), behavior);
@@ -114,9 +115,9 @@
 
     /// Counts the lethal requests that reached an engine after `moment`.
     fn lethal_after(&self, moment: time::Instant) -> usize {
-        let seen = self.standin.received_requests();
-        let lethal = seen.iter().filter(|seen| seen.body == LETHAL.as_bytes());
-        lethal.filter(|seen| seen.at > moment).count()
+        let requests = self.standin.received_requests();
+        let lethal = requests.iter().filter(|request| request.body == LETHAL.as_bytes());
+        lethal.filter(|request| request.at > moment).count()
     }
 
     /// Returns when the third engine crashed.
@@ -129,10 +130,10 @@
 
 /// A request that has crashed three engines must not be sent any more.
 #[rstest]
-#[case::each_host_judges(6)]
-#[case::one_host_of_each_zone_judges(2)]
+#[case::each_host_evaluates(6)]
+#[case::one_host_of_each_zone_evaluates(2)]
 fn a_request_that_crashed_three_engines_is_sent_no_more(#[case] relay_hosts: u64) {
-    let mut fleet = Fleet::start_with(Place { relay_hosts, ..Place::default() });
+    let mut fleet = Fleet::start_with(HostSettings { relay_hosts, ..HostSettings::default() });
     fleet.send_lethal_for(STABLE_WINDOW * 2);
     let late = fleet.lethal_after(fleet.third_crash() + STABLE_WINDOW);
     let crashes = fleet.standin.crashes().len();
@@ -245,7 +246,8 @@
 /// A verdict that is made while the platform is down must be stored when it is back.
 #[rstest]
 fn a_verdict_made_during_a_platform_outage_is_stored() {
-    let mut fleet = Fleet::start_with(Place { revoke_ms: 20_000, ..Place::default() });
+    let mut fleet =
+        Fleet::start_with(HostSettings { revoke_ms: 20_000, ..HostSettings::default() });
     fleet.standin.set_down(true);
     fleet.send_lethal_until_refused();
     for host in &fleet.hosts {
--- a/crates/lagoon-gateway/tests/path.rs
+++ b/crates/lagoon-gateway/tests/path.rs
@@ -27,14 +27,14 @@
     let (status, body) = host.call("POST", "/book/1", "k1", "content-length: 0\r\n");
     assert!(status == 200 && body.starts_with("done by r"), "{status} {body}");
     assert_eq!(host.call("GET", "/look/1?q=2", "k1", "").0, 200);
-    for seen in host.standin.received_requests() {
-        assert_eq!(seen.headers["lagoonline-tenant"], "c1");
-        assert!(!seen.headers.contains_key("authorization"));
-        assert_eq!(seen.headers["lagoonline-target-instance"], seen.upstream);
-        let left: u64 = seen.headers["lagoonline-request-deadline"].parse().unwrap();
+    for request in host.standin.received_requests() {
+        assert_eq!(request.headers["lagoonline-tenant"], "c1");
+        assert!(!request.headers.contains_key("authorization"));
+        assert_eq!(request.headers["lagoonline-target-instance"], request.upstream);
+        let left: u64 = request.headers["lagoonline-request-deadline"].parse().unwrap();
         assert!(left <= 8_000, "{left} ms handed on");
     }
-    assert!(host.standin.received_requests().iter().any(|seen| seen.path == "/look/1?q=2"));
+    assert!(host.standin.received_requests().iter().any(|request| request.path == "/look/1?q=2"));
 }
 
 /// A booking's body reaches the replica unchanged.
@@ -86,16 +86,16 @@
     let call = host.call("POST", "/talk/a", "k1", "lagoonline-token-count: 150000,400\r\n");
     assert_eq!(call, (200, all_events()));
     let orders = || -> Vec<serde_json::Value> {
-        let seen = host.standin.received_requests();
-        let orders = seen.iter().filter(|seen| seen.path == "/api/order");
-        orders.map(|seen| serde_json::from_slice(&seen.body).unwrap()).collect()
+        let requests = host.standin.received_requests();
+        let orders = requests.iter().filter(|request| request.path == "/api/order");
+        orders.map(|request| serde_json::from_slice(&request.body).unwrap()).collect()
     };
     host.until("released", || orders().iter().any(|order| order["Op"] == "release"));
     let orders = orders();
     assert_eq!(orders[0]["Op"], "reserve");
     assert!(orders.iter().all(|order| order["Id"] == orders[0]["Id"]));
     let sent = host.standin.received_requests();
-    let named = sent.iter().find_map(|seen| seen.headers.get("lagoonline-helpers")).unwrap();
+    let named = sent.iter().find_map(|request| request.headers.get("lagoonline-helpers")).unwrap();
     assert!(named.contains(orders[0]["Id"].as_str().unwrap()), "{named} names no reservation");
 }
 
@@ -113,14 +113,17 @@
         authorization: Token k1\r\nlagoonline-request-deadline: 9000\r\n\
         lagoonline-token-count: 300000,400\r\n\r\n";
     let caller = std::thread::spawn(move || exchange(callers, head));
-    let prompt = || standin.received_requests().into_iter().find(|seen| seen.path == "/talk/a");
+    let prompt =
+        || standin.received_requests().into_iter().find(|request| request.path == "/talk/a");
     host.until("sent", || prompt().is_some());
     let first = prompt().unwrap().upstream;
     standin.behavior(&first, Behavior::Hold);
     let renewals = || {
-        let seen = standin.received_requests();
-        let orders = seen.iter().filter(|seen| seen.path == "/api/order" && seen.upstream != first);
-        orders.filter(|seen| String::from_utf8_lossy(&seen.body).contains("reserve")).count()
+        let requests = standin.received_requests();
+        let orders = requests
+            .iter()
+            .filter(|request| request.path == "/api/order" && request.upstream != first);
+        orders.filter(|request| String::from_utf8_lossy(&request.body).contains("reserve")).count()
     };
     let before = renewals();
     assert_eq!(before, 1, "reserved on the engine that helps");
@@ -149,8 +152,8 @@
     });
     let (status, body) = host.talk();
     assert_eq!((status, body), (200, all_events()));
-    let seen = host.standin.received_requests();
-    assert_eq!(seen[1].headers["last-event-id"], "4");
+    let requests = host.standin.received_requests();
+    assert_eq!(requests[1].headers["last-event-id"], "4");
 }
 
 /// Both engines break off. The stream must end without its terminating chunk and without bytes that
@@ -217,7 +220,7 @@
     for _ in 0..8 {
         assert_eq!(host.call("GET", "/look/1", "k1", "").0, 200);
     }
-    assert!(host.standin.received_requests().iter().all(|seen| seen.upstream == "r2"));
+    assert!(host.standin.received_requests().iter().all(|request| request.upstream == "r2"));
 }
 
 /// A new version removes a route and revokes a key. Both must be refused from then on, and an older
@@ -279,7 +282,7 @@
     let talks_to = |name: &str| {
         (0..6).any(|_| {
             assert_eq!(host.talk(), (200, all_events()));
-            host.standin.received_requests().last().is_some_and(|seen| seen.upstream == name)
+            host.standin.received_requests().last().is_some_and(|request| request.upstream == name)
         })
     };
     host.until("used", || talks_to("e1"));
@@ -308,7 +311,7 @@
         .standin
         .received_requests()
         .into_iter()
-        .filter(|seen| seen.path == "/talk/a" && seen.ran);
+        .filter(|request| request.path == "/talk/a" && request.ran);
     assert_eq!(prompts.count(), 4);
 }
 
--- a/crates/lagoon-gateway/tests/relay.rs
+++ b/crates/lagoon-gateway/tests/relay.rs
@@ -67,7 +67,7 @@
         status(if side == "ready" { handle.ready() } else { handle.callers() }, path, key)
     }
 
-    fn look(&self, key: &str) -> u16 {
+    fn lookup(&self, key: &str) -> u16 {
         self.status("callers", "/look/1", key)
     }
 
@@ -125,7 +125,7 @@
 }
 
 /// Returns a desired state with one route, whose requests may run only once.
-fn bookings() -> serde_json::Value {
+fn booking_state() -> serde_json::Value {
     let book = json!({"Name": "book", "Host": "x.example", "Prefix": "/book/", "Kind": "unsafe",
         "TimeoutMs": 20_000, "TargetLatencyMs": 200, "Service": "app", "MaxAttempts": 1});
     let mut state = desired(1, &["k1"]);
@@ -134,7 +134,7 @@
 }
 
 /// Starts a platform with one replica, and two hosts of which the first reads for the second.
-fn zone() -> (Standin, Host, Host) {
+fn start_zone() -> (Standin, Host, Host) {
     let standin = Standin::start();
     standin.put("op", "config", &desired(1, &["k1"]));
     standin.upstream("r1", "app", 6);
@@ -153,16 +153,16 @@
 /// new replica are used, and a revoked key is refused.
 #[rstest]
 fn a_host_that_does_not_read_gets_changes_relayed() {
-    let (standin, _first, second) = zone();
-    assert_eq!(second.look("k1"), 200);
+    let (standin, _first, second) = start_zone();
+    assert_eq!(second.lookup("k1"), 200);
     standin.put("op", "config", &desired(2, &["k2"]));
-    until("told of the keys", || second.look("k2") == 200);
-    assert_eq!(second.look("k1"), 401);
+    until("served with the new key", || second.lookup("k2") == 200);
+    assert_eq!(second.lookup("k1"), 401);
     standin.upstream("r2", "app", 6);
     standin.remove("servers", "r1");
     until("served by the new replica", || {
-        assert_eq!(second.look("k2"), 200);
-        standin.received_requests().last().is_some_and(|seen| seen.upstream == "r2")
+        assert_eq!(second.lookup("k2"), 200);
+        standin.received_requests().last().is_some_and(|request| request.upstream == "r2")
     });
 }
 
@@ -170,35 +170,35 @@
 /// all the while, and a change made at that moment is applied within two seconds.
 #[rstest]
 fn a_host_takes_over_when_the_reader_ends() {
-    let (standin, mut first, second) = zone();
+    let (standin, mut first, second) = start_zone();
     let ending = thread::spawn(move || first.drain());
     standin.put("op", "config", &desired(2, &["k1", "k2"]));
     let began = time::Instant::now();
-    until("told of the key", || second.look("k2") == 200);
+    until("served with the new key", || second.lookup("k2") == 200);
     assert!(began.elapsed() < time::Duration::from_secs(2), "after {:?}", began.elapsed());
     while !ending.is_finished() {
-        assert_eq!(second.look("k1"), 200);
+        assert_eq!(second.lookup("k1"), 200);
     }
     ending.join().unwrap();
     standin.put("op", "config", &desired(3, &["k3"]));
-    until("told of the next key", || second.look("k3") == 200);
+    until("served with the next key", || second.lookup("k3") == 200);
 }
 
 /// The platform is down. What one host relays to the other ages as well: neither may accept a key
 /// beyond the revocation bound, and both must accept it again after the recovery.
 #[rstest]
 fn relayed_keys_are_refused_after_the_revocation_bound() {
-    let (standin, first, second) = zone();
+    let (standin, first, second) = start_zone();
     standin.set_down(true);
     let began = time::Instant::now();
     for host in [&second, &first] {
-        until("refused", || host.look("k1") == 503);
+        until("refused", || host.lookup("k1") == 503);
     }
-    let seen = began.elapsed();
-    assert!(seen < REVOKE + time::Duration::from_millis(500), "refused only after {seen:?}");
+    let took = began.elapsed();
+    assert!(took < REVOKE + time::Duration::from_millis(500), "refused only after {took:?}");
     standin.set_down(false);
     for host in [&second, &first] {
-        until("served", || host.look("k1") == 200);
+        until("served", || host.lookup("k1") == 200);
     }
 }
 
@@ -208,7 +208,7 @@
 #[rstest]
 fn a_new_host_learns_dispatches_in_flight() {
     let standin = Standin::start();
-    standin.put("op", "config", &bookings());
+    standin.put("op", "config", &booking_state());
     let send = |host: &Host, count: usize| {
         let before = standin.received_requests().len();
         for _ in 0..count {
@@ -218,7 +218,7 @@
         until("sent", || standin.received_requests().len() == before + count);
         standin.received_requests()[before..]
             .iter()
-            .map(|seen| seen.upstream.clone())
+            .map(|request| request.upstream.clone())
             .collect::<Vec<_>>()
     };
     standin.behavior("r1", Behavior::Hold);
@@ -241,7 +241,7 @@
 impl Bookings {
     fn start() -> Bookings {
         let standin = Standin::start();
-        standin.put("op", "config", &bookings());
+        standin.put("op", "config", &booking_state());
         for name in ["r1", "r2"] {
             standin.behavior(name, Behavior::Hold);
             standin.upstream(name, "app", 6);
@@ -260,7 +260,7 @@
         until("sent", || self.standin.received_requests().len() == before + hosts.len());
         self.standin.received_requests()[before..]
             .iter()
-            .map(|seen| seen.upstream.clone())
+            .map(|request| request.upstream.clone())
             .collect()
     }
 }
@@ -299,33 +299,33 @@
 /// once.
 #[rstest]
 fn a_failing_upstream_is_avoided_by_other_hosts() {
-    let (standin, first, second) = zone();
+    let (standin, first, second) = start_zone();
     standin.behavior("r0", Behavior::DropAnswer);
     standin.upstream("r0", "app", 6);
-    let missed = |host: &Host| -> u64 {
+    let retries = |host: &Host| -> u64 {
         let ready = host.running.as_ref().unwrap().handle().ready();
         let text = text(ready, "/metrics", "");
         let line = text.lines().find(|line| line.starts_with("lagoon_gateway_repeats_total"));
         line.unwrap().split(' ').nth(1).unwrap().parse().unwrap()
     };
     until("met", || {
-        assert_eq!(second.look("k1"), 200);
-        missed(&second) > 0
+        assert_eq!(second.lookup("k1"), 200);
+        retries(&second) > 0
     });
     // Updates are collected for some milliseconds before they are sent.
     thread::sleep(time::Duration::from_millis(100));
-    let before = missed(&first);
+    let before = retries(&first);
     for _ in 0..20 {
-        assert_eq!(first.look("k1"), 200);
+        assert_eq!(first.lookup("k1"), 200);
     }
-    assert_eq!(missed(&first), before, "the other host met the failing replica too");
+    assert_eq!(retries(&first), before, "the other host met the failing replica too");
 }
 
 /// The rows of replaced hosts must be removed from the platform, and a running host whose row was
 /// removed must write it again.
 #[rstest]
 fn rows_of_dead_hosts_are_removed() {
-    let (standin, _first, second) = zone();
+    let (standin, _first, second) = start_zone();
     let row = |name: &str| standin.row("lagoon-hosts", name);
     let mut gone = row("h2").unwrap();
     gone["address"] = json!("127.0.0.1:9");
@@ -335,13 +335,13 @@
     assert!(row("h1").is_some() && row("h2").is_some(), "a host that lives was removed");
     standin.remove("lagoon-hosts", "h2");
     until("back", || row("h2").is_some());
-    assert_eq!(second.look("k1"), 200);
+    assert_eq!(second.lookup("k1"), 200);
 }
 
 /// Callers must be served again after all hosts were down at once.
 #[rstest]
 fn callers_are_served_after_a_restart_of_all_hosts() {
-    let (standin, mut first, mut second) = zone();
+    let (standin, mut first, mut second) = start_zone();
     let ending = thread::spawn(move || first.drain());
     second.drain();
     ending.join().unwrap();
@@ -349,8 +349,8 @@
     let began = time::Instant::now();
     let hosts = [Host::start(&standin, "h1", 0.5), Host::start(&standin, "h3", 0.1)];
     for host in &hosts {
-        until("served", || host.look("k2") == 200);
-        assert_eq!(host.look("k1"), 401, "an older version is in force again");
+        until("served", || host.lookup("k2") == 200);
+        assert_eq!(host.lookup("k1"), 401, "an older version is in force again");
     }
     assert!(began.elapsed() < RECOVERY, "served after {:?}", began.elapsed());
 }
@@ -380,8 +380,8 @@
     let before = standin.received_requests().len();
     let scheduler = scheduler::Scheduler::start(&standin, "r9");
     until("asked", || {
-        assert_eq!(host.look("k1"), 200);
+        assert_eq!(host.lookup("k1"), 200);
         scheduler.question_count() > 0
     });
-    assert!(standin.received_requests()[before..].iter().all(|seen| seen.upstream == "r1"));
+    assert!(standin.received_requests()[before..].iter().all(|request| request.upstream == "r1"));
 }
--- a/crates/lagoon-gateway/tests/silence.rs
+++ b/crates/lagoon-gateway/tests/silence.rs
@@ -17,7 +17,7 @@
 use standin::Behavior;
 
 /// Starts a host in front of one engine that behaves as `behavior`.
-fn before_one_engine(behavior: Behavior) -> Host {
+fn start_with_one_engine(behavior: Behavior) -> Host {
     let host = Host::start();
     host.standin.remove("servers", "e2");
     thread::sleep(time::Duration::from_millis(300));
@@ -46,10 +46,10 @@
 
 /// Returns the ids of the reservations in the orders of kind `op` that engines got.
 fn orders(host: &Host, op: &str) -> Vec<String> {
-    let seen = host.standin.received_requests();
-    let orders = seen.iter().filter(|seen| seen.path == "/api/order");
+    let requests = host.standin.received_requests();
+    let orders = requests.iter().filter(|request| request.path == "/api/order");
     let orders =
-        orders.map(|seen| serde_json::from_slice::<serde_json::Value>(&seen.body).unwrap());
+        orders.map(|request| serde_json::from_slice::<serde_json::Value>(&request.body).unwrap());
     let orders = orders.filter(|order| order["Op"] == op);
     orders.map(|order| order["Id"].as_str().unwrap().to_owned()).collect()
 }
@@ -57,7 +57,7 @@
 /// A request must not wait for an engine that answers later requests but not this one.
 #[rstest]
 fn a_prompt_leaves_an_engine_that_answers_later_requests() {
-    let host = before_one_engine(Behavior::Mute);
+    let host = start_with_one_engine(Behavior::Mute);
     let unanswered = prompt(&host, "talk", 5_000);
     host.until("sent", || !host.standin.received_requests().is_empty());
     host.standin.behavior("e1", Behavior::Complete);
@@ -78,7 +78,7 @@
 /// responding.
 #[rstest]
 fn a_stream_leaves_an_engine_that_failed_another_stream() {
-    let host = before_one_engine(Behavior::HangAfter(3));
+    let host = start_with_one_engine(Behavior::HangAfter(3));
     let review = prompt(&host, "review", 5_000);
     let talk = prompt(&host, "talk", 5_000);
     host.until("sent", || host.standin.received_requests().len() == 2);
@@ -99,7 +99,7 @@
     }
     let caller = prompt(&host, "review", 300_000);
     host.until("sent", || {
-        host.standin.received_requests().iter().any(|seen| seen.path == "/review/a")
+        host.standin.received_requests().iter().any(|request| request.path == "/review/a")
     });
     // The first token is overdue by now, and the engines report that no request uses the memory.
     thread::sleep(time::Duration::from_secs(5));
@@ -114,7 +114,7 @@
 /// released again.
 #[rstest]
 fn an_unanswered_reservation_is_released_again() {
-    let host = before_one_engine(Behavior::Hold);
+    let host = start_with_one_engine(Behavior::Hold);
     let caller = prompt(&host, "review", 150_000);
     host.until("ordered", || !orders(&host, "reserve").is_empty());
     let id = orders(&host, "reserve").remove(0);
