--- a/crates/lagoon-gateway/src/quarantine/mod.rs
+++ b/crates/lagoon-gateway/src/quarantine/mod.rs
@@ -1,6 +1,6 @@
 //! Requests that crash upstreams: records crashes, exchanges evidence and verdicts with other
 //! hosts, and checks each request before it is sent. The verdicts themselves are made by
-//! [`lagoonline::life::quarantine`].
+//! [`lagoonline::lifecycle::quarantine`].
 
 mod message;
 mod operator;
@@ -87,7 +87,7 @@
         let was_suspect = self.state.clear_suspect(&fingerprint);
         if was_suspect {
             event::Line::new("suspect_cleared")
-                .text("request", &self.request.call.request_id)
+                .text("request", &self.request.head.request_id)
                 .text("fingerprint", fingerprint)
                 .info();
             let cleared = Cleared { request: Some(message::Identity::new(&fingerprint)) };
@@ -202,15 +202,15 @@
         state::lock(&self.quarantine.records).records(now).copied().collect()
     }
 
-    /// Judges the suspects on which a verdict is due, and drops expired evidence. Only a host that
-    /// receives the crash reports of all hosts judges: by one host's crashes alone, every request
-    /// that ran beside a lethal one would look just as guilty.
+    /// Evaluates the suspects on which a verdict is due, and drops expired evidence. Only a host
+    /// that receives the crash reports of all hosts does so: by one host's crashes alone, every
+    /// request that ran beside a lethal one would look just as guilty.
     pub(crate) fn update_quarantine(&self) {
         let now = self.clock.now();
-        let judges = state::lock(&self.peers).roster.is_candidate(now);
+        let evaluates = state::lock(&self.peers).roster.is_candidate(now);
         let mut quarantine = state::lock(&self.quarantine.records);
         quarantine.expire(now);
-        let verdicts = if judges { quarantine.evaluate(now) } else { Vec::new() };
+        let verdicts = if evaluates { quarantine.evaluate(now) } else { Vec::new() };
         drop(quarantine);
         for verdict in &verdicts {
             let upstreams: Vec<_> = verdict.upstreams.iter().map(id::Upstream::as_str).collect();
@@ -236,11 +236,11 @@
         let now = self.clock.now();
         let quarantine = state::lock(&self.quarantine.records);
         let checksum = quarantine.checksum(now);
-        let held = quarantine.records(now).filter(|record| record.is_active(now)).count();
+        let active = quarantine.records(now).filter(|record| record.is_active(now)).count();
         let suspects = quarantine.suspects();
         drop(quarantine);
         self.quarantine.checksum.store(checksum, atomic::Ordering::Relaxed);
-        self.metrics.quarantined.set(i64::try_from(held).unwrap_or(i64::MAX));
+        self.metrics.quarantined.set(i64::try_from(active).unwrap_or(i64::MAX));
         self.metrics.suspects.set(i64::try_from(suspects).unwrap_or(i64::MAX));
     }
 
@@ -266,8 +266,8 @@
         last_sent.insert(address, now);
         drop(last_sent);
         let verdicts = self.verdicts();
-        let some = verdicts.choose_multiple(&mut rand::rng(), MAX_VERDICTS_SENT);
-        let updates = some.map(|record| verdict_update(record, now)).collect();
+        let selected = verdicts.choose_multiple(&mut rand::rng(), MAX_VERDICTS_SENT);
+        let updates = selected.map(|record| verdict_update(record, now)).collect();
         self.send(address, &self.encode_updates(updates));
     }
 }
