--- a/crates/lagoonline/src/load/placement/settings.rs
+++ b/crates/lagoonline/src/load/placement/settings.rs
@@ -2,7 +2,8 @@
 
 use crate::clock;
 
-/// Parameters of placement.
+/// Parameters of placement. A field that can be set in a host's settings has the name of that
+/// setting.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// Target prefill time of one engine's part of a prompt, in milliseconds, for prompts with a
