--- a/crates/lagoon-net/src/platform/client.rs
+++ b/crates/lagoon-net/src/platform/client.rs
@@ -85,7 +85,7 @@
     }
 
     fn answered(&self) {
-        self.rules().breaker.record_success();
+        self.rules().breaker.record_answer();
     }
 
     fn failed(&self) {
--- a/crates/lagoon-net/src/steward/calls.rs
+++ b/crates/lagoon-net/src/steward/calls.rs
@@ -159,7 +159,7 @@
 async fn section_check(context: &Context, call: &wire::Call) -> Outcome {
     authorize(context, call)?;
     let put = put_of(call);
-    document::check(platform(context)?, &put).await.map_err(refusal)?;
+    document::validate(platform(context)?, &put).await.map_err(refusal)?;
     let current = document::read_section(platform(context)?, &put.team).await;
     let current = current.map_err(|error| refusal(error.into()))?;
     let text = current.map_or_else(|| "{}".to_owned(), |(_, stored)| stored.text);
@@ -203,8 +203,8 @@
     let expected: collections::BTreeMap<_, _> = expected.collect();
     let reported = core.board.iter().filter(|(host, _)| !expected.contains_key(*host));
     let hosts = expected.len() + reported.count();
-    let missing = core.board.missing(team, version, expected);
-    let line = |line: &replication::Missing| (line.host.to_string(), line.version.0);
+    let missing = core.board.lagging_hosts(team, version, expected);
+    let line = |line: &replication::LaggingHost| (line.host.to_string(), line.version.0);
     ZoneStatus { zone: zone.to_string(), hosts, missing: missing.iter().map(line).collect() }
 }
 
--- a/crates/lagoon-net/src/steward/core/report.rs
+++ b/crates/lagoon-net/src/steward/core/report.rs
@@ -34,9 +34,9 @@
     /// Takes the state of the own entry process.
     pub(super) fn take_own_report(&mut self, host: &id::Host, report: replication::Report) {
         // By the wall clock, so that a steward that started anew goes on above its last number.
-        let known = self.board.report(host).map_or(0, |known| known.number);
-        let number = self.clock.wall_millis().max(known + 1);
-        self.take_report(host, replication::Report { number, ..report }, None);
+        let known = self.board.report(host).map_or(0, |known| known.sequence);
+        let sequence = self.clock.wall_millis().max(known + 1);
+        self.take_report(host, replication::Report { sequence, ..report }, None);
     }
 
     fn take_report(&mut self, host: &id::Host, report: replication::Report, from: Option<LinkId>) {
--- a/crates/lagoon-net/src/wire/convert.rs
+++ b/crates/lagoon-net/src/wire/convert.rs
@@ -92,7 +92,7 @@
     replication::Report {
         zone: id::Zone::from(status.zone.as_str()),
         incarnation: id::Incarnation(status.incarnation),
-        number: status.number,
+        sequence: status.number,
         entry_down: status.gone,
         ready: status.ready,
         draining: status.draining,
@@ -111,7 +111,7 @@
         draining: report.draining,
         in_flight: report.in_flight,
         in_force: team_versions(&report.in_force),
-        number: report.number,
+        number: report.sequence,
         gone: report.entry_down,
         changes: false,
     }
--- a/crates/lagoonline/src/control/delta_log.rs
+++ b/crates/lagoonline/src/control/delta_log.rs
@@ -23,8 +23,8 @@
     pub fn record(&mut self, old: &document::Section, new: &document::Section) {
         let text = |section: &'_ document::Section| (section.version, section.text.clone());
         let ((from, old), (to, text)) = (text(old), text(new));
-        let old = document::Text { version: from, text: &old };
-        let delta = document::Delta::new(old, document::Text { version: to, text: &text });
+        let old = document::VersionedText { version: from, text: &old };
+        let delta = document::Delta::new(old, document::VersionedText { version: to, text: &text });
         let deltas = self.deltas.entry(new.team.clone()).or_default();
         deltas.push_back(delta);
         if deltas.len() > MAX_DELTAS {
--- a/crates/lagoonline/src/control/document/delta.rs
+++ b/crates/lagoonline/src/control/document/delta.rs
@@ -46,7 +46,7 @@
 
 /// A version of a section and its text.
 #[derive(Clone, Copy, Debug)]
-pub struct Text<'a> {
+pub struct VersionedText<'a> {
     /// The version.
     pub version: id::Version,
     /// The text.
@@ -57,15 +57,15 @@
     /// Computes the delta from `old` to `new`.
     ///
     /// ```
-    /// use lagoonline::control::document::{Delta, Text};
+    /// use lagoonline::control::document::{Delta, VersionedText};
     /// use lagoonline::id::Version;
-    /// let old = Text { version: Version(1), text: r#"{"a": {"n": 1}, "b": {}}"# };
-    /// let new = Text { version: Version(2), text: r#"{"a": {"n": 1}, "c": {}}"# };
+    /// let old = VersionedText { version: Version(1), text: r#"{"a": {"n": 1}, "b": {}}"# };
+    /// let new = VersionedText { version: Version(2), text: r#"{"a": {"n": 1}, "c": {}}"# };
     /// let delta = Delta::new(old, new);
     /// assert_eq!(delta.apply(old.text).as_deref(), Some(new.text));
     /// assert_eq!(delta.apply("{}"), None);
     /// ```
-    pub fn new(old: Text<'_>, new: Text<'_>) -> Delta {
+    pub fn new(old: VersionedText<'_>, new: VersionedText<'_>) -> Delta {
         let hash = sha2::Sha256::digest(new.text.as_bytes()).into();
         Delta { from: old.version, to: new.version, hash, steps: steps(old.text, new.text) }
     }
--- a/crates/lagoonline/src/control/document/diff.rs
+++ b/crates/lagoonline/src/control/document/diff.rs
@@ -6,7 +6,7 @@
 
 /// One difference, identified by JSON pointer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Line {
+pub enum Difference {
     /// The value exists only in the newer text.
     Added(String, Value),
     /// The value exists only in the older text.
@@ -15,12 +15,12 @@
     Changed(String, Value, Value),
 }
 
-impl fmt::Display for Line {
+impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Line::Added(pointer, value) => write!(f, "+ {pointer}: {value}"),
-            Line::Removed(pointer, value) => write!(f, "- {pointer}: {value}"),
-            Line::Changed(pointer, old, new) => write!(f, "~ {pointer}: {old} -> {new}"),
+            Difference::Added(pointer, value) => write!(f, "+ {pointer}: {value}"),
+            Difference::Removed(pointer, value) => write!(f, "- {pointer}: {value}"),
+            Difference::Changed(pointer, old, new) => write!(f, "~ {pointer}: {old} -> {new}"),
         }
     }
 }
@@ -30,23 +30,23 @@
 ///
 /// ```
 /// use lagoonline::control::document;
-/// let lines = document::diff(r#"{"a": 1, "b": {"c": 2}}"#, r#"{"a": 3, "b": {}, "d": 4}"#);
-/// let lines: Vec<_> = lines.iter().map(ToString::to_string).collect();
-/// assert_eq!(lines, ["~ /a: 1 -> 3", "- /b/c: 2", "+ /d: 4"]);
+/// let differences = document::diff(r#"{"a": 1, "b": {"c": 2}}"#, r#"{"a": 3, "b": {}, "d": 4}"#);
+/// let differences: Vec<_> = differences.iter().map(ToString::to_string).collect();
+/// assert_eq!(differences, ["~ /a: 1 -> 3", "- /b/c: 2", "+ /d: 4"]);
 /// ```
-pub fn diff(old: &str, new: &str) -> Vec<Line> {
+pub fn diff(old: &str, new: &str) -> Vec<Difference> {
     let parse = |text| serde_json::from_str(text).unwrap_or(Value::Null);
-    let mut lines = Vec::new();
-    compare(&mut lines, "", &parse(old), &parse(new));
-    lines
+    let mut differences = Vec::new();
+    compare(&mut differences, "", &parse(old), &parse(new));
+    differences
 }
 
 /// Compares objects field by field, and all other values as a whole.
-fn compare(lines: &mut Vec<Line>, pointer: &str, old: &Value, new: &Value) {
+fn compare(differences: &mut Vec<Difference>, pointer: &str, old: &Value, new: &Value) {
     let (Value::Object(before), Value::Object(after)) = (old, new) else {
         if old != new {
             let pointer = if pointer.is_empty() { "/" } else { pointer };
-            lines.push(Line::Changed(pointer.to_owned(), old.clone(), new.clone()));
+            differences.push(Difference::Changed(pointer.to_owned(), old.clone(), new.clone()));
         }
         return;
     };
@@ -56,9 +56,9 @@
     for name in names {
         let child_pointer = format!("{pointer}/{}", name.replace('~', "~0").replace('/', "~1"));
         match (before.get(name), after.get(name)) {
-            (Some(old), Some(new)) => compare(lines, &child_pointer, old, new),
-            (Some(old), None) => lines.push(Line::Removed(child_pointer, old.clone())),
-            (None, Some(new)) => lines.push(Line::Added(child_pointer, new.clone())),
+            (Some(old), Some(new)) => compare(differences, &child_pointer, old, new),
+            (Some(old), None) => differences.push(Difference::Removed(child_pointer, old.clone())),
+            (None, Some(new)) => differences.push(Difference::Added(child_pointer, new.clone())),
             (None, None) => {}
         }
     }
--- a/crates/lagoonline/src/control/document/store.rs
+++ b/crates/lagoonline/src/control/document/store.rs
@@ -89,7 +89,7 @@
         /// Current version in the table.
         version: id::Version,
         /// Differences from the edited version to the current one.
-        changes: Vec<diff::Line>,
+        changes: Vec<diff::Difference>,
     },
     /// The table service failed; after `Unknown`, retry with the same put id.
     #[error(transparent)]
@@ -158,7 +158,7 @@
 /// # Errors
 ///
 /// Those of [`store`].
-pub async fn check<T>(table: &T, put: &Put) -> Result<(), StoreError>
+pub async fn validate<T>(table: &T, put: &Put) -> Result<(), StoreError>
 where
     T: table::Table,
 {
--- a/crates/lagoonline/src/control/platform/breaker.rs
+++ b/crates/lagoonline/src/control/platform/breaker.rs
@@ -41,7 +41,7 @@
     /// assert!(!breaker.admit(start));
     /// assert!(breaker.admit(start + open_duration), "one trial");
     /// assert!(!breaker.admit(start + open_duration), "only one");
-    /// breaker.record_success();
+    /// breaker.record_answer();
     /// assert!(breaker.admit(start + open_duration));
     /// ```
     pub fn new(open_duration: clock::Span) -> Self {
@@ -62,7 +62,7 @@
     }
 
     /// Records that the platform answered, whether with success or an error.
-    pub fn record_success(&mut self) {
+    pub fn record_answer(&mut self) {
         self.state = State::Closed { failures: 0 };
     }
 
--- a/crates/lagoonline/src/control/replication.rs
+++ b/crates/lagoonline/src/control/replication.rs
@@ -93,7 +93,7 @@
     /// Incarnation of the entry process.
     pub incarnation: id::Incarnation,
     /// Sequence number of the report within the incarnation, assigned by the steward of the host.
-    pub number: u64,
+    pub sequence: u64,
     /// Whether the steward has been without an entry process for so long that the host cannot serve
     /// any requests.
     pub entry_down: bool,
@@ -109,7 +109,7 @@
 
 /// A host where a version is not yet in force.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Missing {
+pub struct LaggingHost {
     /// Name of the host.
     pub host: id::Host,
     /// Availability zone of the host.
@@ -142,7 +142,7 @@
         let same_incarnation = report.incarnation == known.incarnation;
         // Reports arrive over several paths. If an older report were accepted after a newer one, it
         // would be forwarded as a change, followed by the newer one again, in an endless loop.
-        if same_incarnation && report.number < known.number {
+        if same_incarnation && report.sequence < known.sequence {
             return false;
         }
         let is_behind = |(team, version): (&id::Team, &id::Version)| {
@@ -152,7 +152,7 @@
             return false;
         }
         let comparable =
-            Report { in_flight: known.in_flight, number: known.number, ..report.clone() };
+            Report { in_flight: known.in_flight, sequence: known.sequence, ..report.clone() };
         let is_unchanged = *known == comparable;
         *known = report;
         !is_unchanged
@@ -197,10 +197,16 @@
     /// use lagoonline::id::{Host, Team, Version, Zone};
     /// let mut reports = Reports::default();
     /// reports.apply(&Host::from("h"), Report::default());
-    /// let missing = reports.missing(&Team::from("a"), Version(1), [(Host::from("i"), Zone::from("z"))]);
-    /// assert_eq!(missing.len(), 2);
+    /// let expected = [(Host::from("i"), Zone::from("z"))];
+    /// let hosts = reports.lagging_hosts(&Team::from("a"), Version(1), expected);
+    /// assert_eq!(hosts.len(), 2);
     /// ```
-    pub fn missing<I>(&self, team: &id::Team, version: id::Version, expected: I) -> Vec<Missing>
+    pub fn lagging_hosts<I>(
+        &self,
+        team: &id::Team,
+        version: id::Version,
+        expected: I,
+    ) -> Vec<LaggingHost>
     where
         I: IntoIterator<Item = (id::Host, id::Zone)>,
     {
@@ -212,7 +218,7 @@
         };
         let hosts = hosts.into_iter().map(|(host, zone)| {
             let version = in_force(&host);
-            Missing { host, zone, version }
+            LaggingHost { host, zone, version }
         });
         let is_down =
             |host: &id::Host| self.reports.get(host).is_some_and(|report| report.entry_down);
--- a/crates/lagoonline/tests/control_delta_fuzz.rs
+++ b/crates/lagoonline/tests/control_delta_fuzz.rs
@@ -223,7 +223,7 @@
     lines[1_200] = line(1_200, 7);
     lines.insert(600, line(9_999, 3));
     let new = text(&lines);
-    let version = |version, text| document::Text { version: id::Version(version), text };
+    let version = |version, text| document::VersionedText { version: id::Version(version), text };
     let delta = document::Delta::new(version(1, &old), version(2, &new));
     assert_eq!(delta.apply(&old).as_deref(), Some(&*new));
     assert!(delta.size() < 400, "{} bytes of {}", delta.size(), new.len());
--- a/crates/lagoonline/tests/control_platform.rs
+++ b/crates/lagoonline/tests/control_platform.rs
@@ -52,7 +52,7 @@
     assert!((5 + 59..=5 + 121).contains(&calls), "{calls} calls");
     let recovered = Moment::from_millis(60_000) + open_duration;
     assert!(breaker.admit(recovered));
-    breaker.record_success();
+    breaker.record_answer();
     assert!((0..100).all(|_| breaker.admit(recovered)));
 }
 
@@ -66,7 +66,7 @@
         if step.is_multiple_of(3) {
             breaker.record_failure(now, 0.5);
         } else {
-            breaker.record_success();
+            breaker.record_answer();
         }
     }
 }
