--- a/crates/lagoon-net/src/engine/event.rs
+++ b/crates/lagoon-net/src/engine/event.rs
@@ -39,7 +39,7 @@
 /// An event of a stream.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// A token.
+    /// A chunk, which is always a single token.
     Chunk {
         /// The attempt that the chunk belongs to.
         attempt: id::Attempt,
@@ -68,7 +68,8 @@
     },
 }
 
-/// An event as it is sent: a chunk has `n` and `t`, the end event `end`, an abort `error`.
+/// An event as it is sent. `a` is the attempt. A chunk has `n` (its index) and `t` (the text), the
+/// end event has `end`, an abort has `error`.
 #[derive(serde::Deserialize)]
 struct Raw<'a> {
     a: &'a str,
@@ -116,12 +117,12 @@
     /// The connection ended or failed, or an event is too long.
     pub async fn batch(&mut self) -> Result<util::Bytes, StreamError> {
         loop {
-            let chunk = match self.payload.recv().await {
-                Some(Ok(chunk)) => chunk,
+            let bytes = match self.payload.recv().await {
+                Some(Ok(bytes)) => bytes,
                 Some(Err(error)) => return Err(StreamError::Connection(error.to_string())),
                 None => return Err(StreamError::Truncated),
             };
-            let mut whole = self.join(chunk);
+            let mut whole = self.join(bytes);
             if let Some(end) = whole.windows(2).rposition(|pair| pair == b"\n\n") {
                 self.incomplete = whole.split_off(end + 2);
                 return Ok(whole);
@@ -133,15 +134,15 @@
         }
     }
 
-    /// Appends a chunk to the incomplete event before it. Copies only when an event is split over
-    /// two reads.
-    fn join(&mut self, chunk: util::Bytes) -> util::Bytes {
+    /// Appends received bytes to the incomplete event before them. Copies only when an event is
+    /// split over two reads.
+    fn join(&mut self, bytes: util::Bytes) -> util::Bytes {
         if self.incomplete.is_empty() {
-            return chunk;
+            return bytes;
         }
-        let mut joined = util::BytesMut::with_capacity(self.incomplete.len() + chunk.len());
+        let mut joined = util::BytesMut::with_capacity(self.incomplete.len() + bytes.len());
         joined.extend_from_slice(&self.incomplete);
-        joined.extend_from_slice(&chunk);
+        joined.extend_from_slice(&bytes);
         self.incomplete = util::Bytes::new();
         joined.freeze()
     }
--- a/crates/lagoon-net/src/engine/mod.rs
+++ b/crates/lagoon-net/src/engine/mod.rs
@@ -14,10 +14,10 @@
 
 pub use event::{Event, Events, StreamError, events};
 
-/// Parameters of an attempt to generate a response.
+/// Parameters of an attempt: what the engine is asked to generate.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Id of this dispatch.
+    /// Id of this attempt, new for each dispatch.
     pub attempt: id::Attempt,
     /// The entry host that sends the request.
     pub owner: id::Owner,
@@ -29,11 +29,12 @@
     pub priority: u8,
     /// The model to use.
     pub model: id::Model,
-    /// Most tokens to generate.
-    pub answer_tokens: u64,
+    /// Limit on the number of tokens to generate.
+    pub max_answer_tokens: u64,
     /// Number of answer tokens that the caller already has, for a continuation.
     pub skip_tokens: u64,
-    /// Value of the `Lagoon-Group` header; empty without a group.
+    /// Value of the `Lagoon-Group` header: the reservations on the engines that hold the prompt
+    /// together, as `ID@ADDRESS` separated by commas. Empty when one engine holds the prompt.
     pub group: String,
     /// The caller's JSON body, shared and not copied.
     pub body: util::Bytes,
@@ -87,7 +88,7 @@
     /// The engine refused the attempt.
     #[error("refused: {}", .0.as_str())]
     Refused(Refusal),
-    /// The engine has no such stream.
+    /// The response is 404 without a known code: the engine has no such stream.
     #[error("no such stream")]
     NoStream,
     /// Any other failure: the attempt may run.
@@ -121,7 +122,7 @@
     )
 }
 
-/// Returns the value of a `Lagoon-Deadline-Ms` header.
+/// Converts a time to whole milliseconds, the unit of the engines' headers and bodies.
 pub(crate) fn millis(span: clock::Span) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
@@ -148,7 +149,7 @@
         .header("Lagoon-Deadline-Ms", millis(parameters.time_left))
         .header("Lagoon-Priority", u64::from(parameters.priority))
         .header("Lagoon-Model", parameters.model.as_str())
-        .header("Lagoon-Answer-Tokens", parameters.answer_tokens);
+        .header("Lagoon-Answer-Tokens", parameters.max_answer_tokens);
     if parameters.skip_tokens > 0 {
         request = request.header("Lagoon-Skip-Tokens", parameters.skip_tokens);
     }
@@ -191,7 +192,8 @@
 /// A reservation of KV memory.
 #[derive(Clone, Debug)]
 pub struct Reservation {
-    /// Id of the reservation, new for each.
+    /// Id of the reservation, new for each. It has the type of an attempt's id but names no
+    /// attempt.
     pub id: id::Attempt,
     /// The entry host that holds it.
     pub owner: id::Owner,
--- a/crates/lagoon-net/src/entry/admission.rs
+++ b/crates/lagoon-net/src/entry/admission.rs
@@ -17,7 +17,7 @@
 use lagoonline::outcome;
 use tokio::sync as async_sync;
 
-/// The result that a waiting request gets: a slot or a refusal.
+/// What a waiting request finally gets: a slot or a refusal.
 type Grant = Result<Slot, outcome::Failure>;
 
 /// The scheduler of one model together with the requests that wait in it.
@@ -25,14 +25,14 @@
 pub(crate) struct Queue {
     clock: clock::System,
     /// The scheduler of the model.
-    shard: sync::Arc<sync::Mutex<load::Scheduler>>,
+    scheduler: sync::Arc<sync::Mutex<load::Scheduler>>,
     /// Channels to the waiting requests.
     waiting: sync::Mutex<collections::HashMap<load::Waiter, async_sync::oneshot::Sender<Grant>>>,
     /// Notified when a request starts to wait, since that may bring the next wake time forward.
     changed: async_sync::Notify,
 }
 
-/// Decision on a request.
+/// Decision on a request: a `load::Verdict` with the slot or the queue position as an owned value.
 #[derive(Debug)]
 pub(crate) enum Decision {
     /// A slot on an upstream.
@@ -46,15 +46,15 @@
 impl Queue {
     pub(crate) fn new(
         clock: clock::System,
-        shard: sync::Arc<sync::Mutex<load::Scheduler>>,
+        scheduler: sync::Arc<sync::Mutex<load::Scheduler>>,
     ) -> sync::Arc<Queue> {
         let waiting = sync::Mutex::default();
-        sync::Arc::new(Queue { clock, shard, waiting, changed: async_sync::Notify::new() })
+        sync::Arc::new(Queue { clock, scheduler, waiting, changed: async_sync::Notify::new() })
     }
 
     /// Asks the scheduler for a slot. If none is free, the request waits or is refused.
     pub(crate) fn offer(self: &sync::Arc<Self>, request: load::Request) -> Decision {
-        let mut scheduler = load::lock(&self.shard);
+        let mut scheduler = load::lock(&self.scheduler);
         let verdict = scheduler.offer(self.clock.now(), request);
         self.decide(scheduler, verdict)
     }
@@ -94,7 +94,7 @@
     pub(crate) fn wake_due(self: &sync::Arc<Self>) {
         let mut due = Vec::new();
         {
-            let mut scheduler = load::lock(&self.shard);
+            let mut scheduler = load::lock(&self.scheduler);
             let wakes = scheduler.poll(self.clock.now());
             let mut waiting = self.waiting();
             for wake in wakes {
@@ -116,23 +116,23 @@
     }
 
     pub(crate) fn set_leaving(self: &sync::Arc<Self>, upstream: &id::Upstream, leaving: bool) {
-        load::lock(&self.shard).set_leaving(self.clock.now(), upstream, leaving);
+        load::lock(&self.scheduler).set_leaving(self.clock.now(), upstream, leaving);
         self.wake_due();
     }
 
     pub(crate) fn observe(&self, upstream: &id::Upstream, load: &lagoonline::port::engine::Load) {
-        load::lock(&self.shard).observe(self.clock.now(), upstream, load);
+        load::lock(&self.scheduler).observe(self.clock.now(), upstream, load);
     }
 
     /// Returns the current estimate of prompt bytes per token.
-    pub(crate) fn ratio(&self) -> load::tokens::Ratio {
-        load::lock(&self.shard).ratio()
+    pub(crate) fn bytes_per_token(&self) -> load::tokens::Ratio {
+        load::lock(&self.scheduler).ratio()
     }
 
     /// Updates the bytes per token estimate: an engine counted `tokens` in a prompt of `bytes`
     /// bytes.
     pub(crate) fn record_prompt_tokens(&self, bytes: usize, tokens: u64) {
-        load::lock(&self.shard).record_token_count(bytes as u64, tokens);
+        load::lock(&self.scheduler).record_token_count(bytes as u64, tokens);
     }
 
     /// Returns the number of waiting requests.
@@ -142,14 +142,14 @@
 
     /// Returns the number of slots in use.
     pub(crate) fn slots_in_use(&self) -> usize {
-        load::lock(&self.shard).dispatched()
+        load::lock(&self.scheduler).dispatched()
     }
 
     /// Wakes requests that are due until the queue is dropped.
     pub(crate) async fn run(queue: sync::Weak<Queue>) {
         while let Some(queue) = queue.upgrade() {
             let now = queue.clock.now();
-            let wake = load::lock(&queue.shard).next_wake();
+            let wake = load::lock(&queue.scheduler).next_wake();
             let pause = wake.since(now).clamp(MIN_PAUSE, MAX_PAUSE);
             let changed = queue.changed.notified();
             let _timeout = tokio::time::timeout(pause, changed).await;
@@ -187,24 +187,27 @@
 
     /// Returns the engines of a group with the tokens on each; empty when one engine holds the
     /// prompt.
-    pub(crate) fn group(&self) -> Vec<(&id::Upstream, u64)> {
+    pub(crate) fn group_members(&self) -> Vec<(&id::Upstream, u64)> {
         let Some(placement) = &self.placement else { return Vec::new() };
         let names = std::iter::once(&placement.upstream).chain(&placement.members);
         names.zip(placement.spans.iter().copied()).collect()
     }
 
-    /// Returns the longest accepted silence before the first token and between tokens.
+    /// Returns the longest accepted silence before the first token and between tokens. A slot that
+    /// was released gets the shortest limit for both.
     pub(crate) fn silence(&self) -> (clock::Span, clock::Span) {
         let default = load::silence::between_tokens(0.0);
-        self.placement.as_ref().map_or((default, default), |known| (known.silence, known.gap))
+        self.placement
+            .as_ref()
+            .map_or((default, default), |placement| (placement.silence, placement.gap))
     }
 
-    /// Returns whether another upstream could take the request from a silent one; false for a slot
-    /// that was released.
-    pub(crate) fn is_better_elsewhere(&self, request: &load::Request) -> bool {
+    /// Returns whether another upstream has capacity for the request now, with a retry left in the
+    /// budget; false for a slot that was released.
+    pub(crate) fn has_alternative(&self, request: &load::Request) -> bool {
         self.placement.as_ref().is_some_and(|placement| {
             let now = self.queue.clock.now();
-            load::lock(&self.queue.shard).is_better_elsewhere(now, placement.ticket, request)
+            load::lock(&self.queue.scheduler).is_better_elsewhere(now, placement.ticket, request)
         })
     }
 
@@ -212,7 +215,7 @@
     pub(crate) fn record_first_token(&self) {
         if let Some(placement) = &self.placement {
             let now = self.queue.clock.now();
-            load::lock(&self.queue.shard).first_token(now, placement.ticket);
+            load::lock(&self.queue.scheduler).first_token(now, placement.ticket);
         }
     }
 
@@ -230,7 +233,7 @@
 
     fn release(&mut self, ending: load::Ending) {
         let Some(placement) = self.placement.take() else { return };
-        load::lock(&self.queue.shard).finish(self.queue.clock.now(), placement.ticket, ending);
+        load::lock(&self.queue.scheduler).finish(self.queue.clock.now(), placement.ticket, ending);
         self.queue.wake_due();
     }
 
@@ -239,7 +242,7 @@
         let Some(placement) = self.placement.take() else { return self.queue.offer(request) };
         let queue = self.queue.clone();
         let decision = {
-            let mut scheduler = load::lock(&queue.shard);
+            let mut scheduler = load::lock(&queue.scheduler);
             let verdict = scheduler.retry(queue.clock.now(), placement.ticket, ending, request);
             queue.decide(scheduler, verdict)
         };
@@ -276,7 +279,7 @@
 
 impl Drop for Queued {
     fn drop(&mut self) {
-        let mut scheduler = load::lock(&self.queue.shard);
+        let mut scheduler = load::lock(&self.queue.scheduler);
         if self.queue.waiting().remove(&self.waiter).is_some() {
             scheduler.cancel(self.waiter);
         }
--- a/crates/lagoon-net/src/entry/call.rs
+++ b/crates/lagoon-net/src/entry/call.rs
@@ -30,8 +30,8 @@
     pub(crate) customer: view::CustomerIndex,
     pub(crate) arrived: clock::Moment,
     pub(crate) deadline: clock::Moment,
-    /// Value of the `Idempotency-Key` header.
-    pub(crate) key: Option<String>,
+    /// Value of the `Idempotency-Key` header, if there is one.
+    pub(crate) idempotency_key: Option<String>,
     /// Index of the first chunk that the caller wants.
     pub(crate) resume_from: u64,
 }
@@ -47,9 +47,9 @@
         let customer = authenticate(&view.fleet, headers)?;
         let entry = &view.fleet.customers[customer.0 as usize].entry;
         let deadline = arrived + read_deadline(entry, headers)?;
-        let key = read_key(headers)?;
-        let resume_from = read_resume_from(headers, key.is_some())?;
-        Ok(Call { view, customer, arrived, deadline, key, resume_from })
+        let idempotency_key = read_idempotency_key(headers)?;
+        let resume_from = read_resume_from(headers, idempotency_key.is_some())?;
+        Ok(Call { view, customer, arrived, deadline, idempotency_key, resume_from })
     }
 
     pub(crate) fn customer(&self) -> &view::Customer {
@@ -79,11 +79,10 @@
     let key = value.and_then(|value| value.strip_prefix("Bearer ")).ok_or_else(refusal)?;
     let hash: document::KeyHash = sha2::Sha256::digest(key.as_bytes()).into();
     let index = fleet.customer_index(&hash).ok_or_else(refusal)?;
-    let matches = fleet.customers[index.0 as usize]
-        .entry
-        .keys
-        .iter()
-        .fold(0, |found, known| found | known.as_slice().ct_eq(hash.as_slice()).unwrap_u8());
+    let matches =
+        fleet.customers[index.0 as usize].entry.keys.iter().fold(0, |found, key_hash| {
+            found | key_hash.as_slice().ct_eq(hash.as_slice()).unwrap_u8()
+        });
     if matches == 0 {
         return Err(refusal());
     }
@@ -111,7 +110,7 @@
 }
 
 /// Returns the idempotency key, if there is one.
-fn read_key(headers: &http::HeaderMap) -> Result<Option<String>, fault::Fault> {
+fn read_idempotency_key(headers: &http::HeaderMap) -> Result<Option<String>, fault::Fault> {
     let Some(value) = headers.get("idempotency-key") else { return Ok(None) };
     let bytes = value.as_bytes();
     if bytes.is_empty() || bytes.len() > MAX_KEY_BYTES || !bytes.iter().all(u8::is_ascii_graphic) {
@@ -145,10 +144,10 @@
             && id.len() <= MAX_REQUEST_ID_BYTES
             && id.bytes().all(|b| b.is_ascii_graphic())
     };
-    given.filter(usable).map_or_else(|| new_attempt().to_string(), str::to_owned)
+    given.filter(usable).map_or_else(|| random_id().to_string(), str::to_owned)
 }
 
-/// Returns a new random attempt id.
-pub(crate) fn new_attempt() -> id::Attempt {
+/// Returns a random id. It names an attempt, a reservation, a request or a response.
+pub(crate) fn random_id() -> id::Attempt {
     id::Attempt(rand::random())
 }
--- a/crates/lagoon-net/src/entry/cancel.rs
+++ b/crates/lagoon-net/src/entry/cancel.rs
@@ -38,15 +38,15 @@
     Reservation(id::Attempt),
 }
 
-/// A holding to be released.
+/// A holding that is to be released: a stream by a cancel, a reservation by a release.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(crate) struct Pending {
+pub(crate) struct Release {
     address: net::SocketAddr,
     holding: Holding,
 }
 
-pub(crate) type Sender = async_sync::mpsc::UnboundedSender<Pending>;
-pub(crate) type Receiver = async_sync::mpsc::UnboundedReceiver<Pending>;
+pub(crate) type Sender = async_sync::mpsc::UnboundedSender<Release>;
+pub(crate) type Receiver = async_sync::mpsc::UnboundedReceiver<Release>;
 
 pub(crate) fn channel() -> (Sender, Receiver) {
     async_sync::mpsc::unbounded_channel()
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub(crate) struct Guard {
     state: sync::Arc<state::State>,
-    pending: Option<Pending>,
+    release: Option<Release>,
 }
 
 impl Guard {
@@ -65,32 +65,32 @@
         address: net::SocketAddr,
         holding: Holding,
     ) -> Guard {
-        Guard { state: state.clone(), pending: Some(Pending { address, holding }) }
+        Guard { state: state.clone(), release: Some(Release { address, holding }) }
     }
 
     /// Disarms the guard because the attempt ended by itself or never began.
     pub(crate) fn disarm(&mut self) {
-        self.pending = None;
+        self.release = None;
     }
 }
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        let Some(pending) = self.pending.take() else { return };
+        let Some(release) = self.release.take() else { return };
         let metrics = &self.state.metrics;
         if metrics.cancels_pending.get() >= MAX_PENDING {
             metrics.count_cancel("dropped");
             return;
         }
         metrics.cancels_pending.inc();
-        if self.state.cancels.send(pending).is_err() {
+        if self.state.cancels.send(release).is_err() {
             metrics.cancels_pending.dec();
             metrics.count_cancel("dropped");
         }
     }
 }
 
-type Cancels = rc::Rc<cell::RefCell<reap::CancelQueue<Pending>>>;
+type Queue = rc::Rc<cell::RefCell<reap::CancelQueue<Release>>>;
 
 /// Sends cancels until the process ends.
 pub(crate) async fn run(
@@ -99,12 +99,12 @@
     mut receiver: Receiver,
 ) {
     let cancels =
-        Cancels::new(cell::RefCell::new(reap::CancelQueue::new(reap::RetryPolicy::default())));
+        Queue::new(cell::RefCell::new(reap::CancelQueue::new(reap::RetryPolicy::default())));
     loop {
         let is_idle = cancels.borrow().is_empty();
         tokio::select! {
             received = receiver.recv() => match received {
-                Some(pending) => cancels.borrow_mut().add(pending, state.clock.now()),
+                Some(release) => cancels.borrow_mut().add(release, state.clock.now()),
                 None => return,
             },
             () = tokio::time::sleep(CHECK_INTERVAL), if !is_idle => {}
@@ -112,10 +112,11 @@
         let now = state.clock.now();
         let given_up = cancels.borrow_mut().expire(now);
         (0..given_up).for_each(|_| finish(&state, "given_up"));
+        // The random factor spreads the repetitions of cancels that failed together.
         let due = cancels.borrow_mut().due(now, rand::rng().random_range(0.5..1.5));
-        for pending in due {
+        for release in due {
             let (state, client, cancels) = (state.clone(), client.clone(), cancels.clone());
-            drop(ntex::rt::spawn(async move { send(&state, &client, &cancels, pending).await }));
+            drop(ntex::rt::spawn(async move { send(&state, &client, &cancels, release).await }));
         }
     }
 }
@@ -127,17 +128,18 @@
 }
 
 /// Sends a cancel once and checks for its acknowledgement.
-async fn send(state: &state::State, client: &client::Client, cancels: &Cancels, pending: Pending) {
-    let (address, zone) = (pending.address, &state.settings.zone);
-    let release = async {
-        match pending.holding {
+async fn send(state: &state::State, client: &client::Client, cancels: &Queue, release: Release) {
+    let (address, zone) = (release.address, &state.settings.zone);
+    let work = async {
+        match release.holding {
             Holding::Stream(id) => engine::cancel(client, address, id, zone).await,
             Holding::Reservation(id) => engine::release(client, address, id, zone).await,
         }
     };
-    if tokio::time::timeout(ACK_TIMEOUT, release).await != Ok(true) {
+    if tokio::time::timeout(ACK_TIMEOUT, work).await != Ok(true) {
+        // Counts each send without acknowledgement; the queue repeats it until it expires.
         state.metrics.count_cancel("repeated");
-    } else if cancels.borrow_mut().acknowledge(&pending) {
+    } else if cancels.borrow_mut().acknowledge(&release) {
         finish(state, "acknowledged");
     }
 }
--- a/crates/lagoon-net/src/entry/claims.rs
+++ b/crates/lagoon-net/src/entry/claims.rs
@@ -23,24 +23,24 @@
 use super::body;
 use super::call;
 use super::fault;
+use super::forwarded_body;
 use super::interrupt;
-use super::request_body;
 use super::services;
 use super::state;
 use super::worker;
 use crate::platform;
 
-/// Client for the idempotency claims of one worker thread.
+/// Client that claims idempotency keys; one for each worker thread.
 pub(crate) type Claims = claim::Claims<platform::Client, platform::Client, clock::System>;
 
-/// Tries to store a response, [`RETRY_PAUSE`] apart. After a longer platform outage the key stays
-/// in the state "may have run".
+/// Number of tries to store a response, [`RETRY_PAUSE`] apart. After a longer platform outage the
+/// key stays claimed, which means that the call may have run.
 const STORE_TRIES: u32 = 10;
 const RETRY_PAUSE: clock::Span = clock::Span::from_secs(1);
 
 /// Opens the claims on the configured platform; `None` without a platform.
 pub(crate) async fn open(state: &state::State) -> Option<Claims> {
-    let limits = state.platform.clone()?;
+    let limits = state.platform_limits.clone()?;
     let client = platform::Client::new(limits, state.settings.zone.as_str()).await;
     let owner = state.owner.clone();
     let settings = claim::Settings { owner, ..claim::Settings::default() };
@@ -115,7 +115,7 @@
             key: self.key.clone(),
             body_hash: claim::body_hash(self.request.method().as_str(), &path, body),
             repeat: request::Repeat::Never,
-            token: call::new_attempt(),
+            token: call::random_id(),
             upstream: id::Upstream::default(),
             deadline: self.call.deadline,
             wall_ms: self.worker.state.clock.wall_millis(),
@@ -185,10 +185,10 @@
                     .body(answer.body.to_vec()))
             }
             Err(fault) => {
-                let ran = fault.failure.outcome != Outcome::NotRun;
-                state.metrics.count_claim(if ran { "lost" } else { "released" });
+                let may_have_run = fault.failure.outcome != Outcome::NotRun;
+                state.metrics.count_claim(if may_have_run { "lost" } else { "released" });
                 self.spawn_tracked(claims, move |claims| async move {
-                    if ran {
+                    if may_have_run {
                         claims.mark_unknown(sent).await;
                     } else {
                         release_abandoned(&claims, claims.release(sent.refused()).await).await;
@@ -207,12 +207,13 @@
             request: self.request.clone(),
             service: self.service.clone(),
             target: self.target.clone(),
-            body: request_body::RequestBody::from_bytes(&self.worker.state, body),
+            body: forwarded_body::ForwardedBody::from_bytes(&self.worker.state, body),
         };
         let pending = request::Pending::new(request::Repeat::Never);
         let (response, answering, slot) = job.send(pending).await?;
-        let (status, kind) = (response.status().as_u16(), response.header("content-type"));
-        let kind = kind.and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
+        let (status, content_type) = (response.status().as_u16(), response.header("content-type"));
+        let content_type =
+            content_type.and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
         let mut payload = response.take_payload();
         let limit = usize::try_from(self.max_answer_bytes).unwrap_or(usize::MAX);
         let work = services::read_whole(&mut payload, limit);
@@ -220,7 +221,7 @@
             Ok(Some(whole)) => {
                 self.worker.state.metrics.count_done(&job.tags(), answering.complete());
                 let body = bytes::Bytes::copy_from_slice(&whole);
-                Ok(claim::Answer { status, content_type: kind, body })
+                Ok(claim::Answer { status, content_type, body })
             }
             Ok(None) => {
                 let outcome = answering.broken().end();
@@ -231,13 +232,13 @@
         }
     }
 
-    fn response_builder(&self, status: u16, kind: &str) -> http::ResponseBuilder {
+    fn response_builder(&self, status: u16, content_type: &str) -> http::ResponseBuilder {
         let status = http::StatusCode::from_u16(status).unwrap_or(http::StatusCode::OK);
         let mut head = web::HttpResponse::build(status);
         head.set_header("X-Request-Id", self.request_id.as_str());
         head.set_header("Lagoon-Outcome", Outcome::Done.as_str());
-        if !kind.is_empty() {
-            head.set_header("Content-Type", kind);
+        if !content_type.is_empty() {
+            head.set_header("Content-Type", content_type);
         }
         if self.worker.state.phase() >= state::Phase::Draining {
             head.force_close();
@@ -272,8 +273,8 @@
     false
 }
 
-/// Releases a key whose claim may still be written. A drain does not wait for this, because the
-/// retention period frees the key as well.
+/// Releases a key whose claim was given up but may still be written. A drain does not wait for
+/// this, because the retention period frees the key as well.
 async fn release_abandoned(claims: &Claims, abandoned: Option<claim::Abandoned>) {
     let Some(abandoned) = abandoned else { return };
     while !claims.settle(&abandoned).await {
--- a/crates/lagoon-net/src/entry/fault.rs
+++ b/crates/lagoon-net/src/entry/fault.rs
@@ -7,7 +7,7 @@
 use ntex::web;
 use serde_json::json;
 
-/// A failure with additional detail for the caller.
+/// A failure that is reported to a caller, with additional detail.
 #[derive(Clone, Debug)]
 pub(crate) struct Fault {
     pub(crate) failure: outcome::Failure,
@@ -28,6 +28,7 @@
 const DEFAULT_RETRY_AFTER: clock::Span = clock::Span::from_secs(1);
 
 impl Fault {
+    /// Names the upstream at which the request failed.
     pub(crate) fn at<P>(self, peer: P) -> Fault
     where
         P: Into<String>,
--- a/crates/lagoon-net/src/entry/request_body.rs
+++ b/crates/lagoon-net/src/entry/forwarded_body.rs
@@ -18,7 +18,7 @@
 
 /// A request body. A streamed body is not buffered and can therefore be sent only once.
 #[derive(Clone)]
-pub(crate) struct RequestBody(rc::Rc<Inner>);
+pub(crate) struct ForwardedBody(rc::Rc<Inner>);
 
 struct Inner {
     payload: cell::RefCell<Option<http::Payload>>,
@@ -30,13 +30,13 @@
     state: sync::Arc<state::State>,
 }
 
-impl RequestBody {
+impl ForwardedBody {
     /// Creates a streamed body. Fails if its announced length exceeds the limit.
     pub(crate) fn new(
         state: &sync::Arc<state::State>,
         headers: &http::HeaderMap,
         payload: http::Payload,
-    ) -> Result<RequestBody, fault::Fault> {
+    ) -> Result<ForwardedBody, fault::Fault> {
         let length = body::content_length(headers);
         let max_bytes = state.settings.limits.service_body_bytes;
         if length.is_some_and(|length| length > max_bytes) {
@@ -51,12 +51,12 @@
             fault: cell::RefCell::default(),
             state: state.clone(),
         };
-        Ok(RequestBody(rc::Rc::new(inner)))
+        Ok(ForwardedBody(rc::Rc::new(inner)))
     }
 
     /// Creates a body from bytes that were read beforehand.
-    pub(crate) fn from_bytes(state: &sync::Arc<state::State>, body: util::Bytes) -> RequestBody {
-        RequestBody(rc::Rc::new(Inner {
+    pub(crate) fn from_bytes(state: &sync::Arc<state::State>, body: util::Bytes) -> ForwardedBody {
+        ForwardedBody(rc::Rc::new(Inner {
             payload: cell::RefCell::default(),
             empty: body.is_empty(),
             length: Some(body.len() as u64),
@@ -66,8 +66,9 @@
         }))
     }
 
-    /// Returns whether another dispatch would send the same body.
-    pub(crate) fn is_replayable(&self) -> bool {
+    /// Returns whether another dispatch would send the same body: it is empty, was read beforehand,
+    /// or no dispatch has read from the stream yet.
+    pub(crate) fn can_resend(&self) -> bool {
         self.0.empty || self.0.whole.is_some() || self.0.payload.borrow().is_some()
     }
 
--- a/crates/lagoon-net/src/entry/generation/dispatch.rs
+++ b/crates/lagoon-net/src/entry/generation/dispatch.rs
@@ -28,7 +28,8 @@
         mut pending: request::Pending,
         mut decision: admission::Decision,
     ) -> Result<Started, fault::Fault> {
-        // Counts rounds, not dispatches: a round whose group reservation fails dispatches nothing.
+        // Counts rounds, not dispatches: a round whose group reservation fails dispatches nothing,
+        // and must be limited too.
         for round in 1.. {
             let slot = match self.acquire_slot(decision).await {
                 Ok(slot) => slot,
@@ -50,7 +51,7 @@
             }
             self.worker.state.metrics.count_retry(cause);
             pending = next;
-            decision = slot.retry(ending, self.job.request.clone());
+            decision = slot.retry(ending, self.input.request.clone());
         }
         Err(fault::new(Reason::Internal, Step::Dispatch, pending.end()))
     }
@@ -66,7 +67,7 @@
             admission::Decision::Queued(queued) => queued,
         };
         let grant =
-            interrupt::within(&self.worker.state, self.job.call.deadline, queued.granted()).await;
+            interrupt::within(&self.worker.state, self.input.call.deadline, queued.granted()).await;
         match grant {
             Ok(grant) => grant.map_err(fault::Fault::from),
             Err(interrupt) => Err(interrupt.fault(Step::Queue, Outcome::NotRun)),
@@ -83,10 +84,10 @@
         let state = &worker.state;
         let upstream = slot.upstream().clone();
         let view = state.view();
-        let Some(known) = view.fleet.upstream(&upstream) else {
+        let Some(listed) = view.fleet.upstream(&upstream) else {
             return Ok(Attempted::Retry(pending, slot, load::Ending::Leaving, "unknown_upstream"));
         };
-        let (attempt, address) = (call::new_attempt(), known.entry.address);
+        let (attempt, address) = (call::random_id(), listed.entry.address);
         let group = match self.reserve(&slot).await {
             Ok(group) => group,
             Err(ReserveError::Interrupt(interrupt)) => {
@@ -99,7 +100,7 @@
             }
         };
         match self.claim(&upstream, attempt).await {
-            Ok(None) if self.delivered > 0 && !self.job.continues => {
+            Ok(None) if self.delivered > 0 && !self.input.continues => {
                 return Err(stream_gone(pending.end(), &upstream));
             }
             Ok(None) => {}
@@ -127,7 +128,7 @@
             Ok(mut events) => {
                 state.metrics.count_attempt("answered");
                 if let Some(load) = events.take_load() {
-                    self.job.queue.observe(&upstream, &load);
+                    self.input.queue.observe(&upstream, &load);
                     state.link.record_load(&upstream, &load);
                 }
                 let checker = stream::Checker::starting_at(attempt, self.delivered);
@@ -142,7 +143,7 @@
                     _group: group,
                     address,
                     resumes,
-                    last_data: sent,
+                    silence_start: sent,
                     has_tokens: false,
                 };
                 return Ok(Attempted::Streaming(Box::new(stream)));
@@ -172,6 +173,8 @@
             }
             engine::Failure::Refused(engine::Refusal::TooLong) => {
                 state.metrics.count_attempt("too_long");
+                // Not `Failed`: the refusal is due to the prompt and must not count against the
+                // engine.
                 slot.finish(load::Ending::Abandoned);
                 let outcome = dispatched.refused().end();
                 Err(fault::new(Reason::TooLong, Step::Dispatch, outcome).at(peer))
@@ -210,35 +213,35 @@
         F: future::Future,
     {
         let state = &self.worker.state;
-        let deadline = self.job.call.deadline;
+        let deadline = self.input.call.deadline;
         let (silence, _) = slot.silence();
         let mut work = pin::pin!(work);
-        let mut last_data = sent;
+        let mut silence_start = sent;
         loop {
-            let until = last_data + silence;
+            let until = silence_start + silence;
             match interrupt::within(state, until.min(deadline), work.as_mut()).await {
                 Ok(result) => return Ok(Some(result)),
                 Err(interrupt::Interrupt::Deadline) if until < deadline => {}
                 Err(interrupt) => return Err(interrupt),
             }
-            if slot.is_better_elsewhere(&self.job.request) {
+            if slot.has_alternative(&self.input.request) {
                 return Ok(None);
             }
-            last_data = state.clock.now();
+            silence_start = state.clock.now();
         }
     }
 
     /// Reserves KV memory on the engines of a group. Returns `None` for a prompt that one engine
     /// holds, which is the usual case.
     async fn reserve(&self, slot: &admission::Slot) -> Result<Option<group::Group>, ReserveError> {
-        let members = slot.group();
+        let members = slot.group_members();
         if members.is_empty() {
             return Ok(None);
         }
         let state = &self.worker.state;
-        let left = self.job.call.time_left(state);
+        let left = self.input.call.time_left(state);
         let work = group::reserve(state, &self.worker.client, &members, left);
-        let result = interrupt::within(state, self.job.call.deadline, work).await;
+        let result = interrupt::within(state, self.input.call.deadline, work).await;
         let result = result.map_err(ReserveError::Interrupt)?;
         result.map(Some).map_err(ReserveError::Engine)
     }
@@ -255,23 +258,23 @@
             attempt,
             owner: state.owner.clone(),
             zone: state.settings.zone.clone(),
-            time_left: self.job.call.time_left(state),
+            time_left: self.input.call.time_left(state),
             priority: slot.priority(),
-            model: self.job.request.model.clone(),
-            answer_tokens: self.job.request.answer_tokens,
+            model: self.input.request.model.clone(),
+            max_answer_tokens: self.input.request.answer_tokens,
             skip_tokens: self.delivered,
             group: group.map(|group| group.header.clone()).unwrap_or_default(),
-            body: self.job.body.clone(),
+            body: self.input.body.clone(),
         }
     }
 }
 
-/// Error for a stream that can neither be resumed nor continued.
+/// Error for a caller that asks for the rest of a stream which can neither be resumed nor
+/// continued.
 ///
-/// Guards against a caller that resumes a stream which no longer exists and gets the rest of a
-/// different response to the same prompt: the joined text would look complete but be wrong. Where
-/// the model does not allow continuing on another engine, the caller gets this error and has to
-/// request the whole response again.
+/// Guards against returning the rest of a different response to the same prompt: the joined text
+/// would look complete but be wrong. Where the model does not allow continuing on another engine,
+/// the caller gets this error and has to request the whole response again.
 fn stream_gone(outcome: Outcome, upstream: &id::Upstream) -> fault::Fault {
     let fault = fault::new(Reason::UpstreamFailed, Step::Dispatch, outcome);
     fault.at(upstream.as_str()).with_detail("the stream that was named is gone")
--- a/crates/lagoon-net/src/entry/generation/idempotency.rs
+++ b/crates/lagoon-net/src/entry/generation/idempotency.rs
@@ -22,15 +22,15 @@
 use crate::entry::interrupt;
 use crate::entry::state;
 
-/// State of the idempotency claim of a call.
+/// State of the idempotency claim of one call.
 #[derive(Debug, Default)]
-pub(crate) enum Claim {
-    /// No key was given, or the platform cannot be reached.
+pub(crate) enum ClaimState {
+    /// No key was given, no platform is configured or reachable, or the claim has been used up.
     #[default]
     None,
     /// The key is claimed once the first engine has been chosen.
     Deferred(Box<Deferred>),
-    /// The key is claimed; nothing is dispatched.
+    /// The key is claimed; nothing is dispatched. The ticket allows one dispatch.
     Ticket(Box<claims::Claims>, claim::Ticket),
     /// The key is claimed and the call is dispatched.
     Sent(Box<claims::Claims>, claim::Sent),
@@ -54,7 +54,7 @@
     Running(Box<Deferred>, claim::Running),
 }
 
-/// A response as it is stored for replay.
+/// Body of a stored response.
 #[derive(serde::Deserialize, serde::Serialize)]
 struct StoredAnswer<'a> {
     prompt_tokens: u64,
@@ -66,21 +66,21 @@
 const STORED_ANSWER_TYPE: &str = "application/json";
 
 impl Generation {
-    /// Returns the claim to request for this call.
+    /// Returns the claim to request for this call. The attempt's id is also the token of the claim.
     fn new_claim_request(
         &self,
         deferred: &Deferred,
         upstream: &id::Upstream,
-        token: id::Attempt,
+        attempt: id::Attempt,
     ) -> claim::Request {
         claim::Request {
-            customer: self.job.request.customer.clone(),
+            customer: self.input.request.customer.clone(),
             key: deferred.key.clone(),
             body_hash: deferred.body.clone(),
             repeat: request::Repeat::Allowed,
-            token,
+            token: attempt,
             upstream: upstream.clone(),
-            deadline: self.job.call.deadline,
+            deadline: self.input.call.deadline,
             wall_ms: self.worker.state.clock.wall_millis(),
         }
     }
@@ -93,10 +93,10 @@
         attempt: id::Attempt,
     ) -> Result<Option<Existing>, fault::Fault> {
         let state = self.worker.state.clone();
-        let deadline = self.job.call.deadline;
+        let deadline = self.input.call.deadline;
         let (claims, mut ticket) = match std::mem::take(&mut self.claim) {
-            Claim::None => return Ok(None),
-            Claim::Deferred(deferred) => {
+            ClaimState::None => return Ok(None),
+            ClaimState::Deferred(deferred) => {
                 let claim_request = self.new_claim_request(&deferred, upstream, attempt);
                 let begin =
                     interrupt::within(&state, deadline, deferred.claims.begin(claim_request)).await;
@@ -114,9 +114,10 @@
                     claim::Begin::Replay(answer) => Ok(Some(Existing::Answer(answer))),
                 };
             }
-            Claim::Ticket(claims, ticket) => (claims, ticket),
-            // A call that may be repeated is dispatched again under the same claim.
-            Claim::Sent(claims, sent) => (claims, sent.refused()),
+            ClaimState::Ticket(claims, ticket) => (claims, ticket),
+            // A call that may be repeated is dispatched again under the same claim: `refused` turns
+            // the claim back into a ticket, also when the earlier attempt was lost.
+            ClaimState::Sent(claims, sent) => (claims, sent.refused()),
         };
         let work = claims.retarget(&mut ticket, upstream.clone(), attempt);
         let written = interrupt::within(&state, deadline, work).await;
@@ -132,7 +133,7 @@
     ) -> Result<Option<Existing>, fault::Fault> {
         match ticket.dispatch(self.worker.state.clock.now()) {
             Ok(sent) => {
-                self.claim = Claim::Sent(claims, sent);
+                self.claim = ClaimState::Sent(claims, sent);
                 Ok(None)
             }
             Err(claim::Expired(_)) => {
@@ -142,7 +143,8 @@
     }
 
     /// Takes over the stream that is already running under this call's key. Returns the request
-    /// when the stream is gone; the key is then claimed for this call.
+    /// when the stream is gone. The key is then claimed for this call if possible; if not, the call
+    /// goes on without a claim.
     pub(super) async fn take_over(
         &mut self,
         pending: request::Pending,
@@ -153,12 +155,12 @@
         let state = self.worker.state.clone();
         let (attempt, from) = (running.attempt, self.delivered);
         let view = state.view();
-        let address = view.fleet.upstream(&running.upstream).map(|known| known.entry.address);
+        let address = view.fleet.upstream(&running.upstream).map(|listed| listed.entry.address);
         let dispatched = pending.dispatch(attempt);
         if let Some(address) = address {
             let owner = (&state.owner, &state.settings.zone);
             let work = engine::resume(&self.worker.client, address, attempt, owner, from);
-            let result = interrupt::within(&state, self.job.call.deadline, work).await;
+            let result = interrupt::within(&state, self.input.call.deadline, work).await;
             let events = match result {
                 Ok(events) => events,
                 Err(interrupt) => {
@@ -181,7 +183,7 @@
                     _group: None,
                     address,
                     resumes: (from, 0),
-                    last_data: state.clock.now(),
+                    silence_start: state.clock.now(),
                     has_tokens: false,
                 }));
                 return Ok(None);
@@ -193,17 +195,17 @@
             pending.map_err(|end| fault::new(Reason::EarlierUnknown, Step::Claim, end))?;
         let claim_request = self.new_claim_request(&deferred, &running.upstream, attempt);
         let work = deferred.claims.take_over(claim_request, &running);
-        let begin = interrupt::within(&state, self.job.call.deadline, work).await;
+        let begin = interrupt::within(&state, self.input.call.deadline, work).await;
         if let Ok(Ok(claim::Begin::Run(ticket))) = begin {
-            self.claim = Claim::Ticket(Box::new(deferred.claims), ticket);
+            self.claim = ClaimState::Ticket(Box::new(deferred.claims), ticket);
         }
         Ok(Some(pending))
     }
 
     /// Stores the whole response for replay, in the background; a drain waits for it.
     pub(super) fn store_answer(&mut self, prompt_tokens: u64) {
-        let Claim::Sent(claims, sent) = std::mem::take(&mut self.claim) else { return };
-        let Some(tokens) = self.recorded.take() else { return };
+        let ClaimState::Sent(claims, sent) = std::mem::take(&mut self.claim) else { return };
+        let Some(tokens) = self.replay_tokens.take() else { return };
         let tokens = tokens.trim_end_matches(',');
         let body = format!("{{\"prompt_tokens\":{prompt_tokens},\"tokens\":[{tokens}]}}");
         let answer = claim::Answer {
--- a/crates/lagoon-net/src/entry/generation/mod.rs
+++ b/crates/lagoon-net/src/entry/generation/mod.rs
@@ -30,11 +30,12 @@
 use super::worker;
 use crate::engine;
 
-pub(crate) use idempotency::{Claim, Deferred, replay};
+pub(crate) use idempotency::{ClaimState, Deferred, replay};
 
-/// Input of a model call.
+/// Input of a model call: the parsed HTTP request (`call`) and what the scheduler needs
+/// (`request`).
 #[derive(Debug)]
-pub(crate) struct Job {
+pub(crate) struct Input {
     pub(crate) call: call::Call,
     pub(crate) request: load::Request,
     /// Length of the prompt in bytes, from which its token count was estimated.
@@ -45,7 +46,7 @@
     pub(crate) body: ntex::util::Bytes,
 }
 
-impl Job {
+impl Input {
     pub(crate) fn tags(&self) -> metrics::Tags {
         metrics::Tags::of("model", self.request.model.as_str(), &self.call.customer().name)
     }
@@ -57,7 +58,7 @@
     pub(crate) answer_tokens: u64,
     pub(crate) prompt_tokens: u64,
     pub(crate) cached_tokens: u64,
-    /// Outcome that the caller is told.
+    /// Outcome that the caller is told; `Unknown` until [`Generation::complete`] sets it.
     pub(crate) outcome: Outcome,
 }
 
@@ -78,8 +79,9 @@
     /// resumed forever without a token. After a few resumptions without a token the attempt is
     /// given up.
     resumes: (u64, u32),
-    /// When the attempt was sent, its last tokens arrived, or its silence was last handled.
-    last_data: clock::Moment,
+    /// Start of the current silence: when the attempt was sent, its last tokens arrived, or a
+    /// silence was last handled.
+    silence_start: clock::Moment,
     /// Whether this attempt delivered a token.
     has_tokens: bool,
 }
@@ -88,7 +90,7 @@
     /// Returns the time from which the stream counts as silent for too long.
     fn silence_deadline(&self) -> clock::Moment {
         let (first, gap) = self.slot.silence();
-        self.last_data + if self.has_tokens { gap } else { first }
+        self.silence_start + if self.has_tokens { gap } else { first }
     }
 }
 
@@ -106,34 +108,34 @@
 #[derive(Debug)]
 pub(crate) struct Generation {
     worker: rc::Rc<worker::Worker>,
-    job: Job,
+    input: Input,
     stage: Stage,
     /// Number of answer tokens that the caller has, including those before a resumption.
     delivered: u64,
     /// When the last tokens arrived.
     last_token: Option<clock::Moment>,
-    claim: Claim,
+    claim: ClaimState,
     /// JSON texts of all tokens so far, each followed by a comma, if the response is to be stored
     /// for replay.
-    recorded: Option<String>,
+    replay_tokens: Option<String>,
 }
 
 impl Generation {
     /// Creates a call whose caller already has the first `from` tokens.
     pub(crate) fn new(
         worker: rc::Rc<worker::Worker>,
-        job: Job,
-        claim: Claim,
+        input: Input,
+        claim: ClaimState,
         from: u64,
     ) -> Generation {
         let stage = Stage::Pending(request::Pending::new(request::Repeat::Allowed));
-        let records = from == 0 && matches!(claim, Claim::Deferred(_));
-        let recorded = records.then(String::new);
-        Generation { worker, job, stage, delivered: from, last_token: None, claim, recorded }
+        let keeps_tokens = from == 0 && matches!(claim, ClaimState::Deferred(_));
+        let replay_tokens = keeps_tokens.then(String::new);
+        Generation { worker, input, stage, delivered: from, last_token: None, claim, replay_tokens }
     }
 
-    pub(crate) fn job(&self) -> &Job {
-        &self.job
+    pub(crate) fn input(&self) -> &Input {
+        &self.input
     }
 
     /// Abandons the call and returns the outcome for the caller.
@@ -153,7 +155,7 @@
         };
         // Runs twice at most: a second time when the stream recorded under the key is gone.
         loop {
-            let decision = self.job.queue.offer(self.job.request.clone());
+            let decision = self.input.queue.offer(self.input.request.clone());
             match self.run_attempts(pending, decision).await? {
                 dispatch::Started::Streaming(stream) => {
                     self.stage = Stage::Streaming(stream);
@@ -185,7 +187,7 @@
             let Stage::Streaming(stream) = &mut self.stage else {
                 return Err(fault::new(Reason::Internal, Step::Stream, self.abandon()));
             };
-            let deadline = self.job.call.deadline;
+            let deadline = self.input.call.deadline;
             let silence_deadline = stream.silence_deadline();
             let work = stream.events.batch();
             let batch =
@@ -198,7 +200,7 @@
                 }
                 Err(interrupt) => return Err(interrupt.fault(Step::Stream, self.abandon())),
             };
-            self.record_tokens(before);
+            self.observe_progress(before);
             match result {
                 Ok(Some(summary)) => return Ok(Some(self.complete(summary))),
                 Ok(None) if self.delivered > before => return Ok(None),
@@ -214,7 +216,8 @@
     }
 
     /// Checks the events of a batch and passes their tokens to `sink`. Returns the summary if the
-    /// batch has the end event.
+    /// batch has the end event. The stage is always `Streaming` here; any other counts as a
+    /// truncated stream.
     fn apply_batch<S>(
         &mut self,
         batch: &[u8],
@@ -232,9 +235,9 @@
                 engine::Event::Chunk { attempt, number, text } => {
                     stream.checker.chunk(attempt, number)?;
                     sink.token(text);
-                    if let Some(recorded) = &mut self.recorded {
-                        recorded.push_str(text.get());
-                        recorded.push(',');
+                    if let Some(replay_tokens) = &mut self.replay_tokens {
+                        replay_tokens.push_str(text.get());
+                        replay_tokens.push(',');
                     }
                     self.delivered = stream.checker.next();
                     stream.has_tokens = true;
@@ -242,7 +245,7 @@
                 engine::Event::End { attempt, count, prompt_tokens, cached_tokens, load } => {
                     stream.checker.end(attempt, count)?;
                     if let Some(load) = load {
-                        self.job.queue.observe(stream.slot.upstream(), &load);
+                        self.input.queue.observe(stream.slot.upstream(), &load);
                         self.worker.state.link.record_load(stream.slot.upstream(), &load);
                     }
                     let outcome = Outcome::Unknown;
@@ -259,15 +262,16 @@
         Ok(summary)
     }
 
-    /// Records the tokens that arrived since `before` tokens had been delivered.
-    fn record_tokens(&mut self, before: u64) {
+    /// Updates the metrics and the start of the silence if tokens arrived since `before` of them
+    /// had been delivered.
+    fn observe_progress(&mut self, before: u64) {
         let new_tokens = self.delivered - before;
         if new_tokens == 0 {
             return;
         }
         let state = &self.worker.state;
         let now = state.clock.now();
-        let request = &self.job.request;
+        let request = &self.input.request;
         if before == 0
             && let Stage::Streaming(stream) = &self.stage
         {
@@ -275,10 +279,10 @@
             let view = state.view();
             let class = document::Class::of(request.prompt_tokens);
             let span = now.since(request.arrived);
-            if let Some(known) = view.fleet.upstream(stream.slot.upstream()) {
-                state.metrics.observe_first_token(class, &request.model, &known.entry.zone, span);
+            if let Some(listed) = view.fleet.upstream(stream.slot.upstream()) {
+                state.metrics.observe_first_token(class, &request.model, &listed.entry.zone, span);
                 if class == document::Class::Short {
-                    state.metrics.observe_short_slowdown(request, span, known.entry.prefill_rate);
+                    state.metrics.observe_short_slowdown(request, span, listed.entry.prefill_rate);
                 }
             }
         }
@@ -289,7 +293,7 @@
         );
         self.last_token = Some(now);
         if let Stage::Streaming(stream) = &mut self.stage {
-            stream.last_data = now;
+            stream.silence_start = now;
         }
     }
 
@@ -300,11 +304,11 @@
             let Summary { answer_tokens, prompt_tokens, cached_tokens, .. } = summary;
             let ending = load::Ending::Done { prompt_tokens, cached_tokens, answer_tokens };
             stream.slot.finish(ending);
-            self.job.queue.record_prompt_tokens(self.job.prompt_bytes, prompt_tokens);
+            self.input.queue.record_prompt_tokens(self.input.prompt_bytes, prompt_tokens);
             summary.outcome = stream.answering.complete();
         }
         self.store_answer(summary.prompt_tokens);
-        let request = &self.job.request;
+        let request = &self.input.request;
         let span = self.worker.state.clock.now().since(request.arrived);
         let class = document::Class::of(request.prompt_tokens);
         let prompt = (summary.prompt_tokens, summary.cached_tokens);
--- a/crates/lagoon-net/src/entry/generation/recovery.rs
+++ b/crates/lagoon-net/src/entry/generation/recovery.rs
@@ -14,11 +14,11 @@
 use crate::entry::fault;
 use crate::entry::interrupt;
 
-/// Attempts to resume a broken stream at the same chunk before the call moves to another engine.
+/// Tries to resume a broken stream at the same chunk before the call moves to another engine.
 const MAX_RESUMES: u32 = 3;
-/// Attempts to resume a silent stream at the same chunk.
+/// Tries to resume a silent stream at the same chunk.
 const MAX_SILENT_RESUMES: u32 = 1;
-/// Pause before the second attempt to resume; it grows by the same amount with each further one.
+/// Pause before the second try; it grows by the same amount with each further one.
 const RESUME_PAUSE: clock::Span = clock::Span::from_millis(20);
 
 /// Result of resuming a stream.
@@ -33,8 +33,9 @@
 }
 
 impl Stream {
-    /// Returns whether to resume a silent stream. One attempt is enough to find out whether only
-    /// the connection is dead while the engine still works.
+    /// Returns whether to resume a silent stream: not after exactly [`MAX_SILENT_RESUMES`] tries at
+    /// the current chunk. One try is enough to find out whether only the connection is dead while
+    /// the engine still works.
     fn may_resume_silent(&self) -> bool {
         self.has_tokens && self.resumes != (self.checker.next(), MAX_SILENT_RESUMES)
     }
@@ -48,18 +49,18 @@
         let Stage::Streaming(stream) = &mut self.stage else {
             return Err(engine::StreamError::Truncated);
         };
-        stream.last_data = now;
-        if stream.may_resume_silent() || self.is_better_elsewhere() {
+        stream.silence_start = now;
+        if stream.may_resume_silent() || self.can_move() {
             return Err(engine::StreamError::Silent);
         }
         Ok(None)
     }
 
-    /// Returns whether the call may move and another engine could take it from its silent one.
-    fn is_better_elsewhere(&self) -> bool {
+    /// Returns whether the call may move to another engine and there is one that could take it.
+    fn can_move(&self) -> bool {
         let Stage::Streaming(stream) = &self.stage else { return false };
-        let may_move = self.delivered == 0 || self.job.continues;
-        may_move && stream.slot.is_better_elsewhere(&self.job.request)
+        let may_move = self.delivered == 0 || self.input.continues;
+        may_move && stream.slot.has_alternative(&self.input.request)
     }
 
     /// Recovers from a broken stream: resumes it on its engine, or dispatches the call again.
@@ -72,12 +73,12 @@
             metrics.count_refused_chunk(violation_name(violation));
         }
         let mut silent = error == engine::StreamError::Silent;
-        let resumes = match error {
+        let may_resume = match error {
             engine::StreamError::Aborted(_) => false,
             engine::StreamError::Silent => stream.may_resume_silent(),
             _ => true,
         };
-        if resumes {
+        if may_resume {
             match self.resume(&mut stream).await {
                 Ok(Resumption::Resumed) => {
                     metrics.count_resume("resumed");
@@ -87,6 +88,8 @@
                 Ok(Resumption::Silent) => metrics.count_resume("failed"),
                 Ok(Resumption::Gone) => {
                     metrics.count_resume("failed");
+                    // Without the stream there is nothing to wait for: the call moves as after a
+                    // broken stream.
                     silent = false;
                 }
                 Err(interrupt) => {
@@ -96,7 +99,7 @@
         }
         if silent {
             self.stage = Stage::Streaming(stream);
-            if !self.is_better_elsewhere() {
+            if !self.can_move() {
                 return Ok(());
             }
             let Stage::Streaming(moved) = mem::replace(&mut self.stage, Stage::Ended) else {
@@ -109,7 +112,7 @@
         drop(cancel);
         let lost = answering.broken();
         let peer = slot.upstream().to_string();
-        if self.delivered > 0 && !self.job.continues {
+        if self.delivered > 0 && !self.input.continues {
             slot.finish(ending);
             let fault = fault::new(Reason::UpstreamFailed, Step::Stream, lost.end());
             return Err(fault.at(peer).with_detail(error.to_string()));
@@ -123,7 +126,7 @@
             return Err(fault.at(peer).with_detail(error.to_string()));
         }
         metrics.count_retry(if silent { "silent" } else { "broken" });
-        let decision = slot.retry(ending, self.job.request.clone());
+        let decision = slot.retry(ending, self.input.request.clone());
         match self.run_attempts(pending, decision).await? {
             dispatch::Started::Streaming(stream) => self.stage = Stage::Streaming(stream),
             // The first dispatch of this call has already claimed the key, so nothing else can be
@@ -151,7 +154,7 @@
                 engine::resume(&self.worker.client, stream.address, attempt, owner, from).await
             };
             let (_, gap) = stream.slot.silence();
-            let (now, deadline) = (state.clock.now(), self.job.call.deadline);
+            let (now, deadline) = (state.clock.now(), self.input.call.deadline);
             let until = now + gap;
             let result = match interrupt::within(state, until.min(deadline), work).await {
                 Ok(result) => result,
@@ -177,7 +180,7 @@
     }
 }
 
-/// Returns the metric label of a violation.
+/// Returns the metric label of a violation. A chunk of another attempt is labelled `crossed`.
 fn violation_name(violation: &stream::Violation) -> &'static str {
     match violation {
         stream::Violation::WrongAttempt => "crossed",
--- a/crates/lagoon-net/src/entry/group.rs
+++ b/crates/lagoon-net/src/entry/group.rs
@@ -42,10 +42,10 @@
     let mut parts = Vec::with_capacity(members.len());
     let mut guards = Vec::with_capacity(members.len());
     for (upstream, tokens) in members {
-        let Some(known) = view.fleet.upstream(upstream) else {
-            return Err(engine::Failure::Unsent(format!("{upstream} is not known")));
+        let Some(listed) = view.fleet.upstream(upstream) else {
+            return Err(engine::Failure::Unsent(format!("{upstream} is not in the fleet")));
         };
-        let (id, address) = (call::new_attempt(), known.entry.address);
+        let (id, address) = (call::random_id(), listed.entry.address);
         let (owner, ttl) = (state.owner.clone(), time_left + EXPIRY_MARGIN);
         let reservation = engine::Reservation { id, owner, tokens: *tokens, ttl };
         // Created before the request is sent, so that a reservation whose response is lost is
--- a/crates/lagoon-net/src/entry/linger.rs
+++ b/crates/lagoon-net/src/entry/linger.rs
@@ -1,4 +1,4 @@
-//! Limits how long a caller may keep its connection open after its response has ended.
+//! Limits how long a caller may keep its connection open after the deadline.
 //!
 //! Guards against callers that stop reading but keep the connection: the unsent end of the
 //! response, a service slot and the count of requests in progress would stay held long after the
--- a/crates/lagoon-net/src/entry/link/mod.rs
+++ b/crates/lagoon-net/src/entry/link/mod.rs
@@ -1,5 +1,6 @@
 //! Exchanges load, rate limit usage and leaving marks between the data path and its steward.
 //!
+//! A leaving mark says whether an incarnation of an upstream is leaving and gets no new work.
 //! Requests never wait for this link: loads and usage are collected and sent by a timer.
 
 use std::collections;
@@ -28,7 +29,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Link {
     handle: Option<link::Handle>,
-    /// Whether the steward has confirmed that the sections are complete; never reset.
+    /// Whether the steward has confirmed that the sections are the newest available; never reset.
     complete: atomic::AtomicBool,
     observed: sync::Mutex<Observed>,
     marks: sync::Mutex<leaving::Marks>,
@@ -69,7 +70,8 @@
         self.complete.load(atomic::Ordering::Acquire)
     }
 
-    /// Returns the time since the last message of the steward; `None` without a steward.
+    /// Returns the time since the last message of the steward; `None` without a steward or before
+    /// its first message.
     pub(crate) fn view_age(&self) -> Option<clock::Span> {
         self.handle.as_ref()?.view_age()
     }
@@ -129,6 +131,7 @@
     fn flush_loads(&self, handle: &link::Handle) {
         let loads = std::mem::take(&mut self.observed().loads);
         if !loads.is_empty() {
+            // The age of 0 ignores the wait for this report, which is at most one interval.
             handle.loads(loads.iter().map(|(name, load)| wire::load(name, load, 0)).collect());
         }
     }
--- a/crates/lagoon-net/src/entry/metrics.rs
+++ b/crates/lagoon-net/src/entry/metrics.rs
@@ -76,7 +76,7 @@
     reason: &'static str,
 }
 
-/// Labels under which a request is counted when it ends.
+/// What a request is counted by when it ends.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Tags {
     kind: &'static str,
@@ -86,12 +86,12 @@
 }
 
 impl Tags {
-    /// Labels of a request of which only the path is known.
+    /// Tags of a request of which only the path is known.
     pub(crate) fn new(kind: &'static str) -> Tags {
         Tags { kind, ..Tags::default() }
     }
 
-    /// Labels of a request for an existing model or service from a known customer.
+    /// Tags of a request for an existing model or service from a known customer.
     pub(crate) fn of(kind: &'static str, name: &str, customer: &id::Customer) -> Tags {
         Tags { kind, name: name.to_owned(), customer: Some(customer.clone()) }
     }
@@ -103,7 +103,7 @@
     team: String,
 }
 
-/// Label of counters by cause.
+/// Label of counters by cause or by result.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct CauseLabels {
     cause: &'static str,
@@ -235,7 +235,7 @@
         registry.register_with_unit("completion", "To the whole answer", seconds(), completion);
     }
 
-    /// Creates the counters of all known causes, so that a rate includes their first increment.
+    /// Creates the counters of the causes below, so that a rate includes their first increment.
     fn create_known_counters(&self) {
         let reasons = outcome::Reason::ALL.map(outcome::Reason::as_str);
         create_counters(&self.refusals, &reasons);
@@ -291,13 +291,13 @@
 
     /// Returns the customer's own label value, or `other` beyond the limit.
     fn customer_label(&self, customer: &id::Customer) -> String {
-        let lines = &self.labelled_customers;
-        let mut lines = lines.lock().unwrap_or_else(sync::PoisonError::into_inner);
-        let known = lines.contains(customer);
-        if !known && lines.len() < MAX_CUSTOMER_LABELS {
-            lines.insert(customer.clone());
+        let labelled = &self.labelled_customers;
+        let mut labelled = labelled.lock().unwrap_or_else(sync::PoisonError::into_inner);
+        let known = labelled.contains(customer);
+        if !known && labelled.len() < MAX_CUSTOMER_LABELS {
+            labelled.insert(customer.clone());
         }
-        if lines.contains(customer) { customer.to_string() } else { "other".to_owned() }
+        if labelled.contains(customer) { customer.to_string() } else { "other".to_owned() }
     }
 
     /// Records the slowdown of a short prompt: its first token arrived after `span` from an engine
--- a/crates/lagoon-net/src/entry/model.rs
+++ b/crates/lagoon-net/src/entry/model.rs
@@ -36,29 +36,29 @@
     let read = body::collect(&state.settings.limits, request.headers(), unread.take());
     let body = interrupt::within(state, call.deadline, read).await;
     let body = body.map_err(|interrupt| interrupt.fault(Step::Read, Outcome::NotRun))??;
-    let prompt = prompt::parse(endpoint, &body).map_err(call::malformed)?;
-    let job = new_job(call, &prompt, body)?;
-    let tags = job.tags();
+    let parameters = prompt::parse(endpoint, &body).map_err(call::malformed)?;
+    let input = new_input(call, &parameters, body)?;
+    let tags = input.tags();
     request.extensions_mut().insert(tags.clone());
     let metadata = render::Metadata {
         endpoint,
-        id: call::new_attempt(),
-        model: job.request.model.clone(),
+        id: call::random_id(),
+        model: input.request.model.clone(),
         created: state.clock.wall_millis() / 1_000,
     };
-    let customer = job.call.customer();
-    let rate = job.call.rate();
-    let tokens = job.request.prompt_tokens + job.request.answer_tokens;
+    let customer = input.call.customer();
+    let rate = input.call.rate();
+    let tokens = input.request.prompt_tokens + input.request.answer_tokens;
     state.rate_limits().admit(state.clock.now(), &customer.name, rate, tokens)?;
-    let (claim, from) = (new_claim(worker, request, &job), job.call.resume_from);
-    let mut generation = generation::Generation::new(worker.clone(), job, claim, from);
+    let (claim, from) = (new_claim(worker, request, &input), input.call.resume_from);
+    let mut generation = generation::Generation::new(worker.clone(), input, claim, from);
     let replay = generation.start().await?;
     let mut response = web::HttpResponse::Ok();
     response.set_header("X-Request-Id", request_id);
     if state.phase() >= state::Phase::Draining {
         response.force_close();
     }
-    if prompt.stream {
+    if parameters.stream {
         let outcome_event = request.headers().get("lagoon-outcome-event");
         let outcome_event = outcome_event.is_some_and(|value| value.as_bytes() == b"1");
         let mut writer = render::Writer::new(metadata);
@@ -100,15 +100,17 @@
 fn new_claim(
     worker: &worker::Worker,
     request: &web::HttpRequest,
-    job: &generation::Job,
-) -> generation::Claim {
-    match (&job.call.key, &worker.claims) {
-        (Some(key), Some(claims)) => generation::Claim::Deferred(Box::new(generation::Deferred {
-            claims: claims.clone(),
-            key: key.clone(),
-            body: claim::body_hash("POST", request.path(), &job.body),
-        })),
-        _ => generation::Claim::None,
+    input: &generation::Input,
+) -> generation::ClaimState {
+    match (&input.call.idempotency_key, &worker.claims) {
+        (Some(key), Some(claims)) => {
+            generation::ClaimState::Deferred(Box::new(generation::Deferred {
+                claims: claims.clone(),
+                key: key.clone(),
+                body: claim::body_hash("POST", request.path(), &input.body),
+            }))
+        }
+        _ => generation::ClaimState::None,
     }
 }
 
@@ -119,49 +121,49 @@
 ) -> Result<render::Usage, fault::Fault> {
     let unreadable = || fault::new(Reason::EarlierUnknown, Step::Claim, Outcome::Unknown);
     let (prompt_tokens, answer_tokens) = found.ok_or_else(unreadable)?;
-    let limit_reached = answer_tokens >= generation.job().request.answer_tokens;
+    let limit_reached = answer_tokens >= generation.input().request.answer_tokens;
     Ok(render::Usage { prompt_tokens, answer_tokens, limit_reached })
 }
 
 /// Checks the model and the token limit, and builds the request for the scheduler.
-fn new_job(
+fn new_input(
     call: call::Call,
-    prompt: &prompt::Prompt,
+    parameters: &prompt::Parameters,
     body: ntex::util::Bytes,
-) -> Result<generation::Job, fault::Fault> {
-    let model = id::Model::from(prompt.model.as_str());
+) -> Result<generation::Input, fault::Fault> {
+    let model = id::Model::from(parameters.model.as_str());
     let fleet = &call.view.fleet;
     let unknown = || fault::new(Reason::UnknownName, Step::Admit, Outcome::NotRun);
-    let known = fleet.models.get(&model).ok_or_else(unknown)?;
+    let model_entry = fleet.models.get(&model).ok_or_else(unknown)?;
     let queue = call.view.queues.get(&model).ok_or_else(unknown)?;
     let customer = call.customer();
     if !customer.entry.models.is_empty() && !customer.entry.models.contains(&model) {
         return Err(fault::new(Reason::Forbidden, Step::Admit, Outcome::NotRun));
     }
-    let ratio = queue.ratio();
-    let tokens = |bytes: usize| ratio.tokens(bytes as u64);
-    let prompt_tokens = tokens(prompt.bytes).max(1);
-    if prompt_tokens.saturating_add(prompt.answer_tokens) > known.max_tokens {
-        let detail = format!("about {prompt_tokens} and {} tokens", prompt.answer_tokens);
+    let bytes_per_token = queue.bytes_per_token();
+    let tokens = |bytes: usize| bytes_per_token.tokens(bytes as u64);
+    let prompt_tokens = tokens(parameters.bytes).max(1);
+    if prompt_tokens.saturating_add(parameters.max_answer_tokens) > model_entry.max_tokens {
+        let detail = format!("about {prompt_tokens} and {} tokens", parameters.max_answer_tokens);
         let fault = fault::new(Reason::TooLong, Step::Admit, Outcome::NotRun);
         return Err(fault.with_detail(detail));
     }
-    let prefixes = prompt.prefixes.iter().map(|(hash, bytes)| (*hash, tokens(*bytes)));
+    let prefixes = parameters.prefixes.iter().map(|(hash, bytes)| (*hash, tokens(*bytes)));
     let request = load::Request {
         customer: customer.name.clone(),
         team: customer.team.clone(),
         weight: customer.entry.weight,
         model,
         prompt_tokens,
-        answer_tokens: prompt.answer_tokens,
+        answer_tokens: parameters.max_answer_tokens,
         bytes: body.len() as u64,
         arrived: call.arrived,
         deadline: call.deadline,
         prefixes: prefixes.collect(),
     };
-    let (queue, continues) = (sync::Arc::clone(queue), known.continues);
-    let prompt_bytes = prompt.bytes;
-    Ok(generation::Job { call, request, prompt_bytes, queue, continues, body })
+    let (queue, continues) = (sync::Arc::clone(queue), model_entry.continues);
+    let prompt_bytes = parameters.bytes;
+    Ok(generation::Input { call, request, prompt_bytes, queue, continues, body })
 }
 
 /// Lists the models that the caller may use.
--- a/crates/lagoon-net/src/entry/prompt.rs
+++ b/crates/lagoon-net/src/entry/prompt.rs
@@ -4,10 +4,11 @@
 
 use serde_json::value::RawValue;
 
-/// Interval of prefix hashes, in bytes of prompt text.
+/// Interval of prefix hashes, in bytes of prompt text: the block length of the engines' prefix
+/// caches.
 const PREFIX_STEP: usize = 4_096;
-/// Limit on answer tokens of a call that gives none.
-const DEFAULT_ANSWER_TOKENS: u64 = 1_024;
+/// Default of `max_tokens`.
+const DEFAULT_MAX_ANSWER_TOKENS: u64 = 1_024;
 
 #[derive(serde::Deserialize)]
 struct Fields<'a> {
@@ -25,12 +26,12 @@
     messages: Option<&'a RawValue>,
 }
 
-/// The fields of a call that scheduling needs.
+/// The parameters of a call that scheduling needs.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct Prompt {
+pub(crate) struct Parameters {
     pub(crate) model: String,
     pub(crate) stream: bool,
-    pub(crate) answer_tokens: u64,
+    pub(crate) max_answer_tokens: u64,
     /// Length of the prompt's text, in bytes.
     pub(crate) bytes: usize,
     /// FNV-1a hashes at each multiple of [`PREFIX_STEP`] bytes, with the length in bytes.
@@ -47,7 +48,7 @@
 }
 
 /// Parses `body`. Serde also checks that it is valid JSON and UTF-8.
-pub(crate) fn parse(endpoint: Endpoint, body: &[u8]) -> Result<Prompt, String> {
+pub(crate) fn parse(endpoint: Endpoint, body: &[u8]) -> Result<Parameters, String> {
     let fields: Fields<'_> = serde_json::from_slice(body).map_err(|error| error.to_string())?;
     let (name, prompt) = match endpoint {
         Endpoint::Completions => ("prompt", fields.prompt),
@@ -55,14 +56,14 @@
     };
     let prompt = prompt.ok_or_else(|| format!("missing field `{name}`"))?.get();
     check_type(endpoint, prompt)?;
-    let answer_tokens = fields.max_completion_tokens.or(fields.max_tokens);
-    let answer_tokens = answer_tokens.unwrap_or(DEFAULT_ANSWER_TOKENS);
-    if answer_tokens == 0 {
+    let max_answer_tokens = fields.max_completion_tokens.or(fields.max_tokens);
+    let max_answer_tokens = max_answer_tokens.unwrap_or(DEFAULT_MAX_ANSWER_TOKENS);
+    if max_answer_tokens == 0 {
         return Err("max_tokens must be at least 1".to_owned());
     }
     let (bytes, prefixes) = hash(prompt);
     let stream = fields.stream.unwrap_or(false);
-    Ok(Prompt { model: fields.model.into_owned(), stream, answer_tokens, bytes, prefixes })
+    Ok(Parameters { model: fields.model.into_owned(), stream, max_answer_tokens, bytes, prefixes })
 }
 
 /// Checks that the prompt has the JSON type that the endpoint expects.
--- a/crates/lagoon-net/src/entry/prompt/tests.rs
+++ b/crates/lagoon-net/src/entry/prompt/tests.rs
@@ -4,7 +4,7 @@
 fn extracts_the_fields_for_scheduling() {
     let body = br#"{"model":"m","stream":true,"max_tokens":7,"prompt":"a\nb","x":[1,{}]}"#;
     let prompt = parse(Endpoint::Completions, body).unwrap();
-    assert_eq!((prompt.model.as_str(), prompt.stream, prompt.answer_tokens), ("m", true, 7));
+    assert_eq!((prompt.model.as_str(), prompt.stream, prompt.max_answer_tokens), ("m", true, 7));
     assert_eq!(prompt.bytes, 3);
     assert!(prompt.prefixes.is_empty());
 }
--- a/crates/lagoon-net/src/entry/queue_settings.rs
+++ b/crates/lagoon-net/src/entry/queue_settings.rs
@@ -15,7 +15,12 @@
 /// Highest weight that may be configured.
 const MAX_WEIGHT: f64 = 1e6;
 
-/// Reads the `queue` object. Fields that are absent get the default of [`load::Settings`].
+/// Reads the `queue` object. Fields that are absent get the default of [`load::Settings`], which
+/// documents them.
+///
+/// `policy` is the scheduling policy, and `choice` how the full policy chooses among upstreams.
+/// `ahead_ms` is the outstanding prefill, as time at an engine's rate, up to which the engine gets
+/// more work. `long_tokens` is the long prefill that an engine may have outstanding, in tokens.
 pub(crate) fn read(reader: &check::Reader<'_>, zone: &id::Zone) -> load::Settings {
     let default = load::Settings { zone: zone.clone(), ..load::Settings::default() };
     let hosts = reader.number("hosts_in_zone", u64::from(default.hosts_in_zone), 1..=10_000);
@@ -41,13 +46,13 @@
                 if name == zone.as_str() {
                     reader.fault_here("is this host's own zone");
                 }
-                read_distance(reader)
+                read_zone_penalty(reader)
             })
             .into_iter()
-            .map(|(name, distance)| (id::Zone::from(name), distance))
+            .map(|(name, penalty)| (id::Zone::from(name), penalty))
             .collect(),
         remote_default: reader
-            .child("remote_default", read_distance)
+            .child("remote_default", read_zone_penalty)
             .unwrap_or(default.remote_default),
         ..default
     }
@@ -69,9 +74,9 @@
     })
 }
 
-/// Reads how much shorter the wait in another zone must be for a request to go there: the sum of
-/// the network delay and the configured cost.
-fn read_distance(reader: &check::Reader<'_>) -> clock::Span {
+/// Reads how much shorter the wait in another zone must be for a request to go there: the network
+/// delay plus a configured handicap for leaving the zone (`cost_ms`).
+fn read_zone_penalty(reader: &check::Reader<'_>) -> clock::Span {
     let delay = settings::read_span(reader, "delay_ms", clock::Span::ZERO, 0, MAX_DELAY_MS);
     let cost = settings::read_span(reader, "cost_ms", clock::Span::ZERO, 0, MAX_DELAY_MS);
     delay + cost
@@ -84,6 +89,8 @@
     })
 }
 
+/// Reads the relative weights of the scheduler's goals: the time to the first token by length
+/// class, and the slowdown of short requests.
 fn read_weights(reader: &check::Reader<'_>) -> load::Weights {
     let default = load::Weights::default();
     let first_token = reader.child("first_token", |reader| {
--- a/crates/lagoon-net/src/entry/relay.rs
+++ b/crates/lagoon-net/src/entry/relay.rs
@@ -4,7 +4,7 @@
 //! host buffer without limit. A task fills a bounded channel; while the channel is full, the
 //! engine's connection is not read. The end of the stream is stored outside the channel, so that it
 //! reaches the caller even when the channel is full. If the task ends without storing one, as after
-//! a panic, the connection is cut. Only [`Ending::Complete`] ends the body normally.
+//! a panic, the connection is cut. Only [`StreamEnd::Complete`] ends the body normally.
 
 use std::cell;
 use std::pin;
@@ -26,8 +26,8 @@
 use super::state;
 
 #[derive(Debug)]
-enum Ending {
-    /// The stream has not ended, or its task ended without storing an ending.
+enum StreamEnd {
+    /// The stream has not ended, or its task ended without storing an end, as after a panic.
     Unset,
     /// The response is complete.
     Complete,
@@ -35,13 +35,13 @@
     Failed(util::Bytes),
 }
 
-type SharedEnding = rc::Rc<cell::RefCell<Ending>>;
+type SharedEnd = rc::Rc<cell::RefCell<StreamEnd>>;
 
 /// Body of a streamed response.
 #[derive(Debug)]
 pub(crate) struct BodyStream {
     batches: async_sync::mpsc::Receiver<util::Bytes>,
-    ending: SharedEnding,
+    ending: SharedEnd,
     _active: rc::Rc<state::ActiveGuard>,
     _guard: linger::Guard,
 }
@@ -63,17 +63,19 @@
 impl BodyStream {
     /// Returns the last item of the body, by how the stream ended.
     fn end(&self) -> Option<Result<util::Bytes, std::io::Error>> {
-        match self.ending.replace(Ending::Complete) {
-            Ending::Complete => None,
-            Ending::Failed(event) => Some(Ok(event)),
-            Ending::Unset => {
-                Some(Err(std::io::Error::other("the response ended without a result")))
+        match self.ending.replace(StreamEnd::Complete) {
+            StreamEnd::Complete => None,
+            StreamEnd::Failed(event) => Some(Ok(event)),
+            StreamEnd::Unset => {
+                Some(Err(std::io::Error::other("the response task ended without storing an end")))
             }
         }
     }
 }
 
 /// Starts a task that sends the remaining tokens of `generation` to the returned body.
+/// `outcome_event` adds an `outcome` event before `[DONE]`, for callers that cannot read it from
+/// the head.
 pub(crate) fn start(
     state: std::sync::Arc<state::State>,
     generation: generation::Generation,
@@ -84,14 +86,14 @@
 ) -> BodyStream {
     let active = rc::Rc::new(active);
     let (sender, batches) = async_sync::mpsc::channel(state.settings.limits.stream_batches);
-    let ending = rc::Rc::new(cell::RefCell::new(Ending::Unset));
+    let ending = rc::Rc::new(cell::RefCell::new(StreamEnd::Unset));
     let relay = Relay { state, generation, writer, sender, ending: ending.clone(), outcome_event };
     let task_active = active.clone();
     let (guard, watch) = linger::pair(io);
     drop(ntex::rt::spawn(async move {
-        let left = relay.run().await;
+        let time_left = relay.run().await;
         drop(task_active);
-        watch.close_after(left).await;
+        watch.close_after(time_left).await;
     }));
     BodyStream { batches, ending, _active: active, _guard: guard }
 }
@@ -102,7 +104,7 @@
     generation: generation::Generation,
     writer: render::Writer,
     sender: async_sync::mpsc::Sender<util::Bytes>,
-    ending: SharedEnding,
+    ending: SharedEnd,
     outcome_event: bool,
 }
 
@@ -115,23 +117,23 @@
             () = sender.closed() => None,
             ended = self.forward() => Some(ended),
         };
-        let (metrics, tags) = (&self.state.metrics, self.generation.job().tags());
+        let (metrics, tags) = (&self.state.metrics, self.generation.input().tags());
         match ended {
             Some(Ok(outcome)) => {
                 metrics.count_done(&tags, outcome);
-                self.ending.replace(Ending::Complete);
+                self.ending.replace(StreamEnd::Complete);
             }
             Some(Err(fault)) => {
                 metrics.count_failed(&tags, &fault.failure);
                 self.writer.fail(&fault.to_json());
-                self.ending.replace(Ending::Failed(self.writer.take()));
+                self.ending.replace(StreamEnd::Failed(self.writer.take()));
             }
             None => {
                 let fault = fault::new(Reason::CallerLeft, Step::Stream, self.generation.abandon());
                 metrics.count_failed(&tags, &fault.failure);
             }
         }
-        self.generation.job().call.time_left(&self.state) + self.state.settings.limits.linger
+        self.generation.input().call.time_left(&self.state) + self.state.settings.limits.linger
     }
 
     /// Sends batches of events until the response ends.
@@ -143,7 +145,7 @@
                 self.writer.finish(usage, self.outcome_event);
             }
             let batch = self.writer.take();
-            let deadline = self.generation.job().call.deadline;
+            let deadline = self.generation.input().call.deadline;
             let sent = interrupt::within(&self.state, deadline, self.sender.send(batch)).await;
             if let Err(interrupt) = sent {
                 return Err(interrupt.fault(Step::Stream, self.generation.abandon()));
@@ -163,6 +165,6 @@
     render::Usage {
         prompt_tokens: summary.prompt_tokens,
         answer_tokens: summary.answer_tokens,
-        limit_reached: summary.answer_tokens >= generation.job().request.answer_tokens,
+        limit_reached: summary.answer_tokens >= generation.input().request.answer_tokens,
     }
 }
--- a/crates/lagoon-net/src/entry/render.rs
+++ b/crates/lagoon-net/src/entry/render.rs
@@ -58,9 +58,9 @@
         }
     }
 
-    /// Returns a streamed chunk up to its choices. Model names are validated to contain no
-    /// character that JSON escapes.
-    fn head(&self) -> String {
+    /// Returns the beginning of a streamed chunk, up to its choices. Model names are validated to
+    /// contain no character that JSON escapes.
+    fn chunk_prefix(&self) -> String {
         let object = match self.endpoint {
             prompt::Endpoint::Completions => "text_completion",
             prompt::Endpoint::Chat => "chat.completion.chunk",
@@ -90,7 +90,7 @@
                 ("{\"index\":0,\"text\":", b",\"logprobs\":null,\"finish_reason\":null}]}\n\n")
             }
             prompt::Endpoint::Chat => {
-                buffer.extend_from_slice(metadata.head().as_bytes());
+                buffer.extend_from_slice(metadata.chunk_prefix().as_bytes());
                 buffer.extend_from_slice(
                     b"{\"index\":0,\"delta\":{\"role\":\"assistant\",\"content\":\"\"},\
                       \"finish_reason\":null}]}\n\n",
@@ -98,7 +98,7 @@
                 ("{\"index\":0,\"delta\":{\"content\":", b"},\"finish_reason\":null}]}\n\n")
             }
         };
-        let prefix = format!("{}{opening}", metadata.head()).into_bytes();
+        let prefix = format!("{}{opening}", metadata.chunk_prefix()).into_bytes();
         Writer { metadata, prefix, suffix, buffer }
     }
 
@@ -120,7 +120,8 @@
                 format!("{{\"index\":0,\"delta\":{{}},\"finish_reason\":\"{reason}\"}}")
             }
         };
-        let event = format!("{}{choice}],\"usage\":{}}}\n\n", self.metadata.head(), usage.json());
+        let event =
+            format!("{}{choice}],\"usage\":{}}}\n\n", self.metadata.chunk_prefix(), usage.json());
         self.buffer.extend_from_slice(event.as_bytes());
         if outcome_event {
             self.buffer.extend_from_slice(b"event: outcome\ndata: done\n\n");
--- a/crates/lagoon-net/src/entry/replica.rs
+++ b/crates/lagoon-net/src/entry/replica.rs
@@ -7,10 +7,10 @@
 //! refused.
 //!
 //! Guards against a replica that fails every call at once: it would always have the fewest calls in
-//! progress and attract all of them. In one such case 745 calls (bookings) in 15 s ended as unknown
-//! while the other replicas were idle. Three lost responses in a row open the replica's circuit, as
-//! for an engine (`lagoonline::load::outlier`); a single call probes it later. At most a third of a
-//! service's replicas, and at least one, may be ejected.
+//! progress and attract all of them. Without a circuit breaker, 745 calls ended as unknown within
+//! 15 s while the other replicas were idle. Three failed calls in a row open the replica's circuit,
+//! as for an engine (`lagoonline::load::outlier`); a single call probes it later. At most a third
+//! of a service's replicas, and at least one, may have an open circuit.
 
 use std::collections;
 use std::net;
@@ -59,8 +59,8 @@
     waiting: atomic::AtomicUsize,
 }
 
-/// Interval at which a waiting call checks by itself: slots also appear with a new document, and a
-/// wakeup may be lost when several slots are released at once.
+/// Interval at which a waiting call checks by itself: slots also appear when a new section is
+/// applied, and a wakeup may be lost when several slots are released at once.
 const RECHECK_INTERVAL: clock::Span = clock::Span::from_millis(50);
 
 /// A waiting call. Dropping it removes it from the queue.
@@ -82,7 +82,7 @@
     }
 }
 
-/// Slots in use at each replica of this host's view.
+/// State of all service replicas in this host's view, and the queues of the services.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Replicas {
     replicas: collections::HashMap<id::Upstream, sync::Arc<Replica>>,
@@ -110,7 +110,8 @@
         self.replica.health().record_success();
     }
 
-    /// Records that no response arrived although the caller sent its whole request.
+    /// Records that no connection was established or no response arrived, and that this was not the
+    /// caller's fault.
     pub(crate) fn record_failure(&self, now: clock::Moment) {
         self.replica.health().record_failure(now, self.ejected, self.total, self.remote);
     }
@@ -119,8 +120,8 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         // A probe of an open circuit that ended without a result, as when its caller disconnected,
-        // must not leave the circuit in the probing state forever. This has no effect after a
-        // result.
+        // must not leave the circuit in the probing state forever. `START` lets the next call probe
+        // at once. This has no effect after a result.
         self.replica.health().record_inconclusive(clock::Moment::START);
         self.replica.release();
         self.queue.freed.notify_one();
@@ -130,7 +131,7 @@
 /// Reason why no slot is available.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Unavailable {
-    /// No replica is known, or all are leaving, out of service or already tried.
+    /// No replica is known, or all are leaving, have an open circuit or were already tried.
     NoReplica,
     /// All slots are taken.
     Full,
--- a/crates/lagoon-net/src/entry/server.rs
+++ b/crates/lagoon-net/src/entry/server.rs
@@ -212,7 +212,7 @@
         .run();
     let client = worker::new_client(1).await;
     drop(ntex::rt::spawn(cancel::run(state.clone(), client, receivers.cancels)));
-    drop(ntex::rt::spawn(run_queues(receivers.queues)));
+    drop(ntex::rt::spawn(run_queues(receivers.new_queues)));
     if let Some(task) = receivers.link {
         drop(ntex::rt::spawn(task.run(link::Sink(state.clone()))));
         drop(ntex::rt::spawn(link::report(state.clone())));
@@ -256,7 +256,8 @@
     log::info!("drained");
 }
 
-/// Runs the drain from its start to its end. Returns whether requests were cut.
+/// Runs the drain from its start to its end. Returns whether it was cut short (by a second signal
+/// or the grace limit) while requests were in progress.
 async fn run_drain(
     state: &state::State,
     phase: &mut tokio::sync::watch::Receiver<state::Phase>,
@@ -272,6 +273,7 @@
         }
         reached = tokio::select! {
             biased;
+            // A second signal cuts the drain short.
             () = wait_for_phase(phase, state::Phase::Aborting) => {
                 drain.signal(state.clock.now(), state.active())
             }
@@ -294,7 +296,7 @@
     drop(state.watch_active().wait_for(|count| *count == 0).await);
 }
 
-/// Handles one HTTP request: probes and metrics here, everything else by [`dispatch`].
+/// Handles one HTTP request: probes and metrics here, everything else by [`call_handler`].
 async fn route(
     request: web::HttpRequest,
     payload: web::types::Payload,
@@ -319,7 +321,7 @@
         return fault.response(&request_id, true);
     }
     let work = async {
-        let result = dispatch(&worker, &request, &unread, &request_id).await;
+        let result = call_handler(&worker, &request, &unread, &request_id).await;
         if result.is_err() {
             unread.discard(request.headers(), max_bytes).await;
         }
@@ -343,8 +345,8 @@
     })
 }
 
-/// Selects the handler by path and method.
-async fn dispatch(
+/// Calls the handler for the path and method.
+async fn call_handler(
     worker: &rc::Rc<worker::Worker>,
     request: &web::HttpRequest,
     unread: &body::Unread,
--- a/crates/lagoon-net/src/entry/services.rs
+++ b/crates/lagoon-net/src/entry/services.rs
@@ -18,11 +18,11 @@
 use super::call;
 use super::claims;
 use super::fault;
+use super::forwarded_body;
 use super::interrupt;
 use super::linger;
 use super::metrics;
 use super::replica;
-use super::request_body;
 use super::state;
 use super::worker;
 use crate::service;
@@ -44,7 +44,7 @@
     pub(crate) service: id::Service,
     /// Path and query to forward.
     pub(crate) target: String,
-    pub(crate) body: request_body::RequestBody,
+    pub(crate) body: forwarded_body::ForwardedBody,
 }
 
 /// Handles a service call.
@@ -60,7 +60,7 @@
     let (name, target) = split_path(request);
     let service = id::Service::from(name);
     let refuse = |reason| Err(fault::new(reason, Step::Admit, Outcome::NotRun));
-    let Some(known) = call.view.fleet.services.get(&service) else {
+    let Some(entry) = call.view.fleet.services.get(&service) else {
         return refuse(Reason::UnknownName);
     };
     let allowed = &call.customer().entry.services;
@@ -71,8 +71,9 @@
     request.extensions_mut().insert(tags);
     state.rate_limits().admit(state.clock.now(), &call.customer().name, call.rate(), 0)?;
     let method = request.method().as_str();
-    let repeats = known.idempotent_methods.iter().any(|known| known == method);
-    if let (Some(key), false) = (call.key.clone(), repeats) {
+    let is_idempotent = entry.idempotent_methods.iter().any(|idempotent| idempotent == method);
+    // Idempotent methods need no claim: they may be sent again.
+    if let (Some(key), false) = (call.idempotency_key.clone(), is_idempotent) {
         let keyed = claims::KeyedCall {
             worker: worker.clone(),
             key,
@@ -80,16 +81,16 @@
             service,
             target,
             request_id: request_id.to_owned(),
-            max_answer_bytes: known.max_answer_bytes,
+            max_answer_bytes: entry.max_answer_bytes,
             active: rc::Rc::new(active),
             call,
         };
         return claims::handle(keyed, unread.take()).await;
     }
-    let body = request_body::RequestBody::new(state, request.headers(), unread.take())?;
+    let body = forwarded_body::ForwardedBody::new(state, request.headers(), unread.take())?;
     let (worker, request) = (worker.clone(), request.clone());
     let job = Job { worker, call, request, service, target, body };
-    let repeat = if repeats { request::Repeat::Allowed } else { request::Repeat::Never };
+    let repeat = if is_idempotent { request::Repeat::Allowed } else { request::Repeat::Never };
     let (response, answering, slot) = job.send(request::Pending::new(repeat)).await?;
     job.forward_response(response, answering, slot, active, request_id).await
 }
@@ -126,7 +127,7 @@
                 Err(fault) => return Err(fault.with_outcome(pending.end())),
             };
             tried.push(slot.upstream.clone());
-            let attempt = call::new_attempt();
+            let attempt = call::random_id();
             let dispatched = pending.dispatch(attempt);
             let work = self.dispatch(&slot, dispatched.attempt());
             let result = interrupt::within(state, self.call.deadline, work).await;
@@ -167,7 +168,7 @@
                     lost.retry().map_err(|outcome| last.clone().with_outcome(outcome))?
                 }
             };
-            if !self.body.is_replayable() {
+            if !self.body.can_resend() {
                 return Err(last.with_outcome(pending.end()));
             }
             state.metrics.count_retry("service");
@@ -310,12 +311,14 @@
         let left = self.call.time_left(&state) + state.settings.limits.linger;
         drop(ntex::rt::spawn(watch.close_after(left)));
         let tags = self.tags();
+        // `owned.0` and `owned.4` are used at the end of the response; the rest is released with
+        // it.
         let owned = (answering, slot, active, guard, tags);
         let first = Some((payload, owned));
         stream::unfold((state, first), move |(state, owned)| async move {
             let (mut payload, owned) = owned?;
             let next = interrupt::within(&state, deadline, payload.recv()).await;
-            let fault = match next {
+            let failed = match next {
                 Ok(Some(Ok(chunk))) => {
                     return Some((Ok(chunk), (state, Some((payload, owned)))));
                 }
@@ -330,7 +333,7 @@
                 }
                 Err(interrupt) => (owned.4, interrupt.fault(Step::Stream, owned.0.broken().end())),
             };
-            let (tags, fault) = fault;
+            let (tags, fault) = failed;
             state.metrics.count_failed(&tags, &fault.failure);
             let error = io::Error::other(fault.failure.to_string());
             let error: rc::Rc<dyn std::error::Error> = rc::Rc::new(error);
--- a/crates/lagoon-net/src/entry/settings.rs
+++ b/crates/lagoon-net/src/entry/settings.rs
@@ -39,7 +39,8 @@
     pub service_wait: clock::Span,
     /// Most calls of one service that may wait for a slot.
     pub service_waiting: usize,
-    /// Most dispatches of one request.
+    /// Most rounds of finding a slot and dispatching until a response starts. A broken stream is
+    /// not moved to another engine after as many dispatches.
     pub attempts: u32,
     /// Batches of a streamed response that are buffered for a slow caller before reading from the
     /// engine pauses.
@@ -128,18 +129,18 @@
     /// The file that cannot be used.
     pub file: path::PathBuf,
     /// What is wrong with it.
-    pub cause: Cause,
+    pub cause: LoadErrorCause,
 }
 
 /// Reason why a file cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum Cause {
+pub enum LoadErrorCause {
     /// It cannot be read.
     #[error("{0}")]
     Unreadable(std::io::Error),
     /// Its contents are invalid.
     #[error("{0}")]
-    Refused(check::Faults),
+    Invalid(check::Faults),
 }
 
 impl Settings {
@@ -150,7 +151,8 @@
     /// The file with everything that is wrong in it, each entry with its JSON pointer.
     pub fn load(file: &path::Path) -> Result<Settings, LoadError> {
         let text = read_file(file)?;
-        let refuse = |faults| LoadError { file: file.to_owned(), cause: Cause::Refused(faults) };
+        let refuse =
+            |faults| LoadError { file: file.to_owned(), cause: LoadErrorCause::Invalid(faults) };
         let (mut settings, document) = Settings::parse(&text).map_err(refuse)?;
         if let Some(path) = document {
             settings.sections.extend(load_document(&path)?);
@@ -206,14 +208,17 @@
 }
 
 fn read_file(file: &path::Path) -> Result<String, LoadError> {
-    let unreadable = |error| LoadError { file: file.to_owned(), cause: Cause::Unreadable(error) };
+    let unreadable =
+        |error| LoadError { file: file.to_owned(), cause: LoadErrorCause::Unreadable(error) };
     fs::read_to_string(file).map_err(unreadable)
 }
 
 fn load_document(file: &path::Path) -> Result<Vec<document::Section>, LoadError> {
     let text = read_file(file)?;
-    parse_document(&text)
-        .map_err(|faults| LoadError { file: file.to_owned(), cause: Cause::Refused(faults) })
+    parse_document(&text).map_err(|faults| LoadError {
+        file: file.to_owned(),
+        cause: LoadErrorCause::Invalid(faults),
+    })
 }
 
 /// Parses a whole document: `{"sections": {TEAM: {"version": N, ...}}}`.
@@ -240,7 +245,8 @@
     if faults.is_empty() { Ok(sections) } else { Err(check::Faults(faults)) }
 }
 
-/// Parses the sections of all teams. What is wrong in them is added to `faults`.
+/// Parses the sections of all teams; a missing version counts as 1. What is wrong in them is added
+/// to `faults`.
 fn read_sections(
     value: Value,
     pointer: &str,
--- a/crates/lagoon-net/src/entry/state.rs
+++ b/crates/lagoon-net/src/entry/state.rs
@@ -34,10 +34,11 @@
     Aborting,
 }
 
-/// Snapshot of all sections in force, with the queues of their models.
+/// Snapshot of the fleet (all sections in force, merged) with the queues and replicas for it.
 #[derive(Debug, Default)]
 pub(crate) struct View {
     pub(crate) fleet: view::Shared,
+    /// The scheduler of each model.
     pub(crate) shards: load::Shards,
     pub(crate) queues: collections::HashMap<id::Model, sync::Arc<admission::Queue>>,
     pub(crate) replicas: replica::Replicas,
@@ -52,7 +53,8 @@
     pub(crate) metrics: metrics::Metrics,
     pub(crate) cancels: cancel::Sender,
     pub(crate) link: link::Link,
-    pub(crate) platform: Option<sync::Arc<platform::Limits>>,
+    /// Request limits of the platform's clients; `None` without a platform.
+    pub(crate) platform_limits: Option<sync::Arc<platform::Limits>>,
     /// Rate limits of the customers.
     rate_limits: sync::Mutex<limit::Limits>,
     view: ArcSwap<View>,
@@ -61,7 +63,7 @@
     /// When the fleet last changed: the age of the view when there is no steward.
     fleet_changed_at: sync::Mutex<clock::Moment>,
     /// Sends new queues to the control thread, which wakes their requests.
-    queues: async_sync::mpsc::UnboundedSender<sync::Weak<admission::Queue>>,
+    new_queues: async_sync::mpsc::UnboundedSender<sync::Weak<admission::Queue>>,
     phase: async_sync::watch::Sender<Phase>,
     /// Number of requests in progress.
     active: async_sync::watch::Sender<usize>,
@@ -72,7 +74,7 @@
 /// Receivers of the work that the control thread does for the worker threads.
 #[derive(Debug)]
 pub(crate) struct Receivers {
-    pub(crate) queues: async_sync::mpsc::UnboundedReceiver<sync::Weak<admission::Queue>>,
+    pub(crate) new_queues: async_sync::mpsc::UnboundedReceiver<sync::Weak<admission::Queue>>,
     pub(crate) cancels: cancel::Receiver,
     pub(crate) link: Option<crate::link::Task>,
 }
@@ -85,10 +87,10 @@
         settings.load.seed = rand::random();
         let clock = clock::System::default();
         let incarnation = id::Incarnation(clock.wall_millis());
-        let (queues, queues_in) = async_sync::mpsc::unbounded_channel();
+        let (new_queues, queues_in) = async_sync::mpsc::unbounded_channel();
         let (cancels, cancels_in) = cancel::channel();
         let (link, task) = link::Link::open(&settings, incarnation);
-        let platform = settings.platform.clone().map(platform::Limits::new);
+        let platform_limits = settings.platform.clone().map(platform::Limits::new);
         let rate_limits = limit::Limits::new(settings.load.hosts_in_zone);
         let sections = settings.sections.clone();
         let state = sync::Arc::new(State {
@@ -98,18 +100,18 @@
             clock,
             cancels,
             link,
-            platform,
+            platform_limits,
             rate_limits: sync::Mutex::new(rate_limits),
             view: ArcSwap::default(),
             sections: sync::Mutex::default(),
             fleet_changed_at: sync::Mutex::default(),
-            queues,
+            new_queues,
             phase: async_sync::watch::Sender::new(Phase::Serving),
             active: async_sync::watch::Sender::new(0),
             aborted: atomic::AtomicUsize::new(0),
         });
         state.install(sections);
-        (state, Receivers { queues: queues_in, cancels: cancels_in, link: task })
+        (state, Receivers { new_queues: queues_in, cancels: cancels_in, link: task })
     }
 
     pub(crate) fn view(&self) -> sync::Arc<View> {
@@ -142,7 +144,7 @@
         let old = self.view();
         let now = self.clock.now();
         let shards = old.shards.with_fleet(now, &fleet, &self.settings.load);
-        let queues = self.queues(&old, &shards);
+        let queues = self.build_queues(&old, &shards);
         let replicas = old.replicas.with_fleet(&fleet);
         for queue in queues.values() {
             queue.wake_due();
@@ -151,8 +153,9 @@
         *changed = now;
     }
 
-    /// Returns the queues of all models; those of models that remain are kept.
-    fn queues(
+    /// Returns the queues of all models; those of models that remain are kept, new ones are handed
+    /// to the control thread.
+    fn build_queues(
         &self,
         old: &View,
         shards: &load::Shards,
@@ -163,7 +166,7 @@
             let queue = kept.unwrap_or_else(|| {
                 let queue = admission::Queue::new(self.clock, shard.clone());
                 // The control thread runs as long as the process, so the receiver exists.
-                let _ended = self.queues.send(sync::Arc::downgrade(&queue));
+                let _ended = self.new_queues.send(sync::Arc::downgrade(&queue));
                 queue
             });
             queues.insert(model.clone(), queue);
--- a/crates/lagoon-net/src/entry/worker.rs
+++ b/crates/lagoon-net/src/entry/worker.rs
@@ -37,10 +37,11 @@
 /// connection to the same upstream is being opened, and they hang until their deadline.
 const MAX_CONNECTIONS: usize = 1 << 20;
 
-/// Creates a client without timeouts: deadlines and queues are enforced by this crate.
-pub(crate) async fn new_client(keep_alive: u16) -> client::Client {
+/// Creates a client without timeouts: deadlines and queues are enforced by this crate. Idle
+/// connections are kept for `keep_alive_seconds`; with 0 none is reused.
+pub(crate) async fn new_client(keep_alive_seconds: u16) -> client::Client {
     let connector = client::Connector::new().limit(MAX_CONNECTIONS);
-    let connector = connector.keep_alive(ntex::time::Seconds(keep_alive));
+    let connector = connector.keep_alive(ntex::time::Seconds(keep_alive_seconds));
     let builder = client::Client::builder().connector::<()>(connector);
     let builder = builder.disable_timeout().disable_redirects().no_default_headers();
     match builder.build(SharedCfg::default()).await {
--- a/crates/lagoon-net/src/lib.rs
+++ b/crates/lagoon-net/src/lib.rs
@@ -1,8 +1,12 @@
-//! Network adapters of lagoonline: callers, upstreams, the platform and its own processes.
+//! Network adapters of lagoonline: the data path of entry hosts, the steward, and the clients of
+//! engines, services and the platform.
 //!
-//! Each foreign interface is implemented in one module, so that a wrong assumption about it has to
-//! be corrected in one place: `engine` for model engines, `service` for plain services, `platform`
-//! for the table service, the object store and the list of hosts.
+//! The interface of each external system is implemented in one module, so that a wrong assumption
+//! about it has to be corrected in one place: `engine` for model engines, `service` for plain
+//! services, `platform` for the table service, the object store and the list of hosts. `entry` is
+//! the data path, `steward` the control process beside it, `link` the connection between the two
+//! and `wire` its messages. `operator` is the client of the operators' program. `program`,
+//! `signals` and `logs` are shared by the binaries.
 //!
 //! ```
 //! use lagoon_net::wire;
--- a/crates/lagoon-net/src/service/mod.rs
+++ b/crates/lagoon-net/src/service/mod.rs
@@ -10,7 +10,9 @@
 
 use crate::engine;
 
-/// Headers that apply to one connection, or to lagoonline itself, and are not forwarded.
+/// Headers that are not forwarded: they apply to one connection, are set by the HTTP client itself,
+/// or are meant for lagoonline (`authorization`). `Lagoon-*` headers are not forwarded either; the
+/// code that copies the headers skips them.
 const NOT_FORWARDED: [&str; 12] = [
     "authorization",
     "connection",
@@ -26,7 +28,7 @@
     "upgrade",
 ];
 
-/// Returns whether the header is forwarded.
+/// Returns whether a header that is not a `Lagoon-*` header is forwarded.
 pub(crate) fn is_forwarded(name: &http::header::HeaderName) -> bool {
     !NOT_FORWARDED.contains(&name.as_str())
 }
@@ -34,7 +36,7 @@
 /// Parameters of a call to a service.
 #[derive(Debug)]
 pub struct Call<'a> {
-    /// Id of this dispatch.
+    /// Id of this attempt, new for each dispatch.
     pub attempt: id::Attempt,
     /// The entry host that sends the call.
     pub owner: &'a id::Owner,
--- a/crates/lagoon-net/tests/entry/bad_input.rs
+++ b/crates/lagoon-net/tests/entry/bad_input.rs
@@ -28,7 +28,7 @@
 #[case::negative("Lagoon-Deadline-Ms: -5\r\n")]
 #[case::zero("Lagoon-Deadline-Ms: 0\r\n")]
 #[case::absurd("Lagoon-Deadline-Ms: 99999999999999999999999\r\n")]
-#[case::above_the_customers("Lagoon-Deadline-Ms: 60001\r\n")]
+#[case::above_the_customers_maximum("Lagoon-Deadline-Ms: 60001\r\n")]
 #[case::no_number("Lagoon-Deadline-Ms: soon\r\n")]
 #[case::bad_key("Idempotency-Key: a b\r\n")]
 fn refuses_bad_headers(#[case] headers: &str) {
--- a/crates/lagoon-net/tests/entry/claims.rs
+++ b/crates/lagoon-net/tests/entry/claims.rs
@@ -161,8 +161,8 @@
     second.finish();
 }
 
-// The stream that the claim's row names was lost with its engine's memory. The caller gets a new
-// response under its key.
+// The engine is down during the first call, which fails and leaves a claim that names a stream the
+// engine does not have. The next call with the key gets a new response.
 #[test]
 fn a_stream_that_is_gone_runs_again() {
     let (first, second, _table) = start_two(host::quick());
--- a/crates/lagoon-net/tests/entry/host.rs
+++ b/crates/lagoon-net/tests/entry/host.rs
@@ -1,4 +1,7 @@
 //! Test fixture: one entry host with stand-in engines, and an HTTP client that writes raw bytes.
+//!
+//! The names `crew` (a customer), `pickup` (a service) and `tin` (a team, also used as a prompt and
+//! a body) are sample data without a meaning.
 
 use std::io;
 use std::io::Read as _;
@@ -18,8 +21,8 @@
 pub const KEY: &str = "crew-key";
 /// KV memory of each engine, in tokens.
 pub const KV_TOKENS: u64 = 2_000_000;
-/// Configured prefill rate of each engine, in tokens per second; those of [`quick`] are at least as
-/// fast.
+/// Prefill rate of each engine in the document, in tokens per second; engines with [`quick`]
+/// settings are at least as fast.
 pub const PREFILL_RATE: f64 = 1e6;
 /// Timeout of every wait in the tests.
 pub const PATIENCE: time::Duration = time::Duration::from_secs(20);
@@ -70,7 +73,7 @@
     document::Section::parse(id::Team::from("tin"), version, &text.to_string()).unwrap()
 }
 
-/// Returns settings with the full scheduling policy.
+/// Returns settings with the default scheduling policy, `full`.
 pub fn settings(sections: Vec<document::Section>) -> entry::Settings {
     let limits = entry::Limits {
         body_timeout: time::Duration::from_millis(300),
@@ -199,7 +202,7 @@
 {
     let began = time::Instant::now();
     while !met() {
-        assert!(began.elapsed() < PATIENCE, "{what}");
+        assert!(began.elapsed() < PATIENCE, "timed out waiting until: {what}");
         std::thread::sleep(time::Duration::from_millis(5));
     }
 }
--- a/crates/lagoon-net/tests/entry/leaving.rs
+++ b/crates/lagoon-net/tests/entry/leaving.rs
@@ -17,11 +17,12 @@
 use crate::link;
 
 const HOSTS: [&str; 2] = ["suva-1", "suva-2"];
-/// Time after which no call may be sent to the leaving engine: twice the promised time.
+/// Time after which no call may be sent to the leaving engine: twice the 2 s that the hosts may
+/// take.
 const SETTLE_TIME: time::Duration = time::Duration::from_secs(4);
-/// Pause between two calls, long enough to stay below the customer's rate limit.
+/// Pause between two calls, long enough to stay below the customer's default rate limit.
 const CALL_PAUSE: time::Duration = time::Duration::from_millis(40);
-/// Time for which no new call may arrive afterwards, while the list is stale.
+/// Time after [`SETTLE_TIME`] during which no new call may arrive, while the list is stale.
 const WATCH_TIME: time::Duration = time::Duration::from_secs(3);
 
 /// How the hosts learn that the engine is leaving.
@@ -81,7 +82,7 @@
     }
 
     /// Sets the state of the first engine in the platform's list.
-    fn list(&self, state: &str) {
+    fn set_listed_state(&self, state: &str) {
         let incarnation = self.engines[0].node().record().incarnation;
         let (name, zone, state) = ("engine-0".into(), "suva".into(), state.into());
         let line = platform::HostLine { name, zone, incarnation, state };
@@ -125,17 +126,17 @@
 #[case(Source::Peer, true)]
 fn a_leaving_engine_gets_nothing_new(#[case] source: Source, #[case] platform_down: bool) {
     let site = Site::start();
-    site.list("live");
+    site.set_listed_state("live");
     let leaving = site.engines[0].node().clone();
-    let (stop, second) = (atomic::AtomicBool::new(false), atomic::AtomicBool::new(true));
+    let (stop, second_may_call) = (atomic::AtomicBool::new(false), atomic::AtomicBool::new(true));
     let is_on = |flag: &atomic::AtomicBool| flag.load(atomic::Ordering::Relaxed);
     thread::scope(|scope| {
         let _stop = Stop(&stop);
         let callers = site.hosts.iter().enumerate().map(|(index, host)| {
-            let (stop, second) = (&stop, &second);
+            let (stop, second_may_call) = (&stop, &second_may_call);
             scope.spawn(move || {
                 while !is_on(stop) {
-                    let calls = index == 0 || is_on(second);
+                    let calls = index == 0 || is_on(second_may_call);
                     if calls { call(host) } else { thread::sleep(time::Duration::from_millis(5)) }
                 }
             })
@@ -144,25 +145,25 @@
         host::wait_until("the engine works", || leaving.record().attempts.len() > 20);
         let down = platform::Faults { down: platform_down, ..site.platform.node().faults() };
         site.platform.node().set_faults(down);
-        second.store(source != Source::Peer, atomic::Ordering::Relaxed);
+        second_may_call.store(source != Source::Peer, atomic::Ordering::Relaxed);
         thread::sleep(time::Duration::from_millis(200));
 
         let (began, mut last, mut sent) = (time::Instant::now(), time::Duration::ZERO, 0);
         match source {
-            Source::List => site.list("leaving"),
+            Source::List => site.set_listed_state("leaving"),
             Source::Refusal | Source::Peer => leaving.leave(),
         }
         while began.elapsed() < SETTLE_TIME {
-            // Only the first host's refusal can spread the news: the second host does not call
-            // until later.
-            second.fetch_or(began.elapsed() > SETTLE_TIME / 2, atomic::Ordering::Relaxed);
+            // The second host does not call during the first half, so it can learn of the leaving
+            // only from the first host.
+            second_may_call.fetch_or(began.elapsed() > SETTLE_TIME / 2, atomic::Ordering::Relaxed);
             let now = site.sent();
             if now != sent {
                 (sent, last) = (now, began.elapsed());
             }
         }
         if source == Source::List {
-            site.list("live");
+            site.set_listed_state("live");
         }
         thread::sleep(WATCH_TIME);
         assert_eq!(site.sent(), sent, "the leaving engine got new calls");
--- a/crates/lagoon-net/tests/entry/metrics.rs
+++ b/crates/lagoon-net/tests/entry/metrics.rs
@@ -32,7 +32,7 @@
     host.finish();
 }
 
-/// Customers beyond the limit share the label `other`, and no histogram has a customer label.
+/// Customers appear only in the counter of their requests; no histogram has a customer label.
 #[test]
 fn histograms_have_no_customers() {
     let host = host::Host::start(vec![host::quick()]);
--- a/crates/lagoon-net/tests/entry/stream.rs
+++ b/crates/lagoon-net/tests/entry/stream.rs
@@ -35,13 +35,14 @@
 // and then an `error` event: the chunk is never delivered, and the number of resumptions that bring
 // it again is limited.
 #[test]
-fn a_crossed_chunk_never_reaches_the_caller() {
+fn a_chunk_of_another_attempt_never_reaches_the_caller() {
     let faults = engine::Faults { cross_chunks: 7, ..engine::Faults::default() };
     let host = faulty(faults, false, 1);
     let answer = host.post("/v1/completions", "", &host::completion("tin", 40, true));
     assert_eq!(answer.matches("\"finish_reason\":null").count(), 7, "{answer}");
     assert!(answer.contains("event: error"), "{answer}");
     assert!(!answer.contains("[DONE]"), "{answer}");
+    // The chunk is refused in the first stream and in each of three resumptions.
     assert!(host.metrics().contains("lagoon_chunks_refused_total{cause=\"crossed\"} 4"));
     host.finish();
 }
--- a/crates/lagoon-net/tests/entry/takeover.rs
+++ b/crates/lagoon-net/tests/entry/takeover.rs
@@ -58,8 +58,9 @@
     Fixture { host, rows, call }
 }
 
-/// Returns the headers of a retry that resumes at `from`.
-fn from_header(from: Option<u64>) -> String {
+/// Returns the headers of a retry: the idempotency key, and the position to resume at if there is
+/// one.
+fn retry_headers(from: Option<u64>) -> String {
     let resume = from.map(|from| format!("Lagoon-Resume-From: {from}\r\n"));
     format!("Idempotency-Key: k1\r\n{}", resume.unwrap_or_default())
 }
@@ -85,7 +86,7 @@
 #[case(false, None)]
 fn a_dead_hosts_stream_is_resumed(#[case] stream: bool, #[case] from: Option<u64>) {
     let fixture = start_after_death("tin", stream, false, 50.0);
-    let answer = fixture.host.post("/v1/completions", &from_header(from), &fixture.call);
+    let answer = fixture.host.post("/v1/completions", &retry_headers(from), &fixture.call);
     assert_eq!(host::status(&answer), "200", "{answer}");
     assert_eq!(tokens(&answer, stream), TOKENS - from.unwrap_or(0), "{answer}");
     let engine = fixture.host.engines[0].node().clone();
@@ -113,7 +114,7 @@
     let engine = fixture.host.engines[0].node().clone();
     engine.set_faults(engine::Faults { down: true, ..engine.faults() });
     engine.set_faults(engine::Faults::default());
-    let answer = fixture.host.post("/v1/completions", &from_header(from), &fixture.call);
+    let answer = fixture.host.post("/v1/completions", &retry_headers(from), &fixture.call);
     assert_eq!(host::status(&answer), status, "{answer}");
     if status == "200" {
         assert_eq!(tokens(&answer, stream), TOKENS - from.unwrap_or(0), "{answer}");
@@ -147,7 +148,7 @@
 fn a_million_tokens_are_not_prefilled_again() {
     let prompt = "a".repeat(4 * 1_000_000);
     let fixture = start_after_death(&prompt, true, true, 10.0);
-    let taken = first_token(&fixture.host, &from_header(Some(5)), &fixture.call);
+    let taken = first_token(&fixture.host, &retry_headers(Some(5)), &fixture.call);
     let engine = fixture.host.engines[0].node().clone();
     assert_eq!(engine.record().attempts.len(), 1);
     let other = host::completion(&"b".repeat(4 * 1_000_000), TOKENS, true);
@@ -165,7 +166,7 @@
     let fixture = start_after_death("tin", true, false, 0.5);
     let engine = fixture.host.engines[0].address();
     let mut caller = fixture.host.connect();
-    let request = host::request("POST", "/v1/completions", &from_header(None), &fixture.call);
+    let request = host::request("POST", "/v1/completions", &retry_headers(None), &fixture.call);
     caller.write_all(&request).unwrap();
     host::wait_until("the engine knows the new owner", || {
         let mut stream = host::connect(engine);
