--- a/crates/lagoon-net/src/steward/calls.rs
+++ b/crates/lagoon-net/src/steward/calls.rs
@@ -13,7 +13,7 @@
 
 use super::Context;
 use super::core;
-use super::sweep;
+use super::memory_sweep;
 use super::usage;
 use super::zones;
 use crate::operator;
@@ -40,7 +40,7 @@
 type Outcome = Result<serde_json::Value, Failure>;
 
 /// Carries out a call and replies on its link.
-pub(super) async fn answer(context: Context, link: core::LinkId, call: wire::Call) {
+pub(super) async fn handle(context: Context, link: core::LinkId, call: wire::Call) {
     let outcome = dispatch(&context, &call).await;
     let (good, value) = match outcome {
         Ok(value) => (true, value),
@@ -67,7 +67,7 @@
         wire::Verb::Drain => drain(context, call).await,
         wire::Verb::Orders => orders(context, call).await,
         wire::Verb::Usage => usage_report(context, call).await,
-        wire::Verb::Owners => Ok(json!(sweep::words(context, &call.text).await)),
+        wire::Verb::Owners => Ok(json!(memory_sweep::statuses_of(context, &call.text).await)),
         wire::Verb::Unspecified => {
             Err(Failure::new("unknown_call", "this steward does not know the call"))
         }
@@ -76,11 +76,11 @@
 
 /// Whether the call's key is an operators' key.
 fn is_operator(context: &Context, hash: &document::KeyHash) -> bool {
-    context.settings.operator_keys.iter().any(|key| is_same(key, hash))
+    context.settings.operator_keys.iter().any(|key| keys_match(key, hash))
 }
 
 /// Compares in constant time: how long it takes says nothing of the key.
-fn is_same(one: &document::KeyHash, other: &document::KeyHash) -> bool {
+fn keys_match(one: &document::KeyHash, other: &document::KeyHash) -> bool {
     use subtle::ConstantTimeEq;
     one.ct_eq(other).into()
 }
@@ -91,7 +91,7 @@
     let core = context.core.borrow();
     let section = core.replica.section(&id::Team::from(call.team.as_str()));
     let keys = section.map(|section| section.body.policy.team_keys.as_slice()).unwrap_or_default();
-    if is_operator(context, &hash) || keys.iter().any(|key| is_same(key, &hash)) {
+    if is_operator(context, &hash) || keys.iter().any(|key| keys_match(key, &hash)) {
         return Ok(());
     }
     Err(Failure::new("denied", format!("the key may not act for team {}", call.team)))
@@ -110,9 +110,9 @@
     context.platform.as_ref().ok_or_else(none)
 }
 
-fn refusal(refusal: document::StoreError) -> Failure {
-    let message = refusal.to_string();
-    let (code, details) = match refusal {
+fn store_failure(error: document::StoreError) -> Failure {
+    let message = error.to_string();
+    let (code, details) = match error {
         document::StoreError::Invalid(check::Faults(faults)) => {
             let line = |fault: &check::Fault| json!([fault.pointer, fault.reason]);
             ("faulty", json!({ "faults": faults.iter().map(line).collect::<Vec<_>>() }))
@@ -159,9 +159,9 @@
 async fn section_check(context: &Context, call: &wire::Call) -> Outcome {
     authorize(context, call)?;
     let put = put_of(call);
-    document::check(platform(context)?, &put).await.map_err(refusal)?;
+    document::check(platform(context)?, &put).await.map_err(store_failure)?;
     let current = document::read_section(platform(context)?, &put.team).await;
-    let current = current.map_err(|error| refusal(error.into()))?;
+    let current = current.map_err(|error| store_failure(error.into()))?;
     let text = current.map_or_else(|| "{}".to_owned(), |(_, stored)| stored.text);
     let changes: Vec<_> =
         document::diff(&text, &put.text).iter().map(ToString::to_string).collect();
@@ -174,7 +174,7 @@
         return Err(Failure::new("bad_call", "a put needs an id"));
     }
     let put = put_of(call);
-    let version = document::store(platform(context)?, &put).await.map_err(refusal)?;
+    let version = document::store(platform(context)?, &put).await.map_err(store_failure)?;
     let section = document::Section::parse(put.team.clone(), version, &put.text);
     if let Ok(section) = section {
         context.core.borrow_mut().apply(vec![section], None);
@@ -201,9 +201,9 @@
     let live = core.group.live().filter(|member| member.zone == *zone);
     let expected = live.map(|member| (member.host.clone(), member.zone.clone()));
     let expected: collections::BTreeMap<_, _> = expected.collect();
-    let reported = core.board.iter().filter(|(host, _)| !expected.contains_key(*host));
+    let reported = core.entry_reports.iter().filter(|(host, _)| !expected.contains_key(*host));
     let hosts = expected.len() + reported.count();
-    let missing = core.board.missing(team, version, expected);
+    let missing = core.entry_reports.missing(team, version, expected);
     let line = |line: &replication::Missing| (line.host.to_string(), line.version.0);
     ZoneStatus { zone: zone.to_string(), hosts, missing: missing.iter().map(line).collect() }
 }
@@ -219,13 +219,13 @@
     let in_force = context.core.borrow().replica.version(&team);
     let version = if call.version == 0 { in_force } else { id::Version(call.version) };
     let mut zones = vec![json!(zone_status(context, &team, version))];
-    let question = wire::Call {
+    let forwarded = wire::Call {
         version: version.0,
         text: ZONE_ONLY.to_owned(),
         key: String::new(),
         ..call.clone()
     };
-    for answer in zones::ask(context, &question).await {
+    for answer in zones::ask(context, &forwarded).await {
         let parsed = answer.text.and_then(|text| serde_json::from_str::<ZoneStatus>(&text).ok());
         zones.push(match parsed {
             Some(status) => json!(status),
@@ -242,9 +242,9 @@
         return Ok(zone_state(context));
     }
     authorize_operator(context, call)?;
-    let question = wire::Call { text: ZONE_ONLY.to_owned(), key: String::new(), ..call.clone() };
+    let forwarded = wire::Call { text: ZONE_ONLY.to_owned(), key: String::new(), ..call.clone() };
     let mut zones = vec![zone_state(context)];
-    for answer in zones::ask(context, &question).await {
+    for answer in zones::ask(context, &forwarded).await {
         let parsed = answer.text.and_then(|text| serde_json::from_str(&text).ok());
         let silent = || json!({ "zone": answer.zone.as_str(), "silent": true });
         zones.push(parsed.unwrap_or_else(silent));
@@ -257,7 +257,7 @@
     let zone = core.zone();
     let members = core.group.roster().members().filter(|member| member.zone == *zone);
     let host = |member: &lagoonline::control::membership::Member| {
-        let report = core.board.report(&member.host);
+        let report = core.entry_reports.report(&member.host);
         json!({
             "host": member.host.as_str(),
             "steward": if core.group.is_live(&member.host) { "live" } else { "dead" },
@@ -308,19 +308,19 @@
         return Err(Failure::new("unknown_name", message));
     };
     if member.zone != context.settings.zone {
-        let text = zones::ask_in(context, &member.zone, call).await;
+        let text = zones::ask_one_zone(context, &member.zone, call).await;
         let value = text.and_then(|text| serde_json::from_str(&text).ok());
         return value
             .ok_or_else(|| Failure::new("silent", format!("no answer from {}", member.zone)));
     }
-    let report = context.core.borrow().board.report(&host).cloned();
+    let report = context.core.borrow().entry_reports.report(&host).cloned();
     let incarnation = report.map_or(0, |report| report.incarnation.0);
     Ok(mark_leaving(context, name, incarnation))
 }
 
 fn mark_leaving(context: &Context, name: &str, incarnation: u64) -> serde_json::Value {
     let mark = wire::Mark { upstream: name.to_owned(), incarnation, leaving: true };
-    context.core.borrow_mut().take_marks(&[mark], None);
+    context.core.borrow_mut().apply_marks(&[mark], None);
     json!({ "draining": name, "incarnation": incarnation })
 }
 
@@ -328,14 +328,14 @@
 async fn orders(context: &Context, call: &wire::Call) -> Outcome {
     if call.text == ZONE_ONLY {
         let core = context.core.borrow();
-        let lines: Vec<_> = core.orders.values().cloned().collect();
+        let lines: Vec<_> = core.engine_status.values().cloned().collect();
         return Ok(json!(lines));
     }
     authorize_operator(context, call)?;
-    let question = wire::Call { text: ZONE_ONLY.to_owned(), key: String::new(), ..call.clone() };
+    let forwarded = wire::Call { text: ZONE_ONLY.to_owned(), key: String::new(), ..call.clone() };
     let mut lines = Vec::new();
     let mut silent = Vec::new();
-    for answer in zones::ask_orderers(context, &question).await {
+    for answer in zones::ask_reconcilers(context, &forwarded).await {
         let parsed = answer.text.and_then(|text| serde_json::from_str(&text).ok());
         match parsed {
             Some(serde_json::Value::Array(found)) => lines.extend(found),
@@ -353,9 +353,9 @@
         serde_json::from_str(&call.text).map_err(|error| bad(error.to_string()))?;
     let grouping = days.by.parse::<ledger::Grouping>().map_err(|error| bad(error.to_string()))?;
     let found = usage::report(platform(context)?, grouping, &days).await;
-    let found = found.map_err(|error| refusal(error.into()))?;
+    let found = found.map_err(|error| store_failure(error.into()))?;
     let usage::Report { sums, rows } = found.ok_or_else(|| {
-        let message = format!("more than {} rows: ask for fewer days", usage::MOST_ROWS);
+        let message = format!("more than {} rows: ask for fewer days", usage::MAX_REPORT_ROWS);
         Failure::new("too_much", message)
     })?;
     Ok(json!({
--- a/crates/lagoon-net/src/steward/core/document.rs
+++ b/crates/lagoon-net/src/steward/core/document.rs
@@ -16,10 +16,10 @@
 use crate::wire;
 
 /// Time after which sections that were asked of a peer are asked of another.
-const PULL_TIME: clock::Span = clock::Span::from_secs(1);
+const PULL_TIMEOUT: clock::Span = clock::Span::from_secs(1);
 
 /// Time that a newcomer gives the platform before the peers' word is enough.
-const PLATFORM_TIME: clock::Span = clock::Span::from_millis(1_500);
+const PLATFORM_GRACE: clock::Span = clock::Span::from_millis(1_500);
 
 impl Core {
     pub(super) fn digest(&self) -> wire::Body {
@@ -49,12 +49,12 @@
         if applied.is_empty() {
             return;
         }
-        self.pull = None;
+        self.pull_started = None;
         Counters::add(&self.counters.sections_applied, applied.len() as u64);
         let merged = view::Fleet::merge(self.replica.sections().map(sync::Arc::as_ref));
-        self.accounts = ledger::attributions(&merged);
+        self.attributions = ledger::attributions(&merged);
         self.fleet = sync::Arc::new(merged);
-        self.name_codes();
+        self.index_name_codes();
         let sections = applied.iter().filter_map(|team| self.replica.section(team));
         let sections = sections.map(|section| wire::section(section)).collect();
         let complete = self.complete;
@@ -62,16 +62,16 @@
         self.send_all(&body, |_, link| link.peer.role == wire::Role::Entry);
         let digest = self.digest();
         let replica = self.replica.clone();
-        self.send_all(&digest, |name, link| {
+        self.send_all(&digest, |link_id, link| {
             let lacks = !replica.newer_than(&link.versions).is_empty();
-            link.peer.role == wire::Role::Steward && Some(name) != from && lacks
+            link.peer.role == wire::Role::Steward && Some(link_id) != from && lacks
         });
         self.check_complete();
     }
 
-    pub(super) fn take_sections(&mut self, sections: &wire::Sections, from: LinkId) {
+    pub(super) fn handle_sections(&mut self, sections: &wire::Sections, from: LinkId) {
         let mut parsed = Vec::new();
-        let mut is_whole_needed = false;
+        let mut needs_full_text = false;
         for section in &sections.sections {
             let team = id::Team::from(section.team.as_str());
             let version = id::Version(section.version);
@@ -80,7 +80,7 @@
                 *known = version.max(*known);
             }
             let Some(text) = self.text_of(section) else {
-                is_whole_needed |= self.replica.version(&team) < version;
+                needs_full_text |= self.replica.version(&team) < version;
                 continue;
             };
             match document::Section::parse(team, version, &text) {
@@ -89,8 +89,8 @@
             }
         }
         self.apply(parsed, Some(from));
-        if is_whole_needed {
-            self.ask_whole(sections, from);
+        if needs_full_text {
+            self.request_full_text(sections, from);
         }
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Asks for whole texts: to a digest without its team, a peer answers with that.
-    fn ask_whole(&mut self, sections: &wire::Sections, from: LinkId) {
+    fn request_full_text(&mut self, sections: &wire::Sections, from: LinkId) {
         Counters::add(&self.counters.deltas_refused, 1);
         let mut versions = self.replica.versions();
         versions.retain(|team, _| !sections.sections.iter().any(|s| s.team == team.as_str()));
@@ -119,7 +119,7 @@
         sections: &[sync::Arc<document::Section>],
         versions: &replication::Versions,
     ) -> Vec<wire::Section> {
-        let told = |section: &sync::Arc<document::Section>| {
+        let encode = |section: &sync::Arc<document::Section>| {
             let known = versions.get(&section.team).copied().unwrap_or_default();
             let deltas = self.delta_log.since(known, section);
             if deltas.is_empty() {
@@ -127,10 +127,10 @@
             }
             wire::section_with_deltas(section, &deltas)
         };
-        sections.iter().map(told).collect()
+        sections.iter().map(encode).collect()
     }
 
-    pub(super) fn take_digest(&mut self, digest: &wire::Digest, from: LinkId) {
+    pub(super) fn handle_digest(&mut self, digest: &wire::Digest, from: LinkId) {
         let versions = wire::versions(&digest.versions);
         let lacking = self.replica.newer_than(&versions);
         if let Some(link) = self.links.get_mut(&from) {
@@ -146,39 +146,39 @@
             self.send(from, wire::Body::Sections(wire::Sections { sections, complete }));
         }
         if !self.replica.covers(&versions) {
-            self.ask(from);
+            self.request_missing(from);
         }
         self.check_complete();
     }
 
     /// Asks one peer at a time, so that a section crosses each host's links once.
-    fn ask(&mut self, peer: LinkId) {
+    fn request_missing(&mut self, peer: LinkId) {
         let now = self.clock.now();
-        if self.pull.is_some_and(|since| now.since(since) < PULL_TIME) {
+        if self.pull_started.is_some_and(|since| now.since(since) < PULL_TIMEOUT) {
             return;
         }
-        self.pull = Some(now);
+        self.pull_started = Some(now);
         self.send(peer, self.digest());
     }
 
     /// Compares with peers that are ahead, after a lost link or answer.
-    pub(in crate::steward) fn repair(&mut self) {
+    pub(in crate::steward) fn pull_missing(&mut self) {
         let ahead = |link: &Link| {
             link.peer.role == wire::Role::Steward && !self.replica.covers(&link.versions)
         };
-        let found = self.links.iter().find(|(_, link)| ahead(link)).map(|(name, _)| *name);
-        if let Some(name) = found {
-            self.ask(name);
+        let found = self.links.iter().find(|(_, link)| ahead(link)).map(|(link_id, _)| *link_id);
+        if let Some(link_id) = found {
+            self.request_missing(link_id);
         }
         self.check_complete();
     }
 
-    pub(in crate::steward) fn platform_head(&mut self, versions: replication::Versions) {
+    pub(in crate::steward) fn record_platform_head(&mut self, versions: replication::Versions) {
         self.platform.head = Some(versions);
         self.check_complete();
     }
 
-    pub(in crate::steward) fn platform_failed(&mut self) {
+    pub(in crate::steward) fn record_platform_failure(&mut self) {
         Counters::add(&self.counters.platform_failures, 1);
         self.platform.failed = true;
         self.check_complete();
@@ -207,7 +207,7 @@
     }
 
     fn is_complete_by_peers(&self) -> bool {
-        let waited = self.clock.now().since(self.began) >= PLATFORM_TIME;
+        let waited = self.clock.now().since(self.started_at) >= PLATFORM_GRACE;
         let is_steward = |link: &&Link| link.peer.role == wire::Role::Steward;
         let mut peers = self.links.values().filter(is_steward).peekable();
         let any = peers.peek().is_some();
--- a/crates/lagoon-net/src/steward/core/mod.rs
+++ b/crates/lagoon-net/src/steward/core/mod.rs
@@ -1,11 +1,11 @@
 //! State of a steward, and what each message does to it.
 
-mod brief;
 mod document;
 mod message;
+mod payload;
 mod report;
 mod spending;
-mod traffic;
+mod upstream;
 
 use std::collections;
 use std::sync;
@@ -24,11 +24,11 @@
 use lagoonline::view;
 use tokio::sync::mpsc;
 
-use super::orders;
+use super::reconcile;
 use super::settings;
 use crate::link;
 use crate::wire;
-pub(in crate::steward) use brief::Room;
+pub(in crate::steward) use payload::Payload;
 
 /// Messages that may wait on one link: beyond it the link is closed, and the next one brings the
 /// whole state again.
@@ -117,7 +117,7 @@
     versions: replication::Versions,
     has_digest: bool,
     is_dialed: bool,
-    opened: clock::Moment,
+    opened_at: clock::Moment,
 }
 
 /// Names a connection.
@@ -136,34 +136,35 @@
     pub(in crate::steward) group: membership::Group,
     pub(in crate::steward) replica: replication::Replica,
     delta_log: delta_log::DeltaLog,
-    pub(in crate::steward) board: replication::Reports,
+    pub(in crate::steward) entry_reports: replication::Reports,
     pub(in crate::steward) fleet: view::Shared,
     pub(in crate::steward) counters: sync::Arc<Counters>,
     pub(in crate::steward) complete: bool,
     pub(in crate::steward) loads: collections::BTreeMap<id::Upstream, Observed>,
     pub(in crate::steward) marks: collections::BTreeMap<id::Upstream, wire::Mark>,
     /// Whose the time of each engine is, by the sections in force.
-    pub(in crate::steward) accounts: collections::BTreeMap<id::Upstream, ledger::Attribution>,
+    pub(in crate::steward) attributions: collections::BTreeMap<id::Upstream, ledger::Attribution>,
     /// What was last seen and decided of each engine that orders went to.
-    pub(in crate::steward) orders: collections::BTreeMap<id::Upstream, orders::Line>,
+    pub(in crate::steward) engine_status:
+        collections::BTreeMap<id::Upstream, reconcile::EngineStatus>,
     /// Loads that other hosts of the zone are to hear of, and who has told them already.
-    untold: collections::BTreeMap<id::Upstream, collections::BTreeSet<id::Host>>,
+    pending_loads: collections::BTreeMap<id::Upstream, collections::BTreeSet<id::Host>>,
     /// The upstream that heartbeats told of last.
-    told: id::Upstream,
+    last_sent_load: id::Upstream,
     /// Upstreams in a new life, to be told in full, and the link that each came by.
-    lives: collections::BTreeMap<id::Upstream, Option<LinkId>>,
+    new_incarnations: collections::BTreeMap<id::Upstream, Option<LinkId>>,
     /// Upstreams by the codes of their names; `None` where two share one.
-    codes: collections::HashMap<u32, Option<id::Upstream>>,
+    name_codes: collections::HashMap<u32, Option<id::Upstream>>,
     spending: spending::Spending,
-    reports: report::Reports,
+    report_outbox: report::Outbox,
     /// Dead stewards whose rows were removed from the table.
-    pub(in crate::steward) removed: collections::BTreeSet<id::Host>,
+    pub(in crate::steward) removed_rows: collections::BTreeSet<id::Host>,
     pub(in crate::steward) dialing: collections::BTreeSet<id::Host>,
     links: collections::BTreeMap<LinkId, Link>,
     platform: Platform,
-    pull: Option<clock::Moment>,
+    pull_started: Option<clock::Moment>,
     next_link: u64,
-    began: clock::Moment,
+    started_at: clock::Moment,
     clock: clock::System,
 }
 
@@ -171,9 +172,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(in crate::steward) struct Observed {
     pub(in crate::steward) load: engine::Load,
-    pub(in crate::steward) read: clock::Moment,
-    told: engine::Load,
-    told_at: clock::Moment,
+    pub(in crate::steward) read_at: clock::Moment,
+    announced: engine::Load,
+    announced_at: clock::Moment,
 }
 
 impl Core {
@@ -189,26 +190,26 @@
             group: membership::Group::new(own, settings.membership, now),
             replica: replication::Replica::default(),
             delta_log: delta_log::DeltaLog::default(),
-            board: replication::Reports::default(),
+            entry_reports: replication::Reports::default(),
             fleet: view::Shared::default(),
             counters,
             complete: false,
             loads: collections::BTreeMap::new(),
             marks: collections::BTreeMap::new(),
-            accounts: collections::BTreeMap::new(),
-            orders: collections::BTreeMap::new(),
-            untold: collections::BTreeMap::new(),
-            told: id::Upstream::default(),
-            lives: collections::BTreeMap::new(),
-            codes: collections::HashMap::new(),
-            reports: report::Reports::default(),
-            removed: collections::BTreeSet::new(),
+            attributions: collections::BTreeMap::new(),
+            engine_status: collections::BTreeMap::new(),
+            pending_loads: collections::BTreeMap::new(),
+            last_sent_load: id::Upstream::default(),
+            new_incarnations: collections::BTreeMap::new(),
+            name_codes: collections::HashMap::new(),
+            report_outbox: report::Outbox::default(),
+            removed_rows: collections::BTreeSet::new(),
             dialing: collections::BTreeSet::new(),
             links: collections::BTreeMap::new(),
             platform: Platform::default(),
-            pull: None,
+            pull_started: None,
             next_link: 0,
-            began: now,
+            started_at: now,
             clock,
         }
     }
@@ -224,73 +225,73 @@
     }
 
     /// Takes a new link in, and tells the other side what is known here.
-    pub(in crate::steward) fn open(
+    pub(in crate::steward) fn add_link(
         &mut self,
         peer: link::Peer,
         is_dialed: bool,
     ) -> (LinkId, mpsc::Receiver<wire::Body>) {
         let (sender, receiver) = mpsc::channel(LINK_QUEUE);
         self.next_link += 1;
-        let name = LinkId(self.next_link);
+        let link_id = LinkId(self.next_link);
         let role = peer.role;
         let (versions, has_digest) = (replication::Versions::new(), false);
-        let opened = self.clock.now();
-        let link = Link { peer, sender, versions, has_digest, is_dialed, opened };
-        self.links.insert(name, link);
+        let opened_at = self.clock.now();
+        let link = Link { peer, sender, versions, has_digest, is_dialed, opened_at };
+        self.links.insert(link_id, link);
         match role {
-            wire::Role::Steward => self.greet_steward(name),
-            wire::Role::Entry => self.greet_entry(name),
+            wire::Role::Steward => self.init_steward_link(link_id),
+            wire::Role::Entry => self.init_entry_link(link_id),
             wire::Role::Operator | wire::Role::Unspecified => {}
         }
-        (name, receiver)
+        (link_id, receiver)
     }
 
-    fn greet_steward(&mut self, name: LinkId) {
+    fn init_steward_link(&mut self, link_id: LinkId) {
         let members = wire::members(&self.group.roster().updates());
-        self.send(name, wire::Body::Members(members));
-        self.send(name, self.digest());
-        self.send(name, self.statuses());
+        self.send(link_id, wire::Body::Members(members));
+        self.send(link_id, self.digest());
+        self.send(link_id, self.statuses());
         let marks = self.marks.values().cloned().collect();
-        self.send(name, wire::Body::Marks(wire::Marks { marks }));
-        self.send_loads(name);
+        self.send(link_id, wire::Body::Marks(wire::Marks { marks }));
+        self.send_loads(link_id);
     }
 
-    fn send_loads(&mut self, name: LinkId) {
+    fn send_loads(&mut self, link_id: LinkId) {
         let now = self.clock.now();
         let load = |(upstream, observed): (&id::Upstream, &Observed)| {
-            wire::load(upstream, &observed.load, age_ms(now, observed.read))
+            wire::load(upstream, &observed.load, age_ms(now, observed.read_at))
         };
         let loads = self.loads.iter().map(load).collect();
-        self.send(name, wire::Body::Loads(wire::Loads { loads }));
+        self.send(link_id, wire::Body::Loads(wire::Loads { loads }));
     }
 
-    fn greet_entry(&mut self, name: LinkId) {
-        self.send(name, self.digest());
+    fn init_entry_link(&mut self, link_id: LinkId) {
+        self.send(link_id, self.digest());
         let sections = self.replica.sections().map(|section| wire::section(section)).collect();
         let sections = wire::Sections { sections, complete: self.complete };
-        self.send(name, wire::Body::Sections(sections));
-        self.send_loads(name);
+        self.send(link_id, wire::Body::Sections(sections));
+        self.send_loads(link_id);
         let marks = self.marks.values().cloned().collect();
-        self.send(name, wire::Body::Marks(wire::Marks { marks }));
+        self.send(link_id, wire::Body::Marks(wire::Marks { marks }));
     }
 
-    pub(in crate::steward) fn close(&mut self, name: LinkId) {
-        let Some(link) = self.links.remove(&name) else { return };
+    pub(in crate::steward) fn remove_link(&mut self, link_id: LinkId) {
+        let Some(link) = self.links.remove(&link_id) else { return };
         if link.peer.role != wire::Role::Entry {
             return;
         }
         let host = id::Host::from(link.peer.sender);
-        let Some(report) = self.board.report(&host) else { return };
+        let Some(report) = self.entry_reports.report(&host) else { return };
         log::warn!("entry process of {host} is gone");
         let report = replication::Report { ready: false, ..report.clone() };
-        self.take_own_report(&host, report);
+        self.apply_own_report(&host, report);
     }
 
-    pub(in crate::steward) fn send(&mut self, name: LinkId, body: wire::Body) {
-        let Some(link) = self.links.get(&name) else { return };
+    pub(in crate::steward) fn send(&mut self, link_id: LinkId, body: wire::Body) {
+        let Some(link) = self.links.get(&link_id) else { return };
         // A peer that does not read is dropped; it gets the whole state when it comes back.
         if link.sender.try_send(body).is_err() {
-            self.links.remove(&name);
+            self.links.remove(&link_id);
         }
     }
 
@@ -298,10 +299,10 @@
     where
         F: Fn(LinkId, &Link) -> bool,
     {
-        let links = self.links.iter().filter(|(name, link)| wanted(**name, link));
-        let names: Vec<LinkId> = links.map(|(name, _)| *name).collect();
-        for name in names {
-            self.send(name, body.clone());
+        let links = self.links.iter().filter(|(link_id, link)| wanted(**link_id, link));
+        let link_ids: Vec<LinkId> = links.map(|(link_id, _)| *link_id).collect();
+        for link_id in link_ids {
+            self.send(link_id, body.clone());
         }
     }
 
@@ -322,7 +323,7 @@
             return;
         }
         self.links.retain(|_, link| {
-            !link.is_dialed || is_wanted(link) || now.since(link.opened) < LINK_GRACE
+            !link.is_dialed || is_wanted(link) || now.since(link.opened_at) < LINK_GRACE
         });
     }
 
@@ -331,6 +332,6 @@
     }
 }
 
-fn age_ms(now: clock::Moment, read: clock::Moment) -> u64 {
-    u64::try_from(now.since(read).as_millis()).unwrap_or(u64::MAX)
+fn age_ms(now: clock::Moment, read_at: clock::Moment) -> u64 {
+    u64::try_from(now.since(read_at).as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/lagoon-net/src/steward/core/brief.rs
+++ b/crates/lagoon-net/src/steward/core/payload.rs
@@ -18,21 +18,21 @@
 
 /// Bytes that one heartbeat may carry. With four neighbours and two heartbeats a second, a
 /// datagram of 94 bytes with its headers, and as much coming in, this keeps a node below 3 KB/s.
-const ROOM_BYTES: usize = 80;
+const PAYLOAD_BYTES: usize = 80;
 
 /// Part of them for spending, which is passed on first.
 pub(super) const SPENDING_BYTES: usize = 40;
 
 /// What the heartbeats of one round carry, and who knows it already.
 #[derive(Default)]
-pub(in crate::steward) struct Room {
+pub(in crate::steward) struct Payload {
     loads: Vec<(wire::CompactLoad, collections::BTreeSet<id::Host>)>,
     spendings: Vec<(wire::Spending, id::Host)>,
 }
 
-impl Room {
+impl Payload {
     /// The heartbeat for one neighbour: without what came from it.
-    pub(in crate::steward) fn heartbeat(&self, to: &id::Host) -> wire::Heartbeat {
+    pub(in crate::steward) fn heartbeat_for(&self, to: &id::Host) -> wire::Heartbeat {
         let unknown = self.loads.iter().filter(|(_, knows)| !knows.contains(to));
         let lines: Vec<_> = unknown.map(|(line, _)| *line).collect();
         let spendings = self.spendings.iter().filter(|(_, from)| from != to);
@@ -45,11 +45,11 @@
 
 impl Core {
     /// Learns the codes of the names of all upstreams in the fleet.
-    pub(super) fn name_codes(&mut self) {
-        self.codes.clear();
+    pub(super) fn index_name_codes(&mut self) {
+        self.name_codes.clear();
         for upstream in &self.fleet.upstreams {
             let code = wire::name_code(upstream.name.as_str());
-            let known = self.codes.entry(code).or_insert_with(|| Some(upstream.name.clone()));
+            let known = self.name_codes.entry(code).or_insert_with(|| Some(upstream.name.clone()));
             if known.as_ref() != Some(&upstream.name) {
                 *known = None;
             }
@@ -57,53 +57,58 @@
     }
 
     /// Whether the upstream's name can be told by its code.
-    pub(super) fn has_code(&self, upstream: &id::Upstream) -> bool {
+    pub(super) fn has_unique_code(&self, upstream: &id::Upstream) -> bool {
         let code = wire::name_code(upstream.as_str());
-        self.codes.get(&code).is_some_and(|known| known.as_ref() == Some(upstream))
+        self.name_codes.get(&code).is_some_and(|known| known.as_ref() == Some(upstream))
     }
 
     /// Fills the heartbeats of one round.
-    pub(in crate::steward) fn next_room(&mut self) -> Room {
-        let mut room = Room::default();
-        let mut left = ROOM_BYTES;
-        let mut for_spending = SPENDING_BYTES;
-        while let Some((spending, from)) = self.spending.next(for_spending) {
+    pub(in crate::steward) fn next_payload(&mut self) -> Payload {
+        let mut payload = Payload::default();
+        let mut left = PAYLOAD_BYTES;
+        let mut spending_left = SPENDING_BYTES;
+        while let Some((spending, from)) = self.spending.pop(spending_left) {
             let bytes = spending.encoded_len() + 2;
             left -= bytes.min(left);
-            for_spending -= bytes.min(for_spending);
-            room.spendings.push((spending, from));
+            spending_left -= bytes.min(spending_left);
+            payload.spendings.push((spending, from));
         }
         while left >= wire::COMPACT_LOAD_BYTES {
             let Some((line, knows)) = self.next_load() else { break };
             left -= wire::COMPACT_LOAD_BYTES;
-            room.loads.push((line, knows));
+            payload.loads.push((line, knows));
         }
-        room
+        payload
     }
 
     /// The next load to be told: where the last heartbeat ended, this one goes on.
     fn next_load(&mut self) -> Option<(wire::CompactLoad, collections::BTreeSet<id::Host>)> {
-        let after = (ops::Bound::Excluded(self.told.clone()), ops::Bound::Unbounded);
-        let next = self.untold.range(after).next().or_else(|| self.untold.iter().next());
+        let after = (ops::Bound::Excluded(self.last_sent_load.clone()), ops::Bound::Unbounded);
+        let next =
+            self.pending_loads.range(after).next().or_else(|| self.pending_loads.iter().next());
         let name = next.map(|(name, _)| name.clone())?;
-        let knows = self.untold.remove(&name)?;
+        let knows = self.pending_loads.remove(&name)?;
         let seen = self.loads.get(&name)?;
-        let age_ms = super::age_ms(self.clock.now(), seen.read);
+        let age_ms = super::age_ms(self.clock.now(), seen.read_at);
         let line = wire::CompactLoad::new(&name, &seen.load, age_ms);
-        self.told = name;
+        self.last_sent_load = name;
         Some((line, knows))
     }
 
     /// Takes loads that came with a heartbeat, and passes on what is new.
-    pub(in crate::steward) fn take_brief(&mut self, from: &id::Host, brief: &wire::CompactLoads) {
+    pub(in crate::steward) fn handle_compact_loads(
+        &mut self,
+        from: &id::Host,
+        compact: &wire::CompactLoads,
+    ) {
         let now = self.clock.now();
         let mut fresh = Vec::new();
-        for line in wire::parse_compact_loads(brief) {
-            let Some(Some(upstream)) = self.codes.get(&line.upstream) else { continue };
+        for line in wire::parse_compact_loads(compact) {
+            let Some(Some(upstream)) = self.name_codes.get(&line.upstream) else { continue };
             let Some(known) = self.loads.get_mut(upstream) else { continue };
             let Some(load) = line.load(&known.load) else { continue };
             if line.sequence == known.load.sequence
-                && let Some(knows) = self.untold.get_mut(upstream)
+                && let Some(knows) = self.pending_loads.get_mut(upstream)
             {
                 knows.insert(from.clone());
             }
@@ -111,9 +116,9 @@
                 continue;
             }
             let micros = now.as_micros().saturating_sub(line.age_ms.saturating_mul(1_000));
-            let read = clock::Moment::from_micros(micros);
-            *known = Observed { load, read, told: load, told_at: now };
-            self.untold.insert(upstream.clone(), [from.clone()].into());
+            let read_at = clock::Moment::from_micros(micros);
+            *known = Observed { load, read_at, announced: load, announced_at: now };
+            self.pending_loads.insert(upstream.clone(), [from.clone()].into());
             fresh.push(wire::load(upstream, &load, line.age_ms));
         }
         if fresh.is_empty() {
--- a/crates/lagoon-net/src/steward/core/report.rs
+++ b/crates/lagoon-net/src/steward/core/report.rs
@@ -17,44 +17,44 @@
 
 /// Time without an entry process after which this host does not count as one any more. An entry
 /// process that lives connects again within two seconds; one that is stopped keeps its connection.
-const ENTRY_TIME: clock::Span = clock::Span::from_secs(10);
+const ENTRY_TIMEOUT: clock::Span = clock::Span::from_secs(10);
 
 /// What is known and told of entry processes.
 #[derive(Default)]
-pub(super) struct Reports {
+pub(super) struct Outbox {
     /// Hosts of whom the others are to hear, and the link that the news came by.
-    untold: collections::BTreeMap<id::Host, Option<LinkId>>,
+    pending: collections::BTreeMap<id::Host, Option<LinkId>>,
     /// Life and versions told of each host.
-    told: collections::BTreeMap<id::Host, (id::Incarnation, replication::Versions)>,
+    sent: collections::BTreeMap<id::Host, (id::Incarnation, replication::Versions)>,
     /// When the own entry process was there last.
-    seen: Option<clock::Moment>,
+    last_linked: Option<clock::Moment>,
 }
 
 impl Core {
     /// Takes the state of the own entry process.
-    pub(super) fn take_own_report(&mut self, host: &id::Host, report: replication::Report) {
+    pub(super) fn apply_own_report(&mut self, host: &id::Host, report: replication::Report) {
         // By the wall clock, so that a steward that started anew goes on above its last number.
-        let known = self.board.report(host).map_or(0, |known| known.number);
+        let known = self.entry_reports.report(host).map_or(0, |known| known.number);
         let number = self.clock.wall_millis().max(known + 1);
-        self.take_report(host, replication::Report { number, ..report }, None);
+        self.apply_report(host, replication::Report { number, ..report }, None);
     }
 
-    fn take_report(&mut self, host: &id::Host, report: replication::Report, from: Option<LinkId>) {
-        if report.zone == *self.zone() && self.board.apply_partial(host, report) {
-            self.reports.untold.insert(host.clone(), from);
+    fn apply_report(&mut self, host: &id::Host, report: replication::Report, from: Option<LinkId>) {
+        if report.zone == *self.zone() && self.entry_reports.apply_partial(host, report) {
+            self.report_outbox.pending.insert(host.clone(), from);
         }
     }
 
-    pub(super) fn take_statuses(&mut self, statuses: &wire::Statuses, from: LinkId) {
+    pub(super) fn handle_statuses(&mut self, statuses: &wire::Statuses, from: LinkId) {
         for status in &statuses.statuses {
             let host = id::Host::from(status.host.as_str());
-            self.take_report(&host, wire::report(status), Some(from));
+            self.apply_report(&host, wire::report(status), Some(from));
         }
     }
 
     /// The states of all entry processes of the zone, for a steward that is new on a link.
     pub(super) fn statuses(&self) -> wire::Body {
-        let reports = self.board.iter().filter(|(_, report)| report.zone == *self.zone());
+        let reports = self.entry_reports.iter().filter(|(_, report)| report.zone == *self.zone());
         let statuses = reports.map(|(host, report)| wire::status(host, report)).collect();
         wire::Body::Statuses(wire::Statuses { statuses })
     }
@@ -62,36 +62,37 @@
     /// Passes on what entry processes said since the last call.
     pub(in crate::steward) fn flush_reports(&mut self) {
         let mut lines = Vec::new();
-        for (host, from) in std::mem::take(&mut self.reports.untold) {
-            lines.extend(self.changes_of(&host).map(|status| (status, from)));
+        for (host, from) in std::mem::take(&mut self.report_outbox.pending) {
+            lines.extend(self.status_delta(&host).map(|status| (status, from)));
         }
         if lines.is_empty() {
             return;
         }
-        for name in self.near_links() {
-            let others = lines.iter().filter(|(_, from)| *from != Some(name));
+        for link_id in self.zone_links() {
+            let others = lines.iter().filter(|(_, from)| *from != Some(link_id));
             let statuses: Vec<_> = others.map(|(status, _)| status.clone()).collect();
             if !statuses.is_empty() {
-                self.send(name, wire::Body::Statuses(wire::Statuses { statuses }));
+                self.send(link_id, wire::Body::Statuses(wire::Statuses { statuses }));
             }
         }
     }
 
     /// A host's state with the versions that were not told of this life yet. What a new link was
     /// told at its start is never older than what was told to all.
-    fn changes_of(&mut self, host: &id::Host) -> Option<wire::Status> {
-        let report = self.board.report(host)?;
+    fn status_delta(&mut self, host: &id::Host) -> Option<wire::Status> {
+        let report = self.entry_reports.report(host)?;
         let mut status = wire::status(host, report);
-        let known = self.reports.told.get(host);
-        if let Some((_, told)) = known.filter(|(life, _)| *life == report.incarnation) {
-            let is_told = |line: &wire::TeamVersion| {
-                told.get(line.team.as_str()) == Some(&id::Version(line.version))
+        let known = self.report_outbox.sent.get(host);
+        if let Some((_, sent)) = known.filter(|(incarnation, _)| *incarnation == report.incarnation)
+        {
+            let is_sent = |line: &wire::TeamVersion| {
+                sent.get(line.team.as_str()) == Some(&id::Version(line.version))
             };
-            status.in_force.retain(|line| !is_told(line));
+            status.in_force.retain(|line| !is_sent(line));
             status.changes = true;
         }
-        let told = (report.incarnation, report.in_force.clone());
-        self.reports.told.insert(host.clone(), told);
+        let sent = (report.incarnation, report.in_force.clone());
+        self.report_outbox.sent.insert(host.clone(), sent);
         Some(status)
     }
 
@@ -99,23 +100,25 @@
     ///
     /// Failure answered: an entry process dies while its steward lives. Symptom: no section is
     /// accepted any more, since that host never says that it has it.
-    pub(in crate::steward) fn watch_entry(&mut self) {
+    pub(in crate::steward) fn check_entry(&mut self) {
         let now = self.clock.now();
         let is_entry = |link: &super::Link| link.peer.role == wire::Role::Entry;
         if self.links.values().any(is_entry) {
-            self.reports.seen = Some(now);
+            self.report_outbox.last_linked = Some(now);
             return;
         }
-        let seen = self.reports.seen.unwrap_or(self.began);
+        let last_linked = self.report_outbox.last_linked.unwrap_or(self.started_at);
         let host = self.group.own().host.clone();
-        let known = self.board.report(&host).cloned();
-        if now.since(seen) < ENTRY_TIME || known.as_ref().is_some_and(|known| known.entry_down) {
+        let known = self.entry_reports.report(&host).cloned();
+        if now.since(last_linked) < ENTRY_TIMEOUT
+            || known.as_ref().is_some_and(|known| known.entry_down)
+        {
             return;
         }
-        log::warn!("no entry process for {} s: this host does not count", ENTRY_TIME.as_secs());
+        log::warn!("no entry process for {} s: this host does not count", ENTRY_TIMEOUT.as_secs());
         let zone = self.zone().clone();
         let known = known.unwrap_or(replication::Report { zone, ..replication::Report::default() });
-        self.take_own_report(
+        self.apply_own_report(
             &host,
             replication::Report { ready: false, entry_down: true, ..known },
         );
--- a/crates/lagoon-net/src/steward/core/traffic.rs
+++ b/crates/lagoon-net/src/steward/core/upstream.rs
@@ -12,10 +12,10 @@
 use crate::wire;
 
 /// Time between two messages on an upstream's load to other hosts, if it changed little.
-const LOAD_REFRESH: clock::Span = clock::Span::from_secs(30);
+const LOAD_REFRESH_INTERVAL: clock::Span = clock::Span::from_secs(30);
 
-/// Upstreams in a new life told at once, once a second.
-const LIVES_AT_ONCE: usize = 64;
+/// Upstreams in a new life announced at once, once a second.
+const MAX_NEW_PER_FLUSH: usize = 64;
 
 impl Core {
     /// Takes the load of an upstream that this steward observes.
@@ -23,59 +23,60 @@
         let now = self.clock.now();
         let body = wire::Body::Loads(wire::Loads { loads: vec![wire::load(upstream, &load, 0)] });
         self.send_all(&body, |_, link| link.peer.role == wire::Role::Entry);
-        let fresh = Observed { load, read: now, told: engine::Load::default(), told_at: now };
+        let fresh =
+            Observed { load, read_at: now, announced: engine::Load::default(), announced_at: now };
         let known = self.loads.entry(upstream.clone()).or_insert(fresh);
-        (known.load, known.read) = (load, now);
-        self.tell_load(upstream, None);
+        (known.load, known.read_at) = (load, now);
+        self.queue_load(upstream, None);
     }
 
     /// Takes a load into what other hosts are to hear, if it is worth that.
-    fn tell_load(&mut self, upstream: &id::Upstream, from: Option<LinkId>) {
+    fn queue_load(&mut self, upstream: &id::Upstream, from: Option<LinkId>) {
         let now = self.clock.now();
         let Some(known) = self.loads.get_mut(upstream) else { return };
-        let is_life = known.told.incarnation != known.load.incarnation;
-        let is_old = now.since(known.told_at) >= LOAD_REFRESH;
-        if !is_life && !is_old && !is_news(&known.told, &known.load) {
+        let is_new_incarnation = known.announced.incarnation != known.load.incarnation;
+        let is_old = now.since(known.announced_at) >= LOAD_REFRESH_INTERVAL;
+        if !is_new_incarnation && !is_old && !is_significant(&known.announced, &known.load) {
             return;
         }
-        (known.told, known.told_at) = (known.load, now);
-        if is_life || !self.has_code(upstream) {
-            self.lives.insert(upstream.clone(), from);
+        (known.announced, known.announced_at) = (known.load, now);
+        if is_new_incarnation || !self.has_unique_code(upstream) {
+            self.new_incarnations.insert(upstream.clone(), from);
         } else {
-            self.untold.insert(upstream.clone(), collections::BTreeSet::new());
+            self.pending_loads.insert(upstream.clone(), collections::BTreeSet::new());
         }
     }
 
     /// Tells the other hosts of the zone in full of upstreams in a new life. Later loads of that
-    /// life go with heartbeats, in short: see [`super::brief`].
-    pub(in crate::steward) fn flush_lives(&mut self) {
+    /// life go with heartbeats, in short: see [`super::payload`].
+    pub(in crate::steward) fn flush_new_incarnations(&mut self) {
         let now = self.clock.now();
         let mut lines = Vec::new();
-        while lines.len() < LIVES_AT_ONCE {
-            let Some((name, from)) = self.lives.pop_first() else { break };
+        while lines.len() < MAX_NEW_PER_FLUSH {
+            let Some((name, from)) = self.new_incarnations.pop_first() else { break };
             if let Some(seen) = self.loads.get(&name) {
-                lines.push((wire::load(&name, &seen.load, super::age_ms(now, seen.read)), from));
+                lines.push((wire::load(&name, &seen.load, super::age_ms(now, seen.read_at)), from));
             }
         }
-        for name in self.near_links() {
-            let others = lines.iter().filter(|(_, from)| *from != Some(name));
+        for link_id in self.zone_links() {
+            let others = lines.iter().filter(|(_, from)| *from != Some(link_id));
             let loads: Vec<_> = others.map(|(load, _)| load.clone()).collect();
             if !loads.is_empty() {
-                self.send(name, wire::Body::Loads(wire::Loads { loads }));
+                self.send(link_id, wire::Body::Loads(wire::Loads { loads }));
             }
         }
     }
 
     /// Links with stewards of this zone.
-    pub(super) fn near_links(&self) -> Vec<LinkId> {
+    pub(super) fn zone_links(&self) -> Vec<LinkId> {
         let near =
             |link: &Link| link.peer.zone == *self.zone() || link.peer.zone.as_str().is_empty();
         let links = self.links.iter();
         let near = links.filter(|(_, link)| link.peer.role == wire::Role::Steward && near(link));
-        near.map(|(name, _)| *name).collect()
+        near.map(|(link_id, _)| *link_id).collect()
     }
 
-    pub(super) fn take_loads(&mut self, loads: &wire::Loads, from: LinkId) {
+    pub(super) fn handle_loads(&mut self, loads: &wire::Loads, from: LinkId) {
         let now = self.clock.now();
         let role = self.links.get(&from).map(|link| link.peer.role);
         let mut fresh = Vec::new();
@@ -89,11 +90,13 @@
             }
             // Its age travels with it: what was passed on late must not look fresh.
             let micros = now.as_micros().saturating_sub(line.age_ms.saturating_mul(1_000));
-            let read = clock::Moment::from_micros(micros);
-            let (told, told_at) =
-                known.map_or((engine::Load::default(), now), |known| (known.told, known.told_at));
-            self.loads.insert(upstream.clone(), Observed { load, read, told, told_at });
-            self.tell_load(&upstream, Some(from));
+            let read_at = clock::Moment::from_micros(micros);
+            let (announced, announced_at) = known.map_or((engine::Load::default(), now), |known| {
+                (known.announced, known.announced_at)
+            });
+            self.loads
+                .insert(upstream.clone(), Observed { load, read_at, announced, announced_at });
+            self.queue_load(&upstream, Some(from));
             fresh.push(line.clone());
         }
         if fresh.is_empty() {
@@ -101,13 +104,13 @@
         }
         let body = wire::Body::Loads(wire::Loads { loads: fresh });
         let is_own = role == Some(wire::Role::Entry);
-        self.send_all(&body, |name, link| {
-            link.peer.role == wire::Role::Entry && (!is_own || name != from)
+        self.send_all(&body, |link_id, link| {
+            link.peer.role == wire::Role::Entry && (!is_own || link_id != from)
         });
     }
 
     /// Takes marks; a later life replaces an earlier one, and within one, leaving stays.
-    pub(in crate::steward) fn take_marks(&mut self, marks: &[wire::Mark], from: Option<LinkId>) {
+    pub(in crate::steward) fn apply_marks(&mut self, marks: &[wire::Mark], from: Option<LinkId>) {
         let mut fresh = Vec::new();
         for mark in marks {
             let order = |mark: &wire::Mark| (mark.incarnation, mark.leaving);
@@ -125,16 +128,16 @@
             return;
         }
         let body = wire::Body::Marks(wire::Marks { marks: fresh });
-        self.send_all(&body, |name, link| {
+        self.send_all(&body, |link_id, link| {
             let wanted = matches!(link.peer.role, wire::Role::Entry | wire::Role::Steward);
-            wanted && Some(name) != from
+            wanted && Some(link_id) != from
         });
     }
 
     /// Takes the platform's list: its leaving hosts become marks, and reports of hosts that are
     /// dead to their watchers and gone from the list are forgotten. The list lags, so alone it
     /// makes nobody dead.
-    pub(in crate::steward) fn take_hosts(&mut self, lines: &[hosts::Entry]) {
+    pub(in crate::steward) fn apply_host_list(&mut self, lines: &[hosts::Entry]) {
         let mark = |line: &hosts::Entry| wire::Mark {
             upstream: line.name.clone(),
             incarnation: line.incarnation.0,
@@ -144,25 +147,25 @@
             .iter()
             .filter(|line| self.fleet.upstream(&id::Upstream::from(line.name.as_str())).is_some());
         let marks: Vec<_> = upstreams.map(mark).collect();
-        self.take_marks(&marks, None);
+        self.apply_marks(&marks, None);
         let listed = |host: &id::Host| lines.iter().any(|line| line.name == host.as_str());
-        let reports = self.board.iter().map(|(host, _)| host);
+        let reports = self.entry_reports.iter().map(|(host, _)| host);
         let gone = reports.filter(|host| !self.group.is_live(host) && !listed(host));
         for host in gone.cloned().collect::<Vec<_>>() {
-            self.board.remove(&host);
+            self.entry_reports.remove(&host);
         }
     }
 }
 
-/// Whether a load differs enough from the one told last to be worth a message to every host of
+/// Whether a load differs enough from the one announced last to be worth a message to every host of
 /// the zone: by two requests and a quarter of them, or by an eighth of the memory or of the prefill
 /// work. A busy engine changes by some requests at each look, which changes no decision.
-fn is_news(told: &engine::Load, load: &engine::Load) -> bool {
-    let requests = (told.running + told.waiting).abs_diff(load.running + load.waiting);
-    let memory = told.kv_free_tokens.abs_diff(load.kv_free_tokens);
-    let prefill = told.prefill_tokens.abs_diff(load.prefill_tokens);
-    told.incarnation != load.incarnation
-        || requests >= 2.max((told.running + told.waiting) / 4)
+fn is_significant(announced: &engine::Load, load: &engine::Load) -> bool {
+    let requests = (announced.running + announced.waiting).abs_diff(load.running + load.waiting);
+    let memory = announced.kv_free_tokens.abs_diff(load.kv_free_tokens);
+    let prefill = announced.prefill_tokens.abs_diff(load.prefill_tokens);
+    announced.incarnation != load.incarnation
+        || requests >= 2.max((announced.running + announced.waiting) / 4)
         || memory > load.kv_tokens / 8
-        || prefill > told.prefill_tokens.max(load.prefill_tokens) / 8 + 4_096
+        || prefill > announced.prefill_tokens.max(load.prefill_tokens) / 8 + 4_096
 }
--- a/crates/lagoon-net/src/steward/dial.rs
+++ b/crates/lagoon-net/src/steward/dial.rs
@@ -15,37 +15,37 @@
 use crate::link;
 
 /// Time between two looks at which links are missing.
-const LOOK: time::Duration = time::Duration::from_millis(250);
+const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
 /// Looks between two tries of an address that failed: drawn up to this many.
-const RETRY_LOOKS: u32 = 8;
+const MAX_RETRY_CHECKS: u32 = 8;
 
 /// Looks between two tries to reach some dead member, on average.
-const DEAD_LOOKS: u32 = 16;
+const DEAD_RETRY_CHECKS: u32 = 16;
 
 pub(super) async fn run(context: Context) {
-    let mut waits = collections::HashMap::<net::SocketAddr, u32>::new();
+    let mut checks_left = collections::HashMap::<net::SocketAddr, u32>::new();
     let mut first = true;
     loop {
-        for (host, address) in wanted(&context, first) {
-            let wait = waits.entry(address).or_default();
+        for (host, address) in targets(&context, first) {
+            let wait = checks_left.entry(address).or_default();
             if *wait > 0 {
                 *wait -= 1;
                 continue;
             }
-            *wait = 1 + rand::random_range(0..RETRY_LOOKS);
+            *wait = 1 + rand::random_range(0..MAX_RETRY_CHECKS);
             rt::spawn(dial(context.clone(), host, address));
         }
         first = false;
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let mut core = context.core.borrow_mut();
-        core.repair();
+        core.pull_missing();
         core.prune();
     }
 }
 
 /// Hosts to connect to: those of the mesh, and settings' peers while there are no others.
-fn wanted(context: &Context, first: bool) -> Vec<(Option<id::Host>, net::SocketAddr)> {
+fn targets(context: &Context, first: bool) -> Vec<(Option<id::Host>, net::SocketAddr)> {
     let core = context.core.borrow();
     let mut found = Vec::new();
     for host in mesh::link_targets(&core.group) {
@@ -58,7 +58,7 @@
     }
     // After a cut, each side holds the other dead and nobody would call again.
     let dead: Vec<_> = core.group.dead().filter(|member| member.zone == *core.zone()).collect();
-    if rand::random_ratio(1, DEAD_LOOKS) && !dead.is_empty() {
+    if rand::random_ratio(1, DEAD_RETRY_CHECKS) && !dead.is_empty() {
         let member = dead[rand::random_range(0..dead.len())];
         found.push((Some(member.host.clone()), member.address));
     }
@@ -89,9 +89,9 @@
 }
 
 /// Takes members that the platform's table names.
-pub(super) fn meet(context: &Context, members: Vec<membership::Member>) {
-    let news: Vec<_> = members.into_iter().map(membership::Update::Member).collect();
+pub(super) fn add_members(context: &Context, members: Vec<membership::Member>) {
+    let updates: Vec<_> = members.into_iter().map(membership::Update::Member).collect();
     let mut core = context.core.borrow_mut();
-    let fresh = core.group.apply(&news, context.clock.now());
-    core.tell_members(&fresh, None);
+    let fresh = core.group.apply(&updates, context.clock.now());
+    core.broadcast_members(&fresh, None);
 }
--- a/crates/lagoon-net/src/steward/fetch.rs
+++ b/crates/lagoon-net/src/steward/fetch.rs
@@ -23,7 +23,7 @@
 const SCAN_LIMIT: usize = 1_000;
 
 /// Time between two reads of the list of hosts.
-const HOSTS_PERIOD: time::Duration = time::Duration::from_secs(1);
+const HOSTS_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// What only the zone's chosen steward does.
 const FETCHER: &str = "fetcher";
@@ -41,7 +41,7 @@
     let backoff = platform::Backoff::default();
     let mut failures = 0;
     let mut registered = false;
-    let mut named = Named::new();
+    let mut pending = PendingVersions::new();
     loop {
         if !registered {
             registered = register(&context, &platform).await.is_ok();
@@ -50,7 +50,7 @@
             let core = context.core.borrow();
             !core.complete || core.owns(FETCHER)
         };
-        let result = if wanted { fetch(&context, &platform, &mut named).await } else { Ok(()) };
+        let result = if wanted { fetch(&context, &platform, &mut pending).await } else { Ok(()) };
         match result {
             Ok(()) => failures = 0,
             Err(error) => {
@@ -58,7 +58,7 @@
                     log::warn!("document is not read: {error}");
                 }
                 failures += 1;
-                context.core.borrow_mut().platform_failed();
+                context.core.borrow_mut().record_platform_failure();
             }
         }
         let wait = if failures == 0 {
@@ -75,12 +75,16 @@
 /// The steward that stored it tells it by changes, some hundred bytes; the table has whole texts
 /// only. Without the wait each zone's fetcher reads a section of 260 KB at each edit, more than a
 /// node's budget. Where no peer has it, the version is in force that much later.
-const PEERS_TIME: clock::Span = clock::Span::from_millis(800);
+const PEER_GRACE: clock::Span = clock::Span::from_millis(800);
 
-/// Versions that the head named, and since when.
-type Named = collections::BTreeMap<id::Team, (id::Version, clock::Moment)>;
+/// Versions that the head pending, and since when.
+type PendingVersions = collections::BTreeMap<id::Team, (id::Version, clock::Moment)>;
 
-async fn fetch<T>(context: &Context, table: &T, named: &mut Named) -> Result<(), table::Error>
+async fn fetch<T>(
+    context: &Context,
+    table: &T,
+    pending: &mut PendingVersions,
+) -> Result<(), table::Error>
 where
     T: table::Table,
 {
@@ -92,11 +96,11 @@
             continue;
         }
         let now = context.clock.now();
-        let since = named.entry(team.clone()).or_insert((*version, now));
+        let since = pending.entry(team.clone()).or_insert((*version, now));
         if since.0 < *version {
             *since = (*version, now);
         }
-        if known != id::Version(0) && now.since(since.1) < PEERS_TIME {
+        if known != id::Version(0) && now.since(since.1) < PEER_GRACE {
             continue;
         }
         let Some((version, stored)) = document::read_section(table, team).await? else { continue };
@@ -105,7 +109,7 @@
             Err(faults) => log::error!("section {team} is not understood: {faults}"),
         }
     }
-    context.core.borrow_mut().platform_head(versions);
+    context.core.borrow_mut().record_platform_head(versions);
     Ok(())
 }
 
@@ -135,7 +139,7 @@
             incarnation: id::Incarnation(line.incarnation),
         })
     };
-    dial::meet(context, rows.iter().filter_map(member).collect());
+    dial::add_members(context, rows.iter().filter_map(member).collect());
     Ok(())
 }
 
@@ -145,11 +149,11 @@
     loop {
         let is_fetcher = context.core.borrow().owns(FETCHER);
         if is_fetcher && let Ok(lines) = platform.list().await {
-            context.core.borrow_mut().take_hosts(&lines);
+            context.core.borrow_mut().apply_host_list(&lines);
             // Rows that cannot be removed now are removed a second later.
             let _ = remove_dead(&context, &platform).await;
         }
-        tokio::time::sleep(HOSTS_PERIOD.mul_f64(rand::random_range(0.9..1.1))).await;
+        tokio::time::sleep(HOSTS_INTERVAL.mul_f64(rand::random_range(0.9..1.1))).await;
     }
 }
 
@@ -161,7 +165,7 @@
     let dead: Vec<membership::Member> = {
         let core = context.core.borrow();
         let own = core.group.dead().filter(|member| member.zone == *core.zone());
-        own.filter(|member| !core.removed.contains(&member.host)).cloned().collect()
+        own.filter(|member| !core.removed_rows.contains(&member.host)).cloned().collect()
     };
     for member in dead {
         let key = format!("{STEWARD_PREFIX}{}", member.host);
@@ -174,7 +178,7 @@
             let changes = vec![table::Change::Delete { key }];
             table.commit(table::Transaction { checks, changes }).await?;
         }
-        context.core.borrow_mut().removed.insert(member.host);
+        context.core.borrow_mut().removed_rows.insert(member.host);
     }
     Ok(())
 }
--- a/crates/lagoon-net/src/steward/sweep.rs
+++ b/crates/lagoon-net/src/steward/memory_sweep.rs
@@ -28,30 +28,30 @@
 
 pub(super) async fn run(context: Context) {
     let client = client::Client::new().await;
-    let mut sweep = reap::Reaper::new(context.settings.reap.clone());
-    let mut neighbours = collections::BTreeSet::new();
+    let mut reaper = reap::Reaper::new(context.settings.reap.clone());
+    let mut zone_hosts = collections::BTreeSet::new();
     loop {
         let wait = context.settings.sweep_interval.mul_f64(rand::random_range(0.9..1.1));
         tokio::time::sleep(wait).await;
         let now = context.clock.now();
-        for (host, word) in own_words(&context).await {
-            neighbours.insert(host);
-            sweep.apply_status(&word, true, now);
+        for (host, status) in own_statuses(&context).await {
+            zone_hosts.insert(host);
+            reaper.apply_status(&status, true, now);
         }
         for (upstream, address) in observe::owned(&context) {
             let listed = engine::holdings(&client, address, &context.settings.zone);
             let Ok(Some(holdings)) = tokio::time::timeout(TIMEOUT, listed).await else { continue };
-            let mut strangers = sweep.owners_to_query(&holdings, context.clock.now());
-            strangers.retain(|owner| !neighbours.contains(&owner.host));
-            ask(&context, &mut sweep, &strangers).await;
-            let released = sweep.releasable(&upstream, &holdings, context.clock.now());
+            let mut remote_owners = reaper.owners_to_query(&holdings, context.clock.now());
+            remote_owners.retain(|owner| !zone_hosts.contains(&owner.host));
+            ask(&context, &mut reaper, &remote_owners).await;
+            let released = reaper.releasable(&upstream, &holdings, context.clock.now());
             release(&context, &client, (&upstream, address), &released).await;
         }
     }
 }
 
 /// What this zone knows of its own entry processes.
-async fn own_words(context: &Context) -> Vec<(id::Host, owner::Status)> {
+async fn own_statuses(context: &Context) -> Vec<(id::Host, owner::Status)> {
     let listed = listed(context).await;
     let core = context.core.borrow();
     let known = |host: &id::Host| match core.group.is_live(host) {
@@ -60,7 +60,7 @@
             owner::HostState::Dead { listed: listed.as_ref().map(|names| names.contains(host)) }
         }
     };
-    let reports = core.board.iter();
+    let reports = core.entry_reports.iter();
     reports
         .map(|(host, report)| (host.clone(), owner::Status::new(host, report, known(host))))
         .collect()
@@ -70,7 +70,7 @@
 async fn listed(context: &Context) -> Option<collections::BTreeSet<id::Host>> {
     let all_live = {
         let core = context.core.borrow();
-        core.board.iter().all(|(host, _)| core.group.is_live(host))
+        core.entry_reports.iter().all(|(host, _)| core.group.is_live(host))
     };
     let platform = context.platform.as_ref().filter(|_| !all_live)?;
     let lines = platform.list().await.ok()?;
@@ -81,13 +81,13 @@
 /// unless every zone answered.
 async fn ask(
     context: &Context,
-    sweep: &mut reap::Reaper,
-    strangers: &collections::BTreeSet<id::Owner>,
+    reaper: &mut reap::Reaper,
+    remote_owners: &collections::BTreeSet<id::Owner>,
 ) {
-    if strangers.is_empty() {
+    if remote_owners.is_empty() {
         return;
     }
-    let hosts: collections::BTreeSet<_> = strangers.iter().map(|owner| &owner.host).collect();
+    let hosts: collections::BTreeSet<_> = remote_owners.iter().map(|owner| &owner.host).collect();
     let text = serde_json::to_string(&hosts).unwrap_or_default();
     let call = wire::Call { verb: wire::Verb::Owners.into(), text, ..wire::Call::default() };
     let answers = zones::ask(context, &call).await;
@@ -95,17 +95,17 @@
     let mut answered = collections::BTreeSet::new();
     let mut known = collections::BTreeSet::new();
     for answer in answers {
-        let words = answer.text.and_then(|text| serde_json::from_str(&text).ok());
-        let Some(words): Option<Vec<owner::Status>> = words else { continue };
+        let statuses = answer.text.and_then(|text| serde_json::from_str(&text).ok());
+        let Some(statuses): Option<Vec<owner::Status>> = statuses else { continue };
         answered.insert(answer.zone);
-        for word in words {
-            sweep.apply_status(&word, false, now);
-            known.extend(word.owner.parse().map(|owner: id::Owner| owner.host));
+        for status in statuses {
+            reaper.apply_status(&status, false, now);
+            known.extend(status.owner.parse().map(|owner: id::Owner| owner.host));
         }
     }
-    let is_whole = other_zones(context).is_subset(&answered);
-    for owner in strangers.iter().filter(|owner| !known.contains(&owner.host)) {
-        if is_whole { sweep.record_gone(owner, now) } else { sweep.record_unsure(owner, now) }
+    let all_answered = other_zones(context).is_subset(&answered);
+    for owner in remote_owners.iter().filter(|owner| !known.contains(&owner.host)) {
+        if all_answered { reaper.record_gone(owner, now) } else { reaper.record_unsure(owner, now) }
     }
 }
 
@@ -118,10 +118,10 @@
 }
 
 /// What this zone knows of the hosts that `text` lists, for a steward of another zone.
-pub(super) async fn words(context: &Context, text: &str) -> Vec<owner::Status> {
+pub(super) async fn statuses_of(context: &Context, text: &str) -> Vec<owner::Status> {
     let hosts: Vec<id::Host> = serde_json::from_str(text).unwrap_or_default();
-    let words = own_words(context).await.into_iter();
-    words.filter(|(host, _)| hosts.contains(host)).map(|(_, word)| word).collect()
+    let statuses = own_statuses(context).await.into_iter();
+    statuses.filter(|(host, _)| hosts.contains(host)).map(|(_, status)| status).collect()
 }
 
 async fn release(
--- a/crates/lagoon-net/src/steward/mod.rs
+++ b/crates/lagoon-net/src/steward/mod.rs
@@ -2,17 +2,17 @@
 //!
 //! [`start`] runs it on a thread of its own, so that several stewards can share a process.
 
-mod beat;
 mod calls;
+mod claim_sweep;
 mod core;
 mod dial;
 mod fetch;
+mod heartbeat;
+mod memory_sweep;
 mod observe;
-mod orders;
-mod retain;
+mod reconcile;
 mod session;
 mod settings;
-mod sweep;
 mod usage;
 mod zones;
 
@@ -96,11 +96,11 @@
 }
 
 /// Tries to find a port that is free for both TCP and UDP.
-const BIND_TRIES: usize = 16;
+const MAX_BIND_ATTEMPTS: usize = 16;
 
 fn bind(listen: net::SocketAddr) -> io::Result<(net::TcpListener, net::UdpSocket)> {
     let mut last = None;
-    for _ in 0..BIND_TRIES {
+    for _ in 0..MAX_BIND_ATTEMPTS {
         let listener = net::TcpListener::bind(listen)?;
         match net::UdpSocket::bind(listener.local_addr()?) {
             Ok(socket) => return Ok((listener, socket)),
@@ -183,14 +183,14 @@
     };
     let tasks = [
         rt::spawn(session::listen(context.clone(), listener)),
-        rt::spawn(beat::run(context.clone(), socket)),
+        rt::spawn(heartbeat::run(context.clone(), socket)),
         rt::spawn(dial::run(context.clone())),
         rt::spawn(fetch::run(context.clone())),
         rt::spawn(fetch::run_hosts(context.clone())),
         rt::spawn(observe::run(context.clone())),
-        rt::spawn(orders::run(context.clone())),
-        rt::spawn(retain::run(context.clone())),
-        rt::spawn(sweep::run(context.clone())),
+        rt::spawn(reconcile::run(context.clone())),
+        rt::spawn(claim_sweep::run(context.clone())),
+        rt::spawn(memory_sweep::run(context.clone())),
         rt::spawn(usage::run(context)),
     ];
     let _ = stopped.wait_for(|stop| *stop).await;
--- a/crates/lagoon-net/src/steward/orders.rs
+++ b/crates/lagoon-net/src/steward/reconcile.rs
@@ -21,22 +21,22 @@
 use crate::platform;
 
 /// Time between two looks at the engines.
-const LOOK: std::time::Duration = std::time::Duration::from_secs(2);
+const RECONCILE_INTERVAL: std::time::Duration = std::time::Duration::from_secs(2);
 
 /// Longest time for reading an engine's state.
-const READ_TIME: time::Millis = time::Millis(1_000);
+const READ_TIMEOUT: time::Millis = time::Millis(1_000);
 
 /// Engines of a zone that load at once. The weight store's rate is shared by all zones; with the
 /// orders' lease a zone holds this many tokens of it, so that after a change of many engines some
 /// serve again soon instead of all loading for as long as the sum of them takes.
-const LOADS_AT_ONCE: usize = 2;
+const MAX_CONCURRENT_LOADS: usize = 2;
 
 /// What only the zone's chosen steward does.
-pub(super) const ORDERER: &str = "orderer";
+pub(super) const RECONCILER: &str = "orderer";
 
 /// What was last seen and decided of one engine.
 #[derive(Clone, Debug, Default, Serialize)]
-pub(super) struct Line {
+pub(super) struct EngineStatus {
     upstream: String,
     wanted_models: Vec<id::Model>,
     wanted_role: engine::Role,
@@ -56,12 +56,12 @@
 }
 
 #[derive(Serialize)]
-struct Sent<'a> {
+struct Envelope<'a> {
     fence: id::Fence,
     order: &'a engine::Command,
 }
 
-struct Task {
+struct Reconciler {
     context: Context,
     http: client::Client,
     platform: platform::Client,
@@ -76,11 +76,11 @@
     let name = format!("orders/{}", context.settings.zone);
     let lease = lease::Lease::new(&name, own, context.settings.lease, context.clock);
     let http = client::Client::new().await;
-    let mut task = Task { context, http, platform, lease, loading: 0 };
+    let mut reconciler = Reconciler { context, http, platform, lease, loading: 0 };
     loop {
-        tokio::time::sleep(LOOK.mul_f64(rand::random_range(0.9..1.1))).await;
-        if task.context.core.borrow().owns(ORDERER) {
-            task.look().await;
+        tokio::time::sleep(RECONCILE_INTERVAL.mul_f64(rand::random_range(0.9..1.1))).await;
+        if reconciler.context.core.borrow().owns(RECONCILER) {
+            reconciler.reconcile_all().await;
         }
     }
 }
@@ -101,8 +101,8 @@
     here.filter_map(target).collect()
 }
 
-impl Task {
-    async fn look(&mut self) {
+impl Reconciler {
+    async fn reconcile_all(&mut self) {
         let mut outstanding = false;
         let mut seen = Vec::new();
         for target in targets(&self.context) {
@@ -123,43 +123,43 @@
     /// Orders what one engine is missing; whether something is outstanding.
     async fn decide(&mut self, target: &Target, actual: Option<reconcile::Actual>) -> bool {
         let Some(actual) = actual else {
-            self.note(target, None, "no answer", 0, 0);
+            self.record(target, None, "no answer", 0, 0);
             return false;
         };
         // Without a lease the engine's own number stands in: this only asks whether it is as wanted.
-        let looked = reconcile::Context { fence: actual.fence, ..self.situation(target) };
-        if reconcile::decide(&target.wanted, &actual, &looked) == reconcile::Decision::Nothing {
-            self.note(target, Some(actual), "as wanted", 0, 0);
+        let probe = reconcile::Context { fence: actual.fence, ..self.context(target) };
+        if reconcile::decide(&target.wanted, &actual, &probe) == reconcile::Decision::Nothing {
+            self.record(target, Some(actual), "as wanted", 0, 0);
             return false;
         }
         let held = self.lease.step(&self.platform).await;
         let Ok(lease::Status::Held(fence)) = held else {
-            self.note(target, Some(actual), "waits for the lease", 0, 0);
+            self.record(target, Some(actual), "waits for the lease", 0, 0);
             return true;
         };
-        let situation = reconcile::Context { fence, ..self.situation(target) };
-        match reconcile::decide(&target.wanted, &actual, &situation) {
-            reconcile::Decision::Nothing => self.note(target, Some(actual), "as wanted", 0, 0),
+        let context = reconcile::Context { fence, ..self.context(target) };
+        match reconcile::decide(&target.wanted, &actual, &context) {
+            reconcile::Decision::Nothing => self.record(target, Some(actual), "as wanted", 0, 0),
             reconcile::Decision::Wait => {
-                self.note(target, Some(actual), "waits for the engine", 0, 0)
+                self.record(target, Some(actual), "waits for the engine", 0, 0)
             }
             reconcile::Decision::Superseded => {
-                self.note(target, Some(actual), "a later lease was there", 0, 0);
+                self.record(target, Some(actual), "a later lease was there", 0, 0);
             }
             reconcile::Decision::Send(order) => {
                 let sent = self.send(target, &order).await;
-                self.note(target, Some(actual), sent.word(), sent.count(), 0);
+                self.record(target, Some(actual), sent.as_str(), sent.count(), 0);
             }
             reconcile::Decision::Repair(order) => {
                 log::warn!("{} obeyed a late order; ordering it back", target.name);
                 let sent = self.send(target, &order).await;
-                self.note(target, Some(actual), sent.word(), sent.count(), sent.count());
+                self.record(target, Some(actual), sent.as_str(), sent.count(), sent.count());
             }
         }
         true
     }
 
-    fn situation(&self, target: &Target) -> reconcile::Context {
+    fn context(&self, target: &Target) -> reconcile::Context {
         let core = self.context.core.borrow();
         let load = core.loads.get(&target.name).map(|observed| observed.load);
         let in_flight = load.map_or(0, |load| load.running + load.waiting);
@@ -175,22 +175,22 @@
             let body = response.body().await.ok().filter(|_| is_good)?;
             serde_json::from_slice(&body).ok()
         };
-        time::timeout(READ_TIME, read).await.ok().flatten()
+        time::timeout(READ_TIMEOUT, read).await.ok().flatten()
     }
 
-    async fn send(&mut self, target: &Target, order: &engine::Command) -> Fate {
+    async fn send(&mut self, target: &Target, order: &engine::Command) -> SendOutcome {
         let is_load = matches!(order, engine::Command::Load { .. });
-        if is_load && self.loading >= LOADS_AT_ONCE {
-            return Fate::NoWeights;
+        if is_load && self.loading >= MAX_CONCURRENT_LOADS {
+            return SendOutcome::NoWeights;
         }
-        let Some(permit) = self.lease.permit() else { return Fate::NoLease };
+        let Some(permit) = self.lease.permit() else { return SendOutcome::NoLease };
         let request = self.http.post(format!("http://{}/orders", target.address));
         let request = request.set_header("Lagoon-Zone", self.context.settings.zone.as_str());
-        let body = Sent { fence: permit.fence, order };
+        let body = Envelope { fence: permit.fence, order };
         let sent = request.send_json(&body);
-        let flight = self.context.settings.lease.max_command_delay.as_millis();
-        let flight = time::Millis(u32::try_from(flight).unwrap_or(u32::MAX));
-        let answer = time::timeout(flight, sent).await;
+        let max_delay = self.context.settings.lease.max_command_delay.as_millis();
+        let max_delay = time::Millis(u32::try_from(max_delay).unwrap_or(u32::MAX));
+        let answer = time::timeout(max_delay, sent).await;
         if !self.lease.record_sent(&permit) {
             let counters = self.context.core.borrow().counters.clone();
             core::Counters::add(&counters.late_commands, 1);
@@ -198,15 +198,15 @@
         match answer {
             Ok(Ok(response)) if response.status() == http::StatusCode::OK => {
                 self.loading += usize::from(is_load);
-                Fate::Taken
+                SendOutcome::Accepted
             }
-            Ok(Ok(_)) => Fate::Refused,
+            Ok(Ok(_)) => SendOutcome::Refused,
             // Whether it was obeyed shows at the next look.
-            Ok(Err(_)) | Err(()) => Fate::Unknown,
+            Ok(Err(_)) | Err(()) => SendOutcome::Unknown,
         }
     }
 
-    fn note(
+    fn record(
         &self,
         target: &Target,
         actual: Option<reconcile::Actual>,
@@ -215,7 +215,7 @@
         repaired: u64,
     ) {
         let mut core = self.context.core.borrow_mut();
-        let line = core.orders.entry(target.name.clone()).or_default();
+        let line = core.engine_status.entry(target.name.clone()).or_default();
         line.upstream = target.name.to_string();
         line.wanted_models.clone_from(&target.wanted.models);
         line.wanted_role = target.wanted.role;
@@ -228,29 +228,29 @@
 
 /// What became of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Fate {
+enum SendOutcome {
     NoWeights,
     NoLease,
-    Taken,
+    Accepted,
     Refused,
     Unknown,
 }
 
-impl Fate {
-    const fn word(self) -> &'static str {
+impl SendOutcome {
+    const fn as_str(self) -> &'static str {
         match self {
-            Fate::NoWeights => "others load first",
-            Fate::NoLease => "the lease ended",
-            Fate::Taken => "ordered",
-            Fate::Refused => "the engine refused",
-            Fate::Unknown => "ordered, no answer",
+            SendOutcome::NoWeights => "others load first",
+            SendOutcome::NoLease => "the lease ended",
+            SendOutcome::Accepted => "ordered",
+            SendOutcome::Refused => "the engine refused",
+            SendOutcome::Unknown => "ordered, no answer",
         }
     }
 
     const fn count(self) -> u64 {
         match self {
-            Fate::NoWeights | Fate::NoLease => 0,
-            Fate::Taken | Fate::Refused | Fate::Unknown => 1,
+            SendOutcome::NoWeights | SendOutcome::NoLease => 0,
+            SendOutcome::Accepted | SendOutcome::Refused | SendOutcome::Unknown => 1,
         }
     }
 }
--- a/crates/lagoon-net/src/steward/session.rs
+++ b/crates/lagoon-net/src/steward/session.rs
@@ -13,14 +13,14 @@
 use crate::wire;
 
 /// Most connections at once: hosts of a zone, gateways, an entry process and some operators.
-const CONNECTIONS: usize = 256;
+const MAX_CONNECTIONS: usize = 256;
 
 /// Bytes of a frame besides its message, for the counters: length, tag, sender, life, sequence and
 /// nonce.
-const FRAME_HEAD: usize = 69;
+const FRAME_OVERHEAD: usize = 69;
 
 /// Wait after a failed accept, such as without free descriptors.
-const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(100);
 
 pub(super) fn identity(context: &Context) -> link::Identity {
     link::Identity {
@@ -34,20 +34,20 @@
 
 /// Accepts connections.
 pub(super) async fn listen(context: Context, listener: tokio_net::TcpListener) {
-    let places = std::sync::Arc::new(tokio::sync::Semaphore::new(CONNECTIONS));
+    let permits = std::sync::Arc::new(tokio::sync::Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
         match listener.accept().await {
             Ok((stream, address)) => {
                 let context = context.clone();
                 rt::spawn(async move {
                     accept(context, stream, address).await;
-                    drop(place);
+                    drop(permit);
                 });
             }
             Err(error) => {
                 log::warn!("accept: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -73,9 +73,9 @@
 ) {
     let sender = peer.sender.clone();
     let is_peer = peer.role == wire::Role::Steward;
-    let (name, receiver) = context.core.borrow_mut().open(peer, is_dialed);
-    let ended = exchange(context, channel, (name, is_peer), receiver).await;
-    context.core.borrow_mut().close(name);
+    let (link_id, receiver) = context.core.borrow_mut().add_link(peer, is_dialed);
+    let ended = exchange(context, channel, (link_id, is_peer), receiver).await;
+    context.core.borrow_mut().remove_link(link_id);
     if let Err(error) = ended {
         log::debug!("link with {sender}: {error}");
     }
@@ -84,7 +84,7 @@
 async fn exchange(
     context: &Context,
     mut channel: link::Channel,
-    (name, is_peer): (core::LinkId, bool),
+    (link_id, is_peer): (core::LinkId, bool),
     mut receiver: mpsc::Receiver<wire::Body>,
 ) -> Result<(), link::Error> {
     let counters = context.core.borrow().counters.clone();
@@ -93,20 +93,20 @@
             frame = channel.receive() => {
                 let Some(body) = frame?.body else { continue };
                 if is_peer {
-                    let bytes = (body.encoded_len() + FRAME_HEAD) as u64;
+                    let bytes = (body.encoded_len() + FRAME_OVERHEAD) as u64;
                     core::Counters::add(&counters.peer_frames_received, 1);
                     core::Counters::add(&counters.peer_bytes_received, bytes);
                 }
                 match body {
                     wire::Body::Call(call) => {
-                        rt::spawn(calls::answer(context.clone(), name, call));
+                        rt::spawn(calls::handle(context.clone(), link_id, call));
                     }
-                    body => context.core.borrow_mut().take(body, name),
+                    body => context.core.borrow_mut().handle_message(body, link_id),
                 }
             },
             body = receiver.recv() => {
                 let Some(body) = body else { return Ok(()) };
-                let bytes = (body.encoded_len() + FRAME_HEAD) as u64;
+                let bytes = (body.encoded_len() + FRAME_OVERHEAD) as u64;
                 core::Counters::add(&counters.frames_sent, 1);
                 core::Counters::add(&counters.frame_bytes_sent, bytes);
                 if is_peer {
--- a/crates/lagoon-net/src/steward/usage.rs
+++ b/crates/lagoon-net/src/steward/usage.rs
@@ -13,17 +13,17 @@
 use crate::platform;
 
 /// Time between two readings of the meters.
-const READING: std::time::Duration = std::time::Duration::from_millis(500);
+const METER_INTERVAL: std::time::Duration = std::time::Duration::from_millis(500);
 
 /// A pause of this process that is long enough for an engine to have done anything meanwhile.
-const LONG_PAUSE: std::time::Duration = std::time::Duration::from_secs(3);
+const MAX_TICK_GAP: std::time::Duration = std::time::Duration::from_secs(3);
 
 /// Reads of an engine's load that must be missed before nobody is said to have seen it.
-const MISSED: u32 = 3;
+const MAX_MISSED_READS: u32 = 3;
 
 /// Finished rows kept while the table is out: an hour of every engine that one steward observes.
 /// Beyond it the oldest are dropped, and the report shows their time as unobserved.
-const KEPT_ROWS: usize = 1_024;
+const MAX_PENDING_ROWS: usize = 1_024;
 
 /// Rows read at once for a report.
 const SCAN_LIMIT: usize = 500;
@@ -34,12 +34,12 @@
     let mut finished = collections::VecDeque::<(id::Upstream, ledger::Row)>::new();
     let mut last = context.clock.now();
     loop {
-        tokio::time::sleep(READING).await;
+        tokio::time::sleep(METER_INTERVAL).await;
         // A pause of this process is time that nobody saw, whatever the engine did before.
-        let was_paused = context.clock.now().since(last) >= LONG_PAUSE;
+        let was_paused = context.clock.now().since(last) >= MAX_TICK_GAP;
         last = context.clock.now();
         read_meters(&context, was_paused, &mut meters, &mut finished);
-        while finished.len() > KEPT_ROWS {
+        while finished.len() > MAX_PENDING_ROWS {
             finished.pop_front();
         }
         write_one(&platform, &mut finished).await;
@@ -55,19 +55,19 @@
 ) {
     let core = context.core.borrow();
     let (wall_ms, now) = (context.clock.wall_millis(), context.clock.now());
-    let stale = context.settings.observe_interval * MISSED;
-    let accounts = &core.accounts;
+    let stale = context.settings.observe_interval * MAX_MISSED_READS;
+    let attributions = &core.attributions;
     let in_zone = |name: &id::Upstream| {
         core.fleet.upstream(name).is_some_and(|upstream| upstream.entry.zone == *core.zone())
     };
-    meters.retain(|name, _| accounts.contains_key(name) && core.owns(name.as_str()));
-    for (name, account) in accounts.iter() {
+    meters.retain(|name, _| attributions.contains_key(name) && core.owns(name.as_str()));
+    for (name, attribution) in attributions.iter() {
         if !in_zone(name) || !core.owns(name.as_str()) {
             continue;
         }
         let meter = meters.entry(name.clone()).or_insert_with(|| ledger::Meter::new(wall_ms));
-        meter.set_attribution(account);
-        let is_fresh = |seen: &&core::Observed| !was_paused && now.since(seen.read) < stale;
+        meter.set_attribution(attribution);
+        let is_fresh = |seen: &&core::Observed| !was_paused && now.since(seen.read_at) < stale;
         let seen = core.loads.get(name).filter(is_fresh);
         let activity = match seen {
             None => ledger::Activity::Unobserved,
@@ -92,10 +92,10 @@
 
 /// Most rows summed for one report: a day of 139 engines. Beyond it the answer would outlast the
 /// operator's wait and the steward's budget of reads.
-pub(super) const MOST_ROWS: usize = 200_000;
+pub(super) const MAX_REPORT_ROWS: usize = 200_000;
 
 /// Pause between two reads of a report: they leave half of this process's budget to the rest.
-const PAUSE: std::time::Duration = std::time::Duration::from_millis(100);
+const SCAN_PAUSE: std::time::Duration = std::time::Duration::from_millis(100);
 
 /// Sums, and how many rows they are of.
 pub(super) struct Report {
@@ -123,11 +123,11 @@
     loop {
         let found = table.scan("usage/", &after, SCAN_LIMIT).await?;
         let Some(last) = found.last() else { break };
-        let place = |key: &str| {
+        let parse_key = |key: &str| {
             let (name, interval) = key.strip_prefix("usage/")?.rsplit_once('/')?;
             Some((id::Upstream::from(name), interval.parse::<u64>().ok()?))
         };
-        after = match place(&last.key) {
+        after = match parse_key(&last.key) {
             // Just before the first day, or past everything of this upstream.
             Some((name, interval)) if interval < first => ledger::key(&name, first - 1),
             Some((name, interval)) if interval >= end => ledger::key(&name, LAST_INTERVAL),
@@ -135,15 +135,17 @@
         };
         for row in &found {
             let parsed = serde_json::from_str::<ledger::Row>(&row.value).ok();
-            let Some(((name, interval), parsed)) = place(&row.key).zip(parsed) else { continue };
+            let Some(((name, interval), parsed)) = parse_key(&row.key).zip(parsed) else {
+                continue;
+            };
             if (first..end).contains(&interval) {
                 rows.push((name, parsed));
             }
         }
-        if rows.len() > MOST_ROWS {
+        if rows.len() > MAX_REPORT_ROWS {
             return Ok(None);
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(SCAN_PAUSE).await;
     }
     let sums = ledger::sum(rows.iter().map(|(upstream, row)| (upstream, row)), grouping);
     Ok(Some(Report { sums, rows: rows.len() }))
--- a/crates/lagoon-net/src/steward/zones.rs
+++ b/crates/lagoon-net/src/steward/zones.rs
@@ -15,10 +15,10 @@
 use crate::wire;
 
 /// Longest time for one steward's answer.
-const ANSWER_TIME: time::Duration = time::Duration::from_millis(800);
+const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(800);
 
 /// Stewards of a zone that are tried.
-const TRIES: usize = 3;
+const MAX_TRIES: usize = 3;
 
 /// One zone's answer: `None` when none of its stewards answered.
 pub(super) struct Answer {
@@ -34,26 +34,26 @@
 }
 
 /// Sends `call` to the steward of each zone, this one included, that gives orders there.
-pub(super) async fn ask_orderers(context: &Context, call: &wire::Call) -> Vec<Answer> {
-    let asked = orderers(context);
+pub(super) async fn ask_reconcilers(context: &Context, call: &wire::Call) -> Vec<Answer> {
+    let asked = reconcilers(context);
     let asked =
         asked.into_iter().map(|(zone, address)| ask_zone(context, zone, vec![address], call));
     future::join_all(asked).await
 }
 
-fn orderers(context: &Context) -> Vec<(id::Zone, net::SocketAddr)> {
+fn reconcilers(context: &Context) -> Vec<(id::Zone, net::SocketAddr)> {
     let core = context.core.borrow();
     let zones: collections::BTreeSet<_> = core.group.live().map(|member| &member.zone).collect();
-    let orderer = |zone: &&id::Zone| {
-        let host = rendezvous::choose(core.group.live_in(zone), super::orders::ORDERER)?;
+    let reconciler = |zone: &&id::Zone| {
+        let host = rendezvous::choose(core.group.live_in(zone), super::reconcile::RECONCILER)?;
         let member = core.group.roster().member(&id::Host::from(host))?;
         Some(((*zone).clone(), member.address))
     };
-    zones.iter().filter_map(orderer).collect()
+    zones.iter().filter_map(reconciler).collect()
 }
 
 /// Sends `call` to one steward of `zone`.
-pub(super) async fn ask_in(
+pub(super) async fn ask_one_zone(
     context: &Context,
     zone: &id::Zone,
     call: &wire::Call,
@@ -83,9 +83,9 @@
     addresses: Vec<net::SocketAddr>,
     call: &wire::Call,
 ) -> Answer {
-    for address in addresses.into_iter().take(TRIES) {
+    for address in addresses.into_iter().take(MAX_TRIES) {
         let asked = ask_one(context, address, call);
-        if let Ok(Some(text)) = tokio::time::timeout(ANSWER_TIME, asked).await {
+        if let Ok(Some(text)) = tokio::time::timeout(ANSWER_TIMEOUT, asked).await {
             return Answer { zone, text: Some(text) };
         }
     }
