--- a/crates/lagoon-net/src/link/channel.rs
+++ b/crates/lagoon-net/src/link/channel.rs
@@ -1,4 +1,4 @@
-//! A connection between two of the system's processes, after its handshake.
+//! Authenticated connections between two processes of a fleet, and their handshake.
 
 use std::net;
 use std::time;
@@ -14,65 +14,65 @@
 /// Bytes of a connection's nonce.
 const NONCE_BYTES: usize = 16;
 
-/// Longest time for connecting and for the handshake.
-const HANDSHAKE_TIME: time::Duration = time::Duration::from_secs(2);
+/// Timeout of connecting and the handshake together.
+const HANDSHAKE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// Longest time that a frame may take to leave: a peer that reads nothing is gone.
-const SEND_TIME: time::Duration = time::Duration::from_secs(5);
+/// Timeout of sending one frame; a peer that reads nothing for this long is considered dead.
+const SEND_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
-/// Who this side is.
+/// Identity of this side.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// The host, or the operator's program.
     pub sender: String,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: id::Incarnation,
     /// Its zone.
     pub zone: id::Zone,
-    /// Its part in the system.
+    /// Its role.
     pub role: wire::Role,
     /// The fleet's key.
     pub key: wire::Key,
 }
 
-/// Who the other side is.
+/// Identity of the other side.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peer {
     /// The host, or the operator's program.
     pub sender: String,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: id::Incarnation,
-    /// Its zone; not told by the accepting side.
+    /// Its zone; empty for the accepting side, which does not send it.
     pub zone: id::Zone,
-    /// Its part in the system; a steward accepts.
+    /// Its role; the accepting side is always a steward.
     pub role: wire::Role,
 }
 
-/// Why a channel ended or never began.
+/// Why a channel was closed or could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A frame was refused, or the connection failed.
+    /// A frame was rejected, or the connection failed.
     #[error("{step} with {peer}: {source}")]
     Wire {
-        /// What was being done.
+        /// The operation: `connect`, `accept`, `receive` or `send`.
         step: &'static str,
         /// The other side's address.
         peer: net::SocketAddr,
-        /// What was wrong.
+        /// The cause.
         source: wire::Error,
     },
-    /// The other side took too long.
+    /// The operation timed out.
     #[error("{step} with {peer}: timed out")]
     Timeout {
-        /// What was being done.
+        /// The operation: `connect`, `accept`, `receive` or `send`.
         step: &'static str,
         /// The other side's address.
         peer: net::SocketAddr,
     },
-    /// The other side closed, or did not follow the handshake.
+    /// The other side closed the connection, or violated the handshake.
     #[error("{step} with {peer}: closed")]
     Closed {
-        /// What was being done.
+        /// The operation: `connect`, `accept`, `receive` or `send`.
         step: &'static str,
         /// The other side's address.
         peer: net::SocketAddr,
@@ -91,36 +91,36 @@
     ///
     /// # Errors
     ///
-    /// As [`Error`] says; the step is `connect`.
+    /// See [`Error`]; the step is `connect`.
     pub async fn connect(
         address: net::SocketAddr,
         identity: &Identity,
     ) -> Result<(Self, Peer), Error> {
         let timeout = Error::Timeout { step: "connect", peer: address };
-        let begin = begin_connect(address, identity);
-        tokio::time::timeout(HANDSHAKE_TIME, begin).await.map_err(|_| timeout)?
+        let handshake = connect_handshake(address, identity);
+        tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await.map_err(|_| timeout)?
     }
 
-    /// Does the accepting side of the handshake.
+    /// Performs the accepting side of the handshake.
     ///
     /// # Errors
     ///
-    /// As [`Error`] says; the step is `accept`.
+    /// See [`Error`]; the step is `accept`.
     pub async fn accept(
         stream: tokio_net::TcpStream,
         address: net::SocketAddr,
         identity: &Identity,
     ) -> Result<(Self, Peer), Error> {
         let timeout = Error::Timeout { step: "accept", peer: address };
-        let begin = begin_accept(stream, address, identity);
-        tokio::time::timeout(HANDSHAKE_TIME, begin).await.map_err(|_| timeout)?
+        let handshake = accept_handshake(stream, address, identity);
+        tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await.map_err(|_| timeout)?
     }
 
-    /// The next frame. May be dropped and called again.
+    /// Returns the next frame. The future is cancel-safe.
     ///
     /// # Errors
     ///
-    /// As [`Error`] says; the step is `receive`.
+    /// See [`Error`]; the step is `receive`.
     pub async fn receive(&mut self) -> Result<wire::Frame, Error> {
         let (step, peer) = ("receive", self.address);
         match self.framed.next().await {
@@ -129,14 +129,14 @@
         }
     }
 
-    /// Sends a message. Must not be dropped before it ends, unless the channel is dropped too.
+    /// Sends a message. The future is not cancel-safe: if it is dropped, the channel must be too.
     ///
     /// # Errors
     ///
-    /// As [`Error`] says; the step is `send`.
+    /// See [`Error`]; the step is `send`.
     pub async fn send(&mut self, body: wire::Body) -> Result<(), Error> {
         let (step, peer) = ("send", self.address);
-        let sent = tokio::time::timeout(SEND_TIME, self.framed.send(body)).await;
+        let sent = tokio::time::timeout(SEND_TIMEOUT, self.framed.send(body)).await;
         let sent = sent.map_err(|_| Error::Timeout { step, peer })?;
         sent.map_err(|source| Error::Wire { step, peer, source })
     }
@@ -146,7 +146,7 @@
     stream: tokio_net::TcpStream,
     identity: &Identity,
 ) -> (codec::Framed<tokio_net::TcpStream, wire::Codec>, Bytes) {
-    // Small frames must not wait for one another.
+    // Nagle's algorithm would delay small frames.
     let _ = stream.set_nodelay(true);
     let nonce = Bytes::copy_from_slice(&rand::random::<[u8; NONCE_BYTES]>());
     let (key, sender) = (identity.key.clone(), identity.sender.clone());
@@ -154,7 +154,7 @@
     (codec::Framed::new(stream, codec), nonce)
 }
 
-async fn begin_connect(
+async fn connect_handshake(
     address: net::SocketAddr,
     identity: &Identity,
 ) -> Result<(Channel, Peer), Error> {
@@ -179,7 +179,7 @@
     Ok((channel, other))
 }
 
-async fn begin_accept(
+async fn accept_handshake(
     stream: tokio_net::TcpStream,
     address: net::SocketAddr,
     identity: &Identity,
--- a/crates/lagoon-net/src/link/client.rs
+++ b/crates/lagoon-net/src/link/client.rs
@@ -1,4 +1,4 @@
-//! The entry process's side of the link.
+//! The link to the steward, on the side of the entry process.
 
 use std::sync;
 use std::sync::atomic;
@@ -17,60 +17,61 @@
 use super::settings;
 use crate::wire;
 
-/// Messages that may wait for the steward; more are dropped, since the next ones replace them.
-const OUTGOING: usize = 256;
+/// Outgoing messages that are queued. More are dropped, because later messages replace them.
+const MAX_QUEUED: usize = 256;
 
-/// Longest wait between two tries to connect.
-const RETRY_LIMIT: clock::Span = clock::Span::from_secs(2);
+/// Maximum delay between two attempts to connect.
+const MAX_RETRY_DELAY: clock::Span = clock::Span::from_secs(2);
 
-/// What the steward says.
+/// Update received from the steward.
 #[derive(Clone, Debug)]
 pub enum Update {
     /// The sections in force, merged.
     Fleet {
-        /// All of them.
+        /// The merged sections.
         fleet: view::Shared,
-        /// Whether the steward has the highest versions that it can reach: only then may an entry
-        /// host become ready. It stays true.
+        /// Whether the steward's document is complete: only then may an entry host become ready.
+        /// Once true it stays true.
         complete: bool,
     },
-    /// Lagging loads of upstreams.
+    /// Loads of upstreams, with their age.
     Loads(Vec<wire::Load>),
-    /// Upstreams that leave, or are in service.
+    /// Upstreams that are leaving or in service.
     Marks(Vec<wire::Mark>),
-    /// This entry host is to drain.
+    /// This entry host has to drain.
     Drain,
-    /// What customers used at another entry host.
+    /// Usage of customers at another entry host. An empty one only shows that other hosts are
+    /// reachable.
     Spending(wire::Spending),
 }
 
-/// Takes updates; called on the link's thread, so it must not block.
+/// Consumer of updates. It is called on the link's thread, so it must not block.
 pub trait Sink {
-    /// Takes one update.
+    /// Applies one update.
     fn apply(&mut self, update: Update);
 }
 
-/// State of the entry process that it reports.
+/// State of the entry process, as reported to the steward.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct State {
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
     /// Whether it is shutting down.
     pub draining: bool,
-    /// Requests under way.
+    /// Requests in flight.
     pub in_flight: u64,
-    /// Versions that its data path works with, on every thread.
+    /// Section versions that every thread of its data path uses.
     pub in_force: replication::Versions,
 }
 
 #[derive(Debug)]
 struct Shared {
     clock: clock::System,
-    heard_micros: atomic::AtomicU64,
+    last_frame_micros: atomic::AtomicU64,
     state: sync::Mutex<State>,
 }
 
-/// The data path's hold of the link; clones share it.
+/// Handle by which the data path uses the link; clones share the link.
 #[derive(Clone, Debug)]
 pub struct Handle {
     shared: sync::Arc<Shared>,
@@ -78,45 +79,45 @@
 }
 
 impl Handle {
-    /// Time since the steward was last heard of; `None` when it never was.
+    /// Returns the time since the last frame of the steward; `None` if there was none.
     pub fn view_age(&self) -> Option<clock::Span> {
-        match self.shared.heard_micros.load(atomic::Ordering::Relaxed) {
+        match self.shared.last_frame_micros.load(atomic::Ordering::Relaxed) {
             0 => None,
             micros => Some(self.shared.clock.now().since(clock::Moment::from_micros(micros))),
         }
     }
 
-    /// Replaces the state that is reported, and reports it now if it differs in more than the
-    /// number of requests under way.
+    /// Replaces the state to report. It is sent at once if anything but the number of requests in
+    /// flight has changed, and otherwise with the next periodic report.
     pub fn report(&self, state: State) {
         let mut known = self.shared.state.lock().unwrap_or_else(sync::PoisonError::into_inner);
         let same = *known == State { in_flight: known.in_flight, ..state.clone() };
         *known = state;
         drop(known);
         if !same {
-            // A full queue means that a report is under way or due within a second.
+            // If the queue is full, a report is queued already or due within a second.
             let _ = self.outgoing.try_send(None);
         }
     }
 
-    /// Passes on loads that came with answers.
+    /// Sends loads that arrived with responses.
     pub fn loads(&self, loads: Vec<wire::Load>) {
         let _ = self.outgoing.try_send(Some(wire::Body::Loads(wire::Loads { loads })));
     }
 
-    /// Says that an upstream refused work because it leaves.
+    /// Reports that an upstream refused work because it is leaving.
     pub fn mark(&self, mark: wire::Mark) {
         let marks = wire::Marks { marks: vec![mark] };
         let _ = self.outgoing.try_send(Some(wire::Body::Marks(marks)));
     }
 
-    /// Says what customers used here.
+    /// Sends the usage of customers at this host.
     pub fn spending(&self, spending: wire::Spending) {
         let _ = self.outgoing.try_send(Some(wire::Body::Spending(spending)));
     }
 }
 
-/// The link itself, to be run on one thread's runtime.
+/// The task that maintains the link, to be run on one thread's runtime.
 #[derive(Debug)]
 pub struct Task {
     settings: settings::Settings,
@@ -126,7 +127,7 @@
     complete: bool,
 }
 
-/// A link and the data path's hold of it.
+/// Creates a link: its handle for the data path and its task.
 ///
 /// ```
 /// use lagoon_net::link;
@@ -134,10 +135,10 @@
 /// assert_eq!(handle.view_age(), None);
 /// ```
 pub fn open(settings: settings::Settings) -> (Handle, Task) {
-    let (sender, outgoing) = mpsc::channel(OUTGOING);
+    let (sender, outgoing) = mpsc::channel(MAX_QUEUED);
     let shared = sync::Arc::new(Shared {
         clock: clock::System::default(),
-        heard_micros: atomic::AtomicU64::new(0),
+        last_frame_micros: atomic::AtomicU64::new(0),
         state: sync::Mutex::default(),
     });
     let handle = Handle { shared: shared.clone(), outgoing: sender };
@@ -146,12 +147,12 @@
 }
 
 impl Task {
-    /// Keeps the link until every [`Handle`] is gone; connects again with jitter.
+    /// Maintains the link until every [`Handle`] is dropped; reconnects with backoff and jitter.
     pub async fn run<S>(mut self, mut sink: S)
     where
         S: Sink,
     {
-        let backoff = platform::Backoff { base: self.settings.retry, limit: RETRY_LIMIT };
+        let backoff = platform::Backoff { base: self.settings.retry, limit: MAX_RETRY_DELAY };
         let mut failures = 0;
         while !self.outgoing.is_closed() {
             match channel::Channel::connect(self.settings.steward, &self.identity()).await {
@@ -159,7 +160,7 @@
                     failures = 0;
                     let ended = self.serve(channel, &mut sink).await;
                     if let Err(error) = ended {
-                        log::warn!("link to steward ended: {error}");
+                        log::warn!("link to the steward closed: {error}");
                     }
                 }
                 Err(error) => log::debug!("{error}"),
@@ -192,8 +193,8 @@
             let body = tokio::select! {
                 frame = channel.receive() => {
                     let body = frame?.body;
-                    self.heard();
-                    let Some(reply) = body.and_then(|body| self.take(body, sink)) else { continue };
+                    self.record_contact();
+                    let Some(reply) = body.and_then(|body| self.handle_message(body, sink)) else { continue };
                     reply
                 }
                 outgoing = self.outgoing.recv() => match outgoing {
@@ -207,9 +208,9 @@
         }
     }
 
-    fn heard(&self) {
+    fn record_contact(&self) {
         let micros = self.shared.clock.now().as_micros().max(1);
-        self.shared.heard_micros.store(micros, atomic::Ordering::Relaxed);
+        self.shared.last_frame_micros.store(micros, atomic::Ordering::Relaxed);
     }
 
     fn status(&self) -> wire::Body {
@@ -226,24 +227,24 @@
         })
     }
 
-    /// Takes a message; what is to be answered.
-    fn take<S>(&mut self, body: wire::Body, sink: &mut S) -> Option<wire::Body>
+    /// Applies a message; returns the message to reply with, if any.
+    fn handle_message<S>(&mut self, body: wire::Body, sink: &mut S) -> Option<wire::Body>
     where
         S: Sink,
     {
         match body {
-            wire::Body::Sections(sections) => self.take_sections(&sections, sink),
-            wire::Body::Digest(digest) => return self.give_back(&digest),
+            wire::Body::Sections(sections) => self.apply_sections(&sections, sink),
+            wire::Body::Digest(digest) => return self.missing_sections(&digest),
             wire::Body::Loads(loads) => sink.apply(Update::Loads(loads.loads)),
-            wire::Body::Marks(marks) => self.take_marks(marks.marks, sink),
+            wire::Body::Marks(marks) => self.apply_marks(marks.marks, sink),
             wire::Body::Spending(spending) => sink.apply(Update::Spending(spending)),
-            // Nothing else is meant for an entry process.
+            // Other messages are not addressed to entry processes.
             _ => {}
         }
         None
     }
 
-    fn take_sections<S>(&mut self, sections: &wire::Sections, sink: &mut S)
+    fn apply_sections<S>(&mut self, sections: &wire::Sections, sink: &mut S)
     where
         S: Sink,
     {
@@ -253,7 +254,7 @@
             let version = id::Version(section.version);
             match document::Section::parse(team, version, &section.text) {
                 Ok(section) => changed |= self.replica.apply(section),
-                Err(faults) => log::error!("section {} is not understood: {faults}", section.team),
+                Err(faults) => log::error!("section {} is invalid: {faults}", section.team),
             }
         }
         let completed = sections.complete && !self.complete;
@@ -265,8 +266,9 @@
         }
     }
 
-    /// A steward that started anew during an outage may find nobody else who has the sections.
-    fn give_back(&self, digest: &wire::Digest) -> Option<wire::Body> {
+    /// Returns the sections that the steward lacks. A steward that restarted during a platform
+    /// outage may find no other process that has them.
+    fn missing_sections(&self, digest: &wire::Digest) -> Option<wire::Body> {
         let lacking = self.replica.newer_than(&wire::versions(&digest.versions));
         if lacking.is_empty() {
             return None;
@@ -275,8 +277,9 @@
         Some(wire::Body::Sections(wire::Sections { sections, complete: false }))
     }
 
-    /// A mark on this entry host itself, in this life, is an operator's word to drain.
-    fn take_marks<S>(&self, marks: Vec<wire::Mark>, sink: &mut S)
+    /// Applies marks. A leaving mark on this incarnation of this entry host is an operator's
+    /// request to drain.
+    fn apply_marks<S>(&self, marks: Vec<wire::Mark>, sink: &mut S)
     where
         S: Sink,
     {
--- a/crates/lagoon-net/src/link/mod.rs
+++ b/crates/lagoon-net/src/link/mod.rs
@@ -1,8 +1,7 @@
-//! The entry process's link to its steward, and the channel of frames below it.
+//! The link of an entry process to its steward, and the channel that carries its frames.
 //!
 //! The steward pushes sections, loads and marks; the entry process reports its state. Without a
-//! steward the entry process goes on with what it has, and [`Handle::view_age`] says how old that
-//! is.
+//! steward the entry process keeps using its last state, whose age is [`Handle::view_age`].
 
 mod channel;
 mod client;
--- a/crates/lagoon-net/src/link/settings.rs
+++ b/crates/lagoon-net/src/link/settings.rs
@@ -7,20 +7,20 @@
 
 use crate::wire;
 
-/// Who connects to whom.
+/// Settings of the link between an entry process and its steward.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where the steward listens.
+    /// Address of the steward.
     pub steward: net::SocketAddr,
-    /// This entry host.
+    /// Name of this entry host.
     pub host: id::Host,
     /// Its zone.
     pub zone: id::Zone,
-    /// Life of the entry process.
+    /// Incarnation of the entry process.
     pub incarnation: id::Incarnation,
-    /// The fleet's key.
+    /// The key shared by all processes of the fleet.
     pub key: wire::Key,
-    /// Longest first wait before the steward is tried again; it doubles up to two seconds.
+    /// Maximum delay before the first reconnect; it doubles up to two seconds.
     pub retry: clock::Span,
     /// Time between two reports of the entry process's state.
     pub report: clock::Span,
--- a/crates/lagoon-net/src/logs.rs
+++ b/crates/lagoon-net/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs of a program: level and target from its settings, one line for a change of state.
+//! Logging setup of a program: level and target come from its settings.
 
 use std::fmt;
 use std::io;
@@ -6,7 +6,7 @@
 
 use lagoonline::check;
 
-/// Where log lines go.
+/// Destination of log lines.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Target {
     /// Standard error.
@@ -15,14 +15,14 @@
     File(path::PathBuf),
 }
 
-/// Settings of the logs.
+/// Log level and target.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// Lines below this level are dropped.
+    /// Lines less severe than this level are dropped.
     pub level: log::LevelFilter,
-    /// Where lines go.
+    /// Where lines are written.
     pub target: Target,
-    /// Crates whose lines are dropped.
+    /// Crates whose lines are all dropped.
     pub muted_crates: &'static [&'static str],
 }
 
@@ -52,15 +52,17 @@
     }
 }
 
-/// Libraries that log each worker and setting at their start: of no use to whoever runs a host.
-const CHATTY: [&str; 6] =
+/// Libraries that log each worker and setting at start, which operators of a host do not need.
+/// Their lines below warnings are dropped.
+const NOISY_CRATES: [&str; 6] =
     ["ntex", "ntex_net", "ntex_rt", "ntex_server", "ntex_service", "ntex_util"];
 
-/// Starts the logs of the process; lines carry time in milliseconds, level, program and text.
+/// Installs the logger of the process. Lines have the milliseconds since this call, the level, the
+/// program and the text.
 ///
 /// # Errors
 ///
-/// The file cannot be opened, or logs were started before.
+/// The file cannot be opened, or a logger is installed already.
 pub fn start(settings: &Settings, program: &'static str) -> io::Result<()> {
     let began = std::time::Instant::now();
     let layout = move |out: fern::FormatCallback<'_>,
@@ -70,7 +72,7 @@
         out.finish(format_args!("{millis} {} {program} {text}", record.level()));
     };
     let mut dispatch = fern::Dispatch::new().format(layout).level(settings.level);
-    for library in CHATTY {
+    for library in NOISY_CRATES {
         dispatch = dispatch.level_for(library, settings.level.min(log::LevelFilter::Warn));
     }
     for library in settings.muted_crates {
--- a/crates/lagoon-net/src/operator/client.rs
+++ b/crates/lagoon-net/src/operator/client.rs
@@ -1,4 +1,4 @@
-//! Calls, tried at one steward after another.
+//! Calls to stewards, with retries over several stewards.
 
 use std::net;
 
@@ -13,70 +13,70 @@
 use crate::link;
 use crate::wire;
 
-/// Name under which operators' programs connect.
+/// Sender name of operators' programs.
 const SENDER: &str = "lagoonctl";
 
-/// Why a call was not carried out.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// A steward refused it.
+    /// A steward rejected the call.
     #[error("{message}")]
     Refused {
-        /// The kind, for programs.
+        /// The error code, for programs.
         code: String,
         /// The reason, for people.
         message: String,
-        /// More, by kind: `faults`, or `version` and `changes`.
+        /// Details that depend on the code: `faults`, or `version` and `changes`.
         details: Value,
     },
-    /// No steward answered in time; a put may have been stored.
+    /// No steward replied in time. A put may have been stored.
     #[error("no steward answered: {0}")]
     NoAnswer(String),
 }
 
-/// What is asked for.
+/// A call to make.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// The call.
+    /// The operation.
     pub verb: Option<wire::Verb>,
     /// The team.
     pub team: String,
-    /// The version, where one is needed.
+    /// The version, for calls that need one.
     pub version: u64,
-    /// A section's text, or a name.
+    /// A section's text, a name, or further arguments as JSON.
     pub text: String,
 }
 
-/// An operator's program.
+/// Client that calls stewards on behalf of an operator.
 #[derive(Clone, Debug)]
 pub struct Client {
     settings: settings::Settings,
 }
 
-/// Where a version is in force.
+/// Where a version of a section is in force.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SectionStatus {
-    /// The version asked for.
+    /// The requested version.
     pub version: u64,
     /// Whether every live entry host of every zone reports it in force.
     pub accepted: bool,
-    /// What is missing: one line for each entry host, or for a zone that does not answer.
+    /// Where the version is missing: one line for each entry host, or for a zone without a reply.
     pub missing: Vec<String>,
 }
 
-/// Which part of the idle ledger is summed, and by what.
+/// Query of the idle ledger: days and grouping.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageQuery {
-    /// What it is summed by: a `ledger::Grouping`.
+    /// The grouping of the sums: a `ledger::Grouping`.
     pub by: String,
-    /// First day, counted from the Unix epoch.
+    /// First day, in days since the Unix epoch.
     pub from_day: u64,
-    /// Last day.
+    /// Last day, inclusive.
     pub to_day: u64,
 }
 
 impl UsageQuery {
-    /// As [`Request::text`].
+    /// Returns the query as JSON, for [`Request::text`].
     ///
     /// ```
     /// use lagoon_net::operator;
@@ -89,18 +89,18 @@
 }
 
 impl Client {
-    /// A client; nothing is connected yet.
+    /// Creates a client. It connects on each call.
     pub fn new(settings: settings::Settings) -> Self {
         Client { settings }
     }
 
-    /// Carries out a call. A steward that does not answer, or whose platform does not, is asked
-    /// again or another one is, for as long as patience lasts: reads have no effect, and a put
-    /// keeps its id, by which a steward finds out that it is stored already.
+    /// Makes a call. When a steward or its platform does not reply, the call is retried at the next
+    /// steward until [`settings::Settings::total_timeout`]. Retries are safe: reads have no effect,
+    /// and a put keeps its id, by which a steward detects that it is already stored.
     ///
     /// # Errors
     ///
-    /// As [`Error`] says.
+    /// See [`Error`].
     pub async fn call(&self, request: &Request) -> Result<Value, Error> {
         let call = wire::Call {
             id: rand::random(),
@@ -111,18 +111,19 @@
             text: request.text.clone(),
             put: id::Attempt(rand::random()).to_string(),
         };
-        let backoff = platform::Backoff { limit: RETRY_LIMIT, ..platform::Backoff::default() };
+        let backoff = platform::Backoff { limit: MAX_RETRY_DELAY, ..platform::Backoff::default() };
         let deadline = time::Instant::now() + self.settings.total_timeout;
         let mut last = Error::NoAnswer("none is in the settings".to_owned());
         let mut failures = 0;
         let first = rand::random_range(0..self.settings.stewards.len().max(1));
         for address in self.settings.stewards.iter().cycle().skip(first) {
             match self.ask(*address, &call).await {
-                // A refusal after a lost answer says nothing of the call whose answer was lost.
-                Err(error) if is_passing(&error) && failures > 0 && is_unsure(&last) => {
-                    last = if is_unsure(&error) { error } else { last };
+                // A refusal after a lost reply does not tell whether the call with the lost reply
+                // took effect, so the uncertain error is kept.
+                Err(error) if is_transient(&error) && failures > 0 && is_uncertain(&last) => {
+                    last = if is_uncertain(&error) { error } else { last };
                 }
-                Err(error) if is_passing(&error) => last = error,
+                Err(error) if is_transient(&error) => last = error,
                 outcome => return outcome,
             }
             failures += 1;
@@ -136,10 +137,10 @@
     }
 
     async fn ask(&self, address: net::SocketAddr, call: &wire::Call) -> Result<Value, Error> {
-        let silent = |why: String| Error::NoAnswer(format!("{address}: {why}"));
+        let no_answer = |why: String| Error::NoAnswer(format!("{address}: {why}"));
         match time::timeout(self.settings.timeout, self.exchange(address, call)).await {
-            Err(_) => Err(silent("timed out".to_owned())),
-            Ok(Err(error)) => Err(silent(error.to_string())),
+            Err(_) => Err(no_answer("timed out".to_owned())),
+            Ok(Err(error)) => Err(no_answer(error.to_string())),
             Ok(Ok(reply)) => read_reply(&reply),
         }
     }
@@ -165,12 +166,12 @@
         }
     }
 
-    /// Where `version` of a team's section is in force; version 0 asks for the one in force at
-    /// the steward.
+    /// Returns where `version` of a team's section is in force; version 0 stands for the one in
+    /// force at the steward.
     ///
     /// # Errors
     ///
-    /// As [`Client::call`].
+    /// See [`Client::call`].
     pub async fn section_status(&self, team: &str, version: u64) -> Result<SectionStatus, Error> {
         let verb = Some(wire::Verb::SectionStatus);
         let team = team.to_owned();
@@ -179,11 +180,11 @@
         Ok(read_section_status(&value))
     }
 
-    /// Asks again until the version is accepted or `limit` has passed; the last answer.
+    /// Polls until the version is accepted or `limit` has passed, and returns the last status.
     ///
     /// # Errors
     ///
-    /// As [`Client::call`].
+    /// See [`Client::call`].
     pub async fn wait_accepted(
         &self,
         team: &str,
@@ -192,27 +193,27 @@
     ) -> Result<SectionStatus, Error> {
         let deadline = time::Instant::now() + limit;
         loop {
-            let standing = self.section_status(team, version).await?;
-            if standing.accepted || time::Instant::now() >= deadline {
-                return Ok(standing);
+            let status = self.section_status(team, version).await?;
+            if status.accepted || time::Instant::now() >= deadline {
+                return Ok(status);
             }
-            time::sleep(LOOK).await;
+            time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// Longest wait between two tries.
+/// Maximum delay between two attempts.
 ///
-/// Failure answered: the platform is out for 3 s during a put. Symptom: with waits that grow to
-/// 5 s, one put in thirty was in force after 7.4 s. Operators are few: a try a second stampedes
-/// nobody.
-const RETRY_LIMIT: clock::Span = clock::Span::from_secs(1);
+/// Failure mode: the platform is unavailable for 3 s during a put. Symptom: with delays that grow
+/// to 5 s, one put in thirty was in force only after 7.4 s. There are few operators, so one attempt
+/// per second overloads no steward.
+const MAX_RETRY_DELAY: clock::Span = clock::Span::from_secs(1);
 
-/// Time between two looks at where a version is in force.
-const LOOK: clock::Span = clock::Span::from_millis(100);
+/// Time between two polls of a section status.
+const POLL_INTERVAL: clock::Span = clock::Span::from_millis(100);
 
-/// Whether another try may help: nobody answered, or the platform did not answer the steward.
-fn is_passing(error: &Error) -> bool {
+/// Whether a retry may succeed: no steward replied, or the platform did not reply to it.
+fn is_transient(error: &Error) -> bool {
     match error {
         Error::NoAnswer(_) => true,
         Error::Refused { code, .. } => matches!(code.as_str(), "unknown" | "platform" | "silent"),
@@ -220,7 +221,7 @@
 }
 
 /// Whether a put may have been stored.
-fn is_unsure(error: &Error) -> bool {
+fn is_uncertain(error: &Error) -> bool {
     match error {
         Error::NoAnswer(_) => true,
         Error::Refused { code, .. } => code == "unknown",
--- a/crates/lagoon-net/src/operator/mod.rs
+++ b/crates/lagoon-net/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' calls of a steward: the side of the caller.
+//! Client for operators' calls to stewards.
 
 mod client;
 mod settings;
--- a/crates/lagoon-net/src/operator/settings.rs
+++ b/crates/lagoon-net/src/operator/settings.rs
@@ -7,18 +7,18 @@
 
 use crate::wire;
 
-/// How stewards are reached, and as whom.
+/// Addresses of stewards, and keys.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Stewards; any of them will do, and they are tried in turn.
+    /// Addresses of stewards. Any of them can serve a call; they are tried in turn.
     pub stewards: Vec<net::SocketAddr>,
-    /// The fleet's key.
+    /// The key shared by all processes of the fleet.
     pub fleet_key: wire::Key,
-    /// The team's key, or the operators'.
+    /// A key of the team or of the operators.
     pub key: String,
-    /// Longest time for one steward's answer.
+    /// Timeout of one steward's reply.
     pub timeout: clock::Span,
-    /// Longest time for a whole call over all tries.
+    /// Timeout of a call over all attempts.
     pub total_timeout: clock::Span,
 }
 
@@ -56,13 +56,13 @@
             reader.fault("stewards", "must be given");
         }
         let timeout = reader.number("timeout_ms", 5_000, 10..=600_000);
-        let patience = reader.number("patience_ms", 15_000, 10..=600_000);
+        let total_timeout = reader.number("patience_ms", 15_000, 10..=600_000);
         Settings {
             stewards,
             fleet_key: wire::Key::new(reader.required("fleet_key").as_bytes()),
             key: reader.required("key"),
             timeout: clock::Span::from_millis(timeout),
-            total_timeout: clock::Span::from_millis(patience),
+            total_timeout: clock::Span::from_millis(total_timeout),
         }
     }
 }
--- a/crates/lagoon-net/src/platform/client.rs
+++ b/crates/lagoon-net/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! One call of the platform: budget, breaker, deadline, and what its answer means.
+//! Calls to the platform: rate budget, circuit breaker, timeout, and interpretation of responses.
 
 use std::sync;
 
@@ -13,13 +13,13 @@
 
 use super::settings;
 
-/// Seconds' worth of calls that may be made at once after a quiet time.
+/// Burst size of a budget, in seconds of its rate.
 const BURST_SECONDS: f64 = 5.0;
 
-/// Largest answer that is read, in bytes.
-const ANSWER_LIMIT: usize = 64 << 20;
+/// Maximum size of a response body, in bytes.
+const RESPONSE_LIMIT: usize = 64 << 20;
 
-/// Kind of a call: each has its own budget.
+/// Kind of a call; reads and writes have separate budgets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Kind {
     Read,
@@ -27,22 +27,22 @@
 }
 
 #[derive(Debug)]
-struct Rules {
+struct State {
     reads: platform::Budget,
     writes: platform::Budget,
     breaker: platform::Breaker,
 }
 
-/// Budget and breaker that all threads of a process share.
+/// Budgets and circuit breaker, shared by all threads of a process.
 #[derive(Debug)]
 pub struct Limits {
     settings: settings::Settings,
     clock: clock::System,
-    rules: sync::Mutex<Rules>,
+    state: sync::Mutex<State>,
 }
 
 impl Limits {
-    /// Full budgets and a closed breaker.
+    /// Creates full budgets and a closed breaker.
     ///
     /// ```
     /// use lagoon_net::platform;
@@ -54,47 +54,47 @@
         let budget = |rate: f64| {
             platform::Budget::new(rate, (rate * BURST_SECONDS).max(1.0), clock::Moment::START)
         };
-        let rules = Rules {
+        let state = State {
             reads: budget(settings.reads_per_second),
             writes: budget(settings.writes_per_second),
             breaker: platform::Breaker::new(settings.breaker_pause),
         };
-        sync::Arc::new(Limits { settings, clock, rules: sync::Mutex::new(rules) })
+        sync::Arc::new(Limits { settings, clock, state: sync::Mutex::new(state) })
     }
 
-    fn rules(&self) -> sync::MutexGuard<'_, Rules> {
-        self.rules.lock().unwrap_or_else(sync::PoisonError::into_inner)
+    fn state(&self) -> sync::MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Whether calls are held back because the platform failed lately.
+    /// Whether the breaker currently blocks calls because several in a row have failed.
     pub fn is_breaker_open(&self) -> bool {
-        !self.rules().breaker.clone().admit(self.clock.now())
+        !self.state().breaker.clone().admit(self.clock.now())
     }
 
     fn admit(&self, kind: Kind) -> Result<(), &'static str> {
         let now = self.clock.now();
-        let mut rules = self.rules();
-        if !rules.breaker.admit(now) {
+        let mut state = self.state();
+        if !state.breaker.admit(now) {
             return Err("not called: it failed lately");
         }
         let budget = match kind {
-            Kind::Read => &mut rules.reads,
-            Kind::Write => &mut rules.writes,
+            Kind::Read => &mut state.reads,
+            Kind::Write => &mut state.writes,
         };
         if budget.take(now) { Ok(()) } else { Err("not called: over this process's budget") }
     }
 
-    fn answered(&self) {
-        self.rules().breaker.record_success();
+    fn record_success(&self) {
+        self.state().breaker.record_success();
     }
 
-    fn failed(&self) {
+    fn record_failure(&self) {
         let now = self.clock.now();
-        self.rules().breaker.record_failure(now, rand::random());
+        self.state().breaker.record_failure(now, rand::random());
     }
 }
 
-/// The platform, as one worker thread reaches it.
+/// Client of the platform for one worker thread.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: client::Client,
@@ -103,13 +103,13 @@
     zone: String,
 }
 
-/// An answer: its status and body.
-pub(super) struct Answer {
+/// Status and body of a response.
+pub(super) struct Response {
     pub(super) status: http::StatusCode,
     pub(super) body: util::Bytes,
 }
 
-/// One call, before it is sent.
+/// Parameters of a call.
 pub(super) struct Call<'a> {
     pub(super) step: &'static str,
     pub(super) kind: Kind,
@@ -120,14 +120,15 @@
 }
 
 impl Client {
-    /// A client that names `zone` in its calls. Must be made within a running ntex system.
+    /// Creates a client that sends `zone` with each call. Must be called within a running ntex
+    /// system.
     pub async fn new(limits: sync::Arc<Limits>, zone: &str) -> Self {
         let http = client::Client::new().await;
         let peer = limits.settings.address.to_string();
         Client { http, limits, peer, zone: zone.to_owned() }
     }
 
-    /// The limits that it keeps.
+    /// Returns the limits that its calls are subject to.
     pub fn limits(&self) -> &sync::Arc<Limits> {
         &self.limits
     }
@@ -146,27 +147,28 @@
         table::Error::Unknown { step, peer: self.peer.clone(), why: why.to_string() }
     }
 
-    /// Makes a call. An answer of 200 or 404 comes back; 409 is a conflict; 429 and 503 say that
-    /// nothing was written; anything else leaves that open.
-    pub(super) async fn call(&self, call: Call<'_>) -> Result<Answer, table::Error> {
+    /// Makes a call. Returns responses with status 200 or 404. 409 is a conflict; with 429, 503 and
+    /// any other 4xx nothing was written; after any other failure it is unknown whether something
+    /// was.
+    pub(super) async fn call(&self, call: Call<'_>) -> Result<Response, table::Error> {
         let step = call.step;
         self.limits.admit(call.kind).map_err(|why| self.refused(step, why))?;
         let timeout = self.limits.settings.timeout;
         let millis = u32::try_from(timeout.as_millis()).unwrap_or(u32::MAX);
         let result = time::timeout(time::Millis(millis), self.send(call)).await;
-        let answer = match result {
+        let response = match result {
             Ok(result) => result,
             Err(()) => Err(self.unknown(step, "timed out")),
         };
-        match &answer {
-            Ok(answer) if answer.status.is_server_error() => self.limits.failed(),
-            Ok(_) => self.limits.answered(),
-            Err(_) => self.limits.failed(),
+        match &response {
+            Ok(response) if response.status.is_server_error() => self.limits.record_failure(),
+            Ok(_) => self.limits.record_success(),
+            Err(_) => self.limits.record_failure(),
         }
-        self.judge(step, answer?)
+        self.check_status(step, response?)
     }
 
-    async fn send(&self, call: Call<'_>) -> Result<Answer, table::Error> {
+    async fn send(&self, call: Call<'_>) -> Result<Response, table::Error> {
         let step = call.step;
         let url = format!("http://{}{}", self.peer, call.path);
         let request = self.http.request(call.method, url);
@@ -181,29 +183,33 @@
             None => request.send().await,
         };
         let response = sent.map_err(|error| match error {
-            // Nothing was sent on a connection that was never made.
+            // Without a connection nothing was sent.
             client::error::ClientError::Connect(error) => self.refused(step, error),
             client::error::ClientError::Url(error) => self.refused(step, error),
             error => self.unknown(step, error),
         })?;
-        let body = response.body().limit(ANSWER_LIMIT).timeout(time::Millis::ZERO).await;
+        let body = response.body().limit(RESPONSE_LIMIT).timeout(time::Millis::ZERO).await;
         let body = body.map_err(|error| self.unknown(step, error))?;
-        Ok(Answer { status: response.status(), body })
+        Ok(Response { status: response.status(), body })
     }
 
-    fn judge(&self, step: &'static str, answer: Answer) -> Result<Answer, table::Error> {
-        match answer.status {
-            http::StatusCode::OK | http::StatusCode::NOT_FOUND => Ok(answer),
+    fn check_status(
+        &self,
+        step: &'static str,
+        response: Response,
+    ) -> Result<Response, table::Error> {
+        match response.status {
+            http::StatusCode::OK | http::StatusCode::NOT_FOUND => Ok(response),
             http::StatusCode::CONFLICT => Err(table::Error::Conflict { step }),
             http::StatusCode::TOO_MANY_REQUESTS | http::StatusCode::SERVICE_UNAVAILABLE => {
-                Err(self.refused(step, answer.status))
+                Err(self.refused(step, response.status))
             }
             status if status.is_client_error() => Err(self.refused(step, status)),
             status => Err(self.unknown(step, status)),
         }
     }
 
-    /// Reads an answer's JSON.
+    /// Parses the JSON body of a response.
     pub(super) fn parse<T>(&self, step: &'static str, body: &[u8]) -> Result<T, table::Error>
     where
         T: serde::de::DeserializeOwned,
--- a/crates/lagoon-net/src/platform/hosts.rs
+++ b/crates/lagoon-net/src/platform/hosts.rs
@@ -45,11 +45,11 @@
             query: &[],
             body: None,
         };
-        let answer = self.call(call).await?;
-        if answer.status != http::StatusCode::OK {
-            return Err(self.refused(step, answer.status));
+        let response = self.call(call).await?;
+        if response.status != http::StatusCode::OK {
+            return Err(self.refused(step, response.status));
         }
-        let list: List = self.parse(step, &answer.body)?;
+        let list: List = self.parse(step, &response.body)?;
         Ok(list.hosts.into_iter().map(hosts::Entry::from).collect())
     }
 }
--- a/crates/lagoon-net/src/platform/mod.rs
+++ b/crates/lagoon-net/src/platform/mod.rs
@@ -1,6 +1,6 @@
-//! The platform's table service, object store and list of hosts, by HTTP.
+//! HTTP client of the platform's table service, object store and list of hosts.
 //!
-//! Everything that guesses the platform's interface is here; see `docs/PROTOCOLS.md`.
+//! All assumptions about the platform's interface are in this module; see `docs/PROTOCOLS.md`.
 
 mod client;
 mod hosts;
--- a/crates/lagoon-net/src/platform/objects.rs
+++ b/crates/lagoon-net/src/platform/objects.rs
@@ -1,4 +1,4 @@
-//! The object store.
+//! The object store of the platform.
 
 use bytes::Bytes;
 use lagoonline::port::objects;
@@ -19,9 +19,9 @@
             query: &[],
             body: Some(util::Bytes::copy_from_slice(&body)),
         };
-        let answer = self.call(call).await?;
-        if answer.status != http::StatusCode::OK {
-            return Err(self.refused(step, answer.status));
+        let response = self.call(call).await?;
+        if response.status != http::StatusCode::OK {
+            return Err(self.refused(step, response.status));
         }
         Ok(())
     }
@@ -35,8 +35,8 @@
             query: &[],
             body: None,
         };
-        let answer = self.call(call).await?;
-        let found = answer.status == http::StatusCode::OK;
-        Ok(found.then(|| Bytes::copy_from_slice(&answer.body)))
+        let response = self.call(call).await?;
+        let found = response.status == http::StatusCode::OK;
+        Ok(found.then(|| Bytes::copy_from_slice(&response.body)))
     }
 }
--- a/crates/lagoon-net/src/platform/settings.rs
+++ b/crates/lagoon-net/src/platform/settings.rs
@@ -5,18 +5,18 @@
 use lagoonline::check;
 use lagoonline::clock;
 
-/// How the platform is reached, and how much of it one process may use.
+/// Address of the platform, and the share of its capacity that one process may use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Where it listens.
+    /// Address of the platform.
     pub address: net::SocketAddr,
-    /// Longest time for one call.
+    /// Timeout of one call.
     pub timeout: clock::Span,
-    /// Reads a second that this process may make. The platform has 2,000 for all.
+    /// Reads per second that this process may make. The platform serves 2,000 in total.
     pub reads_per_second: f64,
-    /// Writes a second that this process may make. The platform has several hundred for all.
+    /// Writes per second that this process may make. The platform serves several hundred in total.
     pub writes_per_second: f64,
-    /// Time for which no call is made after several in a row failed.
+    /// Time for which the breaker blocks calls after several in a row have failed.
     pub breaker_pause: clock::Span,
 }
 
@@ -44,16 +44,20 @@
     /// assert_eq!(settings.timeout.as_millis(), 500);
     /// ```
     pub fn read(reader: &check::Reader<'_>) -> Settings {
-        let usual = Settings::default();
+        let defaults = Settings::default();
         let timeout = reader.number("timeout_ms", 1_500, 10..=60_000);
         let rest = reader.number("rest_ms", 1_000, 10..=60_000);
         Settings {
-            address: reader.required_parsed("address", "IP:PORT", usual.address),
+            address: reader.required_parsed("address", "IP:PORT", defaults.address),
             timeout: clock::Span::from_millis(timeout),
-            reads_per_second: reader.float("reads_per_second", usual.reads_per_second, 0.1..=1e5),
+            reads_per_second: reader.float(
+                "reads_per_second",
+                defaults.reads_per_second,
+                0.1..=1e5,
+            ),
             writes_per_second: reader.float(
                 "writes_per_second",
-                usual.writes_per_second,
+                defaults.writes_per_second,
                 0.01..=1e5,
             ),
             breaker_pause: clock::Span::from_millis(rest),
--- a/crates/lagoon-net/src/platform/table.rs
+++ b/crates/lagoon-net/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! The table service.
+//! The table service of the platform.
 
 use lagoonline::port::table;
 use ntex::http;
@@ -64,7 +64,8 @@
     }
 }
 
-/// The service answers puts first; the port promises the transaction's order.
+/// Reorders versions: the service returns those of puts only, while the port promises one for each
+/// change in the order of the transaction.
 fn in_order(transaction: &table::Transaction, versions: &[u64]) -> Vec<u64> {
     let mut puts = versions.iter().copied();
     let version = |change: &table::Change| match change {
@@ -89,8 +90,8 @@
             query,
             body: None,
         };
-        let answer = self.call(call).await?;
-        Ok((answer.status == http::StatusCode::OK).then_some(answer.body))
+        let response = self.call(call).await?;
+        Ok((response.status == http::StatusCode::OK).then_some(response.body))
     }
 }
 
@@ -132,11 +133,11 @@
             query: &[],
             body: Some(util::Bytes::from(body)),
         };
-        let answer = self.call(call).await?;
-        if answer.status != http::StatusCode::OK {
-            return Err(self.refused(step, answer.status));
+        let response = self.call(call).await?;
+        if response.status != http::StatusCode::OK {
+            return Err(self.refused(step, response.status));
         }
-        let committed: Committed = self.parse(step, &answer.body)?;
+        let committed: Committed = self.parse(step, &response.body)?;
         Ok(in_order(&transaction, &committed.versions))
     }
 }
--- a/crates/lagoon-net/src/program.rs
+++ b/crates/lagoon-net/src/program.rs
@@ -1,6 +1,7 @@
-//! What every program does the same way: its arguments, and its exit codes.
+//! Command-line arguments, settings files and exit codes, common to all programs.
 //!
-//! 0 is good, [`FAILED`] a failure, [`BAD_USAGE`] bad arguments or settings.
+//! Programs exit with 0 on success, [`FAILED`] on a failure, and [`BAD_USAGE`] on invalid arguments
+//! or settings.
 
 use std::env;
 use std::fmt;
@@ -13,14 +14,14 @@
 
 /// Exit code of a failure.
 pub const FAILED: u8 = 1;
-/// Exit code of bad arguments or settings; argh's own is 1.
+/// Exit code of invalid arguments or settings. argh itself would exit with 1.
 pub const BAD_USAGE: u8 = 2;
 
-/// Reads the arguments of this process.
+/// Parses the arguments of this process.
 ///
 /// # Errors
 ///
-/// The exit code, after help or what is wrong was printed.
+/// The exit code, after the help or the error was printed.
 ///
 /// ```no_run
 /// use lagoon_net::program;
@@ -52,11 +53,11 @@
     })
 }
 
-/// Reads a file of settings.
+/// Reads a settings file.
 ///
 /// # Errors
 ///
-/// The exit code, after the file, the places and the reasons were printed.
+/// The exit code, after each fault was printed with the file name and its position.
 ///
 /// ```
 /// use std::path::Path;
@@ -77,7 +78,7 @@
     })
 }
 
-/// Prints why arguments or settings cannot be used; the exit code.
+/// Prints why arguments or settings are invalid; returns the exit code.
 pub fn bad_usage<Reason>(reason: &Reason) -> process::ExitCode
 where
     Reason: fmt::Display + ?Sized,
@@ -86,7 +87,7 @@
     process::ExitCode::from(BAD_USAGE)
 }
 
-/// Prints why the program failed; the exit code.
+/// Prints why the program failed; returns the exit code.
 pub fn failed<Reason>(program: &str, reason: &Reason) -> process::ExitCode
 where
     Reason: fmt::Display + ?Sized,
--- a/crates/lagoon-net/src/signals.rs
+++ b/crates/lagoon-net/src/signals.rs
@@ -1,11 +1,11 @@
-//! SIGTERM, SIGINT and SIGHUP, received one after the other by a thread that waits for them.
+//! SIGTERM, SIGINT and SIGHUP, for a thread that blocks until the next one.
 
 use std::io;
 
 use tokio::runtime;
 use tokio::signal::unix;
 
-/// Asks of the host to end the process.
+/// Receiver of SIGTERM and SIGINT.
 #[derive(Debug)]
 pub struct TerminationSignals {
     runtime: runtime::Runtime,
@@ -14,11 +14,11 @@
 }
 
 impl TerminationSignals {
-    /// From now on these signals no longer end the process by themselves.
+    /// Installs handlers, so that these signals no longer end the process by themselves.
     ///
     /// # Errors
     ///
-    /// The signals cannot be received.
+    /// The handlers cannot be installed.
     ///
     /// ```
     /// let terminations = lagoon_net::signals::TerminationSignals::new();
@@ -33,7 +33,7 @@
         Ok(TerminationSignals { runtime, term, int })
     }
 
-    /// Blocks the thread until the next one.
+    /// Blocks the thread until the next signal.
     pub fn wait(&mut self) {
         let TerminationSignals { runtime, term, int } = self;
         runtime.block_on(async {
@@ -45,43 +45,43 @@
     }
 }
 
-/// What the host asks of the process.
+/// Request of a signal.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Signal {
-    /// To end.
+    /// End the process: SIGTERM or SIGINT.
     Terminate,
-    /// To read its settings again.
+    /// Reload the settings: SIGHUP.
     Reload,
 }
 
-/// Asks to end and to reload.
+/// Receiver of SIGTERM, SIGINT and SIGHUP.
 #[derive(Debug)]
 pub struct Signals {
-    ends: TerminationSignals,
+    terminations: TerminationSignals,
     hangup: unix::Signal,
 }
 
 impl Signals {
-    /// From now on these signals no longer end the process by themselves.
+    /// Installs handlers, so that these signals no longer end the process by themselves.
     ///
     /// # Errors
     ///
-    /// The signals cannot be received.
+    /// The handlers cannot be installed.
     ///
     /// ```
     /// assert!(lagoon_net::signals::Signals::new().is_ok());
     /// ```
     pub fn new() -> io::Result<Signals> {
-        let ends = TerminationSignals::new()?;
-        let guard = ends.runtime.enter();
+        let terminations = TerminationSignals::new()?;
+        let guard = terminations.runtime.enter();
         let hangup = unix::signal(unix::SignalKind::hangup())?;
         drop(guard);
-        Ok(Signals { ends, hangup })
+        Ok(Signals { terminations, hangup })
     }
 
-    /// Blocks the thread until the next one.
+    /// Blocks the thread until the next signal.
     pub fn wait(&mut self) -> Signal {
-        let Signals { ends: TerminationSignals { runtime, term, int }, hangup } = self;
+        let Signals { terminations: TerminationSignals { runtime, term, int }, hangup } = self;
         runtime.block_on(async {
             tokio::select! {
                 _ = term.recv() => Signal::Terminate,
--- a/crates/lagoon-net/src/steward/calls.rs
+++ b/crates/lagoon-net/src/steward/calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls.
+//! Calls of operators, and of stewards of other zones on their behalf.
 
 use std::collections;
 
@@ -20,7 +20,7 @@
 use crate::platform;
 use crate::wire;
 
-/// Why a call was not carried out; `code` is for programs, `message` for people.
+/// Error of a call: a `code` for programs, a `message` for people.
 #[derive(Debug)]
 struct Failure {
     code: &'static str,
@@ -39,7 +39,7 @@
 
 type Outcome = Result<serde_json::Value, Failure>;
 
-/// Carries out a call and replies on its link.
+/// Executes a call and sends the reply on its link.
 pub(super) async fn handle(context: Context, link: core::LinkId, call: wire::Call) {
     let outcome = dispatch(&context, &call).await;
     let (good, value) = match outcome {
@@ -74,18 +74,18 @@
     }
 }
 
-/// Whether the call's key is an operators' key.
+/// Whether `hash` is the hash of an operators' key.
 fn is_operator(context: &Context, hash: &document::KeyHash) -> bool {
     context.settings.operator_keys.iter().any(|key| keys_match(key, hash))
 }
 
-/// Compares in constant time: how long it takes says nothing of the key.
+/// Compares in constant time, so that timing reveals nothing about the key.
 fn keys_match(one: &document::KeyHash, other: &document::KeyHash) -> bool {
     use subtle::ConstantTimeEq;
     one.ct_eq(other).into()
 }
 
-/// Allows the call when its key is the operators' or one of the team's section in force.
+/// Accepts an operators' key, or a team key of the team's section in force.
 fn authorize(context: &Context, call: &wire::Call) -> Result<(), Failure> {
     let hash: document::KeyHash = sha2::Sha256::digest(call.key.as_bytes()).into();
     let core = context.core.borrow();
@@ -141,7 +141,8 @@
 async fn section_get(context: &Context, call: &wire::Call) -> Outcome {
     authorize(context, call)?;
     let team = id::Team::from(call.team.as_str());
-    // The table is asked first: what is edited should be the newest. Without it, what is in force.
+    // Edits should start from the newest version, so the table is read first. If the platform does
+    // not answer, the version in force is returned.
     if let Some(platform) = &context.platform
         && let Ok(Some((version, stored))) = document::read_section(platform, &team).await
     {
@@ -182,17 +183,18 @@
     Ok(json!({ "version": version }))
 }
 
-/// What one zone says of a version.
+/// Where one version of a section is in force in a zone.
 #[derive(Deserialize, Serialize)]
 struct ZoneStatus {
     zone: String,
-    /// Entry hosts known.
+    /// Number of known entry hosts.
     hosts: usize,
-    /// Those where the version is not in force: host and its version.
+    /// Hosts where the version is not in force, with the version they have.
     missing: Vec<(String, u64)>,
 }
 
-/// Argument that a steward gives another so that only its zone is looked at.
+/// Argument of a call that a steward forwards to another zone: the receiver answers for its own
+/// zone only.
 const ZONE_ONLY: &str = r#"{"zone_only":true}"#;
 
 fn zone_status(context: &Context, team: &id::Team, version: id::Version) -> ZoneStatus {
@@ -287,7 +289,7 @@
     })
 }
 
-/// Drains an entry host or an upstream of the fleet; `text` names it.
+/// Drains the entry host or upstream that `text` names.
 async fn drain(context: &Context, call: &wire::Call) -> Outcome {
     let name = call.text.as_str();
     let upstream = context.core.borrow().fleet.upstream(&id::Upstream::from(name)).cloned();
@@ -324,7 +326,7 @@
     json!({ "draining": name, "incarnation": incarnation })
 }
 
-/// Orders of every zone: each steward says what it saw and decided while it was the orderer.
+/// Returns the commands to engines of every zone, as each reconciling steward recorded them.
 async fn orders(context: &Context, call: &wire::Call) -> Outcome {
     if call.text == ZONE_ONLY {
         let core = context.core.borrow();
@@ -345,7 +347,7 @@
     Ok(json!({ "engines": lines, "silent_zones": silent }))
 }
 
-/// Sums of the idle ledger; `text` says of which days and by what.
+/// Sums the idle ledger; `text` is a JSON [`operator::UsageQuery`].
 async fn usage_report(context: &Context, call: &wire::Call) -> Outcome {
     authorize_operator(context, call)?;
     let bad = |message: String| Failure::new("bad_call", message);
--- a/crates/lagoon-net/src/steward/claim_sweep.rs
+++ b/crates/lagoon-net/src/steward/claim_sweep.rs
@@ -1,7 +1,8 @@
-//! Removes claims whose retention has ended, each shard's by one chosen steward of all zones.
+//! Removes claims whose retention has ended. Each shard of claims is swept by one steward of the
+//! fleet, chosen by rendezvous hashing.
 //!
-//! Without this every idempotency key ever used stays in the table. Two stewards that both take
-//! themselves for the chosen one cost reads only: rows are deleted at the version that was read.
+//! Without this every idempotency key ever used stays in the table. Two stewards that both consider
+//! themselves chosen only cost extra reads: rows are deleted at the version that was read.
 
 use std::collections;
 
@@ -26,9 +27,9 @@
         if is_chosen(&context, shard) {
             let new = || claim::Sweeper::new(settings.clone(), shard);
             let sweeper = sweepers.entry(shard).or_insert_with(new);
-            // The next turn goes on from the same place.
+            // After an error the next step continues at the same position.
             if let Err(error) = sweeper.step(&platform, now).await {
-                log::debug!("claims are not swept: {error}");
+                log::debug!("sweeping claims failed: {error}");
             }
         } else {
             sweepers.remove(&shard);
--- a/crates/lagoon-net/src/steward/core/document.rs
+++ b/crates/lagoon-net/src/steward/core/document.rs
@@ -1,4 +1,4 @@
-//! The document at one steward: what is in force, what peers lack, and when it is complete.
+//! Replication of the document: sections in force, sections that peers lack, and completeness.
 
 use std::borrow;
 use std::sync;
@@ -15,10 +15,10 @@
 use super::{Core, Counters, Link, LinkId};
 use crate::wire;
 
-/// Time after which sections that were asked of a peer are asked of another.
+/// Time after which missing sections are requested from another peer.
 const PULL_TIMEOUT: clock::Span = clock::Span::from_secs(1);
 
-/// Time that a newcomer gives the platform before the peers' word is enough.
+/// Time that a new steward waits for the platform before the versions of its peers are enough.
 const PLATFORM_GRACE: clock::Span = clock::Span::from_millis(1_500);
 
 impl Core {
@@ -27,7 +27,7 @@
         wire::Body::Digest(wire::Digest { versions })
     }
 
-    /// Puts sections in force, tells the entry process, and announces them to peers.
+    /// Puts sections in force, sends them to the entry process, and announces them to peers.
     pub(in crate::steward) fn apply(
         &mut self,
         sections: Vec<document::Section>,
@@ -85,7 +85,7 @@
             };
             match document::Section::parse(team, version, &text) {
                 Ok(section) => parsed.push(section),
-                Err(faults) => log::error!("section {} is not understood: {faults}", section.team),
+                Err(faults) => log::error!("section {} is invalid: {faults}", section.team),
             }
         }
         self.apply(parsed, Some(from));
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The section's text as told, or made by changes of the one in force here.
+    /// Returns the section's text, either as sent or by applying its deltas to the one in force.
     fn text_of<'a>(&self, section: &'a wire::Section) -> Option<borrow::Cow<'a, str>> {
         if section.deltas.is_empty() {
             return Some(borrow::Cow::Borrowed(&section.text));
@@ -104,7 +104,7 @@
         text.map(borrow::Cow::Owned)
     }
 
-    /// Asks for whole texts: to a digest without its team, a peer answers with that.
+    /// Requests full texts: a digest that omits a team makes the peer send its whole section.
     fn request_full_text(&mut self, sections: &wire::Sections, from: LinkId) {
         Counters::add(&self.counters.deltas_refused, 1);
         let mut versions = self.replica.versions();
@@ -113,7 +113,7 @@
         self.send(from, wire::Body::Digest(wire::Digest { versions }));
     }
 
-    /// Sections for a peer that has `versions`: by their changes where those are known.
+    /// Encodes sections for a peer that has `versions`, as deltas where the log has them.
     fn sections_for(
         &self,
         sections: &[sync::Arc<document::Section>],
@@ -136,7 +136,7 @@
         if let Some(link) = self.links.get_mut(&from) {
             link.versions.clone_from(&versions);
             link.has_digest = true;
-            // What is sent now need not be sent again before the peer says otherwise.
+            // Sections sent below are assumed to arrive until the next digest of the peer.
             let sent = lacking.iter().map(|section| (section.team.clone(), section.version));
             link.versions.extend(sent);
         }
@@ -151,7 +151,7 @@
         self.check_complete();
     }
 
-    /// Asks one peer at a time, so that a section crosses each host's links once.
+    /// Requests missing sections from one peer at a time, so that a host receives each only once.
     fn request_missing(&mut self, peer: LinkId) {
         let now = self.clock.now();
         if self.pull_started.is_some_and(|since| now.since(since) < PULL_TIMEOUT) {
@@ -161,7 +161,7 @@
         self.send(peer, self.digest());
     }
 
-    /// Compares with peers that are ahead, after a lost link or answer.
+    /// Requests sections from a peer that is ahead, in case a link or a response was lost.
     pub(in crate::steward) fn pull_missing(&mut self) {
         let ahead = |link: &Link| {
             link.peer.role == wire::Role::Steward && !self.replica.covers(&link.versions)
@@ -184,12 +184,12 @@
         self.check_complete();
     }
 
-    /// A newcomer is complete with the highest versions of the platform, or, while that is out,
-    /// of every peer that it reached.
+    /// Marks the document complete once the steward has the highest versions of the platform or,
+    /// while the platform is unreachable, of every peer that it reached.
     ///
-    /// Failure answered: all hosts of a zone are replaced during an outage, and one starts to
-    /// serve before it heard of the last change. Symptom: an accepted section reverts. A host
-    /// that reaches neither the platform nor a peer stays unready.
+    /// Failure mode: all hosts of a zone are replaced during a platform outage, and one serves
+    /// before it has the last change. Symptom: an accepted section reverts. A host that reaches
+    /// neither the platform nor a peer stays unready.
     pub(super) fn check_complete(&mut self) {
         if self.complete {
             return;
@@ -211,12 +211,12 @@
         let is_steward = |link: &&Link| link.peer.role == wire::Role::Steward;
         let mut peers = self.links.values().filter(is_steward).peekable();
         let any = peers.peek().is_some();
-        let heard = peers.all(|link| link.has_digest && self.replica.covers(&link.versions));
-        let head = self.platform.head.is_none() && self.platform.failed;
+        let all_covered = peers.all(|link| link.has_digest && self.replica.covers(&link.versions));
+        let platform_unavailable = self.platform.head.is_none() && self.platform.failed;
         waited
             && any
-            && heard
-            && head
+            && all_covered
+            && platform_unavailable
             && self.dialing.is_empty()
             && !self.replica.versions().is_empty()
     }
--- a/crates/lagoon-net/src/steward/core/message.rs
+++ b/crates/lagoon-net/src/steward/core/message.rs
@@ -1,4 +1,4 @@
-//! What each message does to a steward's state.
+//! Dispatch of received messages, and propagation of membership updates.
 
 use lagoonline::clock::Clock;
 use lagoonline::control::membership;
@@ -8,6 +8,7 @@
 use crate::wire;
 
 impl Core {
+    /// Applies a message that arrived on link `from`.
     pub(in crate::steward) fn handle_message(&mut self, body: wire::Body, from: LinkId) {
         match body {
             wire::Body::Digest(digest) => self.handle_digest(&digest, from),
@@ -21,7 +22,7 @@
             wire::Body::Loads(loads) => self.handle_loads(&loads, from),
             wire::Body::Marks(marks) => self.apply_marks(&marks.marks, Some(from)),
             wire::Body::Spending(spending) => self.handle_own_spending(&spending, from),
-            // The rest is for others, or handled where calls are.
+            // Calls are handled by the session; other messages are not addressed to stewards.
             _ => {}
         }
     }
@@ -33,7 +34,7 @@
         self.broadcast_members(&fresh, Some(from));
     }
 
-    /// Passes updates of members on to stewards.
+    /// Sends membership updates to all linked stewards except the one they came from.
     pub(in crate::steward) fn broadcast_members(
         &mut self,
         updates: &[membership::Update],
--- a/crates/lagoon-net/src/steward/core/mod.rs
+++ b/crates/lagoon-net/src/steward/core/mod.rs
@@ -1,4 +1,4 @@
-//! State of a steward, and what each message does to it.
+//! State of a steward, and the handlers that apply messages to it.
 
 mod document;
 mod message;
@@ -30,25 +30,25 @@
 use crate::wire;
 pub(in crate::steward) use payload::Payload;
 
-/// Messages that may wait on one link: beyond it the link is closed, and the next one brings the
-/// whole state again.
+/// Outgoing messages that one link queues. When the queue is full the link is closed; the link that
+/// replaces it starts with the full state.
 pub(in crate::steward) const LINK_QUEUE: usize = 1_024;
 
-/// Age below which a link is kept though the mesh does not want it.
+/// Minimum age of a dialed link before it is closed because the mesh no longer needs it.
 const LINK_GRACE: clock::Span = clock::Span::from_secs(10);
 
-/// What a steward counts.
+/// Counters of a steward.
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Datagrams sent.
     pub datagrams_sent: atomic::AtomicU64,
     /// Bytes of datagrams sent, without headers below UDP.
     pub datagram_bytes_sent: atomic::AtomicU64,
-    /// Datagrams refused: wrong tag, too old, or sent again.
+    /// Datagrams rejected: wrong tag, too old, or replayed.
     pub datagrams_refused: atomic::AtomicU64,
     /// Frames sent on links.
     pub frames_sent: atomic::AtomicU64,
-    /// Bytes of frames sent on links, entry process included.
+    /// Bytes of frames sent on all links, including the link to the entry process.
     pub frame_bytes_sent: atomic::AtomicU64,
     /// Bytes of frames sent to other hosts.
     pub peer_bytes_sent: atomic::AtomicU64,
@@ -64,27 +64,28 @@
     pub datagrams_received: atomic::AtomicU64,
     /// Bytes of frames sent to other hosts, by kind of message: see [`PEER_MESSAGE_KINDS`].
     pub kind_bytes_sent: [atomic::AtomicU64; PEER_MESSAGE_KINDS.len()],
-    /// Connections refused.
+    /// Incoming connections that failed the handshake.
     pub connections_refused: atomic::AtomicU64,
-    /// Sections applied.
+    /// Section versions applied.
     pub sections_applied: atomic::AtomicU64,
-    /// Changes of sections that did not fit what was in force: whole texts were asked for.
+    /// Section deltas that did not fit the version in force; the full texts were requested.
     pub deltas_refused: atomic::AtomicU64,
-    /// Members held to be dead.
+    /// Members declared dead.
     pub members_declared_dead: atomic::AtomicU64,
-    /// Orders that were written after their lease had ended.
+    /// Engine commands that were still being sent when their lease expired.
     pub late_commands: atomic::AtomicU64,
-    /// Holdings of dead owners that engines gave back.
+    /// Holdings of dead owners that engines released.
     pub holdings_released: atomic::AtomicU64,
-    /// Failed calls of the platform.
+    /// Failed reads of the document from the platform.
     pub platform_failures: atomic::AtomicU64,
 }
 
-/// Kinds of messages that stewards send each other.
+/// Kinds of messages between stewards, in the order of [`Counters::kind_bytes_sent`].
 pub const PEER_MESSAGE_KINDS: [&str; 6] =
     ["digest", "sections", "loads", "marks", "members", "statuses"];
 
-/// Place of a message's kind in [`PEER_MESSAGE_KINDS`]; kinds that no host sends another: none.
+/// Returns the index of a message's kind in [`PEER_MESSAGE_KINDS`]; `None` for messages that
+/// stewards do not send each other.
 pub(in crate::steward) fn kind(body: &wire::Body) -> Option<usize> {
     let name = match body {
         wire::Body::Digest(_) => "digest",
@@ -110,7 +111,7 @@
     }
 }
 
-/// One connection.
+/// An open link to a steward, an entry process or an operator.
 pub(in crate::steward) struct Link {
     pub(in crate::steward) peer: link::Peer,
     sender: mpsc::Sender<wire::Body>,
@@ -120,18 +121,18 @@
     opened_at: clock::Moment,
 }
 
-/// Names a connection.
+/// Identifies a link within this process.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(in crate::steward) struct LinkId(u64);
 
-/// What the platform said last.
+/// Result of the last reads of the platform.
 #[derive(Default)]
 struct Platform {
     head: Option<replication::Versions>,
     failed: bool,
 }
 
-/// State of a steward.
+/// State of a steward, shared by its tasks.
 pub(in crate::steward) struct Core {
     pub(in crate::steward) group: membership::Group,
     pub(in crate::steward) replica: replication::Replica,
@@ -142,22 +143,22 @@
     pub(in crate::steward) complete: bool,
     pub(in crate::steward) loads: collections::BTreeMap<id::Upstream, Observed>,
     pub(in crate::steward) marks: collections::BTreeMap<id::Upstream, wire::Mark>,
-    /// Whose the time of each engine is, by the sections in force.
+    /// Who the time of each engine is attributed to, by the sections in force.
     pub(in crate::steward) attributions: collections::BTreeMap<id::Upstream, ledger::Attribution>,
-    /// What was last seen and decided of each engine that orders went to.
+    /// Last observed state and decision for each engine that this steward sends commands to.
     pub(in crate::steward) engine_status:
         collections::BTreeMap<id::Upstream, reconcile::EngineStatus>,
-    /// Loads that other hosts of the zone are to hear of, and who has told them already.
+    /// Loads to be sent to other hosts of the zone, with the hosts that have them already.
     pending_loads: collections::BTreeMap<id::Upstream, collections::BTreeSet<id::Host>>,
-    /// The upstream that heartbeats told of last.
+    /// Upstream whose load was sent last; the next heartbeat continues after it.
     last_sent_load: id::Upstream,
-    /// Upstreams in a new life, to be told in full, and the link that each came by.
+    /// Upstreams in a new incarnation, whose full load is to be sent, and the link each came from.
     new_incarnations: collections::BTreeMap<id::Upstream, Option<LinkId>>,
-    /// Upstreams by the codes of their names; `None` where two share one.
+    /// Upstreams by the hash codes of their names; `None` where two names collide.
     name_codes: collections::HashMap<u32, Option<id::Upstream>>,
     spending: spending::Spending,
     report_outbox: report::Outbox,
-    /// Dead stewards whose rows were removed from the table.
+    /// Dead stewards whose rows are already removed from the table.
     pub(in crate::steward) removed_rows: collections::BTreeSet<id::Host>,
     pub(in crate::steward) dialing: collections::BTreeSet<id::Host>,
     links: collections::BTreeMap<LinkId, Link>,
@@ -168,7 +169,7 @@
     clock: clock::System,
 }
 
-/// A load and when it was read.
+/// The load of an upstream, and the load that was last announced to other hosts.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::steward) struct Observed {
     pub(in crate::steward) load: engine::Load,
@@ -218,13 +219,13 @@
         &self.group.own().zone
     }
 
-    /// Whether this steward is the one of its zone that looks after `thing`.
+    /// Whether rendezvous hashing assigns `thing` to this steward among the live ones of its zone.
     pub(in crate::steward) fn owns(&self, thing: &str) -> bool {
         let own = &self.group.own();
         rendezvous::choose(self.group.live_in(&own.zone), thing) == Some(own.host.as_str())
     }
 
-    /// Takes a new link in, and tells the other side what is known here.
+    /// Registers a new link and sends the peer the state that it needs.
     pub(in crate::steward) fn add_link(
         &mut self,
         peer: link::Peer,
@@ -282,24 +283,24 @@
         }
         let host = id::Host::from(link.peer.sender);
         let Some(report) = self.entry_reports.report(&host) else { return };
-        log::warn!("entry process of {host} is gone");
+        log::warn!("entry process of {host} disconnected");
         let report = replication::Report { ready: false, ..report.clone() };
         self.apply_own_report(&host, report);
     }
 
     pub(in crate::steward) fn send(&mut self, link_id: LinkId, body: wire::Body) {
         let Some(link) = self.links.get(&link_id) else { return };
-        // A peer that does not read is dropped; it gets the whole state when it comes back.
+        // A peer that does not read is disconnected; it gets the full state when it reconnects.
         if link.sender.try_send(body).is_err() {
             self.links.remove(&link_id);
         }
     }
 
-    pub(super) fn send_all<F>(&mut self, body: &wire::Body, wanted: F)
+    pub(super) fn send_all<F>(&mut self, body: &wire::Body, filter: F)
     where
         F: Fn(LinkId, &Link) -> bool,
     {
-        let links = self.links.iter().filter(|(link_id, link)| wanted(**link_id, link));
+        let links = self.links.iter().filter(|(link_id, link)| filter(**link_id, link));
         let link_ids: Vec<LinkId> = links.map(|(link_id, _)| *link_id).collect();
         for link_id in link_ids {
             self.send(link_id, body.clone());
@@ -313,8 +314,8 @@
         self.links.values().any(linked)
     }
 
-    /// Closes links that this side made and that the mesh no longer wants: else, as hosts come and
-    /// go, links and the messages on them would grow without end.
+    /// Closes links that this side dialed and the mesh no longer needs. Without this, links and the
+    /// messages on them grow without bound as hosts join and leave.
     pub(in crate::steward) fn prune(&mut self) {
         let now = self.clock.now();
         let wanted = mesh::link_targets(&self.group);
--- a/crates/lagoon-net/src/steward/core/payload.rs
+++ b/crates/lagoon-net/src/steward/core/payload.rs
@@ -1,9 +1,9 @@
-//! What heartbeats carry besides life: loads in short, and use by customers near their limits.
+//! Payload of heartbeats: compact loads, and usage of customers near their limits.
 //!
-//! Load pattern: at the target 39 hosts and 133 engines a zone, whose loads all change at each
-//! look when they are busy. Without a bound, or in frames of their own on every link, a node sends
-//! more than all its budget of 3 KB/s; heartbeats go out anyway, to the same neighbours, so what
-//! they carry costs no headers. When all change at once loads lag more, they do not cost more.
+//! Load pattern: at the target size a zone has 39 hosts and 133 engines, and under load every
+//! engine's load changes between two reads. Unbounded messages, or separate frames on every link,
+//! exceed a node's whole budget of 3 KB/s. Heartbeats go to the same peers anyway, so data in them
+//! costs no extra headers. When all loads change at once, they are sent later, at the same cost.
 
 use std::collections;
 use std::ops;
@@ -16,14 +16,14 @@
 use super::{Core, Observed};
 use crate::wire;
 
-/// Bytes that one heartbeat may carry. With four neighbours and two heartbeats a second, a
-/// datagram of 94 bytes with its headers, and as much coming in, this keeps a node below 3 KB/s.
+/// Payload bytes of one heartbeat. With four peers, two heartbeats a second, 94 bytes of datagram
+/// and headers besides, and the same volume received, a node stays below 3 KB/s.
 const PAYLOAD_BYTES: usize = 80;
 
-/// Part of them for spending, which is passed on first.
+/// Share of [`PAYLOAD_BYTES`] for customer usage, which is sent before loads.
 pub(super) const SPENDING_BYTES: usize = 40;
 
-/// What the heartbeats of one round carry, and who knows it already.
+/// Payload of one round of heartbeats, with the hosts that know each item already.
 #[derive(Default)]
 pub(in crate::steward) struct Payload {
     loads: Vec<(wire::CompactLoad, collections::BTreeSet<id::Host>)>,
@@ -31,9 +31,9 @@
 }
 
 impl Payload {
-    /// The heartbeat for one neighbour: without what came from it.
+    /// Builds the heartbeat for one peer, without the items that the peer known_by already.
     pub(in crate::steward) fn heartbeat_for(&self, to: &id::Host) -> wire::Heartbeat {
-        let unknown = self.loads.iter().filter(|(_, knows)| !knows.contains(to));
+        let unknown = self.loads.iter().filter(|(_, known_by)| !known_by.contains(to));
         let lines: Vec<_> = unknown.map(|(line, _)| *line).collect();
         let spendings = self.spendings.iter().filter(|(_, from)| from != to);
         wire::Heartbeat {
@@ -44,7 +44,7 @@
 }
 
 impl Core {
-    /// Learns the codes of the names of all upstreams in the fleet.
+    /// Rebuilds the map from name codes to upstreams.
     pub(super) fn index_name_codes(&mut self) {
         self.name_codes.clear();
         for upstream in &self.fleet.upstreams {
@@ -56,13 +56,13 @@
         }
     }
 
-    /// Whether the upstream's name can be told by its code.
+    /// Whether the code of the upstream's name identifies it: compact loads carry only codes.
     pub(super) fn has_unique_code(&self, upstream: &id::Upstream) -> bool {
         let code = wire::name_code(upstream.as_str());
         self.name_codes.get(&code).is_some_and(|known| known.as_ref() == Some(upstream))
     }
 
-    /// Fills the heartbeats of one round.
+    /// Takes items off the queues for one round of heartbeats.
     pub(in crate::steward) fn next_payload(&mut self) -> Payload {
         let mut payload = Payload::default();
         let mut left = PAYLOAD_BYTES;
@@ -74,28 +74,28 @@
             payload.spendings.push((spending, from));
         }
         while left >= wire::COMPACT_LOAD_BYTES {
-            let Some((line, knows)) = self.next_load() else { break };
+            let Some((line, known_by)) = self.next_load() else { break };
             left -= wire::COMPACT_LOAD_BYTES;
-            payload.loads.push((line, knows));
+            payload.loads.push((line, known_by));
         }
         payload
     }
 
-    /// The next load to be told: where the last heartbeat ended, this one goes on.
+    /// Takes the next pending load, in the order of names after the one sent last.
     fn next_load(&mut self) -> Option<(wire::CompactLoad, collections::BTreeSet<id::Host>)> {
         let after = (ops::Bound::Excluded(self.last_sent_load.clone()), ops::Bound::Unbounded);
         let next =
             self.pending_loads.range(after).next().or_else(|| self.pending_loads.iter().next());
         let name = next.map(|(name, _)| name.clone())?;
-        let knows = self.pending_loads.remove(&name)?;
+        let known_by = self.pending_loads.remove(&name)?;
         let seen = self.loads.get(&name)?;
         let age_ms = super::age_ms(self.clock.now(), seen.read_at);
         let line = wire::CompactLoad::new(&name, &seen.load, age_ms);
         self.last_sent_load = name;
-        Some((line, knows))
+        Some((line, known_by))
     }
 
-    /// Takes loads that came with a heartbeat, and passes on what is new.
+    /// Applies the loads of a heartbeat and queues newer ones for other hosts.
     pub(in crate::steward) fn handle_compact_loads(
         &mut self,
         from: &id::Host,
@@ -108,9 +108,9 @@
             let Some(known) = self.loads.get_mut(upstream) else { continue };
             let Some(load) = line.load(&known.load) else { continue };
             if line.sequence == known.load.sequence
-                && let Some(knows) = self.pending_loads.get_mut(upstream)
+                && let Some(known_by) = self.pending_loads.get_mut(upstream)
             {
-                knows.insert(from.clone());
+                known_by.insert(from.clone());
             }
             if line.sequence <= known.load.sequence {
                 continue;
--- a/crates/lagoon-net/src/steward/core/report.rs
+++ b/crates/lagoon-net/src/steward/core/report.rs
@@ -1,9 +1,9 @@
-//! States of entry processes: where each section is in force.
+//! Reports of entry processes: which section versions each host has in force.
 //!
-//! Load pattern: at each edit every entry host of the zone has something new to say, and every
-//! steward is to hear it. One frame for each on each link, with the versions of all teams, was
-//! 60 KB for each edit and host at 39 hosts; gathered for a tenth of a second, with what changed
-//! only, it is some 8 KB.
+//! Load pattern: after each edit every entry host of the zone reports a new version, and every
+//! steward needs all reports. One frame per report and link with the versions of all teams took
+//! 60 KB per edit and host at 39 hosts. Batched for a tenth of a second and limited to the changed
+//! versions, it takes about 8 KB.
 
 use std::collections;
 
@@ -15,25 +15,25 @@
 use super::{Core, LinkId};
 use crate::wire;
 
-/// Time without an entry process after which this host does not count as one any more. An entry
-/// process that lives connects again within two seconds; one that is stopped keeps its connection.
+/// Time without a linked entry process after which this host is reported as having none. A running
+/// entry process reconnects within two seconds; a suspended one (SIGSTOP) keeps its connection.
 const ENTRY_TIMEOUT: clock::Span = clock::Span::from_secs(10);
 
-/// What is known and told of entry processes.
+/// Reports to be sent to other stewards, and the versions sent before.
 #[derive(Default)]
 pub(super) struct Outbox {
-    /// Hosts of whom the others are to hear, and the link that the news came by.
+    /// Hosts with a new report, and the link that it came from.
     pending: collections::BTreeMap<id::Host, Option<LinkId>>,
-    /// Life and versions told of each host.
+    /// Incarnation and versions last sent for each host.
     sent: collections::BTreeMap<id::Host, (id::Incarnation, replication::Versions)>,
-    /// When the own entry process was there last.
+    /// Last time at which the own entry process was linked.
     last_linked: Option<clock::Moment>,
 }
 
 impl Core {
-    /// Takes the state of the own entry process.
+    /// Applies a report of the own entry process.
     pub(super) fn apply_own_report(&mut self, host: &id::Host, report: replication::Report) {
-        // By the wall clock, so that a steward that started anew goes on above its last number.
+        // Based on the wall clock, so that numbers keep growing when the steward restarts.
         let known = self.entry_reports.report(host).map_or(0, |known| known.number);
         let number = self.clock.wall_millis().max(known + 1);
         self.apply_report(host, replication::Report { number, ..report }, None);
@@ -52,14 +52,14 @@
         }
     }
 
-    /// The states of all entry processes of the zone, for a steward that is new on a link.
+    /// Builds the message with all reports of the zone, for a newly linked steward.
     pub(super) fn statuses(&self) -> wire::Body {
         let reports = self.entry_reports.iter().filter(|(_, report)| report.zone == *self.zone());
         let statuses = reports.map(|(host, report)| wire::status(host, report)).collect();
         wire::Body::Statuses(wire::Statuses { statuses })
     }
 
-    /// Passes on what entry processes said since the last call.
+    /// Sends the reports that changed since the last call to the stewards of the zone.
     pub(in crate::steward) fn flush_reports(&mut self) {
         let mut lines = Vec::new();
         for (host, from) in std::mem::take(&mut self.report_outbox.pending) {
@@ -77,8 +77,9 @@
         }
     }
 
-    /// A host's state with the versions that were not told of this life yet. What a new link was
-    /// told at its start is never older than what was told to all.
+    /// Returns a host's status with only the versions not yet sent for its incarnation. A new link
+    /// starts with the full reports, which are never older than what was sent to all, so leaving
+    /// versions out is safe.
     fn status_delta(&mut self, host: &id::Host) -> Option<wire::Status> {
         let report = self.entry_reports.report(host)?;
         let mut status = wire::status(host, report);
@@ -96,10 +97,10 @@
         Some(status)
     }
 
-    /// Notices that the own entry process is gone.
+    /// Reports the own entry process as down when it has not been linked for [`ENTRY_TIMEOUT`].
     ///
-    /// Failure answered: an entry process dies while its steward lives. Symptom: no section is
-    /// accepted any more, since that host never says that it has it.
+    /// Failure mode: an entry process dies while its steward keeps running. Symptom: no section is
+    /// accepted any more, because that host never reports the new version.
     pub(in crate::steward) fn check_entry(&mut self) {
         let now = self.clock.now();
         let is_entry = |link: &super::Link| link.peer.role == wire::Role::Entry;
@@ -115,7 +116,7 @@
         {
             return;
         }
-        log::warn!("no entry process for {} s: this host does not count", ENTRY_TIMEOUT.as_secs());
+        log::warn!("no entry process for {} s; reporting it as down", ENTRY_TIMEOUT.as_secs());
         let zone = self.zone().clone();
         let known = known.unwrap_or(replication::Report { zone, ..replication::Report::default() });
         self.apply_own_report(
--- a/crates/lagoon-net/src/steward/core/spending.rs
+++ b/crates/lagoon-net/src/steward/core/spending.rs
@@ -1,11 +1,11 @@
-//! What customers use: counted here for the ledger, and told to the other hosts of the zone only
-//! of customers who may be near their limits.
+//! Usage of customers: counted for the ledger, and sent to the other hosts of the zone only for
+//! customers that may be near their rate limits.
 //!
-//! Load pattern: 26,000 customers, 100 requests a second in a zone. Telling every host of every
-//! request costs more than a node's whole budget, and nearly all of it is of customers far below
-//! their limits, for whom nothing is decided. A customer matters once it uses more than half of
-//! this host's even part of its limit here; while it does so nowhere, it is below half of its limit
-//! in the whole zone, if its requests come evenly or not.
+//! Load pattern: 26,000 customers, 100 requests a second in a zone. Sending every request to every
+//! host exceeds a node's whole budget, and nearly all of it concerns customers far below their
+//! limits, for whom no decision depends on it. A customer is reported once it uses more than half
+//! of this host's equal share of its limit. While no host reports it, it uses less than half of its
+//! limit in the whole zone, however its requests are spread over hosts.
 
 use std::collections;
 
@@ -18,51 +18,53 @@
 use super::{Core, LinkId};
 use crate::wire;
 
-/// Time over which use is looked at.
+/// Time over which usage is summed before it is compared with limits.
 const WINDOW: clock::Span = clock::Span::from_millis(WINDOW_MS);
 const WINDOW_MS: u64 = 2_000;
 
-/// A customer matters above the even part of its limit divided by this.
+/// A customer is reported above this host's equal share of its limit divided by this.
 const NEAR_DIVISOR: f64 = 2.0;
 
-/// Customers told of at once; those who used the most come first.
+/// Customers in one message; those nearest to their limits come first.
 const MAX_LINES: usize = 2;
 
-/// Messages that wait to be passed on: more are dropped, the oldest first, as their limits are
-/// then enforced by each host's own part.
+/// Messages queued for heartbeats. Beyond it the oldest are dropped; each host then enforces its
+/// equal share of the customers' limits.
 const MAX_PENDING: usize = 64;
 
-/// Age at which what a customer used no longer says whom engines work for.
+/// Age at which usage no longer counts when engine time is attributed to customers.
 const RECENT_FOR: clock::Span = clock::Span::from_secs(10);
 
-/// Use by customers, as one steward knows it.
+/// Usage of customers, as one steward knows it.
 #[derive(Default)]
 pub(super) struct Spending {
-    /// Tokens used lately in this zone, for the ledger.
+    /// Tokens used recently in this zone, for the ledger.
     recent_tokens: collections::HashMap<id::Customer, (u64, clock::Moment)>,
-    /// Requests and tokens let in by the own entry process in this window.
+    /// Requests and tokens admitted by the own entry process in this window.
     own_window: collections::BTreeMap<id::Customer, (u64, u64)>,
     window_started: clock::Moment,
-    /// Starts from the steward's life, a time in microseconds, so that it also grows over restarts.
+    /// Sequence number of the last message sent. It starts from the steward's incarnation, a time
+    /// in microseconds, so that it also grows across restarts.
     ///
-    /// Failure answered: a steward starts anew at 1, and its messages have to be told from late
-    /// copies of its old ones. Symptom: taken by their distance, two copies far apart chase each
-    /// other round the ring, each counted as use, and customers below their limits are refused.
-    /// Growing over restarts, one order is enough.
+    /// Failure mode: a steward that restarted at 1 would have to have its messages told apart from
+    /// delayed copies of its old ones. Symptom: when that is done by the distance of sequence
+    /// numbers, two copies far apart keep circulating between hosts and are counted as usage each
+    /// time, and customers below their limits are refused. With numbers that only grow, a plain
+    /// comparison is enough.
     sequence: u64,
-    /// Sequence of each host's last message.
+    /// Sequence number of each host's last message.
     last_sequences: collections::HashMap<String, u64>,
     pending: collections::VecDeque<(wire::Spending, id::Host)>,
 }
 
 impl Spending {
-    /// Nothing used yet, in this life of the steward.
+    /// Creates an empty record for this incarnation of the steward.
     pub(super) fn new(incarnation: id::Incarnation) -> Self {
         Spending { sequence: incarnation.0, ..Spending::default() }
     }
 
-    /// The next message to be passed on, and who sent it, if it is no longer than `room` bytes.
-    /// One that is longer than any room goes alone.
+    /// Takes the next message to be relayed and its sender, if it fits in `room` bytes. A message
+    /// larger than [`super::payload::SPENDING_BYTES`] is taken when the whole share is free.
     pub(super) fn pop(&mut self, room: usize) -> Option<(wire::Spending, id::Host)> {
         let (first, _) = self.pending.front()?;
         if room == 0 || (first.encoded_len() > room && room < super::payload::SPENDING_BYTES) {
@@ -89,8 +91,8 @@
 }
 
 impl Core {
-    /// Shares of customers in the work of the zone's engines, by the tokens they used recent_tokens: what
-    /// an engine reports names no customers.
+    /// Returns the shares of customers in the work of the zone's engines, by the tokens they used
+    /// recently; engines do not report which customers they work for.
     pub(in crate::steward) fn shares(&self) -> Vec<(id::Customer, id::Team, u64)> {
         let share = |(name, (tokens, _)): (&id::Customer, &(u64, clock::Moment))| {
             let (team, _) = self.customer(name)?;
@@ -106,7 +108,7 @@
         sections.find_map(|section| Some((&section.team, section.body.customers.get(name)?)))
     }
 
-    /// Takes what the own entry process let in.
+    /// Records the usage that the own entry process admitted.
     pub(super) fn handle_own_spending(&mut self, spending: &wire::Spending, from: LinkId) {
         if self.links.get(&from).is_none_or(|link| link.peer.role != wire::Role::Entry) {
             return;
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Takes what another host's entry process let in, by way of `from`.
+    /// Records and relays the usage admitted by another host, received from `from`.
     pub(in crate::steward) fn handle_spending(
         &mut self,
         from: &id::Host,
@@ -136,16 +138,17 @@
         self.spending.relay(spending, from.clone());
     }
 
-    /// Ends the window, and says to the entry process that the other hosts are in touch.
+    /// Closes the window, and sends the entry process an empty message while other hosts of the
+    /// zone are reachable.
     ///
-    /// Failure answered: hosts without news of others hold customers to an even part of their
-    /// limits. Symptom: with nobody near a limit there is no news, and all are held so. An empty
-    /// message says that there would be news.
+    /// Failure mode: an entry host that receives no usage of others limits customers to its equal
+    /// share. Symptom: when no customer is near a limit no usage is sent, and all customers are
+    /// limited that way. The empty message shows that usage would arrive if there were any.
     pub(in crate::steward) fn flush_spending(&mut self) {
         let (now, host) = (self.clock.now(), self.group.own().host.to_string());
         if self.has_zone_peer() {
-            let quiet = wire::Spending { host: host.clone(), ..wire::Spending::default() };
-            let body = wire::Body::Spending(quiet);
+            let empty = wire::Spending { host: host.clone(), ..wire::Spending::default() };
+            let body = wire::Body::Spending(empty);
             self.send_all(&body, |_, link| link.peer.role == wire::Role::Entry);
         }
         if now.since(self.spending.window_started) < WINDOW {
@@ -164,12 +167,12 @@
         self.spending.relay(spending, own);
     }
 
-    /// Whether a link with another host of the zone is open, or there is no other host.
+    /// Whether a link to another steward of the zone is open, or there is no other live one.
     fn has_zone_peer(&self) -> bool {
         !self.zone_links().is_empty() || self.group.live_in(self.zone()).count() <= 1
     }
 
-    /// What the own entry process let in of customers who may be near their limits.
+    /// Empties the window and returns the customers in it that may be near their limits.
     fn near_limits(&mut self, seconds: f64) -> Vec<wire::Spend> {
         let hosts = self.group.live_in(self.zone()).count().max(1) as f64;
         let own = std::mem::take(&mut self.spending.own_window);
--- a/crates/lagoon-net/src/steward/core/upstream.rs
+++ b/crates/lagoon-net/src/steward/core/upstream.rs
@@ -1,4 +1,4 @@
-//! Loads and marks of upstreams: what hosts of a zone tell each other all the time.
+//! Propagation of upstream loads and of leaving marks between the hosts of a zone.
 
 use std::collections;
 
@@ -11,14 +11,14 @@
 use super::{Core, Link, LinkId, Observed};
 use crate::wire;
 
-/// Time between two messages on an upstream's load to other hosts, if it changed little.
+/// Time after which the load of an upstream is sent to other hosts though it changed little.
 const LOAD_REFRESH_INTERVAL: clock::Span = clock::Span::from_secs(30);
 
-/// Upstreams in a new life announced at once, once a second.
+/// Upstreams in a new incarnation announced in one flush, once a second.
 const MAX_NEW_PER_FLUSH: usize = 64;
 
 impl Core {
-    /// Takes the load of an upstream that this steward observes.
+    /// Records the load of an upstream that this steward polls and sends it to the entry process.
     pub(in crate::steward) fn observe(&mut self, upstream: &id::Upstream, load: engine::Load) {
         let now = self.clock.now();
         let body = wire::Body::Loads(wire::Loads { loads: vec![wire::load(upstream, &load, 0)] });
@@ -30,7 +30,7 @@
         self.queue_load(upstream, None);
     }
 
-    /// Takes a load into what other hosts are to hear, if it is worth that.
+    /// Queues a load for other hosts if it changed enough or was not sent for a while.
     fn queue_load(&mut self, upstream: &id::Upstream, from: Option<LinkId>) {
         let now = self.clock.now();
         let Some(known) = self.loads.get_mut(upstream) else { return };
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Tells the other hosts of the zone in full of upstreams in a new life. Later loads of that
-    /// life go with heartbeats, in short: see [`super::payload`].
+    /// Sends the full loads of upstreams in a new incarnation to the other hosts of the zone. Later
+    /// loads of the incarnation go with heartbeats in compact form: see [`super::payload`].
     pub(in crate::steward) fn flush_new_incarnations(&mut self) {
         let now = self.clock.now();
         let mut lines = Vec::new();
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Links with stewards of this zone.
+    /// Returns the links to stewards of this zone.
     pub(super) fn zone_links(&self) -> Vec<LinkId> {
         let near =
             |link: &Link| link.peer.zone == *self.zone() || link.peer.zone.as_str().is_empty();
@@ -88,7 +88,7 @@
             if known.is_some_and(|known| order(&known.load) >= order(&load)) {
                 continue;
             }
-            // Its age travels with it: what was passed on late must not look fresh.
+            // The age is part of the message, so that a load that was relayed late looks old.
             let micros = now.as_micros().saturating_sub(line.age_ms.saturating_mul(1_000));
             let read_at = clock::Moment::from_micros(micros);
             let (announced, announced_at) = known.map_or((engine::Load::default(), now), |known| {
@@ -109,7 +109,7 @@
         });
     }
 
-    /// Takes marks; a later life replaces an earlier one, and within one, leaving stays.
+    /// Applies marks. A later incarnation replaces an earlier one; within one, leaving is final.
     pub(in crate::steward) fn apply_marks(&mut self, marks: &[wire::Mark], from: Option<LinkId>) {
         let mut fresh = Vec::new();
         for mark in marks {
@@ -119,7 +119,7 @@
                 continue;
             }
             if mark.leaving {
-                log::info!("{} in its life {} leaves", mark.upstream, mark.incarnation);
+                log::info!("{} is leaving (incarnation {})", mark.upstream, mark.incarnation);
             }
             self.marks.insert(id::Upstream::from(mark.upstream.as_str()), mark.clone());
             fresh.push(mark.clone());
@@ -134,9 +134,9 @@
         });
     }
 
-    /// Takes the platform's list: its leaving hosts become marks, and reports of hosts that are
-    /// dead to their watchers and gone from the list are forgotten. The list lags, so alone it
-    /// makes nobody dead.
+    /// Applies the platform's list of hosts: leaving hosts become marks, and reports of hosts that
+    /// the membership declared dead and that are off the list are removed. The list lags, so that
+    /// a missing host alone is not treated as dead.
     pub(in crate::steward) fn apply_host_list(&mut self, lines: &[hosts::Entry]) {
         let mark = |line: &hosts::Entry| wire::Mark {
             upstream: line.name.clone(),
@@ -157,9 +157,9 @@
     }
 }
 
-/// Whether a load differs enough from the one announced last to be worth a message to every host of
-/// the zone: by two requests and a quarter of them, or by an eighth of the memory or of the prefill
-/// work. A busy engine changes by some requests at each look, which changes no decision.
+/// Whether a load differs enough from the announced one to be sent to every host of the zone: by
+/// two requests and a quarter of them, or by an eighth of the memory or of the prefill work. A busy
+/// engine's load changes by a few requests between reads, which affects no placement decision.
 fn is_significant(announced: &engine::Load, load: &engine::Load) -> bool {
     let requests = (announced.running + announced.waiting).abs_diff(load.running + load.waiting);
     let memory = announced.kv_free_tokens.abs_diff(load.kv_free_tokens);
--- a/crates/lagoon-net/src/steward/dial.rs
+++ b/crates/lagoon-net/src/steward/dial.rs
@@ -1,4 +1,4 @@
-//! Keeps the links that the mesh wants, and finds the first peers.
+//! Dials the links of the mesh and the first peers.
 
 use std::collections;
 use std::net;
@@ -14,13 +14,13 @@
 use super::session;
 use crate::link;
 
-/// Time between two looks at which links are missing.
+/// Time between two checks for missing links.
 const CHECK_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
-/// Looks between two tries of an address that failed: drawn up to this many.
+/// Maximum number of checks between two attempts to connect to an address; drawn at random.
 const MAX_RETRY_CHECKS: u32 = 8;
 
-/// Looks between two tries to reach some dead member, on average.
+/// Checks between two attempts to reach some dead member, on average.
 const DEAD_RETRY_CHECKS: u32 = 16;
 
 pub(super) async fn run(context: Context) {
@@ -44,7 +44,8 @@
     }
 }
 
-/// Hosts to connect to: those of the mesh, and settings' peers while there are no others.
+/// Returns the addresses to dial: hosts of the mesh, an occasional dead member, and the configured
+/// peers at start and while no steward is linked.
 fn targets(context: &Context, first: bool) -> Vec<(Option<id::Host>, net::SocketAddr)> {
     let core = context.core.borrow();
     let mut found = Vec::new();
@@ -56,7 +57,7 @@
             found.push((Some(host), member.address));
         }
     }
-    // After a cut, each side holds the other dead and nobody would call again.
+    // After a network partition each side considers the other dead, and neither would reconnect.
     let dead: Vec<_> = core.group.dead().filter(|member| member.zone == *core.zone()).collect();
     if rand::random_ratio(1, DEAD_RETRY_CHECKS) && !dead.is_empty() {
         let member = dead[rand::random_range(0..dead.len())];
@@ -88,7 +89,7 @@
     }
 }
 
-/// Takes members that the platform's table names.
+/// Adds members found in the platform's table to the membership.
 pub(super) fn add_members(context: &Context, members: Vec<membership::Member>) {
     let updates: Vec<_> = members.into_iter().map(membership::Update::Member).collect();
     let mut core = context.core.borrow_mut();
--- a/crates/lagoon-net/src/steward/fetch.rs
+++ b/crates/lagoon-net/src/steward/fetch.rs
@@ -1,4 +1,4 @@
-//! The platform's side: the document, the list of hosts, and the stewards' own rows.
+//! Reads of the platform: the document, the list of hosts, and the rows that register stewards.
 
 use std::collections;
 use std::time;
@@ -16,16 +16,16 @@
 use super::Context;
 use super::dial;
 
-/// Prefix of the rows by which stewards find each other.
+/// Key prefix of the rows by which stewards find each other.
 const STEWARD_PREFIX: &str = "steward/";
 
-/// Rows read at once.
+/// Rows read by one scan.
 const SCAN_LIMIT: usize = 1_000;
 
 /// Time between two reads of the list of hosts.
 const HOSTS_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// What only the zone's chosen steward does.
+/// Role of the one steward of a zone that reads the platform. The name is hashed to choose it.
 const FETCHER: &str = "fetcher";
 
 #[derive(Deserialize, Serialize)]
@@ -35,7 +35,7 @@
     incarnation: u64,
 }
 
-/// Watches the document while this steward is its zone's fetcher or knows too little itself.
+/// Polls the document while this steward is its zone's fetcher or its own document is incomplete.
 pub(super) async fn run(context: Context) {
     let Some(platform) = context.platform.clone() else { return };
     let backoff = platform::Backoff::default();
@@ -55,7 +55,7 @@
             Ok(()) => failures = 0,
             Err(error) => {
                 if failures == 0 {
-                    log::warn!("document is not read: {error}");
+                    log::warn!("reading the document failed: {error}");
                 }
                 failures += 1;
                 context.core.borrow_mut().record_platform_failure();
@@ -70,14 +70,15 @@
     }
 }
 
-/// Time for which the fetcher waits for peers to bring a version that the head names.
+/// Time for which the fetcher waits for peers to send a version that the head lists.
 ///
-/// The steward that stored it tells it by changes, some hundred bytes; the table has whole texts
-/// only. Without the wait each zone's fetcher reads a section of 260 KB at each edit, more than a
-/// node's budget. Where no peer has it, the version is in force that much later.
+/// The steward that stored the version sends it as a delta of a few hundred bytes, while the table
+/// holds full texts only. Without the wait each zone's fetcher reads a section of 260 KB at each
+/// edit, which exceeds a node's budget. Where no peer has the version, it is in force later by this
+/// time.
 const PEER_GRACE: clock::Span = clock::Span::from_millis(800);
 
-/// Versions that the head pending, and since when.
+/// Versions listed by the head and not yet in force, and the time at which each was first seen.
 type PendingVersions = collections::BTreeMap<id::Team, (id::Version, clock::Moment)>;
 
 async fn fetch<T>(
@@ -106,14 +107,14 @@
         let Some((version, stored)) = document::read_section(table, team).await? else { continue };
         match document::Section::parse(team.clone(), version, &stored.text) {
             Ok(section) => context.core.borrow_mut().apply(vec![section], None),
-            Err(faults) => log::error!("section {team} is not understood: {faults}"),
+            Err(faults) => log::error!("section {team} is invalid: {faults}"),
         }
     }
     context.core.borrow_mut().record_platform_head(versions);
     Ok(())
 }
 
-/// Writes this steward's row and meets the others.
+/// Writes this steward's row and adds the stewards in the table to the membership.
 async fn register<T>(context: &Context, table: &T) -> Result<(), table::Error>
 where
     T: table::Table,
@@ -143,21 +144,21 @@
     Ok(())
 }
 
-/// Reads the platform's list of hosts while this steward is its zone's fetcher.
+/// Polls the platform's list of hosts while this steward is its zone's fetcher.
 pub(super) async fn run_hosts(context: Context) {
     let Some(platform) = context.platform.clone() else { return };
     loop {
         let is_fetcher = context.core.borrow().owns(FETCHER);
         if is_fetcher && let Ok(lines) = platform.list().await {
             context.core.borrow_mut().apply_host_list(&lines);
-            // Rows that cannot be removed now are removed a second later.
+            // Rows that cannot be removed now are retried after the next read.
             let _ = remove_dead(&context, &platform).await;
         }
         tokio::time::sleep(HOSTS_INTERVAL.mul_f64(rand::random_range(0.9..1.1))).await;
     }
 }
 
-/// Removes the rows of dead stewards of this zone, so that newcomers do not take them for live.
+/// Removes the rows of dead stewards of this zone, so that new stewards do not consider them live.
 async fn remove_dead<T>(context: &Context, table: &T) -> Result<(), table::Error>
 where
     T: table::Table,
@@ -171,7 +172,7 @@
         let key = format!("{STEWARD_PREFIX}{}", member.host);
         let row = table.read(&key).await?;
         let line = row.as_ref().and_then(|row| serde_json::from_str::<StewardRow>(&row.value).ok());
-        // A row of a later life is that of a host that came back.
+        // A row of a later incarnation belongs to a steward that has restarted.
         let is_old = line.is_some_and(|line| line.incarnation <= member.incarnation.0);
         if let Some(row) = row.filter(|_| is_old) {
             let checks = vec![table::Check { key: key.clone(), version: row.version }];
--- a/crates/lagoon-net/src/steward/heartbeat.rs
+++ b/crates/lagoon-net/src/steward/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats by UDP, and the passing of time in the membership.
+//! Heartbeats over UDP, and the periodic timers of the membership.
 
 use std::net;
 
@@ -12,10 +12,10 @@
 use super::core;
 use crate::wire;
 
-/// Time between two looks at who is silent.
+/// Time between two checks of heartbeat timeouts.
 const TICK_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// Time between two messages on upstreams in a new life, and to the entry process on spending.
+/// Time between two flushes of new upstream incarnations and of customer usage.
 const FLUSH_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 pub(super) async fn run(context: Context, socket: tokio_net::UdpSocket) {
@@ -30,7 +30,7 @@
     let mut sequence = 0;
     loop {
         tokio::select! {
-            // What has arrived counts before silence is judged.
+            // Datagrams that have arrived are processed before timeouts are evaluated.
             biased;
             received = socket.recv_from(&mut buffer) => {
                 if let Ok((length, _)) = received {
@@ -75,7 +75,7 @@
         *sequence += 1;
         let frame = heartbeat(context, &payload, &host, *sequence);
         let sealed = wire::seal(&context.settings.key, &frame);
-        // A datagram that cannot be sent is a lost one.
+        // A datagram that cannot be sent counts as lost; the next heartbeat replaces it.
         if socket.try_send_to(&sealed, address).is_ok() {
             let counters = context.core.borrow().counters.clone();
             core::Counters::add(&counters.datagrams_sent, 1);
@@ -118,9 +118,9 @@
     core.flush_reports();
     for change in changes {
         match change {
-            membership::Change::Live(host) => log::info!("{host} lives"),
+            membership::Change::Live(host) => log::info!("steward of {host} is live"),
             membership::Change::Dead(host) => {
-                log::warn!("{host} is dead");
+                log::warn!("steward of {host} is declared dead");
                 core::Counters::add(&core.counters.members_declared_dead, 1);
             }
         }
--- a/crates/lagoon-net/src/steward/memory_sweep.rs
+++ b/crates/lagoon-net/src/steward/memory_sweep.rs
@@ -1,8 +1,8 @@
-//! Gives back engine memory that dead entry processes left, by the steward that observes an
-//! engine.
+//! Releases engine memory that dead entry processes still hold. The steward that observes an engine
+//! does this for it.
 //!
-//! Two stewards that both take themselves for the observer cost calls only: each judges by the
-//! same rules, and an engine's release has no further effect when repeated.
+//! Two stewards that both consider themselves the observer only cost extra calls: both apply the
+//! same rules, and releasing a holding twice has no further effect.
 
 use std::collections;
 use std::net;
@@ -23,7 +23,7 @@
 use crate::engine;
 use crate::wire;
 
-/// Longest time for one call of an engine.
+/// Timeout of one call to an engine.
 const TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
 pub(super) async fn run(context: Context) {
@@ -50,7 +50,7 @@
     }
 }
 
-/// What this zone knows of its own entry processes.
+/// Returns the status of this zone's entry processes.
 async fn own_statuses(context: &Context) -> Vec<(id::Host, owner::Status)> {
     let listed = listed(context).await;
     let core = context.core.borrow();
@@ -66,7 +66,7 @@
         .collect()
 }
 
-/// Hosts on the platform's list, which is read only when a host of this zone is dead.
+/// Returns the hosts on the platform's list. It is read only while a host of this zone is dead.
 async fn listed(context: &Context) -> Option<collections::BTreeSet<id::Host>> {
     let all_live = {
         let core = context.core.borrow();
@@ -77,8 +77,8 @@
     Some(lines.iter().map(|line| id::Host::from(line.name.as_str())).collect())
 }
 
-/// Asks the other zones about owners that are not of this one. Those that nobody knows are unsure
-/// unless every zone answered.
+/// Queries the other zones about owners that are not hosts of this one. An owner that no zone knows
+/// is recorded as gone if every zone answered, and as unsure otherwise.
 async fn ask(
     context: &Context,
     reaper: &mut reap::Reaper,
@@ -109,7 +109,7 @@
     }
 }
 
-/// The zones that the document or the roster names, besides this one.
+/// Returns the zones in the document or the roster, without this one.
 fn other_zones(context: &Context) -> collections::BTreeSet<id::Zone> {
     let core = context.core.borrow();
     let named = core.fleet.upstreams.iter().map(|upstream| &upstream.entry.zone);
@@ -117,7 +117,7 @@
     zones.filter(|zone| *zone != core.zone()).cloned().collect()
 }
 
-/// What this zone knows of the hosts that `text` lists, for a steward of another zone.
+/// Returns the status of the hosts in the JSON list `text`, for a steward of another zone.
 pub(super) async fn statuses_of(context: &Context, text: &str) -> Vec<owner::Status> {
     let hosts: Vec<id::Host> = serde_json::from_str(text).unwrap_or_default();
     let statuses = own_statuses(context).await.into_iter();
@@ -134,13 +134,13 @@
     let before = counters.holdings_released.load(atomic::Ordering::Relaxed);
     for holding in holdings.iter().filter_map(|holding| holding.parse().ok()) {
         let done = engine::release(client, address, holding, &context.settings.zone);
-        // What is not acknowledged is on the next list again.
+        // A holding whose release is not acknowledged is listed again in the next sweep.
         if tokio::time::timeout(TIMEOUT, done).await == Ok(true) {
             core::Counters::add(&counters.holdings_released, 1);
         }
     }
     let released = counters.holdings_released.load(atomic::Ordering::Relaxed) - before;
     if released > 0 {
-        log::info!("{upstream} gave back {released} holdings of dead owners");
+        log::info!("{upstream} released {released} holdings of dead owners");
     }
 }
--- a/crates/lagoon-net/src/steward/mod.rs
+++ b/crates/lagoon-net/src/steward/mod.rs
@@ -1,6 +1,8 @@
-//! The control process of an entry host: membership, the document, loads and marks, operators.
+//! The steward, the control process of an entry host. It maintains the membership, replicates the
+//! document, distributes loads and marks of upstreams, sends commands to engines, and serves
+//! operators.
 //!
-//! [`start`] runs it on a thread of its own, so that several stewards can share a process.
+//! [`start`] runs a steward on its own thread, so that several can share a process.
 
 mod calls;
 mod claim_sweep;
@@ -38,7 +40,7 @@
 /// State shared by the tasks of one steward, which all run on its thread.
 type Shared = rc::Rc<cell::RefCell<core::Core>>;
 
-/// What every task of a steward needs.
+/// Shared handles of the tasks of a steward.
 #[derive(Clone)]
 struct Context {
     core: Shared,
@@ -49,7 +51,7 @@
     address: net::SocketAddr,
 }
 
-/// A steward that runs.
+/// Handle of a running steward; dropping it stops the steward.
 #[derive(Debug)]
 pub struct Running {
     address: net::SocketAddr,
@@ -59,22 +61,22 @@
 }
 
 impl Running {
-    /// Where it listens, by TCP and UDP.
+    /// Returns the address it listens on, for both TCP and UDP.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// What it counts.
+    /// Returns its counters.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Ends it and waits until it has ended.
+    /// Stops the steward and waits for its thread to end.
     pub fn stop(mut self) {
         self.end();
     }
 
-    /// Waits until it ends by itself, which it does not.
+    /// Blocks on the thread of the steward, which ends only when the steward fails.
     pub fn wait(mut self) {
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -95,7 +97,7 @@
     }
 }
 
-/// Tries to find a port that is free for both TCP and UDP.
+/// Attempts to find a port that is free for both TCP and UDP.
 const MAX_BIND_ATTEMPTS: usize = 16;
 
 fn bind(listen: net::SocketAddr) -> io::Result<(net::TcpListener, net::UdpSocket)> {
@@ -113,7 +115,7 @@
     Err(last.unwrap_or_else(|| io::Error::other("no port")))
 }
 
-/// Starts a steward; it listens when this returns.
+/// Starts a steward. It is listening when this returns.
 ///
 /// # Errors
 ///
@@ -178,7 +180,7 @@
     let (Ok(listener), Ok(socket)) =
         (tokio_net::TcpListener::from_std(listener), tokio_net::UdpSocket::from_std(socket))
     else {
-        log::error!("sockets cannot be used");
+        log::error!("cannot register the listening sockets with the runtime");
         return;
     };
     let tasks = [
--- a/crates/lagoon-net/src/steward/observe.rs
+++ b/crates/lagoon-net/src/steward/observe.rs
@@ -1,4 +1,4 @@
-//! Reads the load of the upstreams that this steward owns.
+//! Polls the load of the engines that this steward is responsible for.
 
 use lagoonline::control::document;
 use lagoonline::id;
@@ -10,7 +10,7 @@
 
 use super::Context;
 
-/// Longest time for one answer.
+/// Timeout of one request.
 const TIMEOUT: time::Millis = time::Millis(1_000);
 
 pub(super) async fn run(context: Context) {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Engines of this zone for which this steward is the observer.
+/// Returns the engines of this zone that rendezvous hashing assigns to this steward.
 pub(super) fn owned(context: &Context) -> Vec<(id::Upstream, std::net::SocketAddr)> {
     let core = context.core.borrow();
     let here = |upstream: &&lagoonline::view::Upstream| {
@@ -42,7 +42,7 @@
     address: std::net::SocketAddr,
 ) {
     let read = read(http, address, context.settings.zone.as_str());
-    // An upstream that does not answer keeps its last load, whose age tells.
+    // An upstream that does not respond keeps its last load; readers see its age.
     if let Ok(Some(load)) = time::timeout(TIMEOUT, read).await {
         context.core.borrow_mut().observe(&upstream, load);
     }
--- a/crates/lagoon-net/src/steward/reconcile.rs
+++ b/crates/lagoon-net/src/steward/reconcile.rs
@@ -1,8 +1,9 @@
-//! Orders to the engines of this zone, under one lease for the zone.
+//! Reconciles the engines of this zone with the document: compares the state of each engine with
+//! the desired one and sends it commands under a lease.
 //!
-//! One lease for each engine would cost the table a write for each engine every few seconds. The
-//! engines of a zone share one, held by the zone's chosen steward only while there is something
-//! to order.
+//! A lease per engine would cost one table write per engine every few seconds. Instead one lease
+//! covers all engines of a zone. The zone's chosen steward holds it only while a command is
+//! outstanding.
 
 use std::net;
 
@@ -20,21 +21,21 @@
 use super::core;
 use crate::platform;
 
-/// Time between two looks at the engines.
+/// Time between two rounds over the engines.
 const RECONCILE_INTERVAL: std::time::Duration = std::time::Duration::from_secs(2);
 
-/// Longest time for reading an engine's state.
+/// Timeout of reading an engine's state.
 const READ_TIMEOUT: time::Millis = time::Millis(1_000);
 
-/// Engines of a zone that load at once. The weight store's rate is shared by all zones; with the
-/// orders' lease a zone holds this many tokens of it, so that after a change of many engines some
-/// serve again soon instead of all loading for as long as the sum of them takes.
+/// Engines of a zone that load weights at the same time. All zones share the rate of the weight
+/// store. With a limit some engines serve again soon after a change of many; without it all of them
+/// load for as long as the sum of the loads takes. The lease makes this the limit of a whole zone.
 const MAX_CONCURRENT_LOADS: usize = 2;
 
-/// What only the zone's chosen steward does.
+/// Role of the one steward of a zone that sends commands. The name is hashed to choose it.
 pub(super) const RECONCILER: &str = "orderer";
 
-/// What was last seen and decided of one engine.
+/// Last observed state and decision for one engine, as operators see it.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct EngineStatus {
     upstream: String,
@@ -42,9 +43,9 @@
     wanted_role: engine::Role,
     actual: Option<reconcile::Actual>,
     decision: &'static str,
-    /// Orders sent to it from here.
+    /// Commands sent to it by this steward.
     sent: u64,
-    /// Orders that repaired what a late order of another holder did.
+    /// Commands that undid a late command of another lease holder.
     repaired: u64,
 }
 
@@ -66,7 +67,7 @@
     http: client::Client,
     platform: platform::Client,
     lease: lease::Lease<clock::System>,
-    /// Engines of the zone seen loading.
+    /// Engines of the zone that are loading weights.
     loading: usize,
 }
 
@@ -85,7 +86,7 @@
     }
 }
 
-/// Engines of this zone and what the document wants of them.
+/// Returns the engines of this zone with the state that the document asks for.
 fn targets(context: &Context) -> Vec<Target> {
     let core = context.core.borrow();
     let here = core.fleet.upstreams.iter().filter(|upstream| upstream.entry.zone == *core.zone());
@@ -115,18 +116,19 @@
             outstanding |= self.decide(&target, actual).await;
         }
         if !outstanding {
-            // The lease ends by itself if this fails.
+            // If the release fails, the lease expires by itself.
             let _ = self.lease.release(&self.platform).await;
         }
     }
 
-    /// Orders what one engine is missing; whether something is outstanding.
+    /// Sends the command that one engine needs, if any. Returns whether anything is outstanding.
     async fn decide(&mut self, target: &Target, actual: Option<reconcile::Actual>) -> bool {
         let Some(actual) = actual else {
             self.record(target, None, "no answer", 0, 0);
             return false;
         };
-        // Without a lease the engine's own number stands in: this only asks whether it is as wanted.
+        // Checks whether the engine needs a command at all before a lease is acquired. The fencing
+        // number that the engine reports is used in place of a lease's.
         let probe = reconcile::Context { fence: actual.fence, ..self.context(target) };
         if reconcile::decide(&target.wanted, &actual, &probe) == reconcile::Decision::Nothing {
             self.record(target, Some(actual), "as wanted", 0, 0);
@@ -151,7 +153,7 @@
                 self.record(target, Some(actual), sent.as_str(), sent.count(), 0);
             }
             reconcile::Decision::Repair(order) => {
-                log::warn!("{} obeyed a late order; ordering it back", target.name);
+                log::warn!("{} executed a late command; sending a command to undo it", target.name);
                 let sent = self.send(target, &order).await;
                 self.record(target, Some(actual), sent.as_str(), sent.count(), sent.count());
             }
@@ -201,7 +203,7 @@
                 SendOutcome::Accepted
             }
             Ok(Ok(_)) => SendOutcome::Refused,
-            // Whether it was obeyed shows at the next look.
+            // Whether the command was executed shows in the next round.
             Ok(Err(_)) | Err(()) => SendOutcome::Unknown,
         }
     }
@@ -226,7 +228,7 @@
     }
 }
 
-/// What became of an order.
+/// Outcome of sending a command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum SendOutcome {
     NoWeights,
--- a/crates/lagoon-net/src/steward/session.rs
+++ b/crates/lagoon-net/src/steward/session.rs
@@ -1,4 +1,4 @@
-//! One connection: frames in, messages out.
+//! Connections: accepts them, and moves messages between a channel and the core.
 
 use std::net;
 
@@ -12,14 +12,15 @@
 use crate::link;
 use crate::wire;
 
-/// Most connections at once: hosts of a zone, gateways, an entry process and some operators.
+/// Maximum number of incoming connections: hosts of a zone, gateways of other zones, an entry
+/// process and some operators.
 const MAX_CONNECTIONS: usize = 256;
 
-/// Bytes of a frame besides its message, for the counters: length, tag, sender, life, sequence and
-/// nonce.
+/// Bytes of a frame besides its message, for the counters: length, tag, sender, incarnation,
+/// sequence number and nonce.
 const FRAME_OVERHEAD: usize = 69;
 
-/// Wait after a failed accept, such as without free descriptors.
+/// Delay after a failed accept, for example when no file descriptor is free.
 const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(100);
 
 pub(super) fn identity(context: &Context) -> link::Identity {
@@ -32,7 +33,7 @@
     }
 }
 
-/// Accepts connections.
+/// Accepts connections, at most [`MAX_CONNECTIONS`] at a time.
 pub(super) async fn listen(context: Context, listener: tokio_net::TcpListener) {
     let permits = std::sync::Arc::new(tokio::sync::Semaphore::new(MAX_CONNECTIONS));
     loop {
@@ -46,7 +47,7 @@
                 });
             }
             Err(error) => {
-                log::warn!("accept: {error}");
+                log::warn!("accepting a connection failed: {error}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -64,7 +65,7 @@
     }
 }
 
-/// Serves a connection until it ends.
+/// Runs a connection until it is closed.
 pub(super) async fn serve(
     context: &Context,
     channel: link::Channel,
@@ -77,7 +78,7 @@
     let ended = exchange(context, channel, (link_id, is_peer), receiver).await;
     context.core.borrow_mut().remove_link(link_id);
     if let Err(error) = ended {
-        log::debug!("link with {sender}: {error}");
+        log::debug!("link to {sender} closed: {error}");
     }
 }
 
--- a/crates/lagoon-net/src/steward/settings.rs
+++ b/crates/lagoon-net/src/steward/settings.rs
@@ -15,49 +15,50 @@
 use crate::platform;
 use crate::wire;
 
-/// Time between two reads of an engine's load. Reads cost a node 560 B each; at 500 ms first tokens
-/// come no sooner (docs/measurements/load.md): what an entry host sent itself, and the loads that
-/// answers carry, say more than reports.
+/// Default time between two reads of an engine's load. Each read costs a node 560 B. Reads every
+/// 500 ms do not shorten the time to first token (docs/measurements/load.md), because an entry host
+/// places requests by its own dispatches and by the loads in responses, which are newer.
 const OBSERVE_MS: u64 = 2_500;
 
 /// Settings of a steward.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This entry host.
+    /// Name of this entry host.
     pub host: id::Host,
     /// Its zone.
     pub zone: id::Zone,
     /// Where to listen, by TCP and UDP on the same port; port 0 takes a free one.
     pub listen: net::SocketAddr,
-    /// The address that others reach it at, if not the one it listens at.
+    /// Address at which others reach it, if it differs from the one it listens on.
     pub advertise: Option<net::SocketAddr>,
-    /// The fleet's key.
+    /// The key shared by all processes of the fleet.
     pub key: wire::Key,
-    /// The platform; without it, sections come from peers only.
+    /// The platform; if `None`, sections come from peers only.
     pub platform: Option<platform::Settings>,
-    /// Stewards to ask at first, besides those that the platform's table names.
+    /// Stewards to connect to at start, besides those in the platform's table.
     pub peers: Vec<net::SocketAddr>,
-    /// SHA-256 of each operators' key, which may change every section.
+    /// SHA-256 hashes of the operators' keys, which authorize changes of every section.
     pub operator_keys: Vec<document::KeyHash>,
-    /// Heartbeats.
+    /// Heartbeats and failure detection.
     pub membership: membership::Settings,
-    /// Leases of orders.
+    /// The lease under which commands are sent to engines.
     pub lease: lease::Settings,
     /// Time between two reads of the document's head by the zone's fetcher.
     pub poll_interval: clock::Span,
     /// Time between two reads of the load of an upstream that this steward observes.
     pub observe_interval: clock::Span,
-    /// Time between two looks at what an engine that this steward observes holds.
+    /// Time between two reads of the holdings of an engine that this steward observes.
     pub sweep_interval: clock::Span,
-    /// When an owner of engine memory counts as dead.
+    /// When an owner of engine memory is considered dead.
     pub reap: reap::Settings,
     /// Retention of idempotency keys.
     pub claims: claim::SweepSettings,
-    /// Logs.
+    /// Log level and target.
     pub logs: logs::Settings,
 }
 
-/// Lists of some two kilobytes from each of three or four engines are then 0.4 KB a second.
+/// Default time between two reads of holdings. The lists of the three or four engines that a
+/// steward observes have about 2 KB each, which makes 0.4 KB a second.
 const SWEEP_MS: u64 = 20_000;
 
 impl Default for Settings {
@@ -94,25 +95,25 @@
     /// assert_eq!(settings.zone.as_str(), "suva");
     /// ```
     pub fn read(reader: &check::Reader<'_>) -> Settings {
-        let usual = Settings::default();
+        let defaults = Settings::default();
         let poll = reader.number("poll_ms", 500, 10..=60_000);
         let observe = reader.number("observe_ms", OBSERVE_MS, 10..=60_000);
         let sweep = reader.number("sweep_ms", SWEEP_MS, 10..=600_000);
         Settings {
             host: id::Host::from(reader.required("host")),
             zone: id::Zone::from(reader.required("zone")),
-            listen: reader.required_parsed("listen", "IP:PORT", usual.listen),
+            listen: reader.required_parsed("listen", "IP:PORT", defaults.listen),
             advertise: reader.parsed("advertise", "IP:PORT"),
             key: wire::Key::new(reader.required("key").as_bytes()),
             platform: reader.child("platform", platform::Settings::read),
             peers: read_peers(reader),
             operator_keys: read_keys(reader),
             membership: reader.child("membership", read_membership).unwrap_or_default(),
-            lease: usual.lease,
+            lease: defaults.lease,
             poll_interval: clock::Span::from_millis(poll),
             observe_interval: clock::Span::from_millis(observe),
             sweep_interval: clock::Span::from_millis(sweep),
-            reap: usual.reap,
+            reap: defaults.reap,
             claims: read_claims(reader),
             logs: reader.child("logs", logs::Settings::read).unwrap_or_default(),
         }
@@ -151,7 +152,7 @@
 }
 
 fn read_membership(reader: &check::Reader<'_>) -> membership::Settings {
-    let usual = membership::Settings::default();
+    let defaults = membership::Settings::default();
     let interval = reader.number("interval_ms", 500, 10..=60_000);
     let silence = reader.number("silence_ms", 2_200, 20..=600_000);
     if silence < 2 * interval {
@@ -160,6 +161,6 @@
     membership::Settings {
         interval: clock::Span::from_millis(interval),
         heartbeat_timeout: clock::Span::from_millis(silence),
-        ..usual
+        ..defaults
     }
 }
--- a/crates/lagoon-net/src/steward/usage.rs
+++ b/crates/lagoon-net/src/steward/usage.rs
@@ -1,4 +1,4 @@
-//! The idle ledger: meters of the engines that this steward observes, and its report.
+//! The idle ledger: meters the engines that this steward observes, and sums rows for reports.
 
 use std::collections;
 
@@ -12,20 +12,21 @@
 use crate::operator;
 use crate::platform;
 
-/// Time between two readings of the meters.
+/// Time between two advances of the meters.
 const METER_INTERVAL: std::time::Duration = std::time::Duration::from_millis(500);
 
-/// A pause of this process that is long enough for an engine to have done anything meanwhile.
+/// Gap between two advances above which the time counts as unobserved: this process was paused, and
+/// an engine may have done anything meanwhile.
 const MAX_TICK_GAP: std::time::Duration = std::time::Duration::from_secs(3);
 
-/// Reads of an engine's load that must be missed before nobody is said to have seen it.
+/// Reads of an engine's load that are missed before its time counts as unobserved.
 const MAX_MISSED_READS: u32 = 3;
 
-/// Finished rows kept while the table is out: an hour of every engine that one steward observes.
-/// Beyond it the oldest are dropped, and the report shows their time as unobserved.
+/// Finished rows queued while the table is unavailable: an hour of every engine that one steward
+/// observes. Beyond it the oldest are dropped, and the report shows their time as unobserved.
 const MAX_PENDING_ROWS: usize = 1_024;
 
-/// Rows read at once for a report.
+/// Rows read by one scan of a report.
 const SCAN_LIMIT: usize = 500;
 
 pub(super) async fn run(context: Context) {
@@ -35,7 +36,7 @@
     let mut last = context.clock.now();
     loop {
         tokio::time::sleep(METER_INTERVAL).await;
-        // A pause of this process is time that nobody saw, whatever the engine did before.
+        // While this process was paused nothing was observed, whatever the last load says.
         let was_paused = context.clock.now().since(last) >= MAX_TICK_GAP;
         last = context.clock.now();
         read_meters(&context, was_paused, &mut meters, &mut finished);
@@ -46,7 +47,8 @@
     }
 }
 
-/// Advances the meters of the engines owned here; those that moved away are dropped.
+/// Advances the meters of the engines observed here. Meters of engines that moved to another
+/// steward are dropped.
 fn read_meters(
     context: &Context,
     was_paused: bool,
@@ -79,7 +81,7 @@
     }
 }
 
-/// Writes the oldest row; one that fails stays first and is written again.
+/// Writes the oldest row. A row whose write fails stays first in the queue and is retried.
 async fn write_one(
     platform: &platform::Client,
     finished: &mut collections::VecDeque<(id::Upstream, ledger::Row)>,
@@ -90,23 +92,24 @@
     }
 }
 
-/// Most rows summed for one report: a day of 139 engines. Beyond it the answer would outlast the
-/// operator's wait and the steward's budget of reads.
+/// Maximum number of rows summed for one report: a day of 139 engines. Beyond it the call would
+/// exceed the operator's timeout and the steward's budget of reads.
 pub(super) const MAX_REPORT_ROWS: usize = 200_000;
 
-/// Pause between two reads of a report: they leave half of this process's budget to the rest.
+/// Delay between two scans of a report, which leaves half of this process's budget of reads free.
 const SCAN_PAUSE: std::time::Duration = std::time::Duration::from_millis(100);
 
-/// Sums, and how many rows they are of.
+/// Sums of the ledger and the number of rows they cover.
 pub(super) struct Report {
     pub(super) sums: collections::BTreeMap<String, ledger::Sum>,
     pub(super) rows: usize,
 }
 
-/// Reads the rows of the days asked for and sums them; `None` when they are too many.
+/// Reads the rows of the requested days and sums them; `None` if there are more than
+/// [`MAX_REPORT_ROWS`].
 ///
-/// Keys sort by upstream and then by interval, so each upstream's part is read from the first day
-/// on, and what follows its last day is skipped.
+/// Keys sort by upstream and then by interval, so the scan skips each upstream's rows before the
+/// first day and after the last one.
 pub(super) async fn report<T>(
     table: &T,
     grouping: ledger::Grouping,
@@ -128,7 +131,7 @@
             Some((id::Upstream::from(name), interval.parse::<u64>().ok()?))
         };
         after = match parse_key(&last.key) {
-            // Just before the first day, or past everything of this upstream.
+            // Continues just before the first day, or past all rows of this upstream.
             Some((name, interval)) if interval < first => ledger::key(&name, first - 1),
             Some((name, interval)) if interval >= end => ledger::key(&name, LAST_INTERVAL),
             _ => last.key.clone(),
@@ -153,5 +156,5 @@
 
 const DAY_MS: u64 = 86_400_000;
 
-/// The highest interval that a key has room for.
+/// The highest interval that fits in a key.
 const LAST_INTERVAL: u64 = 999_999_999_999;
--- a/crates/lagoon-net/src/steward/zones.rs
+++ b/crates/lagoon-net/src/steward/zones.rs
@@ -1,4 +1,4 @@
-//! Asks a steward of each other zone, for answers that need the whole fleet.
+//! Sends calls to stewards of other zones, for results that cover the whole fleet.
 
 use std::collections;
 use std::net;
@@ -14,26 +14,26 @@
 use crate::link;
 use crate::wire;
 
-/// Longest time for one steward's answer.
+/// Timeout of one steward's reply.
 const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(800);
 
-/// Stewards of a zone that are tried.
+/// Maximum number of stewards of a zone that are tried.
 const MAX_TRIES: usize = 3;
 
-/// One zone's answer: `None` when none of its stewards answered.
+/// One zone's reply; `text` is `None` when none of the tried stewards replied.
 pub(super) struct Answer {
     pub(super) zone: id::Zone,
     pub(super) text: Option<String>,
 }
 
-/// Sends `call` to one steward of every other zone known.
+/// Sends `call` to one steward of every other known zone.
 pub(super) async fn ask(context: &Context, call: &wire::Call) -> Vec<Answer> {
     let zones = addresses(context);
     let asked = zones.into_iter().map(|(zone, addresses)| ask_zone(context, zone, addresses, call));
     future::join_all(asked).await
 }
 
-/// Sends `call` to the steward of each zone, this one included, that gives orders there.
+/// Sends `call` to the reconciling steward of each zone, including this one.
 pub(super) async fn ask_reconcilers(context: &Context, call: &wire::Call) -> Vec<Answer> {
     let asked = reconcilers(context);
     let asked =
@@ -62,7 +62,7 @@
     ask_zone(context, zone.clone(), addresses, call).await.text
 }
 
-/// Stewards of the other zones, gateways first.
+/// Returns the addresses of the stewards of the other zones, gateways first.
 fn addresses(context: &Context) -> collections::BTreeMap<id::Zone, Vec<net::SocketAddr>> {
     let core = context.core.borrow();
     let mut zones = collections::BTreeMap::<_, Vec<_>>::new();
--- a/crates/lagoon-net/src/wire/auth.rs
+++ b/crates/lagoon-net/src/wire/auth.rs
@@ -1,4 +1,4 @@
-//! Tags of frames, and what tells a new frame from one played again.
+//! Authentication tags of frames, and detection of replayed datagrams.
 
 use std::collections;
 
@@ -6,11 +6,11 @@
 
 use super::message;
 
-/// Bytes of a frame's tag: the first half of an HMAC-SHA256, which RFC 2104 holds to be enough.
-/// Whole tags would be a fifth of what heartbeats cost.
+/// Bytes of a frame's tag: the first half of an HMAC-SHA256, the minimum length that RFC 2104
+/// recommends. Full tags would make up a fifth of the bytes of heartbeats.
 pub const TAG_BYTES: usize = 16;
 
-/// Key that a fleet's processes share.
+/// Key shared by all processes of a fleet.
 #[derive(Clone)]
 pub struct Key {
     mac: hmac::Hmac<sha2::Sha256>,
@@ -23,7 +23,7 @@
 }
 
 impl Key {
-    /// A key from its bytes, of any length; 32 random bytes are best.
+    /// Creates a key from bytes of any length; 32 random bytes are recommended.
     ///
     /// ```
     /// use lagoon_net::wire;
@@ -36,7 +36,7 @@
         Key { mac: mac.expect("HMAC takes keys of any length") }
     }
 
-    /// The tag of `bytes`.
+    /// Returns the tag of `bytes`.
     pub fn tag(&self, bytes: &[u8]) -> [u8; TAG_BYTES] {
         let mut mac = self.mac.clone();
         mac.update(bytes);
@@ -54,17 +54,18 @@
     }
 }
 
-/// How far a datagram's wall clock may be from the receiver's.
+/// Maximum difference between a datagram's wall clock and the receiver's.
 pub const CLOCK_SKEW_MS: u64 = 30_000;
 
-/// Datagrams remembered behind the newest of each sender.
-const WINDOW: u64 = 64;
+/// Number of sequence numbers tracked behind the newest one of each sender.
+const WINDOW_SIZE: u64 = 64;
 
-/// Refuses datagrams that came before.
+/// Rejects replayed datagrams.
 ///
-/// Failure answered: a heartbeat recorded by a third party is sent again later. Symptom: a dead
-/// host looks alive. Each sender's life has a window over its sequence numbers; a receiver that
-/// restarted has no window yet, and there the wall clock bounds the age to [`CLOCK_SKEW_MS`].
+/// Failure mode: a third party records a heartbeat and sends it again later. Symptom: a dead host
+/// looks live. The window tracks the sequence numbers of each sender's incarnation. A receiver that
+/// has just restarted has tracked none; there the wall clock limits the age of a datagram to
+/// [`CLOCK_SKEW_MS`].
 ///
 /// ```
 /// use lagoon_net::wire;
@@ -75,44 +76,44 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct ReplayWindow {
-    senders: collections::HashMap<String, Seen>,
+    senders: collections::HashMap<String, Received>,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Received {
     incarnation: u64,
     newest: u64,
     bits: u64,
 }
 
 impl ReplayWindow {
-    /// Whether `frame` is new at `wall_ms`; remembers it if so.
+    /// Returns whether `frame` is new at the wall-clock time `wall_ms`, and records it if so.
     pub fn admit(&mut self, frame: &message::Frame, wall_ms: u64) -> bool {
         if frame.wall_ms.abs_diff(wall_ms) > CLOCK_SKEW_MS || frame.sequence == 0 {
             return false;
         }
-        let seen = self.senders.entry(frame.sender.clone()).or_default();
-        if frame.incarnation < seen.incarnation {
+        let received = self.senders.entry(frame.sender.clone()).or_default();
+        if frame.incarnation < received.incarnation {
             return false;
         }
-        if frame.incarnation > seen.incarnation {
-            *seen = Seen { incarnation: frame.incarnation, ..Seen::default() };
+        if frame.incarnation > received.incarnation {
+            *received = Received { incarnation: frame.incarnation, ..Received::default() };
         }
-        seen.admit(frame.sequence)
+        received.admit(frame.sequence)
     }
 }
 
-impl Seen {
+impl Received {
     fn admit(&mut self, sequence: u64) -> bool {
         if sequence > self.newest {
             let shift = sequence - self.newest;
-            self.bits = if shift >= WINDOW { 0 } else { self.bits << shift };
+            self.bits = if shift >= WINDOW_SIZE { 0 } else { self.bits << shift };
             self.bits |= 1;
             self.newest = sequence;
             return true;
         }
         let behind = self.newest - sequence;
-        if behind >= WINDOW || self.bits & (1 << behind) != 0 {
+        if behind >= WINDOW_SIZE || self.bits & (1 << behind) != 0 {
             return false;
         }
         self.bits |= 1 << behind;
--- a/crates/lagoon-net/src/wire/codec.rs
+++ b/crates/lagoon-net/src/wire/codec.rs
@@ -1,4 +1,4 @@
-//! Frames on a byte stream: length, tag, message; bounded and checked before it is decoded.
+//! Framing on a byte stream: length, tag, message. Length and tag are checked before decoding.
 
 use prost::Message;
 use prost::bytes::{Buf, BufMut, Bytes, BytesMut};
@@ -7,35 +7,35 @@
 use super::auth;
 use super::message;
 
-/// Largest frame, in bytes: a section's text is the largest thing sent.
+/// Maximum frame size in bytes. The largest messages contain the text of a section.
 pub const FRAME_LIMIT: usize = 8 << 20;
 
-/// Largest datagram, in bytes.
+/// Maximum datagram size in bytes.
 pub const DATAGRAM_LIMIT: usize = 1_400;
 
-/// Bytes of the length that precedes a frame: it counts the tag and the message.
+/// Size of the length prefix of a frame. The length covers the tag and the message.
 const LENGTH_BYTES: usize = 4;
 
-/// Why a frame was refused. The connection it came on is closed.
+/// Why a frame was rejected. The connection that it arrived on is closed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// Longer than the limit.
-    #[error("a frame of {0} bytes is over the limit")]
+    /// Longer than [`FRAME_LIMIT`].
+    #[error("frame of {0} bytes exceeds the limit")]
     TooLong(usize),
     /// Too short to hold its tag.
-    #[error("a frame of {0} bytes is too short")]
+    #[error("frame of {0} bytes is too short for its tag")]
     TooShort(usize),
-    /// Not tagged with the fleet's key.
-    #[error("a frame's tag is wrong")]
+    /// The tag does not match the fleet's key.
+    #[error("frame tag does not match the fleet key")]
     BadTag,
-    /// Not a message.
-    #[error("a frame is no message: {0}")]
+    /// Cannot be decoded.
+    #[error("frame cannot be decoded: {0}")]
     Malformed(#[from] prost::DecodeError),
-    /// Of a version that this build does not speak.
-    #[error("a frame's version {0} is not spoken here")]
+    /// The message version is not supported by this build.
+    #[error("message version {0} is not supported")]
     Version(u32),
-    /// Not the next in its connection, or of another connection.
-    #[error("a frame came again or out of order")]
+    /// Not the next frame of its connection, or from another connection.
+    #[error("frame is replayed or out of order")]
     Replayed,
     /// The connection failed.
     #[error(transparent)]
@@ -43,7 +43,7 @@
 }
 
 impl Error {
-    /// The word used in metrics.
+    /// Returns the label value used in metrics.
     pub const fn as_str(&self) -> &'static str {
         match self {
             Error::TooLong(_) => "too_long",
@@ -59,10 +59,10 @@
 
 /// Encodes and decodes the frames of one connection.
 ///
-/// Failure answered: a recorded frame is sent again, on this connection or another. Symptom: an
-/// old mark or call takes effect twice. Every frame carries the nonce that the receiving side
-/// chose for this connection and a sequence number one higher than the last; both are under the
-/// tag, so a recorded frame fits no other place.
+/// Failure mode: a recorded frame is sent again, on this connection or another. Symptom: an old
+/// mark or call takes effect twice. Every frame carries the nonce that the receiving side chose for
+/// this connection and a sequence number one higher than the last. The tag covers both, so that a
+/// recorded frame is valid in no other position.
 #[derive(Debug)]
 pub struct Codec {
     key: auth::Key,
@@ -70,21 +70,21 @@
     incarnation: u64,
     sent: u64,
     received: u64,
-    /// Nonce that the other side must carry.
+    /// Nonce that frames of the peer must carry.
     own_nonce: Bytes,
-    /// Nonce that the other side gave us.
+    /// Nonce that the peer chose, which own frames carry.
     peer_nonce: Bytes,
 }
 
 impl Codec {
-    /// A codec for one side of a new connection; `own_nonce` must be new and random.
+    /// Creates the codec of one side of a new connection; `own_nonce` must be random and unused.
     pub fn new(key: auth::Key, sender: String, incarnation: u64, own_nonce: Bytes) -> Self {
         let (sent, received) = (0, 0);
         let peer_nonce = Bytes::new();
         Codec { key, sender, incarnation, sent, received, own_nonce, peer_nonce }
     }
 
-    /// This side's nonce, to be told in its [`message::Challenge`] or [`message::Hello`].
+    /// Returns this side's nonce, to be sent in its [`message::Challenge`] or [`message::Hello`].
     pub fn own_nonce(&self) -> Bytes {
         self.own_nonce.clone()
     }
@@ -99,7 +99,7 @@
         }
     }
 
-    fn check_place(&mut self, frame: &message::Frame) -> Result<(), Error> {
+    fn check_order(&mut self, frame: &message::Frame) -> Result<(), Error> {
         let first = matches!(frame.body, Some(message::Body::Challenge(_)));
         let fits = if first { self.received == 0 } else { frame.nonce == self.own_nonce };
         if !fits || frame.sequence != self.received + 1 {
@@ -154,13 +154,13 @@
         source.advance(LENGTH_BYTES);
         let sealed = source.split_to(length).freeze();
         let frame = open(&self.key, &sealed)?;
-        self.check_place(&frame)?;
+        self.check_order(&frame)?;
         self.learn_nonce(&frame);
         Ok(Some(frame))
     }
 }
 
-/// A frame as bytes: its tag, then its message.
+/// Encodes a frame and prepends its tag.
 ///
 /// ```
 /// use lagoon_net::wire;
@@ -178,11 +178,12 @@
     sealed.freeze()
 }
 
-/// Checks the tag and the version of what [`seal`] made, and decodes it.
+/// Verifies the tag of a frame made by [`seal`], decodes it and checks its version.
 ///
 /// # Errors
 ///
-/// Too short, a wrong tag, no message, or a version not spoken here.
+/// The frame is too short, its tag does not match, it cannot be decoded, or its version is not
+/// supported.
 pub fn open(key: &auth::Key, sealed: &[u8]) -> Result<message::Frame, Error> {
     let Some((tag, text)) = sealed.split_at_checked(auth::TAG_BYTES) else {
         return Err(Error::TooShort(sealed.len()));
@@ -191,8 +192,8 @@
         return Err(Error::BadTag);
     }
     let frame = message::Frame::decode(text)?;
-    // A newer sender is accepted: fields are only ever added. One older than this build knows is
-    // not, and the operators' page says to upgrade in steps.
+    // Newer senders are accepted, because fields are only ever added. Versions below the oldest
+    // supported one are rejected; the operators' page says to upgrade in steps.
     if frame.version < message::OLDEST_VERSION {
         return Err(Error::Version(frame.version));
     }
--- a/crates/lagoon-net/src/wire/compact.rs
+++ b/crates/lagoon-net/src/wire/compact.rs
@@ -1,48 +1,50 @@
-//! Loads in short, for heartbeats.
+//! Compact encoding of loads, for heartbeats.
 
 use lagoonline::id;
 use lagoonline::port::engine;
 
 use super::message;
 
-/// Codes of lives have fourteen bits: two bytes on the wire.
-const LIFE_BITS: u32 = 14;
+/// Bits of an incarnation code; fourteen take two bytes on the wire.
+const INCARNATION_CODE_BITS: u32 = 14;
 
-/// Parts that an engine's memory is divided in: one byte on the wire.
-const KV_PARTS: u64 = 127;
+/// Steps in which the share of free KV memory is encoded; numbers up to 127 take one byte on the
+/// wire.
+const KV_FREE_STEPS: u64 = 127;
 
-/// Unit of prompt tokens.
+/// Unit in which prompt tokens to prefill are encoded.
 const PREFILL_UNIT: u64 = 1_000;
 
-/// Unit of ages, in milliseconds.
+/// Unit in which ages are encoded, in milliseconds.
 const AGE_UNIT_MS: u64 = 100;
 
-/// Bytes that one line takes on the wire, about: a code of four bytes, a life of two, a sequence
-/// of three, and five numbers of one or two.
+/// Approximate bytes of one compact load on the wire: a name code of four bytes, an incarnation
+/// code of two, a sequence number of three, and five numbers of one or two.
 pub const COMPACT_LOAD_BYTES: usize = 16;
 
-/// Code of an upstream's name. Two names of one fleet may share one; both are then told in full.
+/// Returns the code of an upstream's name, an FNV-1a hash. When two names of a fleet collide, the
+/// loads of both are sent in full.
 pub fn name_code(name: &str) -> u32 {
     let fold = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193);
     name.bytes().fold(0x811c_9dc5, fold)
 }
 
-/// Code of an upstream's life.
+/// Returns the code of an upstream's incarnation, a hash of fourteen bits.
 pub fn incarnation_code(incarnation: u64) -> u32 {
     let mixed = incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    u32::try_from(mixed >> (64 - LIFE_BITS)).unwrap_or_default()
+    u32::try_from(mixed >> (64 - INCARNATION_CODE_BITS)).unwrap_or_default()
 }
 
-/// One line of a [`message::CompactLoads`].
+/// Load of one upstream in a [`message::CompactLoads`].
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct CompactLoad {
     /// Code of the upstream's name.
     pub upstream: u32,
-    /// Code of its life.
+    /// Code of its incarnation.
     pub incarnation: u32,
-    /// Count of its reports.
+    /// Sequence number of its report.
     pub sequence: u64,
-    /// Milliseconds since it was read.
+    /// Milliseconds since the load was read.
     pub age_ms: u64,
     running: u32,
     waiting: u32,
@@ -50,12 +52,12 @@
     kv_free_parts: u32,
 }
 
-fn part(number: u64) -> u32 {
+fn saturate(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
 
 impl CompactLoad {
-    /// What a load says in short.
+    /// Encodes a load that was read `age_ms` milliseconds ago.
     pub fn new(upstream: &id::Upstream, load: &engine::Load, age_ms: u64) -> Self {
         let free = load.kv_free_tokens.min(load.kv_tokens);
         CompactLoad {
@@ -65,17 +67,19 @@
             age_ms,
             running: load.running,
             waiting: load.waiting,
-            prefill_thousands: part(load.prefill_tokens.div_ceil(PREFILL_UNIT)),
-            kv_free_parts: part(
+            prefill_thousands: saturate(load.prefill_tokens.div_ceil(PREFILL_UNIT)),
+            kv_free_parts: saturate(
                 u64::try_from(
-                    u128::from(free) * u128::from(KV_PARTS) / u128::from(load.kv_tokens.max(1)),
+                    u128::from(free) * u128::from(KV_FREE_STEPS)
+                        / u128::from(load.kv_tokens.max(1)),
                 )
-                .unwrap_or(KV_PARTS),
+                .unwrap_or(KV_FREE_STEPS),
             ),
         }
     }
 
-    /// The load that this line makes of the last one known; `None` when that is of another life.
+    /// Decodes the load. `known`, the last known load, supplies the fields that are constant within
+    /// an incarnation; the result is `None` if it is of another incarnation.
     ///
     /// ```
     /// use lagoon_net::wire;
@@ -95,14 +99,15 @@
             running: self.running,
             waiting: self.waiting,
             prefill_tokens: u64::from(self.prefill_thousands) * PREFILL_UNIT,
-            kv_free_tokens: u64::try_from(free / u128::from(KV_PARTS)).unwrap_or(known.kv_tokens),
+            kv_free_tokens: u64::try_from(free / u128::from(KV_FREE_STEPS))
+                .unwrap_or(known.kv_tokens),
             sequence: self.sequence,
             ..*known
         })
     }
 }
 
-/// Lines as a message has them.
+/// Encodes compact loads as a message.
 ///
 /// ```
 /// use lagoon_net::wire;
@@ -111,38 +116,38 @@
 /// assert_eq!(wire::parse_compact_loads(&wire::compact_loads(&[line])), [line]);
 /// ```
 pub fn compact_loads(lines: &[CompactLoad]) -> message::CompactLoads {
-    let mut brief = message::CompactLoads::default();
+    let mut message = message::CompactLoads::default();
     for line in lines {
-        brief.upstreams.push(line.upstream);
-        brief.lives.push(line.incarnation);
-        brief.sequences.push(line.sequence);
-        brief.running.push(line.running);
-        brief.waiting.push(line.waiting);
-        brief.prefill_thousands.push(line.prefill_thousands);
-        brief.kv_free_parts.push(line.kv_free_parts);
-        brief.ages.push(part(line.age_ms.div_ceil(AGE_UNIT_MS)));
+        message.upstreams.push(line.upstream);
+        message.lives.push(line.incarnation);
+        message.sequences.push(line.sequence);
+        message.running.push(line.running);
+        message.waiting.push(line.waiting);
+        message.prefill_thousands.push(line.prefill_thousands);
+        message.kv_free_parts.push(line.kv_free_parts);
+        message.ages.push(saturate(line.age_ms.div_ceil(AGE_UNIT_MS)));
     }
-    brief
+    message
 }
 
-/// Lines of a message; none when its columns differ in length.
-pub fn parse_compact_loads(brief: &message::CompactLoads) -> Vec<CompactLoad> {
-    let count = brief.upstreams.len();
-    let numbers = [&brief.lives, &brief.running, &brief.waiting, &brief.prefill_thousands];
-    let more = [&brief.kv_free_parts, &brief.ages];
+/// Decodes the compact loads of a message; returns none if its columns differ in length.
+pub fn parse_compact_loads(message: &message::CompactLoads) -> Vec<CompactLoad> {
+    let count = message.upstreams.len();
+    let numbers = [&message.lives, &message.running, &message.waiting, &message.prefill_thousands];
+    let more = [&message.kv_free_parts, &message.ages];
     let mut lengths = numbers.iter().chain(&more).map(|column| column.len());
-    if lengths.any(|length| length != count) || brief.sequences.len() != count {
+    if lengths.any(|length| length != count) || message.sequences.len() != count {
         return Vec::new();
     }
     let line = |index: usize| CompactLoad {
-        upstream: brief.upstreams[index],
-        incarnation: brief.lives[index],
-        sequence: brief.sequences[index],
-        age_ms: u64::from(brief.ages[index]) * AGE_UNIT_MS,
-        running: brief.running[index],
-        waiting: brief.waiting[index],
-        prefill_thousands: brief.prefill_thousands[index],
-        kv_free_parts: brief.kv_free_parts[index],
+        upstream: message.upstreams[index],
+        incarnation: message.lives[index],
+        sequence: message.sequences[index],
+        age_ms: u64::from(message.ages[index]) * AGE_UNIT_MS,
+        running: message.running[index],
+        waiting: message.waiting[index],
+        prefill_thousands: message.prefill_thousands[index],
+        kv_free_parts: message.kv_free_parts[index],
     };
     (0..count).map(line).collect()
 }
--- a/crates/lagoon-net/src/wire/convert.rs
+++ b/crates/lagoon-net/src/wire/convert.rs
@@ -1,4 +1,4 @@
-//! Between messages and the types of the library.
+//! Conversions between messages and the types of lagoonline.
 
 use lagoonline::control::document;
 use lagoonline::control::membership;
@@ -8,7 +8,7 @@
 
 use super::message;
 
-/// Versions as a message has them.
+/// Encodes versions.
 ///
 /// ```
 /// use lagoon_net::wire;
@@ -23,7 +23,7 @@
     versions.iter().map(line).collect()
 }
 
-/// Versions from a message.
+/// Decodes versions.
 pub fn versions(lines: &[message::TeamVersion]) -> replication::Versions {
     let pair = |line: &message::TeamVersion| {
         (id::Team::from(line.team.as_str()), id::Version(line.version))
@@ -31,7 +31,7 @@
     lines.iter().map(pair).collect()
 }
 
-/// A section as a message has it.
+/// Encodes a section with its full text.
 pub fn section(section: &document::Section) -> message::Section {
     message::Section {
         team: section.team.to_string(),
@@ -41,7 +41,7 @@
     }
 }
 
-/// A section as a message has it, told by changes of a version that the receiver has.
+/// Encodes a section as deltas from a version that the receiver has.
 pub fn section_with_deltas(
     section: &document::Section,
     deltas: &[document::Delta],
@@ -55,11 +55,13 @@
 }
 
 fn delta(delta: &document::Delta) -> message::Delta {
-    let place = |number: usize| u32::try_from(number).unwrap_or(u32::MAX);
+    let offset = |number: usize| u32::try_from(number).unwrap_or(u32::MAX);
     let step = |step: &document::Step| match step {
-        document::Step::Copy { start, length } => {
-            message::DeltaStep { text: String::new(), start: place(*start), length: place(*length) }
-        }
+        document::Step::Copy { start, length } => message::DeltaStep {
+            text: String::new(),
+            start: offset(*start),
+            length: offset(*length),
+        },
         document::Step::Insert(text) => {
             message::DeltaStep { text: text.clone(), ..message::DeltaStep::default() }
         }
@@ -72,7 +74,7 @@
     }
 }
 
-/// Changes from a message; one with a malformed hash matches no text.
+/// Decodes the deltas of a section. A malformed hash becomes one that matches no text.
 pub fn deltas(section: &message::Section) -> Vec<document::Delta> {
     let step = |step: &message::DeltaStep| {
         if step.text.is_empty() {
@@ -90,7 +92,7 @@
     section.deltas.iter().map(delta).collect()
 }
 
-/// A report of an entry process from its message.
+/// Decodes a report of an entry process.
 pub fn report(status: &message::Status) -> replication::Report {
     replication::Report {
         zone: id::Zone::from(status.zone.as_str()),
@@ -104,7 +106,7 @@
     }
 }
 
-/// A report of an entry process as a message.
+/// Encodes a report of an entry process.
 pub fn status(host: &id::Host, report: &replication::Report) -> message::Status {
     message::Status {
         host: host.to_string(),
@@ -120,7 +122,7 @@
     }
 }
 
-/// News of members from a message; members whose address is malformed are left out.
+/// Decodes membership updates; members with a malformed address are left out.
 pub fn membership_updates(members: &message::Members) -> Vec<membership::Update> {
     let member = |line: &message::Member| {
         Some(membership::Update::Member(membership::Member {
@@ -144,10 +146,10 @@
     all.chain(members.votes.iter().map(vote)).collect()
 }
 
-/// News of members as a message.
-pub fn members(news: &[membership::Update]) -> message::Members {
+/// Encodes membership updates.
+pub fn members(updates: &[membership::Update]) -> message::Members {
     let mut message = message::Members::default();
-    for item in news {
+    for item in updates {
         match item {
             membership::Update::Member(member) => message.members.push(message::Member {
                 host: member.host.to_string(),
@@ -168,7 +170,7 @@
     message
 }
 
-/// A load as a message has it, `age_ms` milliseconds after it was read.
+/// Encodes a load that was read `age_ms` milliseconds ago.
 pub fn load(upstream: &id::Upstream, load: &engine::Load, age_ms: u64) -> message::Load {
     message::Load {
         upstream: upstream.to_string(),
@@ -184,7 +186,7 @@
     }
 }
 
-/// A load from its message.
+/// Decodes a load.
 pub fn engine_load(load: &message::Load) -> engine::Load {
     engine::Load {
         running: load.running,
--- a/crates/lagoon-net/src/wire/message.rs
+++ b/crates/lagoon-net/src/wire/message.rs
@@ -1,12 +1,13 @@
-//! Messages, as prost derives: no generator is needed. Field numbers are never reused, and an
-//! unknown body is skipped, so that hosts of two versions work together.
+//! Messages, defined with prost derives, so that no code generator is needed. Field numbers are
+//! never reused, and receivers ignore unknown bodies, so that hosts of two versions can work
+//! together.
 
-/// Newest version of the messages that this build speaks.
+/// Message version that this build sends.
 pub const VERSION: u32 = 1;
-/// Oldest version that it accepts.
+/// Oldest message version that this build accepts.
 pub const OLDEST_VERSION: u32 = 1;
 
-/// What one frame carries, under its tag.
+/// Content of a frame, which the tag authenticates.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Frame {
     /// Version of the sender's messages.
@@ -15,24 +16,24 @@
     /// Name of the sending host, or of the operator's program.
     #[prost(string, tag = "2")]
     pub sender: String,
-    /// The sender's life.
+    /// The sender's incarnation.
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
-    /// Counts the sender's frames on this connection, or all its datagrams, from 1.
+    /// Sequence number of the frame on its connection, or of the sender's datagrams, from 1.
     #[prost(uint64, tag = "4")]
     pub sequence: u64,
     /// The sender's wall clock in milliseconds since the Unix epoch.
     #[prost(uint64, tag = "5")]
     pub wall_ms: u64,
-    /// Nonce of the receiving side's challenge on this connection; empty in datagrams.
+    /// Nonce that the receiving side chose for this connection; empty in datagrams.
     #[prost(bytes = "bytes", tag = "6")]
     pub nonce: prost::bytes::Bytes,
-    /// The message. Tag 25 was used once.
+    /// The message. Tag 25 is retired.
     #[prost(oneof = "Body", tags = "16, 17, 18, 19, 20, 21, 22, 23, 24, 26, 27, 28, 29")]
     pub body: Option<Body>,
 }
 
-/// The messages.
+/// Kinds of messages.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
     /// First frame of the accepting side.
@@ -44,34 +45,34 @@
     /// Datagram between stewards.
     #[prost(message, tag = "18")]
     Heartbeat(Heartbeat),
-    /// Versions that the sender has in force.
+    /// Section versions that the sender has in force.
     #[prost(message, tag = "19")]
     Digest(Digest),
-    /// Sections that the receiver lacks.
+    /// Sections that the receiver does not have.
     #[prost(message, tag = "20")]
     Sections(Sections),
-    /// Lagging load of upstreams.
+    /// Loads of upstreams, with their age.
     #[prost(message, tag = "21")]
     Loads(Loads),
-    /// Upstreams that leave, or came back in a new life.
+    /// Upstreams that are leaving, or that are back in service in a new incarnation.
     #[prost(message, tag = "22")]
     Marks(Marks),
-    /// State of an entry process.
+    /// Report of an entry process.
     #[prost(message, tag = "23")]
     Status(Status),
-    /// What customers used lately at one entry host.
+    /// Recent usage of customers at one entry host.
     #[prost(message, tag = "24")]
     Spending(Spending),
-    /// An operator's call.
+    /// Call of an operator, or of a steward of another zone.
     #[prost(message, tag = "26")]
     Call(Call),
-    /// Answer to an operator's call.
+    /// Reply to a call.
     #[prost(message, tag = "27")]
     Reply(Reply),
-    /// Stewards, and votes on them.
+    /// Stewards, and votes on whether they are dead.
     #[prost(message, tag = "28")]
     Members(Members),
-    /// States of entry processes, from steward to steward.
+    /// Reports of entry processes, between stewards.
     #[prost(message, tag = "29")]
     Statuses(Statuses),
 }
@@ -84,10 +85,10 @@
     pub nonce: prost::bytes::Bytes,
 }
 
-/// Who connects.
+/// Identity of the connecting side.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Hello {
-    /// Its part in the system.
+    /// Its role.
     #[prost(enumeration = "Role", tag = "1")]
     pub role: i32,
     /// Its availability zone.
@@ -98,11 +99,11 @@
     pub nonce: prost::bytes::Bytes,
 }
 
-/// Parts in the system.
+/// Roles of processes.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, prost::Enumeration)]
 #[repr(i32)]
 pub enum Role {
-    /// Not said.
+    /// Not specified.
     Unspecified = 0,
     /// The entry process.
     Entry = 1,
@@ -112,28 +113,29 @@
     Operator = 3,
 }
 
-/// "I live", and what changed lately, as far as there is room. Tags 1 to 4 were used once.
+/// Liveness signal of a steward, with recent changes as far as they fit. Tags 1 to 4 are retired.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Heartbeat {
     /// Loads that changed.
     #[prost(message, optional, tag = "5")]
     pub loads: Option<CompactLoads>,
-    /// Use by customers who are near their limits.
+    /// Usage of customers that are near their limits.
     #[prost(message, repeated, tag = "6")]
     pub spendings: Vec<Spending>,
 }
 
-/// Loads in short, in columns of equal length: a tenth of the bytes of [`Loads`]. What does not
-/// change within an upstream's life is left out, and known from [`Loads`].
+/// Compact loads, in columns of equal length, with a tenth of the bytes of [`Loads`]. Fields that
+/// are constant within an upstream's incarnation are left out; the receiver has them from
+/// [`Loads`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CompactLoads {
     /// Codes of the upstreams' names.
     #[prost(fixed32, repeated, tag = "1")]
     pub upstreams: Vec<u32>,
-    /// Codes of their lives.
+    /// Codes of their incarnations.
     #[prost(uint32, repeated, tag = "2")]
     pub lives: Vec<u32>,
-    /// Counts of their reports.
+    /// Sequence numbers of their reports.
     #[prost(uint64, repeated, tag = "3")]
     pub sequences: Vec<u64>,
     /// Streams in their batches.
@@ -145,7 +147,7 @@
     /// Prompt tokens not yet prefilled, in thousands.
     #[prost(uint32, repeated, tag = "6")]
     pub prefill_thousands: Vec<u32>,
-    /// Free KV memory, in 127ths of all.
+    /// Free KV memory, in 127ths of the total.
     #[prost(uint32, repeated, tag = "7")]
     pub kv_free_parts: Vec<u32>,
     /// Tenths of a second since they were read.
@@ -173,33 +175,33 @@
     /// Its availability zone.
     #[prost(string, tag = "2")]
     pub zone: String,
-    /// Where it listens, as `IP:PORT`.
+    /// Address it listens on, as `IP:PORT`.
     #[prost(string, tag = "3")]
     pub address: String,
-    /// Its life.
+    /// Its incarnation.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
 }
 
-/// A watcher's word on a steward.
+/// A watcher's vote on whether a steward is dead.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Vote {
     /// The watcher.
     #[prost(string, tag = "1")]
     pub by: String,
-    /// The watcher's life.
+    /// The watcher's incarnation.
     #[prost(uint64, tag = "2")]
     pub by_incarnation: u64,
-    /// Counts the watcher's votes.
+    /// Sequence number of the watcher's votes.
     #[prost(uint64, tag = "3")]
     pub number: u64,
     /// The steward voted on.
     #[prost(string, tag = "4")]
     pub host: String,
-    /// Its life.
+    /// Its incarnation.
     #[prost(uint64, tag = "5")]
     pub incarnation: u64,
-    /// True: silent. False: heard again.
+    /// True: its heartbeats have timed out. False: they arrive again.
     #[prost(bool, tag = "6")]
     pub against: bool,
 }
@@ -232,24 +234,24 @@
     /// Its version.
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// Its JSON text; empty when it is told by changes.
+    /// Its JSON text; empty when `deltas` are given.
     #[prost(string, tag = "3")]
     pub text: String,
-    /// Changes that make it of the version that the receiver has.
+    /// Deltas that lead from the version that the receiver has to this one.
     #[prost(message, repeated, tag = "4")]
     pub deltas: Vec<Delta>,
 }
 
-/// How one version of a section's text is made from an earlier one.
+/// Steps that build one version of a section's text from an earlier one.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Delta {
     /// The earlier version.
     #[prost(uint64, tag = "1")]
     pub from: u64,
-    /// The version made.
+    /// The resulting version.
     #[prost(uint64, tag = "2")]
     pub to: u64,
-    /// SHA-256 of the text made.
+    /// SHA-256 of the resulting text.
     #[prost(bytes = "bytes", tag = "3")]
     pub hash: prost::bytes::Bytes,
     /// The steps, in order.
@@ -263,22 +265,22 @@
     /// The new text; empty when bytes are copied.
     #[prost(string, tag = "1")]
     pub text: String,
-    /// Where the copied bytes start.
+    /// Offset of the copied bytes in the earlier text.
     #[prost(uint32, tag = "2")]
     pub start: u32,
-    /// How many are copied.
+    /// Number of copied bytes.
     #[prost(uint32, tag = "3")]
     pub length: u32,
 }
 
-/// Sections; the receiver applies those of a higher version than its own.
+/// Sections. The receiver applies those with a higher version than its own.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Sections {
     /// The sections.
     #[prost(message, repeated, tag = "1")]
     pub sections: Vec<Section>,
-    /// Whether the sender has reached the highest version it can reach: only after such a message
-    /// may a newcomer be ready.
+    /// Whether the sender's document is complete: only after such a message may a new entry host
+    /// become ready.
     #[prost(bool, tag = "2")]
     pub complete: bool,
 }
@@ -304,13 +306,13 @@
     /// All KV memory, in tokens.
     #[prost(uint64, tag = "6")]
     pub kv_tokens: u64,
-    /// Tokens prefilled in a second.
+    /// Tokens prefilled per second.
     #[prost(double, tag = "7")]
     pub prefill_rate: f64,
-    /// Counts the upstream's reports.
+    /// Sequence number of the upstream's reports.
     #[prost(uint64, tag = "8")]
     pub sequence: u64,
-    /// The upstream's life.
+    /// The upstream's incarnation.
     #[prost(uint64, tag = "9")]
     pub incarnation: u64,
     /// Milliseconds since the observer read it.
@@ -326,16 +328,16 @@
     pub loads: Vec<Load>,
 }
 
-/// A mark on an upstream.
+/// Whether one incarnation of an upstream, or of an entry host, is leaving.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Mark {
     /// Its name.
     #[prost(string, tag = "1")]
     pub upstream: String,
-    /// Its life that the mark speaks of.
+    /// The incarnation that the mark refers to.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// True: no new work. False: this life is in service.
+    /// True: it takes no new work. False: this incarnation is in service.
     #[prost(bool, tag = "3")]
     pub leaving: bool,
 }
@@ -348,7 +350,7 @@
     pub marks: Vec<Mark>,
 }
 
-/// State of an entry process, told to its steward, and by stewards to each other.
+/// Report of an entry process, sent to its steward and between stewards.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Status {
     /// The entry host.
@@ -357,41 +359,41 @@
     /// Its availability zone.
     #[prost(string, tag = "2")]
     pub zone: String,
-    /// Life of its entry process.
+    /// Incarnation of its entry process.
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     #[prost(bool, tag = "4")]
     pub ready: bool,
     /// Whether it is shutting down.
     #[prost(bool, tag = "5")]
     pub draining: bool,
-    /// Requests under way.
+    /// Requests in flight.
     #[prost(uint64, tag = "6")]
     pub in_flight: u64,
-    /// Sections that its data path works with.
+    /// Section versions that its data path uses.
     #[prost(message, repeated, tag = "7")]
     pub in_force: Vec<TeamVersion>,
-    /// Counts the reports of its life, by its steward.
+    /// Number of the report, assigned by its steward and growing.
     #[prost(uint64, tag = "8")]
     pub number: u64,
-    /// Whether there has been no entry process for long.
+    /// Whether the host has had no entry process for some time.
     #[prost(bool, tag = "9")]
     pub gone: bool,
-    /// Whether only those sections are named that changed since the sender's last message.
+    /// Whether `in_force` lists only the sections that changed since the sender's last message.
     #[prost(bool, tag = "10")]
     pub changes: bool,
 }
 
-/// States of several entry processes.
+/// Reports of several entry processes.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Statuses {
-    /// The states.
+    /// The reports.
     #[prost(message, repeated, tag = "1")]
     pub statuses: Vec<Status>,
 }
 
-/// What one customer used at one entry host since the last message.
+/// Usage of one customer at one entry host within the time of the message.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Spend {
     /// The customer.
@@ -405,7 +407,7 @@
     pub tokens: u64,
 }
 
-/// Use by customers, only of those that were active.
+/// Usage of customers at one entry host.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Spending {
     /// The entry host.
@@ -414,76 +416,76 @@
     /// Time covered, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub span_ms: u64,
-    /// The lines.
+    /// One line for each customer.
     #[prost(message, repeated, tag = "3")]
     pub lines: Vec<Spend>,
-    /// Counts the host's messages, so that one that comes by two ways counts once.
+    /// Sequence number of the host's messages, so that one that arrives by two routes counts once.
     #[prost(uint64, tag = "4")]
     pub sequence: u64,
 }
 
-/// What an operator asks for.
+/// Operations of a call.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, prost::Enumeration)]
 #[repr(i32)]
 pub enum Verb {
-    /// Not said.
+    /// Not specified.
     Unspecified = 0,
-    /// The team's section as it is in force here.
+    /// Returns the team's newest section, or the one in force if the platform does not answer.
     SectionGet = 1,
-    /// Checks a section and says what would change.
+    /// Validates a section and returns what would change.
     SectionCheck = 2,
-    /// Stores a section as the version after `version`.
+    /// Stores a section as the successor of `version`.
     SectionPut = 3,
-    /// Where the section's version is in force.
+    /// Returns where the section's version is in force.
     SectionStatus = 4,
-    /// State of hosts and upstreams.
+    /// Returns the state of hosts and upstreams.
     Status = 5,
     /// Drains an entry host or an upstream.
     Drain = 6,
-    /// Orders to engines: those wanted, given and outstanding.
+    /// Returns the desired and actual state of engines and the commands sent to them.
     Orders = 7,
-    /// Idle cost.
+    /// Returns sums of the idle ledger.
     Usage = 8,
-    /// What is known of entry processes of the zone; asked by stewards of other zones.
+    /// Returns the status of entry processes of the zone, for stewards of other zones.
     Owners = 9,
 }
 
-/// One call of an operator.
+/// One call.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Call {
-    /// Echoed in the reply.
+    /// Identifier that the reply repeats.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// What is asked for.
+    /// The operation.
     #[prost(enumeration = "Verb", tag = "2")]
     pub verb: i32,
-    /// The team, where one is needed.
+    /// The team, for calls about a section.
     #[prost(string, tag = "3")]
     pub team: String,
-    /// The team's key, or the operators'.
+    /// A key of the team or of the operators.
     #[prost(string, tag = "4")]
     pub key: String,
-    /// Version that a put was edited from.
+    /// Version that a put is based on.
     #[prost(uint64, tag = "5")]
     pub version: u64,
-    /// A section's text, or further arguments as a JSON object.
+    /// A section's text, a name, or further arguments as JSON.
     #[prost(string, tag = "6")]
     pub text: String,
-    /// Names this put, so that its fate can be read back after a lost answer.
+    /// Identifier of this put, by which its outcome can be found after a lost reply.
     #[prost(string, tag = "7")]
     pub put: String,
 }
 
-/// Answer to a call.
+/// Reply to a call.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Reply {
     /// The call's id.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// Whether it was carried out.
+    /// Whether the call succeeded.
     #[prost(bool, tag = "2")]
     pub good: bool,
-    /// The result, or what went wrong, as JSON.
+    /// The result or the error, as JSON.
     #[prost(string, tag = "3")]
     pub text: String,
 }
--- a/crates/lagoon-net/src/wire/mod.rs
+++ b/crates/lagoon-net/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Frames between the system's own processes, and from operators: prost messages in length
-//! prefixed frames, each authenticated with a key that the fleet shares.
+//! Protocol between the processes of a fleet, and with operators: prost messages in length-prefixed
+//! frames, each authenticated with the key of the fleet.
 
 mod auth;
 mod codec;
