--- a/crates/lagoonline/src/control/delta_log.rs
+++ b/crates/lagoonline/src/control/delta_log.rs
@@ -5,8 +5,9 @@
 use super::document;
 use crate::id;
 
-/// Number of deltas kept per section; a host that is further behind gets the whole text. Covers
-/// the steady edits of a quarter of an hour, for a host whose links were down that long.
+/// Number of deltas kept per section; a host that is further behind gets the whole text. At 1,400
+/// edits per day this covers a quarter of an hour without links, even if all edits are made to the
+/// same section.
 const MAX_DELTAS: usize = 16;
 
 /// Deltas are used only if the whole text is more than this many times their size.
@@ -21,10 +22,11 @@
 impl DeltaLog {
     /// Records the delta from `old`, the section previously in force, to `new`.
     pub fn record(&mut self, old: &document::Section, new: &document::Section) {
-        let text = |section: &'_ document::Section| (section.version, section.text.clone());
-        let ((from, old), (to, text)) = (text(old), text(new));
-        let old = document::VersionedText { version: from, text: &old };
-        let delta = document::Delta::new(old, document::VersionedText { version: to, text: &text });
+        let versioned = |section: &'_ document::Section| (section.version, section.text.clone());
+        let ((from, old_text), (to, new_text)) = (versioned(old), versioned(new));
+        let old = document::VersionedText { version: from, text: &old_text };
+        let delta =
+            document::Delta::new(old, document::VersionedText { version: to, text: &new_text });
         let deltas = self.deltas.entry(new.team.clone()).or_default();
         deltas.push_back(delta);
         if deltas.len() > MAX_DELTAS {
--- a/crates/lagoonline/src/control/lease.rs
+++ b/crates/lagoonline/src/control/lease.rs
@@ -24,7 +24,8 @@
     pub duration: clock::Span,
     /// Age at which the holder renews the lease.
     pub renew_after: clock::Span,
-    /// Longest time that a command may be in flight to the engine.
+    /// Longest time that a command may be in flight to the engine; enforced by the timeout of the
+    /// sender.
     pub max_command_delay: clock::Span,
 }
 
@@ -76,7 +77,7 @@
 pub enum Status {
     /// Held by this contender, with this fencing number.
     Held(id::Fence),
-    /// Held by another contender, or not yet known to be free.
+    /// Held by another contender, not yet known to be free, or the row is malformed.
     Waiting,
 }
 
@@ -89,10 +90,11 @@
     pub until: clock::Moment,
 }
 
-/// One contender for a lease, whether it holds the lease or not.
+/// Handle by which one contender acquires and holds a lease.
 #[derive(Clone, Debug)]
 pub struct Lease<C> {
     name: String,
+    /// Identity of this contender, written to the row when it holds the lease.
     own: id::Owner,
     settings: Settings,
     clock: C,
@@ -190,6 +192,7 @@
         T: table::Table,
     {
         let Some(row) = table.read(&key(&self.name)).await? else {
+            // Version 0 requires that the row does not exist.
             return self.write(table, id::Fence(1), 0).await;
         };
         let Ok(value) = serde_json::from_str::<Row>(&row.value) else {
--- a/crates/lagoonline/src/control/membership/group.rs
+++ b/crates/lagoonline/src/control/membership/group.rs
@@ -10,7 +10,7 @@
 /// Settings of heartbeats and failure detection.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Interval between heartbeats to the same neighbour.
+    /// Interval between heartbeats to the same peer.
     pub interval: clock::Span,
     /// Number of rings that the hosts of a zone are arranged on. Hosts next to each other on a
     /// ring are neighbours and monitor each other.
@@ -19,8 +19,8 @@
     /// intervals plus network delay. At 5% packet loss a vote is wrong once in 160,000 intervals,
     /// and a member is declared dead only when most of its neighbours are wrong at the same time.
     pub heartbeat_timeout: clock::Span,
-    /// Longest normal time between two ticks. Anything beyond it is treated as a pause of this
-    /// process and not as silence of its neighbours.
+    /// Longest normal time between two ticks, which are due every 100 ms. Anything beyond it is
+    /// treated as a pause of this process and not as silence of its peers.
     pub max_tick_gap: clock::Span,
     /// Time after which a dead member is removed.
     pub forget_after: clock::Span,
@@ -43,14 +43,18 @@
 pub enum Change {
     /// A member joined, or rejoined with a new incarnation.
     Live(id::Host),
-    /// The majority of a member's neighbours voted against it.
+    /// The majority of a member's eligible neighbours voted against it.
     Dead(id::Host),
 }
 
-/// Members of the cluster as seen by one steward.
+/// Failure detector of one steward, with its view of the members of all zones.
 ///
-/// The caller feeds in heartbeats and updates from peers, calls [`Group::tick`] regularly, and
-/// sends the updates that these calls return to its linked peers.
+/// The *neighbours* of a host are the hosts next to it on the rings of its zone; only their votes
+/// on the host are counted. Its *heartbeat peers* are its neighbours and, after timeouts, some
+/// substitutes for them.
+///
+/// The caller feeds in heartbeats and updates, calls [`Group::tick`] every 100 ms, and sends the
+/// updates that these calls return to all hosts that it has links to.
 #[derive(Clone, Debug)]
 pub struct Group {
     own: roster::Member,
@@ -60,7 +64,8 @@
     last_heard: collections::HashMap<id::Host, clock::Moment>,
     /// Dead members and the time at which they were declared dead.
     dead: collections::HashMap<id::Host, clock::Moment>,
-    /// Neighbours of each live member; cleared to force a recomputation when live members change.
+    /// Neighbours of each live member. Cleared to force a recomputation when live members change,
+    /// or when a heartbeat timeout requires substitute peers.
     neighbours: collections::HashMap<id::Host, Vec<id::Host>>,
     /// Members that this steward exchanges heartbeats with, sorted.
     heartbeat_peers: Vec<id::Host>,
@@ -151,15 +156,15 @@
     /// Each ring is ordered by a rendezvous hash of its own. A host's neighbours on a ring are its
     /// predecessor and its successor, so it has at most two per ring, and several differently
     /// ordered rings form a random graph. If each host selected its neighbours independently, the
-    /// load would be uneven: of 39 hosts one would have eight neighbours and exceed its heartbeat
-    /// budget twofold.
+    /// load would be uneven: of 39 hosts one would have eight neighbours instead of four, and send
+    /// twice as many heartbeats as planned.
     fn ring<'a>(&'a self, zone: &'a id::Zone, number: usize) -> Vec<&'a str> {
         let members = self.live_in(zone).collect::<Vec<_>>();
         let count = members.len();
         rendezvous::rank(members, &format!("ring {number}"), count)
     }
 
-    /// Recomputes neighbours and heartbeat peers if the live members have changed.
+    /// Recomputes neighbours and heartbeat peers if the neighbours have been cleared.
     fn update_heartbeat_peers(&mut self) {
         if !self.neighbours.is_empty() {
             return;
@@ -193,24 +198,24 @@
         (self.neighbours, self.heartbeat_peers) = (neighbours, peers);
     }
 
-    /// Returns extra heartbeat peers while this steward has voted against live hosts: one for each
-    /// of them, and one more for each ring.
+    /// Returns substitute peers while this steward has voted against live hosts: one for each of
+    /// them, and one more for each ring.
     ///
-    /// If all neighbours of this host fail at once, it receives no votes and cannot declare anyone
-    /// dead, so it would stay isolated with a list of dead hosts. Extra peers are added until one
-    /// of them responds.
+    /// If all neighbours of this host fail at once, it receives no votes but its own. It could not
+    /// declare the failed hosts dead, and would stay isolated, considering them live. Substitute
+    /// peers are added until one of them responds.
     fn substitute_peers(&self) -> Vec<id::Host> {
         let is_trusted =
             |name: &&str| !self.roster.has_voted_against(&self.own.host, &id::Host::from(*name));
         let others = self.live_in(&self.own.zone).filter(|name| *name != self.own.host.as_str());
         let others: Vec<&str> = others.collect();
-        let suspected = others.len() - others.iter().filter(|name| is_trusted(name)).count();
-        if suspected == 0 {
+        let opposed_count = others.len() - others.iter().filter(|name| is_trusted(name)).count();
+        if opposed_count == 0 {
             return Vec::new();
         }
         let trusted = others.into_iter().filter(is_trusted);
         let ranked =
-            rendezvous::rank(trusted, self.own.host.as_str(), self.settings.rings + suspected);
+            rendezvous::rank(trusted, self.own.host.as_str(), self.settings.rings + opposed_count);
         ranked.into_iter().map(id::Host::from).collect()
     }
 
@@ -333,7 +338,8 @@
     ///
     /// Otherwise a zone would never recover from a network partition: each half holds votes against
     /// the other, and these votes persist after the partition ends. A new incarnation is also
-    /// started if the roster has a higher one for this host, since the own record would be ignored.
+    /// started if the roster has a higher one for this host, since other stewards would ignore the
+    /// member record of the lower one.
     fn refute(&mut self) -> Vec<roster::Update> {
         let known = self.roster.member(&self.own.host).map(|member| member.incarnation);
         let is_replaced = known.is_some_and(|known| known > self.own.incarnation);
@@ -342,18 +348,17 @@
         }
         let own = &self.own.host;
         let members = self.roster.members();
-        let suspected = members.filter(|member| self.roster.has_voted_against(own, &member.host));
-        let suspected = suspected.map(|member| (member.host.clone(), member.incarnation));
-        let suspected: Vec<_> = suspected.collect();
+        let opposed = members.filter(|member| self.roster.has_voted_against(own, &member.host));
+        let opposed = opposed.map(|member| (member.host.clone(), member.incarnation));
+        let opposed: Vec<_> = opposed.collect();
         let last = known.unwrap_or_default().max(self.own.incarnation);
         self.own.incarnation = id::Incarnation(last.0 + 1);
         let mut updates = vec![roster::Update::Member(self.own.clone())];
         self.roster.apply(&updates[0]);
-        // The new incarnation invalidates all votes cast by the earlier one. Votes against dead
-        // hosts are still needed, so they are cast again.
-        updates.extend(
-            suspected.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)),
-        );
+        // The new incarnation invalidates all votes cast by the earlier one. The votes against
+        // other hosts must not be lost, since these hosts may be dead, so they are cast again.
+        updates
+            .extend(opposed.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)));
         updates
     }
 
--- a/crates/lagoonline/src/control/membership/roster.rs
+++ b/crates/lagoonline/src/control/membership/roster.rs
@@ -1,7 +1,8 @@
 //! The known members and votes.
 //!
-//! Updates may arrive in any order: of two members the higher incarnation is kept, and of two votes
-//! by the same voter the one with the higher incarnation and sequence number.
+//! Updates may arrive in any order. Of two records of the same member the one with the higher
+//! incarnation is kept, and of two votes by the same voter on the same member the one with the
+//! higher voter incarnation and sequence number.
 
 use std::collections;
 use std::net;
@@ -38,7 +39,7 @@
     pub against: bool,
 }
 
-/// A change that is propagated to the other stewards.
+/// Information about a member that is propagated to all stewards.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Update {
     /// A member that is new or has a new incarnation.
--- a/crates/lagoonline/src/control/mesh.rs
+++ b/crates/lagoonline/src/control/mesh.rs
@@ -1,9 +1,9 @@
 //! Topology of the links between stewards.
 //!
-//! Within a zone, a host links to its heartbeat peers. An update then crosses a zone in about three
-//! hops, at a cost per host that does not grow with the zone. Links between zones are more
-//! expensive, so only [`GATEWAYS_PER_ZONE`] hosts of each zone keep them; with two, a zone stays
-//! connected while one of them restarts.
+//! Within a zone, a host links to its [heartbeat peers](membership::Group::heartbeat_peers). An
+//! update then crosses a zone in about three hops, at a cost per host that does not grow with the
+//! zone. Links between zones are more expensive, so only [`GATEWAYS_PER_ZONE`] hosts of each zone
+//! keep them; with two, a zone stays connected while one of them restarts.
 
 use super::membership;
 use super::rendezvous;
--- a/crates/lagoonline/src/control/platform/backoff.rs
+++ b/crates/lagoonline/src/control/platform/backoff.rs
@@ -21,7 +21,8 @@
     }
 }
 
-/// Maximum number of doublings; prevents overflow, since the limit is reached long before.
+/// Maximum number of doublings, so that the shift cannot overflow. With the default settings the
+/// limit is reached after 6 doublings, so this does not affect the delays.
 const MAX_DOUBLINGS: u32 = 16;
 
 impl Backoff {
--- a/crates/lagoonline/src/control/platform/breaker.rs
+++ b/crates/lagoonline/src/control/platform/breaker.rs
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Records that the platform answered, whether with success or an error.
+    /// Records that the platform answered. An error answer counts too, since it shows that the
+    /// platform is reachable.
     pub fn record_answer(&mut self) {
         self.state = State::Closed { failures: 0 };
     }
--- a/crates/lagoonline/src/control/reconcile.rs
+++ b/crates/lagoonline/src/control/reconcile.rs
@@ -8,9 +8,9 @@
 //! Limitation: an engine that does not check fencing numbers also executes the command of a lease
 //! holder that was paused between its last check of the lease and the write, no matter how long the
 //! pause was. The next holder detects the changed state at its next reconciliation and reverts it,
-//! so the wrong state lasts for one reconciliation interval and one command; each case is reported
-//! as [`Decision::Repair`]. Commands that would terminate streams are not sent to such engines
-//! while they have requests.
+//! so the wrong state lasts for one reconciliation interval plus the execution of one command; each
+//! case is reported as [`Decision::Repair`]. Commands that would terminate streams are not sent to
+//! such engines while they have requests.
 
 use serde::{Deserialize, Serialize};
 
@@ -22,13 +22,13 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Actual {
-    /// Incarnation of the engine.
+    /// Incarnation of the engine process; reported, but not used for decisions.
     pub incarnation: u64,
     /// Model that it serves; empty if there is none.
     pub model: String,
-    /// Adapter of the model; empty if there is none.
+    /// Adapter of the model; empty if there is none. Not compared, since documents specify none.
     pub adapter: String,
-    /// Version of the model.
+    /// Version of the model. Not compared, since documents specify none.
     pub version: String,
     /// Current role.
     pub role: engine::Role,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Conditions under which a command would be sent.
+/// Lease, engine capability and load that a decision depends on.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Context {
     /// Fencing number of the lease under which commands are sent.
@@ -91,8 +91,9 @@
     Superseded,
     /// Send this command.
     Send(engine::Command),
-    /// Send this command to revert a change. The engine reports the current fencing number but not
-    /// the state requested under it, so it executed a late command of an earlier lease holder.
+    /// Send this command to an engine that ignores fencing numbers and has already executed a
+    /// command under the current lease, but is not in the desired state. Either it has executed a
+    /// late command of an earlier lease holder since, or the document has changed.
     Repair(engine::Command),
 }
 
@@ -135,6 +136,7 @@
     let has_model = desired.models.iter().any(|model| model.as_str() == actual.model);
     if !has_model {
         let model = desired.models.first()?.clone();
+        // Documents specify neither adapters nor versions.
         let (adapter, version) = (String::new(), String::new());
         return Some(engine::Command::Load { model, adapter, version });
     }
--- a/crates/lagoonline/src/control/rendezvous.rs
+++ b/crates/lagoonline/src/control/rendezvous.rs
@@ -3,10 +3,11 @@
 //! Hosts join and leave all day. Hashing modulo N would reassign most keys at every change; with
 //! rendezvous hashing only the keys of the host that leaves are reassigned, one in N.
 
-/// Returns the score of `owner` for `key`; the live owner with the highest score is chosen.
-fn score(owner: &str, key: &str) -> u64 {
+/// Returns the score of `candidate` for `key`; the candidate with the highest score is chosen.
+fn score(candidate: &str, key: &str) -> u64 {
+    // FNV-1a, with its standard offset basis and prime.
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
-    for byte in owner.bytes().chain([0]).chain(key.bytes()) {
+    for byte in candidate.bytes().chain([0]).chain(key.bytes()) {
         hash = (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     }
     // FNV-1a mixes the high bits of short texts poorly; the finalizer of splitmix64 fixes that.
@@ -15,7 +16,7 @@
     hash ^ (hash >> 31)
 }
 
-/// Returns the owner of `key` among the live `owners`; `None` if there are none.
+/// Returns the candidate chosen for `key`; `None` if there are no candidates.
 ///
 /// ```
 /// use lagoonline::control::rendezvous;
@@ -25,14 +26,14 @@
 /// assert_ne!(rendezvous::choose(without, "engine-1").unwrap(), chosen);
 /// assert_eq!(rendezvous::choose([], "engine-1"), None);
 /// ```
-pub fn choose<'a, I>(owners: I, key: &str) -> Option<&'a str>
+pub fn choose<'a, I>(candidates: I, key: &str) -> Option<&'a str>
 where
     I: IntoIterator<Item = &'a str>,
 {
-    owners.into_iter().max_by_key(|owner| (score(owner, key), *owner))
+    candidates.into_iter().max_by_key(|candidate| (score(candidate, key), *candidate))
 }
 
-/// Returns the `count` owners with the highest scores for `key`, in descending order.
+/// Returns the `count` candidates with the highest scores for `key`, in descending order.
 ///
 /// ```
 /// use lagoonline::control::rendezvous;
@@ -40,12 +41,12 @@
 /// assert_eq!(two[0], rendezvous::choose(["a", "b", "c"], "gateway").unwrap());
 /// assert_eq!(two.len(), 2);
 /// ```
-pub fn rank<'a, I>(owners: I, key: &str, count: usize) -> Vec<&'a str>
+pub fn rank<'a, I>(candidates: I, key: &str, count: usize) -> Vec<&'a str>
 where
     I: IntoIterator<Item = &'a str>,
 {
-    let mut ranked: Vec<_> = owners.into_iter().collect();
-    ranked.sort_by_key(|owner| std::cmp::Reverse((score(owner, key), *owner)));
+    let mut ranked: Vec<_> = candidates.into_iter().collect();
+    ranked.sort_by_key(|candidate| std::cmp::Reverse((score(candidate, key), *candidate)));
     ranked.truncate(count);
     ranked
 }
