--- a/crates/lagoonline/src/control/document/body.rs
+++ b/crates/lagoonline/src/control/document/body.rs
@@ -8,7 +8,7 @@
 use crate::id;
 use crate::port::engine;
 
-/// SHA-256 of a caller key or team key.
+/// SHA-256 of an API key of a customer or of a key of a team.
 pub type KeyHash = [u8; 32];
 
 /// Contents of one team's section.
@@ -125,7 +125,7 @@
     pub address: net::SocketAddr,
     /// Models or service that it serves.
     pub serves: Serves,
-    /// Initial role of an engine.
+    /// Role assigned to an engine: which prompt lengths it is used for.
     pub role: engine::Role,
     /// KV cache capacity of an engine, in tokens.
     pub kv_tokens: u64,
@@ -207,14 +207,16 @@
     }
 }
 
-/// Scheduling weights and service-level objectives of a team.
+/// Authorized keys, scheduling weights and service-level objectives of a team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
     /// SHA-256 of each key that is authorized to change this section.
     pub team_keys: Vec<KeyHash>,
-    /// Weight of the time to first token, by length class. The Lakeshore team sets it higher.
+    /// Weight of the time to first token, by length class. Teams differ in this; Lakeshore
+    /// sets it higher than others.
     pub first_token_weight: [f64; 4],
-    /// Weight of the slowdown of short requests. The Vatuwaqa team sets it higher.
+    /// Weight of the slowdown of short requests. Teams differ in this; Vatuwaqa
+    /// sets it higher than others.
     pub short_slowdown_weight: f64,
     /// Service-level objectives.
     pub objectives: Vec<Objective>,
@@ -238,7 +240,8 @@
     FirstToken(Class),
     /// Time between tokens is within the bound.
     BetweenTokens,
-    /// Slowdown factor of short requests that run alongside long ones is within the bound.
+    /// Slowdown of short requests that run alongside long ones, as a factor relative to an idle
+    /// engine, is within the bound.
     ShortSlowdown,
     /// The answer is complete and within its deadline.
     WithinDeadline,
--- a/crates/lagoonline/src/control/document/consistency.rs
+++ b/crates/lagoonline/src/control/document/consistency.rs
@@ -18,7 +18,8 @@
 ///
 /// # Errors
 ///
-/// Returns all faults, each with its JSON pointer within the candidate.
+/// Returns all faults, each with its JSON pointer within the candidate; for a removed name, the
+/// pointer is to where it would be.
 ///
 /// ```
 /// use lagoonline::control::document::{check_document, Section};
@@ -45,53 +46,54 @@
     checker.finish()
 }
 
-/// Kind of entry that a name refers to.
+/// EntryKind of entry that a name refers to.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-enum Kind {
+enum EntryKind {
     Customer,
     Model,
     Service,
     Upstream,
 }
 
-impl Kind {
-    const ALL: [Kind; 4] = [Kind::Customer, Kind::Model, Kind::Service, Kind::Upstream];
+impl EntryKind {
+    const ALL: [EntryKind; 4] =
+        [EntryKind::Customer, EntryKind::Model, EntryKind::Service, EntryKind::Upstream];
 
     /// Field of the section that holds the entries of this kind.
     const fn field(self) -> &'static str {
         match self {
-            Kind::Customer => "customers",
-            Kind::Model => "models",
-            Kind::Service => "services",
-            Kind::Upstream => "upstreams",
+            EntryKind::Customer => "customers",
+            EntryKind::Model => "models",
+            EntryKind::Service => "services",
+            EntryKind::Upstream => "upstreams",
         }
     }
 
     /// Singular noun for fault messages.
     const fn noun(self) -> &'static str {
         match self {
-            Kind::Customer => "customer",
-            Kind::Model => "model",
-            Kind::Service => "service",
-            Kind::Upstream => "upstream",
+            EntryKind::Customer => "customer",
+            EntryKind::Model => "model",
+            EntryKind::Service => "service",
+            EntryKind::Upstream => "upstream",
         }
     }
 
     fn names(self, body: &body::Body) -> Vec<&str> {
         match self {
-            Kind::Customer => body.customers.keys().map(id::Customer::as_str).collect(),
-            Kind::Model => body.models.keys().map(id::Model::as_str).collect(),
-            Kind::Service => body.services.keys().map(id::Service::as_str).collect(),
-            Kind::Upstream => body.upstreams.keys().map(id::Upstream::as_str).collect(),
+            EntryKind::Customer => body.customers.keys().map(id::Customer::as_str).collect(),
+            EntryKind::Model => body.models.keys().map(id::Model::as_str).collect(),
+            EntryKind::Service => body.services.keys().map(id::Service::as_str).collect(),
+            EntryKind::Upstream => body.upstreams.keys().map(id::Upstream::as_str).collect(),
         }
     }
 
     fn has(self, body: &body::Body, name: &str) -> bool {
         match self {
-            Kind::Customer => body.customers.contains_key(name),
-            Kind::Model => body.models.contains_key(name),
-            Kind::Service => body.services.contains_key(name),
-            Kind::Upstream => body.upstreams.contains_key(name),
+            EntryKind::Customer => body.customers.contains_key(name),
+            EntryKind::Model => body.models.contains_key(name),
+            EntryKind::Service => body.services.contains_key(name),
+            EntryKind::Upstream => body.upstreams.contains_key(name),
         }
     }
 }
@@ -100,7 +102,7 @@
 struct Reference<'a> {
     /// JSON pointer to the reference.
     pointer: String,
-    kind: Kind,
+    kind: EntryKind,
     name: &'a str,
 }
 
@@ -111,11 +113,11 @@
         add_references(
             &mut found,
             &parent,
-            Kind::Model,
+            EntryKind::Model,
             customer.models.iter().map(id::Model::as_str),
         );
         let services = customer.services.iter().map(id::Service::as_str);
-        add_references(&mut found, &parent, Kind::Service, services);
+        add_references(&mut found, &parent, EntryKind::Service, services);
     }
     for (name, upstream) in &body.upstreams {
         let parent = format!("/upstreams/{name}");
@@ -124,24 +126,24 @@
                 add_references(
                     &mut found,
                     &parent,
-                    Kind::Model,
+                    EntryKind::Model,
                     models.iter().map(id::Model::as_str),
                 );
             }
             body::Serves::Service(service) => {
                 let pointer = format!("{parent}/service");
-                found.push(Reference { pointer, kind: Kind::Service, name: service.as_str() });
+                found.push(Reference { pointer, kind: EntryKind::Service, name: service.as_str() });
             }
         }
     }
     for model in body.claims.keys() {
         let pointer = format!("/claims/{model}");
-        found.push(Reference { pointer, kind: Kind::Model, name: model.as_str() });
+        found.push(Reference { pointer, kind: EntryKind::Model, name: model.as_str() });
     }
     found
 }
 
-fn add_references<'a, I>(found: &mut Vec<Reference<'a>>, parent: &str, kind: Kind, names: I)
+fn add_references<'a, I>(found: &mut Vec<Reference<'a>>, parent: &str, kind: EntryKind, names: I)
 where
     I: Iterator<Item = &'a str>,
 {
@@ -168,7 +170,7 @@
 
     /// Checks that no name is defined by a section of another team.
     fn check_unique_names(&mut self) {
-        for kind in Kind::ALL {
+        for kind in EntryKind::ALL {
             for name in kind.names(&self.candidate.body) {
                 let owner = self.others.iter().find(|other| kind.has(&other.body, name));
                 if let Some(team) = owner.map(|other| other.team.clone()) {
@@ -227,8 +229,8 @@
         }
     }
 
-    /// Checks that the claims of all teams can be met at the same time: each claimed engine needs
-    /// a different engine of the fleet that serves the model.
+    /// Checks that the claims of all teams served be met at the same time: each claimed engine
+    /// needs a different engine of the fleet that serves the model.
     fn check_claims(&mut self) {
         let candidate = self.candidate;
         let all = || self.others.iter().copied().chain([candidate]);
@@ -277,8 +279,9 @@
 const MAX_COMBINED_MODELS: usize = 12;
 
 /// Returns a set of models whose claims exceed the number of engines that serve any of them, and
-/// that number (Hall's condition). Beyond [`MAX_COMBINED_MODELS`] models, only single models and
-/// the set of all models are checked.
+/// that number (Hall's condition). With more than [`MAX_COMBINED_MODELS`] claimed models, the sets
+/// checked are all subsets of the first ones in name order, each other model on its own, and all
+/// models together; claims that fail only for another set are not detected.
 fn find_unmet<'a>(
     engines: &[&[id::Model]],
     claimed: &collections::BTreeMap<&'a id::Model, u64>,
@@ -286,6 +289,7 @@
     let models: Vec<&id::Model> = claimed.keys().copied().collect();
     let combined_count = models.len().min(MAX_COMBINED_MODELS);
     let sets = (1..1_u32 << combined_count).map(|bits| {
+        // The limit of 32 keeps the shift from overflowing; higher indices have no bit.
         let chosen = models
             .iter()
             .enumerate()
@@ -295,7 +299,7 @@
     let single = models.iter().skip(combined_count).map(|model| vec![*model]);
     sets.chain(single).chain([models.clone()]).find_map(|set| {
         let available =
-            engines.iter().filter(|can| set.iter().any(|model| can.contains(model))).count();
+            engines.iter().filter(|served| set.iter().any(|model| served.contains(model))).count();
         let available = u64::try_from(available).unwrap_or(u64::MAX);
         let claimed_engines: u64 = set.iter().map(|model| claimed[model]).sum();
         (claimed_engines > available).then_some((set, available))
--- a/crates/lagoonline/src/control/document/delta.rs
+++ b/crates/lagoonline/src/control/document/delta.rs
@@ -1,8 +1,8 @@
 //! Deltas between two versions of a section's text.
 //!
-//! With 26,000 customers and 1,400 edits a day, most of which change one customer, sending the
-//! whole text of about 260 KB to each of 350 hosts at every edit would exceed a node's network
-//! budget of 3 KB/s on average.
+//! The design load is 26,000 customers in 20 sections of about 260 KB each, and 1,400 edits a day,
+//! most of which change one customer. Sending the whole text of a section to each of 350 hosts at
+//! every edit would exceed a host's network budget of 3 KB/s on average.
 //!
 //! Deltas operate on the bytes of the texts and not on the parsed values: whitespace and field
 //! order are part of the text, and every host must have exactly the text that was stored.
@@ -88,6 +88,7 @@
 
     /// Returns the approximate size in bytes when sent over the network.
     pub fn size(&self) -> usize {
+        // Encoded sizes of a copy step, of the framing of an insert step, and of versions and hash.
         let step = |step: &Step| match step {
             Step::Copy { .. } => 10,
             Step::Insert(text) => text.len() + 4,
--- a/crates/lagoonline/src/control/document/diff.rs
+++ b/crates/lagoonline/src/control/document/diff.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 
-/// One difference, identified by JSON pointer.
+/// One difference, with the JSON pointer of the value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Difference {
     /// The value exists only in the newer text.
--- a/crates/lagoonline/src/control/document/section.rs
+++ b/crates/lagoonline/src/control/document/section.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Maximum length of a name, in bytes.
+/// Maximum length of a name, in bytes, which are ASCII characters.
 const MAX_NAME_BYTES: usize = 64;
 
 fn check_name(reader: &check::Reader<'_>, name: &str) {
@@ -248,6 +248,7 @@
         "between_tokens" => body::Indicator::BetweenTokens,
         "short_slowdown" => body::Indicator::ShortSlowdown,
         "known_outcome" => body::Indicator::KnownOutcome,
+        // An empty or absent indicator has already been reported by `required`.
         "within_deadline" | "" => body::Indicator::WithinDeadline,
         _ => {
             reader.fault("indicator", "is not an indicator; see the page on the document");
--- a/crates/lagoonline/src/control/document/store.rs
+++ b/crates/lagoonline/src/control/document/store.rs
@@ -1,8 +1,8 @@
 //! Storage of sections in the platform's table.
 //!
 //! A put is one transaction that writes the section's row, a history row of the new version and the
-//! head row of the document. If the table's answer is lost, the history row tells whether the put
-//! took effect.
+//! head row of the stored_head. If the table's answer is lost, the history row tells whether the
+//! put took effect.
 
 use std::collections;
 
@@ -22,7 +22,8 @@
 /// have two owners.
 pub const HEAD_KEY: &str = "document";
 
-/// Maximum number of attempts of a put that conflicts with concurrent puts of other teams.
+/// Maximum number of attempts of a put that conflicts with concurrent puts of other teams. After
+/// that, [`table::Error::Conflict`] is returned.
 const MAX_ATTEMPTS: usize = 16;
 
 /// Value of the head row: the versions of all sections and the put that wrote them.
@@ -101,10 +102,11 @@
 pub struct VersionedHead {
     /// Versions of all sections.
     pub head: Head,
-    /// Version of the head row, which is the version of the whole document.
+    /// Version of the head row, which is the version of the whole stored_head.
     pub version: u64,
 }
 
+/// Reports a row that cannot be parsed as `Refused`, since the read has no effect.
 fn malformed(step: &'static str, error: &serde_json::Error) -> table::Error {
     table::Error::Refused { step, peer: "table".to_owned(), why: error.to_string() }
 }
@@ -190,7 +192,7 @@
             Err(StoreError::Table(error @ table::Error::Unknown { .. })) => lost = Some(error),
             // An error after a lost answer does not tell whether the earlier call took effect.
             Err(StoreError::Table(error)) => return Err(StoreError::Table(lost.unwrap_or(error))),
-            Err(refusal) => return Err(refusal),
+            Err(error) => return Err(error),
         }
     }
     let conflict = table::Error::Conflict { step: "store section" };
@@ -205,7 +207,7 @@
         Ok(transaction) => transaction,
         // The conflicting version may be this put itself, stored by an earlier attempt.
         Err(StoreError::Conflict { .. }) if is_written(table, put, next).await? => return Ok(next),
-        Err(refusal) => return Err(refusal),
+        Err(error) => return Err(error),
     };
     table.commit(transaction).await?;
     Ok(next)
@@ -228,31 +230,31 @@
     let next = id::Version(put.base.0 + 1);
     let candidate =
         section::Section::parse(put.team.clone(), next, &put.text).map_err(StoreError::Invalid)?;
-    let mut document = read_head(table).await?;
-    let current = document.head.versions.get(&put.team).copied().unwrap_or_default();
+    let mut stored_head = read_head(table).await?;
+    let current = stored_head.head.versions.get(&put.team).copied().unwrap_or_default();
     if current != put.base {
         return Err(conflict_error(table, put, current).await?);
     }
     let mut others = Vec::new();
-    for team in document.head.versions.keys().filter(|team| **team != put.team) {
+    for team in stored_head.head.versions.keys().filter(|team| **team != put.team) {
         let Some((version, stored)) = read_section(table, team).await? else { continue };
         others.extend(section::Section::parse(team.clone(), version, &stored.text));
     }
     consistency::check_document(&others, &candidate).map_err(StoreError::Invalid)?;
-    document.head.versions.insert(put.team.clone(), next);
-    document.head.put.clone_from(&put.id);
-    Ok(transaction(put, next, &document))
+    stored_head.head.versions.insert(put.team.clone(), next);
+    stored_head.head.put.clone_from(&put.id);
+    Ok(transaction(put, next, &stored_head))
 }
 
-fn transaction(put: &Put, next: id::Version, document: &VersionedHead) -> table::Transaction {
+fn transaction(put: &Put, next: id::Version, stored_head: &VersionedHead) -> table::Transaction {
     let text = |value: serde_json::Result<String>| value.unwrap_or_default();
     let stored = Stored { put: put.id.clone(), text: put.text.clone() };
     let row = text(serde_json::to_string(&stored));
-    let head = text(serde_json::to_string(&document.head));
+    let head = text(serde_json::to_string(&stored_head.head));
     let (section, history) = (section_key(&put.team), history_key(&put.team, next));
     table::Transaction {
         checks: vec![
-            table::Check { key: HEAD_KEY.to_owned(), version: document.version },
+            table::Check { key: HEAD_KEY.to_owned(), version: stored_head.version },
             table::Check { key: section.clone(), version: put.base.0 },
         ],
         changes: vec![
--- a/crates/lagoonline/src/control/ledger.rs
+++ b/crates/lagoonline/src/control/ledger.rs
@@ -1,10 +1,10 @@
 //! Usage accounting: attributes the time of every engine to teams and customers.
 //!
 //! Every millisecond of every engine is attributed exactly once: work to the customer's team, idle
-//! time to the team whose claim holds the engine, and unclaimed idle time to the owner of the
-//! upstream. Time in which no steward observed the engine is reported as unobserved. The parts of a
-//! row add up to its wall time to the millisecond, because shares are apportioned by the largest
-//! remainder method.
+//! time to the team whose claim the engine is assigned to, and unclaimed idle time to the owner of
+//! the upstream. Time in which no steward observed the engine is reported as unobserved. The parts
+//! of a row add up to its wall time to the millisecond, because shares are apportioned by the
+//! largest remainder method.
 
 use std::collections;
 
@@ -32,8 +32,9 @@
 /// Activity of an engine during a period.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Activity {
-    /// Working for customers, in proportion to these weights; attributed to the owner of the engine
-    /// if all weights are 0 or no customer is known.
+    /// Working for customers. Each entry has a customer, its team, and a weight in proportion to
+    /// which the time is split, such as the customer's recent tokens. If all weights are 0 or no
+    /// customer is known, the time is attributed to the owner of the engine.
     Working(Vec<(id::Customer, id::Team, u64)>),
     /// No work.
     Idle,
@@ -50,9 +51,9 @@
     pub accelerators: u32,
     /// Team that owns the upstream.
     pub owner: id::Team,
-    /// Team whose claim holds the engine; empty if there is none.
+    /// Team whose claim the engine is assigned to; empty if there is none.
     pub claimant: id::Team,
-    /// Model that the engine is attributed to; empty if there is none.
+    /// Model that the time is attributed to; empty if there is none.
     pub model: id::Model,
     /// Working time by customer.
     pub work: Vec<Work>,
@@ -195,14 +196,15 @@
     }
 }
 
-/// Teams and model that the time of an engine is attributed to.
+/// Teams and model that the time of an engine is attributed to, and the number of accelerators that
+/// it counts for.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Attribution {
     /// Number of accelerators of the engine.
     pub accelerators: u32,
     /// Team that owns the upstream.
     pub owner: id::Team,
-    /// Team whose claim holds the engine; empty if there is none.
+    /// Team whose claim the engine is assigned to; empty if there is none.
     pub claimant: id::Team,
     /// Claimed model or, without a claim, the first model that the engine serves.
     pub model: id::Model,
@@ -219,9 +221,9 @@
         }
     }
     engines.sort_by(|a, b| a.0.name.cmp(&b.0.name));
-    let holders = assign(fleet, &engines);
-    let account = |(index, (upstream, models)): (usize, &(&view::Upstream, &[id::Model]))| {
-        let claim = holders[index].as_ref();
+    let assignments = assign(fleet, &engines);
+    let attribute = |(index, (upstream, models)): (usize, &(&view::Upstream, &[id::Model]))| {
+        let claim = assignments[index].as_ref();
         let attribution = Attribution {
             accelerators: upstream.entry.accelerators,
             owner: upstream.team.clone(),
@@ -233,47 +235,47 @@
         };
         (upstream.name.clone(), attribution)
     };
-    engines.iter().enumerate().map(account).collect()
+    engines.iter().enumerate().map(attribute).collect()
 }
 
 /// Team and model of the claim that an engine is assigned to, if any.
-type Holder = Option<(id::Team, id::Model)>;
+type Assignment = Option<(id::Team, id::Model)>;
 
 /// Assigns engines to claims by bipartite matching with augmenting paths: an earlier assignment is
 /// moved to another engine if that makes room, so that an engine that serves several models is not
 /// occupied by the wrong claim.
-fn assign(fleet: &view::Fleet, engines: &[(&view::Upstream, &[id::Model])]) -> Vec<Holder> {
-    let mut holders: Vec<Holder> = vec![None; engines.len()];
+fn assign(fleet: &view::Fleet, engines: &[(&view::Upstream, &[id::Model])]) -> Vec<Assignment> {
+    let mut assignments: Vec<Assignment> = vec![None; engines.len()];
     for (team, claims) in &fleet.claims {
         for (model, claim) in claims {
             for _ in 0..claim.engines {
                 let mut seen = vec![false; engines.len()];
-                assign_slot((team.clone(), model.clone()), engines, &mut holders, &mut seen);
+                assign_engine((team.clone(), model.clone()), engines, &mut assignments, &mut seen);
             }
         }
     }
-    holders
+    assignments
 }
 
-/// Finds an engine for one claimed slot, moving other slots if necessary. `seen` marks the engines
-/// already tried in this search. Returns false if no assignment exists.
-fn assign_slot(
-    slot: (id::Team, id::Model),
+/// Assigns an engine to one engine of a claim, reassigning others if necessary. `seen` marks the
+/// engines already tried in this search. Returns false if no assignment exists.
+fn assign_engine(
+    claimed: (id::Team, id::Model),
     engines: &[(&view::Upstream, &[id::Model])],
-    holders: &mut Vec<Holder>,
+    assignments: &mut Vec<Assignment>,
     seen: &mut Vec<bool>,
 ) -> bool {
     for index in 0..engines.len() {
-        if seen[index] || !engines[index].1.contains(&slot.1) {
+        if seen[index] || !engines[index].1.contains(&claimed.1) {
             continue;
         }
         seen[index] = true;
-        let is_available = match holders[index].clone() {
+        let is_available = match assignments[index].clone() {
             None => true,
-            Some(other) => assign_slot(other, engines, holders, seen),
+            Some(other) => assign_engine(other, engines, assignments, seen),
         };
         if is_available {
-            holders[index] = Some(slot);
+            assignments[index] = Some(claimed);
             return true;
         }
     }
@@ -299,7 +301,7 @@
 ///
 /// # Errors
 ///
-/// `Refused` or `Unknown`; the write can be retried.
+/// [`table::Error::Refused`] or [`table::Error::Unknown`]; the write can be retried in both cases.
 pub async fn write<T>(table: &T, upstream: &id::Upstream, row: &Row) -> Result<(), table::Error>
 where
     T: table::Table,
@@ -376,9 +378,11 @@
     ordered.sort_by_key(|(upstream, row)| (*upstream, row.interval));
     for (upstream, row) in ordered {
         let gap = last.insert(upstream, row.interval).map_or(0, |last| row.interval - last - 1);
+        // Rows without an attribution have 0 accelerators, which count as one.
         let accelerators = u64::from(row.accelerators.max(1));
         let group = |team: &id::Team, customer: Option<&id::Customer>| match grouping {
             Grouping::Team => team.to_string(),
+            // Time that is not spent on a customer is listed under the team that is charged.
             Grouping::Customer => {
                 customer.map_or_else(|| format!("{team} (team)"), ToString::to_string)
             }
--- a/crates/lagoonline/src/control/replication.rs
+++ b/crates/lagoonline/src/control/replication.rs
@@ -13,7 +13,8 @@
 /// Section versions by team.
 pub type Versions = collections::BTreeMap<id::Team, id::Version>;
 
-/// The sections in force at one host: the newest valid version of each section it received.
+/// The sections in force at one host: the newest valid version of each section that it received.
+/// The entry process of the host may still use an older one; see [`Report::in_force`].
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     sections: collections::BTreeMap<id::Team, sync::Arc<document::Section>>,
@@ -74,6 +75,7 @@
 
     /// Returns a hash of the versions in force; hosts with equal hashes need not exchange versions.
     pub fn digest(&self) -> u64 {
+        // FNV-1a, with its standard offset basis and prime.
         let mut hash = 0xcbf2_9ce4_8422_2325_u64;
         for (team, section) in &self.sections {
             let version = section.version.0.to_be_bytes();
@@ -94,8 +96,8 @@
     pub incarnation: id::Incarnation,
     /// Sequence number of the report within the incarnation, assigned by the steward of the host.
     pub sequence: u64,
-    /// Whether the steward has been without an entry process for so long that the host cannot serve
-    /// any requests.
+    /// Whether the steward has been without an entry process for so long that it considers the host
+    /// unable to serve requests.
     pub entry_down: bool,
     /// Whether it accepts requests.
     pub ready: bool,
@@ -103,7 +105,7 @@
     pub draining: bool,
     /// Number of requests in flight.
     pub in_flight: u64,
-    /// Versions that its request path uses.
+    /// Versions that the entry process uses to handle requests.
     pub in_force: Versions,
 }
 
@@ -129,8 +131,8 @@
     /// requests in flight.
     ///
     /// Reports of earlier incarnations are dropped, and so are reports whose versions are lower
-    /// than those known within the same incarnation. Reordered reports therefore cannot make a
-    /// version seem lost or a host seem more recent than it is.
+    /// than those known within the same incarnation. Reordered reports therefore cannot hide a
+    /// version that a host uses, nor show the versions of an earlier incarnation as used.
     pub fn apply(&mut self, host: &id::Host, report: Report) -> bool {
         let Some(known) = self.reports.get_mut(host) else {
             self.reports.insert(host.clone(), report);
