--- a/crates/lagoonline/examples/fleet_size.rs
+++ b/crates/lagoonline/examples/fleet_size.rs
@@ -1,6 +1,7 @@
 //! Measures memory use and processing time of the document on one host for a number of customers.
 //!
-//! The customers are split over [`TEAMS`] sections of equal size.
+//! The customers, 26,000 by default, are split over [`TEAMS`] sections of equal size. The `fleet`
+//! in the output is the [`view::Fleet`], into which a host merges all sections.
 //!
 //! `cargo run --release -p lagoonline --example fleet_size -- 26000`
 
@@ -25,6 +26,7 @@
 fn text(team: usize, customers: usize, weight: u32) -> String {
     let line = |index: usize| {
         let weight = if index == customers / 2 { weight } else { 1 };
+        // Unique per customer, as keys have to be.
         let key = format!("{:064x}", team * 1_000_000 + index + 1);
         format!(
             r#""customer-{team}-{index}": {{"keys": ["{key}"], "models": ["m"], "weight": {weight}, "requests_per_second": 20.5, "tokens_per_second": 40000, "max_deadline_ms": 600000}}"#
@@ -67,7 +69,7 @@
     assert_eq!(rebuilt.as_deref(), Some(&*edited.text));
     println!(
         "{} customers, section of {} bytes: sections {sections_kb} KB, fleet {fleet_kb} KB, \
-         merge {merge_ms:.1} ms, parse a section {parse_ms:.1} ms, compute a delta {record_ms:.1} ms, \
+         merge {merge_ms:.1} ms, parse a section {parse_ms:.1} ms, make a delta {record_ms:.1} ms, \
          apply it {apply_ms:.1} ms, delta of {bytes} bytes",
         fleet.customers.len(),
         edited.text.len(),
--- a/crates/lagoonline/tests/control_delta_fuzz.rs
+++ b/crates/lagoonline/tests/control_delta_fuzz.rs
@@ -16,11 +16,12 @@
     /// An operator stores the next version with another weight of one customer, sometimes also with
     /// different whitespace.
     Edit { customer: usize, weight: u32, extra_space: bool },
-    /// An operator stores the next version with the customers in a different order.
-    Rewrite { seed: u32 },
+    /// An operator stores the next version with the order of the customers rotated.
+    Rotate { by: u32 },
     /// A host reads the latest version from the table.
     Fetch { host: usize },
-    /// A host sends its version to another one, as deltas from the version that the other has now.
+    /// A host sends its version to another one: as deltas from the version that the other has now,
+    /// which stay in flight, or at once as the whole text if there are no deltas for that.
     Offer { from: usize, to: usize },
     /// The oldest or the newest offer in flight is delivered. It stays in flight, so it can be
     /// delivered again.
@@ -31,6 +32,7 @@
     Replace { host: usize },
 }
 
+/// Empty reference state: the system is checked by its invariants only.
 #[derive(Clone, Debug, Default)]
 struct Reference;
 
@@ -49,7 +51,7 @@
             4 => edit.prop_map(|(customer, weight, extra_space)| {
                 Transition::Edit { customer, weight, extra_space }
             }),
-            1 => any::<u32>().prop_map(|seed| Transition::Rewrite { seed }),
+            1 => any::<u32>().prop_map(|by| Transition::Rotate { by }),
             2 => host().prop_map(|host| Transition::Fetch { host }),
             6 => (host(), host()).prop_map(|(from, to)| Transition::Offer { from, to }),
             6 => any::<bool>().prop_map(|newest| Transition::Deliver { newest }),
@@ -64,12 +66,13 @@
     }
 }
 
-fn line(customer: usize, weight: u32) -> String {
+/// Returns the entry of one customer in the section's text.
+fn entry(customer: usize, weight: u32) -> String {
     format!(r#""c{customer}": {{"weight": {weight}, "tokens_per_second": 1000}}"#)
 }
 
-fn text(lines: &[String]) -> String {
-    format!(r#"{{"customers": {{{}}}}}"#, lines.join(", "))
+fn text(entries: &[String]) -> String {
+    format!(r#"{{"customers": {{{}}}}}"#, entries.join(", "))
 }
 
 #[derive(Clone, Default)]
@@ -85,7 +88,7 @@
 }
 
 struct System {
-    lines: Vec<String>,
+    entries: Vec<String>,
     /// Texts of all versions, starting with version 1.
     history: Vec<String>,
     hosts: Vec<Host>,
@@ -101,7 +104,8 @@
         self.replica.section(&team()).map(std::sync::Arc::as_ref)
     }
 
-    fn put(&mut self, version: id::Version, text: &str) {
+    /// Applies a received section and records its delta, as a steward does.
+    fn accept(&mut self, version: id::Version, text: &str) {
         let Ok(section) = document::Section::parse(team(), version, text) else { return };
         let old = self.section().cloned();
         if self.replica.apply(section)
@@ -114,7 +118,7 @@
 
 impl System {
     fn store(&mut self) {
-        self.history.push(text(&self.lines));
+        self.history.push(text(&self.entries));
     }
 
     fn newest(&self) -> id::Version {
@@ -126,7 +130,7 @@
         let known = self.hosts[to].replica.version(&team());
         let deltas = self.hosts[from].log.since(known, &section);
         if deltas.is_empty() {
-            self.hosts[to].put(section.version, &section.text);
+            self.hosts[to].accept(section.version, &section.text);
             return;
         }
         self.offers.push(Offer { to, version: section.version, deltas });
@@ -137,7 +141,7 @@
         let Some(offer) = offer else { return };
         let host = &mut self.hosts[offer.to];
         if let Some(text) = delta_log::apply(host.section(), &offer.deltas) {
-            host.put(offer.version, &text);
+            host.accept(offer.version, &text);
         }
     }
 
@@ -157,9 +161,9 @@
     type SystemUnderTest = System;
 
     fn init_test(_: &Reference) -> System {
-        let lines = (0..30).map(|customer| line(customer, 1)).collect();
+        let entries = (0..30).map(|customer| entry(customer, 1)).collect();
         let hosts = vec![Host::default(); HOSTS];
-        let mut system = System { lines, history: Vec::new(), hosts, offers: Vec::new() };
+        let mut system = System { entries, history: Vec::new(), hosts, offers: Vec::new() };
         system.store();
         system
     }
@@ -168,18 +172,18 @@
         match transition {
             Transition::Edit { customer, weight, extra_space } => {
                 let spaces = if extra_space { "  " } else { "" };
-                system.lines[customer] = format!("{}{spaces}", line(customer, weight));
+                system.entries[customer] = format!("{}{spaces}", entry(customer, weight));
                 system.store();
             }
-            Transition::Rewrite { seed } => {
-                let count = system.lines.len();
-                system.lines.rotate_left(seed as usize % count);
+            Transition::Rotate { by } => {
+                let count = system.entries.len();
+                system.entries.rotate_left(by as usize % count);
                 system.store();
             }
             Transition::Fetch { host } => {
                 let newest = system.newest();
                 let text = system.history[newest.0 as usize - 1].clone();
-                system.hosts[host].put(newest, &text);
+                system.hosts[host].accept(newest, &text);
             }
             Transition::Offer { from, to } => system.offer(from, to),
             Transition::Deliver { newest } => system.deliver(newest),
@@ -216,15 +220,16 @@
 fn the_delta_of_scattered_changes_is_small() {
     // Three changes in different places of a section with 1,300 customers must not make the delta
     // cover the unchanged text between them.
-    let lines: Vec<_> = (0..1_300).map(|customer| line(customer, 1)).collect();
-    let old = text(&lines);
-    let mut lines = lines;
-    lines[5] = line(5, 7);
-    lines[1_200] = line(1_200, 7);
-    lines.insert(600, line(9_999, 3));
-    let new = text(&lines);
+    let entries: Vec<_> = (0..1_300).map(|customer| entry(customer, 1)).collect();
+    let old = text(&entries);
+    let mut entries = entries;
+    entries[5] = entry(5, 7);
+    entries[1_200] = entry(1_200, 7);
+    entries.insert(600, entry(9_999, 3));
+    let new = text(&entries);
     let version = |version, text| document::VersionedText { version: id::Version(version), text };
     let delta = document::Delta::new(version(1, &old), version(2, &new));
     assert_eq!(delta.apply(&old).as_deref(), Some(&*new));
+    // Three changed entries of about 50 bytes each, and the copies between them.
     assert!(delta.size() < 400, "{} bytes of {}", delta.size(), new.len());
 }
--- a/crates/lagoonline/tests/control_document.rs
+++ b/crates/lagoonline/tests/control_document.rs
@@ -1,8 +1,8 @@
 //! The document: validation across sections, concurrent puts, and puts whose answer is lost.
 
-mod control;
+mod fake_table;
 
-use control::{Fault, Table, block_on};
+use fake_table::{FakeTable, Fault, block_on};
 use lagoonline::control::document;
 use lagoonline::id;
 use rstest::rstest;
@@ -20,7 +20,8 @@
     document::Section::parse(id::Team::from(team), id::Version(1), text).unwrap()
 }
 
-const ENGINES: &str = r#"{"models": {"m": {}, "n": {}}, "services": {"s": {}},
+/// Section of the team `fleet`, which the sections under test refer to.
+const FLEET_SECTION: &str = r#"{"models": {"m": {}, "n": {}}, "services": {"s": {}},
     "customers": {"c": {"keys": ["0101010101010101010101010101010101010101010101010101010101010101"]}},
     "upstreams": {
         "e1": {"zone": "z", "address": "127.0.0.1:1", "models": ["m", "n"]},
@@ -60,7 +61,7 @@
      /claims/n/engines: claims of 3 engines for m, n are above the 2"
 )]
 fn an_inconsistent_section_is_refused_with_a_pointer(#[case] text: &str, #[case] faults: &str) {
-    let others = [section("fleet", ENGINES)];
+    let others = [section("fleet", FLEET_SECTION)];
     let candidate = section("labels", text);
     let found = document::check_document(&others, &candidate).unwrap_err();
     assert_eq!(found.to_string(), faults);
@@ -70,18 +71,20 @@
 fn consistent_names_and_claims_are_accepted() {
     // The checks must not be too strict: references to other sections and claims that the fleet can
     // just meet are valid, and a section does not conflict with its own previous version.
-    let others = [section("fleet", ENGINES)];
+    let others = [section("fleet", FLEET_SECTION)];
     let text = r#"{"models": {"k": {}}, "customers": {"d": {"models": ["m", "k"]}},
         "claims": {"m": {"engines": 1}, "n": {"engines": 1}}}"#;
     assert_eq!(document::check_document(&others, &section("labels", text)), Ok(()));
-    assert_eq!(document::check_document(&others, &section("fleet", ENGINES)), Ok(()));
+    assert_eq!(document::check_document(&others, &section("fleet", FLEET_SECTION)), Ok(()));
 }
 
 #[test]
 fn a_name_that_another_team_references_cannot_be_removed() {
     // The removal would leave a dangling reference in the section of the other team.
-    let others =
-        [section("fleet", ENGINES), section("labels", r#"{"claims": {"m": {"engines": 1}}}"#)];
+    let others = [
+        section("fleet", FLEET_SECTION),
+        section("labels", r#"{"claims": {"m": {"engines": 1}}}"#),
+    ];
     let text = r#"{"models": {"n": {}}}"#;
     let faults = document::check_document(&others, &section("fleet", text)).unwrap_err();
     assert_eq!(
@@ -94,7 +97,7 @@
 fn a_conflicting_put_is_refused_with_the_differences() {
     // Two operators edit version 1. The first put creates version 2. The second put must be refused
     // with the differences that the first one made, and nothing of it may be stored.
-    let table = Table::default();
+    let table = FakeTable::default();
     block_on(document::store(&table, &put("a", 0, "p0", r#"{"models": {"m": {}}}"#))).unwrap();
     block_on(document::store(
         &table,
@@ -115,10 +118,10 @@
 fn a_put_whose_answer_was_lost_is_stored_once(#[case] fault: Fault) {
     // The answer of the table is lost after the put took effect, or the put takes effect only
     // later. The operator must get version 1 in both cases, and the history must have a single row.
-    let table = Table::default();
+    let table = FakeTable::default();
     table.fail_next(fault);
     let version = block_on(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
-    table.settle();
+    table.apply_delayed();
     assert_eq!(version, id::Version(1));
     assert_eq!(table.rows("history/a/").len(), 1);
     let retried = block_on(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
@@ -130,7 +133,7 @@
 fn a_retried_put_is_recognized_after_a_later_version() {
     // The answer to a put is lost, and the operator's program retries it after a later version has
     // been stored. It must get the version of its own put, which is found in the history.
-    let table = Table::default();
+    let table = FakeTable::default();
     block_on(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
     block_on(document::store(&table, &put("a", 1, "p1", r#"{"models": {"m": {}}}"#))).unwrap();
     let retried = block_on(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
@@ -142,15 +145,15 @@
 fn concurrent_puts_of_two_teams_cannot_define_the_same_name() {
     // Two concurrent puts are both validated against a document without the name. The table accepts
     // the first one. The second conflicts on the head row, is validated again, and must be refused.
-    let table = Table::default();
+    let table = FakeTable::default();
     let text = r#"{"models": {"m": {}}}"#;
     let (first, second) = (put("a", 0, "p0", text), put("b", 0, "p1", text));
     let mut first = Box::pin(document::store(&table, &first));
     let mut second = Box::pin(document::store(&table, &second));
     let (mut one, mut two) = (None, None);
     while one.is_none() || two.is_none() {
-        one = one.or_else(|| control::poll_once(first.as_mut()));
-        two = two.or_else(|| control::poll_once(second.as_mut()));
+        one = one.or_else(|| fake_table::poll_once(first.as_mut()));
+        two = two.or_else(|| fake_table::poll_once(second.as_mut()));
     }
     assert_eq!(one, Some(Ok(id::Version(1))));
     let Some(Err(document::StoreError::Invalid(faults))) = two else { panic!("{two:?}") };
@@ -158,8 +161,9 @@
 }
 
 /// A host that can dispatch a call under an idempotency key for longer than the row of the key is
-/// retained may run the call twice. The longest deadline, one hour of writes after it and one hour
-/// for a suspended host add up to the shortest retention that a site may configure.
+/// retained may run the call twice. The shortest configurable retention is 24 hours. The row may be
+/// written until one hour after the deadline, and one more hour is left for a suspended host or a
+/// late commit, so the longest deadline is 22 hours.
 #[rstest]
 #[case(79_200_000, true)]
 #[case(79_200_001, false)]
--- a/crates/lagoonline/tests/control_document_fuzz.rs
+++ b/crates/lagoonline/tests/control_document_fuzz.rs
@@ -1,6 +1,6 @@
 //! Concurrent operators, teams and hosts, checked for a linear history of each section.
 
-mod control;
+mod fake_table;
 
 use std::cell;
 use std::collections;
@@ -9,7 +9,7 @@
 use std::rc;
 use std::sync;
 
-use control::{Fault, Table};
+use fake_table::{FakeTable, Fault};
 use lagoonline::control::document;
 use lagoonline::control::replication;
 use lagoonline::id;
@@ -40,13 +40,13 @@
     /// The next commit fails with this fault.
     Fail(Fault),
     /// Delayed commits take effect.
-    Settle,
+    ApplyDelayed,
     /// An outage of the table starts or ends.
     Outage(bool),
     /// A host reads all sections from the table.
     Fetch { host: usize },
     /// A host sends another one the sections that it lacks.
-    Gossip { from: usize, to: usize },
+    Sync { from: usize, to: usize },
     /// A host sends all its sections; the message stays in flight.
     Send { from: usize },
     /// The oldest message in flight is delivered.
@@ -56,6 +56,7 @@
     Replace { host: usize },
 }
 
+/// Empty reference state: the system is checked by its invariants only.
 #[derive(Clone, Debug, Default)]
 struct Reference;
 
@@ -76,10 +77,10 @@
             2 => operator.prop_map(|operator| Transition::RetryPut { operator }),
             2 => prop_oneof![Just(Fault::LoseAnswer), Just(Fault::Delay), Just(Fault::Refuse)]
                 .prop_map(Transition::Fail),
-            2 => Just(Transition::Settle),
+            2 => Just(Transition::ApplyDelayed),
             1 => any::<bool>().prop_map(Transition::Outage),
             3 => host.clone().prop_map(|host| Transition::Fetch { host }),
-            3 => (host.clone(), host.clone()).prop_map(|(from, to)| Transition::Gossip { from, to }),
+            3 => (host.clone(), host.clone()).prop_map(|(from, to)| Transition::Sync { from, to }),
             2 => host.clone().prop_map(|from| Transition::Send { from }),
             2 => host.clone().prop_map(|to| Transition::Deliver { to }),
             1 => host.prop_map(|host| Transition::Replace { host }),
@@ -101,7 +102,7 @@
 
 #[derive(Default)]
 struct System {
-    table: Table,
+    table: FakeTable,
     unavailable: bool,
     operators: collections::BTreeMap<usize, Operator>,
     hosts: Vec<replication::Replica>,
@@ -142,7 +143,7 @@
     fn poll_put(&mut self, operator: usize) {
         let Some(operator_state) = self.operators.get_mut(&operator) else { return };
         let Some(running) = &mut operator_state.running else { return };
-        let Some(result) = control::poll_once(running.as_mut()) else { return };
+        let Some(result) = fake_table::poll_once(running.as_mut()) else { return };
         operator_state.running = None;
         let put = operator_state.put.clone();
         match result {
@@ -153,14 +154,15 @@
             Err(document::StoreError::Table(table::Error::Unknown { .. })) => {
                 self.unknown.insert(put.id);
             }
-            Err(document::StoreError::Table(_)) if self.was_attempted(&put.id) => {}
+            Err(document::StoreError::Table(_)) if self.may_be_stored(&put.id) => {}
             Err(_) => {
                 self.refused.insert(put.id);
             }
         }
     }
 
-    fn was_attempted(&self, put: &str) -> bool {
+    /// Returns whether an earlier attempt of a put was reported as stored or as unknown.
+    fn may_be_stored(&self, put: &str) -> bool {
         self.unknown.contains(put) || self.stored.contains_key(put)
     }
 
@@ -185,7 +187,7 @@
         }
     }
 
-    fn gossip(&mut self, from: usize, to: usize) {
+    fn sync(&mut self, from: usize, to: usize) {
         let sections = self.hosts[from].newer_than(&self.hosts[to].versions());
         for section in sections {
             self.hosts[to].apply((*section).clone());
@@ -261,13 +263,13 @@
             Transition::PollPut { operator } => system.poll_put(operator),
             Transition::RetryPut { operator } => system.retry_put(operator),
             Transition::Fail(fault) => system.table.fail_next(fault),
-            Transition::Settle => system.table.settle(),
+            Transition::ApplyDelayed => system.table.apply_delayed(),
             Transition::Outage(unavailable) => {
                 system.unavailable = unavailable;
                 system.table.set_unavailable(unavailable);
             }
             Transition::Fetch { host } => system.fetch(host),
-            Transition::Gossip { from, to } => system.gossip(from, to),
+            Transition::Sync { from, to } => system.sync(from, to),
             Transition::Send { from } => {
                 let sections = system.hosts[from].sections().cloned().collect();
                 system.in_flight.push_back(sections);
@@ -280,7 +282,7 @@
             Transition::Replace { host } => {
                 system.hosts[host] = replication::Replica::default();
                 replaced = Some(host);
-                (0..HOSTS).for_each(|from| system.gossip(from, host));
+                (0..HOSTS).for_each(|from| system.sync(from, host));
                 system.fetch(host);
             }
         }
--- a/crates/lagoonline/tests/control_lease.rs
+++ b/crates/lagoonline/tests/control_lease.rs
@@ -1,12 +1,12 @@
-//! Leases under pauses, lost answers and outages: there is at most one effective holder.
+//! Leases under pauses, lost answers and outages: at most one contender may send commands.
 
-mod control;
+mod fake_table;
 
 use std::collections;
 use std::future;
 use std::pin;
 
-use control::{Fault, Table, block_on};
+use fake_table::{FakeTable, Fault, block_on};
 use lagoonline::clock::{Clock, Fake, Moment, Span};
 use lagoonline::control::lease;
 use lagoonline::id;
@@ -28,10 +28,11 @@
     // The holder stops. The next one may acquire the lease, with a higher fencing number, only when
     // the lease duration and the longest delay of a command have passed since it first saw the
     // last write. Otherwise a command of the old holder could arrive after one of the new holder.
-    let (table, clock) = (Table::default(), Fake::default());
+    let (table, clock) = (FakeTable::default(), Fake::default());
     let (mut first, mut second) = (contender(0, &clock), contender(1, &clock));
     assert_eq!(block_on(first.step(&table)), Ok(lease::Status::Held(id::Fence(1))));
     assert_eq!(block_on(second.step(&table)), Ok(lease::Status::Waiting));
+    // One millisecond less than the default duration of 10 s and command delay of 2 s.
     clock.advance(Span::from_millis(11_999));
     assert_eq!(block_on(second.step(&table)), Ok(lease::Status::Waiting));
     assert_eq!(first.permit(), None);
@@ -42,7 +43,7 @@
 #[test]
 fn a_renewed_lease_is_not_acquired_by_others() {
     // A contender must restart its wait whenever the holder renews the lease.
-    let (table, clock) = (Table::default(), Fake::default());
+    let (table, clock) = (FakeTable::default(), Fake::default());
     let (mut first, mut second) = (contender(0, &clock), contender(1, &clock));
     for _ in 0..100 {
         assert_eq!(block_on(first.step(&table)), Ok(lease::Status::Held(id::Fence(1))));
@@ -55,7 +56,7 @@
 fn a_paused_holder_gets_no_permit() {
     // The holder is paused for 30 s, past the end of its lease. Afterwards it must get no permit,
     // and a command whose permit was obtained before the pause must be counted as late.
-    let (table, clock) = (Table::default(), Fake::default());
+    let (table, clock) = (FakeTable::default(), Fake::default());
     let mut first = contender(0, &clock);
     block_on(first.step(&table)).unwrap();
     let permit = first.permit().unwrap();
@@ -69,7 +70,7 @@
 fn a_write_with_a_lost_answer_is_read_back() {
     // The write of the lease took effect but its answer was lost. The holder must find its own row
     // instead of waiting for its own lease to expire.
-    let (table, clock) = (Table::default(), Fake::default());
+    let (table, clock) = (FakeTable::default(), Fake::default());
     let mut first = contender(0, &clock);
     table.fail_next(Fault::LoseAnswer);
     assert_eq!(block_on(first.step(&table)), Ok(lease::Status::Held(id::Fence(1))));
@@ -80,7 +81,7 @@
     // The table is unavailable for longer than the lease. The holder must stop sending when the
     // lease expires, even though nobody else can acquire it. After the outage it acquires the lease
     // again, with a higher fencing number.
-    let (table, clock) = (Table::default(), Fake::default());
+    let (table, clock) = (FakeTable::default(), Fake::default());
     let mut first = contender(0, &clock);
     block_on(first.step(&table)).unwrap();
     table.set_unavailable(true);
@@ -96,7 +97,7 @@
 #[test]
 fn a_released_lease_is_acquired_immediately() {
     // A released lease must be free for the next holder without any wait.
-    let (table, clock) = (Table::default(), Fake::default());
+    let (table, clock) = (FakeTable::default(), Fake::default());
     let (mut first, mut second) = (contender(0, &clock), contender(1, &clock));
     block_on(first.step(&table)).unwrap();
     block_on(first.release(&table)).unwrap();
@@ -117,11 +118,12 @@
     /// The next commit fails with this fault.
     Fail(Fault),
     /// Delayed commits take effect.
-    Settle,
+    ApplyDelayed,
     /// An outage of the table starts or ends.
     Outage(bool),
 }
 
+/// Empty reference state: the system is checked by its invariants only.
 #[derive(Clone, Debug)]
 struct Reference;
 
@@ -140,7 +142,7 @@
             6 => prop_oneof![0_u64..500, 1_000_u64..13_000].prop_map(Transition::Advance),
             2 => prop_oneof![Just(Fault::LoseAnswer), Just(Fault::Delay), Just(Fault::Refuse)]
                 .prop_map(Transition::Fail),
-            2 => Just(Transition::Settle),
+            2 => Just(Transition::ApplyDelayed),
             1 => prop::bool::weighted(0.3).prop_map(Transition::Outage),
         ]
         .boxed()
@@ -151,19 +153,20 @@
     }
 }
 
-type Output = (lease::Lease<Fake>, Result<lease::Status, table::Error>);
+/// The lease, which the step owns while it runs, and the result of the step.
+type StepOutput = (lease::Lease<Fake>, Result<lease::Status, table::Error>);
 
 /// A contender, or the step that it is executing.
 enum Contender {
     Idle(Box<lease::Lease<Fake>>),
-    Stepping(pin::Pin<Box<dyn future::Future<Output = Output>>>),
+    Stepping(pin::Pin<Box<dyn future::Future<Output = StepOutput>>>),
 }
 
 /// Contenders, table and the commands sent. A command may arrive at the engine up to the maximum
 /// delay after it was sent, so no command of a holder may still be in flight when another
 /// holder sends one.
 struct System {
-    table: Table,
+    table: FakeTable,
     clock: Fake,
     contenders: Vec<Option<Contender>>,
     /// Fencing number, sender and time of each command sent.
@@ -185,7 +188,7 @@
                 })
             }
         };
-        let next = match control::poll_once(stepping.as_mut()) {
+        let next = match fake_table::poll_once(stepping.as_mut()) {
             None => Contender::Stepping(stepping),
             Some((lease, _)) => Contender::Idle(Box::new(lease)),
         };
@@ -209,6 +212,7 @@
     }
 }
 
+/// State machine test of [`System`].
 struct Test;
 
 impl StateMachineTest for Test {
@@ -229,7 +233,7 @@
             Transition::SendCommand(index) => system.send_command(index),
             Transition::Advance(millis) => system.clock.advance(Span::from_millis(millis)),
             Transition::Fail(fault) => system.table.fail_next(fault),
-            Transition::Settle => system.table.settle(),
+            Transition::ApplyDelayed => system.table.apply_delayed(),
             Transition::Outage(unavailable) => system.table.set_unavailable(unavailable),
         }
         system
@@ -256,5 +260,5 @@
     // lost or late. At no time may two contenders have a permit, and no command may be sent while
     // one of another holder can be in flight.
     #[test]
-    fn there_is_one_effective_holder(sequential 50..200 => Test);
+    fn at_most_one_contender_may_send(sequential 50..200 => Test);
 }
--- a/crates/lagoonline/tests/control_ledger.rs
+++ b/crates/lagoonline/tests/control_ledger.rs
@@ -1,10 +1,10 @@
 //! Usage accounting: every millisecond is attributed once, and every interval is counted once.
 
-mod control;
+mod fake_table;
 
 use std::collections;
 
-use control::{Fault, Table, block_on};
+use fake_table::{FakeTable, Fault, block_on};
 use lagoonline::control::document;
 use lagoonline::control::ledger;
 use lagoonline::id;
@@ -42,7 +42,7 @@
 #[test]
 fn a_row_written_again_after_a_lost_answer_counts_once() {
     // The first write took effect although its answer was lost; the retry must not add to it.
-    let table = Table::default();
+    let table = FakeTable::default();
     let upstream = id::Upstream::from("e");
     let row = ledger::Row { interval: 7, idle_ms: ledger::INTERVAL_MS, ..Default::default() };
     table.fail_next(Fault::LoseAnswer);
@@ -74,7 +74,7 @@
     Unobserved(u64),
     /// The wall clock is set back.
     SetClockBack(u64),
-    /// Another steward becomes the observer; the open interval of the first one is lost.
+    /// Another steward takes over metering the engine; the open interval of the first one is lost.
     ChangeObserver,
     /// Finished rows are written; the first answer may be lost.
     Write { loses_answer: bool },
@@ -87,6 +87,7 @@
     highest_ms: u64,
 }
 
+/// Wall clock time at the start, in the middle of an interval.
 const START_MS: u64 = 1_000 * ledger::INTERVAL_MS + 12_345;
 
 impl ReferenceStateMachine for Reference {
@@ -127,7 +128,7 @@
 }
 
 struct System {
-    table: Table,
+    table: FakeTable,
     meter: ledger::Meter,
     wall_ms: u64,
     pending: Vec<ledger::Row>,
@@ -153,6 +154,7 @@
     }
 }
 
+/// State machine test of [`System`].
 struct Test;
 
 impl StateMachineTest for Test {
@@ -161,7 +163,7 @@
 
     fn init_test(_: &Reference) -> System {
         System {
-            table: Table::default(),
+            table: FakeTable::default(),
             meter: ledger::Meter::new(START_MS),
             wall_ms: START_MS,
             pending: Vec::new(),
@@ -199,7 +201,10 @@
             assert_eq!(row.version, 1, "an interval was written twice");
             let row: ledger::Row = serde_json::from_str(&row.value).unwrap();
             assert_eq!(row.total_ms(), ledger::INTERVAL_MS, "{row:?}");
-            assert!(row.interval * ledger::INTERVAL_MS < reference.highest_ms, "from the future");
+            assert!(
+                row.interval * ledger::INTERVAL_MS < reference.highest_ms,
+                "row of an interval that has not begun"
+            );
             parsed.push(row);
         }
         for grouping in [ledger::Grouping::Team, ledger::Grouping::Customer, ledger::Grouping::Day]
@@ -225,8 +230,8 @@
     })]
 
     // An engine works, is idle or is not observed, the wall clock is set back, observers change and
-    // answers are lost. Every row must add up to the length of its interval, and a report to that
-    // of all its intervals.
+    // answers are lost. Every row must add up to the length of its interval, and a report to the
+    // total length of all its intervals.
     #[test]
-    fn time_is_conserved(sequential 20..100 => Test);
+    fn rows_and_reports_add_up_to_the_wall_time(sequential 20..100 => Test);
 }
--- a/crates/lagoonline/tests/control_membership.rs
+++ b/crates/lagoonline/tests/control_membership.rs
@@ -21,15 +21,18 @@
 
 /// Simulated zone of stewards that run in lockstep. Heartbeat datagrams are lost and delayed;
 /// messages over links are only delayed.
-struct Zone {
+struct Simulation {
     groups: collections::BTreeMap<id::Host, membership::Group>,
     /// Messages in flight, by delivery time in milliseconds and send order.
     messages: collections::BTreeMap<(u64, u64), (id::Host, Message)>,
     random: rngs::SmallRng,
     now_ms: u64,
     sent_count: u64,
+    /// Number of heartbeats sent, including lost ones.
     heartbeats: u64,
+    /// Number of messages with updates sent over links.
     update_messages: u64,
+    /// Probability that a heartbeat is lost.
     loss: f64,
     paused: collections::BTreeSet<id::Host>,
     /// Hosts on one side of a partition.
@@ -55,9 +58,9 @@
     }
 }
 
-impl Zone {
+impl Simulation {
     fn new(hosts: usize, loss: f64, seed: u64) -> Self {
-        let mut zone = Zone {
+        let mut zone = Simulation {
             groups: collections::BTreeMap::new(),
             messages: collections::BTreeMap::new(),
             random: rngs::SmallRng::seed_from_u64(seed),
@@ -196,6 +199,7 @@
             }
         }
         self.send_updates(host, &updates);
+        // 500 ms is the default heartbeat interval.
         let is_heartbeat_due = self.now_ms.is_multiple_of(500);
         for to in peers.into_iter().filter(|_| is_heartbeat_due) {
             self.heartbeats += 1;
@@ -226,24 +230,25 @@
     }
 }
 
-/// Number of hosts in the half-hour simulation: the target of 39, or fewer in an unoptimized build,
-/// where the simulation is slow. In both cases each host has four neighbours.
+/// Number of hosts in the half-hour simulation: a full-size zone of 39, or fewer in an unoptimized
+/// build, where the simulation is slow. In both cases each host has four neighbours.
 const HALF_HOUR_HOSTS: usize = if cfg!(debug_assertions) { 13 } else { 39 };
 
 #[rstest]
-#[case::today(3, 1)]
-#[case::target(HALF_HOUR_HOSTS, 2)]
+#[case::small(3, 1)]
+#[case::full_size(HALF_HOUR_HOSTS, 2)]
 fn no_host_is_declared_dead_at_five_percent_packet_loss(#[case] hosts: usize, #[case] seed: u64) {
     // One datagram in twenty is lost and one in fifty is delayed by up to 0.6 s. Single neighbours
-    // may briefly vote against a host, but never a majority, so no upstream changes its observer.
-    let mut zone = Zone::new(hosts, 0.05, seed);
+    // may briefly vote against a host, but never a majority, so no upstream is reassigned to
+    // another host.
+    let mut zone = Simulation::new(hosts, 0.05, seed);
     zone.run(30 * 60 * 1_000);
     assert_eq!(zone.deaths, []);
     zone.assert_live(hosts);
 }
 
 #[rstest]
-#[case::today(3, 1, 1)]
+#[case::small(3, 1, 1)]
 #[case::one(39, 1, 2)]
 #[case::rack(39, 10, 3)]
 #[case::most(39, 30, 4)]
@@ -256,11 +261,11 @@
     // other. All remaining hosts must declare exactly these dead within 3 s. The limit is 6 s for a
     // rack and 15 s for most of a zone, since hosts without any live neighbour first select new
     // heartbeat peers.
-    for offset in 0..6 {
-        let mut zone = Zone::new(hosts, 0.05, seed + 100 * offset);
-        zone.run(10_000 + offset * 37);
+    for repetition in 0..6 {
+        let mut zone = Simulation::new(hosts, 0.05, seed + 100 * repetition);
+        zone.run(10_000 + repetition * 37);
         for index in 0..dead {
-            zone.groups.remove(&host_name((index + offset as usize) % hosts));
+            zone.groups.remove(&host_name((index + repetition as usize) % hosts));
         }
         let limit = match dead {
             1 => 3_000,
@@ -280,7 +285,7 @@
     // A host is paused for 20 s and declared dead by the others. When it resumes, the heartbeats of
     // all its peers appear to have timed out. It must not vote against them, and it must be live
     // again in every view within seconds.
-    let mut zone = Zone::new(9, 0.05, 7);
+    let mut zone = Simulation::new(9, 0.05, 7);
     zone.run(5_000);
     zone.paused.insert(host_name(4));
     zone.run(20_000);
@@ -302,7 +307,7 @@
     // A zone is partitioned for a minute and each half declares the other dead. After that, a
     // single link between the halves, as stewards open them periodically, must make all hosts live
     // again.
-    let mut zone = Zone::new(10, 0.05, 8);
+    let mut zone = Simulation::new(10, 0.05, 8);
     zone.run(5_000);
     zone.partition = (0..5).map(host_name).collect();
     zone.run(60_000);
@@ -316,7 +321,7 @@
 #[test]
 fn a_rolling_restart_of_all_hosts_leaves_all_live() {
     // Hosts are replaced one per second, without waiting until their failure is detected.
-    let mut zone = Zone::new(39, 0.05, 9);
+    let mut zone = Simulation::new(39, 0.05, 9);
     for index in 0..39 {
         zone.groups.remove(&host_name(index));
         zone.run(300);
@@ -330,7 +335,7 @@
 #[test]
 fn only_the_upstreams_of_a_leaving_host_are_reassigned() {
     // 133 upstreams are assigned to 39 hosts. When one host leaves, only its upstreams, about 3.4,
-    // get new owners.
+    // are reassigned.
     let hosts: Vec<String> = (0..39).map(|index| format!("host-{index}")).collect();
     let upstreams: Vec<String> = (0..133).map(|index| format!("engine-{index}")).collect();
     let owners = |hosts: &[String]| -> Vec<String> {
@@ -350,10 +355,11 @@
 fn heartbeat_cost_per_host_is_bounded_in_a_large_zone() {
     // The heartbeat rate of a host must not grow with the size of the zone, and updates must not be
     // flooded without a change of members.
-    let mut zone = Zone::new(39, 0.05, 10);
+    let mut zone = Simulation::new(39, 0.05, 10);
     zone.run(60_000);
     let heartbeat_rate = zone.heartbeats as f64 / 39.0 / 60.0;
     let update_rate = zone.update_messages as f64 / 39.0 / 60.0;
+    // Four neighbours with two heartbeats per second each.
     assert!(heartbeat_rate <= 8.0, "{heartbeat_rate} heartbeats per second");
     assert!(update_rate <= 0.1, "{update_rate} update messages per second");
 }
--- a/crates/lagoonline/tests/control_platform.rs
+++ b/crates/lagoonline/tests/control_platform.rs
@@ -36,8 +36,8 @@
 #[test]
 fn an_open_breaker_allows_one_trial_call_at_a_time_and_closes_on_an_answer() {
     // The platform is unavailable for a minute and every call fails. Of the hundred calls attempted
-    // per second, only one trial call per open duration is made after the first five failures. The
-    // first call that is answered closes the breaker.
+    // per second, only one trial call every half to whole open duration is made after the first
+    // five failures. The first call that is answered closes the breaker.
     let open_duration = Span::from_secs(1);
     let mut breaker = platform::Breaker::new(open_duration);
     let mut random = rngs::SmallRng::seed_from_u64(1);
@@ -49,6 +49,7 @@
             breaker.record_failure(now, random.random());
         }
     }
+    // Five failures open the breaker. A trial call then follows every 0.5 to 1 s, for about 60 s.
     assert!((5 + 59..=5 + 121).contains(&calls), "{calls} calls");
     let recovered = Moment::from_millis(60_000) + open_duration;
     assert!(breaker.admit(recovered));
@@ -74,7 +75,8 @@
 #[test]
 fn trial_calls_of_many_hosts_are_spread_over_time() {
     // 350 hosts lose the platform at the same time. Their trial calls must be spread over half of
-    // the open duration, with no more than a quarter of them in any 50 ms.
+    // the open duration, with no more than a quarter of them in any 50 ms. Evenly spread, that
+    // would be a tenth; the rest allows for random variation.
     let (open_duration, hosts) = (Span::from_secs(1), 350);
     let mut random = rngs::SmallRng::seed_from_u64(2);
     let mut times = Vec::new();
--- a/crates/lagoonline/tests/control_reconcile.rs
+++ b/crates/lagoonline/tests/control_reconcile.rs
@@ -22,7 +22,7 @@
 }
 
 // Guards against commands that the engine does not need, that a later lease holder has superseded,
-// or that terminate streams on an engine without fencing.
+// or that terminate streams on an engine that ignores fencing numbers.
 #[rstest]
 #[case::in_desired_state(actual("n", engine::Role::Long, 4), context(true, 0), Decision::Nothing)]
 #[case::other_model(actual("x", engine::Role::Long, 4), context(true, 3), Decision::Send(load()))]
@@ -32,7 +32,11 @@
     Decision::Send(engine::Command::Role { role: engine::Role::Long })
 )]
 #[case::newer_holder(actual("x", engine::Role::Long, 6), context(true, 0), Decision::Superseded)]
-#[case::serving_and_unfenced(actual("x", engine::Role::Long, 4), context(false, 1), Decision::Wait)]
+#[case::serving_and_ignoring_fences(
+    actual("x", engine::Role::Long, 4),
+    context(false, 1),
+    Decision::Wait
+)]
 #[case::late_command_executed(
     actual("x", engine::Role::Long, 5),
     context(false, 0),
@@ -48,7 +52,8 @@
 
 #[test]
 fn a_loading_engine_gets_no_command() {
-    // Another command would interrupt the load, and at every reconciliation until it ends.
+    // Otherwise each reconciliation during a load would send another command and interrupt the
+    // load.
     let actual = Actual { loading: true, ..actual("x", engine::Role::Long, 5) };
     assert_eq!(reconcile::decide(&desired(), &actual, &context(true, 0)), Decision::Wait);
 }
--- a/crates/lagoonline/tests/control/mod.rs
+++ b/crates/lagoonline/tests/fake_table/mod.rs
@@ -16,7 +16,7 @@
 pub enum Fault {
     /// The commit takes effect, but its answer is lost.
     LoseAnswer,
-    /// The answer is lost; the commit takes effect later, when [`Table::settle`] is called.
+    /// The answer is lost; the commit takes effect later, by [`FakeTable::apply_delayed`].
     Delay,
     /// The commit is refused and nothing is written.
     Refuse,
@@ -34,11 +34,11 @@
 /// Table service with rows in memory, which clones share. Every call first yields once, so that
 /// the steps of concurrent callers interleave.
 #[derive(Clone, Debug, Default)]
-pub struct Table {
+pub struct FakeTable {
     inner: rc::Rc<cell::RefCell<Inner>>,
 }
 
-impl Table {
+impl FakeTable {
     /// Queues a fault for the next commit that reaches the table.
     pub fn fail_next(&self, fault: Fault) {
         self.inner.borrow_mut().faults.push_back(fault);
@@ -50,7 +50,7 @@
     }
 
     /// Applies the delayed commits whose checks still hold.
-    pub fn settle(&self) {
+    pub fn apply_delayed(&self) {
         let delayed = std::mem::take(&mut self.inner.borrow_mut().delayed);
         for transaction in delayed {
             let _ = self.inner.borrow_mut().apply(&transaction);
@@ -147,7 +147,7 @@
     }
 }
 
-impl table::Table for Table {
+impl table::Table for FakeTable {
     async fn read(&self, key: &str) -> Result<Option<table::Row>, table::Error> {
         Yield::default().await;
         self.check_available()?;
@@ -176,7 +176,7 @@
     }
 }
 
-/// Polls a future to completion; it must not wait for anything but a [`Table`].
+/// Polls a future to completion; it must not wait for anything but a [`FakeTable`].
 pub fn block_on<F>(future: F) -> F::Output
 where
     F: future::Future,
