--- a/crates/lagoon-gateway/src/crash.rs
+++ b/crates/lagoon-gateway/src/crash.rs
@@ -89,6 +89,7 @@
     }
 }
 
+/// Probes an upstream whose connections broke, and records a crash if its process has ended.
 async fn probe_upstream(
     state: sync::Arc<state::State>,
     service: id::Service,
--- a/crates/lagoon-gateway/src/forward.rs
+++ b/crates/lagoon-gateway/src/forward.rs
@@ -130,6 +130,8 @@
     }
 }
 
+/// Tries one upstream after another until one answers or no further attempt is allowed. Sets
+/// `may_have_run` while an attempt may have run the request.
 async fn attempts(
     admitted: Admitted,
     caller: Caller,
@@ -190,6 +192,7 @@
 }
 
 impl CheckedAnswer {
+    /// Turns the answer into the response to the caller; a stream goes on in a task of its own.
     fn deliver(self, admitted: Admitted, caller: Caller) -> web::HttpResponse {
         let closing = admitted.state.phase() > state::Phase::Serving;
         match self {
@@ -211,6 +214,7 @@
 }
 
 impl Admitted {
+    /// Whether the request may run more than once.
     fn retry_rule(&self) -> request::Repeat {
         if self.route.kind.may_repeat() { request::Repeat::Allowed } else { request::Repeat::Never }
     }
@@ -220,6 +224,7 @@
         self.deadline.since(self.state.clock.now())
     }
 
+    /// Returns the target for the longest gap between events; zero if the answer is not streamed.
     pub(crate) fn gap_target(&self) -> clock::Span {
         match self.route.kind {
             routing::Kind::Stream { gap, .. } => gap,
@@ -307,6 +312,7 @@
         Ok(OpenAnswer { exchange, answer, in_flight, upstream: first.upstream.clone(), head_at })
     }
 
+    /// Builds the request to the upstream of `placement`, with its helpers and reservations.
     fn encode(
         &self,
         placement: &placement::Placement,
@@ -366,10 +372,12 @@
         })
     }
 
+    /// Records that an upstream was unreachable or stopped responding.
     pub(crate) fn record_unreachable(&self, upstream: &id::Upstream) {
         self.record_outcome(upstream, message::UpstreamOutcome::Failed);
     }
 
+    /// Records and publishes how an upstream handled the request.
     pub(crate) fn record_outcome(
         &self,
         upstream: &id::Upstream,
@@ -447,6 +455,7 @@
         Some(helper)
     }
 
+    /// Records that an upstream answered the request.
     pub(crate) fn record_success(&self, upstream: &id::Upstream) {
         self.record_outcome(upstream, message::UpstreamOutcome::Answered);
     }
--- a/crates/lagoon-gateway/src/hosts.rs
+++ b/crates/lagoon-gateway/src/hosts.rs
@@ -95,6 +95,7 @@
     }
 }
 
+/// Writes this host's row, and retries until that succeeds.
 async fn write_row(state: &state::State, own: &Row) {
     let mut client = client::Client::new(state.settings.node.store);
     let row = serde_json::json!(own).to_string();
--- a/crates/lagoon-gateway/src/lib.rs
+++ b/crates/lagoon-gateway/src/lib.rs
@@ -2,6 +2,12 @@
 //! decides with the library [`lagoonline`] where they go, and talks to upstreams, to the platform's
 //! store and to the other entry hosts.
 //!
+//! A request of a caller passes through these modules: `server` reads it, `admit` finds its
+//! route and customer, `place` chooses an upstream and reserves memory there, `forward` makes
+//! the attempts and `stream` forwards the events of a streamed answer. A dispatch is one attempt
+//! at one upstream. `mesh` shares dispatches in flight with the other hosts, and `relay` the
+//! platform's tables with the hosts of the same zone.
+//!
 //! The platform's names and formats are confined to the crate [`lagoon_platform`].
 
 mod admit;
--- a/crates/lagoon-gateway/src/mesh.rs
+++ b/crates/lagoon-gateway/src/mesh.rs
@@ -1,6 +1,11 @@
 //! Datagrams between entry hosts: heartbeats, dispatches in flight, health of upstreams, and
 //! questions to the zone's scheduler. [`routing::Roster`] decides which host reports to which.
 //!
+//! In a small zone every host tracks the dispatches of all hosts and places its own requests. In a
+//! larger one the first live host, the scheduler, places the requests of all hosts. Only it and its
+//! successors track the dispatches in flight, and it forwards the updates of its zone to the
+//! others.
+//!
 //! [`routing::Roster`]: lagoonline::routing::Roster
 
 use std::collections;
@@ -67,6 +72,7 @@
     Ok(())
 }
 
+/// Collects queued updates for a short time and sends them in batches.
 async fn send_updates(state: sync::Arc<state::State>, mut updates: mpsc::Receiver<QueuedUpdate>) {
     let mut batch = Vec::new();
     loop {
@@ -127,6 +133,8 @@
     }
 }
 
+/// Sends a heartbeat with this host's dispatches to the hosts of the zone that track dispatches in
+/// flight, and asks them to answer.
 fn send_zone_heartbeat(state: &state::State) {
     let now = state.clock.now();
     let own = collections::HashSet::from([state.incarnation]);
@@ -179,6 +187,7 @@
     }
 }
 
+/// Receives datagrams and applies them.
 async fn receive(state: sync::Arc<state::State>, socket: UdpSocket) {
     let mut buffer = vec![0; 1 << 16];
     // An update about a service that is not known yet would be lost.
@@ -199,6 +208,7 @@
     }
 }
 
+/// Applies a batch, and answers the questions in it.
 fn apply_batch(state: &state::State, from: net::SocketAddr, batch: message::Batch) {
     let incarnation = batch.host;
     let now = state.clock.now();
@@ -233,6 +243,7 @@
     state.compare_verdicts(from, batch.verdicts);
 }
 
+/// Drops dispatches that a heartbeat no longer lists, and answers it if asked to.
 fn apply_heartbeat(state: &state::State, from: net::SocketAddr, beat: message::Heartbeat) {
     if beat.wants_answer {
         state.send(from, &state.encode_updates(Vec::new()));
--- a/crates/lagoon-gateway/src/place.rs
+++ b/crates/lagoon-gateway/src/place.rs
@@ -136,6 +136,7 @@
         self.record_outcome(&refusal.upstream, outcome);
     }
 
+    /// Reserves the memory that `placement` asks for. Returns `None` if it needs none.
     async fn reserve(
         &self,
         placement: &placement::Placement,
@@ -189,6 +190,7 @@
         }
     }
 
+    /// Returns the fault for a request that cannot be placed.
     fn placement_fault(&self, refusal: placement::Refusal) -> answer::Fault {
         let detail = format!("{}: {refusal}", self.service);
         let (reason, span) = match refusal {
--- a/crates/lagoon-gateway/src/quarantine/mod.rs
+++ b/crates/lagoon-gateway/src/quarantine/mod.rs
@@ -97,6 +97,7 @@
     }
 }
 
+/// Returns the fault for a request in quarantine.
 fn quarantine_fault(record: &quarantine::Record, now: clock::Moment) -> answer::Fault {
     let left = record.expires_at.since(now);
     let (fingerprint, crashes) = (&record.fingerprint, record.crashes);
@@ -232,6 +233,7 @@
         self.refresh_summary();
     }
 
+    /// Updates the checksum and the metrics after a change.
     fn refresh_summary(&self) {
         let now = self.clock.now();
         let quarantine = state::lock(&self.quarantine.records);
@@ -277,6 +279,7 @@
     messages::Update::new(0, &id::Service::default(), what)
 }
 
+/// Logs a message about a request whose fingerprint cannot be decoded.
 fn log_unreadable(error: fingerprint::Malformed) {
     event::Line::new("quarantine_unreadable").text("error", error).warn();
 }
--- a/crates/lagoon-gateway/src/quarantine/rows.rs
+++ b/crates/lagoon-gateway/src/quarantine/rows.rs
@@ -76,6 +76,7 @@
     tokio::time::sleep(span.mul_f64(rand::rng().random_range(0.7..1.3))).await;
 }
 
+/// Reads and merges all stored verdicts.
 async fn read(
     state: &state::State,
     client: &mut client::Client,
@@ -123,6 +124,7 @@
     event::Line::new("quarantine_unreadable").text("key", key).text("error", error).warn();
 }
 
+/// Writes new verdicts and removes expired ones, up to [`MAX_CALLS`] of each.
 async fn write(
     state: &state::State,
     client: &mut client::Client,
--- a/crates/lagoon-gateway/src/relay/serve.rs
+++ b/crates/lagoon-gateway/src/relay/serve.rs
@@ -51,6 +51,7 @@
     }
 }
 
+/// Answers the requests on one connection until it is closed.
 async fn serve_requests(state: &state::State, stream: TcpStream) -> io::Result<()> {
     tcp::set_options(&stream)?;
     let mut connection = super::framed(stream);
@@ -84,6 +85,7 @@
     snapshot(state, request)
 }
 
+/// Whether the desired state or the list of upstreams has changed since the versions in `request`.
 fn has_changes(state: &state::State, request: &message::Request) -> bool {
     let changed = |table: &tables::Table| state::lock(table).last_change();
     request.desired.is_none_or(|known| changed(&state.tables.desired) > known)
@@ -102,6 +104,7 @@
     Some((desired, upstreams))
 }
 
+/// Returns the changes of all tables since the versions in `request`.
 fn snapshot(state: &state::State, request: &message::Request) -> Option<message::Changes> {
     let (desired_age, upstreams_age) = ages(state)?;
     let desired = state::lock(&state.tables.desired).changes_since(request.desired)?;
--- a/crates/lagoon-gateway/src/report.rs
+++ b/crates/lagoon-gateway/src/report.rs
@@ -65,6 +65,7 @@
     engines
 }
 
+/// Fetches the report of one engine, and publishes its slowness if it is slow.
 async fn ask(state: sync::Arc<state::State>, service: id::Service, entry: routing::Registration) {
     let report = match fetch(&entry).await {
         Ok(report) => report,
--- a/crates/lagoon-gateway/src/reserve.rs
+++ b/crates/lagoon-gateway/src/reserve.rs
@@ -117,6 +117,7 @@
     pub(crate) detail: String,
 }
 
+/// Returns how long a reservation lasts without a renewal.
 fn hold_time(state: &state::State) -> time::Duration {
     let bounds = &state.settings.node.bounds;
     bounds.free.mul_f64(HOLD_SHARE).min(bounds.hold)
@@ -248,6 +249,8 @@
         .any(|known| known.id == reservation.id && known.state == engine::ReservationState::Used))
 }
 
+/// Releases a reservation, and repeats that until the engine confirms it or the reservation has
+/// expired.
 async fn release(state: sync::Arc<state::State>, reservation: Reservation) {
     let expiry = state.clock.now() + hold_time(&state);
     loop {
@@ -273,6 +276,7 @@
     }
 }
 
+/// Sends an order to an engine and logs it. Returns the status of the answer.
 async fn send_order(
     entry: &routing::Registration,
     body: Vec<u8>,
--- a/crates/lagoon-gateway/src/schedule.rs
+++ b/crates/lagoon-gateway/src/schedule.rs
@@ -122,6 +122,7 @@
     None
 }
 
+/// Lets the roster skip a scheduler that did not place a request.
 fn skip_scheduler(state: &state::State, host: &id::Host, why: &str) {
     state::lock(&state.peers).roster.skip(host, state.clock.now());
     state.metrics.schedulers_skipped.inc();
@@ -142,6 +143,8 @@
     question::Answer { number: question.number, decision }
 }
 
+/// Places the dispatch in `question` and publishes it. Returns `None` if the service is not known
+/// here.
 fn place(
     state: &state::State,
     asking: u64,
--- a/crates/lagoon-gateway/src/server.rs
+++ b/crates/lagoon-gateway/src/server.rs
@@ -134,6 +134,7 @@
     datagrams: net::UdpSocket,
 }
 
+/// Starts all tasks of the process, and runs until it is drained.
 async fn serve(
     state: sync::Arc<state::State>,
     sockets: Sockets,
@@ -206,6 +207,7 @@
     Ready,
 }
 
+/// Starts an HTTP server on `listener`.
 fn listen(
     state: sync::Arc<state::State>,
     listener: net::TcpListener,
@@ -356,6 +358,7 @@
     }
 }
 
+/// Reads the body of a request, of at most `limit` bytes.
 async fn read_body(
     payload: web::types::Payload,
     limit: usize,
--- a/crates/lagoon-gateway/src/store.rs
+++ b/crates/lagoon-gateway/src/store.rs
@@ -63,6 +63,7 @@
         }
     }
 
+    /// Makes one call on the idle connection if it is still usable, otherwise on a new one.
     async fn call_on(
         &self,
         idle: Option<exchange::Exchange>,
--- a/crates/lagoon-gateway/src/stream.rs
+++ b/crates/lagoon-gateway/src/stream.rs
@@ -334,6 +334,8 @@
         silent >= silence * 2 || silent >= silence && !may_be_busy
     }
 
+    /// Returns how long an upstream may be silent before another is tried, unless it is merely
+    /// busy.
     fn silence_timeout(&self) -> clock::Span {
         let routing::Kind::Stream { gap, .. } = self.admitted.route.kind else {
             return clock::Span::MAX;
@@ -366,6 +368,7 @@
         Ok(())
     }
 
+    /// Updates the longest pause between two events.
     fn record_pause(&mut self) {
         let now = self.admitted.state.clock.now();
         if self.events > 1 {
--- a/crates/lagoon-gateway/src/tables.rs
+++ b/crates/lagoon-gateway/src/tables.rs
@@ -157,6 +157,7 @@
     }
 }
 
+/// Decodes a row of the list of upstreams. A row that cannot be read removes its upstream.
 fn read_entry(row: &store::Row) -> routing::Change {
     let removed = || routing::Change::Removed(id::Upstream::from(row.key.as_str()));
     let Some(text) = &row.value else { return removed() };
--- a/crates/lagoon-gateway/src/watch.rs
+++ b/crates/lagoon-gateway/src/watch.rs
@@ -105,6 +105,7 @@
         }
     }
 
+    /// Waits for the changes since `version`. Returns `None` if the platform no longer has them.
     async fn read_changes(
         &mut self,
         version: u64,
@@ -131,6 +132,7 @@
         Ok(Some(self.apply(delta, at)))
     }
 
+    /// Reads all rows of the table.
     async fn read_all(&mut self, started: clock::Moment) -> Result<Option<Changes>, client::Error> {
         let mut rows: Vec<store::Row> = Vec::new();
         let mut version = None;
@@ -156,6 +158,7 @@
         Ok(Some(self.apply(delta, started)))
     }
 
+    /// Applies `delta` to the local copy.
     fn apply(&self, delta: mirror::Delta, at: clock::Moment) -> Changes {
         let rows = state::lock(&self.mirror).apply(delta);
         Changes { rows, at, recovered: self.failures > 0 }
@@ -166,6 +169,7 @@
         self.max_pause = max_pause(state);
     }
 
+    /// Logs the first of several failures, and sleeps before the next call.
     async fn back_off(&mut self, error: &client::Error) {
         self.failures += 1;
         if self.failures == 1 {
@@ -180,6 +184,7 @@
     }
 }
 
+/// Returns the longest pause between failing calls of this host.
 fn max_pause(state: &state::State) -> clock::Span {
     state::lock(&state.peers).roster.max_retry_pause(state.clock.now())
 }
