--- a/crates/lagoon-gateway/src/connection.rs
+++ b/crates/lagoon-gateway/src/connection.rs
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 struct Connection {
     io: io::IoRef,
-    busy: usize,
+    requests: usize,
 }
 
 type OpenConnections = collections::HashMap<io::Id, Connection>;
@@ -23,35 +23,35 @@
 
 /// Guard of a request in progress on a connection.
 #[derive(Debug)]
-pub(crate) struct Busy {
+pub(crate) struct RequestGuard {
     id: io::Id,
     connections: Connections,
 }
 
 impl Connections {
     /// Records that a request arrived on the connection `io`.
-    pub(crate) fn track_request(&self, io: &io::IoRef) -> Busy {
+    pub(crate) fn track_request(&self, io: &io::IoRef) -> RequestGuard {
         let id = io.id();
         let mut open = self.open.borrow_mut();
         open.retain(|_, connection| !connection.io.is_closed());
-        open.entry(id).or_insert_with(|| Connection { io: io.clone(), busy: 0 }).busy += 1;
-        Busy { id, connections: self.clone() }
+        open.entry(id).or_insert_with(|| Connection { io: io.clone(), requests: 0 }).requests += 1;
+        RequestGuard { id, connections: self.clone() }
     }
 
     /// Closes every connection without a request in progress.
     pub(crate) fn close_idle(&self) {
         for connection in self.open.borrow().values() {
-            if connection.busy == 0 {
+            if connection.requests == 0 {
                 connection.io.close();
             }
         }
     }
 }
 
-impl Drop for Busy {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         if let Some(connection) = self.connections.open.borrow_mut().get_mut(&self.id) {
-            connection.busy -= 1;
+            connection.requests -= 1;
         }
     }
 }
--- a/crates/lagoon-gateway/src/forward.rs
+++ b/crates/lagoon-gateway/src/forward.rs
@@ -54,9 +54,9 @@
     /// The caller's connection.
     pub(crate) io: Option<ntex::io::IoRef>,
     /// Keeps the connection from being closed as idle.
-    pub(crate) _busy: Option<connection::Busy>,
+    pub(crate) _busy: Option<connection::RequestGuard>,
     /// Keeps the process from shutting down.
-    pub(crate) _active: state::Active,
+    pub(crate) _active: state::ActiveRequest,
 }
 
 /// Maximum size in bytes of an answer that is not streamed; it is buffered until complete.
--- a/crates/lagoon-gateway/src/metrics.rs
+++ b/crates/lagoon-gateway/src/metrics.rs
@@ -12,7 +12,7 @@
 
 /// Labels of the counter of answers.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub(crate) struct Answered {
+pub(crate) struct AnswerLabels {
     /// Name of the service; empty if no upstream's answer was forwarded.
     pub(crate) service: String,
     /// `done` for a complete answer, otherwise the reason of the failure.
@@ -21,7 +21,7 @@
 
 /// Labels of the histogram of first events.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub(crate) struct Length {
+pub(crate) struct FirstEventLabels {
     /// Length class of the prompt.
     pub(crate) length: &'static str,
 }
@@ -30,9 +30,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
     /// Answers by service and reason.
-    pub(crate) answers: Family<Answered, Counter>,
+    pub(crate) answers: Family<AnswerLabels, Counter>,
     /// Seconds to the first event, or to the answer if it is not streamed, by prompt length.
-    pub(crate) first_event_seconds: Family<Length, Histogram>,
+    pub(crate) first_event_seconds: Family<FirstEventLabels, Histogram>,
     /// Dispatches beyond a request's first one.
     pub(crate) retries: Counter,
     /// Updates to other hosts that were dropped.
@@ -108,7 +108,7 @@
     /// Counts an answer of `service`, complete or with the `reason` of its failure.
     pub(crate) fn count_answer(&self, service: &str, reason: Option<outcome::Reason>) {
         let reason = reason.map_or("done", outcome::Reason::as_str);
-        self.answers.get_or_create(&Answered { service: service.to_owned(), reason }).inc();
+        self.answers.get_or_create(&AnswerLabels { service: service.to_owned(), reason }).inc();
     }
 
     /// Records that the first event of an answer to a prompt of `tokens` tokens was sent after
@@ -120,7 +120,9 @@
             10_000..100_000 => "medium",
             _ => "long",
         };
-        self.first_event_seconds.get_or_create(&Length { length }).observe(span.as_secs_f64());
+        self.first_event_seconds
+            .get_or_create(&FirstEventLabels { length })
+            .observe(span.as_secs_f64());
     }
 
     /// Encodes the metrics as text.
--- a/crates/lagoon-gateway/src/quarantine/rows.rs
+++ b/crates/lagoon-gateway/src/quarantine/rows.rs
@@ -21,7 +21,7 @@
 const TABLE: &str = "lagoon-quarantine";
 /// Timeout for a call of the store.
 const CALL_TIMEOUT: clock::Span = clock::Span::from_millis(1_500);
-/// Interval between two rounds of writes, and first pause after a failed call.
+/// Interval between two rounds of writes; doubled with each consecutive failed call.
 const WRITE_INTERVAL: clock::Span = clock::Span::from_millis(700);
 /// Maximum number of writes, and of removals, in one round.
 const MAX_CALLS: usize = 10;
@@ -29,11 +29,15 @@
 /// The row of a verdict; its key is the fingerprint.
 #[derive(Debug, Deserialize, Serialize)]
 struct Row {
+    /// Version of the verdict; grows with each verdict on the same request.
     version: u32,
+    /// How often the request has been in quarantine.
     times: u32,
+    /// Number of crashes on which the verdict is based.
     crashes: u32,
     /// Unix time in milliseconds at which the verdict expires.
     until_ms: u64,
+    /// Whether the quarantine was ended early.
     released: bool,
 }
 
--- a/crates/lagoon-gateway/src/report.rs
+++ b/crates/lagoon-gateway/src/report.rs
@@ -36,13 +36,13 @@
 
 /// Polls the engines that fall to this host for as long as the process runs.
 pub(crate) async fn run(state: sync::Arc<state::State>) {
-    let mut rounds = routing::PollSchedule::default();
+    let mut schedule = routing::PollSchedule::default();
     loop {
         tokio::time::sleep(CHECK_INTERVAL.mul_f64(rand::rng().random_range(0.9..1.1))).await;
         if state.phase() > state::Phase::Serving {
             return;
         }
-        for (service, entry) in due(&state, &mut rounds) {
+        for (service, entry) in due(&state, &mut schedule) {
             drop(ntex::rt::spawn(ask(state.clone(), service, entry)));
         }
     }
@@ -51,7 +51,7 @@
 /// Returns the engines that this host has to poll now.
 fn due(
     state: &state::State,
-    rounds: &mut routing::PollSchedule,
+    schedule: &mut routing::PollSchedule,
 ) -> Vec<(id::Service, routing::Registration)> {
     let now = state.clock.now();
     if !state::lock(&state.peers).roster.is_leader(now) {
@@ -60,7 +60,7 @@
     let mut engines = state.engines();
     let zones: collections::BTreeSet<_> =
         engines.iter().map(|(_, entry)| entry.zone.clone()).collect();
-    let asked = rounds.due(&state::lock(&state.peers).roster, &zones, REPORT_INTERVAL, now);
+    let asked = schedule.due(&state::lock(&state.peers).roster, &zones, REPORT_INTERVAL, now);
     engines.retain(|(_, entry)| asked.contains(&entry.zone));
     engines
 }
--- a/crates/lagoon-gateway/src/state.rs
+++ b/crates/lagoon-gateway/src/state.rs
@@ -418,9 +418,9 @@
     }
 
     /// Counts a request as active until the guard is dropped.
-    pub(crate) fn track_request(self: &sync::Arc<Self>) -> Active {
+    pub(crate) fn track_request(self: &sync::Arc<Self>) -> ActiveRequest {
         self.active.send_modify(|count| *count += 1);
-        Active { state: self.clone() }
+        ActiveRequest { state: self.clone() }
     }
 
     /// Returns a receiver of the number of active requests.
@@ -445,11 +445,11 @@
 
 /// Guard of an active request.
 #[derive(Debug)]
-pub(crate) struct Active {
+pub(crate) struct ActiveRequest {
     state: sync::Arc<State>,
 }
 
-impl Drop for Active {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         self.state.active.send_modify(|count| *count -= 1);
     }
--- a/crates/lagoon-gateway/src/watch.rs
+++ b/crates/lagoon-gateway/src/watch.rs
@@ -22,9 +22,9 @@
 /// Share of the bound on leaving upstreams that may pass between two reads of the list. The rest is
 /// for a slow answer and a lost packet.
 const PAUSE_SHARE: f64 = 0.4;
-/// Pause after the first failed call.
-const FIRST_BACKOFF: clock::Span = clock::Span::from_millis(60);
-/// Maximum number of times that the pause is doubled.
+/// Base of the pause after a failed call, doubled with each consecutive failure.
+const BACKOFF_BASE: clock::Span = clock::Span::from_millis(60);
+/// Maximum number of doublings.
 const MAX_DOUBLINGS: u32 = 5;
 
 /// Maximum pause after the first read of the desired state.
@@ -178,7 +178,7 @@
                 .text("error", error)
                 .warn();
         }
-        let doubled = FIRST_BACKOFF * 2u32.pow(self.failures.min(MAX_DOUBLINGS));
+        let doubled = BACKOFF_BASE * 2u32.pow(self.failures.min(MAX_DOUBLINGS));
         let limit = doubled.min(self.max_pause);
         tokio::time::sleep(limit.mul_f64(rand::rng().random_range(0.5..1.0))).await;
     }
