--- a/crates/lagoon-gateway/src/forward.rs
+++ b/crates/lagoon-gateway/src/forward.rs
@@ -222,7 +222,7 @@
 
     pub(crate) fn gap_target(&self) -> clock::Span {
         match self.route.kind {
-            routing::Kind::Stream { gap, .. } => gap,
+            routing::Kind::Stream { max_gap, .. } => max_gap,
             routing::Kind::Idempotent | routing::Kind::Once => clock::Span::ZERO,
         }
     }
@@ -235,9 +235,9 @@
         failed: &attempt::Failure,
     ) -> bool {
         let within = match failed {
-            attempt::Failure::Unsent(_) => attempts < self.route.attempts + MAX_REFUSALS,
+            attempt::Failure::Unsent(_) => attempts < self.route.max_attempts + MAX_REFUSALS,
             attempt::Failure::Refused { .. } => refusals <= MAX_REFUSALS,
-            attempt::Failure::Lost(_) => attempts < self.route.attempts + refusals,
+            attempt::Failure::Lost(_) => attempts < self.route.max_attempts + refusals,
         };
         if !within || self.time_left() < MIN_TIME_LEFT {
             return false;
@@ -418,7 +418,7 @@
             self.record_outcome(peer, message::UpstreamOutcome::Erred);
         }
         let repeatable = self.route.kind.may_repeat();
-        let is_last = earlier_attempts + 1 >= self.route.attempts as usize
+        let is_last = earlier_attempts + 1 >= self.route.max_attempts as usize
             || self.time_left() < MIN_TIME_LEFT;
         if status >= 500 && repeatable && !is_last {
             return Err(attempt::Failure::Lost(format!("{peer}: answered with status {status}")));
--- a/crates/lagoon-gateway/src/silence.rs
+++ b/crates/lagoon-gateway/src/silence.rs
@@ -78,6 +78,6 @@
 
     /// Whether another upstream may be tried after `attempts` attempts.
     pub(crate) fn may_retry(&self, attempts: u32) -> bool {
-        self.route.kind.may_repeat() && attempts < self.route.attempts
+        self.route.kind.may_repeat() && attempts < self.route.max_attempts
     }
 }
--- a/crates/lagoon-gateway/src/stream.rs
+++ b/crates/lagoon-gateway/src/stream.rs
@@ -324,7 +324,7 @@
     fn should_abandon(&self, upstream: &id::Upstream, silent: clock::Span) -> bool {
         let silence = self.silence_timeout();
         // The last upstream that may be tried is not abandoned: it may merely be busy.
-        if self.upstreams >= self.admitted.route.attempts || silent < MIN_SILENCE.min(silence) {
+        if self.upstreams >= self.admitted.route.max_attempts || silent < MIN_SILENCE.min(silence) {
             return false;
         }
         if self.admitted.is_unresponsive(upstream) {
@@ -335,10 +335,10 @@
     }
 
     fn silence_timeout(&self) -> clock::Span {
-        let routing::Kind::Stream { gap, .. } = self.admitted.route.kind else {
+        let routing::Kind::Stream { max_gap, .. } = self.admitted.route.kind else {
             return clock::Span::MAX;
         };
-        (gap * SILENT_GAPS).max(MIN_SILENCE)
+        (max_gap * SILENT_GAPS).max(MIN_SILENCE)
     }
 
     /// Forwards each complete event in the buffer.
--- a/crates/lagoonline/src/routing/mod.rs
+++ b/crates/lagoonline/src/routing/mod.rs
@@ -34,7 +34,7 @@
         /// Whether another upstream may continue after the last delivered event.
         resumable: bool,
         /// Longest pause between events for the answer to count as in time.
-        gap: clock::Span,
+        max_gap: clock::Span,
     },
 }
 
@@ -44,7 +44,7 @@
     /// ```
     /// use lagoonline::{clock::Span, routing::Kind};
     /// assert!(!Kind::Once.may_repeat());
-    /// assert!(Kind::Stream { resumable: true, gap: Span::ZERO }.may_repeat());
+    /// assert!(Kind::Stream { resumable: true, max_gap: Span::ZERO }.may_repeat());
     /// ```
     pub const fn may_repeat(self) -> bool {
         match self {
@@ -84,7 +84,7 @@
     /// Services that receive its requests; never empty.
     pub shares: Vec<Share>,
     /// Maximum number of upstreams that one request may run on.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether requests are served without a customer's key.
     pub public: bool,
 }
@@ -97,7 +97,7 @@
     /// Path of its health check.
     pub health_path: String,
     /// Number of connections that each upstream accepts from all callers together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Performance profile of its model engines; `None` for a plain service.
     pub profile: Option<profile::Profile>,
 }
--- a/crates/lagoonline/tests/routing.rs
+++ b/crates/lagoonline/tests/routing.rs
@@ -20,7 +20,7 @@
             routing::Share { service: id::Service::from("a"), weight: 90 },
             routing::Share { service: id::Service::from("b"), weight: 10 },
         ],
-        attempts: 2,
+        max_attempts: 2,
         public: false,
     }
 }
