--- a/crates/lagoon-gateway/src/forward.rs
+++ b/crates/lagoon-gateway/src/forward.rs
@@ -54,9 +54,9 @@
     /// The caller's connection.
     pub(crate) io: Option<ntex::io::IoRef>,
     /// Keeps the connection from being closed as idle.
-    pub(crate) _busy: Option<connection::Busy>,
+    pub(crate) _busy: Option<connection::RequestGuard>,
     /// Keeps the process from shutting down.
-    pub(crate) _active: state::Active,
+    pub(crate) _active: state::ActiveRequest,
 }
 
 /// Maximum size in bytes of an answer that is not streamed; it is buffered until complete.
@@ -130,6 +130,8 @@
     }
 }
 
+/// Tries one upstream after another until one answers or no further attempt is allowed. Sets
+/// `may_have_run` while an attempt may have run the request.
 async fn attempts(
     admitted: Admitted,
     caller: Caller,
@@ -190,6 +192,7 @@
 }
 
 impl CheckedAnswer {
+    /// Turns the answer into the response to the caller; a stream goes on in a task of its own.
     fn deliver(self, admitted: Admitted, caller: Caller) -> web::HttpResponse {
         let closing = admitted.state.phase() > state::Phase::Serving;
         match self {
@@ -211,6 +214,7 @@
 }
 
 impl Admitted {
+    /// Whether the request may run more than once.
     fn retry_rule(&self) -> request::Repeat {
         if self.route.kind.may_repeat() { request::Repeat::Allowed } else { request::Repeat::Never }
     }
@@ -220,9 +224,10 @@
         self.deadline.since(self.state.clock.now())
     }
 
+    /// Returns the target for the longest gap between events; zero if the answer is not streamed.
     pub(crate) fn gap_target(&self) -> clock::Span {
         match self.route.kind {
-            routing::Kind::Stream { gap, .. } => gap,
+            routing::Kind::Stream { max_gap, .. } => max_gap,
             routing::Kind::Idempotent | routing::Kind::Once => clock::Span::ZERO,
         }
     }
@@ -235,9 +240,9 @@
         failed: &attempt::Failure,
     ) -> bool {
         let within = match failed {
-            attempt::Failure::Unsent(_) => attempts < self.route.attempts + MAX_REFUSALS,
+            attempt::Failure::Unsent(_) => attempts < self.route.max_attempts + MAX_REFUSALS,
             attempt::Failure::Refused { .. } => refusals <= MAX_REFUSALS,
-            attempt::Failure::Lost(_) => attempts < self.route.attempts + refusals,
+            attempt::Failure::Lost(_) => attempts < self.route.max_attempts + refusals,
         };
         if !within || self.time_left() < MIN_TIME_LEFT {
             return false;
@@ -307,6 +312,7 @@
         Ok(OpenAnswer { exchange, answer, in_flight, upstream: first.upstream.clone(), head_at })
     }
 
+    /// Builds the request to the upstream of `placement`, with its helpers and reservations.
     fn encode(
         &self,
         placement: &placement::Placement,
@@ -366,10 +372,12 @@
         })
     }
 
+    /// Records that an upstream was unreachable or stopped responding.
     pub(crate) fn record_unreachable(&self, upstream: &id::Upstream) {
         self.record_outcome(upstream, message::UpstreamOutcome::Failed);
     }
 
+    /// Records and publishes how an upstream handled the request.
     pub(crate) fn record_outcome(
         &self,
         upstream: &id::Upstream,
@@ -418,7 +426,7 @@
             self.record_outcome(peer, message::UpstreamOutcome::Erred);
         }
         let repeatable = self.route.kind.may_repeat();
-        let is_last = earlier_attempts + 1 >= self.route.attempts as usize
+        let is_last = earlier_attempts + 1 >= self.route.max_attempts as usize
             || self.time_left() < MIN_TIME_LEFT;
         if status >= 500 && repeatable && !is_last {
             return Err(attempt::Failure::Lost(format!("{peer}: answered with status {status}")));
@@ -447,6 +455,7 @@
         Some(helper)
     }
 
+    /// Records that an upstream answered the request.
     pub(crate) fn record_success(&self, upstream: &id::Upstream) {
         self.record_outcome(upstream, message::UpstreamOutcome::Answered);
     }
--- a/crates/lagoon-gateway/src/watch.rs
+++ b/crates/lagoon-gateway/src/watch.rs
@@ -22,9 +22,9 @@
 /// Share of the bound on leaving upstreams that may pass between two reads of the list. The rest is
 /// for a slow answer and a lost packet.
 const PAUSE_SHARE: f64 = 0.4;
-/// Pause after the first failed call.
-const FIRST_BACKOFF: clock::Span = clock::Span::from_millis(60);
-/// Maximum number of times that the pause is doubled.
+/// Base of the pause after a failed call, doubled with each consecutive failure.
+const BACKOFF_BASE: clock::Span = clock::Span::from_millis(60);
+/// Maximum number of doublings.
 const MAX_DOUBLINGS: u32 = 5;
 
 /// Maximum pause after the first read of the desired state.
@@ -105,6 +105,7 @@
         }
     }
 
+    /// Waits for the changes since `version`. Returns `None` if the platform no longer has them.
     async fn read_changes(
         &mut self,
         version: u64,
@@ -131,6 +132,7 @@
         Ok(Some(self.apply(delta, at)))
     }
 
+    /// Reads all rows of the table.
     async fn read_all(&mut self, started: clock::Moment) -> Result<Option<Changes>, client::Error> {
         let mut rows: Vec<store::Row> = Vec::new();
         let mut version = None;
@@ -156,6 +158,7 @@
         Ok(Some(self.apply(delta, started)))
     }
 
+    /// Applies `delta` to the local copy.
     fn apply(&self, delta: mirror::Delta, at: clock::Moment) -> Changes {
         let rows = state::lock(&self.mirror).apply(delta);
         Changes { rows, at, recovered: self.failures > 0 }
@@ -166,6 +169,7 @@
         self.max_pause = max_pause(state);
     }
 
+    /// Logs the first of several failures, and sleeps before the next call.
     async fn back_off(&mut self, error: &client::Error) {
         self.failures += 1;
         if self.failures == 1 {
@@ -174,12 +178,13 @@
                 .text("error", error)
                 .warn();
         }
-        let doubled = FIRST_BACKOFF * 2u32.pow(self.failures.min(MAX_DOUBLINGS));
+        let doubled = BACKOFF_BASE * 2u32.pow(self.failures.min(MAX_DOUBLINGS));
         let limit = doubled.min(self.max_pause);
         tokio::time::sleep(limit.mul_f64(rand::rng().random_range(0.5..1.0))).await;
     }
 }
 
+/// Returns the longest pause between failing calls of this host.
 fn max_pause(state: &state::State) -> clock::Span {
     state::lock(&state.peers).roster.max_retry_pause(state.clock.now())
 }
