--- a/crates/lagoon-net/src/platform/client.rs
+++ b/crates/lagoon-net/src/platform/client.rs
@@ -84,8 +84,8 @@
         if budget.take(now) { Ok(()) } else { Err("not called: over this process's budget") }
     }
 
-    fn record_success(&self) {
-        self.state().breaker.record_success();
+    fn record_answer(&self) {
+        self.state().breaker.record_answer();
     }
 
     fn record_failure(&self) {
@@ -162,7 +162,7 @@
         };
         match &response {
             Ok(response) if response.status.is_server_error() => self.limits.record_failure(),
-            Ok(_) => self.limits.record_success(),
+            Ok(_) => self.limits.record_answer(),
             Err(_) => self.limits.record_failure(),
         }
         self.check_status(step, response?)
--- a/crates/lagoon-net/src/steward/core/report.rs
+++ b/crates/lagoon-net/src/steward/core/report.rs
@@ -33,10 +33,10 @@
 impl Core {
     /// Applies a report of the own entry process.
     pub(super) fn apply_own_report(&mut self, host: &id::Host, report: replication::Report) {
-        // Based on the wall clock, so that numbers keep growing when the steward restarts.
-        let known = self.entry_reports.report(host).map_or(0, |known| known.number);
-        let number = self.clock.wall_millis().max(known + 1);
-        self.apply_report(host, replication::Report { number, ..report }, None);
+        // Based on the wall clock, so that sequence numbers keep growing when the steward restarts.
+        let known = self.entry_reports.report(host).map_or(0, |known| known.sequence);
+        let sequence = self.clock.wall_millis().max(known + 1);
+        self.apply_report(host, replication::Report { sequence, ..report }, None);
     }
 
     fn apply_report(&mut self, host: &id::Host, report: replication::Report, from: Option<LinkId>) {
--- a/crates/lagoonline/src/control/document/delta.rs
+++ b/crates/lagoonline/src/control/document/delta.rs
@@ -1,8 +1,8 @@
 //! Deltas between two versions of a section's text.
 //!
-//! With 26,000 customers and 1,400 edits a day, most of which change one customer, sending the
-//! whole text of about 260 KB to each of 350 hosts at every edit would exceed a node's network
-//! budget of 3 KB/s on average.
+//! The design load is 26,000 customers in 20 sections of about 260 KB each, and 1,400 edits a day,
+//! most of which change one customer. Sending the whole text of a section to each of 350 hosts at
+//! every edit would exceed a host's network budget of 3 KB/s on average.
 //!
 //! Deltas operate on the bytes of the texts and not on the parsed values: whitespace and field
 //! order are part of the text, and every host must have exactly the text that was stored.
@@ -46,7 +46,7 @@
 
 /// A version of a section and its text.
 #[derive(Clone, Copy, Debug)]
-pub struct Text<'a> {
+pub struct VersionedText<'a> {
     /// The version.
     pub version: id::Version,
     /// The text.
@@ -57,15 +57,15 @@
     /// Computes the delta from `old` to `new`.
     ///
     /// ```
-    /// use lagoonline::control::document::{Delta, Text};
+    /// use lagoonline::control::document::{Delta, VersionedText};
     /// use lagoonline::id::Version;
-    /// let old = Text { version: Version(1), text: r#"{"a": {"n": 1}, "b": {}}"# };
-    /// let new = Text { version: Version(2), text: r#"{"a": {"n": 1}, "c": {}}"# };
+    /// let old = VersionedText { version: Version(1), text: r#"{"a": {"n": 1}, "b": {}}"# };
+    /// let new = VersionedText { version: Version(2), text: r#"{"a": {"n": 1}, "c": {}}"# };
     /// let delta = Delta::new(old, new);
     /// assert_eq!(delta.apply(old.text).as_deref(), Some(new.text));
     /// assert_eq!(delta.apply("{}"), None);
     /// ```
-    pub fn new(old: Text<'_>, new: Text<'_>) -> Delta {
+    pub fn new(old: VersionedText<'_>, new: VersionedText<'_>) -> Delta {
         let hash = sha2::Sha256::digest(new.text.as_bytes()).into();
         Delta { from: old.version, to: new.version, hash, steps: steps(old.text, new.text) }
     }
@@ -88,6 +88,7 @@
 
     /// Returns the approximate size in bytes when sent over the network.
     pub fn size(&self) -> usize {
+        // Encoded sizes of a copy step, of the framing of an insert step, and of versions and hash.
         let step = |step: &Step| match step {
             Step::Copy { .. } => 10,
             Step::Insert(text) => text.len() + 4,
--- a/crates/lagoonline/src/control/platform/breaker.rs
+++ b/crates/lagoonline/src/control/platform/breaker.rs
@@ -41,7 +41,7 @@
     /// assert!(!breaker.admit(start));
     /// assert!(breaker.admit(start + open_duration), "one trial");
     /// assert!(!breaker.admit(start + open_duration), "only one");
-    /// breaker.record_success();
+    /// breaker.record_answer();
     /// assert!(breaker.admit(start + open_duration));
     /// ```
     pub fn new(open_duration: clock::Span) -> Self {
@@ -61,8 +61,9 @@
         }
     }
 
-    /// Records that the platform answered, whether with success or an error.
-    pub fn record_success(&mut self) {
+    /// Records that the platform answered. An error answer counts too, since it shows that the
+    /// platform is reachable.
+    pub fn record_answer(&mut self) {
         self.state = State::Closed { failures: 0 };
     }
 
--- a/crates/lagoonline/src/control/replication.rs
+++ b/crates/lagoonline/src/control/replication.rs
@@ -13,7 +13,8 @@
 /// Section versions by team.
 pub type Versions = collections::BTreeMap<id::Team, id::Version>;
 
-/// The sections in force at one host: the newest valid version of each section it received.
+/// The sections in force at one host: the newest valid version of each section that it received.
+/// The entry process of the host may still use an older one; see [`Report::in_force`].
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     sections: collections::BTreeMap<id::Team, sync::Arc<document::Section>>,
@@ -74,6 +75,7 @@
 
     /// Returns a hash of the versions in force; hosts with equal hashes need not exchange versions.
     pub fn digest(&self) -> u64 {
+        // FNV-1a, with its standard offset basis and prime.
         let mut hash = 0xcbf2_9ce4_8422_2325_u64;
         for (team, section) in &self.sections {
             let version = section.version.0.to_be_bytes();
@@ -93,9 +95,9 @@
     /// Incarnation of the entry process.
     pub incarnation: id::Incarnation,
     /// Sequence number of the report within the incarnation, assigned by the steward of the host.
-    pub number: u64,
-    /// Whether the steward has been without an entry process for so long that the host cannot serve
-    /// any requests.
+    pub sequence: u64,
+    /// Whether the steward has been without an entry process for so long that it considers the host
+    /// unable to serve requests.
     pub entry_down: bool,
     /// Whether it accepts requests.
     pub ready: bool,
@@ -103,13 +105,13 @@
     pub draining: bool,
     /// Number of requests in flight.
     pub in_flight: u64,
-    /// Versions that its request path uses.
+    /// Versions that the entry process uses to handle requests.
     pub in_force: Versions,
 }
 
 /// A host where a version is not yet in force.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Missing {
+pub struct LaggingHost {
     /// Name of the host.
     pub host: id::Host,
     /// Availability zone of the host.
@@ -129,8 +131,8 @@
     /// requests in flight.
     ///
     /// Reports of earlier incarnations are dropped, and so are reports whose versions are lower
-    /// than those known within the same incarnation. Reordered reports therefore cannot make a
-    /// version seem lost or a host seem more recent than it is.
+    /// than those known within the same incarnation. Reordered reports therefore cannot hide a
+    /// version that a host uses, nor show the versions of an earlier incarnation as used.
     pub fn apply(&mut self, host: &id::Host, report: Report) -> bool {
         let Some(known) = self.reports.get_mut(host) else {
             self.reports.insert(host.clone(), report);
@@ -142,7 +144,7 @@
         let same_incarnation = report.incarnation == known.incarnation;
         // Reports arrive over several paths. If an older report were accepted after a newer one, it
         // would be forwarded as a change, followed by the newer one again, in an endless loop.
-        if same_incarnation && report.number < known.number {
+        if same_incarnation && report.sequence < known.sequence {
             return false;
         }
         let is_behind = |(team, version): (&id::Team, &id::Version)| {
@@ -152,7 +154,7 @@
             return false;
         }
         let comparable =
-            Report { in_flight: known.in_flight, number: known.number, ..report.clone() };
+            Report { in_flight: known.in_flight, sequence: known.sequence, ..report.clone() };
         let is_unchanged = *known == comparable;
         *known = report;
         !is_unchanged
@@ -197,10 +199,16 @@
     /// use lagoonline::id::{Host, Team, Version, Zone};
     /// let mut reports = Reports::default();
     /// reports.apply(&Host::from("h"), Report::default());
-    /// let missing = reports.missing(&Team::from("a"), Version(1), [(Host::from("i"), Zone::from("z"))]);
-    /// assert_eq!(missing.len(), 2);
+    /// let expected = [(Host::from("i"), Zone::from("z"))];
+    /// let hosts = reports.lagging_hosts(&Team::from("a"), Version(1), expected);
+    /// assert_eq!(hosts.len(), 2);
     /// ```
-    pub fn missing<I>(&self, team: &id::Team, version: id::Version, expected: I) -> Vec<Missing>
+    pub fn lagging_hosts<I>(
+        &self,
+        team: &id::Team,
+        version: id::Version,
+        expected: I,
+    ) -> Vec<LaggingHost>
     where
         I: IntoIterator<Item = (id::Host, id::Zone)>,
     {
@@ -212,7 +220,7 @@
         };
         let hosts = hosts.into_iter().map(|(host, zone)| {
             let version = in_force(&host);
-            Missing { host, zone, version }
+            LaggingHost { host, zone, version }
         });
         let is_down =
             |host: &id::Host| self.reports.get(host).is_some_and(|report| report.entry_down);
