--- a/crates/lagoon-gateway/src/crash.rs
+++ b/crates/lagoon-gateway/src/crash.rs
@@ -41,7 +41,7 @@
         match self.progress {
             quarantine::Progress::Unknown => f.write_str("under way"),
             quarantine::Progress::Waiting => f.write_str("before its answer"),
-            quarantine::Progress::Begun { span, events } => {
+            quarantine::Progress::Answering { span, events } => {
                 write!(f, "after {}ms and {events} events", span.as_millis())
             }
         }
--- a/crates/lagoon-gateway/src/quarantine/message.rs
+++ b/crates/lagoon-gateway/src/quarantine/message.rs
@@ -53,8 +53,8 @@
         };
         Crashed {
             upstream: upstream.to_string(),
-            begun: with_weight(quarantine::Weight::Begun),
-            waiting: with_weight(quarantine::Weight::Waiting),
+            begun: with_weight(quarantine::Weight::Started),
+            waiting: with_weight(quarantine::Weight::MaybeQueued),
         }
     }
 
@@ -64,8 +64,8 @@
     ///
     /// A digest has a length that this build does not know.
     pub(crate) fn suspects(&self) -> Result<Vec<quarantine::Suspect>, fingerprint::Malformed> {
-        let begun = self.begun.iter().map(|request| (request, quarantine::Weight::Begun));
-        let waiting = self.waiting.iter().map(|request| (request, quarantine::Weight::Waiting));
+        let begun = self.begun.iter().map(|request| (request, quarantine::Weight::Started));
+        let waiting = self.waiting.iter().map(|request| (request, quarantine::Weight::MaybeQueued));
         let suspect = |(request, weight): (&Identity, _)| {
             Ok(quarantine::Suspect { fingerprint: request.fingerprint()?, weight })
         };
--- a/crates/lagoon-gateway/src/quarantine/mod.rs
+++ b/crates/lagoon-gateway/src/quarantine/mod.rs
@@ -239,7 +239,7 @@
         let quarantine = state::lock(&self.quarantine.records);
         let checksum = quarantine.checksum(now);
         let active = quarantine.records(now).filter(|record| record.is_active(now)).count();
-        let suspects = quarantine.suspects();
+        let suspects = quarantine.suspect_count();
         drop(quarantine);
         self.quarantine.checksum.store(checksum, atomic::Ordering::Relaxed);
         self.metrics.quarantined.set(i64::try_from(active).unwrap_or(i64::MAX));
--- a/crates/lagoon-gateway/src/relay/follow.rs
+++ b/crates/lagoon-gateway/src/relay/follow.rs
@@ -58,7 +58,7 @@
         match sources.next(state.clock.now()) {
             // The hosts ranked before this one do not read yet, but one of them soon will.
             routing::Source::Platform
-                if is_fresh(&state, max_age) && !sources.is_first(state.clock.now()) =>
+                if is_fresh(&state, max_age) && !sources.must_read_platform(state.clock.now()) =>
             {
                 tokio::time::sleep(NOT_READING_PAUSE).await;
             }
--- a/crates/lagoon-gateway/src/stream.rs
+++ b/crates/lagoon-gateway/src/stream.rs
@@ -282,8 +282,10 @@
         failure: &exchange::Failure,
     ) -> String {
         let span = self.admitted.state.clock.now().since(open.head_at);
-        self.admitted
-            .record_broken_connection(&open.upstream, quarantine::Progress::Begun { span, events });
+        self.admitted.record_broken_connection(
+            &open.upstream,
+            quarantine::Progress::Answering { span, events },
+        );
         failure.to_string()
     }
 
--- a/crates/lagoon-load/src/bench/engine.rs
+++ b/crates/lagoon-load/src/bench/engine.rs
@@ -195,12 +195,12 @@
     }
 
     /// What it reports.
-    pub fn load(&mut self) -> engine::Load {
+    pub fn load(&mut self) -> engine::LoadReport {
         self.reports += 1;
         let step = self.step.iter().map(|(job, _)| job.left).sum::<u64>();
         let left =
             |jobs: &collections::BinaryHeap<Job>| jobs.iter().map(|job| job.left).sum::<u64>();
-        engine::Load {
+        engine::LoadReport {
             running: self.running,
             waiting: self.waiting.len() as u32,
             prefill_tokens: step + left(&self.prefill) + left(&self.waiting),
--- a/crates/lagoon-load/src/bench/world/mod.rs
+++ b/crates/lagoon-load/src/bench/world/mod.rs
@@ -34,7 +34,7 @@
     End { engine: usize, incarnation: u64, job: engine::Job },
     Lost { request: usize, attempt: u32, ending: load::Ending },
     Report(usize),
-    Observe(usize, port::engine::Load),
+    Observe(usize, port::engine::LoadReport),
     Wake(usize),
     Spending,
     Heard { host: usize, spends: Vec<load::limit::Spend> },
@@ -346,7 +346,7 @@
         self.at(self.now + scenario::REPORT.0, Event::Report(index));
     }
 
-    fn observe(&mut self, index: usize, load: &port::engine::Load) {
+    fn observe(&mut self, index: usize, load: &port::engine::LoadReport) {
         let name = name(index as u32);
         for host in 0..self.hosts.len() {
             self.hosts[host].observe(self.now, &name, load);
--- a/crates/lagoon-load/src/trial/fleet.rs
+++ b/crates/lagoon-load/src/trial/fleet.rs
@@ -106,7 +106,7 @@
 }
 
 /// Hash under which a service's record has a body.
-pub(crate) fn body_hash(body: &str) -> String {
+pub(crate) fn request_hash(body: &str) -> String {
     hex(body)
 }
 
--- a/crates/lagoon-load/src/trial/verdict.rs
+++ b/crates/lagoon-load/src/trial/verdict.rs
@@ -69,7 +69,7 @@
             u64::from(record.prompts.contains(&hash))
         }
         plan::Ask::Booking { .. } => {
-            record.bookings.get(&fleet::body_hash(&call.booking())).copied().unwrap_or(0)
+            record.bookings.get(&fleet::request_hash(&call.booking())).copied().unwrap_or(0)
         }
     }
 }
--- a/crates/lagoon-net/src/engine/event.rs
+++ b/crates/lagoon-net/src/engine/event.rs
@@ -59,7 +59,7 @@
         /// Prompt tokens that were found in the prefix cache.
         cached_tokens: u64,
         /// The engine's load.
-        load: Option<engine::Load>,
+        load: Option<engine::LoadReport>,
     },
     /// The engine aborted the attempt.
     Error {
@@ -86,7 +86,7 @@
     #[serde(default)]
     cached_tokens: u64,
     #[serde(default)]
-    load: Option<engine::Load>,
+    load: Option<engine::LoadReport>,
     #[serde(borrow, default)]
     error: Option<borrow::Cow<'a, str>>,
 }
@@ -96,16 +96,16 @@
 pub struct Events {
     payload: http::Payload,
     incomplete: util::Bytes,
-    load: Option<engine::Load>,
+    load: Option<engine::LoadReport>,
 }
 
 impl Events {
-    pub(crate) fn new(payload: http::Payload, load: Option<engine::Load>) -> Events {
+    pub(crate) fn new(payload: http::Payload, load: Option<engine::LoadReport>) -> Events {
         Events { payload, incomplete: util::Bytes::new(), load }
     }
 
     /// Returns the load from the response head; `None` from the second call on.
-    pub fn take_load(&mut self) -> Option<engine::Load> {
+    pub fn take_load(&mut self) -> Option<engine::LoadReport> {
         self.load.take()
     }
 
--- a/crates/lagoon-net/src/engine/mod.rs
+++ b/crates/lagoon-net/src/engine/mod.rs
@@ -284,7 +284,7 @@
         return Err(Failure::Lost("the answer names another attempt".to_owned()));
     }
     let load = response.header("Lagoon-Load").and_then(|value| value.to_str().ok());
-    let load = load.and_then(|text| serde_json::from_str::<engine::Load>(text).ok());
+    let load = load.and_then(|text| serde_json::from_str::<engine::LoadReport>(text).ok());
     Ok(Events::new(response.take_payload(), load))
 }
 
--- a/crates/lagoon-net/src/entry/admission.rs
+++ b/crates/lagoon-net/src/entry/admission.rs
@@ -120,7 +120,11 @@
         self.wake_due();
     }
 
-    pub(crate) fn observe(&self, upstream: &id::Upstream, load: &lagoonline::port::engine::Load) {
+    pub(crate) fn observe(
+        &self,
+        upstream: &id::Upstream,
+        load: &lagoonline::port::engine::LoadReport,
+    ) {
         load::lock(&self.scheduler).observe(self.clock.now(), upstream, load);
     }
 
--- a/crates/lagoon-net/src/entry/claims.rs
+++ b/crates/lagoon-net/src/entry/claims.rs
@@ -113,7 +113,7 @@
         claim::Request {
             customer: self.call.customer().name.clone(),
             key: self.key.clone(),
-            body_hash: claim::body_hash(self.request.method().as_str(), &path, body),
+            request_hash: claim::request_hash(self.request.method().as_str(), &path, body),
             repeat: request::Repeat::Never,
             token: call::random_id(),
             upstream: id::Upstream::default(),
--- a/crates/lagoon-net/src/entry/generation/idempotency.rs
+++ b/crates/lagoon-net/src/entry/generation/idempotency.rs
@@ -41,7 +41,7 @@
 pub(crate) struct Deferred {
     pub(crate) claims: claims::Claims,
     pub(crate) key: String,
-    /// Fingerprint of the request body, from `claim::body_hash`.
+    /// Fingerprint of the request body, from `claim::request_hash`.
     pub(crate) body: String,
 }
 
@@ -76,7 +76,7 @@
         claim::Request {
             customer: self.input.request.customer.clone(),
             key: deferred.key.clone(),
-            body_hash: deferred.body.clone(),
+            request_hash: deferred.body.clone(),
             repeat: request::Repeat::Allowed,
             token: attempt,
             upstream: upstream.clone(),
--- a/crates/lagoon-net/src/entry/link/mod.rs
+++ b/crates/lagoon-net/src/entry/link/mod.rs
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 struct Observed {
     /// Loads since the last report.
-    loads: collections::HashMap<id::Upstream, engine::Load>,
+    loads: collections::HashMap<id::Upstream, engine::LoadReport>,
     /// Last known incarnation of each upstream.
     incarnations: collections::HashMap<id::Upstream, u64>,
 }
@@ -81,7 +81,7 @@
     }
 
     /// Records a load that came with a response, for the next report.
-    pub(crate) fn record_load(&self, upstream: &id::Upstream, load: &engine::Load) {
+    pub(crate) fn record_load(&self, upstream: &id::Upstream, load: &engine::LoadReport) {
         if self.handle.is_none() {
             return;
         }
--- a/crates/lagoon-net/src/entry/model.rs
+++ b/crates/lagoon-net/src/entry/model.rs
@@ -107,7 +107,7 @@
             generation::ClaimState::Deferred(Box::new(generation::Deferred {
                 claims: claims.clone(),
                 key: key.clone(),
-                body: claim::body_hash("POST", request.path(), &input.body),
+                body: claim::request_hash("POST", request.path(), &input.body),
             }))
         }
         _ => generation::ClaimState::None,
--- a/crates/lagoon-net/src/entry/server.rs
+++ b/crates/lagoon-net/src/entry/server.rs
@@ -150,7 +150,7 @@
     }
 
     /// Applies a load report of an engine to the queues of all models.
-    pub fn observe(&self, upstream: &id::Upstream, load: &lagoonline::port::engine::Load) {
+    pub fn observe(&self, upstream: &id::Upstream, load: &lagoonline::port::engine::LoadReport) {
         for queue in self.state.view().queues.values() {
             queue.observe(upstream, load);
         }
--- a/crates/lagoon-net/src/steward/core/mod.rs
+++ b/crates/lagoon-net/src/steward/core/mod.rs
@@ -172,9 +172,9 @@
 /// The load of an upstream, and the load that was last announced to other hosts.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::steward) struct Observed {
-    pub(in crate::steward) load: engine::Load,
+    pub(in crate::steward) load: engine::LoadReport,
     pub(in crate::steward) read_at: clock::Moment,
-    announced: engine::Load,
+    announced: engine::LoadReport,
     announced_at: clock::Moment,
 }
 
--- a/crates/lagoon-net/src/steward/core/upstream.rs
+++ b/crates/lagoon-net/src/steward/core/upstream.rs
@@ -19,12 +19,20 @@
 
 impl Core {
     /// Records the load of an upstream that this steward polls and sends it to the entry process.
-    pub(in crate::steward) fn observe(&mut self, upstream: &id::Upstream, load: engine::Load) {
+    pub(in crate::steward) fn observe(
+        &mut self,
+        upstream: &id::Upstream,
+        load: engine::LoadReport,
+    ) {
         let now = self.clock.now();
         let body = wire::Body::Loads(wire::Loads { loads: vec![wire::load(upstream, &load, 0)] });
         self.send_all(&body, |_, link| link.peer.role == wire::Role::Entry);
-        let fresh =
-            Observed { load, read_at: now, announced: engine::Load::default(), announced_at: now };
+        let fresh = Observed {
+            load,
+            read_at: now,
+            announced: engine::LoadReport::default(),
+            announced_at: now,
+        };
         let known = self.loads.entry(upstream.clone()).or_insert(fresh);
         (known.load, known.read_at) = (load, now);
         self.queue_load(upstream, None);
@@ -84,16 +92,17 @@
             let upstream = id::Upstream::from(line.upstream.as_str());
             let load = wire::engine_load(line);
             let known = self.loads.get(&upstream);
-            let order = |load: &engine::Load| (load.incarnation, load.sequence);
+            let order = |load: &engine::LoadReport| (load.incarnation, load.sequence);
             if known.is_some_and(|known| order(&known.load) >= order(&load)) {
                 continue;
             }
             // The age is part of the message, so that a load that was relayed late looks old.
             let micros = now.as_micros().saturating_sub(line.age_ms.saturating_mul(1_000));
             let read_at = clock::Moment::from_micros(micros);
-            let (announced, announced_at) = known.map_or((engine::Load::default(), now), |known| {
-                (known.announced, known.announced_at)
-            });
+            let (announced, announced_at) = known
+                .map_or((engine::LoadReport::default(), now), |known| {
+                    (known.announced, known.announced_at)
+                });
             self.loads
                 .insert(upstream.clone(), Observed { load, read_at, announced, announced_at });
             self.queue_load(&upstream, Some(from));
@@ -160,7 +169,7 @@
 /// Whether a load differs enough from the announced one to be sent to every host of the zone: by
 /// two requests and a quarter of them, or by an eighth of the memory or of the prefill work. A busy
 /// engine's load changes by a few requests between reads, which affects no placement decision.
-fn is_significant(announced: &engine::Load, load: &engine::Load) -> bool {
+fn is_significant(announced: &engine::LoadReport, load: &engine::LoadReport) -> bool {
     let requests = (announced.running + announced.waiting).abs_diff(load.running + load.waiting);
     let memory = announced.kv_free_tokens.abs_diff(load.kv_free_tokens);
     let prefill = announced.prefill_tokens.abs_diff(load.prefill_tokens);
--- a/crates/lagoon-net/src/steward/memory_sweep.rs
+++ b/crates/lagoon-net/src/steward/memory_sweep.rs
@@ -44,7 +44,7 @@
             let mut remote_owners = reaper.owners_to_query(&holdings, context.clock.now());
             remote_owners.retain(|owner| !zone_hosts.contains(&owner.host));
             ask(&context, &mut reaper, &remote_owners).await;
-            let released = reaper.releasable(&upstream, &holdings, context.clock.now());
+            let released = reaper.sweep(&upstream, &holdings, context.clock.now());
             release(&context, &client, (&upstream, address), &released).await;
         }
     }
--- a/crates/lagoon-net/src/steward/observe.rs
+++ b/crates/lagoon-net/src/steward/observe.rs
@@ -52,7 +52,7 @@
     http: client::Client,
     address: std::net::SocketAddr,
     zone: &str,
-) -> Option<engine::Load> {
+) -> Option<engine::LoadReport> {
     let request = http.get(format!("http://{address}/load")).set_header("Lagoon-Zone", zone);
     let response = request.send().await.ok()?;
     if response.status() != http::StatusCode::OK {
--- a/crates/lagoon-net/src/wire/compact.rs
+++ b/crates/lagoon-net/src/wire/compact.rs
@@ -58,7 +58,7 @@
 
 impl CompactLoad {
     /// Encodes a load that was read `age_ms` milliseconds ago.
-    pub fn new(upstream: &id::Upstream, load: &engine::Load, age_ms: u64) -> Self {
+    pub fn new(upstream: &id::Upstream, load: &engine::LoadReport, age_ms: u64) -> Self {
         let free = load.kv_free_tokens.min(load.kv_tokens);
         CompactLoad {
             upstream: name_code(upstream.as_str()),
@@ -84,18 +84,18 @@
     /// ```
     /// use lagoon_net::wire;
     /// use lagoonline::port::engine;
-    /// let known = engine::Load { kv_tokens: 1_270, incarnation: 7, ..Default::default() };
-    /// let load = engine::Load { running: 3, kv_free_tokens: 640, sequence: 2, ..known };
+    /// let known = engine::LoadReport { kv_tokens: 1_270, incarnation: 7, ..Default::default() };
+    /// let load = engine::LoadReport { running: 3, kv_free_tokens: 640, sequence: 2, ..known };
     /// let line = wire::CompactLoad::new(&"e".into(), &load, 0);
-    /// assert_eq!(line.load(&known), Some(engine::Load { kv_free_tokens: 640, ..load }));
-    /// assert_eq!(line.load(&engine::Load { incarnation: 8, ..known }), None);
+    /// assert_eq!(line.load(&known), Some(engine::LoadReport { kv_free_tokens: 640, ..load }));
+    /// assert_eq!(line.load(&engine::LoadReport { incarnation: 8, ..known }), None);
     /// ```
-    pub fn load(&self, known: &engine::Load) -> Option<engine::Load> {
+    pub fn load(&self, known: &engine::LoadReport) -> Option<engine::LoadReport> {
         if incarnation_code(known.incarnation) != self.incarnation {
             return None;
         }
         let free = u128::from(known.kv_tokens) * u128::from(self.kv_free_parts);
-        Some(engine::Load {
+        Some(engine::LoadReport {
             running: self.running,
             waiting: self.waiting,
             prefill_tokens: u64::from(self.prefill_thousands) * PREFILL_UNIT,
@@ -112,7 +112,7 @@
 /// ```
 /// use lagoon_net::wire;
 /// use lagoonline::port::engine;
-/// let line = wire::CompactLoad::new(&"e".into(), &engine::Load::default(), 200);
+/// let line = wire::CompactLoad::new(&"e".into(), &engine::LoadReport::default(), 200);
 /// assert_eq!(wire::parse_compact_loads(&wire::compact_loads(&[line])), [line]);
 /// ```
 pub fn compact_loads(lines: &[CompactLoad]) -> message::CompactLoads {
--- a/crates/lagoon-net/src/wire/convert.rs
+++ b/crates/lagoon-net/src/wire/convert.rs
@@ -171,7 +171,7 @@
 }
 
 /// Encodes a load that was read `age_ms` milliseconds ago.
-pub fn load(upstream: &id::Upstream, load: &engine::Load, age_ms: u64) -> message::Load {
+pub fn load(upstream: &id::Upstream, load: &engine::LoadReport, age_ms: u64) -> message::Load {
     message::Load {
         upstream: upstream.to_string(),
         running: load.running,
@@ -187,8 +187,8 @@
 }
 
 /// Decodes a load.
-pub fn engine_load(load: &message::Load) -> engine::Load {
-    engine::Load {
+pub fn engine_load(load: &message::Load) -> engine::LoadReport {
+    engine::LoadReport {
         running: load.running,
         waiting: load.waiting,
         prefill_tokens: load.prefill_tokens,
--- a/crates/lagoon-net/tests/entry/takeover.rs
+++ b/crates/lagoon-net/tests/entry/takeover.rs
@@ -32,7 +32,7 @@
     let call = host::completion(prompt, TOKENS, stream);
     let record = claim::Record {
         token: ATTEMPT.to_string(),
-        body: claim::body_hash("POST", "/v1/completions", call.as_bytes()),
+        body: claim::request_hash("POST", "/v1/completions", call.as_bytes()),
         holder: "suva-0/1".to_owned(),
         written_ms: 1,
         state: claim::State::Claimed {
--- a/crates/lagoon-standin/src/engine/state.rs
+++ b/crates/lagoon-standin/src/engine/state.rs
@@ -165,7 +165,7 @@
     credit: f64,
     last: time::Instant,
     frozen_until: Option<time::Instant>,
-    published: engine::Load,
+    published: engine::LoadReport,
     published_at: time::Instant,
 }
 
@@ -190,7 +190,7 @@
             credit: 0.0,
             last: now,
             frozen_until: None,
-            published: engine::Load::default(),
+            published: engine::LoadReport::default(),
             published_at: now,
             settings,
         };
@@ -222,7 +222,7 @@
             orders::State { stale: self.orders.stale, ..orders::State::new(&self.settings) };
         self.leaving = false;
         self.incarnation += 1;
-        self.published = engine::Load { sequence: 0, ..self.load() };
+        self.published = engine::LoadReport { sequence: 0, ..self.load() };
     }
 
     /// Takes an attempt in, or refuses it.
@@ -486,19 +486,19 @@
             return;
         }
         let sequence = self.published.sequence + 1;
-        self.published = engine::Load { sequence, ..self.load() };
+        self.published = engine::LoadReport { sequence, ..self.load() };
         self.published_at = now;
     }
 
     /// Load as last published.
-    pub(crate) fn published(&self) -> engine::Load {
+    pub(crate) fn published(&self) -> engine::LoadReport {
         self.published
     }
 
     /// Load as it is, for answers to carry.
-    pub(crate) fn load(&self) -> engine::Load {
+    pub(crate) fn load(&self) -> engine::LoadReport {
         let left = self.streams.values().filter(|s| s.progress.borrow().end.is_none());
-        engine::Load {
+        engine::LoadReport {
             running: u32::try_from(self.running.len()).unwrap_or(u32::MAX),
             waiting: u32::try_from(self.waiting.len()).unwrap_or(u32::MAX),
             prefill_tokens: left.map(|stream| stream.prefill_left).sum(),
--- a/crates/lagoonline/src/check.rs
+++ b/crates/lagoonline/src/check.rs
@@ -280,8 +280,8 @@
         let entries = self.typed(name, "an object", Value::as_object);
         let mut result = Vec::new();
         for (key, value) in entries.into_iter().flatten() {
-            let place = format!("{pointer}/{}", key.replace('~', "~0").replace('/', "~1"));
-            let item = Reader::enter(value, place, self.faults, |reader| read(key, reader));
+            let item_pointer = format!("{pointer}/{}", key.replace('~', "~0").replace('/', "~1"));
+            let item = Reader::enter(value, item_pointer, self.faults, |reader| read(key, reader));
             result.push((key.clone(), item));
         }
         result
@@ -297,8 +297,8 @@
         let items = self.typed(name, "an array", Value::as_array);
         let mut result = Vec::new();
         for (index, value) in items.into_iter().flatten().enumerate() {
-            let place = format!("{pointer}/{index}");
-            result.push(Reader::enter(value, place, self.faults, &mut read));
+            let item_pointer = format!("{pointer}/{index}");
+            result.push(Reader::enter(value, item_pointer, self.faults, &mut read));
         }
         result
     }
--- a/crates/lagoonline/src/lifecycle/claim/decision.rs
+++ b/crates/lagoonline/src/lifecycle/claim/decision.rs
@@ -16,7 +16,7 @@
     /// The row holds this request's own claim, at this version.
     Own(u64),
     /// The key was used with a different body.
-    BodyMismatch,
+    RequestMismatch,
     /// An earlier non-repeatable request may have run or may still be running.
     Unknown,
     /// An earlier repeatable request may be running.
@@ -33,7 +33,7 @@
 /// use lagoonline::lifecycle::{claim::{decide, Decision, Request}, request::Repeat, safeguard};
 /// use lagoonline::{clock::Moment, id};
 /// let request = Request {
-///     customer: id::Customer::from("crew"), key: "k".into(), body_hash: "b".into(),
+///     customer: id::Customer::from("crew"), key: "k".into(), request_hash: "b".into(),
 ///     repeat: Repeat::Never, token: id::Attempt(1), upstream: id::Upstream::from("u"),
 ///     deadline: Moment::NEVER, wall_ms: 0,
 /// };
@@ -56,15 +56,15 @@
     if record.token == request.token.to_string() {
         return Decision::Own(row.version);
     }
-    if record.body != request.body_hash && safeguards.has(safeguard::Safeguard::BodyMatch) {
-        return Decision::BodyMismatch;
+    if record.body != request.request_hash && safeguards.has(safeguard::Safeguard::BodyMatch) {
+        return Decision::RequestMismatch;
     }
     match record.state {
         record::State::Done { .. } => Decision::Replay(record),
         record::State::Released => Decision::Free(row.version),
-        record::State::Unknown => may_have_run(row.version, request, safeguards),
+        record::State::Unknown => decide_unfinished(row.version, request, safeguards),
         record::State::Claimed { ref attempt, ref upstream } => match request.repeat {
-            request::Repeat::Never => may_have_run(row.version, request, safeguards),
+            request::Repeat::Never => decide_unfinished(row.version, request, safeguards),
             request::Repeat::Allowed => Decision::Running(ticket::Running {
                 attempt: attempt.parse::<id::Attempt>().unwrap_or_default(),
                 upstream: upstream.clone(),
@@ -78,7 +78,11 @@
 /// A non-repeatable call must not run twice. If the claim of a host that seems dead were taken
 /// over, its call, already dispatched, could run as well. No sign of a host's death proves that
 /// nothing was sent, so only the claim holder itself frees such a key, by writing `released`.
-fn may_have_run(version: u64, request: &record::Request, safeguards: safeguard::Set) -> Decision {
+fn decide_unfinished(
+    version: u64,
+    request: &record::Request,
+    safeguards: safeguard::Set,
+) -> Decision {
     let repeatable = request.repeat == request::Repeat::Allowed;
     if repeatable || !safeguards.has(safeguard::Safeguard::NoTakeover) {
         Decision::Free(version)
--- a/crates/lagoonline/src/lifecycle/claim/driver.rs
+++ b/crates/lagoonline/src/lifecycle/claim/driver.rs
@@ -129,23 +129,23 @@
     async fn claim(
         &self,
         request: record::Request,
-        mut at: u64,
+        mut base_version: u64,
         replaceable: u64,
     ) -> Result<Begin, Box<Refusal>> {
         let row = self.row_key(&request);
         let record = self.record(&request, claimed(&request, request.token));
         let mut unconfirmed = None;
         let mut refused = false;
-        for _ in 0..self.settings.max_attempts {
-            match self.commit(&row, &record, at).await {
+        for _ in 0..self.settings.max_commits {
+            match self.commit(&row, &record, base_version).await {
                 Ok(version) => return Ok(Begin::Run(self.ticket(request, row, version))),
                 // Reads may still work, and the row may hold the answer.
                 Err(table::Error::Refused { .. }) => refused = true,
                 Err(table::Error::Conflict { .. }) => {}
                 Err(table::Error::Unknown { .. }) => {
-                    unconfirmed = Some(at.max(unconfirmed.unwrap_or(0)));
+                    unconfirmed = Some(base_version.max(unconfirmed.unwrap_or(0)));
                     if !self.settings.safeguards.has(safeguard::Safeguard::ReadBack) {
-                        return Ok(Begin::Run(self.ticket(request, row, at + 1)));
+                        return Ok(Begin::Run(self.ticket(request, row, base_version + 1)));
                     }
                 }
             }
@@ -154,12 +154,12 @@
             };
             match decision::decide(found.as_ref(), &request, self.settings.safeguards) {
                 decision::Decision::Free(_) if refused => break,
-                decision::Decision::Free(version) => at = version,
+                decision::Decision::Free(version) => base_version = version,
                 decision::Decision::Own(version) => {
                     return Ok(Begin::Run(self.ticket(request, row, version)));
                 }
                 decision::Decision::Running(running) if running.version == replaceable => {
-                    at = replaceable
+                    base_version = replaceable
                 }
                 decision => return self.resolve_held_key(decision).await,
             }
@@ -170,7 +170,7 @@
     /// Handles a key that is held by another request.
     async fn resolve_held_key(&self, decision: decision::Decision) -> Result<Begin, Box<Refusal>> {
         match decision {
-            decision::Decision::BodyMismatch => {
+            decision::Decision::RequestMismatch => {
                 Err(failure(outcome::Reason::KeyReused, outcome::Outcome::NotRun).into())
             }
             decision::Decision::Running(running) => Ok(Begin::Running(running)),
@@ -346,12 +346,12 @@
     /// Overwrites this claim's own row; returns `Unknown` if no attempt got a definite reply.
     async fn rewrite(&self, ticket: &ticket::Ticket, state: record::State) -> RewriteResult {
         let record = self.record(&ticket.request, state);
-        let mut at = ticket.version;
-        for _ in 0..self.settings.max_attempts {
+        let mut base_version = ticket.version;
+        for _ in 0..self.settings.max_commits {
             if self.is_too_late(ticket.request.deadline) {
                 return RewriteResult::TooLate;
             }
-            match self.commit(&ticket.row, &record, at).await {
+            match self.commit(&ticket.row, &record, base_version).await {
                 Ok(_) => return RewriteResult::Written,
                 Err(table::Error::Refused { .. }) => continue,
                 Err(table::Error::Conflict { .. } | table::Error::Unknown { .. }) => {}
@@ -364,11 +364,11 @@
             };
             match serde_json::from_str::<record::Record>(&found.value) {
                 Ok(current) if current == record => return RewriteResult::Written,
-                Ok(current) if current.token == record.token => at = found.version,
+                Ok(current) if current.token == record.token => base_version = found.version,
                 _ => return RewriteResult::Superseded,
             }
         }
-        RewriteResult::Unknown { last_version: at }
+        RewriteResult::Unknown { last_version: base_version }
     }
 
     /// Returns whether the row must no longer be written. If a host pauses for longer than the
@@ -385,17 +385,17 @@
         &self,
         row: &str,
         record: &record::Record,
-        at: u64,
+        base_version: u64,
     ) -> Result<u64, table::Error> {
         let value = serde_json::to_string(record).unwrap_or_default();
-        let check = table::Check { key: row.to_owned(), version: at };
+        let check = table::Check { key: row.to_owned(), version: base_version };
         let has_check = self.settings.safeguards.has(safeguard::Safeguard::VersionCheck);
         let transaction = table::Transaction {
             checks: has_check.then_some(check).into_iter().collect(),
             changes: vec![table::Change::Put { key: row.to_owned(), value }],
         };
         let versions = self.table.commit(transaction).await?;
-        Ok(versions.first().copied().unwrap_or(at + 1))
+        Ok(versions.first().copied().unwrap_or(base_version + 1))
     }
 
     fn row_key(&self, request: &record::Request) -> String {
@@ -409,7 +409,7 @@
     fn record(&self, request: &record::Request, state: record::State) -> record::Record {
         record::Record {
             token: request.token.to_string(),
-            body: request.body_hash.clone(),
+            body: request.request_hash.clone(),
             holder: self.settings.owner.to_string(),
             written_ms: request.wall_ms,
             state,
--- a/crates/lagoonline/src/lifecycle/claim/mod.rs
+++ b/crates/lagoonline/src/lifecycle/claim/mod.rs
@@ -14,7 +14,7 @@
 
 pub use decision::{Decision, decide};
 pub use driver::{Abandoned, Begin, Claims, Refusal, Unstored};
-pub use record::{Answer, BodyLocation, Record, Request, State, body_hash, row_key, shard};
+pub use record::{Answer, BodyLocation, Record, Request, State, request_hash, row_key, shard};
 pub use settings::{MAX_DEADLINE, MIN_RETENTION, Settings};
 pub use sweep::{SHARDS, SweepSettings, Sweeper, scheduled_shard};
 pub use ticket::{Expired, Running, Sent, Ticket};
--- a/crates/lagoonline/src/lifecycle/claim/record.rs
+++ b/crates/lagoonline/src/lifecycle/claim/record.rs
@@ -15,8 +15,8 @@
     pub customer: id::Customer,
     /// The idempotency key sent by the caller.
     pub key: String,
-    /// Hash of the request, from [`body_hash`].
-    pub body_hash: String,
+    /// Hash of the request, from [`request_hash`].
+    pub request_hash: String,
     /// Whether the call may run more than once.
     pub repeat: request::Repeat,
     /// Identifies this claim; unique to each request.
@@ -85,7 +85,7 @@
 pub struct Record {
     /// Identifies the claim, as 32 hex digits.
     pub token: String,
-    /// Hash of the request, from [`body_hash`].
+    /// Hash of the request, from [`request_hash`].
     pub body: String,
     /// The entry host that wrote the row, as `HOST/INCARNATION`.
     pub holder: String,
@@ -107,10 +107,10 @@
 /// Returns a hash of the parts that identify a request: method, path with query, and body.
 ///
 /// ```
-/// use lagoonline::lifecycle::claim::body_hash;
-/// assert_ne!(body_hash("POST", "/a", b"b"), body_hash("POST", "/ab", b""));
+/// use lagoonline::lifecycle::claim::request_hash;
+/// assert_ne!(request_hash("POST", "/a", b"b"), request_hash("POST", "/ab", b""));
 /// ```
-pub fn body_hash(method: &str, path: &str, body: &[u8]) -> String {
+pub fn request_hash(method: &str, path: &str, body: &[u8]) -> String {
     let mut hash = sha2::Sha256::new();
     for part in [method.as_bytes(), path.as_bytes(), body] {
         hash.update((part.len() as u64).to_be_bytes());
--- a/crates/lagoonline/src/lifecycle/claim/settings.rs
+++ b/crates/lagoonline/src/lifecycle/claim/settings.rs
@@ -12,7 +12,7 @@
     /// Longest answer body stored in the row, in bytes; longer ones are stored as objects.
     pub inline_bytes: usize,
     /// Number of commits attempted for one row change before it is given up.
-    pub max_attempts: u32,
+    pub max_commits: u32,
     /// How long after a request's deadline its row may still be written. Must be hours shorter than
     /// the retention.
     pub write_grace: clock::Span,
@@ -24,7 +24,7 @@
 }
 
 /// Three commits cover one lost reply and one lost race; more would add load during an outage.
-const MAX_ATTEMPTS: u32 = 3;
+const MAX_COMMITS: u32 = 3;
 /// Shortest claim retention that a site may configure.
 pub const MIN_RETENTION: clock::Span = clock::Span::from_secs(24 * 3_600);
 /// Longest deadline that a document may configure. A row is written until `WRITE_GRACE` after the
@@ -42,7 +42,7 @@
         Settings {
             owner: id::Owner::default(),
             inline_bytes: INLINE_BYTES,
-            max_attempts: MAX_ATTEMPTS,
+            max_commits: MAX_COMMITS,
             write_grace: WRITE_GRACE,
             retry_after: clock::Span::from_secs(1),
             safeguards: safeguard::Set::default(),
--- a/crates/lagoonline/src/lifecycle/quarantine/evidence.rs
+++ b/crates/lagoonline/src/lifecycle/quarantine/evidence.rs
@@ -24,7 +24,7 @@
     crashes: collections::BTreeMap<u64, Crash>,
     next_id: u64,
     /// Ids of the crashes that each suspect was involved in, in order.
-    suspects: collections::BTreeMap<Fingerprint, Vec<u64>>,
+    crashes_by_suspect: collections::BTreeMap<Fingerprint, Vec<u64>>,
     /// When each request was last answered completely.
     answered: collections::BTreeMap<Fingerprint, clock::Moment>,
 }
@@ -37,12 +37,12 @@
     /// Returns whether a suspected or recently answered request has a body of this length.
     pub(super) fn has_length(&self, length: u64) -> bool {
         let range = Fingerprint::of_length(length);
-        self.suspects.range(range.clone()).next().is_some()
+        self.crashes_by_suspect.range(range.clone()).next().is_some()
             || self.answered.range(range).next().is_some()
     }
 
-    pub(super) fn suspects(&self) -> usize {
-        self.suspects.len()
+    pub(super) fn suspect_count(&self) -> usize {
+        self.crashes_by_suspect.len()
     }
 
     /// Records that `suspects` were in flight at `upstream` when it crashed.
@@ -64,7 +64,7 @@
             let known = crash.suspects.get(fingerprint).copied();
             crash.suspects.insert(*fingerprint, known.map_or(*weight, |known| known.max(*weight)));
             if known.is_none() {
-                self.suspects.entry(*fingerprint).or_default().push(id);
+                self.crashes_by_suspect.entry(*fingerprint).or_default().push(id);
             }
         }
     }
@@ -103,7 +103,7 @@
     }
 
     fn drop_suspect(&mut self, request: &Fingerprint) -> bool {
-        let Some(ids) = self.suspects.remove(request) else { return false };
+        let Some(ids) = self.crashes_by_suspect.remove(request) else { return false };
         for id in ids {
             if let Some(crash) = self.crashes.get_mut(&id) {
                 crash.suspects.remove(request);
@@ -114,7 +114,7 @@
 
     /// Marks the crashes that the now quarantined request was involved in as explained by it.
     pub(super) fn explain(&mut self, request: &Fingerprint) {
-        for id in self.suspects.remove(request).unwrap_or_default() {
+        for id in self.crashes_by_suspect.remove(request).unwrap_or_default() {
             if let Some(crash) = self.crashes.get_mut(&id) {
                 crash.explained = true;
                 crash.suspects.remove(request);
@@ -127,7 +127,7 @@
         &'a self,
         request: &Fingerprint,
     ) -> impl Iterator<Item = &'a Crash> + use<'a> {
-        let ids = self.suspects.get(request).into_iter().flatten();
+        let ids = self.crashes_by_suspect.get(request).into_iter().flatten();
         let crashes = ids.filter_map(|id| self.crashes.get(id));
         crashes.filter(|crash| !crash.explained)
     }
@@ -156,7 +156,7 @@
 
     /// Returns the weight that counts as proof.
     fn required_weight(&self) -> usize {
-        self.settings.required_crashes * Weight::Begun.points()
+        self.settings.required_crashes * Weight::Started.points()
     }
 
     /// Returns whether enough time has passed since the last crash for all hosts to have reported
@@ -186,25 +186,25 @@
     /// `on_probation` tells whether a request has had a quarantine that expired: one more crash is
     /// enough for it. For other requests crashes prove nothing while another suspect was involved
     /// in all of them: either may be the cause, and a later crash tells them apart.
-    pub(super) fn proven<Probation>(
+    pub(super) fn proven<WasQuarantined>(
         &self,
-        on_probation: Probation,
+        was_quarantined: WasQuarantined,
         now: clock::Moment,
     ) -> Option<Fingerprint>
     where
-        Probation: Fn(&Fingerprint) -> bool,
+        WasQuarantined: Fn(&Fingerprint) -> bool,
     {
         let is_settled = |crash: &&Crash| now.since(crash.at) >= self.settings.settle_time;
         let weigh = |request: &Fingerprint| {
             self.weigh(request, self.unexplained(request).filter(is_settled))
         };
         let proves = |request: &Fingerprint, weight: usize| {
-            if on_probation(request) {
-                return weight >= Weight::Begun.points();
+            if was_quarantined(request) {
+                return weight >= Weight::Started.points();
             }
             weight >= self.required_weight() && !self.has_rival(request, now)
         };
-        let weighed = self.suspects.keys().map(|request| (*request, weigh(request)));
+        let weighed = self.crashes_by_suspect.keys().map(|request| (*request, weigh(request)));
         let proven = weighed.filter(|(request, weight)| proves(request, *weight));
         proven.max_by_key(|(_, weight)| *weight).map(|(request, _)| request)
     }
@@ -247,18 +247,18 @@
         }
         if self.crashes.len() < before {
             let first = self.crashes.first_key_value().map_or(self.next_id, |(id, _)| *id);
-            self.suspects.retain(|_, ids| {
+            self.crashes_by_suspect.retain(|_, ids| {
                 ids.retain(|id| *id >= first);
                 !ids.is_empty()
             });
         }
-        if self.suspects.len() > max_entries {
-            self.drop_weakest(self.suspects.len() - max_entries);
+        if self.crashes_by_suspect.len() > max_entries {
+            self.drop_weakest(self.crashes_by_suspect.len() - max_entries);
         }
     }
 
     fn drop_weakest(&mut self, count: usize) {
-        let weighed = self.suspects.iter();
+        let weighed = self.crashes_by_suspect.iter();
         let mut weakest: Vec<_> =
             weighed.map(|(request, ids)| (ids.len(), ids.last().copied(), *request)).collect();
         weakest.sort_unstable();
--- a/crates/lagoonline/src/lifecycle/quarantine/mod.rs
+++ b/crates/lagoonline/src/lifecycle/quarantine/mod.rs
@@ -50,7 +50,7 @@
     /// The answer had not started.
     Waiting,
     /// The answer had started.
-    Begun {
+    Answering {
         /// Time since the answer started.
         span: clock::Span,
         /// Number of answer events received.
@@ -62,16 +62,16 @@
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Weight {
     /// The request may still have been queued: it takes twice as many crashes to prove.
-    Waiting,
+    MaybeQueued,
     /// The upstream had just started the request.
-    Begun,
+    Started,
 }
 
 impl Weight {
     const fn points(self) -> usize {
         match self {
-            Weight::Waiting => 1,
-            Weight::Begun => 2,
+            Weight::MaybeQueued => 1,
+            Weight::Started => 2,
         }
     }
 }
@@ -104,7 +104,7 @@
 ///
 /// let mut quarantine = Quarantine::default();
 /// let lethal = Fingerprint::new("acme", "/talk/a", b"a body");
-/// let suspect = Suspect { fingerprint: lethal, weight: Weight::Begun };
+/// let suspect = Suspect { fingerprint: lethal, weight: Weight::Started };
 /// let mut now = Moment::START;
 /// for upstream in ["e1", "e2", "e3"] {
 ///     assert_eq!(quarantine.status(&lethal, now), Status::Allowed);
@@ -152,10 +152,10 @@
     /// starts.
     pub fn weight(&self, progress: Progress) -> Option<Weight> {
         match progress {
-            Progress::Unknown | Progress::Begun { events: 0, .. } => Some(Weight::Begun),
-            Progress::Waiting => Some(Weight::Waiting),
-            Progress::Begun { span, .. } => {
-                (span <= self.settings.start_window).then_some(Weight::Begun)
+            Progress::Unknown | Progress::Answering { events: 0, .. } => Some(Weight::Started),
+            Progress::Waiting => Some(Weight::MaybeQueued),
+            Progress::Answering { span, .. } => {
+                (span <= self.settings.start_window).then_some(Weight::Started)
             }
         }
     }
@@ -202,22 +202,27 @@
     pub fn evaluate(&mut self, now: clock::Moment) -> Vec<Verdict> {
         let mut verdicts = Vec::new();
         while self.needs_evaluation {
-            let on_probation = |request: &Fingerprint| {
+            let was_quarantined = |request: &Fingerprint| {
                 let record = self.records.get(request);
                 record.is_some_and(|record| !record.released && !record.is_active(now))
             };
-            let Some(request) = self.evidence.proven(on_probation, now) else {
+            let Some(request) = self.evidence.proven(was_quarantined, now) else {
                 self.needs_evaluation = !self.evidence.is_settled(now);
                 break;
             };
             let upstreams = self.evidence.upstreams(&request);
-            let record = self.impose(request, upstreams.len(), now);
+            let record = self.quarantine(request, upstreams.len(), now);
             verdicts.push(Verdict { record, upstreams });
         }
         verdicts
     }
 
-    fn impose(&mut self, fingerprint: Fingerprint, crashes: usize, now: clock::Moment) -> Record {
+    fn quarantine(
+        &mut self,
+        fingerprint: Fingerprint,
+        crashes: usize,
+        now: clock::Moment,
+    ) -> Record {
         let known = self.records.get(&fingerprint);
         let (version, occurrences) =
             known.map_or((0, 0), |known| (known.version, known.occurrences));
@@ -268,8 +273,8 @@
     }
 
     /// Returns the number of suspected requests that are not in quarantine.
-    pub fn suspects(&self) -> usize {
-        self.evidence.suspects()
+    pub fn suspect_count(&self) -> usize {
+        self.evidence.suspect_count()
     }
 
     /// Drops expired evidence and records.
--- a/crates/lagoonline/src/lifecycle/quarantine/record.rs
+++ b/crates/lagoonline/src/lifecycle/quarantine/record.rs
@@ -80,8 +80,8 @@
 
     /// Drops records `span` after they expire, and the earliest to expire while there are more than
     /// `max_entries`.
-    pub(super) fn expire(&mut self, span: clock::Span, max_entries: usize, now: clock::Moment) {
-        self.0.retain(|_, record| record.expires_at + span > now);
+    pub(super) fn expire(&mut self, keep_for: clock::Span, max_entries: usize, now: clock::Moment) {
+        self.0.retain(|_, record| record.expires_at + keep_for > now);
         while self.0.len() > max_entries {
             let first = self.0.values().min_by_key(|record| record.expires_at);
             let Some(first) = first.map(|record| record.fingerprint) else { return };
--- a/crates/lagoonline/src/lifecycle/reap.rs
+++ b/crates/lagoonline/src/lifecycle/reap.rs
@@ -180,7 +180,7 @@
     /// The last heartbeat; `None` for an owner known only from holdings or from another zone.
     last_heartbeat: Option<clock::Moment>,
     /// Whether its liveness is reported by another zone instead of by heartbeats.
-    is_remote: bool,
+    is_reported: bool,
 }
 
 /// Decides which holdings on engines have no live owner.
@@ -193,9 +193,9 @@
 /// };
 /// let mut reaper = Reaper::new(Settings::default());
 /// let engine = lagoonline::id::Upstream::from("e");
-/// assert!(reaper.releasable(&engine, &[holding("a")], Moment::START).is_empty());
+/// assert!(reaper.sweep(&engine, &[holding("a")], Moment::START).is_empty());
 /// reaper.record_heartbeat(&"suva-1/7".parse().unwrap(), Moment::from_millis(5));
-/// assert_eq!(reaper.releasable(&engine, &[holding("a")], Moment::from_millis(6)), ["a"]);
+/// assert_eq!(reaper.sweep(&engine, &[holding("a")], Moment::from_millis(6)), ["a"]);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Reaper {
@@ -224,7 +224,7 @@
     pub fn record_remote_alive(&mut self, owner: &id::Owner, now: clock::Moment) {
         self.record_seen(owner, now, None);
         if let Some(state) = self.owners.get_mut(&owner.host) {
-            state.is_remote = true;
+            state.is_reported = true;
         }
     }
 
@@ -249,7 +249,7 @@
             self.record_seen(owner, now, None);
         }
         if let Some(state) = self.owners.get_mut(&owner.host) {
-            state.is_remote = true;
+            state.is_reported = true;
         }
     }
 
@@ -276,7 +276,7 @@
         let needs_query = |owner: &id::Owner| match self.owners.get(&owner.host) {
             Some(state) if state.incarnation > owner.incarnation => false,
             Some(state) => {
-                let is_unknown = state.last_heartbeat.is_none() && !state.is_remote;
+                let is_unknown = state.last_heartbeat.is_none() && !state.is_reported;
                 is_unknown || now.since(state.last_seen) >= self.settings.owner_timeout / 2
             }
             None => true,
@@ -295,13 +295,13 @@
             incarnation: owner.incarnation,
             last_seen: now,
             last_heartbeat,
-            is_remote: false,
+            is_reported: false,
         };
         let known = self.owners.entry(owner.host.clone()).or_insert(state);
         if owner.incarnation >= known.incarnation {
             *known = OwnerState {
                 last_heartbeat: last_heartbeat.or(known.last_heartbeat),
-                is_remote: known.is_remote && last_heartbeat.is_none(),
+                is_reported: known.is_reported && last_heartbeat.is_none(),
                 ..state
             };
         }
@@ -313,7 +313,7 @@
     /// An owner also counts as seen when a holding of it is new in the list, or when it is listed
     /// for the first time, so a newly started reaper releases nothing for
     /// [`Settings::owner_timeout`].
-    pub fn releasable(
+    pub fn sweep(
         &mut self,
         upstream: &id::Upstream,
         holdings: &[engine::Holding],
@@ -382,12 +382,12 @@
     fn is_cut_off(&self, now: clock::Moment) -> bool {
         let max_age = self.settings.owner_timeout / 2;
         let is_recent = |beat: clock::Moment| now.since(beat) <= max_age;
-        let local = self.owners.values().filter(|state| !state.is_remote);
+        let local = self.owners.values().filter(|state| !state.is_reported);
         let heard =
             local.clone().filter(|state| state.last_heartbeat.is_some_and(is_recent)).count();
         let share = heard as f64 / local.count().max(1) as f64;
         share <= self.settings.min_heard_share
-            && self.settings.safeguards.has(safeguard::Safeguard::CutOffSweeper)
+            && self.settings.safeguards.has(safeguard::Safeguard::CutOffReaper)
     }
 }
 
--- a/crates/lagoonline/src/lifecycle/safeguard.rs
+++ b/crates/lagoonline/src/lifecycle/safeguard.rs
@@ -32,7 +32,7 @@
     /// An owner counts as dead only if it was not seen for a certain time.
     OwnerSilence,
     /// A reaper that receives few heartbeats releases nothing on account of missing ones.
-    CutOffSweeper,
+    CutOffReaper,
     /// An owner whose liveness cannot be determined does not count as dead.
     UnsureOwner,
     /// A sign older than a leaving mark does not clear it.
@@ -54,7 +54,7 @@
         Safeguard::Settle,
         Safeguard::CancelRepeat,
         Safeguard::OwnerSilence,
-        Safeguard::CutOffSweeper,
+        Safeguard::CutOffReaper,
         Safeguard::UnsureOwner,
         Safeguard::StaleMark,
     ];
--- a/crates/lagoonline/src/lifecycle/stream.rs
+++ b/crates/lagoonline/src/lifecycle/stream.rs
@@ -90,7 +90,7 @@
     ///
     /// Returns the violation, after which the connection must not be read any further.
     pub fn chunk(&mut self, attempt: id::Attempt, number: u64) -> Result<(), Violation> {
-        self.check_attempt(attempt)?;
+        self.check_open(attempt)?;
         let expected = self.next;
         match number {
             got if got < expected => Err(Violation::Repeated { got, expected }),
@@ -108,7 +108,7 @@
     ///
     /// Same as [`Checker::chunk`].
     pub fn end(&mut self, attempt: id::Attempt, counted: u64) -> Result<(), Violation> {
-        self.check_attempt(attempt)?;
+        self.check_open(attempt)?;
         if counted != self.next {
             return Err(Violation::Count { counted, received: self.next });
         }
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    fn check_attempt(&self, attempt: id::Attempt) -> Result<(), Violation> {
+    fn check_open(&self, attempt: id::Attempt) -> Result<(), Violation> {
         if attempt != self.attempt {
             return Err(Violation::WrongAttempt);
         }
--- a/crates/lagoonline/src/load/placement/engine.rs
+++ b/crates/lagoonline/src/load/placement/engine.rs
@@ -134,7 +134,7 @@
         entry: routing::Registration,
         profile: Option<profile::Profile>,
     ) {
-        if entry.born != self.entry.born {
+        if entry.started_ms != self.entry.started_ms {
             self.parts.clear();
         }
         self.entry = entry;
--- a/crates/lagoonline/src/load/scheduler/fleet.rs
+++ b/crates/lagoonline/src/load/scheduler/fleet.rs
@@ -88,7 +88,12 @@
     }
 
     /// Applies a load report, which lags behind the engine's state.
-    pub fn observe(&mut self, now: clock::Moment, upstream: &id::Upstream, load: &engine::Load) {
+    pub fn observe(
+        &mut self,
+        now: clock::Moment,
+        upstream: &id::Upstream,
+        load: &engine::LoadReport,
+    ) {
         let Some(&index) = self.index.get(upstream) else { return };
         let upstream = &mut self.upstreams[index];
         if upstream.incarnation != 0 && load.incarnation != upstream.incarnation {
--- a/crates/lagoonline/src/load/upstream.rs
+++ b/crates/lagoonline/src/load/upstream.rs
@@ -226,7 +226,7 @@
     /// Applies a load report. Reports do not distinguish prompts by length, but every host keeps
     /// short prefill below a bound: `typical` is what other hosts usually have outstanding, and
     /// what exceeds it in a large report must be long.
-    pub fn observe(&mut self, now: clock::Moment, load: &engine::Load, typical: &mut f64) {
+    pub fn observe(&mut self, now: clock::Moment, load: &engine::LoadReport, typical: &mut f64) {
         self.drain(now);
         if load.prefill_rate > 0.0 {
             self.nominal_rate = load.prefill_rate;
--- a/crates/lagoonline/src/port/engine.rs
+++ b/crates/lagoonline/src/port/engine.rs
@@ -7,7 +7,7 @@
 /// Load reported by an engine. It lags behind the actual load.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
-pub struct Load {
+pub struct LoadReport {
     /// Number of streams in the batch.
     pub running: u32,
     /// Number of requests accepted but not in the batch yet.
--- a/crates/lagoonline/src/routing/mod.rs
+++ b/crates/lagoonline/src/routing/mod.rs
@@ -168,5 +168,5 @@
     /// Whether it is leaving and must get no new work.
     pub leaving: bool,
     /// Start time of this incarnation in Unix milliseconds; 0 if unknown.
-    pub born: u64,
+    pub started_ms: u64,
 }
--- a/crates/lagoonline/src/routing/roster.rs
+++ b/crates/lagoonline/src/routing/roster.rs
@@ -77,7 +77,7 @@
 
 /// What is known about another host.
 #[derive(Clone, Debug)]
-struct HostState {
+struct PeerState {
     info: HostInfo,
     /// When its row was first seen.
     first_seen: clock::Moment,
@@ -89,9 +89,9 @@
     skipped_until: Option<clock::Moment>,
 }
 
-impl HostState {
-    fn new(info: HostInfo, first_seen: clock::Moment) -> HostState {
-        HostState {
+impl PeerState {
+    fn new(info: HostInfo, first_seen: clock::Moment) -> PeerState {
+        PeerState {
             info,
             first_seen,
             last_contact: None,
@@ -139,7 +139,7 @@
     info: HostInfo,
     /// When this host started to listen to others.
     started: clock::Moment,
-    hosts: collections::BTreeMap<id::Host, HostState>,
+    hosts: collections::BTreeMap<id::Host, PeerState>,
     /// Host names by zone in order of rank, including this host's own.
     ranks: collections::BTreeMap<id::Zone, Vec<id::Host>>,
 }
@@ -159,7 +159,7 @@
         match self.hosts.get_mut(&host) {
             Some(known) if known.info == info => return,
             Some(known) => known.info = info,
-            None => drop(self.hosts.insert(host, HostState::new(info, now))),
+            None => drop(self.hosts.insert(host, PeerState::new(info, now))),
         }
         self.rank_hosts();
     }
@@ -181,7 +181,7 @@
         if !self.is_leader(now) {
             return Vec::new();
         }
-        let in_zone = |known: &HostState| known.info.zone == self.info.zone;
+        let in_zone = |known: &PeerState| known.info.zone == self.info.zone;
         let silent = self.hosts.iter().filter(|(_, known)| in_zone(known));
         let silent = silent.filter(|(_, known)| known.silent_for(now) > span);
         silent.map(|(host, _)| host.clone()).collect()
@@ -402,10 +402,10 @@
     /// let info = HostInfo { zone: zone.clone(), cores: 0.1 };
     /// let now = Moment::from_millis(10);
     /// let roster = Roster::new(RosterSettings::default(), Host::from("a"), info, now);
-    /// let (mut rounds, second) = (PollSchedule::default(), Span::from_secs(1));
-    /// assert_eq!(rounds.due(&roster, [&zone], second, now), [zone.clone()]);
-    /// assert!(rounds.due(&roster, [&zone], second, now + second / 2).is_empty());
-    /// assert_eq!(rounds.due(&roster, [&zone], second, now + second), [zone]);
+    /// let (mut schedule, second) = (PollSchedule::default(), Span::from_secs(1));
+    /// assert_eq!(schedule.due(&roster, [&zone], second, now), [zone.clone()]);
+    /// assert!(schedule.due(&roster, [&zone], second, now + second / 2).is_empty());
+    /// assert_eq!(schedule.due(&roster, [&zone], second, now + second), [zone]);
     /// ```
     pub fn due<'a, Zones>(
         &mut self,
--- a/crates/lagoonline/src/routing/source.rs
+++ b/crates/lagoonline/src/routing/source.rs
@@ -61,8 +61,8 @@
     /// let span = SourceSettings::default().search_span(Span::from_secs(4));
     /// assert_eq!(span, Span::from_millis(1_200));
     /// ```
-    pub fn search_span(&self, apply: clock::Span) -> clock::Span {
-        apply.mul_f64(self.search_share)
+    pub fn search_span(&self, max_propagation: clock::Span) -> clock::Span {
+        max_propagation.mul_f64(self.search_share)
     }
 }
 
@@ -146,7 +146,7 @@
 
     /// Returns whether this host must read the platform whatever the others know: it is the first
     /// host in order that is not skipped, or its zone is small.
-    pub fn is_first(&self, now: clock::Moment) -> bool {
+    pub fn must_read_platform(&self, now: clock::Moment) -> bool {
         self.is_small()
             || self
                 .ranked_hosts()
--- a/crates/lagoonline/tests/check.rs
+++ b/crates/lagoonline/tests/check.rs
@@ -95,13 +95,13 @@
     tree.prop_map(|value| value.to_string())
 }
 
-fn fixed(cases: u32) -> test_runner::Config {
+fn seeded(cases: u32) -> test_runner::Config {
     let rng_seed = test_runner::RngSeed::Fixed(11);
     test_runner::Config { cases, failure_persistence: None, rng_seed, ..Default::default() }
 }
 
 proptest! {
-    #![proptest_config(fixed(2_000))]
+    #![proptest_config(seeded(2_000))]
 
     #[test]
     fn no_text_causes_a_panic(text in ".{0,200}") {
--- a/crates/lagoonline/tests/life_drain.rs
+++ b/crates/lagoonline/tests/life_drain.rs
@@ -6,8 +6,8 @@
 
 const UNREADY: Span = Span::from_secs(3);
 const GRACE: Span = Span::from_secs(100);
-const CUT: State = State::Ended { interrupted: true };
-const CLEAN: State = State::Ended { interrupted: false };
+const INTERRUPTED: State = State::Ended { interrupted: true };
+const COMPLETED: State = State::Ended { interrupted: false };
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
@@ -25,10 +25,10 @@
 ///   does the time limit, even if `tick` was not called in between; later events change nothing.
 #[rstest]
 #[case::balancer(&[(2_999, Event::Tick, 0, State::Unready), (3_000, Event::Tick, 2, State::Draining)])]
-#[case::stream(&[(99_999, Event::Tick, 1, State::Draining), (99_999, Event::Tick, 0, CLEAN)])]
-#[case::second_signal(&[(10, Event::Signal, 2, CUT), (20, Event::Signal, 9, CUT), (30, Event::Tick, 9, CUT)])]
-#[case::second_signal_idle(&[(10, Event::Signal, 0, CLEAN), (20, Event::Signal, 9, CLEAN), (30, Event::Tick, 9, CLEAN)])]
-#[case::limit(&[(100_000, Event::Tick, 1, CUT)])]
+#[case::stream(&[(99_999, Event::Tick, 1, State::Draining), (99_999, Event::Tick, 0, COMPLETED)])]
+#[case::second_signal(&[(10, Event::Signal, 2, INTERRUPTED), (20, Event::Signal, 9, INTERRUPTED), (30, Event::Tick, 9, INTERRUPTED)])]
+#[case::second_signal_idle(&[(10, Event::Signal, 0, COMPLETED), (20, Event::Signal, 9, COMPLETED), (30, Event::Tick, 9, COMPLETED)])]
+#[case::limit(&[(100_000, Event::Tick, 1, INTERRUPTED)])]
 fn drains(#[case] events: &[(u64, Event, usize, State)]) {
     let mut drain = Drain::new(Settings { unready: UNREADY, grace: GRACE });
     assert!(drain.is_ready() && drain.accepts() && !drain.closes_connections());
--- a/crates/lagoonline/tests/life_fuzz/machine.rs
+++ b/crates/lagoonline/tests/life_fuzz/machine.rs
@@ -145,7 +145,7 @@
         }
         while environment.platform.delayed_count() + environment.upstream.delayed_count() > 0 {
             environment.platform.apply_delayed(0);
-            environment.upstream.apply_delayed(0);
+            environment.upstream.run_delayed(0);
         }
         oracle::check_end(&world);
         let replayed = world.tasks.iter().filter(|task| {
@@ -174,7 +174,7 @@
         Step::UpstreamFault(fault) => environment.upstream.inject(fault),
         Step::Down(down) => environment.platform.set_down(down),
         Step::ApplyDelayed(pick) => environment.platform.apply_delayed(pick),
-        Step::RunDelayed(pick) => environment.upstream.apply_delayed(pick),
+        Step::RunDelayed(pick) => environment.upstream.run_delayed(pick),
         Step::Crash(host) => {
             count(|tally| tally.crashes += 1);
             world.crash(host);
--- a/crates/lagoonline/tests/life_fuzz/main.rs
+++ b/crates/lagoonline/tests/life_fuzz/main.rs
@@ -107,7 +107,7 @@
 {
     let cases = env_number("LAGOON_FUZZ_CASES", default_cases);
     assert_eq!(run::<M, S>(cases, 2_000, steps), Ok(()));
-    assert!(cases < default_cases || STEPS.get() >= 10_000, "{} steps", STEPS.get());
+    assert!(cases < default_cases || STEPS.get() >= 10_000, "only {} steps were run", STEPS.get());
     cases >= default_cases
 }
 
@@ -115,11 +115,14 @@
 fn claims_hold_under_faults() {
     let is_full = run_cases::<machine::Machine, _>(500, CLAIM_STEPS);
     let tally = machine::tally();
-    assert!(!is_full || tally.ran > 500 && tally.replayed > 50, "{tally:?}");
+    assert!(
+        !is_full || tally.ran > 500 && tally.replayed > 50,
+        "too few calls ran or were replayed: {tally:?}"
+    );
 }
 
 #[test]
-fn memory_returns() {
+fn memory_is_returned() {
     run_cases::<memory::Machine, _>(300, OTHER_STEPS);
 }
 
@@ -134,7 +137,7 @@
 }
 
 #[rstest]
-fn oracle_notices_absent(
+fn oracle_notices_absent_safeguard(
     #[values(
         Safeguard::VersionCheck,
         Safeguard::ReadBack,
@@ -148,7 +151,7 @@
         Safeguard::Settle,
         Safeguard::CancelRepeat,
         Safeguard::OwnerSilence,
-        Safeguard::CutOffSweeper,
+        Safeguard::CutOffReaper,
         Safeguard::UnsureOwner,
         Safeguard::StaleMark
     )]
@@ -158,7 +161,7 @@
     let result = match missing {
         Safeguard::CancelRepeat
         | Safeguard::OwnerSilence
-        | Safeguard::CutOffSweeper
+        | Safeguard::CutOffReaper
         | Safeguard::UnsureOwner => {
             run::<memory::Machine, _>(MUTANT_CASES, MUTANT_SHRINKS, OTHER_STEPS)
         }
@@ -171,7 +174,7 @@
 /// Each check of the stream checker is a safeguard. The consumer ignores one of them at a time, and
 /// the oracle must detect it.
 #[rstest]
-fn oracle_notices_ignored(
+fn oracle_notices_ignored_check(
     #[values(
         streams::Ignore::WrongAttempt,
         streams::Ignore::Repeated,
@@ -182,5 +185,5 @@
 ) {
     streams::ignore(ignore);
     let result = run::<streams::Machine, _>(MUTANT_CASES, MUTANT_SHRINKS, OTHER_STEPS);
-    assert!(result.is_err(), "{ignore:?} was not missed");
+    assert!(result.is_err(), "no case noticed that {ignore:?} was ignored");
 }
--- a/crates/lagoonline/tests/life_fuzz/marks.rs
+++ b/crates/lagoonline/tests/life_fuzz/marks.rs
@@ -57,13 +57,13 @@
     fn list(&mut self, host: usize, age: usize) {
         let mark = self.history[self.history.len().saturating_sub(1 + age)];
         let state = if mark.leaving { hosts::State::Leaving } else { hosts::State::Live };
-        let line = hosts::Entry {
+        let entry = hosts::Entry {
             name: upstream().as_str().to_owned(),
             zone: id::Zone::from("suva"),
             incarnation: mark.incarnation,
             state,
         };
-        let changed = self.marks[host].apply_list(&[line]);
+        let changed = self.marks[host].apply_list(&[entry]);
         self.sent.extend(changed.into_iter().map(|(_, mark)| mark));
         self.signs[host].push(mark);
     }
--- a/crates/lagoonline/tests/life_fuzz/memory.rs
+++ b/crates/lagoonline/tests/life_fuzz/memory.rs
@@ -14,7 +14,7 @@
 
 /// The last two hosts are in another zone and known only from its reports.
 const HOSTS: usize = 6;
-const OWN_ZONE: usize = 4;
+const OWN_ZONE_HOSTS: usize = 4;
 const ENGINES: usize = 2;
 const HEARTBEAT: Span = Span::from_secs(1);
 
@@ -30,7 +30,7 @@
         pick: usize,
     },
     LoseCancels(bool),
-    Crash(usize),
+    RestartHost(usize),
     /// The host dies and is not replaced.
     Die(usize),
     RestartEngine(usize),
@@ -77,7 +77,7 @@
                 .prop_map(|(host, engine, bytes)| Step::Hold { host, engine, bytes }),
             5 => any::<usize>().prop_map(|pick| Step::Cancel { pick }),
             2 => any::<bool>().prop_map(Step::LoseCancels),
-            2 => (0..HOSTS).prop_map(Step::Crash),
+            2 => (0..HOSTS).prop_map(Step::RestartHost),
             1 => (1..HOSTS).prop_map(Step::Die),
             1 => (0..ENGINES).prop_map(Step::RestartEngine),
             2 => any::<bool>().prop_map(Step::CutOff),
@@ -174,7 +174,7 @@
     fn tick(&mut self) {
         self.now = self.now + HEARTBEAT;
         for number in 0..HOSTS {
-            if self.hosts[number].alive && !self.is_cut_off && number < OWN_ZONE {
+            if self.hosts[number].alive && !self.is_cut_off && number < OWN_ZONE_HOSTS {
                 self.reaper
                     .record_heartbeat(&owner(number, self.hosts[number].incarnation), self.now);
             }
@@ -203,7 +203,7 @@
     fn answer_query(&mut self, owner: &id::Owner) {
         let number = (0..HOSTS).find(|number| host_name(*number) == owner.host).expect("a host");
         let host = &self.hosts[number];
-        if number < OWN_ZONE {
+        if number < OWN_ZONE_HOSTS {
             return;
         }
         if self.is_cut_off || self.is_zone_cut_off {
@@ -229,7 +229,7 @@
         for owner in self.reaper.owners_to_query(&listed, self.now) {
             self.answer_query(&owner);
         }
-        for id in self.reaper.releasable(&engine_name(engine), &listed, self.now) {
+        for id in self.reaper.sweep(&engine_name(engine), &listed, self.now) {
             let id = id.parse::<id::Attempt>().expect("an id of ours").0;
             let allocation = &self.allocations[&id];
             let host = &self.hosts[allocation.host];
@@ -257,7 +257,7 @@
             Step::Hold { host, engine, bytes } => world.hold(host, engine, bytes),
             Step::Cancel { pick } => world.cancel(pick),
             Step::LoseCancels(lose) => world.loses_cancels = lose,
-            Step::Crash(host) => {
+            Step::RestartHost(host) => {
                 let host = &mut world.hosts[host];
                 *host = Host { incarnation: host.incarnation + 1, alive: true, cancels: cancels() };
             }
--- a/crates/lagoonline/tests/life_fuzz/oracle.rs
+++ b/crates/lagoonline/tests/life_fuzz/oracle.rs
@@ -55,7 +55,9 @@
             && run.call.at_most_once == call.at_most_once
     };
     match response.outcome {
-        Outcome::NotRun => assert!(!runs.iter().any(|run| own(&run)), "told not-run: {call:?}"),
+        Outcome::NotRun => {
+            assert!(!runs.iter().any(|run| own(&run)), "told not-run but ran: {call:?}")
+        }
         Outcome::Unknown => {}
         Outcome::Done => {
             let answer = response.answer.as_ref();
@@ -63,7 +65,7 @@
             let mut answers = runs.iter().filter(is_allowed).map(|run| &run.answer);
             assert!(
                 answers.any(|ran| Some(ran) == answer),
-                "not its answer: {call:?} {response:?}"
+                "answered with the answer of no matching run: {call:?} {response:?}"
             );
         }
     }
--- a/crates/lagoonline/tests/life_fuzz/platform.rs
+++ b/crates/lagoonline/tests/life_fuzz/platform.rs
@@ -147,7 +147,7 @@
 
     /// Returns the tokens of delayed claims that can no longer be applied because their keys have
     /// rows.
-    pub fn delayed_over_rows(&self) -> BTreeSet<String> {
+    pub fn delayed_with_row(&self) -> BTreeSet<String> {
         let state = self.0.borrow();
         let changes = state.delayed.iter().flat_map(|transaction| &transaction.changes);
         let token = |change: &table::Change| match change {
--- a/crates/lagoonline/tests/life_fuzz/scenarios.rs
+++ b/crates/lagoonline/tests/life_fuzz/scenarios.rs
@@ -33,11 +33,11 @@
     claim::Claims::new(platform.clone(), platform.clone(), clock.clone(), settings)
 }
 
-fn ask(token: u128, repeat: request::Repeat) -> claim::Request {
+fn keyed_request(token: u128, repeat: request::Repeat) -> claim::Request {
     claim::Request {
         customer: id::Customer::from("crew"),
         key: "pickup-7".into(),
-        body_hash: claim::body_hash("POST", "/book", b"tins"),
+        request_hash: claim::request_hash("POST", "/book", b"tins"),
         repeat,
         token: id::Attempt(token),
         upstream: id::Upstream::from("engine-3"),
@@ -61,15 +61,16 @@
     let (platform, clock) = (Platform::default(), clock::Fake::default());
     let claims = claims(&platform, &clock);
     let allowed = request::Repeat::Allowed;
-    let first = ticket(wait(claims.begin(ask(1, allowed)))).dispatch(clock::Moment::START);
-    let Ok(claim::Begin::Running(running)) = wait(claims.begin(ask(2, allowed))) else {
+    let first =
+        ticket(wait(claims.begin(keyed_request(1, allowed)))).dispatch(clock::Moment::START);
+    let Ok(claim::Begin::Running(running)) = wait(claims.begin(keyed_request(2, allowed))) else {
         panic!("it runs");
     };
     assert_eq!((running.attempt, running.upstream.as_str()), (id::Attempt(1), "engine-3"));
-    let mut second = ticket(wait(claims.take_over(ask(3, allowed), &running)));
+    let mut second = ticket(wait(claims.take_over(keyed_request(3, allowed), &running)));
     wait(claims.retarget(&mut second, id::Upstream::from("engine-4"), id::Attempt(9)));
     wait(claims.mark_unknown(first.expect("in time")));
-    let Ok(claim::Begin::Running(running)) = wait(claims.begin(ask(4, allowed))) else {
+    let Ok(claim::Begin::Running(running)) = wait(claims.begin(keyed_request(4, allowed))) else {
         panic!("it runs");
     };
     assert_eq!((running.attempt, running.upstream.as_str()), (id::Attempt(9), "engine-4"));
@@ -83,17 +84,17 @@
     let (platform, clock) = (Platform::default(), clock::Fake::default());
     let claims = claims(&platform, &clock);
     let never = request::Repeat::Never;
-    let sent = ticket(wait(claims.begin(ask(1, never)))).dispatch(clock::Moment::START);
+    let sent = ticket(wait(claims.begin(keyed_request(1, never)))).dispatch(clock::Moment::START);
     let body = Bytes::from_static(b"booked for Nausori");
     let answer = claim::Answer { status: 201, content_type: "text/plain".into(), body };
     platform.set_down(true);
     let unstored = wait(claims.finish(sent.expect("in time"), answer.clone()));
     let unstored = unstored.expect_err("the platform is down");
     platform.set_down(false);
-    let refusal = wait(claims.begin(ask(2, never))).expect_err("it may have run").failure;
+    let refusal = wait(claims.begin(keyed_request(2, never))).expect_err("it may have run").failure;
     assert_eq!((refusal.reason, refusal.outcome), (Reason::EarlierUnknown, Outcome::Unknown));
     wait(claims.finish(unstored.sent, unstored.answer)).expect("the platform is back");
-    match wait(claims.begin(ask(3, never))) {
+    match wait(claims.begin(keyed_request(3, never))) {
         Ok(claim::Begin::Replay(replayed)) => assert_eq!(replayed, answer),
         other => panic!("no replay: {other:?}"),
     }
@@ -109,15 +110,15 @@
     for fault in [Fault::Delay, Fault::LoseRequest].repeat(3) {
         platform.inject(fault);
     }
-    let refusal = wait(claims.begin(ask(1, never))).expect_err("no commit was answered");
+    let refusal = wait(claims.begin(keyed_request(1, never))).expect_err("no commit was answered");
     assert_eq!(refusal.failure.outcome, Outcome::NotRun);
     let abandoned = refusal.abandoned.expect("commits may land");
     while platform.delayed_count() > 0 {
         platform.apply_delayed(0);
     }
-    assert!(wait(claims.begin(ask(2, never))).is_err());
+    assert!(wait(claims.begin(keyed_request(2, never))).is_err());
     assert!(wait(claims.settle(&abandoned)));
-    ticket(wait(claims.begin(ask(3, never))));
+    ticket(wait(claims.begin(keyed_request(3, never))));
 }
 
 /// The sweep must delete rows only after their retention has ended, batch by batch, with one read
@@ -128,8 +129,8 @@
     let claims = claims(&platform, &clock);
     for (token, customer) in (1..).zip(["crew", "clerk", "planner"]) {
         let customer = id::Customer::from(customer);
-        let ask = claim::Request { customer, ..ask(token, request::Repeat::Never) };
-        drop(ticket(wait(claims.begin(ask))));
+        let request = claim::Request { customer, ..keyed_request(token, request::Repeat::Never) };
+        drop(ticket(wait(claims.begin(request))));
     }
     let settings = claim::SweepSettings { batch: 2, ..claim::SweepSettings::default() };
     let mut sweeper = claim::Sweeper::new(settings, claim::shard("pickup-7"));
--- a/crates/lagoonline/tests/life_fuzz/upstream.rs
+++ b/crates/lagoonline/tests/life_fuzz/upstream.rs
@@ -37,8 +37,8 @@
 impl State {
     fn run(&mut self, call: &Call, dispatched: clock::Moment) -> Bytes {
         let long = "x".repeat(self.runs.len() % 2 * 40);
-        let name = (call.customer, call.key, call.body, self.runs.len());
-        let answer = Bytes::from(format!("{name:?}{long}"));
+        let identity = (call.customer, call.key, call.body, self.runs.len());
+        let answer = Bytes::from(format!("{identity:?}{long}"));
         self.runs.push(Run { call: call.clone(), dispatched, answer: answer.clone() });
         answer
     }
@@ -53,7 +53,7 @@
         self.0.borrow_mut().faults.queue.clear();
     }
 
-    pub fn apply_delayed(&self, pick: usize) {
+    pub fn run_delayed(&self, pick: usize) {
         let mut state = self.0.borrow_mut();
         if let Some((call, dispatched)) = take_delayed(&mut state.delayed, pick) {
             state.run(&call, dispatched);
--- a/crates/lagoonline/tests/life_fuzz/world.rs
+++ b/crates/lagoonline/tests/life_fuzz/world.rs
@@ -202,7 +202,7 @@
     /// the key for one more retention. This is a documented limit; only the affected calls are
     /// exempt.
     pub fn sweep(&mut self) {
-        let before = self.environment.platform.delayed_over_rows();
+        let before = self.environment.platform.delayed_with_row();
         let now = self.environment.clock.wall_millis();
         let platform = self.environment.platform.clone();
         for sweeper in &mut self.sweepers {
@@ -210,7 +210,7 @@
             // A lost answer only delays the sweep.
             while poll(step.as_mut()).is_pending() {}
         }
-        let after = platform.delayed_over_rows();
+        let after = platform.delayed_with_row();
         for token in before.difference(&after) {
             self.tasks[self.tokens[token]].is_exempt = true;
         }
@@ -265,7 +265,7 @@
     let request = claim::Request {
         customer: id::Customer::from(format!("customer-{}", exchange.call.customer)),
         key: format!("key-{key}"),
-        body_hash: claim::body_hash(
+        request_hash: claim::request_hash(
             "POST",
             "/",
             &[exchange.call.body, u8::from(exchange.call.at_most_once)],
--- a/crates/lagoonline/tests/life_quarantine.rs
+++ b/crates/lagoonline/tests/life_quarantine.rs
@@ -27,7 +27,7 @@
 
     /// Crashes the next upstream while it has just started `requests`.
     fn crash(&mut self, requests: &[&str]) {
-        self.crash_with(requests, Weight::Begun);
+        self.crash_with(requests, Weight::Started);
     }
 
     fn crash_with(&mut self, requests: &[&str], weight: Weight) {
@@ -60,12 +60,12 @@
 #[rstest]
 #[case(2, false)]
 #[case(3, true)]
-fn three_crashes_are_proof(#[case] crashes: usize, #[case] held: bool) {
+fn three_crashes_are_proof(#[case] crashes: usize, #[case] is_quarantined: bool) {
     let mut world = World::new();
     for _ in 0..crashes {
         world.crash_separately(&[&["lethal"]]);
     }
-    assert_eq!(world.is_quarantined("lethal"), held);
+    assert_eq!(world.is_quarantined("lethal"), is_quarantined);
 }
 
 /// A request that was only queued on the engines that crashed needs twice as many crashes.
@@ -73,7 +73,7 @@
 fn a_queued_request_needs_twice_as_many_crashes() {
     let mut world = World::new();
     for crash in 1..=6 {
-        world.crash_with(&["queued"], Weight::Waiting);
+        world.crash_with(&["queued"], Weight::MaybeQueued);
         world.advance(CRASH_INTERVAL);
         world.quarantine.evaluate(world.now);
         assert_eq!(world.is_quarantined("queued"), crash == 6, "after {crash} crashes");
@@ -82,11 +82,11 @@
 
 /// Requests that had been running well when their engine crashed must not be suspected.
 #[rstest]
-#[case::queued(Progress::Waiting, Some(Weight::Waiting))]
-#[case::booking(Progress::Unknown, Some(Weight::Begun))]
-#[case::slow_engine(Progress::Begun { span: Span::from_secs(2), events: 0 }, Some(Weight::Begun))]
-#[case::first_events(Progress::Begun { span: Span::from_millis(120), events: 2 }, Some(Weight::Begun))]
-#[case::under_way(Progress::Begun { span: Span::from_millis(600), events: 10 }, None)]
+#[case::queued(Progress::Waiting, Some(Weight::MaybeQueued))]
+#[case::whole_answer(Progress::Unknown, Some(Weight::Started))]
+#[case::slow_engine(Progress::Answering { span: Span::from_secs(2), events: 0 }, Some(Weight::Started))]
+#[case::first_events(Progress::Answering { span: Span::from_millis(120), events: 2 }, Some(Weight::Started))]
+#[case::under_way(Progress::Answering { span: Span::from_millis(600), events: 10 }, None)]
 fn only_requests_that_had_just_started_are_suspected(
     #[case] progress: Progress,
     #[case] weight: Option<Weight>,
@@ -101,8 +101,8 @@
     world.crash_separately(&[&["lethal"], &["lethal"]]);
     world.crash(&["lethal"]);
     let settle = Settings::default().settle_time;
-    let standing = world.quarantine.status(&request("lethal"), world.now);
-    assert_eq!(standing, Status::Pending(settle));
+    let status = world.quarantine.status(&request("lethal"), world.now);
+    assert_eq!(status, Status::Pending(settle));
     assert!(world.quarantine.evaluate(world.now).is_empty());
 }
 
@@ -152,8 +152,8 @@
     let mut world = World::new();
     for _ in 0..10 {
         world.crash_separately(&[&["popular", "lethal"]]);
-        let (news, _) = world.quarantine.record_answer(&request("popular"), world.now);
-        assert_eq!(news, world.crashes == 1, "told once, at crash {}", world.crashes);
+        let (is_news, _) = world.quarantine.record_answer(&request("popular"), world.now);
+        assert_eq!(is_news, world.crashes == 1, "told once, at crash {}", world.crashes);
     }
     assert!(world.is_quarantined("lethal") && !world.is_quarantined("popular"));
 }
@@ -174,13 +174,13 @@
 #[rstest]
 fn after_a_quarantine_one_crash_is_enough_for_a_longer_one() {
     let mut world = World::new();
-    let hold = Settings::default().base_duration;
+    let base_duration = Settings::default().base_duration;
     world.crash_separately(&[&["lethal"], &["lethal"], &["lethal"]]);
-    world.advance(hold);
+    world.advance(base_duration);
     assert!(!world.is_quarantined("lethal"));
     world.crash_separately(&[&["lethal", "beside"]]);
     assert!(world.is_quarantined("lethal"));
-    world.advance(hold);
+    world.advance(base_duration);
     assert!(world.is_quarantined("lethal") && !world.is_quarantined("beside"));
 }
 
@@ -189,11 +189,11 @@
 fn the_later_record_wins_in_any_order() {
     let mut world = World::new();
     world.crash_separately(&[&["lethal"], &["lethal"], &["lethal"]]);
-    let held = *world.quarantine.records(world.now).next().unwrap();
+    let quarantined = *world.quarantine.records(world.now).next().unwrap();
     let released = world.quarantine.release(&request("lethal"), world.now).unwrap();
     let mut other = World::new();
     assert!(other.quarantine.merge(released, other.now));
-    assert!(!other.quarantine.merge(held, other.now));
+    assert!(!other.quarantine.merge(quarantined, other.now));
     assert!(!other.is_quarantined("lethal"));
     assert_eq!(
         other.quarantine.checksum(other.now),
@@ -207,7 +207,7 @@
 fn a_crash_that_several_hosts_report_counts_once() {
     let mut world = World::new();
     for _ in 0..4 {
-        let unlucky = Suspect { fingerprint: request("unlucky"), weight: Weight::Begun };
+        let unlucky = Suspect { fingerprint: request("unlucky"), weight: Weight::Started };
         world.quarantine.record_crash(&Upstream::from("e1"), &[unlucky], world.now);
         world.now = world.now + Span::from_millis(150);
     }
@@ -224,7 +224,7 @@
     for number in 0..400 {
         world.crash(&[&format!("a{number}"), &format!("b{number}"), &format!("c{number}")]);
         world.advance(Span::from_millis(1));
-        assert!(world.quarantine.suspects() <= 100);
+        assert!(world.quarantine.suspect_count() <= 100);
     }
     for number in 0..300 {
         let name = format!("lethal {number}");
--- a/crates/lagoonline/tests/life_quarantine_fuzz.rs
+++ b/crates/lagoonline/tests/life_quarantine_fuzz.rs
@@ -82,8 +82,8 @@
 
 impl System {
     fn is_quarantined(&self, host: usize, number: usize) -> bool {
-        let standing = self.hosts[host].status(&request(number), self.now);
-        matches!(standing, Status::Quarantined(_))
+        let status = self.hosts[host].status(&request(number), self.now);
+        matches!(status, Status::Quarantined(_))
     }
 
     fn crash(&mut self, requests: u8, skipped_host: usize) {
@@ -95,7 +95,7 @@
             *self.involved.entry(*number).or_default() += 1;
         }
         let suspect =
-            |number: &usize| Suspect { fingerprint: request(*number), weight: Weight::Begun };
+            |number: &usize| Suspect { fingerprint: request(*number), weight: Weight::Started };
         let suspects: Vec<_> = numbers.iter().map(suspect).collect();
         for (number, host) in self.hosts.iter_mut().enumerate() {
             if number != skipped_host {
@@ -105,12 +105,13 @@
     }
 
     fn answer(&mut self, number: usize, host: usize, skipped_host: usize) {
-        let (news, _) = self.hosts[host].record_answer(&request(number), self.now);
+        let (is_news, _) = self.hosts[host].record_answer(&request(number), self.now);
         assert!(
             !self.is_quarantined(host, number),
             "still in quarantine at the host that answered it"
         );
-        for other in (0..HOSTS).filter(|other| news && *other != host && *other != skipped_host) {
+        for other in (0..HOSTS).filter(|other| is_news && *other != host && *other != skipped_host)
+        {
             self.hosts[other].record_answer(&request(number), self.now);
             assert!(
                 !self.is_quarantined(other, number),
--- a/crates/lagoonline/tests/life_reap.rs
+++ b/crates/lagoonline/tests/life_reap.rs
@@ -25,11 +25,11 @@
         bytes: 1,
         expires_ms: 1,
     };
-    reaper.releasable(&engine, &[held("h/1")], Moment::START);
+    reaper.sweep(&engine, &[held("h/1")], Moment::START);
     reaper.record_heartbeat(&owner("h/2"), Moment::START);
     for (at, expected) in [Span::ZERO, takeover].iter().zip(released) {
-        let ids = reaper.releasable(&engine, &[held("h/1")], Moment::START + *at);
+        let ids = reaper.sweep(&engine, &[held("h/1")], Moment::START + *at);
         assert_eq!(!ids.is_empty(), *expected, "after {at:?}");
     }
-    assert!(reaper.releasable(&engine, &[held("h/2")], Moment::START + takeover).is_empty());
+    assert!(reaper.sweep(&engine, &[held("h/2")], Moment::START + takeover).is_empty());
 }
--- a/crates/lagoonline/tests/life_regressions.rs
+++ b/crates/lagoonline/tests/life_regressions.rs
@@ -19,7 +19,7 @@
 /// mark, and the engine restarted. The old refusal was applied to the new incarnation as well,
 /// because the first incarnation had not consumed it.
 #[test]
-fn a_refusal_marks_one_life_only() {
+fn a_refusal_marks_one_incarnation_only() {
     let (mut marks, engine) = (leaving::Marks::default(), Upstream::from("e"));
     assert_eq!(marks.record_refusal(&engine), None);
     assert!(marks.is_leaving(&engine));
@@ -39,7 +39,7 @@
     for _ in 0..300 {
         now = now + Span::from_secs(1);
         reaper.record_heartbeat(&owner("own/1"), now);
-        let released = reaper.releasable(&Upstream::from("e"), std::slice::from_ref(&holding), now);
+        let released = reaper.sweep(&Upstream::from("e"), std::slice::from_ref(&holding), now);
         assert!(released.is_empty());
     }
 }
@@ -48,7 +48,7 @@
 /// off. The host with the oldest last heartbeat counted as dead while the other hosts, also cut
 /// off, still counted as heard.
 #[test]
-fn hosts_fall_silent_together() {
+fn a_cut_off_reaper_releases_nothing_while_heartbeats_expire() {
     let mut reaper = reap::Reaper::new(reap::Settings::default());
     let hosts = ["own/1", "a/1", "b/1", "c/1"];
     for (host, millis) in hosts.iter().zip([900, 100, 500, 900]) {
@@ -58,7 +58,7 @@
     for tenths in 10..900 {
         let now = Moment::from_millis(tenths * 100);
         reaper.record_heartbeat(&owner("own/1"), now);
-        let released = reaper.releasable(&Upstream::from("e"), std::slice::from_ref(&holding), now);
+        let released = reaper.sweep(&Upstream::from("e"), std::slice::from_ref(&holding), now);
         assert!(released.is_empty(), "at {now:?}");
     }
 }
--- a/crates/lagoonline/tests/load_cold.rs
+++ b/crates/lagoonline/tests/load_cold.rs
@@ -61,7 +61,7 @@
         let ending = Ending::Done { prompt_tokens: 10, cached_tokens: 0, answer_tokens: 8 };
         scheduler.finish(now, placement.ticket, ending);
     }
-    let full = engine::Load { running: 4, kv_tokens: 1_000_000, incarnation: 1, ..no_load() };
+    let full = engine::LoadReport { running: 4, kv_tokens: 1_000_000, incarnation: 1, ..no_load() };
     scheduler.observe(now, &id::Upstream::from("e"), &full);
     let now = Moment::from_millis(60);
     let verdict = scheduler.offer(now, request(now, 8));
@@ -74,7 +74,7 @@
 #[test]
 fn a_report_that_nothing_follows_stops_counting() {
     let mut scheduler = scheduler();
-    let full = engine::Load { running: 4, kv_tokens: 1_000_000, incarnation: 1, ..no_load() };
+    let full = engine::LoadReport { running: 4, kv_tokens: 1_000_000, incarnation: 1, ..no_load() };
     let now = Moment::from_millis(1_000);
     scheduler.observe(now, &id::Upstream::from("e"), &full);
     let verdict = scheduler.offer(now, request(now, 8));
@@ -97,7 +97,7 @@
     };
     let first = scheduler.offer(Moment::START, long(Moment::START));
     let Verdict::Dispatch(first) = first else { panic!("{first:?}") };
-    let busy = engine::Load {
+    let busy = engine::LoadReport {
         running: 1,
         prefill_tokens: 300_000,
         kv_tokens: 1_000_000,
@@ -113,6 +113,10 @@
     assert!(matches!(verdict, Verdict::Dispatch(_)), "{verdict:?}");
 }
 
-fn no_load() -> engine::Load {
-    engine::Load { kv_free_tokens: 1_000_000, prefill_rate: 20_000.0, ..engine::Load::default() }
+fn no_load() -> engine::LoadReport {
+    engine::LoadReport {
+        kv_free_tokens: 1_000_000,
+        prefill_rate: 20_000.0,
+        ..engine::LoadReport::default()
+    }
 }
--- a/crates/lagoonline/tests/load_fuzz.rs
+++ b/crates/lagoonline/tests/load_fuzz.rs
@@ -188,12 +188,12 @@
                 }
             }
             Step::Observe { upstream, running, prefill, incarnation } => {
-                let load = engine::Load {
+                let load = engine::LoadReport {
                     running,
                     prefill_tokens: prefill,
                     prefill_rate: 20_000.0,
                     incarnation,
-                    ..engine::Load::default()
+                    ..engine::LoadReport::default()
                 };
                 self.scheduler.observe(self.now, &name(upstream), &load);
             }
--- a/crates/lagoonline/tests/load_placement.rs
+++ b/crates/lagoonline/tests/load_placement.rs
@@ -35,7 +35,7 @@
         zone: id::Zone::from(zone),
         slots: 16,
         leaving: false,
-        born: 1,
+        started_ms: 1,
     }
 }
 
--- a/crates/lagoonline/tests/routing.rs
+++ b/crates/lagoonline/tests/routing.rs
@@ -46,7 +46,7 @@
 }
 
 #[rstest]
-fn keys_name_customers_unless_a_route_is_public() {
+fn keys_are_required_unless_a_route_is_public() {
     let customers = Some(vec![customer("c", &["k1", "k2"])]);
     let table = routing::Table::new(routing::Desired { customers, ..Default::default() });
     let closed = route("r", "/");
@@ -72,7 +72,7 @@
         zone: id::Zone::from("z"),
         slots: 6,
         leaving,
-        born: 1,
+        started_ms: 1,
     }
 }
 
@@ -210,7 +210,7 @@
     let mut sources = routing::SourceSelector::new(settings, id::Host::from("b"), 0.1);
     sources.set_peer(id::Host::from("a"), routing::Peer { cores: 0.5 });
     assert_eq!(sources.next(now), routing::Source::Platform);
-    assert!(sources.is_first(now));
+    assert!(sources.must_read_platform(now));
     sources.set_peer(id::Host::from("c"), routing::Peer { cores: 0.1 });
-    assert!(!sources.is_first(now));
+    assert!(!sources.must_read_platform(now));
 }
--- a/crates/lagoonline/tests/routing_roster.rs
+++ b/crates/lagoonline/tests/routing_roster.rs
@@ -110,8 +110,8 @@
                 self.sent += 1;
             }
         }
-        let shared = self.hosts[index].roster.own_zone_has_scheduler();
-        if shared && !self.hosts[index].roster.is_leader(now) {
+        let has_scheduler = self.hosts[index].roster.own_zone_has_scheduler();
+        if has_scheduler && !self.hosts[index].roster.is_leader(now) {
             return;
         }
         for other in self.hosts[index].roster.remote_peers(now) {
@@ -176,7 +176,7 @@
         assert!((19..=21).contains(&polled.len()), "{zone} polled {} times", polled.len());
     }
     let each = fleet.sent as f64 / hosts as f64 / 20.0;
-    assert!(each <= 30.0, "{each} heartbeats a second and host");
+    assert!(each <= 30.0, "{each} messages per second and host");
 }
 
 /// The polling host of each zone is killed, then the three largest hosts of each zone, then every
@@ -337,7 +337,10 @@
     assert_eq!(often, 3);
     let calls: f64 = pauses.iter().map(|pause| 1.0 / pause.as_secs_f64()).sum();
     assert!(calls <= 20.0, "{calls} calls a second");
-    assert!(roster(4, 5).max_retry_pause(now) <= Span::from_millis(400), "of a small zone");
+    assert!(
+        roster(4, 5).max_retry_pause(now) <= Span::from_millis(400),
+        "a host of a small zone pauses for too long"
+    );
 }
 
 /// Rows of replaced hosts must not be kept, read and ranked forever.
