--- a/crates/lagoon-gateway/src/place.rs
+++ b/crates/lagoon-gateway/src/place.rs
@@ -65,7 +65,7 @@
             let schedule::PlacementResult { id, decider, result } = chosen;
             let placement = match result {
                 Ok(placement) => placement,
-                Err(placement::Refusal::Busy(shortage))
+                Err(placement::Refusal::Deferred(shortage))
                     if self.time_left() > forward::MIN_TIME_LEFT =>
                 {
                     if last_shortage.replace(shortage) != Some(shortage) {
@@ -195,8 +195,8 @@
             placement::Refusal::NoUpstream => (Reason::NoUpstream, forward::RETRY_AFTER),
             // Engines may be missing only for a moment, and a 4xx status would be final.
             placement::Refusal::TooLong => (Reason::Saturated, forward::RETRY_AFTER),
-            placement::Refusal::Busy(_) => (Reason::Saturated, forward::RETRY_AFTER),
-            placement::Refusal::Full(_, span) => (Reason::Saturated, jittered_retry_time(span)),
+            placement::Refusal::Deferred(_) => (Reason::Saturated, forward::RETRY_AFTER),
+            placement::Refusal::Rejected(_, span) => (Reason::Saturated, jittered_retry_time(span)),
         };
         answer::Fault::not_run(reason, Step::Route, detail).with_retry_after(span)
     }
--- a/crates/lagoon-gateway/src/question.rs
+++ b/crates/lagoon-gateway/src/question.rs
@@ -242,8 +242,8 @@
         match refusal {
             placement::Refusal::NoUpstream => refused(Reason::NoUpstream),
             placement::Refusal::TooLong => refused(Reason::TooLong),
-            placement::Refusal::Busy(shortage) => lacking(Reason::Busy, shortage),
-            placement::Refusal::Full(shortage, span) => {
+            placement::Refusal::Deferred(shortage) => lacking(Reason::Busy, shortage),
+            placement::Refusal::Rejected(shortage, span) => {
                 Refused { span_ms: message::millis(span), ..lacking(Reason::Full, shortage) }
             }
         }
@@ -256,8 +256,8 @@
         match refused.reason() {
             Reason::NoUpstream => placement::Refusal::NoUpstream,
             Reason::TooLong => placement::Refusal::TooLong,
-            Reason::Busy => placement::Refusal::Busy(shortage),
-            Reason::Full => placement::Refusal::Full(shortage, message::span(refused.span_ms)),
+            Reason::Busy => placement::Refusal::Deferred(shortage),
+            Reason::Full => placement::Refusal::Rejected(shortage, message::span(refused.span_ms)),
         }
     }
 }
--- a/crates/lagoon-gateway/src/settings.rs
+++ b/crates/lagoon-gateway/src/settings.rs
@@ -94,16 +94,19 @@
                 1.0..=10_000.0,
             ),
             backlog_ms: figure("backlog_ms", default.placement.backlog_ms),
-            backlog_prompt_ms: figure("backlog_prompt_ms", default.placement.backlog_prompt_ms),
+            backlog_reference_ms: figure(
+                "backlog_prompt_ms",
+                default.placement.backlog_reference_ms,
+            ),
             backlog_growth: figure("backlog_growth", default.placement.backlog_growth),
-            stall_ms: figure("stall_ms", default.placement.stall_ms),
-            hold_share: figure("hold_share", default.placement.hold_share),
+            tight_slack_ms: figure("stall_ms", default.placement.tight_slack_ms),
+            slot_wait_share: figure("hold_share", default.placement.slot_wait_share),
             jitter_ms: figure("jitter_ms", default.placement.jitter_ms),
-            harm_ms: figure("harm_ms", default.placement.harm_ms),
+            lateness_cost_ms: figure("harm_ms", default.placement.lateness_cost_ms),
             tight_share: reader.float("tight_share", default.placement.tight_share, 0.05..=1.0),
-            stray_ms: figure("stray_ms", default.placement.stray_ms),
-            reader_ms: figure("reader_ms", default.placement.reader_ms),
-            read_share: figure("read_share", default.placement.read_share),
+            spillover_penalty_ms: figure("stray_ms", default.placement.spillover_penalty_ms),
+            idle_penalty_ms: figure("reader_ms", default.placement.idle_penalty_ms),
+            prefill_share: figure("read_share", default.placement.prefill_share),
             ..default.placement
         };
         Tuning {
--- a/crates/lagoon-load/src/bench/world/mod.rs
+++ b/crates/lagoon-load/src/bench/world/mod.rs
@@ -37,7 +37,7 @@
     Observe(usize, port::engine::Load),
     Wake(usize),
     Spending,
-    Heard { host: usize, spends: Vec<load::limit::Spend> },
+    Heard { host: usize, spends: Vec<load::limit::Usage> },
     Begin,
     Finish,
 }
@@ -266,7 +266,7 @@
         request.first_token.get_or_insert(self.now + delay);
         let (host, ticket) = (request.host, request.ticket);
         if let Some(ticket) = ticket {
-            self.hosts[host].first_token(self.now, ticket);
+            self.hosts[host].record_first_token(self.now, ticket);
         }
         let tokens = arrival.answer as f64 * self.engines[engine].slow;
         let end = self.now + scenario::TOKEN.mul_f64(tokens);
--- a/crates/lagoon-net/src/entry/admission.rs
+++ b/crates/lagoon-net/src/entry/admission.rs
@@ -190,13 +190,15 @@
     pub(crate) fn group(&self) -> Vec<(&id::Upstream, u64)> {
         let Some(placement) = &self.placement else { return Vec::new() };
         let names = std::iter::once(&placement.upstream).chain(&placement.members);
-        names.zip(placement.spans.iter().copied()).collect()
+        names.zip(placement.reserve_tokens.iter().copied()).collect()
     }
 
     /// Returns the longest accepted silence before the first token and between tokens.
     pub(crate) fn silence(&self) -> (clock::Span, clock::Span) {
         let default = load::silence::between_tokens(0.0);
-        self.placement.as_ref().map_or((default, default), |known| (known.silence, known.gap))
+        self.placement
+            .as_ref()
+            .map_or((default, default), |known| (known.first_token_silence, known.token_silence))
     }
 
     /// Returns whether another upstream could take the request from a silent one; false for a slot
@@ -212,7 +214,7 @@
     pub(crate) fn record_first_token(&self) {
         if let Some(placement) = &self.placement {
             let now = self.queue.clock.now();
-            load::lock(&self.queue.shard).first_token(now, placement.ticket);
+            load::lock(&self.queue.shard).record_first_token(now, placement.ticket);
         }
     }
 
--- a/crates/lagoon-net/src/entry/link/mod.rs
+++ b/crates/lagoon-net/src/entry/link/mod.rs
@@ -159,8 +159,8 @@
 }
 
 /// Builds the report of the requests and tokens that were admitted since the last one.
-fn spending(state: &state::State, spends: &[limit::Spend], sequence: u64) -> wire::Spending {
-    let line = |spend: &limit::Spend| wire::Spend {
+fn spending(state: &state::State, spends: &[limit::Usage], sequence: u64) -> wire::Spending {
+    let line = |spend: &limit::Usage| wire::Spend {
         customer: spend.customer.to_string(),
         requests: spend.requests,
         tokens: spend.tokens,
@@ -211,7 +211,7 @@
             }
             link::Update::Drain => state.advance(state::Phase::Unready),
             link::Update::Spending(spending) => {
-                let spend = |line: &wire::Spend| limit::Spend {
+                let spend = |line: &wire::Spend| limit::Usage {
                     customer: id::Customer::from(line.customer.as_str()),
                     requests: line.requests,
                     tokens: line.tokens,
--- a/crates/lagoon-net/src/entry/metrics.rs
+++ b/crates/lagoon-net/src/entry/metrics.rs
@@ -147,7 +147,7 @@
     completion: Histograms<CompletionLabels>,
     short_slowdown: Histograms<ModelLabels>,
     /// Learned minimum overhead of a first token beyond its prefill time.
-    baseline: sync::Mutex<slowdown::Baseline>,
+    baseline: sync::Mutex<slowdown::Overhead>,
 }
 
 impl Metrics {
--- a/crates/lagoon-net/src/entry/state.rs
+++ b/crates/lagoon-net/src/entry/state.rs
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct View {
     pub(crate) fleet: view::Shared,
-    pub(crate) shards: load::Shards,
+    pub(crate) shards: load::Schedulers,
     pub(crate) queues: collections::HashMap<id::Model, sync::Arc<admission::Queue>>,
     pub(crate) replicas: replica::Replicas,
 }
@@ -155,7 +155,7 @@
     fn queues(
         &self,
         old: &View,
-        shards: &load::Shards,
+        shards: &load::Schedulers,
     ) -> collections::HashMap<id::Model, sync::Arc<admission::Queue>> {
         let mut queues = collections::HashMap::new();
         for (model, shard) in shards.iter() {
--- a/crates/lagoonline/src/load/group/arbiter.rs
+++ b/crates/lagoonline/src/load/group/arbiter.rs
@@ -8,9 +8,9 @@
 //! reservations, which are made under the grant and expire too, are authoritative: two arbiters at
 //! once, in a partitioned zone, cause refusals by engines but never overcommit memory.
 //!
-//! Steps of one grant: requested, granted (the holder reserves the members one by one), running
-//! (spans are imported and exported), released. A member that fails at any step ends the whole
-//! grant.
+//! Steps of one grant: requested, granted (the holder, which is the entry host that requested it,
+//! reserves the members one by one at the engines), running (the engines exchange their parts of
+//! the cache), released. A member that fails at any step ends the whole grant.
 
 use std::collections;
 
@@ -23,11 +23,11 @@
 
 /// Identifies a request for a group until it is released, refused or expired.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Request(pub u64);
+pub struct RequestId(pub u64);
 
 /// Memory held on one engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Span {
+pub struct Allocation {
     /// The engine.
     pub upstream: id::Upstream,
     /// Tokens of KV cache.
@@ -38,13 +38,13 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Notice {
     /// The request was granted: all members at once, in the fleet's order.
-    Granted(Request, Vec<Span>),
+    Granted(RequestId, Vec<Allocation>),
     /// A member failed or the lease expired: everything held under the grant must be released.
-    Ended(Request),
+    Ended(RequestId),
     /// The request waited past its deadline.
-    TimedOut(Request),
+    TimedOut(RequestId),
     /// No set of engines of this zone can ever hold the request.
-    TooLarge(Request),
+    TooLarge(RequestId),
 }
 
 /// Memory of one engine for groups, in tokens.
@@ -57,7 +57,7 @@
 /// A request that has not been granted.
 #[derive(Debug)]
 struct Waiting {
-    request: Request,
+    request: RequestId,
     tokens: u64,
     deadline: clock::Moment,
 }
@@ -65,7 +65,7 @@
 /// Memory held under one request until the lease expires.
 #[derive(Debug)]
 struct Grant {
-    spans: Vec<Span>,
+    allocations: Vec<Allocation>,
     expires: clock::Moment,
 }
 
@@ -74,8 +74,9 @@
 pub struct Arbiter {
     engines: collections::BTreeMap<id::Upstream, Engine>,
     waiting: collections::VecDeque<Waiting>,
-    grants: collections::BTreeMap<Request, Grant>,
-    next: u64,
+    grants: collections::BTreeMap<RequestId, Grant>,
+    /// Last number given to a request.
+    last_id: u64,
 }
 
 impl Arbiter {
@@ -87,9 +88,11 @@
     /// Removes an engine that failed or leaves, and ends the grants that include it.
     pub fn remove_engine(&mut self, upstream: &id::Upstream) -> Vec<Notice> {
         self.engines.remove(upstream);
-        let includes = |grant: &Grant| grant.spans.iter().any(|span| span.upstream == *upstream);
+        let includes = |grant: &Grant| {
+            grant.allocations.iter().any(|allocation| allocation.upstream == *upstream)
+        };
         let ended = self.grants.iter().filter(|(_, grant)| includes(grant));
-        let ended: Vec<Request> = ended.map(|(request, _)| *request).collect();
+        let ended: Vec<RequestId> = ended.map(|(request, _)| *request).collect();
         for request in &ended {
             self.release(*request);
         }
@@ -106,21 +109,21 @@
     /// arbiter.add_engine("b".into(), 400);
     /// let first = arbiter.request(600, Moment::from_millis(1_000));
     /// let second = arbiter.request(600, Moment::from_millis(1_000));
-    /// assert!(matches!(&arbiter.poll(Moment::START)[..], [Notice::Granted(request, spans)]
-    ///     if *request == first && spans.len() == 2));
+    /// assert!(matches!(&arbiter.poll(Moment::START)[..], [Notice::Granted(request, allocations)]
+    ///     if *request == first && allocations.len() == 2));
     /// arbiter.release(first);
     /// assert!(matches!(&arbiter.poll(Moment::START)[..], [Notice::Granted(request, _)]
     ///     if *request == second));
     /// ```
-    pub fn request(&mut self, tokens: u64, deadline: clock::Moment) -> Request {
-        self.next += 1;
-        let request = Request(self.next);
+    pub fn request(&mut self, tokens: u64, deadline: clock::Moment) -> RequestId {
+        self.last_id += 1;
+        let request = RequestId(self.last_id);
         self.waiting.push_back(Waiting { request, tokens, deadline });
         request
     }
 
     /// Extends a grant. Returns false if the grant has ended and the holder must stop.
-    pub fn renew(&mut self, now: clock::Moment, request: Request) -> bool {
+    pub fn renew(&mut self, now: clock::Moment, request: RequestId) -> bool {
         let Some(grant) = self.grants.get_mut(&request) else { return false };
         if grant.expires <= now {
             return false;
@@ -130,13 +133,13 @@
     }
 
     /// Releases a request, whether it waits or is granted. Repeated calls have no effect.
-    pub fn release(&mut self, request: Request) {
+    pub fn release(&mut self, request: RequestId) {
         self.waiting.retain(|waiting| waiting.request != request);
         let Some(grant) = self.grants.remove(&request) else { return };
-        for span in grant.spans {
-            if let Some(engine) = self.engines.get_mut(&span.upstream) {
+        for allocation in grant.allocations {
+            if let Some(engine) = self.engines.get_mut(&allocation.upstream) {
                 // The engine may have failed and joined again with all its memory free.
-                engine.free = (engine.free + span.tokens).min(engine.tokens);
+                engine.free = (engine.free + allocation.tokens).min(engine.tokens);
             }
         }
     }
@@ -151,11 +154,11 @@
                 notices.push(Notice::TooLarge(request));
                 continue;
             }
-            let Some(spans) = self.allocate(tokens) else { break };
+            let Some(allocations) = self.allocate(tokens) else { break };
             self.waiting.pop_front();
-            let grant = Grant { spans: spans.clone(), expires: now + LEASE };
+            let grant = Grant { allocations: allocations.clone(), expires: now + LEASE };
             self.grants.insert(request, grant);
-            notices.push(Notice::Granted(request, spans));
+            notices.push(Notice::Granted(request, allocations));
         }
         notices
     }
@@ -171,14 +174,14 @@
     /// equal.
     pub fn held(&self) -> (u64, u64) {
         let engines = self.engines.values().map(|engine| engine.tokens - engine.free).sum();
-        let spans = self.grants.values().flat_map(|grant| &grant.spans);
-        let live = spans.filter(|span| self.engines.contains_key(&span.upstream));
-        (engines, live.map(|span| span.tokens).sum())
+        let allocations = self.grants.values().flat_map(|grant| &grant.allocations);
+        let live = allocations.filter(|allocation| self.engines.contains_key(&allocation.upstream));
+        (engines, live.map(|allocation| allocation.tokens).sum())
     }
 
     fn expire(&mut self, now: clock::Moment) -> Vec<Notice> {
         let expired = self.grants.iter().filter(|(_, grant)| grant.expires <= now);
-        let expired: Vec<Request> = expired.map(|(request, _)| *request).collect();
+        let expired: Vec<RequestId> = expired.map(|(request, _)| *request).collect();
         for request in &expired {
             self.release(*request);
         }
@@ -190,16 +193,16 @@
     }
 
     /// Allocates memory on as few engines as can hold it, all or nothing.
-    fn allocate(&mut self, tokens: u64) -> Option<Vec<Span>> {
+    fn allocate(&mut self, tokens: u64) -> Option<Vec<Allocation>> {
         let names: Vec<id::Upstream> = self.engines.keys().cloned().collect();
         let free = |index: usize| self.engines[&names[index]].free;
         let plan = group::plan(tokens, names.len(), free)?;
-        let mut spans = Vec::with_capacity(plan.spans().len());
-        for &(index, tokens) in plan.spans() {
+        let mut allocations = Vec::with_capacity(plan.allocations().len());
+        for &(index, tokens) in plan.allocations() {
             let upstream = names[index].clone();
             self.engines.get_mut(&upstream)?.free -= tokens;
-            spans.push(Span { upstream, tokens });
+            allocations.push(Allocation { upstream, tokens });
         }
-        Some(spans)
+        Some(allocations)
     }
 }
--- a/crates/lagoonline/src/load/group/mod.rs
+++ b/crates/lagoonline/src/load/group/mod.rs
@@ -2,25 +2,26 @@
 //!
 //! Load pattern: several prompts of twice an engine's memory at once. If memory were taken engine
 //! by engine, each prompt could hold half of what it needs and none could start. Members are
-//! therefore chosen all or nothing, under one lock, in the fixed order of engines in the fleet.
+//! therefore chosen all or nothing while the caller holds its lock, and are listed in the fixed
+//! order of engines in the fleet.
 
 pub mod arbiter;
 
-/// Most engines in one group: a prompt of over twice one engine's memory needs three; more add
-/// links.
+/// Most engines in one group. A prompt of over twice one engine's memory needs three; each further
+/// engine adds network links between the members.
 pub const MAX_ENGINES: usize = 8;
 
 /// Engines of a group and the tokens that each holds, in the fleet's order.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Plan {
-    spans: [(usize, u64); MAX_ENGINES],
+    allocations: [(usize, u64); MAX_ENGINES],
     length: usize,
 }
 
 impl Plan {
-    /// The members with their spans.
-    pub fn spans(&self) -> &[(usize, u64)] {
-        &self.spans[..self.length]
+    /// The members, each with the tokens that it holds.
+    pub fn allocations(&self) -> &[(usize, u64)] {
+        &self.allocations[..self.length]
     }
 }
 
@@ -45,7 +46,7 @@
 /// use lagoonline::load::group;
 /// let free = [400, 100, 300, 400];
 /// let plan = group::plan(1_000, free.len(), |engine| free[engine]).unwrap();
-/// assert_eq!(plan.spans(), [(0, 400), (2, 200), (3, 400)]);
+/// assert_eq!(plan.allocations(), [(0, 400), (2, 200), (3, 400)]);
 /// assert!(group::plan(1_300, free.len(), |engine| free[engine]).is_none());
 /// ```
 pub fn plan<F>(need: u64, engines: usize, free: F) -> Option<Plan>
@@ -55,18 +56,18 @@
     let mut plan = Plan::default();
     let mut left = need;
     while left > 0 && plan.length < MAX_ENGINES {
-        let taken = |engine: &usize| plan.spans().iter().any(|(other, _)| other == engine);
+        let taken = |engine: &usize| plan.allocations().iter().any(|(other, _)| other == engine);
         let rest = (0..engines).filter(|engine| !taken(engine));
         let best = rest.max_by_key(|&engine| (free(engine), engines - engine))?;
-        let span = free(best).min(left);
-        if span == 0 {
+        let allocation = free(best).min(left);
+        if allocation == 0 {
             return None;
         }
-        plan.spans[plan.length] = (best, span);
+        plan.allocations[plan.length] = (best, allocation);
         plan.length += 1;
-        left -= span;
+        left -= allocation;
     }
     let length = plan.length;
-    plan.spans[..length].sort_unstable();
+    plan.allocations[..length].sort_unstable();
     if left == 0 { Some(plan) } else { None }
 }
--- a/crates/lagoonline/src/load/limit.rs
+++ b/crates/lagoonline/src/load/limit.rs
@@ -44,7 +44,7 @@
 
 /// Use of one customer that was admitted at one host.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Spend {
+pub struct Usage {
     /// The customer.
     pub customer: id::Customer,
     /// Number of requests admitted.
@@ -72,12 +72,12 @@
     /// When another host last reported.
     last_report: clock::Moment,
     buckets: collections::HashMap<id::Customer, Bucket>,
-    /// Number of buckets from which on full ones are dropped next.
+    /// Number of buckets from which on refilled ones are dropped next.
     cleanup_size: usize,
 }
 
 /// Number of buckets from which on those that are full again are dropped.
-const MIN_KEPT: usize = 256;
+const MIN_CLEANUP_SIZE: usize = 256;
 
 impl Limits {
     /// Limits at one of `hosts` entry hosts of a zone.
@@ -109,7 +109,7 @@
         rate: Rate,
         tokens: u64,
     ) -> Result<(), outcome::Failure> {
-        self.drop_full(now);
+        self.drop_refilled(now);
         let (hosts, share) = (f64::from(self.hosts), self.share(now));
         let bucket = self.buckets.entry(customer.clone()).or_insert(Bucket {
             rate,
@@ -133,29 +133,29 @@
     }
 
     /// Returns what was admitted here since the last call, to be sent to the other hosts.
-    pub fn take_report(&mut self) -> Vec<Spend> {
-        let mut spends = Vec::new();
+    pub fn take_report(&mut self) -> Vec<Usage> {
+        let mut usages = Vec::new();
         for (customer, bucket) in &mut self.buckets {
             let (requests, tokens) = std::mem::take(&mut bucket.unreported);
             if requests > 0 {
-                spends.push(Spend { customer: customer.clone(), requests, tokens });
+                usages.push(Usage { customer: customer.clone(), requests, tokens });
             }
         }
-        spends
+        usages
     }
 
     /// Subtracts what other hosts of the zone admitted. An empty report still counts as contact
     /// with them.
-    pub fn apply_report(&mut self, now: clock::Moment, spends: &[Spend]) {
+    pub fn apply_report(&mut self, now: clock::Moment, usages: &[Usage]) {
         let (hosts, share) = (f64::from(self.hosts), self.share(now));
         self.last_report = now;
-        for spend in spends {
-            let Some(bucket) = self.buckets.get_mut(&spend.customer) else { continue };
+        for usage in usages {
+            let Some(bucket) = self.buckets.get_mut(&usage.customer) else { continue };
             bucket.fill(now, hosts, share);
             let min_seconds = -MAX_DEBT_SECONDS;
-            let requests = bucket.requests - spend.requests as f64;
+            let requests = bucket.requests - usage.requests as f64;
             bucket.requests = requests.max(min_seconds * bucket.rate.requests);
-            let tokens = bucket.tokens - spend.tokens as f64;
+            let tokens = bucket.tokens - usage.tokens as f64;
             bucket.tokens = tokens.max(min_seconds * bucket.rate.tokens);
         }
     }
@@ -166,15 +166,15 @@
         if isolated { 1.0 / f64::from(self.hosts) } else { 1.0 }
     }
 
-    /// Drops full buckets without unreported use, each time the number of buckets has doubled.
-    fn drop_full(&mut self, now: clock::Moment) {
-        if self.buckets.len() < self.cleanup_size.max(MIN_KEPT) {
+    /// Drops refilled buckets without unreported use, each time the number of buckets has doubled.
+    fn drop_refilled(&mut self, now: clock::Moment) {
+        if self.buckets.len() < self.cleanup_size.max(MIN_CLEANUP_SIZE) {
             return;
         }
         let (hosts, share) = (f64::from(self.hosts), self.share(now));
         self.buckets.retain(|_, bucket| {
             bucket.fill(now, hosts, share);
-            bucket.unreported.0 > 0 || !bucket.is_full(hosts)
+            bucket.unreported.0 > 0 || !bucket.is_refilled(hosts)
         });
         self.cleanup_size = 2 * self.buckets.len();
     }
@@ -191,7 +191,7 @@
         self.filled_at = now;
     }
 
-    fn is_full(&self, hosts: f64) -> bool {
+    fn is_refilled(&self, hosts: f64) -> bool {
         self.tokens >= self.rate.tokens * BURST_SECONDS / hosts
             && self.requests >= (self.rate.requests * BURST_SECONDS / hosts).max(1.0)
     }
--- a/crates/lagoonline/src/load/mod.rs
+++ b/crates/lagoonline/src/load/mod.rs
@@ -5,7 +5,7 @@
 //! publish a performance [`profile`]; its hosts tell each other what they have in flight.
 //!
 //! A request to the [`Scheduler`] passes [`admit`] according to the [`predict`]ions, the queue
-//! ([`fair`] within length classes), the routing (by each upstream's [`rate`], [`ramp`],
+//! ([`fair`] within length classes), the routing (by each upstream's [`slowness`], [`ramp`],
 //! [`outlier`] state and [`prefix`] cache, with some engines kept [`clear`] of long prompts and a
 //! [`floor`] of each engine's rate reserved for longer ones), and possibly [`retry`]; prompts
 //! larger than one engine go to a [`group`]. [`rebalance`] moves engines between models.
@@ -24,19 +24,19 @@
 pub mod profile;
 mod queue;
 pub mod ramp;
-pub mod rate;
 pub mod rebalance;
 pub mod retry;
 mod route;
 mod scheduler;
+mod schedulers;
 mod settings;
-mod shards;
 pub mod silence;
 pub mod slowdown;
+pub mod slowness;
 pub mod tokens;
 mod upstream;
 pub mod usage;
 
 pub use scheduler::*;
+pub use schedulers::*;
 pub use settings::*;
-pub use shards::*;
--- a/crates/lagoonline/src/load/placement/mod.rs
+++ b/crates/lagoonline/src/load/placement/mod.rs
@@ -170,10 +170,10 @@
     TooLong,
     /// The request should wait briefly at this host for the missing resource.
     #[error("engines are busy: {0}")]
-    Busy(Shortage),
+    Deferred(Shortage),
     /// The request would be late; the missing resource is expected to be free after this span.
     #[error("engines are full for {1:?}: {0}")]
-    Full(Shortage, clock::Span),
+    Rejected(Shortage, clock::Span),
 }
 
 /// The resource that engines lack for a request that cannot be placed now.
@@ -499,7 +499,7 @@
         match profile {
             Some(profile) if request.prompt_tokens > 0 => {
                 let placed = self.place_prompt(request, &usable, profile, now);
-                let waits = matches!(placed, Err(Refusal::Busy(_)));
+                let waits = matches!(placed, Err(Refusal::Deferred(_)));
                 self.waitlist.record_attempt(
                     request.waiter,
                     profile.prefill_ms(request.prompt_tokens),
--- a/crates/lagoonline/src/load/placement/prompt.rs
+++ b/crates/lagoonline/src/load/placement/prompt.rs
@@ -91,7 +91,7 @@
         let engines = usable.len() as f64;
         let each = f64::from(slots) / engines.max(1.0) * self.settings.tight_share;
         let wanted = f64::from(tight) / each.max(f64::MIN_POSITIVE);
-        let needed = self.prefill_load.engines(now) / self.settings.read_share;
+        let needed = self.prefill_load.engines(now) / self.settings.prefill_share;
         let share = (engines / (wanted + needed).max(f64::MIN_POSITIVE)).min(1.0);
         ((wanted * share).ceil() as usize).clamp(1, usable.len())
     }
@@ -146,7 +146,7 @@
                 self.settings.reserve_threshold,
                 now,
             )),
-            Err(Refusal::Busy(_)) => Err(self.refuse_without_slot(request, profile)),
+            Err(Refusal::Deferred(_)) => Err(self.refuse_without_slot(request, profile)),
             Err(refusal) => Err(refusal),
         }
     }
@@ -202,7 +202,7 @@
                     .refuse(request, Outlook { shortage: Shortage::Gap, free_ms, first_token_ms }))
             }
             None => match refusal {
-                Refusal::Busy(shortage) => {
+                Refusal::Deferred(shortage) => {
                     let first_token_ms = part_alone_ms;
                     Err(self.refuse(request, Outlook { shortage, free_ms, first_token_ms }))
                 }
@@ -219,10 +219,10 @@
     /// as long as it can still be in time, and is then refused, so that accepted prompts are in
     /// time. Within the duration of an average answer every slot becomes free once.
     fn refuse_without_slot(&self, request: &Request<'_>, profile: profile::Profile) -> Refusal {
-        if request.waited < request.target.mul_f64(self.settings.hold_share) {
-            return Refusal::Busy(Shortage::Slot);
+        if request.waited < request.target.mul_f64(self.settings.slot_wait_share) {
+            return Refusal::Deferred(Shortage::Slot);
         }
-        Refusal::Full(Shortage::Slot, self.mean_answer_span(profile))
+        Refusal::Rejected(Shortage::Slot, self.mean_answer_span(profile))
     }
 
     /// How long a full engine takes for an average answer; slots and memory become free within it.
@@ -256,14 +256,15 @@
         backlogs.truncate(part_count.max(1));
         let backlog = backlogs.iter().sum::<f64>() / backlogs.len().max(1) as f64;
         let waited = request.waited.as_secs_f64() * 1e3;
-        let scaled = self.settings.backlog_ms * self.settings.backlog_prompt_ms / total_ms.max(1.0);
+        let scaled =
+            self.settings.backlog_ms * self.settings.backlog_reference_ms / total_ms.max(1.0);
         let bound = scaled.clamp(self.settings.backlog_ms / 4.0, self.settings.backlog_ms)
             + waited * self.settings.backlog_growth;
         if backlog <= bound {
             return Ok(());
         }
         let drained_ms = (backlog - bound) / (1.0 + self.settings.backlog_growth);
-        let planned = engines.len() as f64 * self.settings.read_share;
+        let planned = engines.len() as f64 * self.settings.prefill_share;
         let prefilling = self.prefill_load.engines(now).max(planned).max(1.0);
         let free_ms = drained_ms + self.waitlist.ahead_ms(request.waiter, total_ms) / prefilling;
         let first_token_ms = free_ms + bound + total_ms / part_count as f64;
@@ -305,13 +306,14 @@
         let with_slot: Vec<usize> =
             eligible.iter().copied().filter(|index| usable[*index].has_free_slot()).collect();
         let candidates = if with_slot.is_empty() { eligible } else { &with_slot };
-        let spillover =
-            |index: usize| if tight && index >= reserved { self.settings.stray_ms } else { 0.0 };
+        let spillover = |index: usize| {
+            if tight && index >= reserved { self.settings.spillover_penalty_ms } else { 0.0 }
+        };
         let ranked = self.rank(request, usable, candidates, |index| {
             let engine = usable[index];
             let failures = engine.failure_rate(now) * FAILURE_PENALTY_MS;
             let starts_decode = !tight && engine.used_slots() == 0;
-            let idle_penalty = if starts_decode { self.settings.reader_ms } else { 0.0 };
+            let idle_penalty = if starts_decode { self.settings.idle_penalty_ms } else { 0.0 };
             let placement_cost = engine.occupancy_cost_ms()
                 + self.remote_cost(request, engine)
                 + spillover(index)
@@ -326,7 +328,7 @@
         if fitting.is_none() && tight && could_fit {
             // An engine without a free slot may have the memory, but the answer would be late
             // there.
-            return Err(Refusal::Busy(Shortage::Memory));
+            return Err(Refusal::Deferred(Shortage::Memory));
         }
         let (primary, mut helpers) = match fitting {
             Some(index) => (*index, Vec::new()),
@@ -385,7 +387,7 @@
         let tight = self.tight_requests(usable);
         let reserved_share =
             parts().filter(|index| *index < reserved).count() as f64 / reserved.max(1) as f64;
-        let stall = (plan.part_ms - self.settings.stall_ms).max(0.0) / 1e3;
+        let stall = (plan.part_ms - self.settings.tight_slack_ms).max(0.0) / 1e3;
         let arrivals = f64::from(tight) / self.settings.tight_answer_span.as_secs_f64()
             * reserved_share
             * stall;
@@ -404,10 +406,10 @@
     fn refuse(&self, request: &Request<'_>, outlook: Outlook) -> Refusal {
         let in_time = outlook.first_token_ms <= request.target.as_secs_f64() * 1e3;
         if in_time && request.waited < self.settings.max_wait {
-            return Refusal::Busy(outlook.shortage);
+            return Refusal::Deferred(outlook.shortage);
         }
         let free = clock::Span::try_from_secs_f64(outlook.free_ms / 1e3).unwrap_or_default();
-        Refusal::Full(outlook.shortage, free.max(self.settings.full_span))
+        Refusal::Rejected(outlook.shortage, free.max(self.settings.full_span))
     }
 
     /// The indices `eligible` ordered by cost, with a random jitter that hides small differences.
@@ -481,7 +483,7 @@
             memory_helpers.push((index, part));
             left -= part;
         }
-        if left > 0 { Err(Refusal::Busy(Shortage::Memory)) } else { Ok(memory_helpers) }
+        if left > 0 { Err(Refusal::Deferred(Shortage::Memory)) } else { Ok(memory_helpers) }
     }
 
     /// Cost of prefilling a part on `engine`, in milliseconds of delay: the wait until the part
@@ -504,7 +506,7 @@
 
     /// Cost in milliseconds of delay of the answers that a prefill on `engine` would make late.
     fn lateness_cost(&self, engine: &Engine, part_ms: f64) -> f64 {
-        f64::from(engine.late_answers(part_ms)) * self.settings.harm_ms
+        f64::from(engine.late_answers(part_ms)) * self.settings.lateness_cost_ms
     }
 
     fn remote_cost(&self, request: &Request<'_>, engine: &Engine) -> f64 {
--- a/crates/lagoonline/src/load/placement/settings.rs
+++ b/crates/lagoonline/src/load/placement/settings.rs
@@ -37,17 +37,17 @@
     pub tight_share: f64,
     /// Milliseconds by which an engine reserved for loose gap limits must be better to get a prompt
     /// with a tight one.
-    pub stray_ms: f64,
+    pub spillover_penalty_ms: f64,
     /// Milliseconds by which an engine without an answer in decode must be better to become the
     /// primary of a prompt with a loose gap limit. An engine runs all decode steps of a pass for
     /// one answer as for ten, so an engine that decodes nothing prefills for others in half the
     /// time.
-    pub reader_ms: f64,
+    pub idle_penalty_ms: f64,
     /// Share of an engine's time planned for the prefill of prompts with a loose gap limit. With
     /// less, short prompts lack slots; with more, the long prompts wait for each other.
-    pub read_share: f64,
+    pub prefill_share: f64,
     /// Milliseconds by which the first token of a short prompt may be delayed without being late.
-    pub stall_ms: f64,
+    pub tight_slack_ms: f64,
     /// Average duration of an answer with a tight gap limit, from which the arrival rate of short
     /// prompts is estimated by the number in flight.
     pub tight_answer_span: clock::Span,
@@ -58,15 +58,15 @@
     pub backlog_ms: f64,
     /// Prefill time in milliseconds of the largest prompt to which that bound applies in full; a
     /// larger prompt has a proportionally smaller bound, down to a quarter.
-    pub backlog_prompt_ms: f64,
+    pub backlog_reference_ms: f64,
     /// Share of a prompt's waiting time by which its bound grows.
     pub backlog_growth: f64,
     /// Share of the time left to its first token that a short prompt may wait for a slot.
-    pub hold_share: f64,
+    pub slot_wait_share: f64,
     /// Longest time that a prompt waits for a smaller prefill backlog.
     pub max_wait: clock::Span,
     /// Milliseconds of delay that one answer made late is worth.
-    pub harm_ms: f64,
+    pub lateness_cost_ms: f64,
     /// How long an upstream that failed without a response is avoided.
     pub suspect_span: clock::Span,
 }
@@ -83,18 +83,18 @@
             remote_penalty_ms: 12.0,
             tight_gap: clock::Span::from_millis(400),
             tight_share: 0.69,
-            stray_ms: 120.0,
-            reader_ms: 150.0,
-            read_share: 0.6,
-            stall_ms: 100.0,
+            spillover_penalty_ms: 120.0,
+            idle_penalty_ms: 150.0,
+            prefill_share: 0.6,
+            tight_slack_ms: 100.0,
             tight_answer_span: clock::Span::from_millis(1_900),
             jitter_ms: 20.0,
             backlog_ms: 200.0,
-            backlog_prompt_ms: 1_200.0,
+            backlog_reference_ms: 1_200.0,
             backlog_growth: 0.12,
-            hold_share: 0.3,
+            slot_wait_share: 0.3,
             max_wait: clock::Span::from_millis(5_000),
-            harm_ms: 60.0,
+            lateness_cost_ms: 60.0,
             suspect_span: clock::Span::from_secs(1),
         }
     }
--- a/crates/lagoonline/src/load/predict.rs
+++ b/crates/lagoonline/src/load/predict.rs
@@ -23,14 +23,14 @@
 
 /// Rate at which a queue empties.
 #[derive(Clone, Copy, Debug, Default)]
-struct Rate {
+struct DrainRate {
     /// Smoothed rate in tokens per second; none before the first sample.
     rate: Option<f64>,
     /// Start of the current window and the tokens dispatched in it; none while nothing waits.
     window: Option<(clock::Moment, u64)>,
 }
 
-impl Rate {
+impl DrainRate {
     fn record_dispatch(&mut self, now: clock::Moment, tokens: u64, waiting: bool) {
         if !waiting {
             self.window = None;
@@ -58,7 +58,7 @@
 pub struct Forecast {
     /// Per rank: rate at which work of that rank is dispatched while more of it waits. Work of
     /// earlier ranks that arrives later and goes first is thus taken into account.
-    queues: [Rate; 4],
+    queue_rates: [DrainRate; 4],
     /// Number of answers seen.
     answers: u32,
     /// Mean length of an answer, as a fraction of the tokens that it might have had.
@@ -71,7 +71,7 @@
     /// Records that work of `tokens` and this rank was dispatched; `waiting` tells whether more of
     /// it still waits.
     pub fn record_dispatch(&mut self, now: clock::Moment, rank: usize, tokens: u64, waiting: bool) {
-        self.queues[rank].record_dispatch(now, tokens, waiting);
+        self.queue_rates[rank].record_dispatch(now, tokens, waiting);
     }
 
     /// Records the end of an answer: its tokens, the most it could have had, and the time since its
@@ -89,16 +89,17 @@
     }
 
     /// Learned seconds between tokens; 0 before the first answer.
-    pub fn gap(&self) -> f64 {
+    pub fn token_interval(&self) -> f64 {
         self.token_seconds
     }
 
     /// Seconds until the work ahead, in tokens by rank, has been dispatched; `rate` is used for
     /// ranks without a learned rate.
     pub fn wait(&self, ahead: [u64; 4], rate: f64) -> f64 {
-        let seconds =
-            |(tokens, queue): (u64, &Rate)| tokens as f64 / queue.rate.unwrap_or(rate).max(1.0);
-        ahead.into_iter().zip(&self.queues).map(seconds).sum()
+        let seconds = |(tokens, queue): (u64, &DrainRate)| {
+            tokens as f64 / queue.rate.unwrap_or(rate).max(1.0)
+        };
+        ahead.into_iter().zip(&self.queue_rates).map(seconds).sum()
     }
 
     /// Seconds from the first token to the end of an answer of at most `most` tokens; 0 before the
--- a/crates/lagoonline/src/load/queue.rs
+++ b/crates/lagoonline/src/load/queue.rs
@@ -17,7 +17,8 @@
 use crate::load::fair;
 use crate::load::scheduler;
 
-/// Number of length classes, each of which has its own band.
+/// Number of bands, one for each rank. The rank of a request is its length class, or a later one if
+/// its customer is over its share.
 pub(crate) const BANDS: usize = 4;
 
 /// A waiting request.
@@ -172,8 +173,8 @@
     /// share.
     pub fn tokens_before(&self, band: usize, request: &scheduler::Request) -> [u64; BANDS] {
         let mut before = [0; BANDS];
-        for (slot, band) in before.iter_mut().zip(&self.bands[..band]) {
-            *slot = band.tokens;
+        for (tokens, band) in before.iter_mut().zip(&self.bands[..band]) {
+            *tokens = band.tokens;
         }
         before[band] = self.tokens_in_own_band(band, request);
         before
--- a/crates/lagoonline/src/load/rebalance.rs
+++ b/crates/lagoonline/src/load/rebalance.rs
@@ -19,7 +19,8 @@
 /// Time for which an engine stays with the model to which it moved: many times the duration of a
 /// weight load.
 pub const MIN_STAY: clock::Span = clock::Span::from_secs(300);
-/// Time within which a borrowed engine is ordered back to a claim that needs it.
+/// Time within which a borrowed engine is ordered back to a claim that needs it. It is a guarantee
+/// that tests check, not a parameter of the decision.
 pub const MAX_RETURN_DELAY: clock::Span = clock::Span::from_secs(10);
 /// Excess of demand over capacity from which a model is short of engines, in engines.
 const SHORTAGE_ENGINES: f64 = 1.0;
@@ -34,7 +35,7 @@
     pub engines: f64,
     /// Number of engines that teams claim for it.
     pub claimed: u32,
-    /// Weights to load, in bytes.
+    /// Size of the model's weights, which an engine must load, in bytes.
     pub weight_bytes: u64,
 }
 
@@ -61,7 +62,7 @@
     /// The model to load.
     pub to: id::Model,
     /// Whether a borrowed engine returns to a claim.
-    pub returned: bool,
+    pub for_claim: bool,
 }
 
 /// Decides the moves of one zone's engines.
@@ -70,16 +71,16 @@
     /// Rate of the weight store, in bytes per second.
     store_rate: f64,
     /// Since when each model has been short of engines.
-    short_since: collections::BTreeMap<id::Model, clock::Moment>,
+    shortage_since: collections::BTreeMap<id::Model, clock::Moment>,
     /// When the store will have served the loads ordered so far.
     store_free_at: clock::Moment,
 }
 
 impl Rebalancer {
-    /// Creates a planner for a weight store with this rate, in bytes per second.
+    /// Creates a rebalancer for a weight store with this rate, in bytes per second.
     pub fn new(store_rate: f64) -> Self {
-        let short_since = collections::BTreeMap::new();
-        Rebalancer { store_rate, short_since, store_free_at: clock::Moment::START }
+        let shortage_since = collections::BTreeMap::new();
+        Rebalancer { store_rate, shortage_since, store_free_at: clock::Moment::START }
     }
 
     /// The next move, if one is due. Must be called again after it was ordered, and every second.
@@ -89,27 +90,30 @@
         demands: &collections::BTreeMap<id::Model, Demand>,
         engines: &[Engine],
     ) -> Option<Move> {
-        let mut short_models = Vec::new();
+        let mut shortages = Vec::new();
         for (model, demand) in demands {
-            if let Some(returned) = self.shortage(now, model, demand, engines) {
-                short_models.push((!returned, model, demand));
+            if let Some(for_claim) = self.shortage(now, model, demand, engines) {
+                shortages.push((!for_claim, model, demand));
             }
         }
         // Claims first, then by name, so that every steward makes the same decision.
-        short_models.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)));
-        for (borrowing, model, demand) in short_models {
-            let returned = !borrowing;
-            if borrowing && self.store_free_at > now {
+        shortages.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)));
+        for (borrows, model, demand) in shortages {
+            let for_claim = !borrows;
+            if borrows && self.store_free_at > now {
                 continue;
             }
-            let Some(engine) = find_donor(now, model, demands, engines, returned) else { continue };
+            let Some(engine) = find_donor(now, model, demands, engines, for_claim) else {
+                continue;
+            };
             self.record_order(now, model, demand);
-            return Some(Move { engine: engine.name.clone(), to: model.clone(), returned });
+            return Some(Move { engine: engine.name.clone(), to: model.clone(), for_claim });
         }
         None
     }
 
-    /// Whether the model is short of an engine now, and if so whether its claim is unmet.
+    /// Whether the model is short of an engine now: `Some(true)` if its claim is unmet,
+    /// `Some(false)` if its demand has been for long enough.
     fn shortage(
         &mut self,
         now: clock::Moment,
@@ -123,17 +127,17 @@
             return Some(true);
         }
         if demand.engines < f64::from(current) + SHORTAGE_ENGINES {
-            self.short_since.remove(model);
+            self.shortage_since.remove(model);
             return None;
         }
-        let since = *self.short_since.entry(model.clone()).or_insert(now);
+        let since = *self.shortage_since.entry(model.clone()).or_insert(now);
         (now.since(since) >= MIN_SHORTAGE).then_some(false)
     }
 
     fn record_order(&mut self, now: clock::Moment, model: &id::Model, demand: &Demand) {
         let seconds = demand.weight_bytes as f64 / self.store_rate.max(1.0);
         self.store_free_at = self.store_free_at.max(now) + clock::Span::from_secs_f64(seconds);
-        self.short_since.remove(model);
+        self.shortage_since.remove(model);
     }
 }
 
@@ -148,7 +152,7 @@
     to: &id::Model,
     demands: &collections::BTreeMap<id::Model, Demand>,
     engines: &'a [Engine],
-    returned: bool,
+    for_claim: bool,
 ) -> Option<&'a Engine> {
     let can_spare = |engine: &&Engine| {
         let demand = demands.get(&engine.model).copied().unwrap_or_default();
@@ -157,7 +161,7 @@
         let is_free = f64::from(left) >= demand.engines * SPARE_FACTOR;
         let stayed = now.since(engine.since) >= MIN_STAY;
         let movable = engine.model != *to && !engine.moving;
-        movable && keeps_claim && (returned || (is_free && stayed))
+        movable && keeps_claim && (for_claim || (is_free && stayed))
     };
     engines.iter().filter(can_spare).min_by_key(|engine| (engine.requests, &engine.name))
 }
--- a/crates/lagoonline/src/load/route.rs
+++ b/crates/lagoonline/src/load/route.rs
@@ -2,7 +2,7 @@
 //!
 //! Load pattern: upstreams that differ in load, speed, cache and distance. A request goes where its
 //! first token is predicted soonest: outstanding prefill there plus its own prompt less the cached
-//! tokens, divided by the learned rate, plus the delay and cost of another zone or region. An
+//! tokens, divided by the learned rate, plus the delay and cost of another zone. An
 //! upstream gets nothing new if it has no free slot, no memory for the request, or more outstanding
 //! prefill than it needs to stay busy; the request waits here instead, where the order can still
 //! change. Long prompts go only where the outstanding long prefill stays within its bound, and
@@ -96,8 +96,9 @@
     pub local_count: usize,
     /// Indices of the upstreams, by number.
     pub index_by_number: &'a collections::HashMap<u32, usize>,
-    /// Predicted wait in this zone from which other zones are considered, in seconds.
-    pub remote_seconds: f64,
+    /// Smallest delay of another zone, in seconds; other zones are considered if the predicted wait
+    /// in this zone is longer.
+    pub min_zone_delay: f64,
     /// Number of local upstreams kept clear of long prompts.
     pub clear_count: usize,
     /// Whether the request has waited long enough to be ranked one class earlier.
@@ -116,8 +117,8 @@
         self.settings.safeguards
     }
 
-    /// Class whose prefill, together with that of shorter ones, goes before the request.
-    fn ahead_class(&self, need: &Need) -> document::Class {
+    /// Last rank whose prefill goes before the request.
+    fn ahead_rank(&self, need: &Need) -> document::Class {
         if self.safeguards().priority { need.rank } else { document::Class::Huge }
     }
 
@@ -130,10 +131,12 @@
     /// Predicted seconds to the first token on the upstream, including penalties.
     pub fn seconds(&self, upstream: &upstream::Upstream, need: &Need, rate: f64) -> f64 {
         let tokens = need.tokens - need.cached(upstream.number);
-        let seconds = upstream.first_token(self.now, self.ahead_class(need), tokens as f64, rate);
+        let seconds =
+            upstream.first_token_seconds(self.now, self.ahead_rank(need), tokens as f64, rate);
         let wrong_role =
             upstream.role == engine::Role::Long && need.class == document::Class::Short;
-        let delays_long = need.class == document::Class::Medium && upstream.has_later(need.rank);
+        let delays_long =
+            need.class == document::Class::Medium && upstream.has_later_rank(need.rank);
         let seconds = if delays_long { seconds + PENDING_LONG_PENALTY_SECONDS } else { seconds };
         let seconds = seconds + self.imbalance_penalty(upstream, need, rate);
         let seconds =
@@ -154,7 +157,7 @@
 
     /// Weighted delay that the request would cause for long prompts pending on the upstream.
     fn long_delay_penalty(&self, upstream: &upstream::Upstream, need: &Need, seconds: f64) -> f64 {
-        let delays_longer = self.long_weight > 0.0 && upstream.has_longer(need.rank);
+        let delays_longer = self.long_weight > 0.0 && upstream.has_longer_class(need.rank);
         if delays_longer { self.long_weight * seconds } else { 0.0 }
     }
 
@@ -177,7 +180,7 @@
 
     /// Whether the bounds on outstanding prefill and the share of long prompts allow the request.
     fn has_room(&self, upstream: &upstream::Upstream, need: &Need, rate: f64) -> bool {
-        let is_clear = upstream.local_index.is_some_and(|rank| rank < self.clear_count)
+        let is_clear = upstream.local_index.is_some_and(|index| index < self.clear_count)
             || upstream.role == engine::Role::Short;
         if is_clear && need.class > document::Class::Medium {
             return false;
@@ -197,17 +200,17 @@
             // In the engine a medium prompt progresses at the floor rate when there are many short
             // ones.
             let part = if self.aged { AGED_FRACTION } else { MEDIUM_FRACTION };
-            let pending = upstream.later_pending(self.now);
+            let pending = upstream.later_rank_pending(self.now);
             return pending <= 0.0
                 || pending + need.tokens as f64 <= self.settings.long_tokens as f64 * part;
         }
         let over = need.rank > need.class;
         let share = OVER_SHARE_CLEAR * self.local_count as f64;
-        if over && upstream.local_index.is_some_and(|rank| (rank as f64) < share) {
+        if over && upstream.local_index.is_some_and(|index| (index as f64) < share) {
             return false;
         }
         let seconds = if over { OVER_SHARE_AHEAD_SECONDS } else { self.ahead_seconds };
-        upstream.ahead(self.now, self.ahead_class(need), rate) < seconds * rate
+        upstream.ahead(self.now, self.ahead_rank(need), rate) < seconds * rate
     }
 
     /// Samples some upstreams of the zone, starting at a random one, or of all zones if it has
@@ -243,13 +246,13 @@
     pub fn group(&self, need: &Need) -> Option<Route> {
         let free = |index: usize| {
             let upstream = &self.upstreams[index];
-            let local = upstream.local_index.is_some_and(|rank| rank >= self.clear_count);
+            let local = upstream.local_index.is_some_and(|index| index >= self.clear_count);
             let open = upstream.is_available(self.now, self.safeguards().outlier);
             let slot = upstream.free_slots(self.now, self.safeguards().ramp) > 0;
             if local && open && slot { upstream.free_kv(self.now) } else { 0 }
         };
         let plan = group::plan(need.kv, self.upstreams.len(), free)?;
-        let (first, _) = plan.spans()[0];
+        let (first, _) = plan.allocations()[0];
         let upstream = &self.upstreams[first];
         let seconds = self.seconds(upstream, need, upstream.rate(self.now));
         Some(Route::Group { plan, seconds })
@@ -266,7 +269,7 @@
             }
         }
         self.scan(0..self.local_count, random, need, &mut best);
-        if best.is_none_or(|(index, _)| self.wait(index, need) > self.remote_seconds) {
+        if best.is_none_or(|(index, _)| self.wait(index, need) > self.min_zone_delay) {
             self.scan(self.local_count..self.upstreams.len(), random, need, &mut best);
         }
         best
@@ -278,7 +281,7 @@
     fn wait(&self, index: usize, need: &Need) -> f64 {
         let upstream = &self.upstreams[index];
         let rate = upstream.rate(self.now);
-        upstream.first_token(self.now, self.ahead_class(need), 0.0, rate)
+        upstream.first_token_seconds(self.now, self.ahead_rank(need), 0.0, rate)
     }
 
     /// Examines upstreams of the range, starting at a random one, until enough of them are
--- a/crates/lagoonline/src/load/scheduler/fleet.rs
+++ b/crates/lagoonline/src/load/scheduler/fleet.rs
@@ -77,12 +77,12 @@
         upstream.kv_tokens = entry.entry.kv_tokens;
         upstream.role = entry.entry.role;
         upstream.local_index = if is_local { Some(self.local_count) } else { None };
-        upstream.delay_seconds = if is_local { 0.0 } else { self.delay(&entry.entry.zone) };
+        upstream.zone_delay = if is_local { 0.0 } else { self.zone_delay(&entry.entry.zone) };
         self.local_count += usize::from(is_local);
         upstream
     }
 
-    fn delay(&self, zone: &id::Zone) -> f64 {
+    fn zone_delay(&self, zone: &id::Zone) -> f64 {
         let listed = self.settings.remote_zones.iter().find(|(name, _)| name == zone);
         listed.map_or(self.settings.remote_default, |(_, span)| *span).as_secs_f64()
     }
@@ -112,9 +112,8 @@
         let local_sizes =
             self.upstreams[..self.local_count].iter().map(|upstream| upstream.kv_tokens);
         self.group_kv = group::capacity(local_sizes).max(self.largest_kv);
-        let delays =
-            self.upstreams[self.local_count..].iter().map(|upstream| upstream.delay_seconds);
-        self.nearest_delay = delays.fold(f64::MAX, f64::min);
+        let delays = self.upstreams[self.local_count..].iter().map(|upstream| upstream.zone_delay);
+        self.min_zone_delay = delays.fold(f64::MAX, f64::min);
     }
 
     /// Marks an upstream as leaving, or clears the mark for a new incarnation.
--- a/crates/lagoonline/src/load/scheduler/mod.rs
+++ b/crates/lagoonline/src/load/scheduler/mod.rs
@@ -18,9 +18,9 @@
 use crate::load::usage;
 use crate::outcome;
 
+mod admission;
 mod fleet;
 mod place;
-mod room;
 
 /// Prefixes of one prompt that are recorded: shared ones are at its start.
 const MAX_PREFIXES: usize = 256;
@@ -73,14 +73,14 @@
     /// Further engines that hold spans of the KV cache, in order; empty for most prompts.
     pub members: Vec<id::Upstream>,
     /// KV tokens to reserve at the upstream and each member, in this order; empty without a group.
-    pub spans: Vec<u64>,
+    pub reserve_tokens: Vec<u64>,
     /// Priority that is passed to the engine; higher goes first.
     pub priority: u8,
     /// Silence before the first token after which the caller should ask
     /// [`Scheduler::is_better_elsewhere`].
-    pub silence: clock::Span,
+    pub first_token_silence: clock::Span,
     /// The same for silence between two tokens.
-    pub gap: clock::Span,
+    pub token_silence: clock::Span,
 }
 
 /// The decision on a request.
@@ -146,7 +146,7 @@
     /// KV memory that one group may span, in tokens.
     group_kv: u64,
     /// Smallest delay of another zone, in seconds.
-    nearest_delay: f64,
+    min_zone_delay: f64,
     queue: queue::Queue,
     /// Refusals of displaced waiters, which the next poll returns.
     displaced: Vec<Wake>,
@@ -177,7 +177,7 @@
     /// first one answers.
     parts: Vec<Part>,
     answer_tokens: u64,
-    first_token: Option<clock::Moment>,
+    first_token_at: Option<clock::Moment>,
     prefixes: Vec<(u64, u64)>,
 }
 
@@ -186,14 +186,14 @@
 struct Part {
     upstream: id::Upstream,
     kv: u64,
-    load: upstream::Load,
+    prefill: upstream::PromptPrefill,
 }
 
 impl Scheduler {
     /// A scheduler without upstreams.
     pub fn new(settings: settings::Settings) -> Self {
-        let full = settings.policy == settings::Policy::Full;
-        let queue = queue::Queue::new(full && settings.safeguards.fair);
+        let full_policy = settings.policy == settings::Policy::Full;
+        let queue = queue::Queue::new(full_policy && settings.safeguards.fair);
         let weights = settings.weights.unwrap_or_default();
         let random_state = settings.seed;
         Scheduler { settings, weights, queue, random_state, ..Scheduler::default() }
@@ -218,8 +218,8 @@
         request: Request,
     ) -> Verdict {
         self.finish(now, ticket, ending);
-        let full = self.settings.policy == settings::Policy::Full;
-        if full && self.settings.safeguards.retry_budget && !self.budget.take_retry() {
+        let full_policy = self.settings.policy == settings::Policy::Full;
+        if full_policy && self.settings.safeguards.retry_budget && !self.budget.take_retry() {
             let random = self.next_random();
             return Verdict::Refuse(admit::refusal(outcome::Reason::Saturated, 1.0, random));
         }
@@ -234,15 +234,15 @@
     }
 
     /// Records the first token of a dispatched request.
-    pub fn first_token(&mut self, now: clock::Moment, ticket: Ticket) {
+    pub fn record_first_token(&mut self, now: clock::Moment, ticket: Ticket) {
         let Some(dispatched) = self.in_flight.get_mut(&ticket) else { return };
-        if dispatched.first_token.replace(now).is_some() {
+        if dispatched.first_token_at.replace(now).is_some() {
             return;
         }
         for part in &dispatched.parts {
             let Some(&index) = self.index.get(&part.upstream) else { continue };
             let upstream = &mut self.upstreams[index];
-            upstream.remove_prefill(now, part.load);
+            upstream.remove_prefill(now, part.prefill);
             upstream.slowness.record_first_token(now, ticket);
             let location = prefix::Location { engine: upstream.number, epoch: upstream.epoch };
             for (hash, _) in dispatched.prefixes.iter().take(MAX_PREFIXES) {
@@ -258,7 +258,7 @@
     /// Records the token rate of an answer and updates whether the upstream counts as slow.
     fn record_answer(&mut self, now: clock::Moment, index: usize, tokens: u64, took: clock::Span) {
         let seconds = took.as_secs_f64() / tokens.max(1) as f64;
-        let usual = self.forecast.gap();
+        let usual = self.forecast.token_interval();
         self.upstreams[index].slowness.record_answer(now, tokens, seconds, usual);
         self.update_slowness(now, index);
     }
@@ -275,7 +275,8 @@
     /// Records the end of a dispatched request.
     pub fn finish(&mut self, now: clock::Moment, ticket: Ticket, ending: Ending) {
         let Some(dispatched) = self.in_flight.remove(&ticket) else { return };
-        if let (Ending::Done { answer_tokens, .. }, Some(first)) = (ending, dispatched.first_token)
+        if let (Ending::Done { answer_tokens, .. }, Some(first)) =
+            (ending, dispatched.first_token_at)
         {
             let took = now.since(first);
             if let Some(&index) =
@@ -292,8 +293,8 @@
             let Some(&index) = self.index.get(&part.upstream) else { continue };
             let upstream = &mut self.upstreams[index];
             upstream.record_end(now, part.kv);
-            if dispatched.first_token.is_none() {
-                upstream.remove_prefill(now, part.load);
+            if dispatched.first_token_at.is_none() {
+                upstream.remove_prefill(now, part.prefill);
             }
             if ending == Ending::Silent {
                 upstream.slowness.record_silence(now, ticket);
--- a/crates/lagoonline/src/load/scheduler/place.rs
+++ b/crates/lagoonline/src/load/scheduler/place.rs
@@ -77,23 +77,23 @@
         now: clock::Moment,
         queue: &mut queue::Queue,
     ) -> Option<scheduler::Wake> {
-        let mut reserved_for_long = false;
-        for (rank, band) in self.band_order(now, queue) {
-            // Memory for an aged long prompt only becomes free if no other long prompt takes it
-            // first.
-            if reserved_for_long && band > document::Class::Short as usize {
+        let mut aged_waits = false;
+        for (urgency, band) in self.band_order(now, queue) {
+            // While an aged request waits, only short prompts may be dispatched: memory for it
+            // becomes free only if no other longer prompt takes it first.
+            if aged_waits && band > document::Class::Short as usize {
                 continue;
             }
             let Some(item) = queue.head(band) else { continue };
             let waiter = item.waiter;
-            let aged = rank < band as i64;
+            let aged = urgency < band as i64;
             if let Some(placement) = self.place(now, &item.request, aged) {
                 let cost = queue::cost(&item.request);
                 queue.pop(band);
                 self.forecast.record_dispatch(now, band, cost, !queue.band_is_empty(band));
                 return Some(scheduler::Wake::Dispatch(waiter, placement));
             }
-            reserved_for_long |= aged;
+            aged_waits |= aged;
         }
         None
     }
@@ -134,14 +134,16 @@
         self.usage[class as usize].is_over(now, &request.customer, queue::cost(request))
     }
 
-    /// Bands with the class to which their first waiter's age has moved them, most urgent first.
+    /// Bands in order of urgency, which is the band less the steps that its first waiter has moved
+    /// up because of its age.
     fn band_order(&self, now: clock::Moment, queue: &queue::Queue) -> [(i64, usize); queue::BANDS] {
         let mut order = [(0, 0); queue::BANDS];
-        for (band, slot) in order.iter_mut().enumerate() {
+        for (band, entry) in order.iter_mut().enumerate() {
             let arrived = queue.head(band).map_or(now, |item| item.request.arrived);
             let step = (self.settings.longest_wait[band] / AGEING_DIVISOR).as_micros().max(1);
             let moved = now.since(arrived).as_micros() / step;
-            *slot = (band as i64 - moved.min(4) as i64, band);
+            // Four steps are enough to pass every band.
+            *entry = (band as i64 - moved.min(4) as i64, band);
         }
         order.sort_unstable();
         order
@@ -156,13 +158,13 @@
     ) -> Option<scheduler::Placement> {
         let need = self.need(now, request);
         let random = self.next_random();
-        let full = self.is_full_policy();
-        let clear_count = if full { self.clear_engines(now) } else { 0 };
+        let full_policy = self.is_full_policy();
+        let clear_count = if full_policy { self.clear_engines(now) } else { 0 };
         let mut router = self.router_with(now, clear_count);
         router.aged = aged;
         let route = if need.kv > self.largest_kv {
             router.group(&need)?
-        } else if full {
+        } else if full_policy {
             router.choose(&need, random)?
         } else {
             let (policy, turn) = (self.settings.policy, self.last_id);
@@ -172,7 +174,10 @@
             let seconds = router.seconds(upstream, &need, upstream.rate(now));
             route::Route::Single { index, seconds }
         };
-        if full && self.settings.safeguards.admit && self.is_late(now, request, &need, &route) {
+        if full_policy
+            && self.settings.safeguards.admit
+            && self.is_late(now, request, &need, &route)
+        {
             return None;
         }
         Some(self.dispatch(now, request, &need, route, aged))
@@ -213,24 +218,34 @@
             let upstream = &mut self.upstreams[index];
             upstream.health.record_sent();
             if need.rank == document::Class::Short {
-                let expected = (seconds - upstream.delay_seconds) / upstream.slowness.factor(now);
+                let expected = (seconds - upstream.zone_delay) / upstream.slowness.factor(now);
                 upstream.slowness.record_dispatch(now, ticket, expected);
             }
         }
         let is_group = parts.len() > 1;
-        let spans = parts.iter().filter(|_| is_group).map(|part| part.kv).collect();
+        let reserve_tokens = parts.iter().filter(|_| is_group).map(|part| part.kv).collect();
         let mut names = parts.iter().map(|part| part.upstream.clone());
         let upstream = names.next().unwrap_or_default();
         let members = names.collect();
         let priority = self.priority(need.rank, aged);
         let answer_tokens = request.answer_tokens;
         let prefixes = request.prefixes.clone();
-        let dispatched = scheduler::InFlight { parts, answer_tokens, first_token: None, prefixes };
+        let dispatched =
+            scheduler::InFlight { parts, answer_tokens, first_token_at: None, prefixes };
         self.in_flight.insert(ticket, dispatched);
         let (route::Route::Single { seconds, .. } | route::Route::Group { seconds, .. }) = route;
-        let silence = silence::first_token(seconds / self.guaranteed_rate_share(need));
-        let gap = silence::between_tokens(self.forecast.gap());
-        scheduler::Placement { ticket, upstream, members, spans, priority, silence, gap }
+        let first_token_silence =
+            silence::before_first_token(seconds / self.guaranteed_rate_share(need));
+        let token_silence = silence::between_tokens(self.forecast.token_interval());
+        scheduler::Placement {
+            ticket,
+            upstream,
+            members,
+            reserve_tokens,
+            priority,
+            first_token_silence,
+            token_silence,
+        }
     }
 
     /// Whether a dispatched request without output would be better off on another upstream: one
@@ -271,32 +286,34 @@
     ) -> Vec<scheduler::Part> {
         let one = |index: usize| [(index, need.kv)];
         match route {
-            route::Route::Single { index, .. } => self.charge_spans(now, need, &one(*index)),
-            route::Route::Group { plan, .. } => self.charge_spans(now, need, plan.spans()),
+            route::Route::Single { index, .. } => self.charge_allocations(now, need, &one(*index)),
+            route::Route::Group { plan, .. } => {
+                self.charge_allocations(now, need, plan.allocations())
+            }
         }
     }
 
-    fn charge_spans(
+    fn charge_allocations(
         &mut self,
         now: clock::Moment,
         need: &route::Need,
-        spans: &[(usize, u64)],
+        allocations: &[(usize, u64)],
     ) -> Vec<scheduler::Part> {
         let short_rate_share = self.short_rate_share();
-        let mut parts = Vec::with_capacity(spans.len());
-        for &(index, kv) in spans {
+        let mut parts = Vec::with_capacity(allocations.len());
+        for &(index, kv) in allocations {
             let upstream = &mut self.upstreams[index];
             let left = need.tokens - need.cached(upstream.number);
-            let prefill = left.min(kv);
+            let tokens = left.min(kv);
             upstream.requests += 1;
-            let load = upstream::Load { class: need.class, rank: need.rank, tokens: prefill };
-            upstream.add_prefill(now, load, kv);
+            let prefill = upstream::PromptPrefill { class: need.class, rank: need.rank, tokens };
+            upstream.add_prefill(now, prefill, kv);
             if need.rank == document::Class::Short {
                 let hosts = f64::from(self.settings.hosts_in_zone.max(1));
                 let rate = short_rate_share * upstream.nominal_rate / hosts;
-                upstream.short_excess.record_sent(now, prefill as f64, rate);
+                upstream.short_excess.record_sent(now, tokens as f64, rate);
             }
-            parts.push(scheduler::Part { upstream: upstream.name.clone(), kv, load });
+            parts.push(scheduler::Part { upstream: upstream.name.clone(), kv, prefill });
         }
         parts
     }
@@ -335,7 +352,7 @@
             upstreams: &self.upstreams,
             local_count: self.local_count,
             index_by_number: &self.index_by_number,
-            remote_seconds: self.nearest_delay,
+            min_zone_delay: self.min_zone_delay,
             clear_count,
             aged: false,
             short_rate_share,
--- a/crates/lagoonline/src/load/slowdown.rs
+++ b/crates/lagoonline/src/load/slowdown.rs
@@ -15,29 +15,29 @@
 
 /// Learned smallest overhead of first tokens, in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Baseline {
-    overhead: Option<f64>,
+pub struct Overhead {
+    seconds: Option<f64>,
 }
 
-impl Baseline {
+impl Overhead {
     /// Records a first token that arrived after `took`, for a prompt of `tokens` tokens on an
     /// engine that prefills `rate` tokens per second. Returns the slowdown: its time as a multiple
     /// of that on an idle engine, at least 1.
     ///
     /// ```
-    /// use lagoonline::{clock::Span, load::slowdown::Baseline};
-    /// let mut baseline = Baseline::default();
-    /// assert_eq!(baseline.record(Span::from_millis(120), 1_000, 10_000.0), 1.0);
-    /// let beside_long = baseline.record(Span::from_millis(240), 1_000, 10_000.0);
+    /// use lagoonline::{clock::Span, load::slowdown::Overhead};
+    /// let mut overhead = Overhead::default();
+    /// assert_eq!(overhead.record(Span::from_millis(120), 1_000, 10_000.0), 1.0);
+    /// let beside_long = overhead.record(Span::from_millis(240), 1_000, 10_000.0);
     /// assert!((beside_long - 2.0).abs() < 0.01);
     /// ```
     pub fn record(&mut self, took: clock::Span, tokens: u64, rate: f64) -> f64 {
         let (took, prefill) = (took.as_secs_f64(), tokens as f64 / rate.max(1.0));
         let observed = (took - prefill).max(0.0);
-        let known = self.overhead.unwrap_or(observed);
+        let known = self.seconds.unwrap_or(observed);
         let overhead =
             if observed < known { observed } else { known + (observed - known) * RISE_FRACTION };
-        self.overhead = Some(overhead);
+        self.seconds = Some(overhead);
         (took / (prefill + overhead).max(f64::MIN_POSITIVE)).max(1.0)
     }
 }
--- a/crates/lagoonline/src/load/rate.rs
+++ b/crates/lagoonline/src/load/slowness.rs
@@ -78,7 +78,7 @@
     /// Records the first token of a prompt.
     pub fn record_first_token(&mut self, now: clock::Moment, ticket: scheduler::Ticket) {
         let Some(pending) = self.take(ticket) else { return };
-        let took = seconds(pending.sent, now);
+        let took = seconds_between(pending.sent, now);
         let expected = pending.expected.max(1e-3);
         let sample = 1.0 + (took - expected - NOISE_SECONDS) / expected;
         self.learn(now, sample, expected / (expected + NOISE_SECONDS));
@@ -111,7 +111,7 @@
 
     /// Whether one of `hosts` hosts may probe it now.
     pub fn may_probe(&self, now: clock::Moment, hosts: u32) -> bool {
-        seconds(self.last_dispatch, now) >= PROBE_SECONDS * f64::from(hosts)
+        seconds_between(self.last_dispatch, now) >= PROBE_SECONDS * f64::from(hosts)
     }
 
     /// Records that a prompt was abandoned because the upstream was silent.
@@ -129,10 +129,9 @@
     /// Factor by which the upstream is slower than it reports: 1 or more.
     pub fn factor(&self, now: clock::Moment) -> f64 {
         let learned = 1.0 + self.decayed(now);
-        let late = self
-            .pending
-            .front()
-            .map_or(0.0, |pending| seconds(pending.sent, now) / (pending.expected + NOISE_SECONDS));
+        let late = self.pending.front().map_or(0.0, |pending| {
+            seconds_between(pending.sent, now) / (pending.expected + NOISE_SECONDS)
+        });
         learned.max(late.min(SAMPLE_BOUNDS.1))
     }
 
@@ -147,7 +146,7 @@
         if self.excess == 0.0 {
             return 0.0;
         }
-        self.excess * (-seconds(self.last_sample, now) / HALF_LIFE_SECONDS).exp2()
+        self.excess * (-seconds_between(self.last_sample, now) / HALF_LIFE_SECONDS).exp2()
     }
 
     fn take(&mut self, ticket: scheduler::Ticket) -> Option<Pending> {
@@ -158,6 +157,6 @@
 
 /// Seconds from one moment to a later one. Routing computes this for every upstream, and a
 /// conversion through a duration would cost a 128-bit division.
-pub(crate) fn seconds(from: clock::Moment, to: clock::Moment) -> f64 {
+pub(crate) fn seconds_between(from: clock::Moment, to: clock::Moment) -> f64 {
     to.as_micros().saturating_sub(from.as_micros()) as f64 * 1e-6
 }
--- a/crates/lagoonline/src/load/upstream.rs
+++ b/crates/lagoonline/src/load/upstream.rs
@@ -11,7 +11,7 @@
 use crate::load::floor;
 use crate::load::outlier;
 use crate::load::ramp;
-use crate::load::rate;
+use crate::load::slowness;
 use crate::port::engine;
 
 /// Tokens that an engine prefills in one step, for which a new request of any priority waits.
@@ -63,7 +63,7 @@
 
 /// Prefill of one request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Load {
+pub(crate) struct PromptPrefill {
     /// Class by length.
     pub class: document::Class,
     /// Class by length and the customer's share.
@@ -81,8 +81,9 @@
     pub epoch: u32,
     /// Its index among the upstreams of this host's zone; none for those of other zones.
     pub local_index: Option<usize>,
-    /// Time by which its wait must be shorter than a local one's, in seconds.
-    pub delay_seconds: f64,
+    /// Delay and cost of its zone, as the seconds by which its wait must be shorter than a local
+    /// one's; 0 for this host's zone.
+    pub zone_delay: f64,
     pub slots: u32,
     pub kv_tokens: u64,
     pub role: engine::Role,
@@ -94,7 +95,7 @@
     /// Until when it gets no new requests because it reported itself full.
     pub full_until: clock::Moment,
     pub health: outlier::Health,
-    pub slowness: rate::Slowness,
+    pub slowness: slowness::Slowness,
     /// Number of this host's requests there.
     pub requests: u32,
     /// Prefill of this host's requests without a first token, in tokens by rank.
@@ -131,27 +132,28 @@
         self.nominal_rate / self.slowness.factor(now)
     }
 
-    /// Outstanding prefill of this class and shorter ones, in tokens, if the engine works at
+    /// Outstanding prefill of this rank and earlier ones, in tokens, if the engine works at
     /// `rate`.
-    pub fn ahead(&self, now: clock::Moment, class: document::Class, rate: f64) -> f64 {
-        let last = class as usize;
+    pub fn ahead(&self, now: clock::Moment, rank: document::Class, rate: f64) -> f64 {
+        let last = rank as usize;
         let all: f64 =
-            (0..=last).map(|class| self.own_prefill[class] + self.other_prefill[class]).sum();
-        let drained = rate::seconds(self.drained_to, now) * rate;
+            (0..=last).map(|rank| self.own_prefill[rank] + self.other_prefill[rank]).sum();
+        let drained = slowness::seconds_between(self.drained_to, now) * rate;
         (all - drained).max(0.0)
     }
 
     /// Seconds until the first token of a prompt with `tokens` tokens to prefill, if the engine
     /// works at `rate`.
-    pub fn first_token(
+    pub fn first_token_seconds(
         &self,
         now: clock::Moment,
-        class: document::Class,
+        rank: document::Class,
         tokens: f64,
         rate: f64,
     ) -> f64 {
-        let residual = if self.has_later(class) { CHUNK_TOKENS / 2.0 } else { 0.0 };
-        (self.ahead(now, class, rate) + tokens + residual) / rate.max(1.0) + self.delay_seconds
+        // On average half of the current chunk of a later rank remains to be prefilled.
+        let residual = if self.has_later_rank(rank) { CHUNK_TOKENS / 2.0 } else { 0.0 };
+        (self.ahead(now, rank, rate) + tokens + residual) / rate.max(1.0) + self.zone_delay
     }
 
     /// Outstanding long prefill, by this host's count and the last report, in tokens.
@@ -169,11 +171,11 @@
         if others <= 0.0 || !self.is_report_valid(now) {
             return 0.0;
         }
-        (others - rate::seconds(self.drained_to, now) * self.rate(now)).max(0.0)
+        (others - slowness::seconds_between(self.drained_to, now) * self.rate(now)).max(0.0)
     }
 
     /// Outstanding prefill of all but the first rank, in tokens.
-    pub fn later_pending(&self, now: clock::Moment) -> f64 {
+    pub fn later_rank_pending(&self, now: clock::Moment) -> f64 {
         self.pending[1] as f64 + self.long_pending(now)
     }
 
@@ -212,13 +214,13 @@
     }
 
     /// Whether prompts of a later rank are pending here.
-    pub fn has_later(&self, rank: document::Class) -> bool {
+    pub fn has_later_rank(&self, rank: document::Class) -> bool {
         (rank as usize + 1..4).any(|rank| self.pending[rank] > 0 || self.other_prefill[rank] > 0.0)
     }
 
     /// Whether prompts of a longer class are pending here, by this host's count and the last
     /// report.
-    pub fn has_longer(&self, class: document::Class) -> bool {
+    pub fn has_longer_class(&self, class: document::Class) -> bool {
         (class as usize + 1..4)
             .any(|class| self.pending_by_length[class] > 0 || self.other_prefill[class] > 0.0)
     }
@@ -251,26 +253,27 @@
     }
 
     /// Adds prefill and memory of a request of this host.
-    pub fn add_prefill(&mut self, now: clock::Moment, load: Load, kv: u64) {
+    pub fn add_prefill(&mut self, now: clock::Moment, prefill: PromptPrefill, kv: u64) {
         self.drain(now);
-        self.own_prefill[load.rank as usize] += load.tokens as f64;
-        self.pending[load.rank as usize] += load.tokens;
-        self.pending_by_length[load.class as usize] += load.tokens;
+        self.own_prefill[prefill.rank as usize] += prefill.tokens as f64;
+        self.pending[prefill.rank as usize] += prefill.tokens;
+        self.pending_by_length[prefill.class as usize] += prefill.tokens;
         self.kv += kv;
     }
 
     /// Records that prefill of this host is done or abandoned.
-    pub fn remove_prefill(&mut self, now: clock::Moment, load: Load) {
+    pub fn remove_prefill(&mut self, now: clock::Moment, prefill: PromptPrefill) {
         self.drain(now);
-        let (class, rank) = (load.class as usize, load.rank as usize);
-        self.pending_by_length[class] = self.pending_by_length[class].saturating_sub(load.tokens);
-        self.pending[rank] = self.pending[rank].saturating_sub(load.tokens);
+        let (class, rank) = (prefill.class as usize, prefill.rank as usize);
+        self.pending_by_length[class] =
+            self.pending_by_length[class].saturating_sub(prefill.tokens);
+        self.pending[rank] = self.pending[rank].saturating_sub(prefill.tokens);
         self.own_prefill[rank] = self.own_prefill[rank].min(self.pending[rank] as f64);
     }
 
     /// Advances the outstanding prefill, shorter classes first as in the engine.
     fn drain(&mut self, now: clock::Moment) {
-        let mut work = rate::seconds(self.drained_to, now) * self.rate(now);
+        let mut work = slowness::seconds_between(self.drained_to, now) * self.rate(now);
         for (own, others) in self.own_prefill.iter_mut().zip(&mut self.other_prefill) {
             let all = *own + *others;
             if all > 0.0 {
--- a/crates/lagoonline/src/load/usage.rs
+++ b/crates/lagoonline/src/load/usage.rs
@@ -21,7 +21,7 @@
 /// Decayed tokens below which a customer counts as inactive.
 const INACTIVE_TOKENS: f64 = 1.0;
 /// Number of customers from which on inactive ones are dropped.
-const MIN_KEPT: usize = 64;
+const MIN_CLEANUP_SIZE: usize = 64;
 
 /// Recent use of one customer.
 #[derive(Clone, Copy, Debug)]
@@ -89,7 +89,7 @@
 
     /// Drops inactive customers, each time the number of customers has doubled.
     fn drop_inactive(&mut self, now: clock::Moment) {
-        if self.entries.len() < self.cleanup_size.max(MIN_KEPT) {
+        if self.entries.len() < self.cleanup_size.max(MIN_CLEANUP_SIZE) {
             return;
         }
         self.entries.retain(|_, entry| entry.tokens * decay(entry.at, now) >= INACTIVE_TOKENS);
--- a/crates/lagoonline/tests/load_cold.rs
+++ b/crates/lagoonline/tests/load_cold.rs
@@ -57,7 +57,7 @@
     let now = Moment::from_millis(50);
     for verdict in verdicts {
         let Verdict::Dispatch(placement) = verdict else { panic!("{verdict:?}") };
-        scheduler.first_token(now, placement.ticket);
+        scheduler.record_first_token(now, placement.ticket);
         let ending = Ending::Done { prompt_tokens: 10, cached_tokens: 0, answer_tokens: 8 };
         scheduler.finish(now, placement.ticket, ending);
     }
@@ -106,7 +106,7 @@
     };
     scheduler.observe(Moment::from_millis(16_000), &id::Upstream::from("e"), &busy);
     let now = Moment::from_millis(19_000);
-    scheduler.first_token(now, first.ticket);
+    scheduler.record_first_token(now, first.ticket);
     let ending = Ending::Done { prompt_tokens: 300_000, cached_tokens: 0, answer_tokens: 8 };
     scheduler.finish(now, first.ticket, ending);
     let verdict = scheduler.offer(now, long(now));
--- a/crates/lagoonline/tests/load_fuzz.rs
+++ b/crates/lagoonline/tests/load_fuzz.rs
@@ -152,7 +152,7 @@
             Step::Advance { ms } => self.now = self.now + Span::from_millis(ms),
             Step::FirstToken { pick } => {
                 if let Some(ticket) = self.pick(pick) {
-                    self.scheduler.first_token(self.now, ticket);
+                    self.scheduler.record_first_token(self.now, ticket);
                 }
             }
             Step::Finish { pick, ending: number } => {
--- a/crates/lagoonline/tests/load_group.rs
+++ b/crates/lagoonline/tests/load_group.rs
@@ -4,7 +4,7 @@
 
 use lagoonline::clock::{Moment, Span};
 use lagoonline::id;
-use lagoonline::load::group::arbiter::{Arbiter, LEASE, Notice, Request};
+use lagoonline::load::group::arbiter::{Arbiter, LEASE, Notice, RequestId};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
@@ -101,19 +101,19 @@
 /// The requests that holders wait for or hold, with their tokens.
 #[derive(Default)]
 struct Holders {
-    waiting: collections::BTreeMap<Request, u64>,
-    granted: collections::BTreeMap<Request, u64>,
+    waiting: collections::BTreeMap<RequestId, u64>,
+    granted: collections::BTreeMap<RequestId, u64>,
 }
 
 impl Holders {
     fn apply(&mut self, notices: Vec<Notice>) {
         for notice in notices {
             match notice {
-                Notice::Granted(request, spans) => {
+                Notice::Granted(request, allocations) => {
                     let requested = self.waiting.remove(&request).expect("granted twice");
-                    let held: u64 = spans.iter().map(|span| span.tokens).sum();
+                    let held: u64 = allocations.iter().map(|allocation| allocation.tokens).sum();
                     assert_eq!(held, requested, "not the whole");
-                    assert!(spans.is_sorted_by(|a, b| a.upstream < b.upstream));
+                    assert!(allocations.is_sorted_by(|a, b| a.upstream < b.upstream));
                     self.granted.insert(request, requested);
                 }
                 Notice::Ended(request) => assert!(self.granted.remove(&request).is_some()),
@@ -126,7 +126,7 @@
 }
 
 fn apply(arbiter: &mut Arbiter, holders: &mut Holders, now: &mut Moment, step: &Step) {
-    let pick = |map: &collections::BTreeMap<Request, u64>, pick: usize| {
+    let pick = |map: &collections::BTreeMap<RequestId, u64>, pick: usize| {
         map.keys().nth(pick % map.len().max(1)).copied()
     };
     match *step {
--- a/crates/lagoonline/tests/load_placement.rs
+++ b/crates/lagoonline/tests/load_placement.rs
@@ -427,9 +427,9 @@
 fn a_giant_prompt_does_not_stall_a_burst() {
     let mut sim = Simulation::new(18);
     sim.burst(200);
-    assert!(matches!(sim.place(600_000, LOOSE, 0), Err(placement::Refusal::Busy(_))));
+    assert!(matches!(sim.place(600_000, LOOSE, 0), Err(placement::Refusal::Deferred(_))));
     let refused = sim.place(600_000, LOOSE, 6_000);
-    assert!(matches!(refused, Err(placement::Refusal::Full(..))), "{refused:?}");
+    assert!(matches!(refused, Err(placement::Refusal::Rejected(..))), "{refused:?}");
     sim.advance(11_000);
     sim.placer.expire(sim.now);
     assert!(sim.place(600_000, LOOSE, 0).is_ok());
@@ -469,8 +469,8 @@
     let mut sim = Simulation::new(3);
     sim.burst(48);
     let no_slot = placement::Shortage::Slot;
-    assert_eq!(sim.place(5_000, TIGHT, 0), Err(placement::Refusal::Busy(no_slot)));
-    let Err(placement::Refusal::Full(_, span)) = sim.place(5_000, TIGHT, 200) else {
+    assert_eq!(sim.place(5_000, TIGHT, 0), Err(placement::Refusal::Deferred(no_slot)));
+    let Err(placement::Refusal::Rejected(_, span)) = sim.place(5_000, TIGHT, 200) else {
         panic!("not refused");
     };
     assert!(span > Span::from_millis(500) && span < Span::from_secs(5), "retry after {span:?}");
@@ -489,7 +489,7 @@
     }
     sim.advance(60);
     let prefill = placement::Shortage::Prefill;
-    assert_eq!(sim.place(350_000, LOOSE, 0), Err(placement::Refusal::Busy(prefill)));
+    assert_eq!(sim.place(350_000, LOOSE, 0), Err(placement::Refusal::Deferred(prefill)));
     assert!(sim.place(40_000, LOOSE, 0).is_ok());
     sim.advance(1_500);
     assert!(sim.place(133_000, LOOSE, 0).is_ok());
@@ -511,10 +511,10 @@
         sim.place_request(&request)
     };
     let prefill = placement::Shortage::Prefill;
-    assert_eq!(arrive(&mut sim, 0), Err(placement::Refusal::Busy(prefill)));
+    assert_eq!(arrive(&mut sim, 0), Err(placement::Refusal::Deferred(prefill)));
     sim.placer.set_placing_hosts(placing_hosts);
     let refused = (1..=most).find_map(|number| match arrive(&mut sim, number) {
-        Err(placement::Refusal::Full(_, span)) => Some(span),
+        Err(placement::Refusal::Rejected(_, span)) => Some(span),
         _ => None,
     });
     let span = refused.unwrap_or_else(|| panic!("{most} prompts wait at each host"));
@@ -534,7 +534,7 @@
         ..sim.request()
     };
     let refused = sim.place_request(&late);
-    assert!(matches!(refused, Err(placement::Refusal::Full(..))), "{refused:?}");
+    assert!(matches!(refused, Err(placement::Refusal::Rejected(..))), "{refused:?}");
 }
 
 /// Guards against trying each engine of a partitioned zone. After two of its engines were
--- a/crates/lagoonline/tests/load_rebalance.rs
+++ b/crates/lagoonline/tests/load_rebalance.rs
@@ -6,8 +6,8 @@
 use lagoonline::id;
 use lagoonline::load::rebalance::{self, Demand, Engine, Rebalancer};
 
-const WEIGHT: u64 = 16_000;
-const RATE: f64 = 1_000.0;
+const WEIGHT_BYTES: u64 = 16_000;
+const STORE_RATE: f64 = 1_000.0;
 
 fn engines(models: &[&str]) -> Vec<Engine> {
     let engine = |(index, model): (usize, &&str)| Engine {
@@ -22,7 +22,7 @@
 
 fn demands(list: &[(&str, f64, u32)]) -> collections::BTreeMap<id::Model, Demand> {
     let demand = |&(model, engines, claimed): &(&str, f64, u32)| {
-        (id::Model::from(model), Demand { engines, claimed, weight_bytes: WEIGHT })
+        (id::Model::from(model), Demand { engines, claimed, weight_bytes: WEIGHT_BYTES })
     };
     list.iter().map(demand).collect()
 }
@@ -56,11 +56,12 @@
 #[test]
 fn a_burst_moves_nothing() {
     let mut engines = engines(&["a", "a", "a", "b"]);
-    let mut rebalancer = Rebalancer::new(RATE);
+    let mut rebalancer = Rebalancer::new(STORE_RATE);
     let (burst, calm) = (demands(&[("a", 0.5, 0), ("b", 3.0, 0)]), demands(&[("a", 0.5, 0)]));
     for start in [1_000, 1_040, 1_080] {
         assert_eq!(simulate(&mut rebalancer, start, 20, &mut engines, &burst), []);
         assert_eq!(simulate(&mut rebalancer, start + 20, 20, &mut engines, &calm), []);
+        // The demand for `b` falls, which ends its shortage.
         rebalancer.next(at(start + 39), &demands(&[("b", 0.1, 0)]), &engines);
     }
 }
@@ -69,12 +70,12 @@
 #[test]
 fn lasting_demand_moves_engines_within_the_stores_rate() {
     let mut engines = engines(&["a", "a", "a", "a", "a", "b"]);
-    let mut rebalancer = Rebalancer::new(RATE);
+    let mut rebalancer = Rebalancer::new(STORE_RATE);
     let demands = demands(&[("a", 0.5, 0), ("b", 4.0, 0)]);
     let moves = simulate(&mut rebalancer, 1_000, 300, &mut engines, &demands);
     assert_eq!(moves.len(), 3);
     let gaps = moves.windows(2).map(|pair| pair[1].0 - pair[0].0);
-    assert!(gaps.into_iter().all(|gap| gap >= WEIGHT / 1_000), "{moves:?}");
+    assert!(gaps.into_iter().all(|gap| gap >= WEIGHT_BYTES / 1_000), "{moves:?}");
 }
 
 // Guards against repeated moves of an engine when demand swings every minute: an engine that has
@@ -83,7 +84,7 @@
 #[test]
 fn swinging_demand_does_not_move_an_engine_back_and_forth() {
     let mut engines = engines(&["a", "a", "b", "b"]);
-    let mut rebalancer = Rebalancer::new(RATE);
+    let mut rebalancer = Rebalancer::new(STORE_RATE);
     let to_a = demands(&[("a", 3.5, 0), ("b", 0.4, 0)]);
     let to_b = demands(&[("a", 0.4, 0), ("b", 3.5, 0)]);
     let mut moved: collections::BTreeMap<id::Upstream, Moment> = collections::BTreeMap::new();
@@ -108,7 +109,7 @@
 #[test]
 fn a_claim_gets_its_engine_back_in_time() {
     let mut engines = engines(&["b", "b", "b"]);
-    let mut rebalancer = Rebalancer::new(RATE);
+    let mut rebalancer = Rebalancer::new(STORE_RATE);
     let demands = demands(&[("a", 1.0, 1), ("b", 3.0, 1)]);
     let moves = simulate(
         &mut rebalancer,
--- a/crates/lagoonline/tests/load_silence.rs
+++ b/crates/lagoonline/tests/load_silence.rs
@@ -48,8 +48,11 @@
 fn a_silent_engine_gets_nothing_for_a_while() {
     let mut scheduler = scheduler(3);
     let first = placed(scheduler.offer(Moment::START, request()));
-    assert!(first.silence >= Span::from_secs(2) && first.silence < Span::from_secs(10));
-    let now = Moment::START + first.silence;
+    assert!(
+        first.first_token_silence >= Span::from_secs(2)
+            && first.first_token_silence < Span::from_secs(10)
+    );
+    let now = Moment::START + first.first_token_silence;
     assert!(scheduler.is_better_elsewhere(now, first.ticket, &request()));
     let second = placed(scheduler.retry(now, first.ticket, Ending::Silent, request()));
     assert_ne!(second.upstream, first.upstream);
