--- a/crates/lagoon-net/src/entry/admission.rs
+++ b/crates/lagoon-net/src/entry/admission.rs
@@ -194,16 +194,16 @@
     pub(crate) fn group_members(&self) -> Vec<(&id::Upstream, u64)> {
         let Some(placement) = &self.placement else { return Vec::new() };
         let names = std::iter::once(&placement.upstream).chain(&placement.members);
-        names.zip(placement.spans.iter().copied()).collect()
+        names.zip(placement.reserve_tokens.iter().copied()).collect()
     }
 
     /// Returns the longest accepted silence before the first token and between tokens. A slot that
     /// was released gets the shortest limit for both.
     pub(crate) fn silence(&self) -> (clock::Span, clock::Span) {
         let default = load::silence::between_tokens(0.0);
-        self.placement
-            .as_ref()
-            .map_or((default, default), |placement| (placement.silence, placement.gap))
+        self.placement.as_ref().map_or((default, default), |placement| {
+            (placement.first_token_silence, placement.token_silence)
+        })
     }
 
     /// Returns whether another upstream has capacity for the request now, with a retry left in the
@@ -219,7 +219,7 @@
     pub(crate) fn record_first_token(&self) {
         if let Some(placement) = &self.placement {
             let now = self.queue.clock.now();
-            load::lock(&self.queue.scheduler).first_token(now, placement.ticket);
+            load::lock(&self.queue.scheduler).record_first_token(now, placement.ticket);
         }
     }
 
