--- a/crates/lagoonline/src/check.rs
+++ b/crates/lagoonline/src/check.rs
@@ -1,5 +1,5 @@
-//! Reads JSON with validation: all errors of a text are found in one pass and located by JSON
-//! pointer.
+//! Reads JSON with validation: all faults of a text are found in one pass and located by JSON
+//! pointer. A fault is a single validation error.
 
 use std::cell;
 use std::collections;
@@ -19,12 +19,13 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        // The whole text, whose pointer is empty, is displayed as `/`.
         let pointer = if self.pointer.is_empty() { "/" } else { &self.pointer };
         write!(f, "{pointer}: {}", self.reason)
     }
 }
 
-/// All validation errors of a JSON text, in pointer order.
+/// All faults of a JSON text, in pointer order.
 #[derive(Clone, Debug, Default, Eq, PartialEq, thiserror::Error)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -38,7 +39,7 @@
     }
 }
 
-/// Reads the fields of a JSON object and collects the errors. Fields that are never read are
+/// Reads the fields of a JSON object and collects the faults. Fields that are never read are
 /// reported as unknown.
 #[derive(Debug)]
 pub struct Reader<'a> {
@@ -52,7 +53,7 @@
 ///
 /// # Errors
 ///
-/// Returns all errors found: invalid JSON, wrong types, values out of range, unknown fields.
+/// Returns all faults found: invalid JSON, wrong types, values out of range, unknown fields.
 ///
 /// ```
 /// use lagoonline::check;
@@ -146,7 +147,7 @@
         self.get(name).is_some()
     }
 
-    /// Records an error about the field `name`.
+    /// Records a fault of the field `name`.
     pub fn fault<R>(&self, name: &str, reason: R)
     where
         R: Into<String>,
@@ -155,7 +156,7 @@
         self.faults.borrow_mut().push(fault);
     }
 
-    /// Records an error about one item of the array in the field `name`.
+    /// Records a fault of one item of the array in the field `name`.
     pub fn fault_item<R>(&self, name: &str, index: usize, reason: R)
     where
         R: Into<String>,
@@ -164,7 +165,7 @@
         self.faults.borrow_mut().push(Fault { pointer, reason: reason.into() });
     }
 
-    /// Records an error about the object itself.
+    /// Records a fault of the object itself.
     pub fn fault_here<R>(&self, reason: R)
     where
         R: Into<String>,
@@ -237,7 +238,7 @@
         self.typed(name, kind, |value| value.as_str()?.parse().ok())
     }
 
-    /// Like [`Reader::parsed`], but the field must be present; returns `default` after an error.
+    /// Like [`Reader::parsed`], but the field must be present; returns `default` after a fault.
     pub fn required_parsed<T>(&self, name: &str, kind: &str, default: T) -> T
     where
         T: std::str::FromStr,
--- a/crates/lagoonline/src/clock.rs
+++ b/crates/lagoonline/src/clock.rs
@@ -6,9 +6,11 @@
 
 pub use std::time::Duration as Span;
 
-/// A point on one process's monotonic clock, in microseconds since that process started.
+/// A point on a monotonic clock, in microseconds since that clock was created, usually at the start
+/// of the process.
 ///
-/// Moments of different processes cannot be compared; messages carry the remaining time instead.
+/// Moments of different clocks cannot be compared; messages between processes carry the remaining
+/// time instead.
 ///
 /// ```
 /// use lagoonline::clock::{Moment, Span};
@@ -20,7 +22,7 @@
 pub struct Moment(u64);
 
 impl Moment {
-    /// The moment at which the process started.
+    /// The moment at which the clock was created.
     pub const START: Moment = Moment(0);
     /// A moment that is never reached.
     pub const NEVER: Moment = Moment(u64::MAX);
@@ -80,7 +82,7 @@
     fn wall_millis(&self) -> u64;
 }
 
-/// The monotonic and wall clock of the operating system.
+/// The monotonic and wall clock of the operating system. A process creates one and copies it.
 ///
 /// ```
 /// use lagoonline::clock::{Clock, System};
--- a/crates/lagoonline/src/id.rs
+++ b/crates/lagoonline/src/id.rs
@@ -53,7 +53,8 @@
 }
 
 name! {
-    /// A team, the owner of one section of the document.
+    /// A team, the owner of one section of the configuration document (see
+    /// [`crate::control::document`]).
     Team
 }
 name! {
@@ -85,7 +86,7 @@
     Region
 }
 name! {
-    /// An entry host.
+    /// An entry host: it accepts requests from callers and dispatches them to upstreams.
     Host
 }
 
@@ -111,7 +112,8 @@
 #[serde(transparent)]
 pub struct Fence(pub u64);
 
-/// One dispatch of one request to one upstream; 128 random bits, written as 32 hex digits.
+/// Random id of 128 bits, written as 32 hex digits: of one dispatch of a request to an upstream, of
+/// an idempotency claim, or of a reservation on an engine.
 ///
 /// ```
 /// use lagoonline::id::Attempt;
--- a/crates/lagoonline/src/lib.rs
+++ b/crates/lagoonline/src/lib.rs
@@ -4,6 +4,15 @@
 //! and external systems are accessed through the traits in [`port`]. The adapters are in the crate
 //! `lagoon-net`.
 //!
+//! Terms used throughout:
+//!
+//! - an entry host accepts requests from callers and dispatches them to upstreams; its steward is
+//!   the control process that runs beside the entry process;
+//! - an upstream is a model engine or a replica of a plain service;
+//! - an attempt is one dispatch of a request to an upstream;
+//! - the platform provides the table service, the object store and the list of hosts;
+//! - the document is the configuration of all teams, with one section per team.
+//!
 //! ```
 //! use lagoonline::{clock, id, outcome};
 //!
--- a/crates/lagoonline/src/lifecycle/claim/decision.rs
+++ b/crates/lagoonline/src/lifecycle/claim/decision.rs
@@ -1,4 +1,4 @@
-//! Decides how a keyed request proceeds, given the claim row of its key.
+//! Decides how a keyed request proceeds after a single read of the claim row of its key.
 
 use super::record;
 use super::ticket;
@@ -7,7 +7,8 @@
 use crate::lifecycle::safeguard;
 use crate::port::table;
 
-/// How to proceed with a request, given the row of its key.
+/// What the row of a key means for a request with that key. [`super::Begin`] is the final result
+/// that [`super::Claims::begin`] derives from it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// The key is free: the row may be overwritten at this version, where 0 means that it is
@@ -15,11 +16,12 @@
     Free(u64),
     /// The row holds this request's own claim, at this version.
     Own(u64),
-    /// The key was used with a different body.
+    /// The key was used for a different request: method, path or body differ.
     RequestMismatch,
-    /// An earlier non-repeatable request may have run or may still be running.
+    /// An earlier request with the key may have run or may still be running, and must not be
+    /// repeated.
     Unknown,
-    /// An earlier repeatable request may be running.
+    /// An earlier request with the key may be running, and this request may be repeated.
     Running(ticket::Running),
     /// An earlier request completed and its answer is stored.
     Replay(record::Record),
@@ -75,9 +77,11 @@
     }
 }
 
-/// A non-repeatable call must not run twice. If the claim of a host that seems dead were taken
-/// over, its call, already dispatched, could run as well. No sign of a host's death proves that
-/// nothing was sent, so only the claim holder itself frees such a key, by writing `released`.
+/// Returns the decision on a key whose earlier request may have run: free for a repeatable request,
+/// unknown for any other, because it must not run twice. If the claim of a host that seems dead
+/// were taken over, its call, already dispatched, could run as well. No sign of a host's death
+/// proves that nothing was sent, so only the claim holder itself frees such a key, by writing
+/// `released`.
 fn decide_unfinished(
     version: u64,
     request: &record::Request,
--- a/crates/lagoonline/src/lifecycle/claim/driver.rs
+++ b/crates/lagoonline/src/lifecycle/claim/driver.rs
@@ -14,7 +14,7 @@
 use crate::port::objects;
 use crate::port::table;
 
-/// How a keyed request proceeds.
+/// Result of [`Claims::begin`]: how the entry host proceeds with a keyed request.
 #[derive(Debug)]
 pub enum Begin {
     /// The request holds the key and may be dispatched.
@@ -29,7 +29,7 @@
 }
 
 /// A claim that was given up but whose commit may have been applied, or may be applied later. Its
-/// request was never dispatched and cannot be, as its ticket no longer exists. Call
+/// request is not running and cannot be dispatched any more, as its ticket no longer exists. Call
 /// [`Claims::settle`] until it returns `true`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Abandoned {
@@ -107,7 +107,7 @@
         self.claim(request, 0, 0).await
     }
 
-    /// Takes over the key of a repeatable call whose stream cannot be resumed.
+    /// Takes over the key of a repeatable request whose stream cannot be resumed.
     ///
     /// # Errors
     ///
@@ -124,8 +124,8 @@
         self.claim(request, replaceable, replaceable).await
     }
 
-    /// `at` is the row version to overwrite. A running claim at version `replaceable` may be
-    /// replaced.
+    /// `base_version` is the row version to overwrite. A running claim at version `replaceable` may
+    /// be replaced.
     async fn claim(
         &self,
         request: record::Request,
@@ -227,7 +227,7 @@
         Ok(Begin::Replay(record::Answer { status, content_type, body }))
     }
 
-    /// Records the upstream and attempt that a repeatable call was redirected to, so that its
+    /// Records the upstream and attempt that a repeatable request was redirected to, so that its
     /// stream can be taken over.
     pub async fn retarget(
         &self,
@@ -373,7 +373,7 @@
 
     /// Returns whether the row must no longer be written. If a host pauses for longer than the
     /// retention, its row is deleted and another host's claim may have the same version number; on
-    /// resuming, the first host would free that key and a third host would run the call again.
+    /// resuming, the first host would free that key and a third host would run the request again.
     /// After the grace time a host writes nothing, and its row counts as one that may have run
     /// until its retention ends.
     fn is_too_late(&self, deadline: clock::Moment) -> bool {
--- a/crates/lagoonline/src/lifecycle/claim/mod.rs
+++ b/crates/lagoonline/src/lifecycle/claim/mod.rs
@@ -1,9 +1,11 @@
 //! Idempotency keys, stored as rows of the table service that are written before dispatch.
 //!
 //! A caller that lost its answer retries, perhaps at another entry host, and without a claim the
-//! call would run twice. [`Claims::begin`] returns a [`Ticket`] only to the one request whose row
-//! is known to be in the table, and a keyed call is dispatched only through [`Ticket::dispatch`].
-//! The rules and the argument for their correctness are in `docs/design/idempotency.md`.
+//! request would run twice. [`Claims::begin`] returns a [`Ticket`] only to the one request whose
+//! row is known to be in the table, and a request that must not run twice is dispatched only
+//! through [`Ticket::dispatch`]. Only a repeatable request may run without a claim, while the
+//! platform is unreachable ([`Begin::Unclaimed`]). The rules and the argument for their correctness
+//! are in `docs/design/idempotency.md`.
 
 mod decision;
 mod driver;
--- a/crates/lagoonline/src/lifecycle/claim/record.rs
+++ b/crates/lagoonline/src/lifecycle/claim/record.rs
@@ -8,7 +8,7 @@
 use crate::id;
 use crate::lifecycle::request;
 
-/// A request with an idempotency key that is to be run.
+/// A request with an idempotency key that is to be run: the input of [`super::Claims::begin`].
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The calling customer, which is the scope of the key.
@@ -19,7 +19,8 @@
     pub request_hash: String,
     /// Whether the call may run more than once.
     pub repeat: request::Repeat,
-    /// Identifies this claim; unique to each request.
+    /// Identifies this claim; unique to each request. It is also the id of the request's first
+    /// attempt.
     pub token: id::Attempt,
     /// The upstream that the request is to be sent to.
     pub upstream: id::Upstream,
--- a/crates/lagoonline/src/lifecycle/claim/settings.rs
+++ b/crates/lagoonline/src/lifecycle/claim/settings.rs
@@ -13,11 +13,11 @@
     pub inline_bytes: usize,
     /// Number of commits attempted for one row change before it is given up.
     pub max_commits: u32,
-    /// How long after a request's deadline its row may still be written. Must be hours shorter than
-    /// the retention.
+    /// How long after a request's deadline its row may still be written. [`MAX_DEADLINE`] leaves
+    /// twice this time before the retention ends.
     pub write_grace: clock::Span,
-    /// `Retry-After` for requests refused because the platform is unreachable, or because an earlier
-    /// request with the key may have run.
+    /// `Retry-After` for requests refused because the platform is unreachable, or because an
+    /// earlier request with the key may have run.
     pub retry_after: clock::Span,
     /// Safeguards in force; all of them outside of mutation tests.
     pub safeguards: safeguard::Set,
@@ -34,7 +34,7 @@
 pub const MAX_DEADLINE: clock::Span = MIN_RETENTION.saturating_sub(WRITE_GRACE.saturating_mul(2));
 /// A platform outage may last this long before an answer is left unstored.
 const WRITE_GRACE: clock::Span = clock::Span::from_secs(3_600);
-/// Covers most booking answers and keeps scanned rows small.
+/// Longer than the answers of most keyed requests, and keeps scanned rows small.
 const INLINE_BYTES: usize = 4_096;
 
 impl Default for Settings {
--- a/crates/lagoonline/src/lifecycle/claim/sweep.rs
+++ b/crates/lagoonline/src/lifecycle/claim/sweep.rs
@@ -1,11 +1,11 @@
 //! Deletes claims past their retention time, a bounded number of rows at a time.
 //!
 //! The table holds millions of rows and one sweep reads them all; a single steward doing so would
-//! read 80 KB per second. Rows are therefore divided into [`SHARDS`] shards, each swept by one
-//! steward, and the shards are scheduled by the wall clock, so that the whole fleet makes one read
-//! per [`SweepSettings::interval`] without coordination. Two stewards sweeping the same shard cost
-//! extra reads but never delete a row that is in use: each row is deleted only at the version that
-//! was read.
+//! carry a constant load of 80 KB per second. Rows are therefore divided into [`SHARDS`] shards,
+//! each swept by one steward, and the shards are scheduled by the wall clock, so that the whole
+//! fleet makes one read per [`SweepSettings::interval`] without coordination. Two stewards sweeping
+//! the same shard cost extra reads but never delete a row that is in use: each row is deleted only
+//! at the version that was read.
 
 use super::record;
 use super::settings;
@@ -29,8 +29,8 @@
 
 /// Rows per read and commit.
 const BATCH: usize = 200;
-/// Scans rows at twice the rate at which 90 keyed calls per second add them; this takes one of
-/// every 2,000 reads.
+/// Scans rows at twice the rate at which 90 keyed requests per second add them, at the cost of one
+/// read in 2,000.
 const INTERVAL: clock::Span = clock::Span::from_secs(1);
 
 impl Default for SweepSettings {
--- a/crates/lagoonline/src/lifecycle/claim/ticket.rs
+++ b/crates/lagoonline/src/lifecycle/claim/ticket.rs
@@ -1,5 +1,6 @@
 //! Typestates of an established claim: only its holder may dispatch, and only one attempt at a
-//! time.
+//! time. They go along with the typestates of [`crate::lifecycle::request`], which every request
+//! has, with or without a key.
 
 use super::record;
 use crate::clock;
@@ -24,7 +25,7 @@
 #[derive(Debug)]
 pub struct Sent(pub(super) Ticket);
 
-/// A repeatable call with the same key that may be running, and where its stream can be resumed.
+/// A repeatable request with the same key that may be running, and where its stream can be resumed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Running {
     /// The attempt to resume.
--- a/crates/lagoonline/src/lifecycle/drain.rs
+++ b/crates/lagoonline/src/lifecycle/drain.rs
@@ -13,7 +13,8 @@
 pub struct Settings {
     /// From the first signal, when the host reports not ready, until it accepts no new connections.
     pub unready: clock::Span,
-    /// From the first signal until the process ends at the latest; at least the longest deadline.
+    /// From the first signal until the process ends at the latest; should be at least the longest
+    /// deadline in use.
     pub grace: clock::Span,
 }
 
@@ -67,7 +68,7 @@
 }
 
 impl Drain {
-    /// Creates a host that is serving.
+    /// Creates the state machine of a host that is serving.
     pub fn new(settings: Settings) -> Self {
         Drain { settings, state: State::Serving, signalled_at: clock::Moment::START }
     }
--- a/crates/lagoonline/src/lifecycle/fingerprint.rs
+++ b/crates/lagoonline/src/lifecycle/fingerprint.rs
@@ -6,11 +6,12 @@
 
 use sha2::Digest as _;
 
-/// Digest length in bytes: enough to rule out chance collisions, and a caller finding a body with
-/// the fingerprint of another request.
+/// Digest length in bytes. It is enough to rule out chance collisions, and to keep callers from
+/// constructing a body that has the fingerprint of another request.
 const DIGEST_BYTES: usize = 16;
 
-/// The identity of a request: its customer, path and query, and body.
+/// The identity of a request: its customer, path and query, and body, but not its method. The text
+/// form is `LENGTH-DIGEST` with the body length and the digest in hexadecimal.
 ///
 /// The body length is the most significant part of the order, so a lookup by length tells without
 /// hashing that a set holds no fingerprint of that length.
--- a/crates/lagoonline/src/lifecycle/leaving.rs
+++ b/crates/lagoonline/src/lifecycle/leaving.rs
@@ -2,10 +2,12 @@
 //!
 //! The platform's host list lags: a leaving upstream could still get work, or an older list could
 //! report `live` again and the state would flap. Each upstream therefore has one mark, the pair
-//! (incarnation, leaving), and all signs are merged by taking the greater mark: a later incarnation
-//! wins over an earlier one, and leaving wins over live within an incarnation. Merging is
-//! commutative and idempotent, so entry hosts that received the same signs, in any order and from
-//! any source, have the same mark, and only a new incarnation clears it.
+//! (incarnation, leaving). Every sign of its state is merged into the mark by taking the greater of
+//! the two: entries of the list, marks sent by other entry hosts, incarnations named in load
+//! reports, and refusals by the upstream itself. A later incarnation wins over an earlier one, and
+//! leaving wins over live within an incarnation. Merging is commutative and idempotent, so entry
+//! hosts that received the same signs, in any order and from any source, have the same mark, and
+//! only a new incarnation clears it.
 
 use std::collections;
 
@@ -48,8 +50,8 @@
         Marks { safeguards, ..Marks::default() }
     }
 
-    /// Merges a mark received from a peer, or an incarnation named in a load report. Returns the
-    /// mark if it changed; it should then be sent to peers at once.
+    /// Merges a mark received from another entry host, or an incarnation named in a load report.
+    /// Returns the mark if it changed; it should then be sent to the other entry hosts at once.
     pub fn merge(&mut self, upstream: &id::Upstream, mark: Mark) -> Option<Mark> {
         let known = self.marks.get(upstream).copied();
         let unidentified = self.unidentified.remove(upstream);
@@ -96,7 +98,7 @@
         self.marks.get(upstream).copied()
     }
 
-    /// Iterates over all marks, to send them to a newly connected peer.
+    /// Iterates over all marks, to send them to a newly connected entry host.
     pub fn iter(&self) -> impl Iterator<Item = (&id::Upstream, Mark)> {
         self.marks.iter().map(|(upstream, mark)| (upstream, *mark))
     }
--- a/crates/lagoonline/src/lifecycle/owner.rs
+++ b/crates/lagoonline/src/lifecycle/owner.rs
@@ -1,10 +1,12 @@
-//! Liveness of the entry processes that own resources on engines, in a form that zones exchange.
+//! Liveness of the entry processes that own resources on engines, in a form that zones exchange. An
+//! entry process runs on an entry host and reports to the steward there.
 //!
-//! A steward that restarts or is cut off looks like an entry process that died, and treating it so
-//! would interrupt streams that are being read. A process therefore counts as gone only if its own
-//! live steward, which sees its connection close, says so, or if its host is considered dead by its
-//! neighbours and is no longer in the platform's list. Otherwise its state is unsure. A new
-//! incarnation of the process proves the old one dead in any case.
+//! When a steward restarts or is cut off, the entry process that reports to it seems to have died
+//! although it still serves, and releasing what it owns would interrupt streams that are being
+//! read. A process therefore counts as gone only if its own live steward, which sees its connection
+//! close, says so, or if its host is dead to the other stewards of its zone and is no longer in the
+//! platform's list. Otherwise its state is unsure. A new incarnation of the process proves the old
+//! one dead in any case.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,10 +17,9 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Liveness {
-    /// Its steward receives its reports.
+    /// Its steward is alive and has a report that it serves or drains.
     Serving,
-    /// Its steward is alive and receives no reports from it, or its host is dead and no longer
-    /// listed.
+    /// Its steward is alive and has no such report, or its host is dead and no longer listed.
     Gone,
     /// Its steward is unreachable, and the platform lists the host or cannot be reached.
     Unsure,
--- a/crates/lagoonline/src/lifecycle/quarantine/evidence.rs
+++ b/crates/lagoonline/src/lifecycle/quarantine/evidence.rs
@@ -88,7 +88,8 @@
     }
 
     /// Records that the request was answered completely; returns whether other hosts should be
-    /// told.
+    /// told. That is the case if it was a suspect, or if half of the trust duration has passed
+    /// since it was recorded.
     pub(super) fn record_answer(&mut self, request: &Fingerprint, now: clock::Moment) -> bool {
         let was_suspect = self.drop_suspect(request);
         let previous = self.answered.get(request).copied();
@@ -183,9 +184,9 @@
 
     /// Returns the request with the most evidence against it, if that is sufficient proof.
     ///
-    /// `on_probation` tells whether a request has had a quarantine that expired: one more crash is
-    /// enough for it. For other requests crashes prove nothing while another suspect was involved
-    /// in all of them: either may be the cause, and a later crash tells them apart.
+    /// `was_quarantined` tells whether a request has had a quarantine that expired: one more crash
+    /// is enough for it. For other requests crashes prove nothing while another suspect was
+    /// involved in all of them: either may be the cause, and a later crash tells them apart.
     pub(super) fn proven<WasQuarantined>(
         &self,
         was_quarantined: WasQuarantined,
@@ -233,7 +234,8 @@
     pub(super) fn expire(&mut self, now: clock::Moment) {
         let Settings { evidence_retention, trust_duration, max_entries, max_crashes, .. } =
             self.settings;
-        // Bounds memory when many suspects are answered: only the more recent half is kept.
+        // Limits memory when many suspects are answered: only answers within the more recent half
+        // of the trust duration are kept.
         let trust_duration =
             if self.answered.len() > max_entries { trust_duration / 2 } else { trust_duration };
         self.answered.retain(|_, at| now.since(*at) < trust_duration);
--- a/crates/lagoonline/src/lifecycle/quarantine/mod.rs
+++ b/crates/lagoonline/src/lifecycle/quarantine/mod.rs
@@ -1,8 +1,8 @@
 //! Refuses requests that crash the upstreams that start to run them.
 //!
-//! A request that crashes every upstream that starts it is retried under new ids and at any host.
-//! Each time it interrupts the other requests on that upstream, which are retried and interrupted
-//! again at the next one, until most of the fleet is down.
+//! A request that crashes every upstream that starts it, called lethal here, is retried under new
+//! ids and at any host. Each time it interrupts the other requests on that upstream, which are
+//! retried and interrupted again at the next one, until most of the fleet is down.
 //!
 //! A request is identified by its [`Fingerprint`]. Hosts tell each other which requests had just
 //! started on an upstream that crashed. A request involved in [`Settings::required_crashes`]
@@ -141,15 +141,16 @@
         }
     }
 
-    /// Returns whether a suspected, trusted or quarantined request has a body of `length` bytes. If
-    /// not, the fingerprint of such a request need not be computed.
+    /// Returns whether a suspected, recently answered or quarantined request has a body of `length`
+    /// bytes. If not, the fingerprint of such a request need not be computed.
     pub fn has_length(&self, length: u64) -> bool {
         self.records.has_length(length) || self.evidence.has_length(length)
     }
 
-    /// Returns the weight of a crash against a request that had made this progress, or `None` if it
-    /// had run for too long to be suspected: a lethal request crashes an upstream as soon as it
-    /// starts.
+    /// Returns the weight of a crash against a request that had made this progress. An answer that
+    /// had delivered events for longer than [`Settings::start_window`] yields `None`: a lethal
+    /// request crashes an upstream as soon as it starts. An answer without any event yet always
+    /// counts.
     pub fn weight(&self, progress: Progress) -> Option<Weight> {
         match progress {
             Progress::Unknown | Progress::Answering { events: 0, .. } => Some(Weight::Started),
@@ -277,7 +278,8 @@
         self.evidence.suspect_count()
     }
 
-    /// Drops expired evidence and records.
+    /// Drops expired evidence and records. Records are kept for another base duration after they
+    /// expire, because a single crash within that time is enough for the next quarantine.
     pub fn expire(&mut self, now: clock::Moment) {
         self.evidence.expire(now);
         self.records.expire(self.settings.base_duration, self.settings.max_entries, now);
--- a/crates/lagoonline/src/lifecycle/quarantine/record.rs
+++ b/crates/lagoonline/src/lifecycle/quarantine/record.rs
@@ -78,8 +78,8 @@
         self.unexpired(now).fold(0, |sum, record| sum ^ record.checksum())
     }
 
-    /// Drops records `span` after they expire, and the earliest to expire while there are more than
-    /// `max_entries`.
+    /// Drops records `keep_for` after they expire, and the earliest to expire while there are more
+    /// than `max_entries`.
     pub(super) fn expire(&mut self, keep_for: clock::Span, max_entries: usize, now: clock::Moment) {
         self.0.retain(|_, record| record.expires_at + keep_for > now);
         while self.0.len() > max_entries {
--- a/crates/lagoonline/src/lifecycle/quarantine/settings.rs
+++ b/crates/lagoonline/src/lifecycle/quarantine/settings.rs
@@ -5,7 +5,7 @@
 /// What counts as proof that a request crashes upstreams, and how long it is then refused.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Number of crashes at different times that prove it.
+    /// Number of crashes at different times that prove a request lethal.
     pub required_crashes: usize,
     /// Time after an answer started during which a crash of the upstream counts against the request
     /// even if events of the answer were received.
--- a/crates/lagoonline/src/lifecycle/reap.rs
+++ b/crates/lagoonline/src/lifecycle/reap.rs
@@ -33,7 +33,8 @@
 /// An engine that becomes reachable again gets its cancels within this time; 1,000 pending cancels
 /// then cause 50 calls per second.
 const MAX_DELAY: clock::Span = clock::Span::from_secs(20);
-/// Longer than the deadline of a long prompt and the time for which engines keep finished streams.
+/// Longer than usual deadlines of long prompts, and than the time for which engines keep finished
+/// streams.
 const MAX_AGE: clock::Span = clock::Span::from_secs(3_600);
 
 impl Default for RetryPolicy {
@@ -149,14 +150,15 @@
 
 /// Thirty heartbeats at one per second, and longer than a merely slow host stays silent.
 const OWNER_TIMEOUT: clock::Span = clock::Span::from_secs(30);
-/// Longer than a usual network partition; 20 hosts per day fail permanently.
+/// Longer than a usual network partition; hosts that fail permanently, 20 per day, do not count for
+/// longer than this.
 const FORGET_AFTER: clock::Span = clock::Span::from_secs(3_600);
-/// A rack holds less than half of a zone's hosts, whereas a network cut removes all but the
-/// reaper's own.
+/// Lies between the failure of a rack, which holds less than half of a zone's hosts, and a network
+/// cut, which removes all hosts but the reaper's own.
 const MIN_HEARD_SHARE: f64 = 0.5;
 
-/// Covers a client's first few retries; a host that restarts at once proves its streams dead at
-/// once.
+/// Covers a client's first few retries. A host that restarts right away has a new incarnation,
+/// which proves its old streams dead without waiting for the owner timeout.
 const TAKEOVER_WINDOW: clock::Span = clock::Span::from_secs(15);
 
 impl Default for Settings {
@@ -179,7 +181,8 @@
     last_seen: clock::Moment,
     /// The last heartbeat; `None` for an owner known only from holdings or from another zone.
     last_heartbeat: Option<clock::Moment>,
-    /// Whether its liveness is reported by another zone instead of by heartbeats.
+    /// Whether its liveness was last reported by a steward instead of by a heartbeat. Such owners
+    /// do not count in the share of heard hosts.
     is_reported: bool,
 }
 
@@ -240,9 +243,8 @@
         }
     }
 
-    /// Records that the steward of the owner's zone reports the process as gone or unknown there.
-    /// It counts as dead only after the usual timeout, because the process may merely have lost its
-    /// steward.
+    /// Records that the steward of the owner's zone reports the process as gone. It counts as dead
+    /// only after the usual timeout, because the process may merely have lost its steward.
     pub fn record_gone(&mut self, owner: &id::Owner, now: clock::Moment) {
         let known = self.owners.get(&owner.host);
         if known.is_none_or(|known| known.incarnation < owner.incarnation) {
@@ -312,7 +314,7 @@
     ///
     /// An owner also counts as seen when a holding of it is new in the list, or when it is listed
     /// for the first time, so a newly started reaper releases nothing for
-    /// [`Settings::owner_timeout`].
+    /// [`Settings::owner_timeout`], except what belongs to an earlier incarnation of a known owner.
     pub fn sweep(
         &mut self,
         upstream: &id::Upstream,
@@ -340,9 +342,9 @@
         due.map(|(holding, _)| holding.id.clone()).collect()
     }
 
-    /// Returns whether a dead owner's holding may be released now. A host that restarts at once
-    /// proves its old streams dead at once; without the delay a caller that resumes one a second
-    /// later would have its million tokens prefilled again.
+    /// Returns whether a dead owner's holding may be released now. A host that restarts right away
+    /// proves its old streams dead without a timeout; if they were released without this delay, a
+    /// caller that resumes one a second later would have its million tokens prefilled again.
     fn is_releasable(
         &self,
         holding: &engine::Holding,
@@ -355,8 +357,9 @@
         }
     }
 
-    /// Returns whether the owner of a holding is dead: replaced by a later incarnation, or not seen
-    /// for the timeout while this host is not cut off.
+    /// Returns whether the owner of a holding is dead: replaced by a later incarnation, not seen
+    /// for the timeout, or not even known any more. The last two do not count while this host seems
+    /// cut off.
     fn is_orphaned(&self, holding: &engine::Holding, is_cut_off: bool, now: clock::Moment) -> bool {
         let Ok(owner) = holding.owner.parse::<id::Owner>() else {
             return false;
--- a/crates/lagoonline/src/lifecycle/request.rs
+++ b/crates/lagoonline/src/lifecycle/request.rs
@@ -1,10 +1,12 @@
 //! Typestates of a request that ensure that a non-repeatable call is dispatched at most once.
 //!
-//! If a non-idempotent call were sent again after its answer was lost, it would run twice: a filing
-//! would be fined twice. [`Dispatched`] is consumed by each event. Only [`Dispatched::refused`],
-//! which requires proof from the upstream that it did not run the call, and [`Lost::retry`], which
-//! checks that the call may repeat, lead back to [`Pending`]. This is sufficient because
-//! [`Pending::dispatch`] is the only way to start an attempt and `Pending` cannot be copied.
+//! If a non-idempotent call were sent again after its answer was lost, it would run twice and, for
+//! example, charge a fine twice. [`Dispatched`] is consumed by each event. Only
+//! [`Dispatched::refused`], which requires proof from the upstream that it did not run the call,
+//! and [`Lost::retry`], which checks that the call may repeat, lead back to [`Pending`]. This is
+//! sufficient because [`Pending::dispatch`] is the only way to start an attempt and `Pending`
+//! cannot be copied. For a request with an idempotency key, the typestates of
+//! [`crate::lifecycle::claim::Ticket`] apply as well.
 //!
 //! ```
 //! use lagoonline::{id::Attempt, lifecycle::request::{Pending, Repeat}, outcome::Outcome};
@@ -25,7 +27,7 @@
 use crate::id;
 use crate::outcome;
 
-/// Whether the call may run more than once.
+/// Whether the call may run more than once, in other words whether it is repeatable or idempotent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Repeat {
     /// A non-idempotent call, which runs at most once.
--- a/crates/lagoonline/src/lifecycle/safeguard.rs
+++ b/crates/lagoonline/src/lifecycle/safeguard.rs
@@ -1,5 +1,5 @@
-//! Safeguards that tests can disable one at a time, to show that the test oracle detects the
-//! absence of each.
+//! Safeguards that tests can disable one at a time, to show that the test oracles in
+//! `tests/life_fuzz` detect the absence of each.
 //!
 //! No settings file can change them: [`Set::default`] enables all, and only tests call
 //! [`Set::without`]. `docs/design/outcomes.md` describes what each one prevents.
@@ -72,7 +72,7 @@
 }
 
 impl Set {
-    /// Disables a single safeguard, for tests of the oracle.
+    /// Disables a single safeguard, for tests of the oracles.
     #[doc(hidden)]
     pub fn without(missing: Safeguard) -> Self {
         Set { missing: Some(missing) }
--- a/crates/lagoonline/src/lifecycle/stream.rs
+++ b/crates/lagoonline/src/lifecycle/stream.rs
@@ -39,7 +39,7 @@
         /// Number of received chunks.
         received: u64,
     },
-    /// The chunk arrived after the end mark.
+    /// A chunk or another end mark arrived after the end mark.
     #[error("a chunk after the end mark")]
     AfterEnd,
 }
--- a/crates/lagoonline/src/outcome.rs
+++ b/crates/lagoonline/src/outcome.rs
@@ -109,7 +109,7 @@
     UpstreamFailed,
     /// The caller disconnected.
     CallerLeft,
-    /// Upstreams crashed while running this request, so it is refused.
+    /// Upstreams crashed while running this request, so it is refused until its quarantine expires.
     Quarantined,
     /// An internal error.
     Internal,
@@ -230,7 +230,7 @@
     pub reason: Reason,
     /// The step in which it failed.
     pub step: Step,
-    /// The upstream or platform component involved; empty if there was none.
+    /// The upstream or platform component at which the request failed; empty if there was none.
     pub peer: String,
     /// Whether the request may have run.
     pub outcome: Outcome,
--- a/crates/lagoonline/src/port/engine.rs
+++ b/crates/lagoonline/src/port/engine.rs
@@ -31,7 +31,7 @@
 pub struct CacheEvent {
     /// Number of this event within the incarnation, starting at 1.
     pub sequence: u64,
-    /// Hash of the prompt prefix, as computed by the adapter.
+    /// Hash of the prompt prefix, as computed by the code in `lagoon-net`.
     pub prefix: u64,
     /// Length of the prefix in tokens.
     pub tokens: u64,
@@ -70,11 +70,11 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "do")]
 pub enum Command {
-    /// Loads a model with the given adapter and version.
+    /// Loads a model, with a model adapter and in the given version.
     Load {
         /// Name of the model.
         model: id::Model,
-        /// Name of the adapter; empty if there is none.
+        /// Name of the model adapter; empty if there is none.
         #[serde(default)]
         adapter: String,
         /// Version of the model.
--- a/crates/lagoonline/src/port/hosts.rs
+++ b/crates/lagoonline/src/port/hosts.rs
@@ -1,11 +1,12 @@
-//! The platform's list of live and leaving hosts. It lags and is used only as a hint.
+//! The platform's list of entry hosts and upstreams, live and leaving. It lags and is used only as
+//! a hint.
 
 use std::future;
 
 use super::table;
 use crate::id;
 
-/// State of a host in the list.
+/// State of an entry host or upstream in the list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
     /// In service.
@@ -33,6 +34,6 @@
     ///
     /// # Errors
     ///
-    /// Returns `Refused` or `Unknown`.
+    /// Returns [`table::Error::Refused`] or [`table::Error::Unknown`].
     fn list(&self) -> impl future::Future<Output = Result<Vec<Entry>, table::Error>>;
 }
--- a/crates/lagoonline/src/port/mod.rs
+++ b/crates/lagoonline/src/port/mod.rs
@@ -1,5 +1,6 @@
-//! Traits through which the decision logic accesses external systems. They are implemented by
-//! adapters, and by fakes in tests.
+//! Traits through which the decision logic accesses external systems: model engines, and the
+//! platform's table service, object store and host list. They are implemented by adapters, and by
+//! fakes in tests.
 //!
 //! The futures need not be `Send`, because each worker thread has its own runtime.
 
--- a/crates/lagoonline/src/port/table.rs
+++ b/crates/lagoonline/src/port/table.rs
@@ -48,21 +48,21 @@
     pub changes: Vec<Change>,
 }
 
-/// Why a call to the table service failed.
+/// Why a call to the table service failed. The other services of the platform use the same error.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
     /// A check did not hold, so nothing was written.
     #[error("{step}: a row has changed")]
     Conflict {
-        /// The operation that failed.
+        /// The operation that failed, as text for the message.
         step: &'static str,
     },
     /// The call was refused or never sent, so it cannot have taken effect.
     #[error("{step}: refused by {peer}: {why}")]
     Refused {
-        /// The operation that failed.
+        /// The operation that failed, as text for the message.
         step: &'static str,
-        /// Address of the table service.
+        /// Address of the service.
         peer: String,
         /// The service's answer, or what prevented the call.
         why: String,
@@ -70,9 +70,9 @@
     /// The answer was lost. The call may have taken effect, or may still do so later.
     #[error("{step}: no answer from {peer}: {why}")]
     Unknown {
-        /// The operation that failed.
+        /// The operation that failed, as text for the message.
         step: &'static str,
-        /// Address of the table service.
+        /// Address of the service.
         peer: String,
         /// How the answer was lost.
         why: String,
--- a/crates/lagoonline/src/routing/confirm.rs
+++ b/crates/lagoonline/src/routing/confirm.rs
@@ -1,15 +1,15 @@
-//! Tracks until when the version in force is known to be the newest.
+//! Tracks until when the routing configuration in force is known to be the newest version.
 //!
-//! If a key is revoked while this host is cut off, suspended or refused by the platform, its holder
-//! must not be served for as long as that lasts. A version counts as the newest only up to the last
-//! moment at which the platform is known to have had no later one, and requests with a key are
-//! admitted only within a bound after that moment. This is sufficient because a key revoked after
-//! that moment was valid within the bound, whatever happened to this host since. The clock must
-//! keep counting while the host is suspended.
+//! If a key is revoked while this host is cut off, suspended or refused by the platform, the host
+//! does not learn of it and would serve the holder of the key for as long as that lasts. Requests
+//! with a key are therefore refused once the last confirmation is older than a bound. A
+//! confirmation states that the platform had no later version at that moment, so a key that was
+//! revoked afterwards is accepted for at most the bound after its revocation, whatever happened to
+//! this host since. The clock must keep counting while the host is suspended.
 
 use crate::clock;
 
-/// The last moment at which the version in force is known to have been the newest.
+/// The last moment at which the configuration in force is known to have been the newest.
 ///
 /// ```
 /// use lagoonline::clock::{Moment, Span};
@@ -27,8 +27,8 @@
 }
 
 impl Confirmation {
-    /// Records that the version in force was the newest at `at`; moments earlier than the last are
-    /// ignored.
+    /// Records that the configuration in force was the newest at `at`; moments earlier than the
+    /// last are ignored.
     pub fn confirm(&mut self, at: clock::Moment) {
         self.at = self.at.max(Some(at));
     }
--- a/crates/lagoonline/src/routing/mod.rs
+++ b/crates/lagoonline/src/routing/mod.rs
@@ -1,8 +1,8 @@
 //! Routing of requests: routes by host and path prefix, the services behind them, and the customers
 //! allowed to use them.
 //!
-//! A [`Desired`] is one version of the configuration set by operators, as read by an adapter; a
-//! [`Table`] is the same, indexed for lookups by request.
+//! A [`Desired`] is one version of the configuration that operators have set (the desired state),
+//! as read by an adapter; a [`Table`] is the same, indexed for lookups by request.
 
 mod confirm;
 mod registry;
@@ -31,7 +31,8 @@
     Once,
     /// The request is answered by a stream of numbered events.
     Stream {
-        /// Whether another upstream may continue after the last delivered event.
+        /// Whether another upstream may continue the stream after the last delivered event, as a
+        /// new attempt.
         resumable: bool,
         /// Longest pause between events for the answer to count as in time.
         max_gap: clock::Span,
@@ -39,7 +40,8 @@
 }
 
 impl Kind {
-    /// Returns whether running the request again does no harm.
+    /// Returns whether the request may run again after it may have run, on the same or another
+    /// upstream.
     ///
     /// ```
     /// use lagoonline::{clock::Span, routing::Kind};
@@ -73,7 +75,7 @@
     pub host: String,
     /// Path prefix, which begins and ends with a slash.
     pub prefix: String,
-    /// Whether and how requests may be retried.
+    /// How requests are answered, and whether they may be retried.
     pub kind: Kind,
     /// Maximum time until the final answer.
     pub timeout: clock::Span,
@@ -107,7 +109,7 @@
 pub struct Customer {
     /// Name of the customer.
     pub name: id::Customer,
-    /// Keys that identify the customer's callers.
+    /// Keys, in plain text, that identify the customer's callers.
     pub keys: Vec<String>,
     /// Priority of its requests, where 0 is the highest; overrides the priority of the route.
     pub priority: Option<u32>,
@@ -155,7 +157,7 @@
 /// An upstream, as it registered itself at the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Registration {
-    /// Name of the upstream; a restarted process usually has a new one.
+    /// Name of the upstream; here a restarted process usually registers under a new name.
     pub upstream: id::Upstream,
     /// The service it belongs to.
     pub service: id::Service,
--- a/crates/lagoonline/src/routing/registry.rs
+++ b/crates/lagoonline/src/routing/registry.rs
@@ -2,10 +2,10 @@
 //!
 //! During an outage of the platform, registrations expire although their upstreams are alive. A
 //! host that dropped these upstreams when the platform recovers would have no upstream to send to
-//! for seconds. A registration that vanishes during or just after an outage therefore stays in use
-//! for [`Settings::recovery_grace`], within which a live upstream registers again. One that
-//! vanishes at any other time is dropped at once, and one that is marked as leaving gets no new
-//! requests from then on.
+//! for seconds. A registration that is found missing within [`Settings::recovery_grace`] after the
+//! recovery therefore stays in use until the end of that time, within which a live upstream
+//! registers again. One that vanishes at any other time is dropped at once, and one that is marked
+//! as leaving gets no new requests from then on.
 
 use std::collections;
 
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Replaces all registrations with a complete list read at `now`.
+    /// Applies a complete list of registrations read at `now`; those that are missing from it are
+    /// treated as deleted.
     pub fn reset(&mut self, entries: Vec<Registration>, now: clock::Moment) {
         let listed: collections::BTreeSet<_> =
             entries.iter().map(|entry| entry.upstream.clone()).collect();
--- a/crates/lagoonline/src/routing/roster.rs
+++ b/crates/lagoonline/src/routing/roster.rs
@@ -1,13 +1,14 @@
-//! Determines, without coordination, the host of each zone that acts for the others: it schedules
-//! their requests, polls the zone's engines for load reports, and tells other zones what is in
-//! flight.
+//! Determines, without coordination, the leader of each zone: the host that acts for the others. It
+//! polls the zone's engines for load reports, tells other zones what is in flight and, in a large
+//! zone, schedules the requests of the other hosts.
 //!
 //! There are hundreds of entry hosts with one or two requests per second each. If every host told
 //! every other of each dispatch, each would receive as many messages as all hosts send together; if
-//! every host detected failing engines on its own, a crash would affect hundreds of requests. In a
-//! zone above a certain size the first live host, ordered by size and name, therefore schedules for
-//! the others. There is no agreement protocol: two hosts that both schedule only cost efficiency,
-//! and a host that gets no answer asks the next one and finally decides on its own.
+//! every host detected failing engines on its own, a crash would affect hundreds of requests. The
+//! leader is the first live host of a zone, ordered by size and name; in a zone of at least
+//! [`Settings::min_hosts`] it schedules for the others. There is no agreement protocol: two hosts
+//! that both schedule only cost efficiency, and a host that gets no answer asks the next one and
+//! finally decides on its own.
 
 use std::cmp;
 use std::collections;
@@ -22,21 +23,22 @@
     /// zone each host receives enough information about the others to decide equally well on its
     /// own.
     pub min_hosts: u64,
-    /// Number of live hosts of a zone that know everything in flight: the scheduler and its
+    /// Number of live hosts of a zone that know everything in flight: the leader and its possible
     /// successors.
     pub candidates: usize,
     /// Maximum number of hosts that heartbeats are sent to, so that a zone that lost most of its
     /// hosts does not make the remaining ones contact all of them.
     pub max_heartbeat_targets: usize,
-    /// Time without an answer to a heartbeat after which a host counts as dead. It covers two
-    /// heartbeats, so that a single lost one has no effect.
+    /// Time without an answer to a heartbeat between entry hosts after which a host counts as dead.
+    /// It covers two heartbeats of `lagoon-gateway`, so that a single lost one has no effect.
     pub heartbeat_timeout: clock::Span,
-    /// How long a host that did not answer a question, or declined it, is not asked again.
+    /// How long a host that did not answer, or declined, the question where to send a request is
+    /// not asked again.
     pub skip_duration: clock::Span,
     /// Maximum pause between two calls to a failing platform, for a host of a small zone. Short
-    /// enough to be back well within the bounds after an outage.
+    /// enough to notice the end of an outage well within the bounds on its effects.
     pub max_pause_small_zone: clock::Span,
-    /// Maximum pause for one of the first hosts of a large zone, which the others ask.
+    /// Maximum pause for a possible scheduler of a large zone, which the other hosts ask.
     pub max_pause_candidate: clock::Span,
     /// Maximum pause for the other hosts of a large zone.
     pub max_pause_follower: clock::Span,
@@ -85,7 +87,7 @@
     last_contact: Option<clock::Moment>,
     /// When the first heartbeat that it has not answered was sent.
     unanswered_since: Option<clock::Moment>,
-    /// Until when it is not asked, because it did not answer or declined a question.
+    /// Until when it is not asked where to send a request, because it did not answer or declined.
     skipped_until: Option<clock::Moment>,
 }
 
@@ -192,7 +194,7 @@
         self.hosts.len() + 1
     }
 
-    /// Returns the number of hosts that make scheduling decisions: one for each zone with a
+    /// Returns the number of hosts that decide where requests are placed: one for each zone with a
     /// scheduler, and all hosts of the other zones.
     pub fn placing_hosts(&self) -> usize {
         let placing = |(zone, hosts): (&id::Zone, &Vec<id::Host>)| {
@@ -216,8 +218,8 @@
         }
     }
 
-    /// Records that a host did not answer a question or declined it, so that it is skipped for a
-    /// while.
+    /// Records that a host did not answer, or declined, the question where to send a request, so
+    /// that it is skipped for a while.
     pub fn skip(&mut self, host: &id::Host, now: clock::Moment) {
         if let Some(known) = self.hosts.get_mut(host) {
             known.skipped_until = Some(now + self.settings.skip_duration);
@@ -251,13 +253,14 @@
         candidates.find(|host| is_available(host)).filter(|host| **host != self.own).cloned()
     }
 
-    /// Returns whether this host is the first live host of its zone.
+    /// Returns whether this host is the leader, the first live host of its zone. It schedules for
+    /// the others only if [`Roster::own_zone_has_scheduler`].
     pub fn is_leader(&self, now: clock::Moment) -> bool {
         self.candidates(now).next().is_none_or(|host| *host == self.own)
     }
 
-    /// Returns whether this host is among the hosts of its zone that know everything in flight; in
-    /// a small zone all hosts are.
+    /// Returns whether this host must know everything in flight in its zone: as the leader or a
+    /// possible successor, or as any host of a small zone, where each decides on its own.
     pub fn is_candidate(&self, now: clock::Moment) -> bool {
         !self.own_zone_has_scheduler() || self.candidates(now).any(|host| *host == self.own)
     }
@@ -332,9 +335,9 @@
         peers
     }
 
-    /// Returns whether this host polls the engines of `zone` for load reports. The first live host
-    /// of a zone does so. If no host of a zone is heard from, the first live host of another zone
-    /// does it instead: of the zones that are heard from, the first by name.
+    /// Returns whether this host polls the engines of `zone` for load reports. The leader of a zone
+    /// does so. If no host of a zone is heard from, the leader of another zone does it instead: of
+    /// the zones that are heard from, the first by name.
     pub fn polls(&self, zone: &id::Zone, now: clock::Moment) -> bool {
         if !self.is_leader(now) {
             return false;
@@ -349,7 +352,7 @@
         has_listened && !heard(zone) && first == Some(&self.info.zone)
     }
 
-    /// Returns the first live hosts of this zone, which may include this one.
+    /// Returns the leader of this zone and its possible successors, which may include this host.
     fn candidates(&self, now: clock::Moment) -> impl Iterator<Item = &id::Host> {
         let ranked = self.ranked(&self.info.zone);
         ranked.filter(move |host| self.is_live(host, now)).take(self.settings.candidates)
@@ -383,9 +386,9 @@
 
 /// Schedule by which this host polls the engines of each zone for load reports.
 ///
-/// When the polling host is killed, its successor polls as soon as it becomes the first live host
-/// instead of waiting for a full period, so that an engine that became slow in the meantime is
-/// detected within two seconds.
+/// When the polling leader is killed, its successor polls as soon as it becomes the leader instead
+/// of waiting for a full period, so that an engine that became slow in the meantime is detected
+/// within two seconds.
 #[derive(Clone, Debug, Default)]
 pub struct PollSchedule {
     next: collections::BTreeMap<id::Zone, clock::Moment>,
--- a/crates/lagoonline/src/routing/source.rs
+++ b/crates/lagoonline/src/routing/source.rs
@@ -18,7 +18,8 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// Minimum number of hosts in a zone for one of them to read for the others. In a smaller zone
-    /// the saved calls are worth less than the second that an unresponsive reader costs the others.
+    /// the saved calls are worth less than the second for which an unresponsive reader holds up the
+    /// others.
     pub min_hosts: u64,
     /// How long a host that did not answer is skipped. A killed host is restarted and has read the
     /// whole state within this time.
@@ -30,9 +31,9 @@
     /// propagation time old. The rest is needed for the last question asked and for reading the
     /// platform itself.
     pub search_share: f64,
-    /// Number of hosts skipped at a time after which a host reads the platform itself. During a
-    /// platform outage no host can answer, and asking every host of a large zone would only add
-    /// load.
+    /// Number of hosts skipped at a time after which one more is asked and then the platform itself
+    /// is read. During a platform outage no host can answer, and asking every host of a large zone
+    /// would only add load.
     pub max_skipped: usize,
 }
 
@@ -50,7 +51,8 @@
 
 impl Settings {
     /// Returns the maximum age of a host's state at which it still looks for another reader instead
-    /// of reading the platform itself, given that changes must take effect within `apply`.
+    /// of reading the platform itself, given that changes must take effect within
+    /// `max_propagation`.
     ///
     /// If the platform refuses only the first hosts of a zone, these report to the others that
     /// nothing is new. A host that relied on them would keep using an old version although the
--- a/crates/lagoonline/src/routing/table.rs
+++ b/crates/lagoonline/src/routing/table.rs
@@ -6,7 +6,8 @@
 use super::{Customer, Desired, Limits, Route, Service};
 use crate::id;
 
-/// An indexed version of the routing configuration.
+/// An indexed version of the routing configuration; not to be confused with the platform's
+/// [`crate::port::table`].
 #[derive(Debug, Default)]
 pub struct Table {
     version: u64,
@@ -20,7 +21,8 @@
 /// Result of looking up a request's key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyMatch {
-    /// No key is required.
+    /// No key is required: there are no customers, or the route is public and the request has no
+    /// known key.
     Open,
     /// The key belongs to this customer.
     Customer(sync::Arc<Customer>),
--- a/crates/lagoonline/src/view.rs
+++ b/crates/lagoonline/src/view.rs
@@ -1,4 +1,5 @@
-//! The merged view of all sections in force that an entry host works with.
+//! The merged configuration document that an entry host of `lagoon-net` works with: all sections in
+//! force. The configuration of `lagoon-gateway` is [`crate::routing::Table`].
 
 use std::collections;
 use std::sync;
@@ -58,8 +59,9 @@
 }
 
 impl Fleet {
-    /// Merges sections. If two define the same name, the first team in alphabetical order wins,
-    /// although validation of the document rejects such duplicates.
+    /// Merges sections. If two of them define the same model, service, upstream or caller key, the
+    /// first team in alphabetical order wins; customers of the same name are all kept. Validation
+    /// of the document rejects such duplicates.
     ///
     /// ```
     /// use lagoonline::control::document::Section;
@@ -124,8 +126,8 @@
 
     /// Returns the customer identified by the SHA-256 hash of a caller key.
     ///
-    /// The lookup uses a hash of the key's hash, so its timing reveals nothing about the key. The
-    /// adapter compares the stored hash once more in constant time.
+    /// The lookup hashes the key hash once more in the hash map, so its timing reveals nothing
+    /// about the key. The adapter compares the stored hash once more in constant time.
     pub fn customer(&self, key: &document::KeyHash) -> Option<&Customer> {
         self.customers.get(self.customer_index(key)?.0 as usize)
     }
--- a/crates/lagoonline/tests/life_drain.rs
+++ b/crates/lagoonline/tests/life_drain.rs
@@ -49,5 +49,6 @@
 #[test]
 fn serves_without_a_signal() {
     let mut drain = Drain::default();
+    // Far in the future, but without an overflow in `from_millis`.
     assert_eq!(drain.tick(Moment::from_millis(u64::MAX / 2_000), 0), State::Serving);
 }
--- a/crates/lagoonline/tests/life_fuzz/machine.rs
+++ b/crates/lagoonline/tests/life_fuzz/machine.rs
@@ -10,7 +10,7 @@
 use super::platform::Fault;
 use super::world::{Call, HOSTS, World};
 
-/// One step of a test run.
+/// One step of a test run. An index called `pick` selects an item modulo the number of items.
 #[derive(Clone, Debug)]
 pub enum Step {
     Call {
@@ -27,7 +27,9 @@
     TableFault(Fault),
     UpstreamFault(Fault),
     Down(bool),
+    /// A delayed transaction reaches the platform.
     ApplyDelayed(usize),
+    /// A delayed call reaches the upstream.
     RunDelayed(usize),
     Crash(usize),
     Pause(usize),
@@ -129,8 +131,8 @@
         oracle::check(world);
     }
 
-    /// Ends all faults and lets every task finish; then applies all delayed writes, at the worst
-    /// possible time.
+    /// Ends all faults and lets every task finish; then applies all delayed writes, when no host is
+    /// left to react to them.
     fn teardown(mut world: World) {
         let environment = world.environment.clone();
         environment.platform.clear_faults();
--- a/crates/lagoonline/tests/life_fuzz/main.rs
+++ b/crates/lagoonline/tests/life_fuzz/main.rs
@@ -171,8 +171,8 @@
     assert!(result.is_err(), "no case noticed that {missing:?} was missing");
 }
 
-/// Each check of the stream checker is a safeguard. The consumer ignores one of them at a time, and
-/// the oracle must detect it.
+/// The checks of the stream checker are safeguards, too. The consumer ignores one of them at a time,
+/// and the oracle must detect it; only `AfterEnd` is never ignored.
 #[rstest]
 fn oracle_notices_ignored_check(
     #[values(
--- a/crates/lagoonline/tests/life_fuzz/marks.rs
+++ b/crates/lagoonline/tests/life_fuzz/marks.rs
@@ -26,7 +26,7 @@
 pub struct World {
     history: Vec<leaving::Mark>,
     marks: Vec<leaving::Marks>,
-    /// The signs that each host has received, recorded independently for the oracle.
+    /// What each host has learned of the upstream's state, recorded independently for the oracle.
     signs: Vec<Vec<leaving::Mark>>,
     sent: Vec<leaving::Mark>,
 }
@@ -68,8 +68,8 @@
         self.signs[host].push(mark);
     }
 
-    /// The oracle: a host must not dispatch to an incarnation that it knows to be leaving, unless
-    /// it has heard of a later incarnation.
+    /// The oracle: a host must refuse to dispatch exactly if it knows that the latest incarnation
+    /// it has heard of is leaving.
     fn dispatch(&mut self, host: usize) {
         let latest = self.signs[host].iter().map(|mark| mark.incarnation).max();
         let is_leaving = |mark: &leaving::Mark| mark.leaving && Some(mark.incarnation) == latest;
--- a/crates/lagoonline/tests/life_fuzz/memory.rs
+++ b/crates/lagoonline/tests/life_fuzz/memory.rs
@@ -30,6 +30,7 @@
         pick: usize,
     },
     LoseCancels(bool),
+    /// The host restarts at once with a new incarnation.
     RestartHost(usize),
     /// The host dies and is not replaced.
     Die(usize),
@@ -274,8 +275,8 @@
         world
     }
 
-    /// All faults end and the hosts cancel what they hold; after a minute and a half nothing may be
-    /// left.
+    /// All faults end and the hosts cancel what they hold; nothing may be left after 90 seconds,
+    /// which is more than the owner timeout and the takeover window together.
     fn teardown(mut world: World) {
         world.loses_cancels = false;
         world.is_cut_off = false;
--- a/crates/lagoonline/tests/life_fuzz/oracle.rs
+++ b/crates/lagoonline/tests/life_fuzz/oracle.rs
@@ -1,4 +1,4 @@
-//! Compares what ran with what callers were told, without any knowledge of claims.
+//! Compares what ran with what callers were told. Claims are looked at only by `check_row`.
 
 use std::collections::BTreeMap;
 
@@ -9,8 +9,8 @@
 use super::upstream::Run;
 use super::world::{Exchange, Response, Task, World};
 
-/// Time after which a key may run again: the retention, less the deadline, as retention counts from
-/// the claim.
+/// Least time between two runs under one key. A key may run again after its retention of 24 hours,
+/// which counts from the claim; the first run may be later than that by up to its deadline.
 const MIN_RERUN_GAP: clock::Span = clock::Span::from_secs(23 * 3_600);
 
 /// Invariants that hold after every step.
--- a/crates/lagoonline/tests/life_fuzz/platform.rs
+++ b/crates/lagoonline/tests/life_fuzz/platform.rs
@@ -15,7 +15,7 @@
 pub enum Fault {
     LoseAnswer,
     LoseRequest,
-    /// The answer is lost and the effect is delayed.
+    /// A commit takes effect later and its answer is lost. Any other call is lost.
     Delay,
     Refuse,
 }
@@ -47,6 +47,7 @@
     delayed: Vec<table::Transaction>,
     faults: Faults,
     down: bool,
+    /// Incremented to fail all calls that are pending.
     epoch: u64,
 }
 
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Drops delayed transactions and fails pending calls; used when more than an hour passes, by
-    /// which time they have either been applied or never will be.
+    /// Drops delayed transactions and fails pending calls, for when so much time passes that they
+    /// have either been applied or never will be.
     pub fn drop_delayed(&self) {
         let mut state = self.0.borrow_mut();
         state.delayed.clear();
@@ -145,8 +146,7 @@
         self.0.borrow().delayed.len()
     }
 
-    /// Returns the tokens of delayed claims that can no longer be applied because their keys have
-    /// rows.
+    /// Returns the tokens of delayed claims whose keys currently have a row.
     pub fn delayed_with_row(&self) -> BTreeSet<String> {
         let state = self.0.borrow();
         let changes = state.delayed.iter().flat_map(|transaction| &transaction.changes);
--- a/crates/lagoonline/tests/life_fuzz/scenarios.rs
+++ b/crates/lagoonline/tests/life_fuzz/scenarios.rs
@@ -29,6 +29,7 @@
 }
 
 fn claims(platform: &Platform, clock: &clock::Fake) -> Claims {
+    // Longer answers are stored as objects.
     let settings = claim::Settings { inline_bytes: 8, ..claim::Settings::default() };
     claim::Claims::new(platform.clone(), platform.clone(), clock.clone(), settings)
 }
--- a/crates/lagoonline/tests/life_fuzz/upstream.rs
+++ b/crates/lagoonline/tests/life_fuzz/upstream.rs
@@ -36,6 +36,7 @@
 
 impl State {
     fn run(&mut self, call: &Call, dispatched: clock::Moment) -> Bytes {
+        // Every other answer is longer than `inline_bytes` of the claims, and stored as an object.
         let long = "x".repeat(self.runs.len() % 2 * 40);
         let identity = (call.customer, call.key, call.body, self.runs.len());
         let answer = Bytes::from(format!("{identity:?}{long}"));
--- a/crates/lagoonline/tests/life_fuzz/world.rs
+++ b/crates/lagoonline/tests/life_fuzz/world.rs
@@ -199,8 +199,7 @@
     }
 
     /// A sweep may delete the row that blocks a delayed commit of a claim, so that the commit holds
-    /// the key for one more retention. This is a documented limit; only the affected calls are
-    /// exempt.
+    /// the key for one more retention. This is a known limit; only the affected calls are exempt.
     pub fn sweep(&mut self) {
         let before = self.environment.platform.delayed_with_row();
         let now = self.environment.clock.wall_millis();
@@ -341,6 +340,7 @@
             }
         };
         environment.dispatched.borrow_mut().insert(sent.token());
+        // The fake upstream ignores attempt ids, so they need not be unique.
         let attempt = id::Attempt(u128::from(pending.attempts()));
         let dispatched = pending.dispatch(attempt);
         let mut call = Box::pin(environment.upstream.call(&exchange.call, now));
@@ -403,6 +403,7 @@
         if now >= exchange.deadline || pending.attempts() >= 2 {
             return exchange.respond(pending.end(), None, false);
         }
+        // The fake upstream ignores attempt ids, so they need not be unique.
         let attempt = id::Attempt(u128::from(pending.attempts()));
         let dispatched = pending.dispatch(attempt);
         let mut call = Box::pin(environment.upstream.call(&exchange.call, now));
--- a/crates/lagoonline/tests/life_quarantine_fuzz.rs
+++ b/crates/lagoonline/tests/life_quarantine_fuzz.rs
@@ -18,10 +18,11 @@
 
 #[derive(Clone, Debug)]
 enum Transition {
-    /// An upstream crashes with the requests in the bit set in flight; one host does not get the
-    /// report.
+    /// An upstream crashes with the requests in the bit set in flight. The host `skipped_host`, if
+    /// there is one of this number, does not get the report.
     Crash { requests: u8, skipped_host: usize },
-    /// A request is answered completely at a host; another host does not get the report.
+    /// A request is answered completely at a host. The host `skipped_host`, if there is one of this
+    /// number, does not get the report.
     Answer { request: usize, host: usize, skipped_host: usize },
     /// Time passes, and the hosts evaluate the evidence.
     Advance { millis: u64 },
@@ -33,6 +34,7 @@
     Exchange { one: usize, other: usize },
 }
 
+/// There is no reference state; the invariants check the hosts.
 #[derive(Clone, Debug, Default)]
 struct Reference;
 
--- a/crates/lagoonline/tests/routing.rs
+++ b/crates/lagoonline/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes, customers, the upstream registry, freshness of the configuration, and reader selection.
+//! Routes, customers, the upstream registry and the selection of the host that reads the platform.
 
 use std::net;
 
@@ -96,8 +96,8 @@
 }
 
 /// The platform recovered three seconds ago. A registration that vanishes now did not expire in the
-/// outage: its upstream left without notice, and a request sent to it would violate the bound on
-/// leaving upstreams.
+/// outage: its upstream left without notice, and a request sent to it would arrive too late after
+/// that.
 #[rstest]
 fn a_registration_that_vanishes_after_the_recovery_is_dropped_at_once() {
     let mut registry = routing::Registry::default();
--- a/crates/lagoonline/tests/routing_roster.rs
+++ b/crates/lagoonline/tests/routing_roster.rs
@@ -232,8 +232,8 @@
     assert_eq!(others.count(), 0);
 }
 
-/// A zone is cut off and returns. Its own first host keeps polling its engines; a single host of
-/// the other zones tries to poll them as well, without success.
+/// A zone is cut off and returns. Its own first host must keep polling its engines about once a
+/// second; afterwards they are polled as before.
 #[rstest]
 fn a_cut_off_zone_polls_its_own_engines() {
     let mut fleet = Fleet::new(195, 5);
