--- a/crates/lagoon-net/src/entry/forwarded_body.rs
+++ b/crates/lagoon-net/src/entry/forwarded_body.rs
@@ -77,8 +77,8 @@
         self.0.fault.borrow().clone()
     }
 
-    /// Returns the body for one dispatch. A streamed body is consumed by the first dispatch that reads
-    /// from it.
+    /// Returns the body for one dispatch. A streamed body is consumed by the first dispatch that
+    /// reads from it.
     pub(crate) fn to_http(&self) -> http_body::Body {
         if self.0.empty {
             return http_body::Body::None;
