--- a/crates/lagoon-net/examples/control_bench/busy.rs
+++ b/crates/lagoon-net/examples/control_bench/busy.rs
@@ -1,5 +1,5 @@
-//! Engines that look busy: every read of a load differs from the last by more than a decision
-//! needs. One listener stands for all of them.
+//! Stand-in for busy engines: consecutive reads of a load differ enough to be sent to other hosts.
+//! One listener serves all engines.
 
 use std::io;
 use std::io::{BufRead, Write};
@@ -8,7 +8,7 @@
 use std::sync::atomic;
 use std::thread;
 
-/// Starts it; where it listens.
+/// Starts the listener and returns its address.
 pub fn start() -> io::Result<net::SocketAddr> {
     let listener = net::TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
@@ -28,10 +28,10 @@
             continue;
         }
         let sequence = sequence.fetch_add(1, atomic::Ordering::Relaxed);
-        let draw = |most: u64| rand::random_range(0..most);
+        let random = |limit: u64| rand::random_range(0..limit);
         let body = serde_json::json!({
-            "running": draw(64), "waiting": draw(32), "prefill_tokens": draw(200_000),
-            "kv_free_tokens": draw(1_000_000), "kv_tokens": 1_000_000,
+            "running": random(64), "waiting": random(32), "prefill_tokens": random(200_000),
+            "kv_free_tokens": random(1_000_000), "kv_tokens": 1_000_000,
             "prefill_rate": 10_000.0, "sequence": sequence, "incarnation": 1_790_000_000_000_000_u64,
         });
         let body = body.to_string();
--- a/crates/lagoon-net/examples/control_bench/main.rs
+++ b/crates/lagoon-net/examples/control_bench/main.rs
@@ -1,8 +1,10 @@
-//! Measures control on loopback: the time from a put's answer until the section is in force at
-//! every entry host, the time until it is accepted, and what control costs a node.
+//! Measures the control plane on loopback: the time from the reply to a put until the section is in
+//! force at every entry host, the time until it is accepted, and the cost of the control plane per
+//! node.
 //!
-//! `cargo run --release -p lagoon-net --example control_bench -- hosts=3 engines=8 puts=50`, hosts
-//! and engines for each of three zones; further `busy`, `outage`, `kills=N`, `hold=SECONDS`.
+//! `cargo run --release -p lagoon-net --example control_bench -- hosts=3 engines=8 puts=50`; hosts
+//! and engines are per zone, of three zones. Further arguments: `busy`, `outage`, `kills=N`,
+//! `customers=N`, `hold=SECONDS`.
 
 mod busy;
 mod probe;
@@ -27,70 +29,72 @@
 const KEY: &[u8] = b"fleet";
 const OPERATOR_KEY: &str = "operators";
 
-/// Time for which costs are counted.
-const LOOK: time::Duration = time::Duration::from_secs(20);
+/// Time over which idle costs are measured.
+const MEASURE_TIME: time::Duration = time::Duration::from_secs(20);
 
-/// Time until every host knows every host and every engine's life.
-const SETTLING: time::Duration = time::Duration::from_secs(10);
+/// Time after which every host knows every other host and every engine's incarnation.
+const SETTLE_TIME: time::Duration = time::Duration::from_secs(10);
 
-/// Length of the platform's outage.
+/// Duration of a platform outage.
 const OUTAGE: time::Duration = time::Duration::from_secs(3);
 
-/// Version of the section that each entry process works with, and how often one went back.
+/// Section version in force at each entry process, and how often one reverted to a lower version.
 #[derive(Default)]
 struct Versions {
     known: collections::BTreeMap<String, u64>,
     reverts: u64,
 }
 
-type Board = sync::Arc<sync::Mutex<Versions>>;
+type SharedVersions = sync::Arc<sync::Mutex<Versions>>;
 
 struct Sink {
     team: &'static str,
     host: String,
     handle: link::Handle,
-    board: Board,
+    versions: SharedVersions,
 }
 
 impl link::Sink for Sink {
     fn apply(&mut self, update: link::Update) {
         if let link::Update::Fleet { fleet, complete } = update {
             let version = fleet.versions.get(self.team).map_or(0, |version| version.0);
-            let mut board = self.board.lock().unwrap();
-            let last = board.known.insert(self.host.clone(), version);
-            board.reverts += u64::from(last > Some(version));
-            drop(board);
+            let mut versions = self.versions.lock().unwrap();
+            let last = versions.known.insert(self.host.clone(), version);
+            versions.reverts += u64::from(last > Some(version));
+            drop(versions);
             let in_force = fleet.versions.clone();
             self.handle.report(link::State { ready: complete, in_force, ..Default::default() });
         }
     }
 }
 
-/// What is measured.
+/// Command-line arguments.
 struct Arguments {
     hosts: usize,
     engines: usize,
     puts: usize,
-    /// Engines whose loads change at each look, instead of idle ones.
+    /// Whether engines report a different load at each read, instead of being idle.
     busy: bool,
-    /// The platform goes out for 3 s just before each put.
+    /// Whether the platform goes down for 3 s just before each put.
     outage: bool,
-    /// Stewards that are stopped, one at a time, until all others know.
+    /// Number of stewards to stop, one at a time; each time all others have to detect it.
     kills: usize,
-    /// Customers, in sections of 20 teams; each put then edits one customer.
+    /// Number of customers, in sections of 20 teams; each put then edits one customer.
     customers: usize,
-    /// Seconds for which the fleet runs on, for a steward started beside it.
+    /// Seconds for which the fleet keeps running, so that a separate steward can join it.
     hold: u64,
 }
 
 impl Arguments {
     fn read() -> Arguments {
-        let words: Vec<String> = std::env::args().skip(1).collect();
-        let number = |name: &str, usual: usize| {
-            let word = words.iter().find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
-            word.map_or(usual, |word| word.parse().expect("a number"))
+        let arguments: Vec<String> = std::env::args().skip(1).collect();
+        let number = |name: &str, default: usize| {
+            let argument = arguments
+                .iter()
+                .find_map(|argument| argument.strip_prefix(name)?.strip_prefix('='));
+            argument.map_or(default, |argument| argument.parse().expect("a number"))
         };
-        let flag = |name: &str| words.iter().any(|word| word == name);
+        let flag = |name: &str| arguments.iter().any(|argument| argument == name);
         Arguments {
             hosts: number("hosts", 3),
             engines: number("engines", 8),
@@ -106,7 +110,7 @@
 
 const TEAMS: usize = 20;
 
-/// A team's section: `count` customers, one of them as the edit has it.
+/// Returns a team's section of `count` customers, one of which depends on `edit`.
 fn customers_of(team: usize, count: usize, edit: u64) -> serde_json::Value {
     let customer = |index: usize| {
         let weight = if index == count / 2 { 1 + edit } else { 1 };
@@ -131,7 +135,7 @@
     let Arguments { hosts, engines, puts, busy, outage, kills, customers, hold } =
         Arguments::read();
     let platform = platform::start(platform::Settings::default()).unwrap();
-    let board = Board::default();
+    let versions = SharedVersions::default();
     let team = if customers > 0 { "team-0" } else { "labels" };
     let before_kb = probe::resident_kb();
     let mut stewards = Vec::<steward::Running>::new();
@@ -157,7 +161,7 @@
             stewards.push(running);
         }
     }
-    let entry_board = board.clone();
+    let entry_versions = versions.clone();
     thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let local = tokio::task::LocalSet::new();
@@ -170,12 +174,17 @@
                 key: wire::Key::new(KEY),
                 ..link::Settings::default()
             });
-            local.spawn_local(task.run(Sink { team, host, handle, board: entry_board.clone() }));
+            local.spawn_local(task.run(Sink {
+                team,
+                host,
+                handle,
+                versions: entry_versions.clone(),
+            }));
         }
         runtime.block_on(local);
     });
     let total = ZONES.len() * hosts;
-    while board.lock().unwrap().known.len() < total {
+    while versions.lock().unwrap().known.len() < total {
         thread::sleep(time::Duration::from_millis(50));
     }
     let names: Vec<_> = (0..engines * ZONES.len()).map(|index| format!("e{index}")).collect();
@@ -226,8 +235,8 @@
         }
         first = 1;
     }
-    // What links tell each other at their start is not of the puts.
-    thread::sleep(SETTLING);
+    // The initial exchange on new links is not part of the cost of puts.
+    thread::sleep(SETTLE_TIME);
     let started = probe::Costs::read(&stewards);
     let began_puts = time::Instant::now();
     let (mut in_force, mut asked, mut accepted) = (Vec::new(), Vec::new(), Vec::new());
@@ -247,14 +256,14 @@
         };
         let version = put(team, from, &text);
         let stored = time::Instant::now();
-        while board.lock().unwrap().known.values().any(|known| *known < version) {
+        while versions.lock().unwrap().known.values().any(|known| *known < version) {
             thread::sleep(time::Duration::from_millis(1));
         }
         in_force.push(stored.elapsed().as_secs_f64());
         asked.push(began.elapsed().as_secs_f64());
         let limit = time::Duration::from_secs(20);
-        let standing = runtime.block_on(operator.wait_accepted(team, version, limit)).unwrap();
-        assert!(standing.accepted, "{standing:?}");
+        let status = runtime.block_on(operator.wait_accepted(team, version, limit)).unwrap();
+        assert!(status.accepted, "{status:?}");
         accepted.push(began.elapsed().as_secs_f64());
         thread::sleep(time::Duration::from_millis(100));
     }
@@ -264,11 +273,11 @@
     };
     let seconds = began_puts.elapsed().as_secs_f64();
     let of_puts = probe::Costs::read(&stewards).since(&started, seconds);
-    // Costs while no section changes, once every host knows every engine's life.
-    thread::sleep(SETTLING);
+    // Costs while no section changes, once every host knows every engine's incarnation.
+    thread::sleep(SETTLE_TIME);
     let before = probe::Costs::read(&stewards);
-    thread::sleep(LOOK);
-    let costs = probe::Costs::read(&stewards).since(&before, LOOK.as_secs_f64());
+    thread::sleep(MEASURE_TIME);
+    let costs = probe::Costs::read(&stewards).since(&before, MEASURE_TIME.as_secs_f64());
     let resident_kb = (probe::resident_kb() - before_kb) / total as u64;
     let known_deaths = |stewards: &[steward::Running]| -> u64 {
         let deaths = stewards.iter().map(|steward| &steward.counters().members_declared_dead);
@@ -293,7 +302,7 @@
     }
     let report = serde_json::json!({
         "hosts": total, "engines": names.len(), "busy": busy, "outage": outage, "puts": puts,
-        "false_deaths": false_deaths, "reverts": board.lock().unwrap().reverts,
+        "false_deaths": false_deaths, "reverts": versions.lock().unwrap().reverts,
         "asked_to_in_force_s": spread(asked),
         "stored_to_in_force_s": spread(in_force),
         "asked_to_accepted_s": spread(accepted),
--- a/crates/lagoon-net/examples/control_bench/probe.rs
+++ b/crates/lagoon-net/examples/control_bench/probe.rs
@@ -1,4 +1,4 @@
-//! Reads what this process and its stewards cost.
+//! Reads processor time and memory of this process, and network traffic of its stewards.
 
 use std::fs;
 use std::sync::atomic;
@@ -7,13 +7,14 @@
 use serde_json::json;
 
 /// Bytes of IP and UDP headers.
-const UDP_HEAD: u64 = 28;
+const UDP_HEADER: u64 = 28;
 
-/// Bytes of IP and TCP headers, timestamps included. Each frame is taken to go in a segment of its
-/// own and to be answered by one segment without contents, which is the most that it can cost.
-const TCP_HEAD: u64 = 52;
+/// Bytes of IP and TCP headers, including timestamps. Each frame is counted as one segment that is
+/// acknowledged by one empty segment, which is the maximum it can cost.
+const TCP_HEADER: u64 = 52;
 
-/// Processor time of this process's threads whose names begin so, in ticks of 10 ms.
+/// Returns the processor time of this process's threads whose names start with `prefix`, in ticks
+/// of 10 ms.
 fn thread_ticks(prefix: &str) -> u64 {
     let tasks = fs::read_dir("/proc/self/task").into_iter().flatten().flatten();
     let ticks = tasks.filter_map(|task| {
@@ -26,7 +27,7 @@
     ticks.sum()
 }
 
-/// Resident memory of this process.
+/// Returns the resident memory of this process.
 pub fn resident_kb() -> u64 {
     let text = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with("VmRSS:")).unwrap_or("");
@@ -37,7 +38,7 @@
     counter.load(atomic::Ordering::Relaxed)
 }
 
-/// Counters of one steward: bytes with headers.
+/// Traffic of one steward in bytes, headers included.
 #[derive(Clone, Default)]
 struct Node {
     datagrams_sent: u64,
@@ -50,12 +51,12 @@
 impl Node {
     fn read(counters: &steward::Counters) -> Node {
         let (out, back) = (load(&counters.peer_frames_sent), load(&counters.peer_frames_received));
-        let both = TCP_HEAD * (out + back);
+        let both = TCP_HEADER * (out + back);
         Node {
             datagrams_sent: load(&counters.datagram_bytes_sent)
-                + UDP_HEAD * load(&counters.datagrams_sent),
+                + UDP_HEADER * load(&counters.datagrams_sent),
             datagrams_received: load(&counters.datagram_bytes_received)
-                + UDP_HEAD * load(&counters.datagrams_received),
+                + UDP_HEADER * load(&counters.datagrams_received),
             links_sent: load(&counters.peer_bytes_sent) + both,
             links_received: load(&counters.peer_bytes_received) + both,
             kinds: counters.kind_bytes_sent.iter().map(load).collect(),
@@ -67,20 +68,20 @@
     }
 }
 
-/// Costs up to now.
+/// Costs since the start of the process.
 pub struct Costs {
     nodes: Vec<Node>,
     ticks: u64,
 }
 
 impl Costs {
-    /// Reads them.
+    /// Reads the current costs.
     pub fn read(stewards: &[steward::Running]) -> Costs {
         let nodes = stewards.iter().map(|steward| Node::read(steward.counters())).collect();
         Costs { nodes, ticks: thread_ticks("steward-") }
     }
 
-    /// Costs a second and node since `before`.
+    /// Returns the costs per second and node since `before`.
     pub fn since(&self, before: &Costs, seconds: f64) -> serde_json::Value {
         let count = self.nodes.len() as f64;
         let mean = |pick: fn(&Node) -> u64| {
--- a/crates/lagoon-net/src/steward/core/mod.rs
+++ b/crates/lagoon-net/src/steward/core/mod.rs
@@ -316,7 +316,7 @@
 
     /// Closes links that this side dialed and the mesh no longer needs. Without this, links and the
     /// messages on them grow without bound as hosts join and leave.
-    pub(in crate::steward) fn prune(&mut self) {
+    pub(in crate::steward) fn close_unneeded_links(&mut self) {
         let now = self.clock.now();
         let wanted = mesh::link_targets(&self.group);
         let is_wanted = |link: &Link| wanted.iter().any(|host| link.peer.sender == host.as_str());
--- a/crates/lagoon-net/src/steward/dial.rs
+++ b/crates/lagoon-net/src/steward/dial.rs
@@ -40,7 +40,7 @@
         tokio::time::sleep(CHECK_INTERVAL).await;
         let mut core = context.core.borrow_mut();
         core.pull_missing();
-        core.prune();
+        core.close_unneeded_links();
     }
 }
 
--- a/crates/lagoon-net/src/steward/fetch.rs
+++ b/crates/lagoon-net/src/steward/fetch.rs
@@ -46,11 +46,12 @@
         if !registered {
             registered = register(&context, &platform).await.is_ok();
         }
-        let wanted = {
+        let should_fetch = {
             let core = context.core.borrow();
             !core.complete || core.owns(FETCHER)
         };
-        let result = if wanted { fetch(&context, &platform, &mut pending).await } else { Ok(()) };
+        let result =
+            if should_fetch { fetch(&context, &platform, &mut pending).await } else { Ok(()) };
         match result {
             Ok(()) => failures = 0,
             Err(error) => {
@@ -89,8 +90,8 @@
 where
     T: table::Table,
 {
-    let whole = document::read_head(table).await?;
-    let versions = whole.head.versions;
+    let found = document::read_head(table).await?;
+    let versions = found.head.versions;
     for (team, version) in &versions {
         let known = context.core.borrow().replica.version(team);
         if known >= *version {
@@ -173,8 +174,8 @@
         let row = table.read(&key).await?;
         let line = row.as_ref().and_then(|row| serde_json::from_str::<StewardRow>(&row.value).ok());
         // A row of a later incarnation belongs to a steward that has restarted.
-        let is_old = line.is_some_and(|line| line.incarnation <= member.incarnation.0);
-        if let Some(row) = row.filter(|_| is_old) {
+        let is_outdated = line.is_some_and(|line| line.incarnation <= member.incarnation.0);
+        if let Some(row) = row.filter(|_| is_outdated) {
             let checks = vec![table::Check { key: key.clone(), version: row.version }];
             let changes = vec![table::Change::Delete { key }];
             table.commit(table::Transaction { checks, changes }).await?;
--- a/crates/lagoon-net/src/steward/reconcile.rs
+++ b/crates/lagoon-net/src/steward/reconcile.rs
@@ -52,7 +52,7 @@
 struct Target {
     name: id::Upstream,
     address: net::SocketAddr,
-    wanted: reconcile::Desired,
+    desired: reconcile::Desired,
     checks_fence: bool,
 }
 
@@ -91,12 +91,12 @@
     let core = context.core.borrow();
     let here = core.fleet.upstreams.iter().filter(|upstream| upstream.entry.zone == *core.zone());
     let target = |upstream: &lagoonline::view::Upstream| {
-        let wanted = reconcile::Desired::of(&upstream.entry)?;
+        let desired = reconcile::Desired::of(&upstream.entry)?;
         Some(Target {
             name: upstream.name.clone(),
             address: upstream.entry.address,
             checks_fence: upstream.entry.checks_fence,
-            wanted,
+            desired,
         })
     };
     here.filter_map(target).collect()
@@ -130,7 +130,7 @@
         // Checks whether the engine needs a command at all before a lease is acquired. The fencing
         // number that the engine reports is used in place of a lease's.
         let probe = reconcile::Context { fence: actual.fence, ..self.context(target) };
-        if reconcile::decide(&target.wanted, &actual, &probe) == reconcile::Decision::Nothing {
+        if reconcile::decide(&target.desired, &actual, &probe) == reconcile::Decision::Nothing {
             self.record(target, Some(actual), "as wanted", 0, 0);
             return false;
         }
@@ -140,7 +140,7 @@
             return true;
         };
         let context = reconcile::Context { fence, ..self.context(target) };
-        match reconcile::decide(&target.wanted, &actual, &context) {
+        match reconcile::decide(&target.desired, &actual, &context) {
             reconcile::Decision::Nothing => self.record(target, Some(actual), "as wanted", 0, 0),
             reconcile::Decision::Wait => {
                 self.record(target, Some(actual), "waits for the engine", 0, 0)
@@ -149,13 +149,19 @@
                 self.record(target, Some(actual), "a later lease was there", 0, 0);
             }
             reconcile::Decision::Send(order) => {
-                let sent = self.send(target, &order).await;
-                self.record(target, Some(actual), sent.as_str(), sent.count(), 0);
+                let outcome = self.send(target, &order).await;
+                self.record(target, Some(actual), outcome.as_str(), outcome.count(), 0);
             }
             reconcile::Decision::Repair(order) => {
                 log::warn!("{} executed a late command; sending a command to undo it", target.name);
-                let sent = self.send(target, &order).await;
-                self.record(target, Some(actual), sent.as_str(), sent.count(), sent.count());
+                let outcome = self.send(target, &order).await;
+                self.record(
+                    target,
+                    Some(actual),
+                    outcome.as_str(),
+                    outcome.count(),
+                    outcome.count(),
+                );
             }
         }
         true
@@ -217,14 +223,14 @@
         repaired: u64,
     ) {
         let mut core = self.context.core.borrow_mut();
-        let line = core.engine_status.entry(target.name.clone()).or_default();
-        line.upstream = target.name.to_string();
-        line.wanted_models.clone_from(&target.wanted.models);
-        line.wanted_role = target.wanted.role;
-        line.actual = actual;
-        line.decision = decision;
-        line.sent += sent;
-        line.repaired += repaired;
+        let status = core.engine_status.entry(target.name.clone()).or_default();
+        status.upstream = target.name.to_string();
+        status.wanted_models.clone_from(&target.desired.models);
+        status.wanted_role = target.desired.role;
+        status.actual = actual;
+        status.decision = decision;
+        status.sent += sent;
+        status.repaired += repaired;
     }
 }
 
--- a/crates/lagoon-net/src/wire/codec.rs
+++ b/crates/lagoon-net/src/wire/codec.rs
@@ -20,22 +20,22 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// Longer than [`FRAME_LIMIT`].
-    #[error("frame of {0} bytes exceeds the limit")]
+    #[error("a frame of {0} bytes is over the limit")]
     TooLong(usize),
     /// Too short to hold its tag.
-    #[error("frame of {0} bytes is too short for its tag")]
+    #[error("a frame of {0} bytes is too short")]
     TooShort(usize),
     /// The tag does not match the fleet's key.
-    #[error("frame tag does not match the fleet key")]
+    #[error("a frame's tag is wrong")]
     BadTag,
     /// Cannot be decoded.
-    #[error("frame cannot be decoded: {0}")]
+    #[error("a frame is no message: {0}")]
     Malformed(#[from] prost::DecodeError),
     /// The message version is not supported by this build.
-    #[error("message version {0} is not supported")]
+    #[error("a frame's version {0} is not spoken here")]
     Version(u32),
     /// Not the next frame of its connection, or from another connection.
-    #[error("frame is replayed or out of order")]
+    #[error("a frame came again or out of order")]
     Replayed,
     /// The connection failed.
     #[error(transparent)]
--- a/crates/lagoon-net/tests/claim_sweep.rs
+++ b/crates/lagoon-net/tests/claim_sweep.rs
@@ -1,4 +1,4 @@
-//! The steward's sweep of idempotency keys, over a stand-in platform.
+//! Removal of expired idempotency keys by the steward, with the stand-in platform.
 
 use std::thread;
 use std::time;
@@ -10,7 +10,7 @@
 use lagoonline::id;
 use lagoonline::lifecycle::claim;
 
-const PATIENCE: time::Duration = time::Duration::from_secs(20);
+const TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 fn record(written_ms: u64) -> String {
     let state = claim::State::Unknown;
@@ -19,10 +19,10 @@
     serde_json::to_string(&record).expect("JSON")
 }
 
-/// A caller's key from two days ago is free again, one from now is kept: the steward reads the
-/// table page by page and deletes what is past its retention, and nothing else.
+/// The steward deletes the claim of a key from two days ago, which is past its retention, and
+/// nothing else: a claim from now and rows of other kinds stay.
 #[test]
-fn old_keys_are_removed_and_new_ones_kept() {
+fn expired_keys_are_removed_and_others_kept() {
     let table = standin::start(standin::Settings::default()).expect("a platform");
     let now = time::SystemTime::now().duration_since(time::UNIX_EPOCH).expect("after 1970");
     let now = u64::try_from(now.as_millis()).expect("in range");
@@ -31,7 +31,7 @@
     table.node().put(&row("recent"), &record(now));
     table.node().put("section/tin", "{}");
     let quick = Span::from_millis(5);
-    // A round of all shards in some two seconds, and the reads that takes.
+    // One round over all shards takes about two seconds, and needs this rate of reads.
     let (address, reads_per_second) = (table.address(), 1_000.0);
     let steward = steward::start(steward::Settings {
         host: id::Host::from("suva-1"),
@@ -46,7 +46,7 @@
     let steward = steward.expect("a steward");
     let began = time::Instant::now();
     while table.node().rows(&row("old")).len() == 1 {
-        assert!(began.elapsed() < PATIENCE, "the old key stays");
+        assert!(began.elapsed() < TIMEOUT, "the old key was not removed");
         thread::sleep(quick);
     }
     steward.stop();
--- a/crates/lagoon-net/tests/control.rs
+++ b/crates/lagoon-net/tests/control.rs
@@ -1,4 +1,4 @@
-//! Stewards, links and operators over loopback, with the stand-in of the platform.
+//! Stewards, their links and operators over loopback, with the stand-in platform.
 
 use std::collections;
 use std::net;
@@ -18,29 +18,29 @@
 use lagoonline::id;
 use sha2::Digest;
 
-/// Far above what any step takes, so that a slow machine fails no test.
-const LONG: time::Duration = time::Duration::from_secs(30);
+/// Timeout of every wait, far longer than any step takes, so that no test fails on a slow machine.
+const TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
 const OPERATOR_KEY: &str = "operators";
 
-/// Fleets that an entry process saw, newest last.
-type Seen = sync::Arc<sync::Mutex<Vec<replication::Versions>>>;
+/// Versions of the complete documents that an entry process received, newest last.
+type SeenVersions = sync::Arc<sync::Mutex<Vec<replication::Versions>>>;
 
-/// Upstreams whose load an entry process heard of.
-type Heard = sync::Arc<sync::Mutex<collections::BTreeSet<String>>>;
+/// Upstreams whose load an entry process received.
+type ReceivedLoads = sync::Arc<sync::Mutex<collections::BTreeSet<String>>>;
 
-/// An entry process as far as its link goes: it works with what it is told at once.
+/// An entry process reduced to its link: it reports received sections as in force at once.
 struct Entry {
-    seen: Seen,
-    loads: Heard,
+    seen: SeenVersions,
+    loads: ReceivedLoads,
     stop: Option<tokio::sync::oneshot::Sender<()>>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 struct Sink {
     handle: link::Handle,
-    seen: Seen,
-    loads: Heard,
+    seen: SeenVersions,
+    loads: ReceivedLoads,
 }
 
 impl link::Sink for Sink {
@@ -69,9 +69,9 @@
             key: wire::Key::new(b"fleet"),
             ..link::Settings::default()
         };
-        let seen = Seen::default();
+        let seen = SeenVersions::default();
         let (stop, stopped) = tokio::sync::oneshot::channel();
-        let loads = Heard::default();
+        let loads = ReceivedLoads::default();
         let (thread_seen, thread_loads) = (seen.clone(), loads.clone());
         let thread = thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -87,7 +87,7 @@
         Entry { seen, loads, stop: Some(stop), thread: Some(thread) }
     }
 
-    /// The versions that a ready entry process works with.
+    /// Returns the versions in force; `None` until the entry process is ready.
     fn last(&self) -> Option<replication::Versions> {
         self.seen.lock().unwrap().last().cloned()
     }
@@ -155,7 +155,7 @@
             stewards,
             fleet_key: wire::Key::new(b"fleet"),
             key: OPERATOR_KEY.to_owned(),
-            total_timeout: LONG,
+            total_timeout: TIMEOUT,
             ..operator::Settings::default()
         })
     }
@@ -172,7 +172,7 @@
     }
 
     fn wait_accepted(&self, version: u64) -> operator::SectionStatus {
-        block_on(self.client().wait_accepted("labels", version, LONG)).unwrap()
+        block_on(self.client().wait_accepted("labels", version, TIMEOUT)).unwrap()
     }
 
     fn set_faults<F>(&self, change: F)
@@ -184,7 +184,8 @@
         self.platform.node().set_faults(faults);
     }
 
-    /// Every entry process that is ready works with `version`, and none ever went back.
+    /// Asserts that `version` is in force at every entry process, and that none ever reverted to a
+    /// lower one.
     fn assert_in_force(&self, version: u64) {
         for (name, host) in &self.hosts {
             let last = host.entry.last().unwrap_or_default();
@@ -207,27 +208,27 @@
     runtime.unwrap().block_on(future)
 }
 
-fn wait<F>(holds: F)
+fn wait<F>(condition: F)
 where
     F: Fn() -> bool,
 {
     let began = time::Instant::now();
-    while !holds() {
-        assert!(began.elapsed() < LONG, "did not come about");
+    while !condition() {
+        assert!(began.elapsed() < TIMEOUT, "condition not met in time");
         thread::sleep(time::Duration::from_millis(20));
     }
 }
 
 #[test]
 fn an_accepted_section_is_in_force_in_every_zone() {
-    // An operator puts a section. When it is said to be accepted, each of the nine entry hosts
-    // in three zones works with it. A second version follows, edited from the first; one that was
-    // edited from the first again is refused and shown the change.
+    // Once a section is reported as accepted, it is in force at all nine entry hosts of three
+    // zones. A second version is based on the first. A third put, based on the first again, is
+    // refused with the changes made since.
     let fleet = Fleet::start(3);
     fleet.wait_ready();
     assert_eq!(fleet.put(0, r#"{"models": {"m": {}}}"#).unwrap(), 1);
-    let standing = fleet.wait_accepted(1);
-    assert!(standing.accepted, "{standing:?}");
+    let status = fleet.wait_accepted(1);
+    assert!(status.accepted, "{status:?}");
     fleet.assert_in_force(1);
     assert_eq!(fleet.put(1, r#"{"models": {"m": {"max_tokens": 9}}}"#).unwrap(), 2);
     assert!(fleet.wait_accepted(2).accepted);
@@ -240,9 +241,9 @@
 }
 
 #[test]
-fn a_put_whose_answers_are_lost_is_stored_once() {
-    // The platform takes writes and loses their answers. The steward reads the put back and says
-    // that it is stored; the history has one row.
+fn a_put_whose_responses_are_lost_is_stored_once() {
+    // The platform executes writes and loses their responses. The steward reads the put back and
+    // reports that it is stored; the history has one row.
     let fleet = Fleet::start(1);
     fleet.wait_ready();
     fleet.set_faults(|faults| faults.lose_answer = true);
@@ -253,23 +254,23 @@
 }
 
 #[test]
-fn a_zone_that_does_not_reach_the_platform_gets_sections_from_the_others() {
-    // Zone suva is cut off from the platform only. A put made in another zone is in force there
-    // as well, passed on by the gateways.
+fn a_zone_without_the_platform_gets_sections_from_other_zones() {
+    // Zone suva is cut off from the platform only. A section stored through another zone is relayed
+    // to it by the gateways.
     let fleet = Fleet::start(2);
     fleet.wait_ready();
     fleet.set_faults(|faults| faults.cut = vec!["suva".to_owned()]);
     assert_eq!(fleet.put(0, "{}").unwrap(), 1);
-    let standing = fleet.wait_accepted(1);
-    assert!(standing.accepted, "{standing:?}");
+    let status = fleet.wait_accepted(1);
+    assert!(status.accepted, "{status:?}");
     fleet.assert_in_force(1);
 }
 
 #[test]
 fn replacing_a_zone_during_an_outage_reverts_nothing() {
-    // A section is accepted; then the platform goes out and every host of zone suva is replaced.
-    // The new hosts have no disk and no platform: they wait for peers of the other zones, become
-    // ready with the accepted version, and never with less.
+    // After a section is accepted the platform goes down and every host of zone suva is replaced.
+    // The new hosts have neither stored state nor the platform. They wait for peers in other zones,
+    // and become ready with the accepted version, never with an older one.
     let mut fleet = Fleet::start(2);
     fleet.wait_ready();
     assert_eq!(fleet.put(0, r#"{"models": {"m": {}}}"#).unwrap(), 1);
@@ -286,9 +287,9 @@
 }
 
 #[test]
-fn a_host_that_hears_nobody_is_not_ready() {
-    // The platform is out and the host knows no peer: it cannot tell whether there is a document,
-    // so it stays unready instead of serving without one. When the platform is back it is ready.
+fn a_host_without_platform_and_peers_is_not_ready() {
+    // The platform is down and the host has no peers. It cannot know whether a document exists, so
+    // it stays unready instead of serving without one. It becomes ready when the platform is back.
     let platform = platform::start(platform::Settings::default()).unwrap();
     let mut fleet = Fleet { platform, hosts: collections::BTreeMap::new() };
     fleet.set_faults(|faults| faults.down = true);
@@ -318,28 +319,28 @@
 }
 
 #[test]
-fn engines_are_observed_for_every_host_of_their_zone_and_ordered_to_their_model() {
-    // Two engines of one zone serve another model than the document says. One steward of the zone
-    // reads each one's load, and both entry processes of the zone hear of it; the zone's orderer
-    // takes the lease, and both engines serve the wanted model. One steward is stopped: the other
-    // takes over its engine within seconds.
+fn engines_are_observed_for_their_zone_and_load_the_desired_model() {
+    // Two engines of one zone serve a model other than the document's. One steward of the zone
+    // polls each engine's load, and both entry processes of the zone receive it. The reconciling
+    // steward acquires the lease and makes both engines load the desired model. When one steward
+    // is stopped, the other one polls both engines within seconds.
     let mut fleet = Fleet::start(2);
     fleet.wait_ready();
     let engines = [engine("e1", "x"), engine("e2", "x")];
     let lines = [("e1", "suva", engines[0].address()), ("e2", "suva", engines[1].address())];
     fleet.put(0, &section_of(&lines)).unwrap();
-    let orders = operator::Request { verb: Some(wire::Verb::Orders), ..Default::default() };
+    let request = operator::Request { verb: Some(wire::Verb::Orders), ..Default::default() };
     let has_model = || {
-        let value = block_on(fleet.client().call(&orders)).unwrap();
+        let value = block_on(fleet.client().call(&request)).unwrap();
         let lines = value["engines"].as_array().cloned().unwrap_or_default();
         lines.iter().filter(|line| line["actual"]["model"] == "m").count() == 2
     };
     wait(has_model);
-    let heard = |host: &str| {
+    let has_loads = |host: &str| {
         let loads = fleet.hosts[host].entry.loads.lock().unwrap();
         loads.contains("e1") && loads.contains("e2")
     };
-    wait(|| heard("suva-0") && heard("suva-1"));
+    wait(|| has_loads("suva-0") && has_loads("suva-1"));
     fleet.hosts.remove("suva-0");
     let entry = &fleet.hosts["suva-1"].entry;
     thread::sleep(time::Duration::from_secs(4));
@@ -348,17 +349,17 @@
 }
 
 #[test]
-fn a_host_whose_entry_process_died_does_not_hold_up_acceptance() {
-    // The entry process of one host ends while its steward lives, and nobody starts it again. The
-    // steward says so; after ten seconds the host does not count, and a section put meanwhile is
-    // accepted. An entry process that starts later is ready with that section.
+fn a_dead_entry_process_does_not_block_acceptance() {
+    // The entry process of one host ends while its steward keeps running. After ten seconds the
+    // steward reports it as down, and a section that was put meanwhile is accepted without that
+    // host. An entry process that starts later becomes ready with that section.
     let mut fleet = Fleet::start(2);
     fleet.wait_ready();
     let Host { steward, entry } = fleet.hosts.remove("suva-1").unwrap();
     drop(entry);
     assert_eq!(fleet.put(0, "{}").unwrap(), 1);
-    let standing = fleet.wait_accepted(1);
-    assert!(standing.accepted, "{standing:?}");
+    let status = fleet.wait_accepted(1);
+    assert!(status.accepted, "{status:?}");
     let entry = Entry::start(steward.address(), "suva-1", "suva");
     fleet.hosts.insert("suva-1".to_owned(), Host { steward, entry });
     fleet.wait_ready();
@@ -366,9 +367,10 @@
 }
 
 #[test]
-fn of_operators_who_race_one_wins_and_the_others_are_shown_what_changed() {
-    // Four operators put from the same version at once, by different stewards. One is told version
-    // 2; each other is refused and shown the winner's change. The history has one row of it.
+fn of_concurrent_puts_one_wins_and_the_others_get_its_change() {
+    // Four operators put a section based on the same version at once, through different stewards.
+    // One stores version 2; the others are refused with the winner's change. The history has only
+    // the winner's row.
     let fleet = Fleet::start(1);
     fleet.wait_ready();
     assert_eq!(fleet.put(0, r#"{"models": {"m": {}}}"#).unwrap(), 1);
@@ -397,9 +399,9 @@
 }
 
 #[test]
-fn a_put_during_an_outage_of_the_platform_is_stored_when_it_is_back() {
-    // The platform goes out, an operator puts, and the platform comes back 3 s later. The put is
-    // tried again until then, stored once, and in force in every zone.
+fn a_put_during_a_platform_outage_is_stored_afterwards() {
+    // An operator puts a section while the platform is down for 3 s. The put is retried until the
+    // platform is back, stored once, and in force in every zone.
     let fleet = Fleet::start(1);
     fleet.wait_ready();
     fleet.set_faults(|faults| faults.down = true);
--- a/crates/lagoon-net/tests/engine_events.rs
+++ b/crates/lagoon-net/tests/engine_events.rs
@@ -1,4 +1,4 @@
-//! Events of an engine's stream, with whatever an engine may send.
+//! Parsing of an engine's event stream, with valid, random and damaged input.
 
 use lagoon_net::engine;
 use lagoonline::id;
@@ -8,7 +8,7 @@
 
 const ATTEMPT: id::Attempt = id::Attempt(0xab);
 
-fn fixed(cases: u32) -> test_runner::Config {
+fn seeded(cases: u32) -> test_runner::Config {
     let rng_seed = test_runner::RngSeed::Fixed(5);
     test_runner::Config { cases, failure_persistence: None, rng_seed, ..Default::default() }
 }
@@ -18,7 +18,8 @@
     format!("data: {{\"a\":\"{ATTEMPT}\",\"n\":{number},\"t\":{text}}}\n\n")
 }
 
-/// Reads a batch as the data path does; the texts that passed their check, or why it stopped.
+/// Reads a batch as the data path does. Returns the texts that passed the check, or the error that
+/// stopped it.
 fn read(batch: &[u8]) -> Result<Vec<String>, engine::StreamError> {
     let mut checker = stream::Checker::new(ATTEMPT);
     let mut texts = Vec::new();
@@ -36,28 +37,28 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(2_000))]
+    #![proptest_config(seeded(2_000))]
 
     #[test]
-    fn noise_delivers_nothing(noise in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn random_bytes_yield_no_text(noise in prop::collection::vec(any::<u8>(), 0..300)) {
         prop_assert!(read(&noise).map_or(true, |texts| texts.is_empty()));
     }
 
     #[test]
-    fn texts_come_as_they_were_sent(texts in prop::collection::vec(".{0,20}", 0..20)) {
+    fn texts_arrive_unchanged(texts in prop::collection::vec(".{0,20}", 0..20)) {
         let numbered = texts.iter().enumerate();
         let batch: String = numbered.map(|(number, text)| chunk(number as u64, text)).collect();
         prop_assert_eq!(read(batch.as_bytes()).unwrap(), texts);
     }
 
-    /// One byte of an answer is damaged on the way. The caller may get the texts before it and is
-    /// told of the break, or gets a text that differs by that byte; never more chunks than were sent.
+    /// One byte of a response is corrupted in transit. Reading stops with an error or yields a text
+    /// that differs by that byte, but never yields more chunks than were sent.
     #[test]
-    fn a_damaged_byte_adds_no_chunk(count in 1_usize..10, place in any::<prop::sample::Index>(), byte in any::<u8>()) {
+    fn a_corrupted_byte_adds_no_chunk(count in 1_usize..10, position in any::<prop::sample::Index>(), byte in any::<u8>()) {
         let batch: String = (0..count).map(|number| chunk(number as u64, "tin")).collect();
         let mut batch = batch.into_bytes();
-        let place = place.index(batch.len());
-        batch[place] = byte;
+        let position = position.index(batch.len());
+        batch[position] = byte;
         prop_assert!(read(&batch).map_or(0, |texts| texts.len()) <= count);
     }
 }
--- a/crates/lagoon-net/tests/memory_sweep.rs
+++ b/crates/lagoon-net/tests/memory_sweep.rs
@@ -1,4 +1,5 @@
-//! Engine memory that dead entry hosts leave, by the engine's own record, over sockets.
+//! Release of engine memory that dead entry hosts hold, checked against the engine's record, over
+//! real sockets.
 
 use std::io::{Read as _, Write as _};
 use std::net;
@@ -18,20 +19,20 @@
 use rstest::rstest;
 use serde_json::json;
 
-const PATIENCE: time::Duration = time::Duration::from_secs(30);
-/// Several times what it takes for a dead owner's memory to come back here.
-const LONG_ENOUGH: time::Duration = time::Duration::from_secs(6);
+const TIMEOUT: time::Duration = time::Duration::from_secs(30);
+/// Several times as long as the release of a dead owner's memory takes in this test.
+const RELEASE_WAIT: time::Duration = time::Duration::from_secs(6);
 
-struct Silent;
+struct IgnoreUpdates;
 
-impl link::Sink for Silent {
+impl link::Sink for IgnoreUpdates {
     fn apply(&mut self, _: link::Update) {}
 }
 
-/// What the stewards see of an entry process: a link that reports until it is dropped.
+/// An entry process as the stewards see it: a link that reports until it is dropped.
 struct Entry {
     runtime: tokio::runtime::Runtime,
-    /// The link ends with its last handle.
+    /// The link closes when its last handle is dropped.
     handle: link::Handle,
 }
 
@@ -48,7 +49,7 @@
             ..link::Settings::default()
         });
         handle.report(link::State { ready: true, ..link::State::default() });
-        drop(runtime.spawn(task.run(Silent)));
+        drop(runtime.spawn(task.run(IgnoreUpdates)));
         Entry { runtime, handle }
     }
 
@@ -65,7 +66,7 @@
 }
 
 impl Fleet {
-    /// Zone suva with an engine and two hosts, zone nausori with one.
+    /// Starts zone suva with an engine and two hosts, and zone nausori with one host.
     fn start() -> Fleet {
         let platform = platform::start(platform::Settings::default()).expect("a platform");
         let slow = engine::Settings { decode_ms: 100.0, resume_ms: 600_000, ..Default::default() };
@@ -81,7 +82,7 @@
             stewards: fleet.stewards.iter().map(steward::Running::address).collect(),
             fleet_key: wire::Key::new(b"fleet"),
             key: "operators".to_owned(),
-            total_timeout: PATIENCE,
+            total_timeout: TIMEOUT,
             ..Default::default()
         });
         let put = lagoon_net::operator::Request {
@@ -118,7 +119,7 @@
 
     fn send(&self, path: &str, headers: &str, body: &str) -> net::TcpStream {
         let mut stream = net::TcpStream::connect(self.engine.address()).expect("connected");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("set");
         let length = body.len();
         let head = format!("POST {path} HTTP/1.1\r\nHost: e\r\nContent-Length: {length}\r\n");
         stream.write_all(format!("{head}{headers}\r\n{body}").as_bytes()).expect("sent");
@@ -129,7 +130,7 @@
         stream
     }
 
-    /// A stream of `owner` that runs for minutes.
+    /// Starts a stream of `owner` that runs for minutes.
     fn generate(&self, attempt: u128, owner: &str) -> net::TcpStream {
         let headers = format!(
             "Lagoon-Attempt: {}\r\nLagoon-Owner: {owner}\r\nLagoon-Model: model\r\n\
@@ -139,7 +140,7 @@
         self.send("/generate", &headers, r#"{"model": "model", "prompt": "tin"}"#)
     }
 
-    /// Bytes reserved less bytes returned.
+    /// Returns the bytes that are reserved and not yet returned.
     fn held(&self) -> u64 {
         let record = self.engine.node().record();
         record.bytes_reserved - record.bytes_returned
@@ -152,26 +153,25 @@
 {
     let began = time::Instant::now();
     while !met() {
-        assert!(began.elapsed() < PATIENCE, "{what}");
+        assert!(began.elapsed() < TIMEOUT, "{what}");
         thread::sleep(time::Duration::from_millis(20));
     }
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Death {
-    /// The process ends; its steward lives.
+    /// The process ends; its steward keeps running.
     Process,
-    /// The process ends and another takes its place at once.
+    /// The process ends and is restarted at once.
     Restart,
-    /// The host ends, its steward with it.
+    /// The process and its steward end.
     Host,
 }
 
-/// An entry host dies in the middle of a caller's stream and of a group's reservations. Its caller
-/// hears of a broken connection. The engine would keep the memory for ten minutes; the steward
-/// that observes it proves the owner dead and has it given back. A stream of a live host that
-/// says nothing new all the while is left alone. A host of another zone is judged by that zone's
-/// word, and left to the engine when the zone is out of reach.
+/// An entry host dies while it owns a stream and a reservation. The engine would keep their memory
+/// for ten minutes. The steward that observes the engine establishes that the owner is dead and
+/// releases the memory. A stream of a live host is kept, although nothing about it changes. For an
+/// owner in another zone the steward asks that zone; if it does not reply, nothing is released.
 #[rstest]
 #[case("suva-2", 1, Death::Process, true)]
 #[case("suva-2", 1, Death::Restart, true)]
@@ -179,16 +179,16 @@
 #[case("nausori-1", 2, Death::Process, true)]
 #[case("nausori-1", 2, Death::Restart, true)]
 #[case("nausori-1", 2, Death::Host, false)]
-fn a_dead_hosts_memory_comes_back(
+fn memory_of_a_dead_host_is_released(
     #[case] host: &str,
-    #[case] place: usize,
+    #[case] steward: usize,
     #[case] death: Death,
-    #[case] returns: bool,
+    #[case] is_released: bool,
 ) {
     let mut fleet = Fleet::start();
     let zone = host.split('-').next().expect("a zone");
-    let _alive = Entry::start(fleet.stewards[0].address(), "suva-1", "suva", 1);
-    let dying = Entry::start(fleet.stewards[place].address(), host, zone, 1);
+    let _live = Entry::start(fleet.stewards[0].address(), "suva-1", "suva", 1);
+    let dying = Entry::start(fleet.stewards[steward].address(), host, zone, 1);
     let live_stream = fleet.generate(1, "suva-1/1");
     let live_bytes = fleet.held();
     let owner = format!("{host}/1");
@@ -197,32 +197,32 @@
     fleet.send("/kv/reserve", "", &reservation.to_string());
     let all_bytes = fleet.held();
     assert!(live_bytes > 0 && all_bytes > live_bytes);
-    // Live owners, known and quiet, lose nothing.
-    thread::sleep(LONG_ENOUGH / 2);
+    // Nothing is released while the owners are live.
+    thread::sleep(RELEASE_WAIT / 2);
     assert_eq!(fleet.held(), all_bytes);
 
     let killed = time::Instant::now();
     drop(stream);
     dying.kill();
-    let address = fleet.stewards[place].address();
+    let address = fleet.stewards[steward].address();
     let _next = (death == Death::Restart).then(|| Entry::start(address, host, zone, 2));
     if death == Death::Host {
-        fleet.stewards.remove(place).stop();
+        fleet.stewards.remove(steward).stop();
     }
-    if returns {
-        wait_until("the dead host's memory is back", || fleet.held() == live_bytes);
+    if is_released {
+        wait_until("the dead host's memory was not released", || fleet.held() == live_bytes);
         println!(
-            "{host} {death:?}: {} bytes back after {:?}",
+            "{host} {death:?}: {} bytes released after {:?}",
             all_bytes - live_bytes,
             killed.elapsed()
         );
     } else {
-        thread::sleep(LONG_ENOUGH);
-        assert_eq!(fleet.held(), all_bytes, "released an owner that nobody could judge");
+        thread::sleep(RELEASE_WAIT);
+        assert_eq!(fleet.held(), all_bytes, "released memory of an owner whose state is unknown");
     }
     drop(live_stream);
     fleet.send(&format!("/streams/{}/cancel", id::Attempt(1)), "", "");
-    if returns {
-        wait_until("no byte is left", || fleet.held() == 0);
+    if is_released {
+        wait_until("memory is still held", || fleet.held() == 0);
     }
 }
--- a/crates/lagoon-net/tests/wire.rs
+++ b/crates/lagoon-net/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Frames between the system's own processes: bounded, authenticated, in order.
+//! Frames of the wire protocol: size limit, authentication and replay protection.
 
 use lagoon_net::wire;
 use proptest::prelude::*;
@@ -8,7 +8,7 @@
 
 const KEY: &[u8] = b"the fleet's key";
 
-/// Two sides of one connection after challenge and hello.
+/// Returns the accepting and the connecting side of a connection after the handshake.
 fn connected() -> (wire::Codec, wire::Codec) {
     let codec = |name: &str, nonce: &'static [u8]| {
         wire::Codec::new(wire::Key::new(KEY), name.to_owned(), 1, Bytes::from_static(nonce))
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn frames_pass_both_ways_after_challenge_and_hello() {
+fn frames_pass_both_ways_after_the_handshake() {
     let (mut accepting, mut connecting) = connected();
     let frame = send(&mut accepting, &mut connecting, marks("one")).unwrap();
     assert_eq!(frame.body, Some(marks("one")));
@@ -51,10 +51,10 @@
     assert_eq!(frame.sender, "b");
 }
 
-/// An operator's put is recorded on the wire and sent again on the same connection. Without
-/// sequence numbers it would be carried out twice; the second is refused and the link closed.
+/// An operator's put is recorded on the network and sent again on the same connection. Without
+/// sequence numbers it would take effect twice. The second frame is rejected.
 #[test]
-fn a_frame_played_again_on_its_connection_is_refused() {
+fn a_frame_replayed_on_its_connection_is_rejected() {
     let (mut accepting, mut connecting) = connected();
     let recorded = encode(&mut connecting, marks("one"));
     assert!(accepting.decode(&mut recorded.clone()).is_ok());
@@ -62,20 +62,20 @@
     assert!(matches!(again, Err(wire::Error::Replayed)), "{again:?}");
 }
 
-/// The same recording is played on a new connection, where its sequence number would fit. The
-/// accepting side chose another nonce there, so the frame is refused.
+/// The same recording is sent on a new connection, where its sequence number would be valid. The
+/// accepting side has chosen another nonce there, so the frame is rejected.
 #[test]
-fn a_frame_played_on_another_connection_is_refused() {
+fn a_frame_replayed_on_another_connection_is_rejected() {
     let (_, mut connecting) = connected();
     let recorded = encode(&mut connecting, marks("one"));
     let nonce = Bytes::from_static(b"another nonce");
     let mut other = wire::Codec::new(wire::Key::new(KEY), "a".to_owned(), 1, nonce);
-    let played = other.decode(&mut recorded.clone());
-    assert!(matches!(played, Err(wire::Error::Replayed)), "{played:?}");
+    let replayed = other.decode(&mut recorded.clone());
+    assert!(matches!(replayed, Err(wire::Error::Replayed)), "{replayed:?}");
 }
 
 #[test]
-fn a_frame_over_the_limit_is_refused_before_it_is_read() {
+fn a_frame_over_the_limit_is_rejected_before_it_is_read() {
     let (mut accepting, _) = connected();
     let length = u32::try_from(wire::FRAME_LIMIT + 1).unwrap();
     let mut bytes = BytesMut::from(&length.to_be_bytes()[..]);
@@ -84,7 +84,7 @@
 }
 
 /// During a rolling upgrade a newer host sends a body that this build does not know. The frame is
-/// still authentic: it is taken, without a body, and the link stays up.
+/// authentic, so it is accepted without a body, and the link stays open.
 #[test]
 fn an_unknown_body_of_a_newer_sender_is_skipped() {
     #[derive(Clone, PartialEq, prost::Message)]
@@ -105,23 +105,23 @@
 }
 
 #[test]
-fn a_version_older_than_spoken_here_is_refused() {
+fn an_unsupported_old_version_is_rejected() {
     let key = wire::Key::new(KEY);
     let frame = wire::Frame { version: 0, sequence: 1, ..Default::default() };
     let refused = wire::open(&key, &wire::seal(&key, &frame));
     assert!(matches!(refused, Err(wire::Error::Version(0))), "{refused:?}");
 }
 
-fn fixed(cases: u32) -> test_runner::Config {
+fn seeded(cases: u32) -> test_runner::Config {
     let rng_seed = test_runner::RngSeed::Fixed(7);
     test_runner::Config { cases, failure_persistence: None, rng_seed, ..Default::default() }
 }
 
 proptest! {
-    #![proptest_config(fixed(2_000))]
+    #![proptest_config(seeded(2_000))]
 
     #[test]
-    fn noise_is_never_a_frame(noise in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn random_bytes_are_never_a_frame(noise in prop::collection::vec(any::<u8>(), 0..200)) {
         prop_assert!(wire::open(&wire::Key::new(KEY), &noise).is_err());
         let (mut accepting, _) = connected();
         let mut bytes = BytesMut::from(&noise[..]);
@@ -129,7 +129,7 @@
     }
 
     #[test]
-    fn a_flipped_bit_is_always_noticed(bit in 0_usize..400, name in "[a-z]{1,30}") {
+    fn a_flipped_bit_is_always_detected(bit in 0_usize..400, name in "[a-z]{1,30}") {
         let (mut accepting, mut connecting) = connected();
         let mut bytes = encode(&mut connecting, marks(&name));
         let bit = 32 + bit % ((bytes.len() - 4) * 8);
@@ -138,7 +138,7 @@
     }
 
     #[test]
-    fn any_text_with_a_good_tag_is_taken_or_refused(text in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn any_bytes_with_a_valid_tag_decode_without_panic(text in prop::collection::vec(any::<u8>(), 0..200)) {
         let key = wire::Key::new(KEY);
         let sealed = [&key.tag(&text)[..], &text[..]].concat();
         let _ = wire::open(&key, &sealed);
