--- a/crates/lagoon-load/src/bench/world/mod.rs
+++ b/crates/lagoon-load/src/bench/world/mod.rs
@@ -34,10 +34,10 @@
     End { engine: usize, incarnation: u64, job: engine::Job },
     Lost { request: usize, attempt: u32, ending: load::Ending },
     Report(usize),
-    Observe(usize, port::engine::Load),
+    Observe(usize, port::engine::LoadReport),
     Wake(usize),
     Spending,
-    Heard { host: usize, spends: Vec<load::limit::Spend> },
+    Heard { host: usize, spends: Vec<load::limit::Usage> },
     Begin,
     Finish,
 }
@@ -266,7 +266,7 @@
         request.first_token.get_or_insert(self.now + delay);
         let (host, ticket) = (request.host, request.ticket);
         if let Some(ticket) = ticket {
-            self.hosts[host].first_token(self.now, ticket);
+            self.hosts[host].record_first_token(self.now, ticket);
         }
         let tokens = arrival.answer as f64 * self.engines[engine].slow;
         let end = self.now + scenario::TOKEN.mul_f64(tokens);
@@ -346,7 +346,7 @@
         self.at(self.now + scenario::REPORT.0, Event::Report(index));
     }
 
-    fn observe(&mut self, index: usize, load: &port::engine::Load) {
+    fn observe(&mut self, index: usize, load: &port::engine::LoadReport) {
         let name = name(index as u32);
         for host in 0..self.hosts.len() {
             self.hosts[host].observe(self.now, &name, load);
--- a/crates/lagoon-net/src/entry/link/mod.rs
+++ b/crates/lagoon-net/src/entry/link/mod.rs
@@ -1,5 +1,6 @@
 //! Exchanges load, rate limit usage and leaving marks between the data path and its steward.
 //!
+//! A leaving mark says whether an incarnation of an upstream is leaving and gets no new work.
 //! Requests never wait for this link: loads and usage are collected and sent by a timer.
 
 use std::collections;
@@ -28,7 +29,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Link {
     handle: Option<link::Handle>,
-    /// Whether the steward has confirmed that the sections are complete; never reset.
+    /// Whether the steward has confirmed that the sections are the newest available; never reset.
     complete: atomic::AtomicBool,
     observed: sync::Mutex<Observed>,
     marks: sync::Mutex<leaving::Marks>,
@@ -37,7 +38,7 @@
 #[derive(Debug, Default)]
 struct Observed {
     /// Loads since the last report.
-    loads: collections::HashMap<id::Upstream, engine::Load>,
+    loads: collections::HashMap<id::Upstream, engine::LoadReport>,
     /// Last known incarnation of each upstream.
     incarnations: collections::HashMap<id::Upstream, u64>,
 }
@@ -69,7 +70,8 @@
         self.complete.load(atomic::Ordering::Acquire)
     }
 
-    /// Returns the time since the last message of the steward; `None` without a steward.
+    /// Returns the time since the last message of the steward; `None` without a steward or before
+    /// its first message.
     pub(crate) fn view_age(&self) -> Option<clock::Span> {
         self.handle.as_ref()?.view_age()
     }
@@ -79,7 +81,7 @@
     }
 
     /// Records a load that came with a response, for the next report.
-    pub(crate) fn record_load(&self, upstream: &id::Upstream, load: &engine::Load) {
+    pub(crate) fn record_load(&self, upstream: &id::Upstream, load: &engine::LoadReport) {
         if self.handle.is_none() {
             return;
         }
@@ -129,6 +131,7 @@
     fn flush_loads(&self, handle: &link::Handle) {
         let loads = std::mem::take(&mut self.observed().loads);
         if !loads.is_empty() {
+            // The age of 0 ignores the wait for this report, which is at most one interval.
             handle.loads(loads.iter().map(|(name, load)| wire::load(name, load, 0)).collect());
         }
     }
@@ -159,8 +162,8 @@
 }
 
 /// Builds the report of the requests and tokens that were admitted since the last one.
-fn spending(state: &state::State, spends: &[limit::Spend], sequence: u64) -> wire::Spending {
-    let line = |spend: &limit::Spend| wire::Spend {
+fn spending(state: &state::State, spends: &[limit::Usage], sequence: u64) -> wire::Spending {
+    let line = |spend: &limit::Usage| wire::Spend {
         customer: spend.customer.to_string(),
         requests: spend.requests,
         tokens: spend.tokens,
@@ -211,7 +214,7 @@
             }
             link::Update::Drain => state.advance(state::Phase::Unready),
             link::Update::Spending(spending) => {
-                let spend = |line: &wire::Spend| limit::Spend {
+                let spend = |line: &wire::Spend| limit::Usage {
                     customer: id::Customer::from(line.customer.as_str()),
                     requests: line.requests,
                     tokens: line.tokens,
