--- a/crates/lagoon-net/src/entry/state.rs
+++ b/crates/lagoon-net/src/entry/state.rs
@@ -39,7 +39,7 @@
 pub(crate) struct View {
     pub(crate) fleet: view::Shared,
     /// The scheduler of each model.
-    pub(crate) shards: load::Shards,
+    pub(crate) shards: load::Schedulers,
     pub(crate) queues: collections::HashMap<id::Model, sync::Arc<admission::Queue>>,
     pub(crate) replicas: replica::Replicas,
 }
@@ -158,7 +158,7 @@
     fn build_queues(
         &self,
         old: &View,
-        shards: &load::Shards,
+        shards: &load::Schedulers,
     ) -> collections::HashMap<id::Model, sync::Arc<admission::Queue>> {
         let mut queues = collections::HashMap::new();
         for (model, shard) in shards.iter() {
--- a/crates/lagoon-net/src/steward/core/mod.rs
+++ b/crates/lagoon-net/src/steward/core/mod.rs
@@ -172,9 +172,9 @@
 /// The load of an upstream, and the load that was last announced to other hosts.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::steward) struct Observed {
-    pub(in crate::steward) load: engine::Load,
+    pub(in crate::steward) load: engine::LoadReport,
     pub(in crate::steward) read_at: clock::Moment,
-    announced: engine::Load,
+    announced: engine::LoadReport,
     announced_at: clock::Moment,
 }
 
@@ -316,7 +316,7 @@
 
     /// Closes links that this side dialed and the mesh no longer needs. Without this, links and the
     /// messages on them grow without bound as hosts join and leave.
-    pub(in crate::steward) fn prune(&mut self) {
+    pub(in crate::steward) fn close_unneeded_links(&mut self) {
         let now = self.clock.now();
         let wanted = mesh::link_targets(&self.group);
         let is_wanted = |link: &Link| wanted.iter().any(|host| link.peer.sender == host.as_str());
--- a/crates/lagoonline/tests/load_fuzz.rs
+++ b/crates/lagoonline/tests/load_fuzz.rs
@@ -152,7 +152,7 @@
             Step::Advance { ms } => self.now = self.now + Span::from_millis(ms),
             Step::FirstToken { pick } => {
                 if let Some(ticket) = self.pick(pick) {
-                    self.scheduler.first_token(self.now, ticket);
+                    self.scheduler.record_first_token(self.now, ticket);
                 }
             }
             Step::Finish { pick, ending: number } => {
@@ -188,12 +188,12 @@
                 }
             }
             Step::Observe { upstream, running, prefill, incarnation } => {
-                let load = engine::Load {
+                let load = engine::LoadReport {
                     running,
                     prefill_tokens: prefill,
                     prefill_rate: 20_000.0,
                     incarnation,
-                    ..engine::Load::default()
+                    ..engine::LoadReport::default()
                 };
                 self.scheduler.observe(self.now, &name(upstream), &load);
             }
