--- a/crates/lagoon-gateway/src/connection.rs
+++ b/crates/lagoon-gateway/src/connection.rs
@@ -1,4 +1,4 @@
-//! Callers' connections of one server thread: which are idle.
+//! The callers' connections of one server thread, to find those that are idle.
 
 use std::cell;
 use std::collections;
@@ -6,52 +6,52 @@
 
 use ntex::io;
 
-/// A connection and the requests under way on it.
+/// A connection and the number of requests in progress on it.
 #[derive(Debug)]
 struct Connection {
     io: io::IoRef,
-    busy: usize,
+    requests: usize,
 }
 
-type Open = collections::HashMap<io::Id, Connection>;
+type OpenConnections = collections::HashMap<io::Id, Connection>;
 
-/// The connections on which a request came.
+/// The connections on which a request has arrived.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Connections {
-    open: rc::Rc<cell::RefCell<Open>>,
+    open: rc::Rc<cell::RefCell<OpenConnections>>,
 }
 
-/// A request under way on a connection, until it is dropped.
+/// Guard of a request in progress on a connection.
 #[derive(Debug)]
-pub(crate) struct Busy {
+pub(crate) struct RequestGuard {
     id: io::Id,
     connections: Connections,
 }
 
 impl Connections {
-    /// A request came on the connection `io`.
-    pub(crate) fn busy(&self, io: &io::IoRef) -> Busy {
+    /// Records that a request arrived on the connection `io`.
+    pub(crate) fn track_request(&self, io: &io::IoRef) -> RequestGuard {
         let id = io.id();
         let mut open = self.open.borrow_mut();
         open.retain(|_, connection| !connection.io.is_closed());
-        open.entry(id).or_insert_with(|| Connection { io: io.clone(), busy: 0 }).busy += 1;
-        Busy { id, connections: self.clone() }
+        open.entry(id).or_insert_with(|| Connection { io: io.clone(), requests: 0 }).requests += 1;
+        RequestGuard { id, connections: self.clone() }
     }
 
-    /// Closes each connection without a request.
+    /// Closes every connection without a request in progress.
     pub(crate) fn close_idle(&self) {
         for connection in self.open.borrow().values() {
-            if connection.busy == 0 {
+            if connection.requests == 0 {
                 connection.io.close();
             }
         }
     }
 }
 
-impl Drop for Busy {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         if let Some(connection) = self.connections.open.borrow_mut().get_mut(&self.id) {
-            connection.busy -= 1;
+            connection.requests -= 1;
         }
     }
 }
--- a/crates/lagoon-gateway/src/lib.rs
+++ b/crates/lagoon-gateway/src/lib.rs
@@ -1,8 +1,14 @@
-//! An entry host of lagoonline on the users' platform: one process that takes callers' requests,
-//! decides by the library [`lagoonline`] where they go, and speaks to upstreams, to the platform's
+//! Entry host of lagoonline on the users' platform: one process that takes callers' requests,
+//! decides with the library [`lagoonline`] where they go, and talks to upstreams, to the platform's
 //! store and to the other entry hosts.
 //!
-//! The platform's names and formats are in the crate [`lagoon_platform`]; nothing here knows them.
+//! A request of a caller passes through these modules: `server` reads it, `admit` finds its
+//! route and customer, `place` chooses an upstream and reserves memory there, `forward` makes
+//! the attempts and `stream` forwards the events of a streamed answer. A dispatch is one attempt
+//! at one upstream. `mesh` shares dispatches in flight with the other hosts, and `relay` the
+//! platform's tables with the hosts of the same zone.
+//!
+//! The platform's names and formats are confined to the crate [`lagoon_platform`].
 
 mod admit;
 mod answer;
@@ -12,16 +18,17 @@
 mod crash;
 mod event;
 mod exchange;
-mod feed;
 mod forward;
 mod hosts;
-mod link;
+mod in_flight;
 mod logs;
 mod mesh;
+mod message;
 mod metrics;
 mod mirror;
 mod peers;
 mod place;
+mod publish;
 mod quarantine;
 mod question;
 mod relay;
@@ -34,12 +41,11 @@
 mod state;
 mod store;
 mod stream;
-mod told;
-mod underway;
+mod tables;
+mod tcp;
 mod watch;
-mod word;
 
-pub use clock::Boot;
+pub use clock::BootClock;
 pub use logs::start as start_logs;
 pub use server::{Handle, Running, start};
 pub use settings::{Settings, Tuning, load};
--- a/crates/lagoon-gateway/src/quarantine/operator.rs
+++ b/crates/lagoon-gateway/src/quarantine/operator.rs
@@ -1,7 +1,7 @@
-//! What operators ask of the quarantine, at the address of readiness.
+//! Operator calls to list and release quarantined requests, served at the readiness address.
 
 use lagoonline::clock::Clock as _;
-use lagoonline::life::fingerprint;
+use lagoonline::lifecycle::fingerprint;
 use ntex::http;
 use ntex::web;
 use serde_json::json;
@@ -11,11 +11,11 @@
 
 /// Lists the verdicts.
 const LIST: &str = "/quarantine";
-/// Ends the quarantine of the fingerprint that follows.
+/// Prefix of the call that ends the quarantine of a fingerprint, which follows in the path.
 const RELEASE: &str = "/quarantine/release/";
 
-/// Answers a question on the quarantine; `None` if `path` asks something else.
-pub(crate) fn operate(
+/// Handles a quarantine call. Returns `None` if `path` is not one.
+pub(crate) fn handle_operator_call(
     state: &state::State,
     method: &http::Method,
     path: &str,
@@ -29,12 +29,12 @@
 
 fn list(state: &state::State) -> web::HttpResponse {
     let now = state.clock.now();
-    let verdict = |record: &lagoonline::life::quarantine::Record| {
+    let verdict = |record: &lagoonline::lifecycle::quarantine::Record| {
         json!({
             "fingerprint": record.fingerprint.to_string(),
             "crashes": record.crashes,
-            "times": record.times,
-            "left_s": record.until.since(now).as_secs(),
+            "times": record.occurrences,
+            "left_s": record.expires_at.since(now).as_secs(),
             "released": record.released,
         })
     };
--- a/crates/lagoon-gateway/src/quarantine/rows.rs
+++ b/crates/lagoon-gateway/src/quarantine/rows.rs
@@ -1,7 +1,7 @@
-//! Verdicts at the platform, where they outlast a kill of all hosts.
+//! Verdicts stored at the platform, so that they survive a crash of all hosts.
 //!
-//! Each host reads them once, after its start; from then on the others tell it. The first host of
-//! each zone writes those that are not there yet, and removes those that have lapsed.
+//! Each host reads them once after its start and then learns new ones from the other hosts. The
+//! leader of each zone writes those that are missing and removes those that have expired.
 
 use std::collections;
 use std::sync;
@@ -9,7 +9,7 @@
 use lagoon_platform::store;
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
-use lagoonline::life::{fingerprint, quarantine};
+use lagoonline::lifecycle::{fingerprint, quarantine};
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
@@ -19,28 +19,32 @@
 
 /// Table of the verdicts.
 const TABLE: &str = "lagoon-quarantine";
-/// Longest time for a call.
-const CALL: clock::Span = clock::Span::from_millis(1_500);
-/// Pause between two looks for verdicts to write, and after the first call that failed.
-const PAUSE: clock::Span = clock::Span::from_millis(700);
-/// Most calls between two pauses.
-const MOST_CALLS: usize = 10;
+/// Timeout for a call of the store.
+const CALL_TIMEOUT: clock::Span = clock::Span::from_millis(1_500);
+/// Interval between two rounds of writes; doubled with each consecutive failed call.
+const WRITE_INTERVAL: clock::Span = clock::Span::from_millis(700);
+/// Maximum number of writes, and of removals, in one round.
+const MAX_CALLS: usize = 10;
 
-/// A verdict's row; its key is the fingerprint.
+/// The row of a verdict; its key is the fingerprint.
 #[derive(Debug, Deserialize, Serialize)]
 struct Row {
+    /// Version of the verdict; grows with each verdict on the same request.
     version: u32,
+    /// How often the request has been in quarantine.
     times: u32,
+    /// Number of crashes on which the verdict is based.
     crashes: u32,
-    /// Unix time in milliseconds at which it lapses.
+    /// Unix time in milliseconds at which the verdict expires.
     until_ms: u64,
+    /// Whether the quarantine was ended early.
     released: bool,
 }
 
 /// Versions of the verdicts that the platform is known to hold.
 type Stored = collections::BTreeMap<fingerprint::Fingerprint, u32>;
 
-/// Reads the verdicts, then keeps those at the platform up to date.
+/// Reads the stored verdicts, then keeps them up to date.
 pub(crate) async fn run(state: sync::Arc<state::State>) {
     let mut client = client::Client::new(state.settings.node.store);
     let mut stored = Stored::new();
@@ -53,7 +57,7 @@
     failures = 0;
     loop {
         pause(&state, failures).await;
-        if !state::lock(&state.peers).roster.leads(state.clock.now()) {
+        if !state::lock(&state.peers).roster.is_leader(state.clock.now()) {
             continue;
         }
         failures = match write(&state, &mut client, &mut stored).await {
@@ -66,37 +70,39 @@
     }
 }
 
-/// Waits longer after each further failure, up to what a platform that is out bears; drawn from a
-/// range, so that hosts which lost it together do not call it together.
+/// Sleeps longer after each consecutive failure, up to the longest pause that the roster sets for
+/// this host. The pause is randomized so that hosts which lost the platform together do not
+/// call it together.
 async fn pause(state: &state::State, failures: u32) {
-    let longest = state::lock(&state.peers).roster.longest_pause(state.clock.now());
-    let span = PAUSE.saturating_mul(1_u32.checked_shl(failures).unwrap_or(u32::MAX));
-    let span = span.min(longest.max(PAUSE));
+    let max_pause = state::lock(&state.peers).roster.max_retry_pause(state.clock.now());
+    let span = WRITE_INTERVAL.saturating_mul(1_u32.checked_shl(failures).unwrap_or(u32::MAX));
+    let span = span.min(max_pause.max(WRITE_INTERVAL));
     tokio::time::sleep(span.mul_f64(rand::rng().random_range(0.7..1.3))).await;
 }
 
+/// Reads and merges all stored verdicts.
 async fn read(
     state: &state::State,
     client: &mut client::Client,
     stored: &mut Stored,
-) -> Result<(), client::Trouble> {
+) -> Result<(), client::Error> {
     let mut from = String::new();
     loop {
-        let reply = client.call(&store::rows(TABLE, &from), CALL).await?;
+        let reply = client.call(&store::rows(TABLE, &from), CALL_TIMEOUT).await?;
         let store::Reply::Rows(rows) = reply else { return Ok(()) };
         for row in &rows.rows {
-            take(state, row, stored);
+            merge_row(state, row, stored);
         }
         match rows.rows.last() {
-            // The key that follows the last one.
+            // The key right after the last one.
             Some(last) if rows.more => from = format!("{}\0", last.key),
             _ => return Ok(()),
         }
     }
 }
 
-/// Takes in a row; one that cannot be read says nothing of any request.
-fn take(state: &state::State, row: &store::Row, stored: &mut Stored) {
+/// Merges a row; one that cannot be read is logged and ignored.
+fn merge_row(state: &state::State, row: &store::Row, stored: &mut Stored) {
     let Some(value) = &row.value else { return };
     let read = serde_json::from_slice::<Row>(value);
     match (row.key.parse::<fingerprint::Fingerprint>(), read) {
@@ -106,55 +112,56 @@
             let record = quarantine::Record {
                 fingerprint,
                 version: row.version,
-                times: row.times,
+                occurrences: row.times,
                 crashes: row.crashes,
-                until: state.clock.now() + clock::Span::from_millis(left),
+                expires_at: state.clock.now() + clock::Span::from_millis(left),
                 released: row.released,
             };
-            state.merge(record, "platform");
+            state.merge_verdict(record, "platform");
         }
-        (Err(error), _) => unreadable(&row.key, &error.to_string()),
-        (_, Err(error)) => unreadable(&row.key, &error.to_string()),
+        (Err(error), _) => log_unreadable(&row.key, &error.to_string()),
+        (_, Err(error)) => log_unreadable(&row.key, &error.to_string()),
     }
 }
 
-fn unreadable(key: &str, error: &str) {
+fn log_unreadable(key: &str, error: &str) {
     event::Line::new("quarantine_unreadable").text("key", key).text("error", error).warn();
 }
 
+/// Writes new verdicts and removes expired ones, up to [`MAX_CALLS`] of each.
 async fn write(
     state: &state::State,
     client: &mut client::Client,
     stored: &mut Stored,
-) -> Result<(), client::Trouble> {
+) -> Result<(), client::Error> {
     let records = state.verdicts();
     let is_new = |record: &&quarantine::Record| {
         stored.get(&record.fingerprint).is_none_or(|version| *version < record.version)
     };
-    let new: Vec<_> = records.iter().filter(is_new).take(MOST_CALLS).copied().collect();
+    let new: Vec<_> = records.iter().filter(is_new).take(MAX_CALLS).copied().collect();
     for record in new {
         let row = serde_json::json!(row(state, &record)).to_string();
         let call = store::put(TABLE, &record.fingerprint.to_string(), row.as_bytes());
-        // Writing a verdict again is harmless, so a lost answer needs no reading back.
-        client.call(&call, CALL).await?;
+        // Writing a verdict again is harmless, so a lost answer needs no check.
+        client.call(&call, CALL_TIMEOUT).await?;
         stored.insert(record.fingerprint, record.version);
     }
     let known: collections::BTreeSet<_> = records.iter().map(|known| known.fingerprint).collect();
-    let lapsed = stored.keys().filter(|stored| !known.contains(stored));
-    let lapsed: Vec<_> = lapsed.take(MOST_CALLS).copied().collect();
-    for fingerprint in lapsed {
-        client.call(&store::remove(TABLE, &fingerprint.to_string()), CALL).await?;
+    let expired = stored.keys().filter(|stored| !known.contains(stored));
+    let expired: Vec<_> = expired.take(MAX_CALLS).copied().collect();
+    for fingerprint in expired {
+        client.call(&store::remove(TABLE, &fingerprint.to_string()), CALL_TIMEOUT).await?;
         stored.remove(&fingerprint);
     }
     Ok(())
 }
 
 fn row(state: &state::State, record: &quarantine::Record) -> Row {
-    let left = record.until.since(state.clock.now()).as_millis();
+    let left = record.expires_at.since(state.clock.now()).as_millis();
     let left = u64::try_from(left).unwrap_or(u64::MAX);
     Row {
         version: record.version,
-        times: record.times,
+        times: record.occurrences,
         crashes: record.crashes,
         until_ms: state.clock.wall_millis().saturating_add(left),
         released: record.released,
--- a/crates/lagoon-gateway/src/question.rs
+++ b/crates/lagoon-gateway/src/question.rs
@@ -1,149 +1,149 @@
-//! Questions of hosts to the one that schedules for their zone, and its answers: datagrams of prost
-//! messages. One that is lost is made up for by the next host in order, or by the asking host's own
-//! choice.
+//! Messages between a host and its zone's scheduler, sent as prost datagrams. If a datagram is
+//! lost, the host asks the next scheduler in order or places the request itself.
 
 use lagoonline::clock;
 use lagoonline::id;
 use lagoonline::load::placement;
 
-use crate::word;
+use crate::message;
 
-/// Where a request is to go.
+/// Asks where to send one dispatch.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Question {
     /// Number of the dispatch at the asking host.
     #[prost(uint64, tag = "1")]
     pub(crate) number: u64,
-    /// Its service.
+    /// Service of the request.
     #[prost(string, tag = "2")]
     pub(crate) service: String,
-    /// Tokens of the prompt.
+    /// Prompt length in tokens.
     #[prost(uint64, tag = "3")]
     pub(crate) prompt: u64,
-    /// Most tokens of the answer.
+    /// Maximum answer length in tokens.
     #[prost(uint64, tag = "4")]
     pub(crate) answer: u64,
-    /// Milliseconds until its first event would be late.
+    /// Milliseconds until the first event is late.
     #[prost(uint32, tag = "5")]
     pub(crate) target_ms: u32,
-    /// Longest pause between events that is in time, in milliseconds.
+    /// Target for the longest gap between events, in milliseconds.
     #[prost(uint32, tag = "6")]
     pub(crate) gap_ms: u32,
-    /// Milliseconds that it has waited.
+    /// Milliseconds that the request has waited for a place.
     #[prost(uint32, tag = "7")]
     pub(crate) waited_ms: u32,
-    /// Milliseconds until it must be over.
+    /// Milliseconds until the request's deadline.
     #[prost(uint32, tag = "8")]
     pub(crate) left_ms: u32,
-    /// Upstreams that failed it.
+    /// Upstreams on which the request failed before.
     #[prost(string, repeated, tag = "9")]
     pub(crate) avoid: Vec<String>,
-    /// Number by which the asking host names it while it waits.
+    /// Number by which the asking host identifies the request while it waits.
     #[prost(uint64, tag = "10")]
     pub(crate) turn: u64,
 }
 
 impl Question {
-    /// What is asked for the dispatch `number` to `service`, which must be over in `left`.
+    /// Creates the question for the dispatch `number` to `service`, which has `time_left` until its
+    /// deadline.
     pub(crate) fn new(
         number: u64,
         service: &id::Service,
-        demand: &placement::Demand<'_>,
-        left: clock::Span,
+        request: &placement::Request<'_>,
+        time_left: clock::Span,
     ) -> Question {
         Question {
             number,
             service: service.to_string(),
-            prompt: demand.prompt,
-            answer: demand.answer,
-            target_ms: word::millis(demand.target),
-            gap_ms: word::millis(demand.gap),
-            waited_ms: word::millis(demand.waited),
-            left_ms: word::millis(left),
-            avoid: demand.avoid.iter().map(ToString::to_string).collect(),
-            turn: demand.turn.number,
+            prompt: request.prompt_tokens,
+            answer: request.answer_tokens,
+            target_ms: message::millis(request.target),
+            gap_ms: message::millis(request.max_gap),
+            waited_ms: message::millis(request.waited),
+            left_ms: message::millis(time_left),
+            avoid: request.avoid.iter().map(ToString::to_string).collect(),
+            turn: request.waiter.number,
         }
     }
 
-    /// The demand of the life `asking` at a host of the zone `zone`.
-    pub(crate) fn demand<'a>(
+    /// Decodes the placement request of the host incarnation `asking` in `zone`.
+    pub(crate) fn request<'a>(
         &self,
         asking: u64,
         zone: &'a id::Zone,
         avoid: &'a [id::Upstream],
-        draw: u64,
-    ) -> placement::Demand<'a> {
-        placement::Demand {
-            prompt: self.prompt,
-            answer: self.answer,
-            target: word::span(self.target_ms),
-            gap: word::span(self.gap_ms),
-            waited: word::span(self.waited_ms),
-            turn: placement::WorkId { host: asking, number: self.turn },
+        random: u64,
+    ) -> placement::Request<'a> {
+        placement::Request {
+            prompt_tokens: self.prompt,
+            answer_tokens: self.answer,
+            target: message::span(self.target_ms),
+            max_gap: message::span(self.gap_ms),
+            waited: message::span(self.waited_ms),
+            waiter: placement::DispatchId { host: asking, number: self.turn },
             zone,
             avoid,
-            draw,
+            random,
         }
     }
 
-    /// What is under way once it is placed as `placed` at `now`.
-    pub(crate) fn work(
+    /// Returns the record of the dispatch, placed as `placed` at `now`.
+    pub(crate) fn dispatch(
         &self,
-        id: placement::WorkId,
+        id: placement::DispatchId,
         placed: &placement::Placement,
         now: clock::Moment,
-    ) -> placement::Work {
-        let left = word::span(self.left_ms);
-        placement::Work::new(id, placed, self.prompt, word::span(self.gap_ms), now + left)
+    ) -> placement::Dispatch {
+        let left = message::span(self.left_ms);
+        placement::Dispatch::new(id, placed, self.prompt, message::span(self.gap_ms), now + left)
     }
 }
 
-/// The answer to a question.
+/// The scheduler's answer to a question.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Answer {
     /// Number of the dispatch at the asking host.
     #[prost(uint64, tag = "1")]
     pub(crate) number: u64,
-    /// What was decided; absent where the host that was asked does not decide now.
+    /// The decision; absent if the host that was asked does not schedule now.
     #[prost(oneof = "Decision", tags = "2, 3")]
     pub(crate) decision: Option<Decision>,
 }
 
-/// What was decided.
+/// A scheduler's decision.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub(crate) enum Decision {
-    /// Where it goes.
+    /// The request was placed.
     #[prost(message, tag = "2")]
     Placed(Placed),
-    /// It cannot be placed now.
+    /// The request cannot be placed now.
     #[prost(message, tag = "3")]
     Refused(Refused),
 }
 
-/// Where a request goes.
+/// Where a request is sent.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Placed {
-    /// The upstream that gets it.
+    /// Upstream that answers the request.
     #[prost(string, tag = "1")]
     pub(crate) first: String,
-    /// Tokens of memory to reserve on it.
+    /// Tokens of memory to reserve on that upstream.
     #[prost(uint64, tag = "2")]
     pub(crate) reserve: u64,
-    /// The engines that read parts of its prompt.
+    /// Engines that prefill parts of the prompt.
     #[prost(message, repeated, tag = "3")]
     pub(crate) helpers: Vec<Helper>,
-    /// When its first token is expected, in milliseconds.
+    /// Expected time to the first token, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub(crate) expected_ms: u32,
-    /// What was believed of the upstream.
+    /// Estimated load of the upstream when it was chosen, for the log.
     #[prost(message, optional, tag = "5")]
-    pub(crate) belief: Option<Belief>,
+    pub(crate) belief: Option<Estimate>,
 }
 
-/// An engine that reads a part of a prompt.
+/// An engine that prefills a part of a prompt.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Helper {
-    /// The engine.
+    /// Name of the engine.
     #[prost(string, tag = "1")]
     pub(crate) upstream: String,
     /// Tokens of memory to reserve on it.
@@ -151,19 +151,19 @@
     pub(crate) reserve: u64,
 }
 
-/// What was believed of an upstream.
+/// Estimated load of an upstream.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct Belief {
-    /// Milliseconds that it has to read.
+pub(crate) struct Estimate {
+    /// Prefill time of its queue, in milliseconds.
     #[prost(double, tag = "1")]
     pub(crate) reading_ms: f64,
-    /// Answers that it writes.
+    /// Answers that it is decoding.
     #[prost(uint32, tag = "2")]
     pub(crate) writers: u32,
-    /// Places that are taken.
+    /// Slots in use.
     #[prost(uint32, tag = "3")]
     pub(crate) places: u32,
-    /// Milliseconds since something last came of it.
+    /// Milliseconds since the last sign of activity from it.
     #[prost(uint32, tag = "4")]
     pub(crate) heard_ms: u32,
 }
@@ -174,35 +174,35 @@
     /// The reason.
     #[prost(enumeration = "Reason", tag = "1")]
     pub(crate) reason: i32,
-    /// Milliseconds after which engines are expected to have what they lack, where they are full.
+    /// Milliseconds until the shortage is expected to end, for [`Reason::Full`].
     #[prost(uint32, tag = "2")]
     pub(crate) span_ms: u32,
-    /// What they lack, where it should wait or they are full.
+    /// What the engines lack, for [`Reason::Busy`] and [`Reason::Full`].
     #[prost(enumeration = "Shortage", tag = "3")]
     pub(crate) shortage: i32,
 }
 
-/// What engines lack.
+/// The capacity that engines lack.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, prost::Enumeration)]
 #[repr(i32)]
 pub(crate) enum Shortage {
-    /// A place for an answer.
+    /// A free slot.
     Place = 0,
-    /// Memory for a prompt.
+    /// Free memory for the prompt.
     Memory = 1,
-    /// Time to read a prompt.
+    /// Prefill time.
     Reading = 2,
-    /// Pauses that answers under way can bear.
+    /// Slack in the event gaps of running answers, which a prefill would delay.
     Pause = 3,
 }
 
 impl From<placement::Shortage> for Shortage {
     fn from(shortage: placement::Shortage) -> Shortage {
         match shortage {
-            placement::Shortage::Place => Shortage::Place,
+            placement::Shortage::Slot => Shortage::Place,
             placement::Shortage::Memory => Shortage::Memory,
-            placement::Shortage::Reading => Shortage::Reading,
-            placement::Shortage::Pause => Shortage::Pause,
+            placement::Shortage::Prefill => Shortage::Reading,
+            placement::Shortage::Gap => Shortage::Pause,
         }
     }
 }
@@ -210,10 +210,10 @@
 impl From<Shortage> for placement::Shortage {
     fn from(shortage: Shortage) -> placement::Shortage {
         match shortage {
-            Shortage::Place => placement::Shortage::Place,
+            Shortage::Place => placement::Shortage::Slot,
             Shortage::Memory => placement::Shortage::Memory,
-            Shortage::Reading => placement::Shortage::Reading,
-            Shortage::Pause => placement::Shortage::Pause,
+            Shortage::Reading => placement::Shortage::Prefill,
+            Shortage::Pause => placement::Shortage::Gap,
         }
     }
 }
@@ -222,13 +222,13 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, prost::Enumeration)]
 #[repr(i32)]
 pub(crate) enum Reason {
-    /// No upstream may be asked.
+    /// No upstream is available.
     NoUpstream = 0,
     /// The prompt is too long for all engines.
     TooLong = 1,
-    /// It should wait a moment.
+    /// No capacity now; the request should wait.
     Busy = 2,
-    /// It would come too late.
+    /// No capacity in time; the request would be late.
     Full = 3,
 }
 
@@ -242,9 +242,9 @@
         match refusal {
             placement::Refusal::NoUpstream => refused(Reason::NoUpstream),
             placement::Refusal::TooLong => refused(Reason::TooLong),
-            placement::Refusal::Busy(shortage) => lacking(Reason::Busy, shortage),
-            placement::Refusal::Full(shortage, span) => {
-                Refused { span_ms: word::millis(span), ..lacking(Reason::Full, shortage) }
+            placement::Refusal::Deferred(shortage) => lacking(Reason::Busy, shortage),
+            placement::Refusal::Rejected(shortage, span) => {
+                Refused { span_ms: message::millis(span), ..lacking(Reason::Full, shortage) }
             }
         }
     }
@@ -256,8 +256,8 @@
         match refused.reason() {
             Reason::NoUpstream => placement::Refusal::NoUpstream,
             Reason::TooLong => placement::Refusal::TooLong,
-            Reason::Busy => placement::Refusal::Busy(shortage),
-            Reason::Full => placement::Refusal::Full(shortage, word::span(refused.span_ms)),
+            Reason::Busy => placement::Refusal::Deferred(shortage),
+            Reason::Full => placement::Refusal::Rejected(shortage, message::span(refused.span_ms)),
         }
     }
 }
@@ -268,44 +268,45 @@
             upstream: helper.entry.upstream.to_string(),
             reserve: helper.reserve,
         };
-        let belief = &placement.belief;
+        let estimate = &placement.estimate;
         Placed {
-            first: placement.first.upstream.to_string(),
+            first: placement.primary.upstream.to_string(),
             reserve: placement.reserve,
             helpers: placement.helpers.iter().map(helper).collect(),
-            expected_ms: word::millis(placement.expected),
-            belief: Some(Belief {
-                reading_ms: belief.reading_ms,
-                writers: belief.writers,
-                places: u32::try_from(belief.places).unwrap_or(u32::MAX),
-                heard_ms: word::millis(belief.heard),
+            expected_ms: message::millis(placement.expected),
+            belief: Some(Estimate {
+                reading_ms: estimate.prefill_ms,
+                writers: estimate.decoding,
+                places: u32::try_from(estimate.used_slots).unwrap_or(u32::MAX),
+                heard_ms: message::millis(estimate.silence),
             }),
         }
     }
 }
 
 impl Placed {
-    /// The placement, by what `board` knows of the upstreams; `None` where it does not know one or
-    /// knows that one is leaving: the list of the host that decided differs from this host's.
-    pub(crate) fn placement(&self, board: &placement::Board) -> Option<placement::Placement> {
-        let entry = |name: &str| board.entry(name).filter(|entry| !entry.leaving).cloned();
+    /// Resolves the placement against the upstreams on `placer`. Returns `None` if one of them is
+    /// not listed here or is leaving: the scheduler's list of upstreams may differ from this
+    /// host's.
+    pub(crate) fn placement(&self, placer: &placement::Placer) -> Option<placement::Placement> {
+        let entry = |name: &str| placer.entry(name).filter(|entry| !entry.leaving).cloned();
         let helper = |helper: &Helper| {
             let entry = entry(&helper.upstream)?;
             Some(placement::Helper { entry, reserve: helper.reserve })
         };
-        let belief = self.belief.as_ref().map(|belief| placement::Belief {
-            reading_ms: belief.reading_ms,
-            writers: belief.writers,
-            places: belief.places as usize,
-            heard: word::span(belief.heard_ms),
+        let estimate = self.belief.as_ref().map(|estimate| placement::Estimate {
+            prefill_ms: estimate.reading_ms,
+            decoding: estimate.writers,
+            used_slots: estimate.places as usize,
+            silence: message::span(estimate.heard_ms),
         });
         Some(placement::Placement {
-            first: entry(&self.first)?,
+            primary: entry(&self.first)?,
             reserve: self.reserve,
             helpers: self.helpers.iter().map(helper).collect::<Option<_>>()?,
-            expected: word::span(self.expected_ms),
-            belief: belief.unwrap_or_default(),
-            next: None,
+            expected: message::span(self.expected_ms),
+            estimate: estimate.unwrap_or_default(),
+            runner_up: None,
         })
     }
 }
--- a/crates/lagoon-gateway/src/server.rs
+++ b/crates/lagoon-gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! The listening side: callers, readiness and metrics, and the process's end.
+//! The servers for callers, readiness and metrics, and the shutdown of the process.
 
 use std::io;
 use std::net;
@@ -27,22 +27,23 @@
 use crate::state;
 use crate::watch;
 
-/// Time between the balancer's questions is a second, and two misses take a host out; half a
-/// second to spare.
-const UNREADY: clock::Span = clock::Span::from_millis(2_500);
-/// Time before the kill at which no request is waited for any more: [`FLUSH`] and [`STOP`], and as
-/// much again for the process to end.
-const LAST: clock::Span = clock::Span::from_millis(500);
-/// Time for the last answers to leave: two round trips to a caller.
-const FLUSH: clock::Span = clock::Span::from_millis(100);
-/// Longest time for the servers to stop; log lines are written meanwhile.
-const STOP: clock::Span = clock::Span::from_millis(150);
-/// Time between two looks at what lapsed.
-pub(crate) const TICK: clock::Span = clock::Span::from_millis(100);
-/// Longest time for a head to arrive, in seconds; callers are told less, see `routing::Limits`.
+/// Time between reporting not ready and refusing requests. The balancer checks every second and
+/// removes a host after two failed checks; half a second is to spare.
+const UNREADY_TIME: clock::Span = clock::Span::from_millis(2_500);
+/// Time before the kill at which the process stops waiting for requests: [`FLUSH_TIME`] plus
+/// [`STOP_TIMEOUT`], and as much again for the process to exit.
+const EXIT_RESERVE: clock::Span = clock::Span::from_millis(500);
+/// Time for the last answers to be sent: two round trips to a caller.
+const FLUSH_TIME: clock::Span = clock::Span::from_millis(100);
+/// Timeout for the servers to stop; log lines are written meanwhile.
+const STOP_TIMEOUT: clock::Span = clock::Span::from_millis(150);
+/// Interval of the removal of expired state.
+pub(crate) const EXPIRY_INTERVAL: clock::Span = clock::Span::from_millis(100);
+/// Timeout for the head of a request; the limit that callers are told is shorter, see
+/// `routing::Limits`.
 const HEAD_TIMEOUT: ntex::time::Seconds = ntex::time::Seconds(10);
-/// Longest idle time of a caller's connection: longer than callers keep one, so that none is
-/// closed under a request.
+/// Idle timeout of a caller's connection: longer than callers keep one, so that no connection is
+/// closed just as a request is sent.
 const KEEP_ALIVE: ntex::time::Seconds = ntex::time::Seconds(75);
 
 /// A running entry host.
@@ -61,22 +62,22 @@
 }
 
 impl Handle {
-    /// Where callers connect.
+    /// Returns the address at which callers connect.
     pub fn callers(&self) -> net::SocketAddr {
         self.callers
     }
 
-    /// Where readiness and metrics are asked for.
+    /// Returns the address of readiness, metrics and operator calls.
     pub fn ready(&self) -> net::SocketAddr {
         self.ready
     }
 
-    /// Starts the shutdown: unready, then no new requests, then the end.
+    /// Starts the shutdown: reports not ready, then refuses requests, then ends.
     pub fn drain(&self) {
         self.state.advance(state::Phase::Unready);
     }
 
-    /// Tells that settings were checked again, and how that went.
+    /// Logs the result of checking the settings again.
     pub fn reloaded(&self, checked: Result<(), String>) {
         match checked {
             Ok(()) => event::Line::new("reload").text("settings", "good").info(),
@@ -86,12 +87,12 @@
 }
 
 impl Running {
-    /// A handle to control it by.
+    /// Returns a handle to control the host.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Waits for the end.
+    /// Waits until the host has ended.
     ///
     /// # Errors
     ///
@@ -109,105 +110,108 @@
 pub fn start(settings: settings::Settings) -> io::Result<Running> {
     let callers = net::TcpListener::bind(settings.node.callers)?;
     let ready = net::TcpListener::bind(settings.node.ready)?;
-    let words = net::UdpSocket::bind((settings.node.ip, settings.node.ports.0))?;
-    words.set_nonblocking(true)?;
+    let datagrams = net::UdpSocket::bind((settings.node.ip, settings.node.ports.0))?;
+    datagrams.set_nonblocking(true)?;
     let peers = net::TcpListener::bind((settings.node.ip, settings.node.ports.0))?;
-    let (state, said) = state::State::new(settings, words.try_clone()?);
+    let (state, updates) = state::State::new(settings, datagrams.try_clone()?);
     let handle =
         Handle { callers: callers.local_addr()?, ready: ready.local_addr()?, state: state.clone() };
     let work = move || {
         let system = ntex::rt::System::build().name("gateway").build(ntex::rt::DefaultRuntime);
-        system.block_on(serve(state, Sockets { callers, ready, peers, words }, said))
+        system.block_on(serve(state, Sockets { callers, ready, peers, datagrams }, updates))
     };
     let thread = thread::Builder::new().name("gateway".to_owned()).spawn(work)?;
     Ok(Running { handle, thread })
 }
 
-/// What the process listens on.
+/// The sockets of the process.
 #[derive(Debug)]
 struct Sockets {
     callers: net::TcpListener,
     ready: net::TcpListener,
-    /// For other hosts of the zone.
+    /// Relay requests of other hosts of the zone.
     peers: net::TcpListener,
-    words: net::UdpSocket,
+    datagrams: net::UdpSocket,
 }
 
+/// Starts all tasks of the process, and runs until it is drained.
 async fn serve(
     state: sync::Arc<state::State>,
     sockets: Sockets,
-    said: mpsc::Receiver<mesh::Said>,
+    updates: mpsc::Receiver<mesh::QueuedUpdate>,
 ) -> io::Result<()> {
-    let place = &state.settings.node;
+    let node = &state.settings.node;
     event::Line::new("start")
-        .text("host", &place.host)
-        .text("zone", &place.zone)
-        .text("callers", place.callers)
-        .text("store", place.store)
+        .text("host", &node.host)
+        .text("zone", &node.zone)
+        .text("callers", node.callers)
+        .text("store", node.store)
         .info();
-    let callers = listen(state.clone(), sockets.callers, Side::Callers)?;
-    let ready = listen(state.clone(), sockets.ready, Side::Ready)?;
+    let callers = listen(state.clone(), sockets.callers, Role::Callers)?;
+    let ready = listen(state.clone(), sockets.ready, Role::Ready)?;
     drop(ntex::rt::spawn(watch::desired(state.clone())));
     drop(ntex::rt::spawn(watch::upstreams(state.clone())));
     let peers = sockets.peers.local_addr()?;
     relay::serve(state.clone(), sockets.peers)?;
-    let address = sockets.words.local_addr()?;
-    mesh::run(&state, sockets.words, said)?;
+    let address = sockets.datagrams.local_addr()?;
+    mesh::run(&state, sockets.datagrams, updates)?;
     hosts::run(&state, address, peers);
     drop(ntex::rt::spawn(relay::follow(state.clone())));
     drop(ntex::rt::spawn(report::run(state.clone())));
     drop(ntex::rt::spawn(quarantine::run(state.clone())));
-    drop(ntex::rt::spawn(tick(state.clone())));
-    state.reach(state::Phase::Unready).await;
+    drop(ntex::rt::spawn(expire(state.clone())));
+    state.wait_for_phase(state::Phase::Unready).await;
     shut_down(&state).await;
     event::Line::new("stop").info();
-    // A stop waits for requests under way, beyond the grace time if need be; the process ends
-    // without it.
+    // Stopping waits for requests in progress, possibly beyond the grace time, so it has a timeout.
     let stopped = async {
         callers.stop(false).await;
         ready.stop(false).await;
     };
-    drop(tokio::time::timeout(STOP, stopped).await);
+    drop(tokio::time::timeout(STOP_TIMEOUT, stopped).await);
     Ok(())
 }
 
-/// Unready first, so that the balancer stops sending; then no new connections; then the end of the
-/// last request, or of the time that is left.
+/// Shuts down: reports not ready so that the balancer stops sending, then refuses new requests,
+/// then waits for the last request or the end of the grace time.
 async fn shut_down(state: &state::State) {
     let started = state.clock.now();
-    let grace = state.settings.node.bounds.grace.saturating_sub(LAST);
+    let grace = state.settings.node.bounds.grace.saturating_sub(EXIT_RESERVE);
     let mut active = state.watch_active();
     event::Line::new("draining").number("active", *active.borrow()).info();
-    tokio::time::sleep(UNREADY.min(grace / 2)).await;
+    tokio::time::sleep(UNREADY_TIME.min(grace / 2)).await;
     state.advance(state::Phase::Draining);
     let left = grace.saturating_sub(state.clock.now().since(started));
     let ended = tokio::time::timeout(left, active.wait_for(|count| *count == 0)).await.is_ok();
     event::Line::new("drained").number("all_ended", ended).info();
-    // The last answers are still on their way out of the buffers.
-    tokio::time::sleep(FLUSH).await;
+    // The last answers are still in the send buffers.
+    tokio::time::sleep(FLUSH_TIME).await;
 }
 
-async fn tick(state: sync::Arc<state::State>) {
+/// Periodically removes expired state and updates the quarantine and the confirmation age metric.
+async fn expire(state: sync::Arc<state::State>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(EXPIRY_INTERVAL).await;
         state.expire();
-        state.tend_quarantine();
+        state.update_quarantine();
         let age = state.confirmation_age().unwrap_or_default();
         state.metrics.confirmation_age_ms.set(i64::try_from(age.as_millis()).unwrap_or(i64::MAX));
     }
 }
 
-/// Who connects to a listener.
+/// Which server a listener belongs to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Side {
+enum Role {
     Callers,
+    /// Readiness, metrics and operator calls.
     Ready,
 }
 
+/// Starts an HTTP server on `listener`.
 fn listen(
     state: sync::Arc<state::State>,
     listener: net::TcpListener,
-    side: Side,
+    role: Role,
 ) -> io::Result<ntex::server::Server> {
     let limits = routing::Limits::default();
     let config = http::HttpServiceConfig::new()
@@ -223,9 +227,9 @@
         let handler = move |request: web::HttpRequest, payload: web::types::Payload| {
             let (state, connections) = (state.clone(), connections.clone());
             async move {
-                match side {
-                    Side::Callers => caller(&state, &connections, &request, payload).await,
-                    Side::Ready => look(&state, &request),
+                match role {
+                    Role::Callers => handle_caller(&state, &connections, &request, payload).await,
+                    Role::Ready => handle_status(&state, &request),
                 }
             }
         };
@@ -239,15 +243,15 @@
     Ok(server.run())
 }
 
-/// Closes idle connections once no more requests are taken: one that came on them now might not
+/// Closes idle connections once requests are refused: a request that arrived on them now might not
 /// end before the process does.
 async fn close_idle(state: sync::Arc<state::State>, connections: connection::Connections) {
-    state.reach(state::Phase::Draining).await;
+    state.wait_for_phase(state::Phase::Draining).await;
     connections.close_idle();
 }
 
-/// Readiness, as the balancer asks for it, and metrics.
-fn look(state: &state::State, request: &web::HttpRequest) -> web::HttpResponse {
+/// Serves readiness for the balancer, metrics and the quarantine calls.
+fn handle_status(state: &state::State, request: &web::HttpRequest) -> web::HttpResponse {
     if request.path() == "/metrics" {
         return match state.metrics.encode() {
             Ok(text) => web::HttpResponse::Ok().body(text),
@@ -257,7 +261,8 @@
             }
         };
     }
-    if let Some(answer) = quarantine::operate(state, request.method(), request.path()) {
+    if let Some(answer) = quarantine::handle_operator_call(state, request.method(), request.path())
+    {
         return answer;
     }
     if state.is_ready() {
@@ -267,7 +272,8 @@
     }
 }
 
-async fn caller(
+/// Reads a caller's request and answers it.
+async fn handle_caller(
     state: &sync::Arc<state::State>,
     connections: &connection::Connections,
     request: &web::HttpRequest,
@@ -275,19 +281,20 @@
 ) -> web::HttpResponse {
     let arrived = state.clock.now();
     let io = request.io().cloned();
-    let busy = io.as_ref().map(|io| connections.busy(io));
-    let fields = fields(request);
-    let call = head::read_call(fields.iter().map(|(name, value)| (name.as_str(), &value[..])));
-    let id = call.request_id.clone();
+    let busy = io.as_ref().map(|io| connections.track_request(io));
+    let headers = headers(request);
+    let head = head::read_request(headers.iter().map(|(name, value)| (name.as_str(), &value[..])));
+    let id = head.request_id.clone();
     let work = async {
-        let body = whole(payload, most_body(state)).await?;
-        let request = whole_request(request, fields, call, body, arrived);
+        let body = read_body(payload, max_body_bytes(state)).await?;
+        let request = build_request(request, headers, head, body, arrived);
         if state.phase() >= state::Phase::Draining {
             let detail = "this host is shutting down";
             let fault = answer::Fault::not_run(Reason::Draining, Step::Admit, detail);
-            return Err(fault.after(forward::ELSEWHERE));
+            return Err(fault.with_retry_after(forward::RETRY_ELSEWHERE_AFTER));
         }
-        let caller = forward::Caller { io: io.clone(), _busy: busy, _active: state.enter() };
+        let caller =
+            forward::Caller { io: io.clone(), _busy: busy, _active: state.track_request() };
         forward::answer(state, request, caller).await
     };
     let result = match &io {
@@ -303,7 +310,7 @@
     };
     let closing = state.phase() > state::Phase::Serving;
     result.unwrap_or_else(|fault| {
-        state.metrics.answered("", Some(fault.reason));
+        state.metrics.count_answer("", Some(fault.reason));
         event::Line::new("failed")
             .text("request", &id)
             .text("reason", fault.reason.as_str())
@@ -313,27 +320,27 @@
             .number("status", fault.status().as_u16())
             .span("after_ms", state.clock.now().since(arrived))
             .warn();
-        fault.answer(&id, closing)
+        fault.to_response(&id, closing)
     })
 }
 
-/// The headers of a caller's request.
-fn fields(request: &web::HttpRequest) -> Vec<(String, Vec<u8>)> {
+/// Returns the headers of a request.
+fn headers(request: &web::HttpRequest) -> Vec<(String, Vec<u8>)> {
     let headers = request.headers().iter();
     headers.map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec())).collect()
 }
 
-/// Longest body of a request, in bytes.
-fn most_body(state: &state::State) -> usize {
-    let table = state.table();
+/// Returns the maximum size of a request's body, in bytes.
+fn max_body_bytes(state: &state::State) -> usize {
+    let table = state.routing_table();
     table.map_or(routing::Limits::default().body_bytes, |table| table.limits().body_bytes)
 }
 
-/// A caller's request with its whole body, which another attempt may need again.
-fn whole_request(
+/// Builds a request with its complete body, which is kept for further attempts.
+fn build_request(
     request: &web::HttpRequest,
-    fields: Vec<(String, Vec<u8>)>,
-    call: head::Call,
+    headers: Vec<(String, Vec<u8>)>,
+    head: head::Request,
     body: bytes::Bytes,
     arrived: clock::Moment,
 ) -> forward::Request {
@@ -345,13 +352,17 @@
         path: request.uri().path().to_owned(),
         host: host.to_owned(),
         body,
-        call,
+        head,
         arrived,
-        fields,
+        headers,
     }
 }
 
-async fn whole(payload: web::types::Payload, most: usize) -> Result<bytes::Bytes, answer::Fault> {
+/// Reads the body of a request, of at most `limit` bytes.
+async fn read_body(
+    payload: web::types::Payload,
+    limit: usize,
+) -> Result<bytes::Bytes, answer::Fault> {
     use futures_util::StreamExt;
     let mut payload = payload.into_inner();
     let mut body = bytes::BytesMut::new();
@@ -359,8 +370,8 @@
         let chunk = chunk.map_err(|error| {
             answer::Fault::not_run(Reason::Malformed, Step::Read, error.to_string())
         })?;
-        if body.len() + chunk.len() > most {
-            let detail = format!("a body of over {most} bytes");
+        if body.len() + chunk.len() > limit {
+            let detail = format!("a body of over {limit} bytes");
             return Err(answer::Fault::not_run(Reason::TooLong, Step::Read, detail));
         }
         body.extend_from_slice(&chunk);
--- a/crates/lagoon-gateway/tests/logs.rs
+++ b/crates/lagoon-gateway/tests/logs.rs
@@ -1,4 +1,4 @@
-//! What the log says of a request, by which a failure is explained afterwards.
+//! Tests of the log lines by which a failed request is explained afterwards.
 
 #[path = "../../../platform/tests/standin/mod.rs"]
 #[allow(dead_code, reason = "each test program uses a part of it")]
@@ -14,9 +14,9 @@
 use rstest::rstest;
 
 use host::Host;
-use standin::Manner;
+use standin::Behavior;
 
-/// Lines that the process has logged.
+/// Lines that this process has logged.
 static LINES: sync::Mutex<Vec<String>> = sync::Mutex::new(Vec::new());
 
 struct Lines;
@@ -33,7 +33,7 @@
     fn flush(&self) {}
 }
 
-/// Records the lines of this process from now on.
+/// Starts recording the lines of this process.
 fn record() {
     static STARTED: sync::Once = sync::Once::new();
     STARTED.call_once(|| {
@@ -42,7 +42,7 @@
     });
 }
 
-/// Guards against start lines lost behind a line for each of many upstreams.
+/// A log line for each of many upstreams would displace the other lines of the start.
 #[rstest]
 fn the_first_list_of_upstreams_is_one_line() {
     record();
@@ -52,18 +52,18 @@
     assert!(!lines.iter().any(|line| line.contains("\"upstream_listed\"")));
 }
 
-/// Guards against a failure line without the request's id when the caller left before its answer.
+/// The line about a caller that left before its answer must contain the request id.
 #[rstest]
 fn a_caller_that_left_is_logged_by_its_request_id() {
     record();
     let host = Host::start();
-    host.standin.manner("e1", Manner::Hold);
-    host.standin.manner("e2", Manner::Hold);
+    host.standin.behavior("e1", Behavior::Hold);
+    host.standin.behavior("e2", Behavior::Hold);
     let mut stream = net::TcpStream::connect(host.callers).unwrap();
     let head = "POST /talk/a HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: left-early\r\n\
          authorization: Token k1\r\nlagoonline-token-count: 5000,400\r\n\r\n";
     stream.write_all(head.as_bytes()).unwrap();
-    host.until("sent", || !host.standin.seen().is_empty());
+    host.until("sent", || !host.standin.received_requests().is_empty());
     drop(stream);
     let logged = |line: &String| line.contains("caller_left") && line.contains("left-early");
     host.until("logged", || LINES.lock().unwrap().iter().any(logged));
--- a/crates/lagoon-gateway/tests/relay.rs
+++ b/crates/lagoon-gateway/tests/relay.rs
@@ -1,11 +1,11 @@
-//! Several entry hosts of one zone, over sockets: one reads the platform for the others and decides
-//! where their requests go, and each tells it what it has under way.
+//! Tests of several entry hosts of one zone, over sockets: one reads the platform and places
+//! requests for the others, and each reports its dispatches in flight.
 
 #[path = "../../../platform/tests/standin/mod.rs"]
 #[allow(dead_code, reason = "each test program uses a part of it")]
 mod standin;
 
-mod decider;
+mod scheduler;
 
 use std::io::{Read, Write};
 use std::net;
@@ -15,26 +15,27 @@
 use rstest::rstest;
 use serde_json::json;
 
-use standin::{Manner, Standin};
+use standin::{Behavior, Standin};
 
-/// Longest time that a step may take on a busy machine.
-const PATIENCE: time::Duration = time::Duration::from_secs(20);
+/// Maximum time of a step on a busy machine.
+const STEP_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 /// How long one watch of the desired state is held.
 const WATCH: time::Duration = time::Duration::from_millis(300);
-/// Within this after the hosts are back, callers are served.
+/// Time after a restart of all hosts within which callers are served.
 const RECOVERY: time::Duration = time::Duration::from_secs(12);
-/// Bound on keys that were taken away.
+/// Key revocation bound.
 const REVOKE: time::Duration = time::Duration::from_millis(5_000);
 
-/// Silence after which a host is gone.
-const GONE: time::Duration = time::Duration::from_millis(2_000);
+/// Silence after which a host's row is removed.
+const HOST_GONE_TIME: time::Duration = time::Duration::from_millis(2_000);
 
 struct Host {
     running: Option<lagoon_gateway::Running>,
 }
 
 impl Host {
-    /// A host named `name` with a part of a core; the one with the largest part reads.
+    /// Starts the host `name` with a share of `cores`. The host with the largest share reads the
+    /// platform.
     fn start(standin: &Standin, name: &str, cores: f64) -> Host {
         let text = format!(
             "NodeName: {name}\nIp: 127.0.0.1\nZone: a\nListen:\n  Front: \"127.0.0.1:0\"\n  \
@@ -50,7 +51,7 @@
                 desired_wait: WATCH,
                 relay_hosts: 2,
                 hosts_pause: time::Duration::from_millis(20),
-                hosts_gone: GONE,
+                hosts_gone: HOST_GONE_TIME,
                 upstreams_pause: time::Duration::from_millis(20),
                 ..Default::default()
             },
@@ -60,17 +61,17 @@
         host
     }
 
-    /// Status of an answer at the callers' address, or at that of readiness.
+    /// Returns the status of an answer at the callers' or at the readiness address.
     fn status(&self, side: &str, path: &str, key: &str) -> u16 {
         let handle = self.running.as_ref().unwrap().handle();
         status(if side == "ready" { handle.ready() } else { handle.callers() }, path, key)
     }
 
-    fn look(&self, key: &str) -> u16 {
+    fn lookup(&self, key: &str) -> u16 {
         self.status("callers", "/look/1", key)
     }
 
-    fn end(&mut self) {
+    fn drain(&mut self) {
         let running = self.running.take().unwrap();
         running.handle().drain();
         running.wait().unwrap();
@@ -85,15 +86,15 @@
     }
 }
 
-/// Status of the answer to a request.
+/// Returns the status of the answer to a request.
 fn status(address: net::SocketAddr, path: &str, key: &str) -> u16 {
     text(address, path, key).split(' ').nth(1).unwrap().parse().unwrap()
 }
 
-/// The answer to a request.
+/// Returns the answer to a request.
 fn text(address: net::SocketAddr, path: &str, key: &str) -> String {
     let mut stream = net::TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
     let head = format!(
         "GET {path} HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: q1\r\n\
          authorization: Token {key}\r\nconnection: close\r\n\r\n"
@@ -110,7 +111,7 @@
 {
     let began = time::Instant::now();
     while !check() {
-        assert!(began.elapsed() < PATIENCE, "not {what} in time");
+        assert!(began.elapsed() < STEP_TIMEOUT, "not {what} in time");
         thread::sleep(time::Duration::from_millis(10));
     }
 }
@@ -123,8 +124,8 @@
         "Tenants": [{"Name": "c1", "ApiKeys": keys}]})
 }
 
-/// A desired state with one route, whose requests run once at most.
-fn bookings() -> serde_json::Value {
+/// Returns a desired state with one route, whose requests may run only once.
+fn booking_state() -> serde_json::Value {
     let book = json!({"Name": "book", "Host": "x.example", "Prefix": "/book/", "Kind": "unsafe",
         "TimeoutMs": 20_000, "TargetLatencyMs": 200, "Service": "app", "MaxAttempts": 1});
     let mut state = desired(1, &["k1"]);
@@ -132,14 +133,14 @@
     state
 }
 
-/// A platform with one replica, and two hosts of which the first reads for the second.
-fn zone() -> (Standin, Host, Host) {
+/// Starts a platform with one replica, and two hosts of which the first reads for the second.
+fn start_zone() -> (Standin, Host, Host) {
     let standin = Standin::start();
     standin.put("op", "config", &desired(1, &["k1"]));
     standin.upstream("r1", "app", 6);
     let first = Host::start(&standin, "h1", 0.5);
     let second = Host::start(&standin, "h2", 0.1);
-    // Two hosts that each read for themselves would begin about 13 watches in this time.
+    // Two hosts that each read the platform would begin about 13 watches in this time.
     until("read by one host", || {
         let before = standin.watches("op");
         thread::sleep(WATCH * 20 / 3);
@@ -148,77 +149,80 @@
     (standin, first, second)
 }
 
-/// One host reads. A new key and a new replica are told to the other, whose callers are served by
-/// them, and a key that was taken away is refused there.
+/// A host that does not read the platform must get changes from the one that does: a new key and a
+/// new replica are used, and a revoked key is refused.
 #[rstest]
-fn a_host_that_does_not_read_is_told() {
-    let (standin, _first, second) = zone();
-    assert_eq!(second.look("k1"), 200);
+fn a_host_that_does_not_read_gets_changes_relayed() {
+    let (standin, _first, second) = start_zone();
+    assert_eq!(second.lookup("k1"), 200);
     standin.put("op", "config", &desired(2, &["k2"]));
-    until("told of the keys", || second.look("k2") == 200);
-    assert_eq!(second.look("k1"), 401);
+    until("served with the new key", || second.lookup("k2") == 200);
+    assert_eq!(second.lookup("k1"), 401);
     standin.upstream("r2", "app", 6);
     standin.remove("servers", "r1");
     until("served by the new replica", || {
-        assert_eq!(second.look("k2"), 200);
-        standin.seen().last().is_some_and(|seen| seen.upstream == "r2")
+        assert_eq!(second.lookup("k2"), 200);
+        standin.received_requests().last().is_some_and(|request| request.upstream == "r2")
     });
 }
 
-/// The host that reads ends. The other reads for itself at once: its callers with a key are served
-/// all the while, and a change that comes just then is in force within the bound of two seconds.
+/// The host that reads the platform ends. The other must read it at once: its callers are served
+/// all the while, and a change made at that moment is applied within two seconds.
 #[rstest]
-fn the_end_of_the_reader_is_made_up_for() {
-    let (standin, mut first, second) = zone();
-    let ending = thread::spawn(move || first.end());
+fn a_host_takes_over_when_the_reader_ends() {
+    let (standin, mut first, second) = start_zone();
+    let ending = thread::spawn(move || first.drain());
     standin.put("op", "config", &desired(2, &["k1", "k2"]));
     let began = time::Instant::now();
-    until("told of the key", || second.look("k2") == 200);
+    until("served with the new key", || second.lookup("k2") == 200);
     assert!(began.elapsed() < time::Duration::from_secs(2), "after {:?}", began.elapsed());
     while !ending.is_finished() {
-        assert_eq!(second.look("k1"), 200);
+        assert_eq!(second.lookup("k1"), 200);
     }
     ending.join().unwrap();
     standin.put("op", "config", &desired(3, &["k3"]));
-    until("told of the next key", || second.look("k3") == 200);
+    until("served with the next key", || second.lookup("k3") == 200);
 }
 
-/// The platform is out. What one host tells the other grows old with it: neither serves a key
-/// beyond its bound, and both serve it again when the platform is back.
+/// The platform is down. What one host relays to the other ages as well: neither may accept a key
+/// beyond the revocation bound, and both must accept it again after the recovery.
 #[rstest]
-fn told_keys_are_not_trusted_beyond_their_bound() {
-    let (standin, first, second) = zone();
-    standin.set_out(true);
+fn relayed_keys_are_refused_after_the_revocation_bound() {
+    let (standin, first, second) = start_zone();
+    standin.set_down(true);
     let began = time::Instant::now();
     for host in [&second, &first] {
-        until("refused", || host.look("k1") == 503);
+        until("refused", || host.lookup("k1") == 503);
     }
-    let seen = began.elapsed();
-    assert!(seen < REVOKE + time::Duration::from_millis(500), "refused only after {seen:?}");
-    standin.set_out(false);
+    let took = began.elapsed();
+    assert!(took < REVOKE + time::Duration::from_millis(500), "refused only after {took:?}");
+    standin.set_down(false);
     for host in [&second, &first] {
-        until("served", || host.look("k1") == 200);
+        until("served", || host.lookup("k1") == 200);
     }
 }
 
-/// Three bookings are under way at the only replica, sent by one host, when another replica comes
-/// and another host starts. The new host is told of the three: its own first three go to the idle
-/// replica. Not told, it would share them out, and callers would wait behind those it does not know.
+/// Three bookings are in flight at the only replica when a second replica and a second host start.
+/// The new host must learn of the three and send its own first three bookings to the idle replica;
+/// otherwise it would spread them, and callers would queue behind bookings that it does not know.
 #[rstest]
-fn a_new_host_knows_what_is_under_way() {
+fn a_new_host_learns_dispatches_in_flight() {
     let standin = Standin::start();
-    standin.put("op", "config", &bookings());
+    standin.put("op", "config", &booking_state());
     let send = |host: &Host, count: usize| {
-        let before = standin.seen().len();
+        let before = standin.received_requests().len();
         for _ in 0..count {
             let handle = host.running.as_ref().unwrap().handle();
             thread::spawn(move || status(handle.callers(), "/book/1", "k1"));
         }
-        until("sent", || standin.seen().len() == before + count);
-        standin.seen()[before..].iter().map(|seen| seen.upstream.clone()).collect::<Vec<_>>()
+        until("sent", || standin.received_requests().len() == before + count);
+        standin.received_requests()[before..]
+            .iter()
+            .map(|request| request.upstream.clone())
+            .collect::<Vec<_>>()
     };
-    standin.manner("r1", Manner::Hold);
-    standin.manner("r2", Manner::Hold);
+    standin.behavior("r1", Behavior::Hold);
+    standin.behavior("r2", Behavior::Hold);
     standin.upstream("r1", "app", 6);
     let first = Host::start(&standin, "h1", 0.5);
     assert_eq!(send(&first, 3), ["r1", "r1", "r1"]);
@@ -227,8 +231,8 @@
     assert_eq!(send(&second, 3), ["r2", "r2", "r2"]);
 }
 
-/// A zone of two hosts before two replicas that hold what they get: bookings that callers send to
-/// either host.
+/// A zone of two hosts in front of two replicas that do not answer, for bookings sent to either
+/// host.
 struct Bookings {
     standin: Standin,
     hosts: Vec<Host>,
@@ -237,31 +241,34 @@
 impl Bookings {
     fn start() -> Bookings {
         let standin = Standin::start();
-        standin.put("op", "config", &bookings());
+        standin.put("op", "config", &booking_state());
         for name in ["r1", "r2"] {
-            standin.manner(name, Manner::Hold);
+            standin.behavior(name, Behavior::Hold);
             standin.upstream(name, "app", 6);
         }
         let hosts = vec![Host::start(&standin, "h1", 0.5), Host::start(&standin, "h2", 0.1)];
         Bookings { standin, hosts }
     }
 
-    /// Sends a booking to each of `hosts` and tells which replicas got them.
+    /// Sends a booking to each of `hosts` and returns the replicas that got them.
     fn book(&self, hosts: &[usize]) -> Vec<String> {
-        let before = self.standin.seen().len();
+        let before = self.standin.received_requests().len();
         for host in hosts {
             let callers = self.hosts[*host].running.as_ref().unwrap().handle().callers();
             thread::spawn(move || status(callers, "/book/1", "k1"));
         }
-        until("sent", || self.standin.seen().len() == before + hosts.len());
-        self.standin.seen()[before..].iter().map(|seen| seen.upstream.clone()).collect()
+        until("sent", || self.standin.received_requests().len() == before + hosts.len());
+        self.standin.received_requests()[before..]
+            .iter()
+            .map(|request| request.upstream.clone())
+            .collect()
     }
 }
 
-/// Ten callers come to two hosts at the same moment. Each host alone would believe both replicas
-/// idle and send its first bookings where the other does; decided by one host, five go to each.
+/// Ten requests arrive at two hosts at the same time. Two hosts that place requests on their own
+/// would both start with the same idle replica; placed by one scheduler, five go to each replica.
 #[rstest]
-fn one_host_decides_for_its_zone() {
+fn one_host_places_requests_for_its_zone() {
     let zone = Bookings::start();
     let sent = zone.book(&[0, 1, 0, 1, 0, 1, 0, 1, 0, 1]);
     for replica in ["r1", "r2"] {
@@ -269,14 +276,15 @@
     }
 }
 
-/// The host that decides for its zone ends. The other's callers are served all the while: first it
-/// says that it does not decide any more, then it is silent, and the other decides by itself.
+/// The zone's scheduler ends. The other host's callers must be served all the while: first the
+/// scheduler reports that it no longer schedules, then it does not answer, and the other host
+/// places requests itself.
 #[rstest]
-fn the_end_of_the_host_that_decides_is_made_up_for() {
+fn a_host_places_requests_itself_when_the_scheduler_ends() {
     let mut zone = Bookings::start();
     zone.book(&[1, 1]);
     let mut first = zone.hosts.remove(0);
-    let ending = thread::spawn(move || first.end());
+    let ending = thread::spawn(move || first.drain());
     while !ending.is_finished() {
         zone.book(&[0]);
     }
@@ -286,37 +294,38 @@
     assert!(began.elapsed() < time::Duration::from_secs(2), "after {:?}", began.elapsed());
 }
 
-/// A replica closes its connections without an answer, and one host's caller meets that. The other host learns of it from
-/// the host that decides for both: its caller's lookup goes to the sound replica at once.
+/// A replica closes its connections without an answer, and one host observes it. The other host
+/// must learn of it from the zone's scheduler, so that its lookups go to the healthy replica at
+/// once.
 #[rstest]
-fn a_failure_that_one_host_met_spares_the_others() {
-    let (standin, first, second) = zone();
-    standin.manner("r0", Manner::LoseAnswer);
+fn a_failing_upstream_is_avoided_by_other_hosts() {
+    let (standin, first, second) = start_zone();
+    standin.behavior("r0", Behavior::DropAnswer);
     standin.upstream("r0", "app", 6);
-    let missed = |host: &Host| -> u64 {
+    let retries = |host: &Host| -> u64 {
         let ready = host.running.as_ref().unwrap().handle().ready();
         let text = text(ready, "/metrics", "");
         let line = text.lines().find(|line| line.starts_with("lagoon_gateway_repeats_total"));
         line.unwrap().split(' ').nth(1).unwrap().parse().unwrap()
     };
     until("met", || {
-        assert_eq!(second.look("k1"), 200);
-        missed(&second) > 0
+        assert_eq!(second.lookup("k1"), 200);
+        retries(&second) > 0
     });
-    // Words gather for some milliseconds before they are sent.
+    // Updates are collected for some milliseconds before they are sent.
     thread::sleep(time::Duration::from_millis(100));
-    let before = missed(&first);
+    let before = retries(&first);
     for _ in 0..20 {
-        assert_eq!(first.look("k1"), 200);
+        assert_eq!(first.lookup("k1"), 200);
     }
-    assert_eq!(missed(&first), before, "the other host met the failing replica too");
+    assert_eq!(retries(&first), before, "the other host met the failing replica too");
 }
 
-/// Guards against rows of replaced hosts that stay at the platform, and against the loss of a host
-/// that lives and whose row was removed.
+/// The rows of replaced hosts must be removed from the platform, and a running host whose row was
+/// removed must write it again.
 #[rstest]
-fn rows_of_hosts_that_are_gone_are_removed() {
-    let (standin, _first, second) = zone();
+fn rows_of_dead_hosts_are_removed() {
+    let (standin, _first, second) = start_zone();
     let row = |name: &str| standin.row("lagoon-hosts", name);
     let mut gone = row("h2").unwrap();
     gone["address"] = json!("127.0.0.1:9");
@@ -326,32 +335,32 @@
     assert!(row("h1").is_some() && row("h2").is_some(), "a host that lives was removed");
     standin.remove("lagoon-hosts", "h2");
     until("back", || row("h2").is_some());
-    assert_eq!(second.look("k1"), 200);
+    assert_eq!(second.lookup("k1"), 200);
 }
 
-/// Guards against a system that is not served again after all of its hosts were gone at once.
+/// Callers must be served again after all hosts were down at once.
 #[rstest]
-fn callers_are_served_again_after_all_hosts_were_gone() {
-    let (standin, mut first, mut second) = zone();
-    let ending = thread::spawn(move || first.end());
-    second.end();
+fn callers_are_served_after_a_restart_of_all_hosts() {
+    let (standin, mut first, mut second) = start_zone();
+    let ending = thread::spawn(move || first.drain());
+    second.drain();
     ending.join().unwrap();
     standin.put("op", "config", &desired(2, &["k2"]));
     let began = time::Instant::now();
     let hosts = [Host::start(&standin, "h1", 0.5), Host::start(&standin, "h3", 0.1)];
     for host in &hosts {
-        until("served", || host.look("k2") == 200);
-        assert_eq!(host.look("k1"), 401, "an older version is in force again");
+        until("served", || host.lookup("k2") == 200);
+        assert_eq!(host.lookup("k1"), 401, "an older version is in force again");
     }
     assert!(began.elapsed() < RECOVERY, "served after {:?}", began.elapsed());
 }
 
-/// Guards against a request sent to an upstream that the deciding host lists and this host knows to
-/// be leaving, or does not know.
+/// The scheduler may list an upstream that this host knows to be leaving, or does not know. A
+/// placement on it must not be used.
 #[rstest]
 #[case::leaving(true)]
 #[case::unknown(false)]
-fn a_decision_for_an_upstream_that_is_not_listed_here_is_not_used(#[case] known: bool) {
+fn a_placement_on_an_unlisted_upstream_is_not_used(#[case] known: bool) {
     let standin = Standin::start();
     standin.put("op", "config", &desired(1, &["k1"]));
     standin.upstream("r1", "app", 6);
@@ -366,13 +375,13 @@
     } else {
         standin.remove("servers", "r9");
     }
-    // Two looks at the list.
+    // Time for two reads of the list.
     thread::sleep(time::Duration::from_millis(500));
-    let before = standin.seen().len();
-    let decider = decider::Decider::start(&standin, "r9");
+    let before = standin.received_requests().len();
+    let scheduler = scheduler::Scheduler::start(&standin, "r9");
     until("asked", || {
-        assert_eq!(host.look("k1"), 200);
-        decider.asked() > 0
+        assert_eq!(host.lookup("k1"), 200);
+        scheduler.question_count() > 0
     });
-    assert!(standin.seen()[before..].iter().all(|seen| seen.upstream == "r1"));
+    assert!(standin.received_requests()[before..].iter().all(|request| request.upstream == "r1"));
 }
--- a/crates/lagoon-net/src/engine/mod.rs
+++ b/crates/lagoon-net/src/engine/mod.rs
@@ -1,4 +1,5 @@
-//! Adapter for model engines: the one place that knows how they speak (see docs/PROTOCOLS.md).
+//! Client for model engines. This module is the only one that knows their interface, which
+//! docs/PROTOCOLS.md describes.
 
 mod event;
 
@@ -11,50 +12,51 @@
 use ntex::http;
 use ntex::util;
 
-pub use event::{Broken, Event, Events, events};
+pub use event::{Event, Events, StreamError, events};
 
-/// What an engine is asked to generate.
+/// Parameters of an attempt: what the engine is asked to generate.
 #[derive(Clone, Debug)]
-pub struct Order {
-    /// This dispatch.
+pub struct Request {
+    /// Id of this attempt, new for each dispatch.
     pub attempt: id::Attempt,
-    /// Who asks.
+    /// The entry host that sends the request.
     pub owner: id::Owner,
-    /// Zone of the asking entry host.
+    /// Zone of that entry host.
     pub zone: id::Zone,
     /// Time left until the deadline.
-    pub left: clock::Span,
-    /// Higher goes first.
+    pub time_left: clock::Span,
+    /// Priority; higher values are served first.
     pub priority: u8,
-    /// The model.
+    /// The model to use.
     pub model: id::Model,
-    /// Most answer tokens.
-    pub answer_tokens: u64,
-    /// Answer tokens that the caller has already, for a continuation.
-    pub skip: u64,
-    /// Reservations of a group, as its header has them; empty for none.
+    /// Limit on the number of tokens to generate.
+    pub max_answer_tokens: u64,
+    /// Number of answer tokens that the caller already has, for a continuation.
+    pub skip_tokens: u64,
+    /// Value of the `Lagoon-Group` header: the reservations on the engines that hold the prompt
+    /// together, as `ID@ADDRESS` separated by commas. Empty when one engine holds the prompt.
     pub group: String,
     /// The caller's JSON body, shared and not copied.
     pub body: util::Bytes,
 }
 
-/// The engine's word that an attempt did not run and will not.
+/// Reason why the engine refused an attempt, which did not run and will not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Refusal {
-    /// No place now.
+    /// The engine has no free capacity.
     Full,
-    /// It is leaving.
+    /// The engine is leaving.
     Leaving,
-    /// It does not serve the model.
+    /// The engine does not serve the model.
     UnknownModel,
-    /// The prompt does not fit it.
+    /// The prompt does not fit on the engine.
     TooLong,
-    /// The attempt was seen, or cancelled, before.
+    /// The engine has seen or cancelled this attempt before.
     AttemptExists,
 }
 
 impl Refusal {
-    /// The word in the engine's answer, also used in metrics.
+    /// Returns the error code in the engine's response, which is also a metric label.
     pub const fn as_str(self) -> &'static str {
         match self {
             Refusal::Full => "full",
@@ -77,28 +79,28 @@
     }
 }
 
-/// Why no answer began.
+/// Reason why no response started.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Failure {
-    /// No connection came about, so no byte was sent.
+    /// No connection was established, so no byte was sent.
     #[error("no connection: {0}")]
     Unsent(String),
     /// The engine refused the attempt.
     #[error("refused: {}", .0.as_str())]
     Refused(Refusal),
-    /// The engine has no such stream.
+    /// The response is 404 without a known code: the engine has no such stream.
     #[error("no such stream")]
     NoStream,
-    /// Anything else: the attempt may run.
+    /// Any other failure: the attempt may run.
     #[error("lost: {0}")]
     Lost(String),
 }
 
-/// Whether `error` proves that no byte of a request left this host.
+/// Returns whether `error` proves that no byte of a request left this host.
 ///
-/// Failure answered: a broken connection is taken for one that never came about, and a call that
-/// ran is told as not run. Only errors of connecting itself count; ntex also reports a connection
-/// that closed before its answer as `Disconnected(None)`, which does not.
+/// Guards against reporting a call that ran as not run, by mistaking a connection that broke for
+/// one that was never established. Only errors of the connect step itself count; ntex also reports
+/// a connection that closed before its response as `Disconnected(None)`, which does not.
 pub(crate) fn is_unsent(error: &client::error::ClientError) -> bool {
     use client::error::{ClientError, ConnectError};
     let ClientError::Connect(error) = error else { return false };
@@ -120,49 +122,49 @@
     )
 }
 
-/// Milliseconds for a `Lagoon-Deadline-Ms` header.
+/// Converts a time to whole milliseconds, the unit of the engines' headers and bodies.
 pub(crate) fn millis(span: clock::Span) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Longest refusal that is read.
-const REFUSAL_LIMIT: usize = 16 << 10;
+/// Longest refusal that is read, in bytes.
+const MAX_REFUSAL_BYTES: usize = 16 << 10;
 
 /// Starts an attempt on the engine at `address`.
 ///
 /// # Errors
 ///
-/// Why no answer began.
+/// The reason why no response started.
 pub async fn generate(
     client: &client::Client,
     address: net::SocketAddr,
-    order: &Order,
+    parameters: &Request,
 ) -> Result<Events, Failure> {
     let mut request = client
         .post(format!("http://{address}/generate"))
         .header("Content-Type", "application/json")
-        .header("Lagoon-Attempt", order.attempt.to_string())
-        .header("Lagoon-Owner", order.owner.to_string())
-        .header("Lagoon-Zone", order.zone.as_str())
-        .header("Lagoon-Deadline-Ms", millis(order.left))
-        .header("Lagoon-Priority", u64::from(order.priority))
-        .header("Lagoon-Model", order.model.as_str())
-        .header("Lagoon-Answer-Tokens", order.answer_tokens);
-    if order.skip > 0 {
-        request = request.header("Lagoon-Skip-Tokens", order.skip);
+        .header("Lagoon-Attempt", parameters.attempt.to_string())
+        .header("Lagoon-Owner", parameters.owner.to_string())
+        .header("Lagoon-Zone", parameters.zone.as_str())
+        .header("Lagoon-Deadline-Ms", millis(parameters.time_left))
+        .header("Lagoon-Priority", u64::from(parameters.priority))
+        .header("Lagoon-Model", parameters.model.as_str())
+        .header("Lagoon-Answer-Tokens", parameters.max_answer_tokens);
+    if parameters.skip_tokens > 0 {
+        request = request.header("Lagoon-Skip-Tokens", parameters.skip_tokens);
     }
-    if !order.group.is_empty() {
-        request = request.header("Lagoon-Group", order.group.as_str());
+    if !parameters.group.is_empty() {
+        request = request.header("Lagoon-Group", parameters.group.as_str());
     }
-    let answer = request.send_body(order.body.clone()).await;
-    open(answer, order.attempt).await
+    let response = request.send_body(parameters.body.clone()).await;
+    read_head(response, parameters.attempt).await
 }
 
-/// Resumes an attempt's stream from chunk `from`; it is `owner`'s from then on.
+/// Resumes an attempt's stream at chunk `from`. The stream belongs to `owner` from then on.
 ///
 /// # Errors
 ///
-/// Why no answer began.
+/// The reason why no response started.
 pub async fn resume(
     client: &client::Client,
     address: net::SocketAddr,
@@ -172,10 +174,10 @@
 ) -> Result<Events, Failure> {
     let url = format!("http://{address}/streams/{attempt}?from={from}");
     let request = client.get(url).header("Lagoon-Zone", zone.as_str());
-    open(request.header("Lagoon-Owner", owner.to_string()).send().await, attempt).await
+    read_head(request.header("Lagoon-Owner", owner.to_string()).send().await, attempt).await
 }
 
-/// Stops an attempt and frees its memory; true once the engine said so.
+/// Cancels an attempt and frees its memory. Returns whether the engine acknowledged it.
 pub async fn cancel(
     client: &client::Client,
     address: net::SocketAddr,
@@ -183,20 +185,21 @@
     zone: &id::Zone,
 ) -> bool {
     let url = format!("http://{address}/streams/{attempt}/cancel");
-    let answer = client.post(url).header("Lagoon-Zone", zone.as_str()).send().await;
-    answer.is_ok_and(|answer| answer.status() == http::StatusCode::OK)
+    let response = client.post(url).header("Lagoon-Zone", zone.as_str()).send().await;
+    response.is_ok_and(|response| response.status() == http::StatusCode::OK)
 }
 
 /// A reservation of KV memory.
 #[derive(Clone, Debug)]
 pub struct Reservation {
-    /// Its name, new for each.
+    /// Id of the reservation, new for each. It has the type of an attempt's id but names no
+    /// attempt.
     pub id: id::Attempt,
-    /// Who holds it.
+    /// The entry host that holds it.
     pub owner: id::Owner,
-    /// KV tokens.
+    /// Reserved memory, in KV tokens.
     pub tokens: u64,
-    /// When the engine drops it by itself.
+    /// Time after which the engine drops the reservation by itself.
     pub ttl: clock::Span,
 }
 
@@ -204,7 +207,7 @@
 ///
 /// # Errors
 ///
-/// `Refused(Full)` when it has too little, `Lost` when the reservation may stand.
+/// `Refused(Full)` when the engine has too little, `Lost` when the reservation may have been made.
 pub async fn reserve(
     client: &client::Client,
     address: net::SocketAddr,
@@ -220,14 +223,14 @@
     let request = client.post(format!("http://{address}/kv/reserve"));
     let request = request.header("Lagoon-Zone", zone.as_str());
     match request.send_json(&body).await {
-        Ok(answer) if answer.status() == http::StatusCode::OK => Ok(()),
-        Ok(answer) => Err(refusal(&answer).await),
+        Ok(response) if response.status() == http::StatusCode::OK => Ok(()),
+        Ok(response) => Err(read_refusal(&response).await),
         Err(error) if is_unsent(&error) => Err(Failure::Unsent(error.to_string())),
         Err(error) => Err(Failure::Lost(error.to_string())),
     }
 }
 
-/// Frees a reservation; true once the engine said so.
+/// Releases a reservation. Returns whether the engine acknowledged it.
 pub async fn release(
     client: &client::Client,
     address: net::SocketAddr,
@@ -235,8 +238,8 @@
     zone: &id::Zone,
 ) -> bool {
     let url = format!("http://{address}/holdings/{id}/release");
-    let answer = client.post(url).header("Lagoon-Zone", zone.as_str()).send().await;
-    answer.is_ok_and(|answer| answer.status() == http::StatusCode::OK)
+    let response = client.post(url).header("Lagoon-Zone", zone.as_str()).send().await;
+    response.is_ok_and(|response| response.status() == http::StatusCode::OK)
 }
 
 #[derive(serde::Deserialize)]
@@ -244,10 +247,10 @@
     holdings: Vec<engine::Holding>,
 }
 
-/// Longest list of holdings that is read, in bytes: some 8,000 of them.
-const HOLDINGS_LIMIT: usize = 1 << 20;
+/// Longest list of holdings that is read, in bytes: about 8,000 entries.
+const MAX_HOLDINGS_BYTES: usize = 1 << 20;
 
-/// All that the engine at `address` holds; `None` when it does not say.
+/// Returns everything that the engine at `address` holds; `None` when it cannot be read.
 pub async fn holdings(
     client: &client::Client,
     address: net::SocketAddr,
@@ -255,33 +258,34 @@
 ) -> Option<Vec<engine::Holding>> {
     let url = format!("http://{address}/holdings");
     let request = client.get(url).header("Lagoon-Zone", zone.as_str());
-    let answer = request.send().await.ok()?;
-    if answer.status() != http::StatusCode::OK {
+    let response = request.send().await.ok()?;
+    if response.status() != http::StatusCode::OK {
         return None;
     }
-    let body = answer.body().limit(HOLDINGS_LIMIT).await.ok()?;
+    let body = response.body().limit(MAX_HOLDINGS_BYTES).await.ok()?;
     Some(serde_json::from_slice::<Holdings>(&body).ok()?.holdings)
 }
 
-async fn open(
-    answer: Result<client::ClientResponse, client::error::ClientError>,
+/// Checks the head of a streamed response and returns its events.
+async fn read_head(
+    response: Result<client::ClientResponse, client::error::ClientError>,
     attempt: id::Attempt,
 ) -> Result<Events, Failure> {
-    let answer = match answer {
-        Ok(answer) => answer,
+    let response = match response {
+        Ok(response) => response,
         Err(error) if is_unsent(&error) => return Err(Failure::Unsent(error.to_string())),
         Err(error) => return Err(Failure::Lost(error.to_string())),
     };
-    if answer.status() != http::StatusCode::OK {
-        return Err(refusal(&answer).await);
+    if response.status() != http::StatusCode::OK {
+        return Err(read_refusal(&response).await);
     }
-    let echoed = answer.header("Lagoon-Attempt").and_then(|value| value.to_str().ok());
+    let echoed = response.header("Lagoon-Attempt").and_then(|value| value.to_str().ok());
     if echoed.and_then(|text| text.parse().ok()) != Some(attempt) {
         return Err(Failure::Lost("the answer names another attempt".to_owned()));
     }
-    let load = answer.header("Lagoon-Load").and_then(|value| value.to_str().ok());
-    let load = load.and_then(|text| serde_json::from_str::<engine::Load>(text).ok());
-    Ok(Events::new(answer.take_payload(), load))
+    let load = response.header("Lagoon-Load").and_then(|value| value.to_str().ok());
+    let load = load.and_then(|text| serde_json::from_str::<engine::LoadReport>(text).ok());
+    Ok(Events::new(response.take_payload(), load))
 }
 
 #[derive(serde::Deserialize)]
@@ -294,9 +298,10 @@
     code: String,
 }
 
-async fn refusal(answer: &client::ClientResponse) -> Failure {
-    let status = answer.status();
-    let body = answer.body().limit(REFUSAL_LIMIT).await;
+/// Returns the failure that a response with an error status stands for.
+async fn read_refusal(response: &client::ClientResponse) -> Failure {
+    let status = response.status();
+    let body = response.body().limit(MAX_REFUSAL_BYTES).await;
     let code = body.ok().and_then(|body| serde_json::from_slice::<Refused>(&body).ok());
     match code.and_then(|refused| Refusal::parse(&refused.error.code)) {
         Some(refusal) => Failure::Refused(refusal),
--- a/crates/lagoon-net/src/entry/body.rs
+++ b/crates/lagoon-net/src/entry/body.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's body, bounded in size and in silence.
+//! Reading request bodies with limits on their size and on the time between chunks.
 
 use std::cell;
 
@@ -11,7 +11,7 @@
 use super::fault;
 use super::settings;
 
-/// Collects a body into one buffer, which is shared from then on and not copied again.
+/// Reads a body into one buffer, which is then shared and not copied again.
 pub(crate) async fn collect(
     limits: &settings::Limits,
     headers: &http::HeaderMap,
@@ -25,7 +25,7 @@
     loop {
         let next = tokio::time::timeout(limits.body_timeout, payload.recv()).await;
         match next {
-            Err(_) => return Err(slow()),
+            Err(_) => return Err(slow_caller()),
             Ok(None) => return Ok(body.freeze()),
             Ok(Some(Err(error))) => return Err(call::malformed(format!("body: {error}"))),
             Ok(Some(Ok(chunk))) if body.len() + chunk.len() > limits.body_bytes => {
@@ -36,18 +36,18 @@
     }
 }
 
-/// Longest silence of a refused caller while the rest of its body is read away.
-const DISCARD_SILENCE: clock::Span = clock::Span::from_secs(1);
-/// Longest time for which that is done.
-const DISCARD_TIME: clock::Span = clock::Span::from_secs(5);
+/// Longest pause between chunks while the rest of a refused caller's body is discarded.
+const DISCARD_CHUNK_TIMEOUT: clock::Span = clock::Span::from_secs(1);
+/// Longest total time spent on discarding a body.
+const DISCARD_TIMEOUT: clock::Span = clock::Span::from_secs(5);
 
-/// A caller's body that may not have been read yet.
+/// A request body that may not have been read yet.
 ///
-/// Failure answered: a call is refused by its head, as for a wrong key or a drain, while its long
-/// body still arrives. Symptom: this side closes with bytes unread, the kernel resets the
-/// connection, and the caller sees a broken pipe in place of the refusal. [`Unread::discard`]
-/// reads the body away first, bounded in size and time; beyond the bounds the caller is one that
-/// sends more than it may or not at all.
+/// Guards against lost refusals: a call is refused because of its head, as for a wrong key or
+/// during a drain, while its long body is still arriving. If this side closes the connection with
+/// unread bytes, the kernel resets it and the caller sees a broken pipe instead of the refusal.
+/// [`Unread::discard`] reads the body first, with limits on size and time; a caller beyond these
+/// limits sends more than it may or has stopped sending.
 #[derive(Debug)]
 pub(crate) struct Unread(cell::RefCell<Option<http::Payload>>);
 
@@ -56,21 +56,22 @@
         Unread(cell::RefCell::new(Some(payload)))
     }
 
-    /// The body, for its one reader.
+    /// Returns the body to its only reader.
     pub(crate) fn take(&self) -> http::Payload {
         self.0.borrow_mut().take().unwrap_or(http::Payload::None)
     }
 
-    /// Reads away what nobody took, unless it is announced as longer than `most` bytes.
-    pub(crate) async fn discard(&self, headers: &http::HeaderMap, most: usize) {
-        if content_length(headers).is_some_and(|length| length > most as u64) {
+    /// Reads and discards the body if it was not taken, unless its announced length exceeds
+    /// `max_bytes` bytes.
+    pub(crate) async fn discard(&self, headers: &http::HeaderMap, max_bytes: usize) {
+        if content_length(headers).is_some_and(|length| length > max_bytes as u64) {
             return;
         }
         let mut payload = self.take();
         let read = async {
-            let mut left = most;
+            let mut left = max_bytes;
             while let Ok(Some(Ok(chunk))) =
-                tokio::time::timeout(DISCARD_SILENCE, payload.recv()).await
+                tokio::time::timeout(DISCARD_CHUNK_TIMEOUT, payload.recv()).await
             {
                 left = left.saturating_sub(chunk.len());
                 if left == 0 {
@@ -78,11 +79,11 @@
                 }
             }
         };
-        let _timeout = tokio::time::timeout(DISCARD_TIME, read).await;
+        let _timeout = tokio::time::timeout(DISCARD_TIMEOUT, read).await;
     }
 }
 
-/// The length that the caller announced.
+/// Returns the value of the `Content-Length` header.
 pub(crate) fn content_length(headers: &http::HeaderMap) -> Option<u64> {
     headers.get("content-length")?.to_str().ok()?.parse().ok()
 }
@@ -92,6 +93,6 @@
     fault::new(Reason::TooLong, Step::Read, Outcome::NotRun).with_detail(detail)
 }
 
-pub(crate) fn slow() -> fault::Fault {
+pub(crate) fn slow_caller() -> fault::Fault {
     fault::new(Reason::SlowCaller, Step::Read, Outcome::NotRun)
 }
--- a/crates/lagoon-net/src/entry/cancel.rs
+++ b/crates/lagoon-net/src/entry/cancel.rs
@@ -1,10 +1,10 @@
-//! Cancels and releases, repeated until the engine acknowledges them.
+//! Sends cancels and releases, and repeats them until the engine acknowledges them.
 //!
-//! Failure answered: a cancel is lost, or its engine is cut off for a while. Symptom: an attempt
-//! that nobody reads holds a place in the batch and KV memory. A [`Guard`] whose attempt did not
-//! end hands it over when dropped, on every path, a panic's included; the control thread repeats
-//! the cancel at the pace of `lagoonline::life::reap::Cancels`, until the engine acknowledges it or
-//! has dropped the stream by its own expiry.
+//! Guards against leaked engine resources: if a cancel is lost, or its engine is unreachable for a
+//! while, an attempt that nobody reads keeps its slot in the batch and its KV memory. A [`Guard`]
+//! whose attempt did not end submits a cancel when it is dropped, on every path including a panic.
+//! The control thread repeats the cancel at the pace of `lagoonline::lifecycle::reap::CancelQueue`
+//! until the engine acknowledges it or has expired the stream by itself.
 
 use std::cell;
 use std::net;
@@ -14,7 +14,7 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::reap;
+use lagoonline::lifecycle::reap;
 use ntex::client;
 use rand::Rng as _;
 use tokio::sync as async_sync;
@@ -22,41 +22,41 @@
 use super::state;
 use crate::engine;
 
-/// Time between two looks at what is to be repeated.
-const TICK: clock::Span = clock::Span::from_millis(25);
-/// How long an engine may take to acknowledge.
-const PATIENCE: clock::Span = clock::Span::from_secs(2);
-/// Most cancels that are pending; one more is counted and dropped.
-const PENDING_LIMIT: i64 = 100_000;
+/// Interval at which pending cancels are checked for their next send time.
+const CHECK_INTERVAL: clock::Span = clock::Span::from_millis(25);
+/// Time for an engine to acknowledge a cancel.
+const ACK_TIMEOUT: clock::Span = clock::Span::from_secs(2);
+/// Most cancels that may be pending; further ones are counted and dropped.
+const MAX_PENDING: i64 = 100_000;
 
-/// What an engine holds that is to be given back.
+/// Something that an engine holds for this host.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Holding {
-    /// An attempt's stream.
+    /// The stream of an attempt.
     Stream(id::Attempt),
-    /// A reservation of a group.
+    /// A KV memory reservation of a group.
     Reservation(id::Attempt),
 }
 
-/// A holding to be given back.
+/// A holding that is to be released: a stream by a cancel, a reservation by a release.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(crate) struct Pending {
+pub(crate) struct Release {
     address: net::SocketAddr,
     holding: Holding,
 }
 
-pub(crate) type Sender = async_sync::mpsc::UnboundedSender<Pending>;
-pub(crate) type Receiver = async_sync::mpsc::UnboundedReceiver<Pending>;
+pub(crate) type Sender = async_sync::mpsc::UnboundedSender<Release>;
+pub(crate) type Receiver = async_sync::mpsc::UnboundedReceiver<Release>;
 
 pub(crate) fn channel() -> (Sender, Receiver) {
     async_sync::mpsc::unbounded_channel()
 }
 
-/// Gives its holding back when dropped, unless it ended by itself.
+/// Releases its holding when dropped, unless disarmed.
 #[derive(Debug)]
 pub(crate) struct Guard {
     state: sync::Arc<state::State>,
-    pending: Option<Pending>,
+    release: Option<Release>,
 }
 
 impl Guard {
@@ -65,32 +65,32 @@
         address: net::SocketAddr,
         holding: Holding,
     ) -> Guard {
-        Guard { state: state.clone(), pending: Some(Pending { address, holding }) }
+        Guard { state: state.clone(), release: Some(Release { address, holding }) }
     }
 
-    /// The attempt ended by itself, or never began.
+    /// Disarms the guard because the attempt ended by itself or never began.
     pub(crate) fn disarm(&mut self) {
-        self.pending = None;
+        self.release = None;
     }
 }
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        let Some(pending) = self.pending.take() else { return };
+        let Some(release) = self.release.take() else { return };
         let metrics = &self.state.metrics;
-        if metrics.cancels_pending.get() >= PENDING_LIMIT {
-            metrics.cancel("dropped");
+        if metrics.cancels_pending.get() >= MAX_PENDING {
+            metrics.count_cancel("dropped");
             return;
         }
         metrics.cancels_pending.inc();
-        if self.state.cancels.send(pending).is_err() {
+        if self.state.cancels.send(release).is_err() {
             metrics.cancels_pending.dec();
-            metrics.cancel("dropped");
+            metrics.count_cancel("dropped");
         }
     }
 }
 
-type Cancels = rc::Rc<cell::RefCell<reap::Cancels<Pending>>>;
+type Queue = rc::Rc<cell::RefCell<reap::CancelQueue<Release>>>;
 
 /// Sends cancels until the process ends.
 pub(crate) async fn run(
@@ -98,43 +98,48 @@
     client: client::Client,
     mut receiver: Receiver,
 ) {
-    let cancels = Cancels::new(cell::RefCell::new(reap::Cancels::new(reap::Pace::default())));
+    let cancels =
+        Queue::new(cell::RefCell::new(reap::CancelQueue::new(reap::RetryPolicy::default())));
     loop {
         let is_idle = cancels.borrow().is_empty();
         tokio::select! {
             received = receiver.recv() => match received {
-                Some(pending) => cancels.borrow_mut().add(pending, state.clock.now()),
+                Some(release) => cancels.borrow_mut().add(release, state.clock.now()),
                 None => return,
             },
-            () = tokio::time::sleep(TICK), if !is_idle => {}
+            () = tokio::time::sleep(CHECK_INTERVAL), if !is_idle => {}
         }
         let now = state.clock.now();
         let given_up = cancels.borrow_mut().expire(now);
-        (0..given_up).for_each(|_| end(&state, "given_up"));
+        (0..given_up).for_each(|_| finish(&state, "given_up"));
+        // The random factor spreads the repetitions of cancels that failed together.
         let due = cancels.borrow_mut().due(now, rand::rng().random_range(0.5..1.5));
-        for pending in due {
+        for release in due {
             let (state, client, cancels) = (state.clone(), client.clone(), cancels.clone());
-            drop(ntex::rt::spawn(async move { send(&state, &client, &cancels, pending).await }));
+            drop(ntex::rt::spawn(async move { send(&state, &client, &cancels, release).await }));
         }
     }
 }
 
-fn end(state: &state::State, result: &'static str) {
+/// Counts the end of a pending cancel.
+fn finish(state: &state::State, result: &'static str) {
     state.metrics.cancels_pending.dec();
-    state.metrics.cancel(result);
+    state.metrics.count_cancel(result);
 }
 
-async fn send(state: &state::State, client: &client::Client, cancels: &Cancels, pending: Pending) {
-    let (address, zone) = (pending.address, &state.settings.zone);
-    let give_back = async {
-        match pending.holding {
+/// Sends a cancel once and checks for its acknowledgement.
+async fn send(state: &state::State, client: &client::Client, cancels: &Queue, release: Release) {
+    let (address, zone) = (release.address, &state.settings.zone);
+    let work = async {
+        match release.holding {
             Holding::Stream(id) => engine::cancel(client, address, id, zone).await,
             Holding::Reservation(id) => engine::release(client, address, id, zone).await,
         }
     };
-    if tokio::time::timeout(PATIENCE, give_back).await != Ok(true) {
-        state.metrics.cancel("repeated");
-    } else if cancels.borrow_mut().acknowledged(&pending) {
-        end(state, "acknowledged");
+    if tokio::time::timeout(ACK_TIMEOUT, work).await != Ok(true) {
+        // Counts each send without acknowledgement; the queue repeats it until it expires.
+        state.metrics.count_cancel("repeated");
+    } else if cancels.borrow_mut().acknowledge(&release) {
+        finish(state, "acknowledged");
     }
 }
--- a/crates/lagoon-net/src/entry/claims.rs
+++ b/crates/lagoon-net/src/entry/claims.rs
@@ -1,19 +1,19 @@
-//! Keyed calls that may not repeat: the key is claimed before dispatch, the answer stored for
-//! replay.
+//! Service calls with an idempotency key whose method is not idempotent. The key is claimed before
+//! dispatch, and the response is stored for replay.
 //!
-//! Failure answered: a caller loses its answer and asks again, perhaps at another entry host.
-//! Symptom: a filing is made twice. The call goes out only with a ticket of
-//! `lagoonline::life::claim`, and runs in a task of its own: a caller that leaves does not end it,
-//! so the answer is there when it asks again. Storing and freeing go on after the caller has its
-//! answer, and a drain waits for them.
+//! Guards against duplicate execution: a caller that loses its response retries, perhaps at another
+//! entry host, and the call (for example a booking) runs twice. A call is dispatched only with a
+//! ticket of `lagoonline::lifecycle::claim`. It runs in a task of its own, so a caller that
+//! disconnects does not end it and finds the response when it retries. Storing the response and
+//! releasing the key continue after the caller has its response, and a drain waits for them.
 
 use std::rc;
 
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::claim;
-use lagoonline::life::request;
+use lagoonline::lifecycle::claim;
+use lagoonline::lifecycle::request;
 use lagoonline::outcome::{Outcome, Reason, Step};
 use ntex::http;
 use ntex::util;
@@ -23,47 +23,49 @@
 use super::body;
 use super::call;
 use super::fault;
-use super::limit;
+use super::forwarded_body;
+use super::interrupt;
 use super::services;
-use super::source;
 use super::state;
 use super::worker;
 use crate::platform;
 
-/// The claims of one worker thread.
-pub(crate) type Claims = claim::Claims<platform::Client, platform::Client, clock::Host>;
+/// Client that claims idempotency keys; one for each worker thread.
+pub(crate) type Claims = claim::Claims<platform::Client, platform::Client, clock::System>;
 
-/// Tries to store an answer, a second apart: an outage that lasts longer leaves the key as one
-/// that may have run.
+/// Number of tries to store a response, [`RETRY_PAUSE`] apart. After a longer platform outage the
+/// key stays claimed, which means that the call may have run.
 const STORE_TRIES: u32 = 10;
-const PAUSE: clock::Span = clock::Span::from_secs(1);
+const RETRY_PAUSE: clock::Span = clock::Span::from_secs(1);
 
-/// Claims through the platform of the settings, if there is one.
+/// Opens the claims on the configured platform; `None` without a platform.
 pub(crate) async fn open(state: &state::State) -> Option<Claims> {
-    let limits = state.platform.clone()?;
+    let limits = state.platform_limits.clone()?;
     let client = platform::Client::new(limits, state.settings.zone.as_str()).await;
     let owner = state.owner.clone();
     let settings = claim::Settings { owner, ..claim::Settings::default() };
     Some(claim::Claims::new(client.clone(), client, state.clock, settings))
 }
 
-/// A keyed call.
-pub(crate) struct Keyed {
+/// A call with an idempotency key.
+pub(crate) struct KeyedCall {
     pub(crate) worker: rc::Rc<worker::Worker>,
     pub(crate) call: call::Call,
     pub(crate) key: String,
     pub(crate) request: web::HttpRequest,
     pub(crate) service: id::Service,
+    /// Path and query to forward.
     pub(crate) target: String,
     pub(crate) request_id: String,
-    /// Longest answer that is kept, in bytes.
-    pub(crate) max_answer: u64,
-    pub(crate) active: rc::Rc<state::Active>,
+    /// Longest response that is accepted and stored, in bytes.
+    pub(crate) max_answer_bytes: u64,
+    /// Keeps the call counted as in progress while its response is being stored.
+    pub(crate) active: rc::Rc<state::ActiveGuard>,
 }
 
-/// Answers a keyed call.
-pub(crate) async fn answer(
-    keyed: Keyed,
+/// Handles a call with an idempotency key.
+pub(crate) async fn handle(
+    keyed: KeyedCall,
     payload: http::Payload,
 ) -> Result<web::HttpResponse, fault::Fault> {
     let Some(claims) = keyed.worker.claims.clone() else {
@@ -73,14 +75,14 @@
     let (sender, receiver) = async_sync::oneshot::channel();
     drop(ntex::rt::spawn(async move {
         let result = keyed.run(claims, payload).await;
-        // Nobody listens when the caller left; the answer is stored all the same.
-        let _left = sender.send(result);
+        // The receiver is gone when the caller disconnected; the response is stored anyway.
+        let _disconnected = sender.send(result);
     }));
-    let gone = |_| Err(fault::new(Reason::Internal, Step::Claim, Outcome::Unknown));
-    receiver.await.unwrap_or_else(gone)
+    let dropped = |_| Err(fault::new(Reason::Internal, Step::Claim, Outcome::Unknown));
+    receiver.await.unwrap_or_else(dropped)
 }
 
-impl Keyed {
+impl KeyedCall {
     async fn run(
         self,
         claims: Claims,
@@ -88,65 +90,71 @@
     ) -> Result<web::HttpResponse, fault::Fault> {
         let state = self.worker.state.clone();
         let read = body::collect(&state.settings.limits, self.request.headers(), payload);
-        let body = limit::within(&state, self.call.deadline, read).await;
-        let body = body.map_err(|stop| stop.fault(Step::Read, Outcome::NotRun))??;
+        let body = interrupt::within(&state, self.call.deadline, read).await;
+        let body = body.map_err(|interrupt| interrupt.fault(Step::Read, Outcome::NotRun))??;
         match self.begin(&claims, &body).await? {
             claim::Begin::Run(ticket) => self.dispatch(claims, ticket, body).await,
             claim::Begin::Replay(answer) => {
-                state.metrics.claim("replayed");
-                Ok(self.head(answer.status, &answer.content_type).body(answer.body.to_vec()))
+                state.metrics.count_claim("replayed");
+                Ok(self
+                    .response_builder(answer.status, &answer.content_type)
+                    .body(answer.body.to_vec()))
             }
-            // Both are for calls that may repeat.
+            // Both occur only for calls that may be repeated.
             claim::Begin::Unclaimed | claim::Begin::Running(_) => {
                 Err(fault::new(Reason::EarlierUnknown, Step::Claim, Outcome::Unknown))
             }
         }
     }
 
-    fn ask(&self, body: &[u8]) -> claim::Ask {
+    /// Returns the claim to request for this call.
+    fn new_claim_request(&self, body: &[u8]) -> claim::Request {
         let path = format!("/services/{}{}", self.service, self.target);
-        claim::Ask {
+        claim::Request {
             customer: self.call.customer().name.clone(),
             key: self.key.clone(),
-            body: claim::body_hash(self.request.method().as_str(), &path, body),
+            request_hash: claim::request_hash(self.request.method().as_str(), &path, body),
             repeat: request::Repeat::Never,
-            token: call::new_attempt(),
+            token: call::random_id(),
             upstream: id::Upstream::default(),
             deadline: self.call.deadline,
             wall_ms: self.worker.state.clock.wall_millis(),
         }
     }
 
+    /// Claims the key, or finds what is recorded under it.
     async fn begin(&self, claims: &Claims, body: &[u8]) -> Result<claim::Begin, fault::Fault> {
-        let (ask, own) = (self.ask(body), claims.clone());
-        let mut begin = Box::pin(async move { own.begin(ask).await });
+        let (claim_request, own_claims) = (self.new_claim_request(body), claims.clone());
+        let mut begin = Box::pin(async move { own_claims.begin(claim_request).await });
         let state = &self.worker.state;
-        let result = limit::within(state, self.call.deadline, &mut begin).await;
+        let result = interrupt::within(state, self.call.deadline, &mut begin).await;
         let result = match result {
             Ok(result) => result,
-            Err(stop) => {
-                // The claim may still come about: it is freed, since nothing was dispatched.
+            Err(interrupt) => {
+                // The claim may still be written, so it is released afterwards: nothing was
+                // dispatched.
                 let claims = claims.clone();
                 drop(ntex::rt::spawn(async move {
                     match begin.await {
                         Ok(claim::Begin::Run(ticket)) => {
-                            settle(&claims, claims.release(ticket).await).await;
+                            release_abandoned(&claims, claims.release(ticket).await).await;
                         }
                         Ok(_) => {}
-                        Err(refusal) => settle(&claims, refusal.abandoned).await,
+                        Err(refusal) => release_abandoned(&claims, refusal.abandoned).await,
                     }
                 }));
-                return Err(stop.fault(Step::Claim, Outcome::NotRun));
+                return Err(interrupt.fault(Step::Claim, Outcome::NotRun));
             }
         };
         result.map_err(|refusal| {
-            state.metrics.claim("refused");
+            state.metrics.count_claim("refused");
             let (claims, abandoned) = (claims.clone(), refusal.abandoned);
-            drop(ntex::rt::spawn(async move { settle(&claims, abandoned).await }));
+            drop(ntex::rt::spawn(async move { release_abandoned(&claims, abandoned).await }));
             fault::Fault::from(refusal.failure)
         })
     }
 
+    /// Sends the call, and afterwards stores its response, releases the key or marks it as lost.
     async fn dispatch(
         self,
         claims: Claims,
@@ -154,34 +162,36 @@
         body: util::Bytes,
     ) -> Result<web::HttpResponse, fault::Fault> {
         let state = self.worker.state.clone();
-        state.metrics.claim("claimed");
+        state.metrics.count_claim("claimed");
         let sent = match ticket.dispatch(state.clock.now()) {
             Ok(sent) => sent,
             Err(claim::Expired(ticket)) => {
-                self.after(claims, |claims| async move {
-                    settle(&claims, claims.release(*ticket).await).await;
+                self.spawn_tracked(claims, |claims| async move {
+                    release_abandoned(&claims, claims.release(*ticket).await).await;
                 });
                 return Err(fault::new(Reason::DeadlinePassed, Step::Claim, Outcome::NotRun));
             }
         };
         match self.send(body).await {
             Ok(answer) => {
-                let kept = answer.clone();
-                let metrics = state.clone();
-                self.after(claims, |claims| async move {
-                    let stored = store(&claims, sent, kept).await;
-                    metrics.metrics.claim(if stored { "stored" } else { "unstored" });
+                let stored_answer = answer.clone();
+                let shared = state.clone();
+                self.spawn_tracked(claims, |claims| async move {
+                    let stored = store(&claims, sent, stored_answer).await;
+                    shared.metrics.count_claim(if stored { "stored" } else { "unstored" });
                 });
-                Ok(self.head(answer.status, &answer.content_type).body(answer.body.to_vec()))
+                Ok(self
+                    .response_builder(answer.status, &answer.content_type)
+                    .body(answer.body.to_vec()))
             }
             Err(fault) => {
-                let ran = fault.failure.outcome != Outcome::NotRun;
-                state.metrics.claim(if ran { "lost" } else { "released" });
-                self.after(claims, move |claims| async move {
-                    if ran {
-                        claims.lose(sent).await;
+                let may_have_run = fault.failure.outcome != Outcome::NotRun;
+                state.metrics.count_claim(if may_have_run { "lost" } else { "released" });
+                self.spawn_tracked(claims, move |claims| async move {
+                    if may_have_run {
+                        claims.mark_unknown(sent).await;
                     } else {
-                        settle(&claims, claims.release(sent.refused()).await).await;
+                        release_abandoned(&claims, claims.release(sent.refused()).await).await;
                     }
                 });
                 Err(fault)
@@ -189,6 +199,7 @@
         }
     }
 
+    /// Sends the call once and reads the whole response.
     async fn send(&self, body: util::Bytes) -> Result<claim::Answer, fault::Fault> {
         let job = services::Job {
             worker: self.worker.clone(),
@@ -196,37 +207,38 @@
             request: self.request.clone(),
             service: self.service.clone(),
             target: self.target.clone(),
-            body: source::Source::whole(&self.worker.state, body),
+            body: forwarded_body::ForwardedBody::from_bytes(&self.worker.state, body),
         };
-        let held = request::Held::new(request::Repeat::Never);
-        let (answer, answering, slot) = job.send(held).await?;
-        let (status, kind) = (answer.status().as_u16(), answer.header("content-type"));
-        let kind = kind.and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
-        let mut payload = answer.take_payload();
-        let limit = usize::try_from(self.max_answer).unwrap_or(usize::MAX);
-        let work = services::whole(&mut payload, limit);
-        match limit::within(&self.worker.state, self.call.deadline, work).await {
+        let pending = request::Pending::new(request::Repeat::Never);
+        let (response, answering, slot) = job.send(pending).await?;
+        let (status, content_type) = (response.status().as_u16(), response.header("content-type"));
+        let content_type =
+            content_type.and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
+        let mut payload = response.take_payload();
+        let limit = usize::try_from(self.max_answer_bytes).unwrap_or(usize::MAX);
+        let work = services::read_whole(&mut payload, limit);
+        match interrupt::within(&self.worker.state, self.call.deadline, work).await {
             Ok(Some(whole)) => {
-                self.worker.state.metrics.done(&job.subject(), answering.complete());
+                self.worker.state.metrics.count_done(&job.tags(), answering.complete());
                 let body = bytes::Bytes::copy_from_slice(&whole);
-                Ok(claim::Answer { status, content_type: kind, body })
+                Ok(claim::Answer { status, content_type, body })
             }
             Ok(None) => {
                 let outcome = answering.broken().end();
                 let fault = fault::new(Reason::UpstreamFailed, Step::Stream, outcome);
                 Err(fault.at(slot.upstream.as_str()))
             }
-            Err(stop) => Err(stop.fault(Step::Stream, answering.broken().end())),
+            Err(interrupt) => Err(interrupt.fault(Step::Stream, answering.broken().end())),
         }
     }
 
-    fn head(&self, status: u16, kind: &str) -> http::ResponseBuilder {
+    fn response_builder(&self, status: u16, content_type: &str) -> http::ResponseBuilder {
         let status = http::StatusCode::from_u16(status).unwrap_or(http::StatusCode::OK);
         let mut head = web::HttpResponse::build(status);
         head.set_header("X-Request-Id", self.request_id.as_str());
         head.set_header("Lagoon-Outcome", Outcome::Done.as_str());
-        if !kind.is_empty() {
-            head.set_header("Content-Type", kind);
+        if !content_type.is_empty() {
+            head.set_header("Content-Type", content_type);
         }
         if self.worker.state.phase() >= state::Phase::Draining {
             head.force_close();
@@ -234,8 +246,8 @@
         head
     }
 
-    /// Does something that the caller need not wait for, and a drain does.
-    fn after<Work, Done>(&self, claims: Claims, work: Work)
+    /// Runs `work` in the background. The caller does not wait for it, but a drain does.
+    fn spawn_tracked<Work, Done>(&self, claims: Claims, work: Work)
     where
         Work: FnOnce(Claims) -> Done + 'static,
         Done: std::future::Future<Output = ()> + 'static,
@@ -248,7 +260,7 @@
     }
 }
 
-/// Stores an answer; true once it stands.
+/// Stores a response for replay and returns whether it was stored.
 pub(crate) async fn store(claims: &Claims, sent: claim::Sent, answer: claim::Answer) -> bool {
     let (mut sent, mut answer) = (sent, answer);
     for _ in 0..STORE_TRIES {
@@ -256,15 +268,16 @@
             Ok(()) => return true,
             Err(unstored) => (sent, answer) = (unstored.sent, unstored.answer),
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
     false
 }
 
-/// Frees a key whose claim may yet land; a drain need not wait, since retention frees it too.
-async fn settle(claims: &Claims, abandoned: Option<claim::Abandoned>) {
+/// Releases a key whose claim was given up but may still be written. A drain does not wait for
+/// this, because the retention period frees the key as well.
+async fn release_abandoned(claims: &Claims, abandoned: Option<claim::Abandoned>) {
     let Some(abandoned) = abandoned else { return };
     while !claims.settle(&abandoned).await {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
--- a/crates/lagoon-net/src/entry/fault.rs
+++ b/crates/lagoon-net/src/entry/fault.rs
@@ -1,4 +1,4 @@
-//! Failures on their way to a caller, as the error object, its status and its headers.
+//! Errors that are reported to a caller: the error object, HTTP status and headers.
 
 use lagoonline::clock;
 use lagoonline::outcome;
@@ -7,7 +7,7 @@
 use ntex::web;
 use serde_json::json;
 
-/// A failure with words for the caller.
+/// A failure that is reported to a caller, with additional detail.
 #[derive(Clone, Debug)]
 pub(crate) struct Fault {
     pub(crate) failure: outcome::Failure,
@@ -24,10 +24,11 @@
     }
 }
 
-/// When a caller may ask again after a refusal that names no time.
-const USUAL_RETRY: clock::Span = clock::Span::from_secs(1);
+/// `Retry-After` of a refusal that has no retry time of its own.
+const DEFAULT_RETRY_AFTER: clock::Span = clock::Span::from_secs(1);
 
 impl Fault {
+    /// Names the upstream at which the request failed.
     pub(crate) fn at<P>(self, peer: P) -> Fault
     where
         P: Into<String>,
@@ -42,21 +43,21 @@
         Fault { detail: detail.into(), ..self }
     }
 
-    /// The same fault with the outcome that the request's life gives.
+    /// Replaces the outcome by the one that the request's state machine gives.
     pub(crate) fn with_outcome(mut self, outcome: Outcome) -> Fault {
         self.failure.outcome = outcome;
         self
     }
 
-    /// The error object as JSON.
-    pub(crate) fn object(&self) -> String {
+    /// Returns the error object as JSON.
+    pub(crate) fn to_json(&self) -> String {
         let failure = &self.failure;
         let mut message = failure.to_string();
         if !self.detail.is_empty() {
             message = format!("{message}: {}", self.detail);
         }
         let object = json!({"error": {
-            "type": kind(failure.reason),
+            "type": error_type(failure.reason),
             "code": failure.reason.as_str(),
             "message": message,
             "step": failure.step.as_str(),
@@ -66,26 +67,27 @@
         object.to_string()
     }
 
-    /// The whole answer. The connection is closed when `close` says so, or when the rest of the
-    /// caller's body was not read.
-    pub(crate) fn answer(&self, request_id: &str, close: bool) -> web::HttpResponse {
+    /// Builds the error response. The connection is closed if `close` is set, or if the rest of the
+    /// request body was not read.
+    pub(crate) fn response(&self, request_id: &str, close: bool) -> web::HttpResponse {
         let status = http::StatusCode::from_u16(self.failure.reason.status());
         let status = status.unwrap_or(http::StatusCode::INTERNAL_SERVER_ERROR);
-        let mut answer = web::HttpResponse::build(status);
-        answer.set_header("X-Request-Id", request_id);
-        answer.set_header("Lagoon-Outcome", self.failure.outcome.as_str());
+        let mut response = web::HttpResponse::build(status);
+        response.set_header("X-Request-Id", request_id);
+        response.set_header("Lagoon-Outcome", self.failure.outcome.as_str());
         if let Some(span) = self.retry_after() {
-            answer.set_header("Retry-After", whole_seconds(span));
+            response.set_header("Retry-After", whole_seconds(span));
         }
         if close || self.failure.step == Step::Read {
-            answer.force_close();
+            response.force_close();
         }
-        answer.content_type("application/json").body(self.object())
+        response.content_type("application/json").body(self.to_json())
     }
 
+    /// Returns the value of `Retry-After`, which only refusals have by default.
     fn retry_after(&self) -> Option<clock::Span> {
         let refusal = matches!(self.failure.reason.status(), 429 | 503);
-        self.failure.retry_after.or(refusal.then_some(USUAL_RETRY))
+        self.failure.retry_after.or(refusal.then_some(DEFAULT_RETRY_AFTER))
     }
 }
 
@@ -93,8 +95,8 @@
     span.as_millis().div_ceil(1_000).max(1).try_into().unwrap_or(u64::MAX)
 }
 
-/// The `type` that model clients know.
-fn kind(reason: Reason) -> &'static str {
+/// Returns the error `type` of the OpenAI API.
+fn error_type(reason: Reason) -> &'static str {
     match reason {
         Reason::Unauthenticated => "authentication_error",
         Reason::Forbidden => "permission_error",
--- a/crates/lagoon-net/src/entry/source.rs
+++ b/crates/lagoon-net/src/entry/forwarded_body.rs
@@ -1,4 +1,4 @@
-//! The body of a service call on its way from the caller to the service.
+//! Body of a service call, forwarded from the caller to the service.
 
 use std::cell;
 use std::io;
@@ -16,13 +16,13 @@
 use super::fault;
 use super::state;
 
-/// The caller's body: passed on as it comes, and therefore once.
+/// A request body. A streamed body is not buffered and can therefore be sent only once.
 #[derive(Clone)]
-pub(crate) struct Source(rc::Rc<Inner>);
+pub(crate) struct ForwardedBody(rc::Rc<Inner>);
 
 struct Inner {
     payload: cell::RefCell<Option<http::Payload>>,
-    /// The whole body, when it was read before; it can be sent any number of times.
+    /// The whole body if it was read beforehand; it can be sent any number of times.
     whole: Option<util::Bytes>,
     empty: bool,
     length: Option<u64>,
@@ -30,16 +30,17 @@
     state: sync::Arc<state::State>,
 }
 
-impl Source {
+impl ForwardedBody {
+    /// Creates a streamed body. Fails if its announced length exceeds the limit.
     pub(crate) fn new(
         state: &sync::Arc<state::State>,
         headers: &http::HeaderMap,
         payload: http::Payload,
-    ) -> Result<Source, fault::Fault> {
+    ) -> Result<ForwardedBody, fault::Fault> {
         let length = body::content_length(headers);
-        let most = state.settings.limits.service_body_bytes;
-        if length.is_some_and(|length| length > most) {
-            return Err(body::too_long(most));
+        let max_bytes = state.settings.limits.service_body_bytes;
+        if length.is_some_and(|length| length > max_bytes) {
+            return Err(body::too_long(max_bytes));
         }
         let chunked = headers.contains_key("transfer-encoding");
         let inner = Inner {
@@ -50,12 +51,12 @@
             fault: cell::RefCell::default(),
             state: state.clone(),
         };
-        Ok(Source(rc::Rc::new(inner)))
+        Ok(ForwardedBody(rc::Rc::new(inner)))
     }
 
-    /// A body that was read before.
-    pub(crate) fn whole(state: &sync::Arc<state::State>, body: util::Bytes) -> Source {
-        Source(rc::Rc::new(Inner {
+    /// Creates a body from bytes that were read beforehand.
+    pub(crate) fn from_bytes(state: &sync::Arc<state::State>, body: util::Bytes) -> ForwardedBody {
+        ForwardedBody(rc::Rc::new(Inner {
             payload: cell::RefCell::default(),
             empty: body.is_empty(),
             length: Some(body.len() as u64),
@@ -65,32 +66,35 @@
         }))
     }
 
-    /// Whether a further dispatch would send the same body.
-    pub(crate) fn is_untouched(&self) -> bool {
+    /// Returns whether another dispatch would send the same body: it is empty, was read beforehand,
+    /// or no dispatch has read from the stream yet.
+    pub(crate) fn can_resend(&self) -> bool {
         self.0.empty || self.0.whole.is_some() || self.0.payload.borrow().is_some()
     }
 
-    /// What the caller did wrong while its body was passed on.
+    /// Returns the caller's error that ended the body early, if any.
     pub(crate) fn fault(&self) -> Option<fault::Fault> {
         self.0.fault.borrow().clone()
     }
 
-    pub(crate) fn open(&self) -> http_body::Body {
+    /// Returns the body for one dispatch. A streamed body is consumed by the first dispatch that
+    /// reads from it.
+    pub(crate) fn to_http(&self) -> http_body::Body {
         if self.0.empty {
             return http_body::Body::None;
         }
         if let Some(whole) = &self.0.whole {
             return http_body::Body::from(whole.clone());
         }
-        let source = self.clone();
-        let stream = stream::unfold((source, None, 0), |(source, payload, passed)| async move {
+        let body = self.clone();
+        let stream = stream::unfold((body, None, 0), |(body, payload, forwarded)| async move {
             let mut payload = match payload {
                 Some(payload) => payload,
-                None => source.0.payload.borrow_mut().take()?,
+                None => body.0.payload.borrow_mut().take()?,
             };
-            let item = source.read(&mut payload, passed).await?;
-            let passed = passed + item.as_ref().map_or(0, |chunk| chunk.len() as u64);
-            Some((item, (source, Some(payload), passed)))
+            let item = body.read(&mut payload, forwarded).await?;
+            let forwarded = forwarded + item.as_ref().map_or(0, |chunk| chunk.len() as u64);
+            Some((item, (body, Some(payload), forwarded)))
         });
         let stream = Box::pin(stream.fuse());
         match self.0.length {
@@ -99,22 +103,23 @@
         }
     }
 
+    /// Reads the next chunk. A fault of the caller is stored and ends the body with an error.
     async fn read(
         &self,
         payload: &mut http::Payload,
-        passed: u64,
+        forwarded: u64,
     ) -> Option<Result<util::Bytes, rc::Rc<dyn std::error::Error>>> {
         let limits = &self.0.state.settings.limits;
         let fault = match tokio::time::timeout(limits.body_timeout, payload.recv()).await {
             Ok(None) => return None,
             Ok(Some(Ok(chunk))) => {
-                if passed + chunk.len() as u64 <= limits.service_body_bytes {
+                if forwarded + chunk.len() as u64 <= limits.service_body_bytes {
                     return Some(Ok(chunk));
                 }
                 body::too_long(limits.service_body_bytes)
             }
             Ok(Some(Err(error))) => call::malformed(format!("body: {error}")),
-            Err(_) => body::slow(),
+            Err(_) => body::slow_caller(),
         };
         let error = io::Error::other(fault.failure.to_string());
         self.0.fault.replace(Some(fault));
--- a/crates/lagoon-net/src/entry/link/mod.rs
+++ b/crates/lagoon-net/src/entry/link/mod.rs
@@ -1,6 +1,7 @@
-//! What the data path says to its steward and hears from it.
+//! Exchanges load, rate limit usage and leaving marks between the data path and its steward.
 //!
-//! Nothing here is on a request's path: loads and spending are gathered and sent by a timer.
+//! A leaving mark says whether an incarnation of an upstream is leaving and gets no new work.
+//! Requests never wait for this link: loads and usage are collected and sent by a timer.
 
 use std::collections;
 use std::sync;
@@ -9,7 +10,7 @@
 use lagoonline::clock;
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::leaving;
+use lagoonline::lifecycle::leaving;
 use lagoonline::load::limit;
 use lagoonline::port::engine;
 
@@ -18,28 +19,33 @@
 use crate::link;
 use crate::wire;
 
-/// Time between two looks at what there is to say.
-const TICK: clock::Span = clock::Span::from_millis(250);
-/// Ticks after which a host that let nothing in says so, for others to know that it can be heard.
-const QUIET_TICKS: u64 = 4;
+/// Interval of the reports to the steward.
+const REPORT_INTERVAL: clock::Span = clock::Span::from_millis(250);
+/// Ticks between usage reports of a host that admits no requests. Other hosts learn from them that
+/// this host can be reached.
+const IDLE_REPORT_TICKS: u64 = 4;
 
-/// The data path's end of the link.
+/// The data path's side of the link.
 #[derive(Debug, Default)]
 pub(crate) struct Link {
     handle: Option<link::Handle>,
+    /// Whether the steward has confirmed that the sections are the newest available; never reset.
     complete: atomic::AtomicBool,
-    seen: sync::Mutex<Seen>,
+    observed: sync::Mutex<Observed>,
     marks: sync::Mutex<leaving::Marks>,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
-    loads: collections::HashMap<id::Upstream, engine::Load>,
+struct Observed {
+    /// Loads since the last report.
+    loads: collections::HashMap<id::Upstream, engine::LoadReport>,
+    /// Last known incarnation of each upstream.
     incarnations: collections::HashMap<id::Upstream, u64>,
 }
 
 impl Link {
-    /// A link to the steward of the settings; without one it says and hears nothing.
+    /// Opens the link to the configured steward. Without a steward the link sends and receives
+    /// nothing.
     pub(crate) fn open(
         settings: &settings::Settings,
         incarnation: id::Incarnation,
@@ -58,52 +64,59 @@
         (Link { handle: Some(handle), ..Link::default() }, Some(task))
     }
 
-    /// Whether the sections in force are the highest versions in reach.
+    /// Returns whether the steward has confirmed that the sections in force are the newest ones
+    /// available.
     pub(crate) fn is_complete(&self) -> bool {
         self.complete.load(atomic::Ordering::Acquire)
     }
 
-    /// Time since the steward was heard of; `None` without a steward.
+    /// Returns the time since the last message of the steward; `None` without a steward or before
+    /// its first message.
     pub(crate) fn view_age(&self) -> Option<clock::Span> {
         self.handle.as_ref()?.view_age()
     }
 
-    fn seen(&self) -> sync::MutexGuard<'_, Seen> {
-        self.seen.lock().unwrap_or_else(sync::PoisonError::into_inner)
+    fn observed(&self) -> sync::MutexGuard<'_, Observed> {
+        self.observed.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// A load that came with an answer, to be passed on.
-    pub(crate) fn saw_load(&self, upstream: &id::Upstream, load: &engine::Load) {
+    /// Records a load that came with a response, for the next report.
+    pub(crate) fn record_load(&self, upstream: &id::Upstream, load: &engine::LoadReport) {
         if self.handle.is_none() {
             return;
         }
-        let mut seen = self.seen();
-        seen.incarnations.insert(upstream.clone(), load.incarnation);
-        seen.loads.insert(upstream.clone(), *load);
+        let mut observed = self.observed();
+        observed.incarnations.insert(upstream.clone(), load.incarnation);
+        observed.loads.insert(upstream.clone(), *load);
     }
 
-    /// An upstream refused work because it leaves; told at once, so that others stop too.
-    pub(crate) fn saw_leaving(&self, upstream: &id::Upstream) {
-        let seen = self.seen().incarnations.get(upstream).copied();
-        let incarnation = self.refused(upstream, seen.map(id::Incarnation)).0;
+    /// Reports an upstream that refused work because it is leaving. This is sent at once, so that
+    /// other hosts stop using it too.
+    pub(crate) fn report_leaving(&self, upstream: &id::Upstream) {
+        let observed = self.observed().incarnations.get(upstream).copied();
+        let incarnation = self.record_refusal(upstream, observed.map(id::Incarnation)).0;
         let Some(handle) = &self.handle else { return };
         handle.mark(wire::Mark { upstream: upstream.to_string(), incarnation, leaving: true });
     }
 
-    /// Records a refusal; returns the life that it is taken to speak of, 0 when none is known.
-    fn refused(&self, upstream: &id::Upstream, seen: Option<id::Incarnation>) -> id::Incarnation {
+    /// Records a refusal. Returns the incarnation that it applies to, 0 when none is known.
+    fn record_refusal(
+        &self,
+        upstream: &id::Upstream,
+        observed: Option<id::Incarnation>,
+    ) -> id::Incarnation {
         let mut marks = self.marks();
-        if let Some(incarnation) = seen {
+        if let Some(incarnation) = observed {
             marks.merge(upstream, leaving::Mark { incarnation, leaving: false });
         }
-        marks.refused(upstream);
+        marks.record_refusal(upstream);
         marks.mark(upstream).unwrap_or_default().incarnation
     }
 
-    /// Whether the upstream leaves, if a sign changed that.
+    /// Merges a mark. Returns whether the upstream is leaving, or `None` if nothing changed.
     ///
-    /// Failure answered: a steward that did not take in this host's refusal, as after a restart,
-    /// says that the upstream is live. Symptom: a leaving upstream gets new work again.
+    /// Guards against a steward that did not record this host's refusal, for example after a
+    /// restart, and reports the upstream as live: a leaving upstream would get new work again.
     fn merge(&self, upstream: &id::Upstream, mark: leaving::Mark) -> Option<bool> {
         let mut marks = self.marks();
         marks.merge(upstream, mark)?;
@@ -114,9 +127,11 @@
         self.marks.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
+    /// Sends the loads recorded since the last report.
     fn flush_loads(&self, handle: &link::Handle) {
-        let loads = std::mem::take(&mut self.seen().loads);
+        let loads = std::mem::take(&mut self.observed().loads);
         if !loads.is_empty() {
+            // The age of 0 ignores the wait for this report, which is at most one interval.
             handle.loads(loads.iter().map(|(name, load)| wire::load(name, load, 0)).collect());
         }
     }
@@ -136,45 +151,47 @@
             in_force: state.view().fleet.versions.clone(),
         });
         state.link.flush_loads(&handle);
-        let spends = state.limits().report();
-        if !spends.is_empty() || ticks % QUIET_TICKS == 0 {
+        let spends = state.rate_limits().take_report();
+        if !spends.is_empty() || ticks % IDLE_REPORT_TICKS == 0 {
             sequence += 1;
             handle.spending(spending(&state, &spends, sequence));
         }
         ticks += 1;
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
     }
 }
 
-fn spending(state: &state::State, spends: &[limit::Spend], sequence: u64) -> wire::Spending {
-    let line = |spend: &limit::Spend| wire::Spend {
+/// Builds the report of the requests and tokens that were admitted since the last one.
+fn spending(state: &state::State, spends: &[limit::Usage], sequence: u64) -> wire::Spending {
+    let line = |spend: &limit::Usage| wire::Spend {
         customer: spend.customer.to_string(),
         requests: spend.requests,
         tokens: spend.tokens,
     };
     wire::Spending {
         host: state.settings.host.to_string(),
-        span_ms: u64::try_from(TICK.as_millis()).unwrap_or(u64::MAX),
+        span_ms: u64::try_from(REPORT_INTERVAL.as_millis()).unwrap_or(u64::MAX),
         lines: spends.iter().map(line).collect(),
         sequence,
     }
 }
 
+/// Merges a mark and applies the change to the queues and replicas.
 fn mark(state: &state::State, upstream: &id::Upstream, mark: leaving::Mark) {
     if let Some(leaving) = state.link.merge(upstream, mark) {
         state.set_leaving(upstream, leaving);
     }
 }
 
-/// Takes the steward's updates into the shared state.
+/// Applies the steward's updates to the shared state.
 pub(crate) struct Sink(pub(crate) sync::Arc<state::State>);
 
 impl link::Sink for Sink {
-    fn take(&mut self, update: link::Update) {
+    fn apply(&mut self, update: link::Update) {
         let state = &self.0;
         match update {
             link::Update::Fleet { fleet, complete } => {
-                state.put(fleet);
+                state.install_fleet(fleet);
                 state.link.complete.fetch_or(complete, atomic::Ordering::AcqRel);
             }
             link::Update::Loads(loads) => {
@@ -182,10 +199,10 @@
                 for load in &loads {
                     let upstream = id::Upstream::from(load.upstream.as_str());
                     let load = wire::engine_load(load);
-                    view.desks.values().for_each(|desk| desk.observe(&upstream, &load));
+                    view.queues.values().for_each(|queue| queue.observe(&upstream, &load));
                     let incarnation = id::Incarnation(load.incarnation);
                     mark(state, &upstream, leaving::Mark { incarnation, leaving: false });
-                    state.link.seen().incarnations.insert(upstream, load.incarnation);
+                    state.link.observed().incarnations.insert(upstream, load.incarnation);
                 }
             }
             link::Update::Marks(marks) => {
@@ -197,13 +214,13 @@
             }
             link::Update::Drain => state.advance(state::Phase::Unready),
             link::Update::Spending(spending) => {
-                let spend = |line: &wire::Spend| limit::Spend {
+                let spend = |line: &wire::Spend| limit::Usage {
                     customer: id::Customer::from(line.customer.as_str()),
                     requests: line.requests,
                     tokens: line.tokens,
                 };
                 let spends: Vec<_> = spending.lines.iter().map(spend).collect();
-                state.limits().heard(state.clock.now(), &spends);
+                state.rate_limits().apply_report(state.clock.now(), &spends);
             }
         }
     }
--- a/crates/lagoon-net/src/entry/metrics.rs
+++ b/crates/lagoon-net/src/entry/metrics.rs
@@ -1,7 +1,7 @@
 //! Metrics of an entry host; docs/METRICS.md lists them.
 //!
-//! Label sets are bounded: models and zones come from the document, customers have a fixed cap
-//! and an `other` line, and no histogram has a customer label.
+//! The number of label sets is bounded: models and zones come from the document, customers beyond a
+//! fixed number share the label `other`, and no histogram has a customer label.
 
 use std::collections;
 use std::fmt;
@@ -22,21 +22,23 @@
 use prometheus_client::metrics::histogram;
 use prometheus_client::registry;
 
-/// Customers with a line of their own in each counter.
-const CUSTOMER_LINES: usize = 20;
-/// Upper bounds of histogram buckets, in seconds: 10 ms to 10 minutes.
-const BOUNDS: [f64; 18] = [
+/// Number of customers that get a label value of their own.
+const MAX_CUSTOMER_LABELS: usize = 20;
+/// Upper bounds of latency buckets, in seconds: 10 ms to 10 minutes.
+const LATENCY_BOUNDS: [f64; 18] = [
     0.01, 0.02, 0.035, 0.058, 0.1, 0.2, 0.35, 0.49, 0.75, 1.0, 2.0, 5.0, 10.0, 20.0, 60.0, 120.0,
     300.0, 600.0,
 ];
 
-/// Upper bounds of the slowdown's buckets.
-const RATIOS: [f64; 12] = [1.05, 1.1, 1.2, 1.3, 1.5, 2.0, 3.0, 5.0, 8.0, 15.0, 30.0, 100.0];
+/// Upper bounds of the slowdown buckets.
+const SLOWDOWN_BOUNDS: [f64; 12] =
+    [1.05, 1.1, 1.2, 1.3, 1.5, 2.0, 3.0, 5.0, 8.0, 15.0, 30.0, 100.0];
 
 fn new_histogram() -> histogram::Histogram {
-    histogram::Histogram::new(BOUNDS)
+    histogram::Histogram::new(LATENCY_BOUNDS)
 }
 
+/// Labels of ended requests.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct RequestLabels {
     kind: &'static str,
@@ -45,6 +47,7 @@
     reason: &'static str,
 }
 
+/// Labels of the time to the first token.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct FirstLabels {
     class: &'static str,
@@ -52,17 +55,20 @@
     zone: String,
 }
 
+/// Labels of the time to the end of a response.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct CompletionLabels {
     class: &'static str,
     model: String,
 }
 
+/// Label of metrics by model.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct ModelLabels {
     model: String,
 }
 
+/// Labels of a customer's ended requests; beyond the limit the customer is `other`.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct CustomerLabels {
     customer: String,
@@ -70,32 +76,34 @@
     reason: &'static str,
 }
 
-/// Whose request, and for what: the labels that it is counted under when it ends.
+/// What a request is counted by when it ends.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Subject {
+pub(crate) struct Tags {
     kind: &'static str,
-    /// The model or service, empty while it is not known to exist.
+    /// Name of the model or service; empty until it is known to exist.
     name: String,
     customer: Option<id::Customer>,
 }
 
-impl Subject {
-    /// A request of which no more is known than its path.
-    pub(crate) fn new(kind: &'static str) -> Subject {
-        Subject { kind, ..Subject::default() }
+impl Tags {
+    /// Tags of a request of which only the path is known.
+    pub(crate) fn new(kind: &'static str) -> Tags {
+        Tags { kind, ..Tags::default() }
     }
 
-    /// A request for a model or service that exists, of a known customer.
-    pub(crate) fn of(kind: &'static str, name: &str, customer: &id::Customer) -> Subject {
-        Subject { kind, name: name.to_owned(), customer: Some(customer.clone()) }
+    /// Tags of a request for an existing model or service from a known customer.
+    pub(crate) fn of(kind: &'static str, name: &str, customer: &id::Customer) -> Tags {
+        Tags { kind, name: name.to_owned(), customer: Some(customer.clone()) }
     }
 }
 
+/// Label of metrics by team.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct TeamLabels {
     team: String,
 }
 
+/// Label of counters by cause or by result.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct CauseLabels {
     cause: &'static str,
@@ -104,13 +112,13 @@
 type Counters<L> = family::Family<L, counter::Counter>;
 type Histograms<L> = family::Family<L, histogram::Histogram, fn() -> histogram::Histogram>;
 
-fn start(family: &Counters<CauseLabels>, causes: &[&'static str]) {
+fn create_counters(family: &Counters<CauseLabels>, causes: &[&'static str]) {
     for &cause in causes {
         drop(family.get_or_create(&CauseLabels { cause }));
     }
 }
 
-/// All metrics, cheap to share.
+/// All metrics of an entry host.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: registry::Registry,
@@ -129,7 +137,8 @@
     section_version: family::Family<TeamLabels, gauge::Gauge>,
     pub(crate) view_age: gauge::Gauge<f64, atomic::AtomicU64>,
     customers: Counters<CustomerLabels>,
-    customer_lines: sync::Mutex<collections::HashSet<id::Customer>>,
+    /// Customers that have a label value of their own.
+    labelled_customers: sync::Mutex<collections::HashSet<id::Customer>>,
     tokens: Counters<ModelLabels>,
     prompt_tokens: Counters<ModelLabels>,
     cached_tokens: Counters<ModelLabels>,
@@ -137,11 +146,12 @@
     between_tokens: Histograms<ModelLabels>,
     completion: Histograms<CompletionLabels>,
     short_slowdown: Histograms<ModelLabels>,
-    baseline: sync::Mutex<slowdown::Baseline>,
+    /// Learned minimum overhead of a first token beyond its prefill time.
+    baseline: sync::Mutex<slowdown::Overhead>,
 }
 
 impl Metrics {
-    /// Metrics of an entry host in `zone`.
+    /// Creates and registers the metrics of an entry host in `zone`.
     pub(crate) fn new(zone: &id::Zone) -> Self {
         let histograms = new_histogram as fn() -> histogram::Histogram;
         let mut metrics = Metrics {
@@ -161,7 +171,7 @@
             section_version: family::Family::default(),
             view_age: gauge::Gauge::default(),
             customers: family::Family::default(),
-            customer_lines: sync::Mutex::default(),
+            labelled_customers: sync::Mutex::default(),
             tokens: family::Family::default(),
             prompt_tokens: family::Family::default(),
             cached_tokens: family::Family::default(),
@@ -169,16 +179,17 @@
             between_tokens: family::Family::new_with_constructor(histograms),
             completion: family::Family::new_with_constructor(histograms),
             short_slowdown: family::Family::new_with_constructor(|| {
-                histogram::Histogram::new(RATIOS)
+                histogram::Histogram::new(SLOWDOWN_BOUNDS)
             }),
             baseline: sync::Mutex::default(),
         };
         metrics.register_counters(zone);
-        metrics.register_others();
-        metrics.begin();
+        metrics.register_gauges_and_histograms();
+        metrics.create_known_counters();
         metrics
     }
 
+    /// Registers the counters. Only `requests` has a `zone` label.
     fn register_counters(&mut self, zone: &id::Zone) {
         let Metrics { registry, .. } = self;
         let in_zone = ("zone".into(), zone.to_string().into());
@@ -202,7 +213,7 @@
         );
     }
 
-    fn register_others(&mut self) {
+    fn register_gauges_and_histograms(&mut self) {
         let Metrics { registry, .. } = self;
         registry.register("cancels_pending", "Unacknowledged", self.cancels_pending.clone());
         registry.register("active_requests", "Requests under way", self.active.clone());
@@ -224,93 +235,113 @@
         registry.register_with_unit("completion", "To the whole answer", seconds(), completion);
     }
 
-    /// Lists every known cause from the start, so that a rate can be taken over its first count.
-    fn begin(&self) {
+    /// Creates the counters of the causes below, so that a rate includes their first increment.
+    fn create_known_counters(&self) {
         let reasons = outcome::Reason::ALL.map(outcome::Reason::as_str);
-        start(&self.refusals, &reasons);
-        start(&self.attempts, &["answered", "unsent", "lost", "refused", "full", "leaving"]);
-        start(&self.attempts, &["unknown_model", "too_long", "attempt_exists"]);
-        start(&self.retries, &["unsent", "lost", "full", "leaving", "broken", "service"]);
-        start(&self.retries, &["unknown_model", "attempt_exists", "unknown_upstream", "group"]);
-        start(&self.resumes, &["resumed", "failed", "taken_over"]);
-        start(&self.chunks_refused, &["crossed", "repeated", "gap", "count", "after_end"]);
-        start(&self.claims, &["claimed", "replayed", "refused", "released", "lost"]);
-        start(&self.claims, &["stored", "unstored"]);
-        start(&self.cancels, &["acknowledged", "repeated", "given_up", "dropped"]);
+        create_counters(&self.refusals, &reasons);
+        create_counters(
+            &self.attempts,
+            &["answered", "unsent", "lost", "refused", "full", "leaving"],
+        );
+        create_counters(&self.attempts, &["unknown_model", "too_long", "attempt_exists"]);
+        create_counters(&self.retries, &["unsent", "lost", "full", "leaving", "broken", "service"]);
+        create_counters(
+            &self.retries,
+            &["unknown_model", "attempt_exists", "unknown_upstream", "group"],
+        );
+        create_counters(&self.resumes, &["resumed", "failed", "taken_over"]);
+        create_counters(
+            &self.chunks_refused,
+            &["crossed", "repeated", "gap", "count", "after_end"],
+        );
+        create_counters(&self.claims, &["claimed", "replayed", "refused", "released", "lost"]);
+        create_counters(&self.claims, &["stored", "unstored"]);
+        create_counters(&self.cancels, &["acknowledged", "repeated", "given_up", "dropped"]);
     }
 
-    /// All metrics as OpenMetrics text.
+    /// Returns all metrics as OpenMetrics text.
     pub(crate) fn encode(&self) -> Result<String, fmt::Error> {
         let mut text = String::new();
         encoding::text::encode(&mut text, &self.registry)?;
         Ok(text)
     }
 
-    /// A request ended with its answer.
-    pub(crate) fn done(&self, subject: &Subject, outcome: outcome::Outcome) {
-        self.ended(subject, outcome.as_str(), "");
+    /// Counts a request that ended with a response.
+    pub(crate) fn count_done(&self, tags: &Tags, outcome: outcome::Outcome) {
+        self.count_request(tags, outcome.as_str(), "");
     }
 
-    /// A request ended with a failure.
-    pub(crate) fn failed(&self, subject: &Subject, failure: &outcome::Failure) {
+    /// Counts a request that ended with a failure.
+    pub(crate) fn count_failed(&self, tags: &Tags, failure: &outcome::Failure) {
         let cause = failure.reason.as_str();
-        self.ended(subject, failure.outcome.as_str(), cause);
+        self.count_request(tags, failure.outcome.as_str(), cause);
         self.refusals.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    fn ended(&self, subject: &Subject, outcome: &'static str, reason: &'static str) {
-        let (kind, name) = (subject.kind, subject.name.clone());
+    fn count_request(&self, tags: &Tags, outcome: &'static str, reason: &'static str) {
+        let (kind, name) = (tags.kind, tags.name.clone());
         let labels = RequestLabels { kind, name, outcome, reason };
         self.requests.get_or_create(&labels).inc();
-        if let Some(customer) = &subject.customer {
-            let customer = self.line(customer);
+        if let Some(customer) = &tags.customer {
+            let customer = self.customer_label(customer);
             let labels = CustomerLabels { customer, outcome, reason };
             self.customers.get_or_create(&labels).inc();
         }
     }
 
-    /// The customer's own line, or that of all beyond the cap.
-    fn line(&self, customer: &id::Customer) -> String {
-        let lines = &self.customer_lines;
-        let mut lines = lines.lock().unwrap_or_else(sync::PoisonError::into_inner);
-        let known = lines.contains(customer);
-        if !known && lines.len() < CUSTOMER_LINES {
-            lines.insert(customer.clone());
+    /// Returns the customer's own label value, or `other` beyond the limit.
+    fn customer_label(&self, customer: &id::Customer) -> String {
+        let labelled = &self.labelled_customers;
+        let mut labelled = labelled.lock().unwrap_or_else(sync::PoisonError::into_inner);
+        let known = labelled.contains(customer);
+        if !known && labelled.len() < MAX_CUSTOMER_LABELS {
+            labelled.insert(customer.clone());
         }
-        if lines.contains(customer) { customer.to_string() } else { "other".to_owned() }
+        if labelled.contains(customer) { customer.to_string() } else { "other".to_owned() }
     }
 
-    /// The first token of a short prompt came after `span`, from an engine that prefills `rate`
-    /// tokens a second.
-    pub(crate) fn short_slowdown(&self, ask: &load::Ask, span: clock::Span, rate: f64) {
+    /// Records the slowdown of a short prompt: its first token arrived after `span` from an engine
+    /// that prefills `rate` tokens per second.
+    pub(crate) fn observe_short_slowdown(
+        &self,
+        request: &load::Request,
+        span: clock::Span,
+        rate: f64,
+    ) {
         let mut baseline = self.baseline.lock().unwrap_or_else(sync::PoisonError::into_inner);
-        let ratio = baseline.ratio(span, ask.prompt_tokens, rate);
+        let ratio = baseline.record(span, request.prompt_tokens, rate);
         drop(baseline);
-        let labels = ModelLabels { model: ask.model.to_string() };
+        let labels = ModelLabels { model: request.model.to_string() };
         self.short_slowdown.get_or_create(&labels).observe(ratio);
     }
 
-    pub(crate) fn attempt(&self, cause: &'static str) {
+    /// Counts a dispatch by its result.
+    pub(crate) fn count_attempt(&self, cause: &'static str) {
         self.attempts.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    pub(crate) fn retry(&self, cause: &'static str) {
+    /// Counts a further dispatch of a request by its reason.
+    pub(crate) fn count_retry(&self, cause: &'static str) {
         self.retries.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    pub(crate) fn resume(&self, cause: &'static str) {
+    /// Counts a resumption of a stream by its result.
+    pub(crate) fn count_resume(&self, cause: &'static str) {
         self.resumes.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    pub(crate) fn chunk_refused(&self, cause: &'static str) {
+    /// Counts a chunk that was not delivered, by what was wrong with it.
+    pub(crate) fn count_refused_chunk(&self, cause: &'static str) {
         self.chunks_refused.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    pub(crate) fn cancel(&self, cause: &'static str) {
+    /// Counts a cancel by its result.
+    pub(crate) fn count_cancel(&self, cause: &'static str) {
         self.cancels.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    pub(crate) fn claim(&self, cause: &'static str) {
+    /// Counts an idempotency key by what was done with it.
+    pub(crate) fn count_claim(&self, cause: &'static str) {
         self.claims.get_or_create(&CauseLabels { cause }).inc();
     }
 
@@ -324,7 +355,8 @@
         self.section_version.get_or_create(&TeamLabels { team: team.to_string() }).set(version);
     }
 
-    pub(crate) fn first_token(
+    /// Records the time from the arrival of a request to its first token.
+    pub(crate) fn observe_first_token(
         &self,
         class: document::Class,
         model: &id::Model,
@@ -336,8 +368,8 @@
         self.first_token.get_or_create(&labels).observe(span.as_secs_f64());
     }
 
-    /// `count` tokens came together, `span` after those before them.
-    pub(crate) fn tokens(&self, model: &id::Model, count: u64, span: Option<clock::Span>) {
+    /// Records `count` tokens that arrived together, `span` after the previous ones.
+    pub(crate) fn observe_tokens(&self, model: &id::Model, count: u64, span: Option<clock::Span>) {
         let labels = ModelLabels { model: model.to_string() };
         self.tokens.get_or_create(&labels).inc_by(count);
         let Some(span) = span else { return };
@@ -347,7 +379,9 @@
         }
     }
 
-    pub(crate) fn completion(
+    /// Records the time from the arrival of a request to the end of its response. `prompt` is the
+    /// number of prompt tokens and of those found in the cache.
+    pub(crate) fn observe_completion(
         &self,
         class: document::Class,
         model: &id::Model,
--- a/crates/lagoon-net/src/entry/model.rs
+++ b/crates/lagoon-net/src/entry/model.rs
@@ -1,11 +1,11 @@
-//! Model calls: completions, chat completions and the list of models.
+//! Handlers for model calls: completions, chat completions and the list of models.
 
 use std::rc;
 use std::sync;
 
 use lagoonline::clock::Clock as _;
 use lagoonline::id;
-use lagoonline::life::claim;
+use lagoonline::lifecycle::claim;
 use lagoonline::load;
 use lagoonline::outcome::{Outcome, Reason, Step};
 use ntex::web;
@@ -14,151 +14,159 @@
 use super::body;
 use super::call;
 use super::fault;
-use super::limit;
+use super::generation;
+use super::interrupt;
 use super::prompt;
-use super::pull;
 use super::relay;
 use super::render;
 use super::state;
 use super::worker;
 
-/// Answers a model call.
-pub(crate) async fn answer(
+/// Handles a completion or chat completion call.
+pub(crate) async fn handle(
     worker: &rc::Rc<worker::Worker>,
-    form: prompt::Form,
+    endpoint: prompt::Endpoint,
     request: &web::HttpRequest,
     unread: &body::Unread,
     request_id: &str,
 ) -> Result<web::HttpResponse, fault::Fault> {
     let state = &worker.state;
-    let active = state::Active::new(state);
+    let active = state::ActiveGuard::new(state);
     let call = call::Call::read(state, state.clock.now(), request.headers())?;
     let read = body::collect(&state.settings.limits, request.headers(), unread.take());
-    let body = limit::within(state, call.deadline, read).await;
-    let body = body.map_err(|stop| stop.fault(Step::Read, Outcome::NotRun))??;
-    let prompt = prompt::scan(form, &body).map_err(call::malformed)?;
-    let job = new_job(call, &prompt, body)?;
-    let subject = job.subject();
-    request.extensions_mut().insert(subject.clone());
-    let title = render::Title {
-        form,
-        id: call::new_attempt(),
-        model: job.ask.model.clone(),
+    let body = interrupt::within(state, call.deadline, read).await;
+    let body = body.map_err(|interrupt| interrupt.fault(Step::Read, Outcome::NotRun))??;
+    let parameters = prompt::parse(endpoint, &body).map_err(call::malformed)?;
+    let input = new_input(call, &parameters, body)?;
+    let tags = input.tags();
+    request.extensions_mut().insert(tags.clone());
+    let metadata = render::Metadata {
+        endpoint,
+        id: call::random_id(),
+        model: input.request.model.clone(),
         created: state.clock.wall_millis() / 1_000,
     };
-    let customer = job.call.customer();
-    let rate = job.call.rate();
-    let tokens = job.ask.prompt_tokens + job.ask.answer_tokens;
-    state.limits().take(state.clock.now(), &customer.name, rate, tokens)?;
-    let (claim, from) = (new_claim(worker, request, &job), job.call.from);
-    let mut pull = pull::Pull::new(worker.clone(), job, claim, from);
-    let replay = pull.start().await?;
-    let mut answer = web::HttpResponse::Ok();
-    answer.set_header("X-Request-Id", request_id);
+    let customer = input.call.customer();
+    let rate = input.call.rate();
+    let tokens = input.request.prompt_tokens + input.request.answer_tokens;
+    state.rate_limits().admit(state.clock.now(), &customer.name, rate, tokens)?;
+    let (claim, from) = (new_claim(worker, request, &input), input.call.resume_from);
+    let mut generation = generation::Generation::new(worker.clone(), input, claim, from);
+    let replay = generation.start().await?;
+    let mut response = web::HttpResponse::Ok();
+    response.set_header("X-Request-Id", request_id);
     if state.phase() >= state::Phase::Draining {
-        answer.force_close();
+        response.force_close();
     }
-    if prompt.stream {
+    if parameters.stream {
         let outcome_event = request.headers().get("lagoon-outcome-event");
         let outcome_event = outcome_event.is_some_and(|value| value.as_bytes() == b"1");
-        let mut writer = render::Writer::new(title);
-        answer.set_header("Cache-Control", "no-cache");
-        answer.content_type("text/event-stream");
-        if let Some(kept) = replay {
-            let usage = replay_usage(&pull, pull::replay(&kept, from, &mut writer))?;
-            state.metrics.claim("replayed");
-            state.metrics.done(&subject, Outcome::Done);
+        let mut writer = render::Writer::new(metadata);
+        response.set_header("Cache-Control", "no-cache");
+        response.content_type("text/event-stream");
+        if let Some(stored) = replay {
+            let usage = replay_usage(&generation, generation::replay(&stored, from, &mut writer))?;
+            state.metrics.count_claim("replayed");
+            state.metrics.count_done(&tags, Outcome::Done);
             writer.finish(usage, outcome_event);
-            answer.set_header("Lagoon-Outcome", Outcome::Done.as_str());
-            return Ok(answer.body(writer.take()));
+            response.set_header("Lagoon-Outcome", Outcome::Done.as_str());
+            return Ok(response.body(writer.take()));
         }
-        let feed = relay::start(state.clone(), pull, writer, active, outcome_event, request.io());
-        answer.set_header("Lagoon-Outcome", Outcome::Unknown.as_str());
-        return Ok(answer.streaming(feed));
+        let body =
+            relay::start(state.clone(), generation, writer, active, outcome_event, request.io());
+        response.set_header("Lagoon-Outcome", Outcome::Unknown.as_str());
+        return Ok(response.streaming(body));
     }
-    let mut text = render::Gather::default();
-    if let Some(kept) = replay {
-        let usage = replay_usage(&pull, pull::replay(&kept, from, &mut text))?;
-        state.metrics.claim("replayed");
-        state.metrics.done(&subject, Outcome::Done);
-        answer.set_header("Lagoon-Outcome", Outcome::Done.as_str());
-        return Ok(answer.content_type("application/json").body(text.finish(&title, usage)));
+    let mut text = render::Collector::default();
+    if let Some(stored) = replay {
+        let usage = replay_usage(&generation, generation::replay(&stored, from, &mut text))?;
+        state.metrics.count_claim("replayed");
+        state.metrics.count_done(&tags, Outcome::Done);
+        response.set_header("Lagoon-Outcome", Outcome::Done.as_str());
+        return Ok(response.content_type("application/json").body(text.finish(&metadata, usage)));
     }
-    let end = loop {
-        if let Some(end) = pull.next(&mut text).await? {
-            break end;
+    let summary = loop {
+        if let Some(summary) = generation.next(&mut text).await? {
+            break summary;
         }
     };
-    state.metrics.done(&subject, end.outcome);
-    answer.set_header("Lagoon-Outcome", end.outcome.as_str());
-    let json = text.finish(&title, relay::usage(&pull, end));
-    Ok(answer.content_type("application/json").body(json))
+    state.metrics.count_done(&tags, summary.outcome);
+    response.set_header("Lagoon-Outcome", summary.outcome.as_str());
+    let json = text.finish(&metadata, relay::usage(&generation, summary));
+    Ok(response.content_type("application/json").body(json))
 }
 
-/// The claim of a keyed call, when there is a platform to record it.
-fn new_claim(worker: &worker::Worker, request: &web::HttpRequest, job: &pull::Job) -> pull::Claim {
-    match (&job.call.key, &worker.claims) {
-        (Some(key), Some(claims)) => pull::Claim::Wanted(Box::new(pull::Wanted {
-            claims: claims.clone(),
-            key: key.clone(),
-            body: claim::body_hash("POST", request.path(), &job.body),
-        })),
-        _ => pull::Claim::None,
+/// Returns the idempotency claim of a call that has a key, if there is a platform to record it on.
+fn new_claim(
+    worker: &worker::Worker,
+    request: &web::HttpRequest,
+    input: &generation::Input,
+) -> generation::ClaimState {
+    match (&input.call.idempotency_key, &worker.claims) {
+        (Some(key), Some(claims)) => {
+            generation::ClaimState::Deferred(Box::new(generation::Deferred {
+                claims: claims.clone(),
+                key: key.clone(),
+                body: claim::request_hash("POST", request.path(), &input.body),
+            }))
+        }
+        _ => generation::ClaimState::None,
     }
 }
 
-/// What a replayed answer says of its length.
+/// Returns the usage of a replayed response.
 fn replay_usage(
-    pull: &pull::Pull,
+    generation: &generation::Generation,
     found: Option<(u64, u64)>,
 ) -> Result<render::Usage, fault::Fault> {
     let unreadable = || fault::new(Reason::EarlierUnknown, Step::Claim, Outcome::Unknown);
     let (prompt_tokens, answer_tokens) = found.ok_or_else(unreadable)?;
-    let cut_by_limit = answer_tokens >= pull.job().ask.answer_tokens;
-    Ok(render::Usage { prompt_tokens, answer_tokens, cut_by_limit })
+    let limit_reached = answer_tokens >= generation.input().request.answer_tokens;
+    Ok(render::Usage { prompt_tokens, answer_tokens, limit_reached })
 }
 
-fn new_job(
+/// Checks the model and the token limit, and builds the request for the scheduler.
+fn new_input(
     call: call::Call,
-    prompt: &prompt::Prompt,
+    parameters: &prompt::Parameters,
     body: ntex::util::Bytes,
-) -> Result<pull::Job, fault::Fault> {
-    let model = id::Model::from(prompt.model.as_str());
+) -> Result<generation::Input, fault::Fault> {
+    let model = id::Model::from(parameters.model.as_str());
     let fleet = &call.view.fleet;
     let unknown = || fault::new(Reason::UnknownName, Step::Admit, Outcome::NotRun);
-    let known = fleet.models.get(&model).ok_or_else(unknown)?;
-    let desk = call.view.desks.get(&model).ok_or_else(unknown)?;
+    let model_entry = fleet.models.get(&model).ok_or_else(unknown)?;
+    let queue = call.view.queues.get(&model).ok_or_else(unknown)?;
     let customer = call.customer();
     if !customer.entry.models.is_empty() && !customer.entry.models.contains(&model) {
         return Err(fault::new(Reason::Forbidden, Step::Admit, Outcome::NotRun));
     }
-    let ratio = desk.ratio();
-    let tokens = |bytes: usize| ratio.tokens(bytes as u64);
-    let prompt_tokens = tokens(prompt.bytes).max(1);
-    if prompt_tokens.saturating_add(prompt.answer_tokens) > known.max_tokens {
-        let detail = format!("about {prompt_tokens} and {} tokens", prompt.answer_tokens);
+    let bytes_per_token = queue.bytes_per_token();
+    let tokens = |bytes: usize| bytes_per_token.tokens(bytes as u64);
+    let prompt_tokens = tokens(parameters.bytes).max(1);
+    if prompt_tokens.saturating_add(parameters.max_answer_tokens) > model_entry.max_tokens {
+        let detail = format!("about {prompt_tokens} and {} tokens", parameters.max_answer_tokens);
         let fault = fault::new(Reason::TooLong, Step::Admit, Outcome::NotRun);
         return Err(fault.with_detail(detail));
     }
-    let prefixes = prompt.prefixes.iter().map(|(hash, bytes)| (*hash, tokens(*bytes)));
-    let ask = load::Ask {
+    let prefixes = parameters.prefixes.iter().map(|(hash, bytes)| (*hash, tokens(*bytes)));
+    let request = load::Request {
         customer: customer.name.clone(),
         team: customer.team.clone(),
         weight: customer.entry.weight,
         model,
         prompt_tokens,
-        answer_tokens: prompt.answer_tokens,
+        answer_tokens: parameters.max_answer_tokens,
         bytes: body.len() as u64,
         arrived: call.arrived,
         deadline: call.deadline,
         prefixes: prefixes.collect(),
     };
-    let (desk, continues) = (sync::Arc::clone(desk), known.continues);
-    let prompt_bytes = prompt.bytes;
-    Ok(pull::Job { call, ask, prompt_bytes, desk, continues, body })
+    let (queue, continues) = (sync::Arc::clone(queue), model_entry.continues);
+    let prompt_bytes = parameters.bytes;
+    Ok(generation::Input { call, request, prompt_bytes, queue, continues, body })
 }
 
-/// The models that the caller may use.
+/// Lists the models that the caller may use.
 pub(crate) fn list(
     state: &state::State,
     request: &web::HttpRequest,
@@ -170,8 +178,8 @@
     let models = models.filter(|model| allowed.is_empty() || allowed.contains(model));
     let entry = |model: &id::Model| json!({"id": model, "object": "model", "created": 0, "owned_by": "lagoonline"});
     let data: Vec<_> = models.map(entry).collect();
-    let mut answer = web::HttpResponse::Ok();
-    answer.set_header("X-Request-Id", request_id);
-    answer.set_header("Lagoon-Outcome", Outcome::Done.as_str());
-    Ok(answer.json(&json!({"object": "list", "data": data})))
+    let mut response = web::HttpResponse::Ok();
+    response.set_header("X-Request-Id", request_id);
+    response.set_header("Lagoon-Outcome", Outcome::Done.as_str());
+    Ok(response.json(&json!({"object": "list", "data": data})))
 }
--- a/crates/lagoon-net/src/entry/prompt.rs
+++ b/crates/lagoon-net/src/entry/prompt.rs
@@ -1,13 +1,14 @@
-//! What has to be known of a model call's JSON body, found without building a tree of it.
+//! Extracts the fields of a model call's JSON body that scheduling needs, without building a tree.
 
 use std::borrow;
 
 use serde_json::value::RawValue;
 
-/// Interval of prefix hashes, in bytes of prompt text.
+/// Interval of prefix hashes, in bytes of prompt text: the block length of the engines' prefix
+/// caches.
 const PREFIX_STEP: usize = 4_096;
-/// Answer tokens of a call that names no bound.
-const DEFAULT_ANSWER_TOKENS: u64 = 1_024;
+/// Default of `max_tokens`.
+const DEFAULT_MAX_ANSWER_TOKENS: u64 = 1_024;
 
 #[derive(serde::Deserialize)]
 struct Fields<'a> {
@@ -25,56 +26,59 @@
     messages: Option<&'a RawValue>,
 }
 
-/// The parts of a call that decisions need.
+/// The parameters of a call that scheduling needs.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct Prompt {
+pub(crate) struct Parameters {
     pub(crate) model: String,
     pub(crate) stream: bool,
-    pub(crate) answer_tokens: u64,
+    pub(crate) max_answer_tokens: u64,
     /// Length of the prompt's text, in bytes.
     pub(crate) bytes: usize,
     /// FNV-1a hashes at each multiple of [`PREFIX_STEP`] bytes, with the length in bytes.
     pub(crate) prefixes: Vec<(u64, usize)>,
 }
 
-/// Which of the two calls a body belongs to.
+/// The API endpoint that a body was sent to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Form {
-    Text,
+pub(crate) enum Endpoint {
+    /// `/v1/completions`, with a `prompt`.
+    Completions,
+    /// `/v1/chat/completions`, with `messages`.
     Chat,
 }
 
-/// Finds the parts of `body`; serde checks that it is JSON and UTF-8 on the way.
-pub(crate) fn scan(form: Form, body: &[u8]) -> Result<Prompt, String> {
+/// Parses `body`. Serde also checks that it is valid JSON and UTF-8.
+pub(crate) fn parse(endpoint: Endpoint, body: &[u8]) -> Result<Parameters, String> {
     let fields: Fields<'_> = serde_json::from_slice(body).map_err(|error| error.to_string())?;
-    let (name, prompt) = match form {
-        Form::Text => ("prompt", fields.prompt),
-        Form::Chat => ("messages", fields.messages),
+    let (name, prompt) = match endpoint {
+        Endpoint::Completions => ("prompt", fields.prompt),
+        Endpoint::Chat => ("messages", fields.messages),
     };
     let prompt = prompt.ok_or_else(|| format!("missing field `{name}`"))?.get();
-    check_kind(form, prompt)?;
-    let answer_tokens = fields.max_completion_tokens.or(fields.max_tokens);
-    let answer_tokens = answer_tokens.unwrap_or(DEFAULT_ANSWER_TOKENS);
-    if answer_tokens == 0 {
+    check_type(endpoint, prompt)?;
+    let max_answer_tokens = fields.max_completion_tokens.or(fields.max_tokens);
+    let max_answer_tokens = max_answer_tokens.unwrap_or(DEFAULT_MAX_ANSWER_TOKENS);
+    if max_answer_tokens == 0 {
         return Err("max_tokens must be at least 1".to_owned());
     }
     let (bytes, prefixes) = hash(prompt);
     let stream = fields.stream.unwrap_or(false);
-    Ok(Prompt { model: fields.model.into_owned(), stream, answer_tokens, bytes, prefixes })
+    Ok(Parameters { model: fields.model.into_owned(), stream, max_answer_tokens, bytes, prefixes })
 }
 
-fn check_kind(form: Form, prompt: &str) -> Result<(), String> {
-    match (form, prompt.as_bytes().first()) {
-        (Form::Text, Some(b'"' | b'[')) | (Form::Chat, Some(b'[')) => Ok(()),
-        (Form::Text, _) => Err("prompt must be a text or an array".to_owned()),
-        (Form::Chat, _) => Err("messages must be an array".to_owned()),
+/// Checks that the prompt has the JSON type that the endpoint expects.
+fn check_type(endpoint: Endpoint, prompt: &str) -> Result<(), String> {
+    match (endpoint, prompt.as_bytes().first()) {
+        (Endpoint::Completions, Some(b'"' | b'[')) | (Endpoint::Chat, Some(b'[')) => Ok(()),
+        (Endpoint::Completions, _) => Err("prompt must be a text or an array".to_owned()),
+        (Endpoint::Chat, _) => Err("messages must be an array".to_owned()),
     }
 }
 
-/// Hashes the prompt as engines do: texts one after the other, with nothing between them.
+/// Hashes the prompt in the same way as engines do: all texts concatenated without a separator.
 fn hash(prompt: &str) -> (usize, Vec<(u64, usize)>) {
     let mut hasher = Hasher { hash: FNV_BASIS, bytes: 0, prefixes: Vec::new() };
-    hasher.value(prompt);
+    hasher.hash_value(prompt);
     (hasher.bytes, hasher.prefixes)
 }
 
@@ -90,6 +94,7 @@
     text: Option<&'a RawValue>,
 }
 
+/// State of the prefix hashes while the prompt's text is read.
 struct Hasher {
     hash: u64,
     bytes: usize,
@@ -97,35 +102,37 @@
 }
 
 impl Hasher {
-    /// Takes in a JSON text, or an array of texts, messages or parts; anything else has no text.
-    fn value(&mut self, json: &str) {
+    /// Hashes a JSON string, or an array of strings, messages or parts; any other value has no
+    /// text.
+    fn hash_value(&mut self, json: &str) {
         match json.as_bytes().first() {
-            Some(b'"') => self.json_text(json),
+            Some(b'"') => self.hash_json_string(json),
             Some(b'[') => {
                 let items: Vec<&RawValue> = serde_json::from_str(json).unwrap_or_default();
-                items.into_iter().for_each(|item| self.value(item.get()));
+                items.into_iter().for_each(|item| self.hash_value(item.get()));
             }
             Some(b'{') => {
                 let part = serde_json::from_str::<Part<'_>>(json).ok();
                 let text = part.and_then(|part| part.content.or(part.text));
-                text.into_iter().for_each(|text| self.value(text.get()));
+                text.into_iter().for_each(|text| self.hash_value(text.get()));
             }
             _ => {}
         }
     }
 
-    /// Only a text with escapes has to be decoded.
-    fn json_text(&mut self, json: &str) {
+    /// Decodes the string only if it contains escapes.
+    fn hash_json_string(&mut self, json: &str) {
         let text = &json[1..json.len() - 1];
         if text.as_bytes().contains(&b'\\') {
             let decoded: String = serde_json::from_str(json).unwrap_or_default();
-            self.text(decoded.as_bytes());
+            self.hash_text(decoded.as_bytes());
         } else {
-            self.text(text.as_bytes());
+            self.hash_text(text.as_bytes());
         }
     }
 
-    fn text(&mut self, mut text: &[u8]) {
+    /// Hashes decoded text and records the hash at each multiple of [`PREFIX_STEP`] bytes.
+    fn hash_text(&mut self, mut text: &[u8]) {
         while !text.is_empty() {
             let missing = PREFIX_STEP - self.bytes % PREFIX_STEP;
             let (block, rest) = text.split_at(missing.min(text.len()));
--- a/crates/lagoon-net/src/entry/relay.rs
+++ b/crates/lagoon-net/src/entry/relay.rs
@@ -1,11 +1,10 @@
-//! Streams an answer to its caller, with bounded buffers and a visible end.
+//! Streams a response to its caller with bounded buffers and an explicit end.
 //!
-//! Failure answered: a stream that broke off ends like a whole one, or a slow caller makes this
-//! host buffer without bound. The answer's task fills a bounded channel, and while it is full the
-//! engine's connection is not read. How the stream ended travels beside the channel, so it
-//! reaches the caller also when the channel is full; a task that ends without a word, as by a
-//! panic, cuts the connection. That is enough because only [`Ending::Whole`] ends the body
-//! normally.
+//! Guards against a broken stream that looks complete, and against a slow caller that makes this
+//! host buffer without limit. A task fills a bounded channel; while the channel is full, the
+//! engine's connection is not read. The end of the stream is stored outside the channel, so that it
+//! reaches the caller even when the channel is full. If the task ends without storing one, as after
+//! a panic, the connection is cut. Only [`StreamEnd::Complete`] ends the body normally.
 
 use std::cell;
 use std::pin;
@@ -20,31 +19,34 @@
 use tokio::sync as async_sync;
 
 use super::fault;
-use super::limit;
+use super::generation;
+use super::interrupt;
 use super::linger;
-use super::pull;
 use super::render;
 use super::state;
 
 #[derive(Debug)]
-enum Ending {
-    Open,
-    Whole,
+enum StreamEnd {
+    /// The stream has not ended, or its task ended without storing an end, as after a panic.
+    Unset,
+    /// The response is complete.
+    Complete,
+    /// The response failed; holds the error event that is sent last.
     Failed(util::Bytes),
 }
 
-type Shared = rc::Rc<cell::RefCell<Ending>>;
+type SharedEnd = rc::Rc<cell::RefCell<StreamEnd>>;
 
-/// The body of a streamed answer.
+/// Body of a streamed response.
 #[derive(Debug)]
-pub(crate) struct Feed {
+pub(crate) struct BodyStream {
     batches: async_sync::mpsc::Receiver<util::Bytes>,
-    ending: Shared,
-    _active: rc::Rc<state::Active>,
-    _open: linger::Open,
+    ending: SharedEnd,
+    _active: rc::Rc<state::ActiveGuard>,
+    _guard: linger::Guard,
 }
 
-impl Stream for Feed {
+impl Stream for BodyStream {
     type Item = Result<util::Bytes, std::io::Error>;
 
     fn poll_next(
@@ -58,101 +60,111 @@
     }
 }
 
-impl Feed {
+impl BodyStream {
+    /// Returns the last item of the body, by how the stream ended.
     fn end(&self) -> Option<Result<util::Bytes, std::io::Error>> {
-        match self.ending.replace(Ending::Whole) {
-            Ending::Whole => None,
-            Ending::Failed(event) => Some(Ok(event)),
-            Ending::Open => Some(Err(std::io::Error::other("the answer broke off"))),
+        match self.ending.replace(StreamEnd::Complete) {
+            StreamEnd::Complete => None,
+            StreamEnd::Failed(event) => Some(Ok(event)),
+            StreamEnd::Unset => {
+                Some(Err(std::io::Error::other("the response task ended without storing an end")))
+            }
         }
     }
 }
 
-/// Sends the rest of `pull` to the body that is returned.
+/// Starts a task that sends the remaining tokens of `generation` to the returned body.
+/// `outcome_event` adds an `outcome` event before `[DONE]`, for callers that cannot read it from
+/// the head.
 pub(crate) fn start(
     state: std::sync::Arc<state::State>,
-    pull: pull::Pull,
+    generation: generation::Generation,
     writer: render::Writer,
-    active: state::Active,
+    active: state::ActiveGuard,
     outcome_event: bool,
     io: Option<&io::IoRef>,
-) -> Feed {
+) -> BodyStream {
     let active = rc::Rc::new(active);
     let (sender, batches) = async_sync::mpsc::channel(state.settings.limits.stream_batches);
-    let ending = rc::Rc::new(cell::RefCell::new(Ending::Open));
-    let relay = Relay { state, pull, writer, sender, ending: ending.clone(), outcome_event };
-    let kept = active.clone();
-    let (open, watch) = linger::pair(io);
+    let ending = rc::Rc::new(cell::RefCell::new(StreamEnd::Unset));
+    let relay = Relay { state, generation, writer, sender, ending: ending.clone(), outcome_event };
+    let task_active = active.clone();
+    let (guard, watch) = linger::pair(io);
     drop(ntex::rt::spawn(async move {
-        let left = relay.run().await;
-        drop(kept);
-        watch.bound(left).await;
+        let time_left = relay.run().await;
+        drop(task_active);
+        watch.close_after(time_left).await;
     }));
-    Feed { batches, ending, _active: active, _open: open }
+    BodyStream { batches, ending, _active: active, _guard: guard }
 }
 
+/// Task that moves tokens from the generation to the response body.
 struct Relay {
     state: std::sync::Arc<state::State>,
-    pull: pull::Pull,
+    generation: generation::Generation,
     writer: render::Writer,
     sender: async_sync::mpsc::Sender<util::Bytes>,
-    ending: Shared,
+    ending: SharedEnd,
     outcome_event: bool,
 }
 
 impl Relay {
-    /// Returns how long the caller may take to read the rest.
+    /// Relays the response. Returns how long the caller may take to read the rest.
     async fn run(mut self) -> clock::Span {
         let sender = self.sender.clone();
         let ended = tokio::select! {
             biased;
             () = sender.closed() => None,
-            ended = self.copy() => Some(ended),
+            ended = self.forward() => Some(ended),
         };
-        let (metrics, subject) = (&self.state.metrics, self.pull.job().subject());
+        let (metrics, tags) = (&self.state.metrics, self.generation.input().tags());
         match ended {
             Some(Ok(outcome)) => {
-                metrics.done(&subject, outcome);
-                self.ending.replace(Ending::Whole);
+                metrics.count_done(&tags, outcome);
+                self.ending.replace(StreamEnd::Complete);
             }
             Some(Err(fault)) => {
-                metrics.failed(&subject, &fault.failure);
-                self.writer.fail(&fault.object());
-                self.ending.replace(Ending::Failed(self.writer.take()));
+                metrics.count_failed(&tags, &fault.failure);
+                self.writer.fail(&fault.to_json());
+                self.ending.replace(StreamEnd::Failed(self.writer.take()));
             }
             None => {
-                let fault = fault::new(Reason::CallerLeft, Step::Stream, self.pull.leave());
-                metrics.failed(&subject, &fault.failure);
+                let fault = fault::new(Reason::CallerLeft, Step::Stream, self.generation.abandon());
+                metrics.count_failed(&tags, &fault.failure);
             }
         }
-        self.pull.job().call.left(&self.state) + self.state.settings.limits.linger
+        self.generation.input().call.time_left(&self.state) + self.state.settings.limits.linger
     }
 
-    async fn copy(&mut self) -> Result<Outcome, fault::Fault> {
+    /// Sends batches of events until the response ends.
+    async fn forward(&mut self) -> Result<Outcome, fault::Fault> {
         loop {
-            let end = self.pull.next(&mut self.writer).await?;
-            if let Some(end) = end {
-                let usage = usage(&self.pull, end);
+            let summary = self.generation.next(&mut self.writer).await?;
+            if let Some(summary) = summary {
+                let usage = usage(&self.generation, summary);
                 self.writer.finish(usage, self.outcome_event);
             }
             let batch = self.writer.take();
-            let deadline = self.pull.job().call.deadline;
-            let sent = limit::within(&self.state, deadline, self.sender.send(batch)).await;
-            if let Err(stop) = sent {
-                return Err(stop.fault(Step::Stream, self.pull.leave()));
+            let deadline = self.generation.input().call.deadline;
+            let sent = interrupt::within(&self.state, deadline, self.sender.send(batch)).await;
+            if let Err(interrupt) = sent {
+                return Err(interrupt.fault(Step::Stream, self.generation.abandon()));
             }
-            if let Some(end) = end {
-                return Ok(end.outcome);
+            if let Some(summary) = summary {
+                return Ok(summary.outcome);
             }
         }
     }
 }
 
-/// What the end of an answer says of its length.
-pub(crate) fn usage(pull: &pull::Pull, end: pull::End) -> render::Usage {
+/// Returns the usage for the end of a response.
+pub(crate) fn usage(
+    generation: &generation::Generation,
+    summary: generation::Summary,
+) -> render::Usage {
     render::Usage {
-        prompt_tokens: end.prompt_tokens,
-        answer_tokens: end.answer_tokens,
-        cut_by_limit: end.answer_tokens >= pull.job().ask.answer_tokens,
+        prompt_tokens: summary.prompt_tokens,
+        answer_tokens: summary.answer_tokens,
+        limit_reached: summary.answer_tokens >= generation.input().request.answer_tokens,
     }
 }
--- a/crates/lagoon-net/src/entry/render.rs
+++ b/crates/lagoon-net/src/entry/render.rs
@@ -1,7 +1,7 @@
-//! Answers in the form that model clients know.
+//! Response formats of the OpenAI API.
 //!
-//! A token's text stays the JSON text that the engine wrote: it is copied once, into the bytes
-//! that go to the caller, and never decoded.
+//! The text of a token stays in the JSON encoding of the engine. It is copied once, into the bytes
+//! that are sent to the caller, and never decoded.
 
 use lagoonline::id;
 use ntex::util;
@@ -10,22 +10,24 @@
 
 use super::prompt;
 
-/// Takes the tokens of an answer in order.
+/// Receives the tokens of a response in order.
 pub(crate) trait Sink {
     fn token(&mut self, text: &RawValue);
 }
 
-/// What an answer ends with.
+/// Usage at the end of a response.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Usage {
     pub(crate) prompt_tokens: u64,
     pub(crate) answer_tokens: u64,
-    pub(crate) cut_by_limit: bool,
+    /// Whether the response ended because it reached its token limit.
+    pub(crate) limit_reached: bool,
 }
 
 impl Usage {
+    /// Returns the `finish_reason` of the OpenAI API.
     fn finish_reason(self) -> &'static str {
-        if self.cut_by_limit { "length" } else { "stop" }
+        if self.limit_reached { "length" } else { "stop" }
     }
 
     fn json(self) -> serde_json::Value {
@@ -37,32 +39,33 @@
     }
 }
 
-/// What all parts of one answer have in common.
+/// Fields that all chunks of one response share.
 #[derive(Clone, Debug)]
-pub(crate) struct Title {
-    pub(crate) form: prompt::Form,
+pub(crate) struct Metadata {
+    pub(crate) endpoint: prompt::Endpoint,
     pub(crate) id: id::Attempt,
     pub(crate) model: id::Model,
     /// Seconds since the Unix epoch.
     pub(crate) created: u64,
 }
 
-impl Title {
-    fn name(&self) -> String {
-        match self.form {
-            prompt::Form::Text => format!("cmpl-{}", self.id),
-            prompt::Form::Chat => format!("chatcmpl-{}", self.id),
+impl Metadata {
+    /// Returns the `id` of the response.
+    fn response_id(&self) -> String {
+        match self.endpoint {
+            prompt::Endpoint::Completions => format!("cmpl-{}", self.id),
+            prompt::Endpoint::Chat => format!("chatcmpl-{}", self.id),
         }
     }
 
-    /// Everything of a streamed chunk up to its choices. Model names are checked to hold no
-    /// character that JSON escapes.
-    fn head(&self) -> String {
-        let object = match self.form {
-            prompt::Form::Text => "text_completion",
-            prompt::Form::Chat => "chat.completion.chunk",
+    /// Returns the beginning of a streamed chunk, up to its choices. Model names are validated to
+    /// contain no character that JSON escapes.
+    fn chunk_prefix(&self) -> String {
+        let object = match self.endpoint {
+            prompt::Endpoint::Completions => "text_completion",
+            prompt::Endpoint::Chat => "chat.completion.chunk",
         };
-        let (name, created, model) = (self.name(), self.created, &self.model);
+        let (name, created, model) = (self.response_id(), self.created, &self.model);
         format!(
             "data: {{\"id\":\"{name}\",\"object\":\"{object}\",\"created\":{created},\
              \"model\":\"{model}\",\"choices\":["
@@ -70,24 +73,24 @@
     }
 }
 
-/// Writes server-sent events; tokens that came together leave together.
+/// Writes server-sent events. Tokens that arrive together are sent together.
 #[derive(Debug)]
 pub(crate) struct Writer {
-    title: Title,
+    metadata: Metadata,
     prefix: Vec<u8>,
     suffix: &'static [u8],
     buffer: util::BytesMut,
 }
 
 impl Writer {
-    pub(crate) fn new(title: Title) -> Writer {
+    pub(crate) fn new(metadata: Metadata) -> Writer {
         let mut buffer = util::BytesMut::new();
-        let (opening, suffix): (_, &'static [u8]) = match title.form {
-            prompt::Form::Text => {
+        let (opening, suffix): (_, &'static [u8]) = match metadata.endpoint {
+            prompt::Endpoint::Completions => {
                 ("{\"index\":0,\"text\":", b",\"logprobs\":null,\"finish_reason\":null}]}\n\n")
             }
-            prompt::Form::Chat => {
-                buffer.extend_from_slice(title.head().as_bytes());
+            prompt::Endpoint::Chat => {
+                buffer.extend_from_slice(metadata.chunk_prefix().as_bytes());
                 buffer.extend_from_slice(
                     b"{\"index\":0,\"delta\":{\"role\":\"assistant\",\"content\":\"\"},\
                       \"finish_reason\":null}]}\n\n",
@@ -95,29 +98,30 @@
                 ("{\"index\":0,\"delta\":{\"content\":", b"},\"finish_reason\":null}]}\n\n")
             }
         };
-        let prefix = format!("{}{opening}", title.head()).into_bytes();
-        Writer { title, prefix, suffix, buffer }
+        let prefix = format!("{}{opening}", metadata.chunk_prefix()).into_bytes();
+        Writer { metadata, prefix, suffix, buffer }
     }
 
-    /// What was written since the last call.
+    /// Returns the bytes written since the last call.
     pub(crate) fn take(&mut self) -> util::Bytes {
         self.buffer.take()
     }
 
-    /// Writes the end of a whole answer.
+    /// Writes the end of a complete response.
     pub(crate) fn finish(&mut self, usage: Usage, outcome_event: bool) {
         let reason = usage.finish_reason();
-        let choice = match self.title.form {
-            prompt::Form::Text => {
+        let choice = match self.metadata.endpoint {
+            prompt::Endpoint::Completions => {
                 format!(
                     "{{\"index\":0,\"text\":\"\",\"logprobs\":null,\"finish_reason\":\"{reason}\"}}"
                 )
             }
-            prompt::Form::Chat => {
+            prompt::Endpoint::Chat => {
                 format!("{{\"index\":0,\"delta\":{{}},\"finish_reason\":\"{reason}\"}}")
             }
         };
-        let event = format!("{}{choice}],\"usage\":{}}}\n\n", self.title.head(), usage.json());
+        let event =
+            format!("{}{choice}],\"usage\":{}}}\n\n", self.metadata.chunk_prefix(), usage.json());
         self.buffer.extend_from_slice(event.as_bytes());
         if outcome_event {
             self.buffer.extend_from_slice(b"event: outcome\ndata: done\n\n");
@@ -125,7 +129,7 @@
         self.buffer.extend_from_slice(b"data: [DONE]\n\n");
     }
 
-    /// Writes the end of an answer that failed: no `[DONE]` follows.
+    /// Writes the end of a failed response, which has no `[DONE]` event.
     pub(crate) fn fail(&mut self, object: &str) {
         self.buffer.extend_from_slice(b"event: error\ndata: ");
         self.buffer.extend_from_slice(object.as_bytes());
@@ -143,26 +147,28 @@
     }
 }
 
-/// Gathers an answer that is not streamed.
+/// Collects a response that is not streamed.
 #[derive(Debug, Default)]
-pub(crate) struct Gather {
-    /// JSON text without its quotes.
+pub(crate) struct Collector {
+    /// JSON encoding of the text without the quotes.
     text: String,
 }
 
-impl Sink for Gather {
+impl Sink for Collector {
     fn token(&mut self, text: &RawValue) {
         let text = text.get();
         self.text.push_str(&text[1..text.len() - 1]);
     }
 }
 
-impl Gather {
-    /// The answer as JSON.
-    pub(crate) fn finish(&self, title: &Title, usage: Usage) -> String {
-        let (object, opening, closing) = match title.form {
-            prompt::Form::Text => ("text_completion", "\"text\":\"", "\",\"logprobs\":null"),
-            prompt::Form::Chat => (
+impl Collector {
+    /// Returns the response as JSON.
+    pub(crate) fn finish(&self, metadata: &Metadata, usage: Usage) -> String {
+        let (object, opening, closing) = match metadata.endpoint {
+            prompt::Endpoint::Completions => {
+                ("text_completion", "\"text\":\"", "\",\"logprobs\":null")
+            }
+            prompt::Endpoint::Chat => (
                 "chat.completion",
                 "\"message\":{\"role\":\"assistant\",\"content\":\"",
                 "\"},\"logprobs\":null",
@@ -172,9 +178,9 @@
             "{{\"id\":\"{}\",\"object\":\"{object}\",\"created\":{},\"model\":\"{}\",\
              \"choices\":[{{\"index\":0,{opening}{}{closing},\"finish_reason\":\"{}\"}}],\
              \"usage\":{}}}",
-            title.name(),
-            title.created,
-            title.model,
+            metadata.response_id(),
+            metadata.created,
+            metadata.model,
             self.text,
             usage.finish_reason(),
             usage.json(),
