--- a/crates/lagoon-net/src/entry/replica.rs
+++ b/crates/lagoon-net/src/entry/replica.rs
@@ -1,15 +1,16 @@
-//! Which replica of a plain service gets a call.
+//! Chooses the replica of a plain service for each call.
 //!
-//! Pattern answered: calls of unlike length over few replicas. Each call goes to the replica with
-//! the fewest calls of this host under way, the own zone first. A call that finds every replica's
-//! slots taken waits for one, first come first served; newcomers do not pass those that wait. The
-//! wait is bounded in time and number, so that what cannot be served soon is told so.
+//! Calls differ much in duration, and a service has few replicas. Each call goes to the replica
+//! with the fewest calls of this host in progress, with replicas of the own zone first. A call that
+//! finds all slots taken waits in first-in, first-out order, and new calls do not overtake waiting
+//! ones. The wait is limited in time and in number, so that a call which cannot be served soon is
+//! refused.
 //!
-//! Pattern answered: a replica that loses every answer ends its calls at once, so it has the fewest
-//! under way and gets them all. Symptom: 745 bookings in 15 s ended as unknown while the other
-//! replicas stood idle. Three losses in a row open its circuit, as for an engine
-//! (`lagoonline::load::outlier`); one call tries it again later. That is enough because at most a
-//! third of a service's replicas, and at least one, may be out.
+//! Guards against a replica that fails every call at once: it would always have the fewest calls in
+//! progress and attract all of them. Without a circuit breaker, 745 calls ended as unknown within
+//! 15 s while the other replicas were idle. Three failed calls in a row open the replica's circuit,
+//! as for an engine (`lagoonline::load::outlier`); a single call probes it later. At most a third
+//! of a service's replicas, and at least one, may have an open circuit.
 
 use std::collections;
 use std::net;
@@ -23,9 +24,11 @@
 use lagoonline::view;
 use tokio::sync as async_sync;
 
+/// State of one replica that this host tracks.
 #[derive(Debug, Default)]
 struct Replica {
-    outstanding: atomic::AtomicU32,
+    /// Slots in use.
+    in_flight: atomic::AtomicU32,
     leaving: atomic::AtomicBool,
     health: sync::Mutex<outlier::Health>,
 }
@@ -35,131 +38,139 @@
         self.health.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Takes one of `slots`; how many were taken before.
+    /// Takes one of `slots`. Returns how many were taken before, or `None` when all are.
     fn take(&self, slots: u32) -> Option<u32> {
         let more = |taken| (taken < slots).then_some(taken + 1);
         let (set, get) = (atomic::Ordering::Relaxed, atomic::Ordering::Relaxed);
-        self.outstanding.fetch_update(set, get, more).ok()
+        self.in_flight.fetch_update(set, get, more).ok()
     }
 
-    fn give_back(&self) {
-        self.outstanding.fetch_sub(1, atomic::Ordering::Relaxed);
+    fn release(&self) {
+        self.in_flight.fetch_sub(1, atomic::Ordering::Relaxed);
     }
 }
 
-/// Calls of one service that wait for a slot.
+/// Queue of the calls that wait for a slot of one service.
 #[derive(Debug, Default)]
-struct Lobby {
+struct WaitQueue {
+    /// Notified when a slot is released.
     freed: async_sync::Notify,
+    /// Number of waiting calls.
     waiting: atomic::AtomicUsize,
 }
 
-/// How often a waiting call looks by itself: slots also come with a new document, and of slots
-/// that are freed at once a wake may be lost.
-const RECHECK: clock::Span = clock::Span::from_millis(50);
+/// Interval at which a waiting call checks by itself: slots also appear when a new section is
+/// applied, and a wakeup may be lost when several slots are released at once.
+const RECHECK_INTERVAL: clock::Span = clock::Span::from_millis(50);
 
-/// A waiting call's turn; it leaves the queue when dropped.
+/// A waiting call. Dropping it removes it from the queue.
 #[derive(Debug)]
-pub(crate) struct Turn(sync::Arc<Lobby>);
+pub(crate) struct Waiter(sync::Arc<WaitQueue>);
 
-impl Turn {
+impl Waiter {
     /// Waits until a slot may be free.
-    pub(crate) async fn next(&self) {
-        let _timeout = tokio::time::timeout(RECHECK, self.0.freed.notified()).await;
+    pub(crate) async fn wait(&self) {
+        let _timeout = tokio::time::timeout(RECHECK_INTERVAL, self.0.freed.notified()).await;
     }
 }
 
-impl Drop for Turn {
+impl Drop for Waiter {
     fn drop(&mut self) {
         self.0.waiting.fetch_sub(1, atomic::Ordering::Relaxed);
-        // The wake that this call took and did not use is the next one's.
+        // Passes a wakeup that this call may have received and not used to the next one.
         self.0.freed.notify_one();
     }
 }
 
-/// Calls under way at each replica of this host's view.
+/// State of all service replicas in this host's view, and the queues of the services.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Replicas {
     replicas: collections::HashMap<id::Upstream, sync::Arc<Replica>>,
-    lobbies: collections::HashMap<id::Service, sync::Arc<Lobby>>,
+    queues: collections::HashMap<id::Service, sync::Arc<WaitQueue>>,
 }
 
-/// One call's place at a replica, free again when dropped.
+/// A slot at a replica, released when dropped.
 #[derive(Debug)]
 pub(crate) struct Slot {
     replica: sync::Arc<Replica>,
-    lobby: sync::Arc<Lobby>,
+    queue: sync::Arc<WaitQueue>,
     pub(crate) upstream: id::Upstream,
     pub(crate) address: net::SocketAddr,
-    /// Whether it is in another zone.
-    far: bool,
-    /// Replicas of the service, and those of them whose circuit was not closed.
-    all: usize,
-    out: usize,
+    /// Whether the replica is in another zone.
+    remote: bool,
+    /// Number of replicas of the service.
+    total: usize,
+    /// Number of those replicas whose circuit is not closed.
+    ejected: usize,
 }
 
 impl Slot {
-    /// It answered, whatever it said.
-    pub(crate) fn answered(&self) {
-        self.replica.health().succeeded();
+    /// Records that the replica responded, with whatever status.
+    pub(crate) fn record_response(&self) {
+        self.replica.health().record_success();
     }
 
-    /// No answer came, though the caller did its part.
-    pub(crate) fn failed(&self, now: clock::Moment) {
-        self.replica.health().failed(now, self.out, self.all, self.far);
+    /// Records that no connection was established or no response arrived, and that this was not the
+    /// caller's fault.
+    pub(crate) fn record_failure(&self, now: clock::Moment) {
+        self.replica.health().record_failure(now, self.ejected, self.total, self.remote);
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        // A call that tried an open circuit and ended without a word, as when its caller left,
-        // must not leave it as being tried for ever. After a word this changes nothing.
-        self.replica.health().untold(clock::Moment::START);
-        self.replica.give_back();
-        self.lobby.freed.notify_one();
+        // A probe of an open circuit that ended without a result, as when its caller disconnected,
+        // must not leave the circuit in the probing state forever. `START` lets the next call probe
+        // at once. This has no effect after a result.
+        self.replica.health().record_inconclusive(clock::Moment::START);
+        self.replica.release();
+        self.queue.freed.notify_one();
     }
 }
 
-/// Why there is no slot.
+/// Reason why no slot is available.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Shortage {
-    /// No replica is known, or all are leaving.
-    None,
+pub(crate) enum Unavailable {
+    /// No replica is known, or all are leaving, have an open circuit or were already tried.
+    NoReplica,
     /// All slots are taken.
     Full,
 }
 
 impl Replicas {
+    /// Returns the replicas of a new fleet; the state of those that remain is kept.
     pub(crate) fn with_fleet(&self, fleet: &view::Fleet) -> Replicas {
         let mut replicas = collections::HashMap::new();
-        let mut lobbies = collections::HashMap::new();
+        let mut queues = collections::HashMap::new();
         for upstream in &fleet.upstreams {
             if let document::Serves::Service(service) = &upstream.entry.serves {
                 let kept = self.replicas.get(&upstream.name).cloned().unwrap_or_default();
                 replicas.insert(upstream.name.clone(), kept);
-                let kept = self.lobbies.get(service).cloned().unwrap_or_default();
-                lobbies.insert(service.clone(), kept);
+                let kept = self.queues.get(service).cloned().unwrap_or_default();
+                queues.insert(service.clone(), kept);
             }
         }
-        Replicas { replicas, lobbies }
+        Replicas { replicas, queues }
     }
 
+    /// Sets whether a replica is leaving; a leaving one gets no new calls.
     pub(crate) fn set_leaving(&self, upstream: &id::Upstream, leaving: bool) {
         if let Some(replica) = self.replicas.get(upstream) {
             replica.leaving.store(leaving, atomic::Ordering::Relaxed);
         }
     }
 
-    /// Joins those that wait for a slot of the service; none when `most` do already.
-    pub(crate) fn wait(&self, service: &id::Service, most: usize) -> Option<Turn> {
-        let lobby = self.lobbies.get(service)?;
-        let turn = Turn(lobby.clone());
-        let before = lobby.waiting.fetch_add(1, atomic::Ordering::Relaxed);
-        (before < most).then_some(turn)
+    /// Adds a call to those that wait for a slot of the service. Returns `None` when `max_waiting`
+    /// wait already.
+    pub(crate) fn enqueue(&self, service: &id::Service, max_waiting: usize) -> Option<Waiter> {
+        let queue = self.queues.get(service)?;
+        let waiter = Waiter(queue.clone());
+        let before = queue.waiting.fetch_add(1, atomic::Ordering::Relaxed);
+        (before < max_waiting).then_some(waiter)
     }
 
-    /// Takes a slot at a replica that is not among `tried`; `waited` says that it is this call's
-    /// turn before newcomers.
+    /// Takes a slot at a replica that is not in `tried`. `waited` is set for a call from the queue,
+    /// which goes before new calls.
     pub(crate) fn take(
         &self,
         fleet: &view::Fleet,
@@ -167,19 +178,19 @@
         (zone, now): (&id::Zone, clock::Moment),
         tried: &[id::Upstream],
         waited: bool,
-    ) -> Result<Slot, Shortage> {
-        let lobby = self.lobbies.get(service).ok_or(Shortage::None)?;
-        if !waited && lobby.waiting.load(atomic::Ordering::Relaxed) > 0 {
-            return Err(Shortage::Full);
+    ) -> Result<Slot, Unavailable> {
+        let queue = self.queues.get(service).ok_or(Unavailable::NoReplica)?;
+        if !waited && queue.waiting.load(atomic::Ordering::Relaxed) > 0 {
+            return Err(Unavailable::Full);
         }
-        let mut shortage = Shortage::None;
-        let (mut all, mut out) = (0, 0);
+        let mut unavailable = Unavailable::NoReplica;
+        let (mut total, mut ejected) = (0, 0);
         let mut best: Option<(bool, u32, &sync::Arc<Replica>, &view::Upstream)> = None;
         for upstream in fleet.replicas(service) {
             let Some(replica) = self.replicas.get(&upstream.name) else { continue };
             let health = *replica.health();
-            all += 1;
-            out += usize::from(health.is_out());
+            total += 1;
+            ejected += usize::from(health.is_out());
             if !health.allows(now)
                 || tried.contains(&upstream.name)
                 || replica.leaving.load(atomic::Ordering::Relaxed)
@@ -187,27 +198,29 @@
                 continue;
             }
             let slots = upstream.entry.slots;
-            let Some(outstanding) = replica.take(slots) else {
-                shortage = Shortage::Full;
+            let Some(in_flight) = replica.take(slots) else {
+                unavailable = Unavailable::Full;
                 continue;
             };
-            let far = upstream.entry.zone != *zone;
-            if best.as_ref().is_some_and(|(f, o, ..)| (far, outstanding) >= (*f, *o)) {
-                replica.give_back();
+            let remote = upstream.entry.zone != *zone;
+            if best.as_ref().is_some_and(|(best_remote, best_in_flight, ..)| {
+                (remote, in_flight) >= (*best_remote, *best_in_flight)
+            }) {
+                replica.release();
                 continue;
             }
-            if let Some((_, _, other, _)) = best.replace((far, outstanding, replica, upstream)) {
-                other.give_back();
+            if let Some((_, _, other, _)) = best.replace((remote, in_flight, replica, upstream)) {
+                other.release();
             }
         }
-        let (far, _, replica, upstream) = best.ok_or(shortage)?;
-        replica.health().sent();
+        let (remote, _, replica, upstream) = best.ok_or(unavailable)?;
+        replica.health().record_sent();
         Ok(Slot {
-            far,
-            all,
-            out,
+            remote,
+            total,
+            ejected,
             replica: replica.clone(),
-            lobby: lobby.clone(),
+            queue: queue.clone(),
             upstream: upstream.name.clone(),
             address: upstream.entry.address,
         })
--- a/crates/lagoon-net/src/entry/server.rs
+++ b/crates/lagoon-net/src/entry/server.rs
@@ -1,4 +1,4 @@
-//! The listening side: worker threads, routes, drain.
+//! HTTP server of an entry host: worker threads, routing and drain.
 
 use std::io;
 use std::net;
@@ -10,15 +10,15 @@
 use lagoonline::clock::Clock as _;
 use lagoonline::control::document;
 use lagoonline::id;
-use lagoonline::life::drain;
+use lagoonline::lifecycle::drain;
 use lagoonline::outcome::{Outcome, Reason, Step};
 use ntex::http;
 use ntex::web;
 
+use super::admission;
 use super::body;
 use super::call;
 use super::cancel;
-use super::desk;
 use super::fault;
 use super::link;
 use super::metrics;
@@ -29,14 +29,15 @@
 use super::state;
 use super::worker;
 
-/// How long answers that are complete may take to leave when the server stops.
-const FLUSH: ntex::time::Seconds = ntex::time::Seconds(5);
-/// Time between two looks at a shutdown under way.
+/// Time for sending complete responses when the server stops.
+const FLUSH_TIMEOUT: ntex::time::Seconds = ntex::time::Seconds(5);
+/// Interval at which the progress of a drain is checked.
 const DRAIN_TICK: clock::Span = clock::Span::from_millis(10);
-/// How long failures told at the grace limit may take to be written.
-const LAST_WORDS: clock::Span = clock::Span::from_millis(500);
+/// Time for sending error responses after a drain was cut short, and for outstanding cancels to be
+/// acknowledged at the end of every drain.
+const SETTLE_TIMEOUT: clock::Span = clock::Span::from_millis(500);
 
-/// A running entry host. Dropping it leaves the server running; call [`Running::drain`].
+/// A running entry host. Dropping this value leaves the server running; call [`Running::drain`].
 #[derive(Debug)]
 pub struct Running {
     handle: Handle,
@@ -50,50 +51,50 @@
     state: sync::Arc<state::State>,
 }
 
-/// What requests hold; all zero when none is under way.
+/// Number of resources that requests hold; all zero when no request is in progress.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Held {
-    /// Places on upstreams.
-    pub places: usize,
-    /// Turns in queues.
-    pub waiting: usize,
-    /// Cancels not acknowledged yet.
+pub struct Resources {
+    /// Slots on upstreams.
+    pub slots: usize,
+    /// Requests waiting in queues.
+    pub queued: usize,
+    /// Cancels that engines have not acknowledged.
     pub cancels: usize,
 }
 
 /// How a server ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ending {
-    /// Every request that was let in ended by itself.
+    /// Every accepted request ran to its end.
     Clean,
-    /// The drain was cut short; so many requests failed by it.
+    /// The drain was cut short, which failed this number of requests.
     Cut(usize),
 }
 
 impl Running {
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> net::SocketAddr {
         self.handle.address
     }
 
-    /// A handle to control it by.
+    /// Returns a handle that controls this server.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Starts a drain: unready, then no new requests, then the end.
+    /// Starts a drain: the host reports unready, then refuses new requests, then stops.
     pub fn drain(&self) {
         self.handle.drain();
     }
 
-    /// Waits for the end.
+    /// Waits until the server has stopped.
     ///
     /// # Errors
     ///
     /// The server's thread failed.
     pub fn wait(self) -> io::Result<Ending> {
         let ended = self.thread.join();
-        ended.map_err(|_| io::Error::other("the server's thread panicked"))??;
+        ended.map_err(|_| io::Error::other("the server thread panicked"))??;
         Ok(match self.handle.state.aborted() {
             0 => Ending::Clean,
             count => Ending::Cut(count),
@@ -102,56 +103,56 @@
 }
 
 impl Handle {
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Starts a drain.
+    /// Starts a drain; see [`Running::drain`].
     pub fn drain(&self) {
         self.state.advance(state::Phase::Unready);
     }
 
-    /// Ends at once: requests under way fail, and their callers are told so.
+    /// Stops at once: requests in progress fail, and their callers get an error.
     pub fn abort(&self) {
         self.state.advance(state::Phase::Aborting);
     }
 
-    /// Requests under way.
+    /// Returns the number of requests in progress.
     pub fn active(&self) -> usize {
         self.state.active()
     }
 
-    /// What requests hold now: places on upstreams, turns in queues, cancels not acknowledged.
-    pub fn held(&self) -> Held {
+    /// Returns the number of resources that requests hold now.
+    pub fn resources(&self) -> Resources {
         let view = self.state.view();
-        let desks = || view.desks.values();
-        Held {
-            places: desks().map(|desk| desk.dispatched()).sum(),
-            waiting: desks().map(|desk| desk.waiters()).sum(),
+        let queues = || view.queues.values();
+        Resources {
+            slots: queues().map(|queue| queue.slots_in_use()).sum(),
+            queued: queues().map(|queue| queue.queued()).sum(),
             cancels: usize::try_from(self.state.metrics.cancels_pending.get()).unwrap_or(0),
         }
     }
 
-    /// The host and its incarnation, as upstreams know it.
+    /// Returns the host and its incarnation, as they are sent to upstreams.
     pub fn owner(&self) -> &id::Owner {
         &self.state.owner
     }
 
-    /// Puts sections in force; one whose version is not above the one in force is passed over.
+    /// Applies sections. A section whose version is not above the current one is ignored.
     pub fn install(&self, sections: Vec<document::Section>) {
         self.state.install(sections);
     }
 
-    /// Marks an upstream as leaving, or takes the mark back for a new incarnation.
+    /// Sets whether an upstream is leaving; `false` is for a new incarnation of it.
     pub fn set_leaving(&self, upstream: &id::Upstream, leaving: bool) {
         self.state.set_leaving(upstream, leaving);
     }
 
-    /// Takes in a load report of an engine.
-    pub fn observe(&self, upstream: &id::Upstream, load: &lagoonline::port::engine::Load) {
-        for desk in self.state.view().desks.values() {
-            desk.observe(upstream, load);
+    /// Applies a load report of an engine to the queues of all models.
+    pub fn observe(&self, upstream: &id::Upstream, load: &lagoonline::port::engine::LoadReport) {
+        for queue in self.state.view().queues.values() {
+            queue.observe(upstream, load);
         }
     }
 }
@@ -173,21 +174,22 @@
 pub fn start(settings: settings::Settings) -> io::Result<Running> {
     let listener = net::TcpListener::bind(settings.listen)?;
     let address = listener.local_addr()?;
-    let (state, chores) = state::State::new(settings);
+    let (state, receivers) = state::State::new(settings);
     let handle = Handle { address, state: state.clone() };
     let name = format!("entry-{}", state.settings.host);
     let system = move || {
         let system = ntex::rt::System::build().name(&name).build(ntex::rt::DefaultRuntime);
-        system.block_on(serve(state, listener, chores))
+        system.block_on(serve(state, listener, receivers))
     };
     let thread = thread::Builder::new().name("lagoon-entry".to_owned()).spawn(system)?;
     Ok(Running { handle, thread })
 }
 
+/// Runs the server on the control thread until it is drained.
 async fn serve(
     state: sync::Arc<state::State>,
     listener: net::TcpListener,
-    chores: state::Chores,
+    receivers: state::Receivers,
 ) -> io::Result<()> {
     let limits = state.settings.limits;
     let config = http::HttpServiceConfig::new()
@@ -204,18 +206,18 @@
     let server = server
         .workers(state.settings.workers)
         .disable_signals()
-        .shutdown_timeout(FLUSH)
+        .shutdown_timeout(FLUSH_TIMEOUT)
         .config(config)
         .listen(listener)?
         .run();
     let client = worker::new_client(1).await;
-    drop(ntex::rt::spawn(cancel::run(state.clone(), client, chores.cancels)));
-    drop(ntex::rt::spawn(keep_desks(chores.desks)));
-    if let Some(task) = chores.link {
+    drop(ntex::rt::spawn(cancel::run(state.clone(), client, receivers.cancels)));
+    drop(ntex::rt::spawn(run_queues(receivers.new_queues)));
+    if let Some(task) = receivers.link {
         drop(ntex::rt::spawn(task.run(link::Sink(state.clone()))));
         drop(ntex::rt::spawn(link::report(state.clone())));
     }
-    drain_all(&state).await;
+    run_until_drained(&state).await;
     server.stop(true).await;
     Ok(())
 }
@@ -224,35 +226,39 @@
     ntex::time::Seconds(u16::try_from(span.as_millis().div_ceil(1_000)).unwrap_or(u16::MAX))
 }
 
-async fn keep_desks(mut desks: tokio::sync::mpsc::UnboundedReceiver<sync::Weak<desk::Desk>>) {
-    while let Some(desk) = desks.recv().await {
-        drop(ntex::rt::spawn(desk::Desk::keep(desk)));
+/// Runs each new queue in a task of its own.
+async fn run_queues(
+    mut queues: tokio::sync::mpsc::UnboundedReceiver<sync::Weak<admission::Queue>>,
+) {
+    while let Some(queue) = queues.recv().await {
+        drop(ntex::rt::spawn(admission::Queue::run(queue)));
     }
 }
 
-/// Returns when the server may stop.
-async fn drain_all(state: &sync::Arc<state::State>) {
+/// Waits for a drain to begin and to end. The server may stop when this returns.
+async fn run_until_drained(state: &sync::Arc<state::State>) {
     let mut phase = state.watch_phase();
-    // The sender is in `state`, so the wait ends only by a change.
-    reach(&mut phase, state::Phase::Unready).await;
-    log::info!("draining with {} requests under way", state.active());
-    if shut_down(state, &mut phase).await {
-        log::warn!("drain cut short with {} requests under way", state.active());
+    // `state` owns the sender, so the wait ends only when the phase changes.
+    wait_for_phase(&mut phase, state::Phase::Unready).await;
+    log::info!("draining with {} requests in progress", state.active());
+    if run_drain(state, &mut phase).await {
+        log::warn!("drain cut short with {} requests in progress", state.active());
         state.advance(state::Phase::Aborting);
-        let _timeout = tokio::time::timeout(LAST_WORDS, idle(state)).await;
+        let _timeout = tokio::time::timeout(SETTLE_TIMEOUT, wait_until_idle(state)).await;
     }
-    // Cancels of the requests that failed just now are still on their way.
+    // The cancels of requests that were just aborted may not be acknowledged yet.
     let settled = async {
         while state.metrics.cancels_pending.get() > 0 {
             tokio::time::sleep(clock::Span::from_millis(10)).await;
         }
     };
-    let _timeout = tokio::time::timeout(LAST_WORDS, settled).await;
+    let _timeout = tokio::time::timeout(SETTLE_TIMEOUT, settled).await;
     log::info!("drained");
 }
 
-/// Follows the shutdown from its first signal to its end; whether requests were cut.
-async fn shut_down(
+/// Runs the drain from its start to its end. Returns whether it was cut short (by a second signal
+/// or the grace limit) while requests were in progress.
+async fn run_drain(
     state: &state::State,
     phase: &mut tokio::sync::watch::Receiver<state::Phase>,
 ) -> bool {
@@ -263,11 +269,12 @@
         match reached {
             drain::State::Serving | drain::State::Unready => {}
             drain::State::Draining => state.advance(state::Phase::Draining),
-            drain::State::Ended { cut } => return cut,
+            drain::State::Ended { interrupted } => return interrupted,
         }
         reached = tokio::select! {
             biased;
-            () = reach(phase, state::Phase::Aborting) => {
+            // A second signal cuts the drain short.
+            () = wait_for_phase(phase, state::Phase::Aborting) => {
                 drain.signal(state.clock.now(), state.active())
             }
             () = tokio::time::sleep(DRAIN_TICK) => drain.tick(state.clock.now(), state.active()),
@@ -275,16 +282,21 @@
     }
 }
 
-/// Waits for a phase. The value that was seen is let go at once: it holds the channel's lock.
-async fn reach(phase: &mut tokio::sync::watch::Receiver<state::Phase>, wanted: state::Phase) {
+/// Waits until `wanted` or a later phase is reached. The returned value is dropped at once because
+/// it holds the channel's lock.
+async fn wait_for_phase(
+    phase: &mut tokio::sync::watch::Receiver<state::Phase>,
+    wanted: state::Phase,
+) {
     drop(phase.wait_for(|phase| *phase >= wanted).await);
 }
 
-/// Waits until no request is under way.
-async fn idle(state: &state::State) {
+/// Waits until no request is in progress.
+async fn wait_until_idle(state: &state::State) {
     drop(state.watch_active().wait_for(|count| *count == 0).await);
 }
 
+/// Handles one HTTP request: probes and metrics here, everything else by [`call_handler`].
 async fn route(
     request: web::HttpRequest,
     payload: web::types::Payload,
@@ -293,25 +305,25 @@
     let state = &worker.state;
     let path = request.path();
     let unread = body::Unread::new(payload.into_inner());
-    let most = state.settings.limits.body_bytes;
+    let max_bytes = state.settings.limits.body_bytes;
     match path {
         "/healthz" => return web::HttpResponse::Ok().body("ok\n"),
-        "/readyz" => return ready(state),
-        "/metrics" => return expose(state),
+        "/readyz" => return readiness(state),
+        "/metrics" => return metrics_page(state),
         _ => {}
     }
     let request_id = call::request_id(request.headers());
     let kind = if path.starts_with("/services/") { "service" } else { "model" };
     if state.phase() >= state::Phase::Draining {
         let fault = fault::new(Reason::Draining, Step::Admit, Outcome::NotRun);
-        state.metrics.failed(&metrics::Subject::new(kind), &fault.failure);
-        unread.discard(request.headers(), most).await;
-        return fault.answer(&request_id, true);
+        state.metrics.count_failed(&metrics::Tags::new(kind), &fault.failure);
+        unread.discard(request.headers(), max_bytes).await;
+        return fault.response(&request_id, true);
     }
     let work = async {
-        let result = dispatch(&worker, &request, &unread, &request_id).await;
+        let result = call_handler(&worker, &request, &unread, &request_id).await;
         if result.is_err() {
-            unread.discard(request.headers(), most).await;
+            unread.discard(request.headers(), max_bytes).await;
         }
         result
     };
@@ -326,14 +338,15 @@
         None => work.await,
     };
     result.unwrap_or_else(|fault| {
-        let subject = request.extensions().get::<metrics::Subject>().cloned();
-        let subject = subject.unwrap_or_else(|| metrics::Subject::new(kind));
-        state.metrics.failed(&subject, &fault.failure);
-        fault.answer(&request_id, state.phase() >= state::Phase::Draining)
+        let tags = request.extensions().get::<metrics::Tags>().cloned();
+        let tags = tags.unwrap_or_else(|| metrics::Tags::new(kind));
+        state.metrics.count_failed(&tags, &fault.failure);
+        fault.response(&request_id, state.phase() >= state::Phase::Draining)
     })
 }
 
-async fn dispatch(
+/// Calls the handler for the path and method.
+async fn call_handler(
     worker: &rc::Rc<worker::Worker>,
     request: &web::HttpRequest,
     unread: &body::Unread,
@@ -344,14 +357,14 @@
     let get = *request.method() == http::Method::GET;
     match path {
         "/v1/completions" if post => {
-            model::answer(worker, prompt::Form::Text, request, unread, request_id).await
+            model::handle(worker, prompt::Endpoint::Completions, request, unread, request_id).await
         }
         "/v1/chat/completions" if post => {
-            model::answer(worker, prompt::Form::Chat, request, unread, request_id).await
+            model::handle(worker, prompt::Endpoint::Chat, request, unread, request_id).await
         }
         "/v1/models" if get => model::list(&worker.state, request, request_id),
         path if path.starts_with("/services/") => {
-            services::answer(worker, request, unread, request_id).await
+            services::handle(worker, request, unread, request_id).await
         }
         _ => {
             let fault = fault::new(Reason::UnknownName, Step::Read, Outcome::NotRun);
@@ -360,17 +373,19 @@
     }
 }
 
-fn ready(state: &state::State) -> web::HttpResponse {
+/// Responds to `/readyz`.
+fn readiness(state: &state::State) -> web::HttpResponse {
     if state.is_ready() {
         return web::HttpResponse::Ok().body("ready\n");
     }
     let why =
         if state.phase() > state::Phase::Serving { "draining\n" } else { "no sections yet\n" };
-    let mut answer = web::HttpResponse::ServiceUnavailable();
-    answer.set_header("Retry-After", "1").body(why)
+    let mut response = web::HttpResponse::ServiceUnavailable();
+    response.set_header("Retry-After", "1").body(why)
 }
 
-fn expose(state: &state::State) -> web::HttpResponse {
+/// Responds to `/metrics`.
+fn metrics_page(state: &state::State) -> web::HttpResponse {
     state.refresh();
     match state.metrics.encode() {
         Ok(text) => web::HttpResponse::Ok()
--- a/crates/lagoon-net/src/entry/settings.rs
+++ b/crates/lagoon-net/src/entry/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry host: one JSON file, checked whole before anything starts.
+//! Settings of an entry host: one JSON file, fully validated before anything starts.
 
 use std::fs;
 use std::net;
@@ -11,37 +11,39 @@
 use lagoonline::load;
 use serde_json::Value;
 
-use super::queue;
+use super::queue_settings;
 use crate::logs;
 use crate::platform;
 use crate::wire;
 
-/// Bounds on what a caller may send and how long it may take.
+/// Limits on the size and duration of callers' requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// Longest request head, in bytes.
     pub head_bytes: usize,
-    /// Most headers of a request.
+    /// Most headers in a request.
     pub headers: usize,
-    /// Longest body of a model call, in bytes; it is kept whole in memory until it is sent on.
+    /// Longest body of a model call, in bytes. It is kept in memory until it is dispatched.
     pub body_bytes: usize,
-    /// Longest body of a service call, in bytes; it passes as it comes.
+    /// Longest body of a service call, in bytes. It is streamed.
     pub service_body_bytes: u64,
-    /// Longest time for a request's head.
+    /// Timeout for receiving a request's head.
     pub head_timeout: clock::Span,
-    /// Longest silence of a caller within its body.
+    /// Longest pause between two chunks of a request body.
     pub body_timeout: clock::Span,
-    /// How long an idle connection is kept.
+    /// How long an idle connection is kept open.
     pub keep_alive: clock::Span,
-    /// How long a caller may take to read what is left of an answer after its deadline.
+    /// How long a caller may take after its deadline to read the rest of a response.
     pub linger: clock::Span,
     /// Longest wait of a service call for a replica with a free slot.
     pub service_wait: clock::Span,
-    /// Most calls of one service that wait so.
+    /// Most calls of one service that may wait for a slot.
     pub service_waiting: usize,
-    /// Most dispatches of one request.
+    /// Most rounds of finding a slot and dispatching until a response starts. A broken stream is
+    /// not moved to another engine after as many dispatches.
     pub attempts: u32,
-    /// Batches of a streamed answer that wait for a slow caller before the engine has to wait.
+    /// Batches of a streamed response that are buffered for a slow caller before reading from the
+    /// engine pauses.
     pub stream_batches: usize,
 }
 
@@ -67,34 +69,35 @@
 /// Settings of an entry host.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where callers connect; port 0 lets the kernel choose.
+    /// Address for callers; with port 0 the kernel chooses a port.
     pub listen: net::SocketAddr,
-    /// Worker threads.
+    /// Number of worker threads.
     pub workers: usize,
     /// Name of this entry host.
     pub host: id::Host,
-    /// Its availability zone.
+    /// Availability zone of this host.
     pub zone: id::Zone,
-    /// Its region.
+    /// Region of this host.
     pub region: id::Region,
-    /// The steward that sections come from; without one the sections below are all there is.
+    /// Address of the steward that provides sections. Without a steward, only `sections` below are
+    /// used.
     pub steward: Option<net::SocketAddr>,
-    /// The fleet's key, which the steward has too.
+    /// Shared key of the fleet, which the steward must have too.
     pub key: wire::Key,
-    /// The platform, for idempotency keys; without one, keyed calls that may not repeat are
-    /// refused.
+    /// The platform that stores idempotency keys. Without one, calls that have a key and may not be
+    /// repeated are refused.
     pub platform: Option<platform::Settings>,
     /// Sections in force at the start.
     pub sections: Vec<document::Section>,
-    /// Bounds on callers.
+    /// Limits on requests.
     pub limits: Limits,
-    /// How long a drain shows the host as unready before new requests are refused.
+    /// How long a drain reports the host as unready before it refuses new requests.
     pub unready: clock::Span,
-    /// Longest drain; requests still running then fail.
+    /// Longest drain; requests still in progress after it fail.
     pub grace: clock::Span,
-    /// Queue bounds and the like.
+    /// Scheduling policy and queue limits.
     pub load: load::Settings,
-    /// Logs of the program.
+    /// Log settings.
     pub logs: logs::Settings,
 }
 
@@ -119,25 +122,25 @@
     }
 }
 
-/// Why a settings file cannot be used.
+/// Error while loading a settings file.
 #[derive(Debug, thiserror::Error)]
 #[error("{file}: {cause}")]
-pub struct Unusable {
-    /// The file.
+pub struct LoadError {
+    /// The file that cannot be used.
     pub file: path::PathBuf,
     /// What is wrong with it.
-    pub cause: Cause,
+    pub cause: LoadErrorCause,
 }
 
-/// What is wrong with a file.
+/// Reason why a file cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum Cause {
+pub enum LoadErrorCause {
     /// It cannot be read.
     #[error("{0}")]
     Unreadable(std::io::Error),
-    /// Its contents are refused.
+    /// Its contents are invalid.
     #[error("{0}")]
-    Refused(check::Faults),
+    Invalid(check::Faults),
 }
 
 impl Settings {
@@ -145,10 +148,11 @@
     ///
     /// # Errors
     ///
-    /// The file with all its faults, each with its JSON pointer.
-    pub fn load(file: &path::Path) -> Result<Settings, Unusable> {
+    /// The file with everything that is wrong in it, each entry with its JSON pointer.
+    pub fn load(file: &path::Path) -> Result<Settings, LoadError> {
         let text = read_file(file)?;
-        let refuse = |faults| Unusable { file: file.to_owned(), cause: Cause::Refused(faults) };
+        let refuse =
+            |faults| LoadError { file: file.to_owned(), cause: LoadErrorCause::Invalid(faults) };
         let (mut settings, document) = Settings::parse(&text).map_err(refuse)?;
         if let Some(path) = document {
             settings.sections.extend(load_document(&path)?);
@@ -156,11 +160,11 @@
         Ok(settings)
     }
 
-    /// Reads settings; the second part is the path of a document file, if one is named.
+    /// Parses settings. The second value is the path of a document file, if one is named.
     ///
     /// # Errors
     ///
-    /// All faults of the text, by JSON pointer.
+    /// Everything that is wrong in the text, each entry with its JSON pointer.
     ///
     /// ```
     /// use lagoon_net::entry::Settings;
@@ -177,7 +181,7 @@
     /// );
     /// ```
     pub fn parse(text: &str) -> Result<(Settings, Option<path::PathBuf>), check::Faults> {
-        let mut value: Value = serde_json::from_str(text).map_err(bad_json)?;
+        let mut value: Value = serde_json::from_str(text).map_err(syntax_error)?;
         let sections = value.as_object_mut().and_then(|fields| fields.remove("sections"));
         let mut faults = Vec::new();
         let read = match check::object(&value, read_settings) {
@@ -199,26 +203,29 @@
     }
 }
 
-fn bad_json(error: serde_json::Error) -> check::Faults {
+fn syntax_error(error: serde_json::Error) -> check::Faults {
     check::Faults(vec![check::Fault { pointer: String::new(), reason: error.to_string() }])
 }
 
-fn read_file(file: &path::Path) -> Result<String, Unusable> {
-    let unreadable = |error| Unusable { file: file.to_owned(), cause: Cause::Unreadable(error) };
+fn read_file(file: &path::Path) -> Result<String, LoadError> {
+    let unreadable =
+        |error| LoadError { file: file.to_owned(), cause: LoadErrorCause::Unreadable(error) };
     fs::read_to_string(file).map_err(unreadable)
 }
 
-fn load_document(file: &path::Path) -> Result<Vec<document::Section>, Unusable> {
+fn load_document(file: &path::Path) -> Result<Vec<document::Section>, LoadError> {
     let text = read_file(file)?;
-    parse_document(&text)
-        .map_err(|faults| Unusable { file: file.to_owned(), cause: Cause::Refused(faults) })
+    parse_document(&text).map_err(|faults| LoadError {
+        file: file.to_owned(),
+        cause: LoadErrorCause::Invalid(faults),
+    })
 }
 
-/// Reads a whole document: `{"sections": {TEAM: {"version": N, ...}}}`.
+/// Parses a whole document: `{"sections": {TEAM: {"version": N, ...}}}`.
 ///
 /// # Errors
 ///
-/// All faults of all sections, by JSON pointer.
+/// Everything that is wrong in any section, each entry with its JSON pointer.
 ///
 /// ```
 /// use lagoon_net::entry;
@@ -227,7 +234,7 @@
 /// assert_eq!(sections[0].version.0, 4);
 /// ```
 pub fn parse_document(text: &str) -> Result<Vec<document::Section>, check::Faults> {
-    let mut value: Value = serde_json::from_str(text).map_err(bad_json)?;
+    let mut value: Value = serde_json::from_str(text).map_err(syntax_error)?;
     let sections = value.as_object_mut().and_then(|fields| fields.remove("sections"));
     let mut faults = Vec::new();
     if let Err(found) = check::object(&value, |_| ()) {
@@ -238,6 +245,8 @@
     if faults.is_empty() { Ok(sections) } else { Err(check::Faults(faults)) }
 }
 
+/// Parses the sections of all teams; a missing version counts as 1. What is wrong in them is added
+/// to `faults`.
 fn read_sections(
     value: Value,
     pointer: &str,
@@ -271,12 +280,12 @@
 }
 
 fn read_settings(reader: &check::Reader<'_>) -> (Settings, Option<path::PathBuf>) {
-    let usual = Settings::default();
+    let default = Settings::default();
     let zone = id::Zone::from(reader.required("zone"));
-    let load = reader.child("queue", |reader| queue::read(reader, &zone));
+    let load = reader.child("queue", |reader| queue_settings::read(reader, &zone));
     let settings = Settings {
-        listen: reader.required_parsed("listen", "IP:PORT", usual.listen),
-        workers: read_size(reader, "workers", usual.workers, 1, 256),
+        listen: reader.required_parsed("listen", "IP:PORT", default.listen),
+        workers: read_size(reader, "workers", default.workers, 1, 256),
         host: id::Host::from(reader.required("host")),
         region: id::Region::from(reader.text("region", "")),
         steward: reader.parsed("steward", "IP:PORT"),
@@ -284,9 +293,9 @@
         platform: reader.child("platform", platform::Settings::read),
         sections: Vec::new(),
         limits: reader.child("limits", read_limits).unwrap_or_default(),
-        unready: read_span(reader, "unready_ms", usual.unready, 0, 60_000),
-        grace: read_span(reader, "grace_ms", usual.grace, 0, 86_400_000),
-        load: load.unwrap_or_else(|| load::Settings { zone: zone.clone(), ..usual.load }),
+        unready: read_span(reader, "unready_ms", default.unready, 0, 60_000),
+        grace: read_span(reader, "grace_ms", default.grace, 0, 86_400_000),
+        load: load.unwrap_or_else(|| load::Settings { zone: zone.clone(), ..default.load }),
         logs: reader.child("logs", logs::Settings::read).unwrap_or_default(),
         zone,
     };
@@ -294,31 +303,37 @@
     (settings, (!document.is_empty()).then(|| path::PathBuf::from(document)))
 }
 
-/// With a steward there must be a key.
+/// Reads the fleet's key, which is required if there is a steward.
 fn read_key(reader: &check::Reader<'_>) -> String {
     if reader.has("steward") { reader.required("key") } else { reader.text("key", "") }
 }
 
 fn read_limits(reader: &check::Reader<'_>) -> Limits {
-    let usual = Limits::default();
-    let attempts = reader.number("attempts", u64::from(usual.attempts), 1..=100);
+    let default = Limits::default();
+    let attempts = reader.number("attempts", u64::from(default.attempts), 1..=100);
     Limits {
-        head_bytes: read_size(reader, "head_bytes", usual.head_bytes, 1_024, 1 << 20),
-        headers: read_size(reader, "headers", usual.headers, 8, 1_024),
-        body_bytes: read_size(reader, "body_bytes", usual.body_bytes, 1_024, 1 << 30),
+        head_bytes: read_size(reader, "head_bytes", default.head_bytes, 1_024, 1 << 20),
+        headers: read_size(reader, "headers", default.headers, 8, 1_024),
+        body_bytes: read_size(reader, "body_bytes", default.body_bytes, 1_024, 1 << 30),
         service_body_bytes: reader.number(
             "service_body_bytes",
-            usual.service_body_bytes,
+            default.service_body_bytes,
             0..=1 << 40,
         ),
-        head_timeout: read_span(reader, "head_timeout_ms", usual.head_timeout, 1_000, 600_000),
-        body_timeout: read_span(reader, "body_timeout_ms", usual.body_timeout, 10, 600_000),
-        keep_alive: read_span(reader, "keep_alive_ms", usual.keep_alive, 1_000, 3_600_000),
-        linger: read_span(reader, "linger_ms", usual.linger, 0, 3_600_000),
-        service_wait: read_span(reader, "service_wait_ms", usual.service_wait, 0, 3_600_000),
-        service_waiting: read_size(reader, "service_waiting", usual.service_waiting, 0, 1_000_000),
-        attempts: u32::try_from(attempts).unwrap_or(usual.attempts),
-        stream_batches: read_size(reader, "stream_batches", usual.stream_batches, 1, 4_096),
+        head_timeout: read_span(reader, "head_timeout_ms", default.head_timeout, 1_000, 600_000),
+        body_timeout: read_span(reader, "body_timeout_ms", default.body_timeout, 10, 600_000),
+        keep_alive: read_span(reader, "keep_alive_ms", default.keep_alive, 1_000, 3_600_000),
+        linger: read_span(reader, "linger_ms", default.linger, 0, 3_600_000),
+        service_wait: read_span(reader, "service_wait_ms", default.service_wait, 0, 3_600_000),
+        service_waiting: read_size(
+            reader,
+            "service_waiting",
+            default.service_waiting,
+            0,
+            1_000_000,
+        ),
+        attempts: u32::try_from(attempts).unwrap_or(default.attempts),
+        stream_batches: read_size(reader, "stream_batches", default.stream_batches, 1, 4_096),
     }
 }
 
@@ -326,10 +341,10 @@
     reader: &check::Reader<'_>,
     name: &str,
     default: usize,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 ) -> usize {
-    let number = reader.number(name, default as u64, least..=most);
+    let number = reader.number(name, default as u64, min..=max);
     usize::try_from(number).unwrap_or(default)
 }
 
@@ -337,9 +352,9 @@
     reader: &check::Reader<'_>,
     name: &str,
     default: clock::Span,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 ) -> clock::Span {
-    let usual = u64::try_from(default.as_millis()).unwrap_or(most);
-    clock::Span::from_millis(reader.number(name, usual, least..=most))
+    let default_ms = u64::try_from(default.as_millis()).unwrap_or(max);
+    clock::Span::from_millis(reader.number(name, default_ms, min..=max))
 }
--- a/crates/lagoon-net/src/entry/state.rs
+++ b/crates/lagoon-net/src/entry/state.rs
@@ -1,4 +1,4 @@
-//! What the worker threads of an entry host share.
+//! State that is shared by the worker threads of an entry host.
 
 use std::collections;
 use std::sync;
@@ -14,32 +14,33 @@
 use lagoonline::view;
 use tokio::sync as async_sync;
 
+use super::admission;
 use super::cancel;
-use super::desk;
 use super::link;
 use super::metrics;
 use super::replica;
 use super::settings;
 use crate::platform;
 
-/// How far the shutdown of this host has come.
+/// Phase of the shutdown of this host.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Phase {
     Serving,
-    /// `/readyz` says no; requests are still let in, for balancers that have not looked yet.
+    /// `/readyz` fails, but requests are still accepted: load balancers may not have polled it yet.
     Unready,
-    /// New requests are refused, those under way go on.
+    /// New requests are refused; requests in progress continue.
     Draining,
-    /// Requests under way fail.
+    /// Requests in progress fail.
     Aborting,
 }
 
-/// All sections in force, and the desks of their models.
+/// Snapshot of the fleet (all sections in force, merged) with the queues and replicas for it.
 #[derive(Debug, Default)]
 pub(crate) struct View {
     pub(crate) fleet: view::Shared,
-    pub(crate) shards: load::Shards,
-    pub(crate) desks: collections::HashMap<id::Model, sync::Arc<desk::Desk>>,
+    /// The scheduler of each model.
+    pub(crate) shards: load::Schedulers,
+    pub(crate) queues: collections::HashMap<id::Model, sync::Arc<admission::Queue>>,
     pub(crate) replicas: replica::Replicas,
 }
 
@@ -47,42 +48,50 @@
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) settings: settings::Settings,
-    pub(crate) clock: clock::Host,
+    pub(crate) clock: clock::System,
     pub(crate) owner: id::Owner,
     pub(crate) metrics: metrics::Metrics,
     pub(crate) cancels: cancel::Sender,
     pub(crate) link: link::Link,
-    pub(crate) platform: Option<sync::Arc<platform::Limits>>,
-    limits: sync::Mutex<limit::Limits>,
+    /// Request limits of the platform's clients; `None` without a platform.
+    pub(crate) platform_limits: Option<sync::Arc<platform::Limits>>,
+    /// Rate limits of the customers.
+    rate_limits: sync::Mutex<limit::Limits>,
     view: ArcSwap<View>,
+    /// The newest known section of each team.
     sections: sync::Mutex<collections::BTreeMap<id::Team, document::Section>>,
-    changed: sync::Mutex<clock::Moment>,
-    desks: async_sync::mpsc::UnboundedSender<sync::Weak<desk::Desk>>,
+    /// When the fleet last changed: the age of the view when there is no steward.
+    fleet_changed_at: sync::Mutex<clock::Moment>,
+    /// Sends new queues to the control thread, which wakes their requests.
+    new_queues: async_sync::mpsc::UnboundedSender<sync::Weak<admission::Queue>>,
     phase: async_sync::watch::Sender<Phase>,
+    /// Number of requests in progress.
     active: async_sync::watch::Sender<usize>,
-    failed_drain: atomic::AtomicUsize,
+    /// Number of requests that failed because the drain was cut short.
+    aborted: atomic::AtomicUsize,
 }
 
-/// Receiving ends of the work that the control thread does for the others.
+/// Receivers of the work that the control thread does for the worker threads.
 #[derive(Debug)]
-pub(crate) struct Chores {
-    pub(crate) desks: async_sync::mpsc::UnboundedReceiver<sync::Weak<desk::Desk>>,
+pub(crate) struct Receivers {
+    pub(crate) new_queues: async_sync::mpsc::UnboundedReceiver<sync::Weak<admission::Queue>>,
     pub(crate) cancels: cancel::Receiver,
     pub(crate) link: Option<crate::link::Task>,
 }
 
 impl State {
-    pub(crate) fn new(mut settings: settings::Settings) -> (sync::Arc<State>, Chores) {
+    pub(crate) fn new(mut settings: settings::Settings) -> (sync::Arc<State>, Receivers) {
         settings.load.zone = settings.zone.clone();
-        // With one seed for all, the hosts of a zone draw the same upstreams at the same time.
+        // With the same seed everywhere, the hosts of a zone would pick the same upstreams at the
+        // same time.
         settings.load.seed = rand::random();
-        let clock = clock::Host::default();
+        let clock = clock::System::default();
         let incarnation = id::Incarnation(clock.wall_millis());
-        let (desks, desks_in) = async_sync::mpsc::unbounded_channel();
+        let (new_queues, queues_in) = async_sync::mpsc::unbounded_channel();
         let (cancels, cancels_in) = cancel::channel();
         let (link, task) = link::Link::open(&settings, incarnation);
-        let platform = settings.platform.clone().map(platform::Limits::new);
-        let limits = limit::Limits::new(settings.load.hosts_in_zone);
+        let platform_limits = settings.platform.clone().map(platform::Limits::new);
+        let rate_limits = limit::Limits::new(settings.load.hosts_in_zone);
         let sections = settings.sections.clone();
         let state = sync::Arc::new(State {
             owner: id::Owner { host: settings.host.clone(), incarnation },
@@ -91,90 +100,96 @@
             clock,
             cancels,
             link,
-            platform,
-            limits: sync::Mutex::new(limits),
+            platform_limits,
+            rate_limits: sync::Mutex::new(rate_limits),
             view: ArcSwap::default(),
             sections: sync::Mutex::default(),
-            changed: sync::Mutex::default(),
-            desks,
+            fleet_changed_at: sync::Mutex::default(),
+            new_queues,
             phase: async_sync::watch::Sender::new(Phase::Serving),
             active: async_sync::watch::Sender::new(0),
-            failed_drain: atomic::AtomicUsize::new(0),
+            aborted: atomic::AtomicUsize::new(0),
         });
         state.install(sections);
-        (state, Chores { desks: desks_in, cancels: cancels_in, link: task })
+        (state, Receivers { new_queues: queues_in, cancels: cancels_in, link: task })
     }
 
     pub(crate) fn view(&self) -> sync::Arc<View> {
         self.view.load_full()
     }
 
-    /// Puts sections in force; one whose version is not above the one in force is passed over, so
-    /// that a late or replayed message never takes a section back.
+    /// Applies sections. A section whose version is not above the current one is ignored, so that a
+    /// late or replayed message cannot revert it.
     pub(crate) fn install(&self, sections: Vec<document::Section>) {
-        let held = &self.sections;
-        let mut held = held.lock().unwrap_or_else(sync::PoisonError::into_inner);
+        let current = &self.sections;
+        let mut current = current.lock().unwrap_or_else(sync::PoisonError::into_inner);
         for section in sections {
-            let newer = held.get(&section.team).is_none_or(|old| old.version < section.version);
+            let newer = current.get(&section.team).is_none_or(|old| old.version < section.version);
             if newer {
-                held.insert(section.team.clone(), section);
+                current.insert(section.team.clone(), section);
             }
         }
-        self.put(sync::Arc::new(view::Fleet::merge(held.values())));
+        self.install_fleet(sync::Arc::new(view::Fleet::merge(current.values())));
     }
 
-    /// Works with `fleet` from now on.
-    pub(crate) fn put(&self, fleet: view::Shared) {
-        // Held to the end: of two changes at once, the later one keeps the desks of the first.
-        let mut changed = self.changed.lock().unwrap_or_else(sync::PoisonError::into_inner);
+    /// Replaces the fleet of the current view.
+    pub(crate) fn install_fleet(&self, fleet: view::Shared) {
+        // Held until the new view is stored: of two concurrent changes, the later one must keep the
+        // queues that the earlier one created.
+        let mut changed =
+            self.fleet_changed_at.lock().unwrap_or_else(sync::PoisonError::into_inner);
         for (team, version) in &fleet.versions {
             self.metrics.set_version(team, *version);
         }
         let old = self.view();
         let now = self.clock.now();
         let shards = old.shards.with_fleet(now, &fleet, &self.settings.load);
-        let desks = self.desks(&old, &shards);
+        let queues = self.build_queues(&old, &shards);
         let replicas = old.replicas.with_fleet(&fleet);
-        for desk in desks.values() {
-            desk.turn();
+        for queue in queues.values() {
+            queue.wake_due();
         }
-        self.view.store(sync::Arc::new(View { fleet, shards, desks, replicas }));
+        self.view.store(sync::Arc::new(View { fleet, shards, queues, replicas }));
         *changed = now;
     }
 
-    fn desks(
+    /// Returns the queues of all models; those of models that remain are kept, new ones are handed
+    /// to the control thread.
+    fn build_queues(
         &self,
         old: &View,
-        shards: &load::Shards,
-    ) -> collections::HashMap<id::Model, sync::Arc<desk::Desk>> {
-        let mut desks = collections::HashMap::new();
+        shards: &load::Schedulers,
+    ) -> collections::HashMap<id::Model, sync::Arc<admission::Queue>> {
+        let mut queues = collections::HashMap::new();
         for (model, shard) in shards.iter() {
-            let kept = old.desks.get(model).cloned();
-            let desk = kept.unwrap_or_else(|| {
-                let desk = desk::Desk::new(self.clock, shard.clone());
-                // The control thread ends only with the process, so the receiver is there.
-                let _ended = self.desks.send(sync::Arc::downgrade(&desk));
-                desk
+            let kept = old.queues.get(model).cloned();
+            let queue = kept.unwrap_or_else(|| {
+                let queue = admission::Queue::new(self.clock, shard.clone());
+                // The control thread runs as long as the process, so the receiver exists.
+                let _ended = self.new_queues.send(sync::Arc::downgrade(&queue));
+                queue
             });
-            desks.insert(model.clone(), desk);
+            queues.insert(model.clone(), queue);
         }
-        desks
+        queues
     }
 
+    /// Sets whether an upstream is leaving, in all queues and replicas.
     pub(crate) fn set_leaving(&self, upstream: &id::Upstream, leaving: bool) {
         let view = self.view();
-        for desk in view.desks.values() {
-            desk.set_leaving(upstream, leaving);
+        for queue in view.queues.values() {
+            queue.set_leaving(upstream, leaving);
         }
         view.replicas.set_leaving(upstream, leaving);
     }
 
-    /// Customers' limits. One lock for all: it is held for a map lookup once a request.
-    pub(crate) fn limits(&self) -> sync::MutexGuard<'_, limit::Limits> {
-        self.limits.lock().unwrap_or_else(sync::PoisonError::into_inner)
+    /// Rate limits of the customers. A single lock is enough: each request holds it for one map
+    /// lookup.
+    pub(crate) fn rate_limits(&self) -> sync::MutexGuard<'_, limit::Limits> {
+        self.rate_limits.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Whether the balancer may send callers here.
+    /// Returns whether load balancers may send requests to this host.
     pub(crate) fn is_ready(&self) -> bool {
         self.phase() == Phase::Serving && self.link.is_complete()
     }
@@ -187,7 +202,7 @@
         self.phase.subscribe()
     }
 
-    /// Goes on to `phase`; never back.
+    /// Advances to `phase`; an earlier phase than the current one is ignored.
     pub(crate) fn advance(&self, phase: Phase) {
         self.phase.send_if_modified(|current| {
             let later = *current < phase;
@@ -205,39 +220,39 @@
         self.active.subscribe()
     }
 
-    /// Requests that failed because the drain was cut short.
+    /// Returns the number of requests that failed because the drain was cut short.
     pub(crate) fn aborted(&self) -> usize {
-        self.failed_drain.load(atomic::Ordering::Relaxed)
+        self.aborted.load(atomic::Ordering::Relaxed)
     }
 
     pub(crate) fn count_aborted(&self) {
-        self.failed_drain.fetch_add(1, atomic::Ordering::Relaxed);
+        self.aborted.fetch_add(1, atomic::Ordering::Relaxed);
     }
 
-    /// Refreshes the gauges that are read only when asked for.
+    /// Updates the gauges that are computed only when the metrics are read.
     pub(crate) fn refresh(&self) {
-        let changed = *self.changed.lock().unwrap_or_else(sync::PoisonError::into_inner);
+        let changed = *self.fleet_changed_at.lock().unwrap_or_else(sync::PoisonError::into_inner);
         let age = self.link.view_age().unwrap_or_else(|| self.clock.now().since(changed));
         self.metrics.view_age.set(age.as_secs_f64());
-        for (model, desk) in &self.view().desks {
-            self.metrics.set_waiting(model, desk.waiters());
+        for (model, queue) in &self.view().queues {
+            self.metrics.set_waiting(model, queue.queued());
         }
     }
 }
 
-/// Counts a request as under way until dropped.
+/// Counts a request as in progress until dropped.
 #[derive(Debug)]
-pub(crate) struct Active(sync::Arc<State>);
+pub(crate) struct ActiveGuard(sync::Arc<State>);
 
-impl Active {
-    pub(crate) fn new(state: &sync::Arc<State>) -> Active {
+impl ActiveGuard {
+    pub(crate) fn new(state: &sync::Arc<State>) -> ActiveGuard {
         state.active.send_modify(|count| *count += 1);
         state.metrics.active.inc();
-        Active(state.clone())
+        ActiveGuard(state.clone())
     }
 }
 
-impl Drop for Active {
+impl Drop for ActiveGuard {
     fn drop(&mut self) {
         self.0.active.send_modify(|count| *count -= 1);
         self.0.metrics.active.dec();
--- a/crates/lagoon-net/src/platform/hosts.rs
+++ b/crates/lagoon-net/src/platform/hosts.rs
@@ -22,10 +22,10 @@
     hosts: Vec<Line>,
 }
 
-impl From<Line> for hosts::Line {
+impl From<Line> for hosts::Entry {
     fn from(line: Line) -> Self {
         let leaving = line.state == "leaving";
-        hosts::Line {
+        hosts::Entry {
             name: line.name,
             zone: id::Zone::from(line.zone),
             incarnation: id::Incarnation(line.incarnation),
@@ -35,7 +35,7 @@
 }
 
 impl hosts::Hosts for client::Client {
-    async fn list(&self) -> Result<Vec<hosts::Line>, table::Error> {
+    async fn list(&self) -> Result<Vec<hosts::Entry>, table::Error> {
         let step = "list hosts";
         let call = client::Call {
             step,
@@ -45,11 +45,11 @@
             query: &[],
             body: None,
         };
-        let answer = self.call(call).await?;
-        if answer.status != http::StatusCode::OK {
-            return Err(self.refused(step, answer.status));
+        let response = self.call(call).await?;
+        if response.status != http::StatusCode::OK {
+            return Err(self.refused(step, response.status));
         }
-        let list: List = self.parse(step, &answer.body)?;
-        Ok(list.hosts.into_iter().map(hosts::Line::from).collect())
+        let list: List = self.parse(step, &response.body)?;
+        Ok(list.hosts.into_iter().map(hosts::Entry::from).collect())
     }
 }
--- a/crates/lagoon-net/src/service/mod.rs
+++ b/crates/lagoon-net/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! Adapter for plain services: the caller's request as it came, and the answer as it comes.
+//! Client for plain services: forwards a caller's request unchanged and streams the response.
 
 use std::net;
 
@@ -10,8 +10,10 @@
 
 use crate::engine;
 
-/// Headers that belong to one connection, or to lagoonline itself, and are not passed on.
-const HOP_BY_HOP: [&str; 12] = [
+/// Headers that are not forwarded: they apply to one connection, are set by the HTTP client itself,
+/// or are meant for lagoonline (`authorization`). `Lagoon-*` headers are not forwarded either; the
+/// code that copies the headers skips them.
+const NOT_FORWARDED: [&str; 12] = [
     "authorization",
     "connection",
     "content-length",
@@ -26,22 +28,22 @@
     "upgrade",
 ];
 
-/// Whether the header is passed on.
-pub(crate) fn passes(name: &http::header::HeaderName) -> bool {
-    !HOP_BY_HOP.contains(&name.as_str())
+/// Returns whether a header that is not a `Lagoon-*` header is forwarded.
+pub(crate) fn is_forwarded(name: &http::header::HeaderName) -> bool {
+    !NOT_FORWARDED.contains(&name.as_str())
 }
 
-/// What a service is asked.
+/// Parameters of a call to a service.
 #[derive(Debug)]
 pub struct Call<'a> {
-    /// This dispatch.
+    /// Id of this attempt, new for each dispatch.
     pub attempt: id::Attempt,
-    /// Who asks.
+    /// The entry host that sends the call.
     pub owner: &'a id::Owner,
-    /// Zone of the asking entry host.
+    /// Zone of that entry host.
     pub zone: &'a id::Zone,
     /// Time left until the deadline.
-    pub left: clock::Span,
+    pub time_left: clock::Span,
     /// The caller's method.
     pub method: http::Method,
     /// Path and query after `/services/NAME`, beginning with `/`.
@@ -50,25 +52,25 @@
     pub headers: &'a http::HeaderMap,
 }
 
-/// Why there is no answer.
+/// Reason why there is no response.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Failure {
-    /// No connection came about, so no byte was sent.
+    /// No connection was established, so no byte was sent.
     #[error("no connection: {0}")]
     Unsent(String),
-    /// The service's word that the call did not run.
+    /// The service states that the call did not run.
     #[error("refused")]
     Refused,
-    /// Anything else: the call may have run.
+    /// Any other failure: the call may have run.
     #[error("lost: {0}")]
     Lost(String),
 }
 
-/// Sends a call with its body and waits for the head of the answer.
+/// Sends a call with its body and waits for the head of the response.
 ///
 /// # Errors
 ///
-/// Why there is no answer.
+/// The reason why there is no response.
 pub async fn call(
     client: &client::Client,
     address: net::SocketAddr,
@@ -77,7 +79,7 @@
 ) -> Result<client::ClientResponse, Failure> {
     let mut request =
         client.request(call.method, format!("http://{address}{}", call.target)).no_decompress();
-    let names = call.headers.iter().filter(|(name, _)| passes(name));
+    let names = call.headers.iter().filter(|(name, _)| is_forwarded(name));
     for (name, value) in names.filter(|(name, _)| !name.as_str().starts_with("lagoon-")) {
         request = request.header(name.clone(), value.clone());
     }
@@ -85,20 +87,20 @@
         .set_header("Lagoon-Attempt", call.attempt.to_string())
         .set_header("Lagoon-Owner", call.owner.to_string())
         .set_header("Lagoon-Zone", call.zone.as_str())
-        .set_header("Lagoon-Deadline-Ms", engine::millis(call.left));
-    let answer = match request.send_body(body).await {
-        Ok(answer) => answer,
+        .set_header("Lagoon-Deadline-Ms", engine::millis(call.time_left));
+    let response = match request.send_body(body).await {
+        Ok(response) => response,
         Err(error) if engine::is_unsent(&error) => return Err(Failure::Unsent(error.to_string())),
         Err(error) => return Err(Failure::Lost(error.to_string())),
     };
-    if answer.status() == http::StatusCode::SERVICE_UNAVAILABLE
-        && answer.header("Lagoon-Not-Run").is_some_and(|value| value.as_bytes() == b"1")
+    if response.status() == http::StatusCode::SERVICE_UNAVAILABLE
+        && response.header("Lagoon-Not-Run").is_some_and(|value| value.as_bytes() == b"1")
     {
         return Err(Failure::Refused);
     }
-    let echoed = answer.header("Lagoon-Attempt").and_then(|value| value.to_str().ok());
+    let echoed = response.header("Lagoon-Attempt").and_then(|value| value.to_str().ok());
     if echoed.and_then(|text| text.parse().ok()) != Some(call.attempt) {
         return Err(Failure::Lost("the answer names another attempt".to_owned()));
     }
-    Ok(answer)
+    Ok(response)
 }
--- a/crates/lagoon-net/src/signals.rs
+++ b/crates/lagoon-net/src/signals.rs
@@ -1,41 +1,41 @@
-//! SIGTERM, SIGINT and SIGHUP, received one after the other by a thread that waits for them.
+//! SIGTERM, SIGINT and SIGHUP, for a thread that blocks until the next one.
 
 use std::io;
 
 use tokio::runtime;
 use tokio::signal::unix;
 
-/// Asks of the host to end the process.
+/// Receiver of SIGTERM and SIGINT.
 #[derive(Debug)]
-pub struct Terminations {
+pub struct TerminationSignals {
     runtime: runtime::Runtime,
     term: unix::Signal,
     int: unix::Signal,
 }
 
-impl Terminations {
-    /// From now on these signals no longer end the process by themselves.
+impl TerminationSignals {
+    /// Installs handlers, so that these signals no longer end the process by themselves.
     ///
     /// # Errors
     ///
-    /// The signals cannot be received.
+    /// The handlers cannot be installed.
     ///
     /// ```
-    /// let terminations = lagoon_net::signals::Terminations::new();
+    /// let terminations = lagoon_net::signals::TerminationSignals::new();
     /// assert!(terminations.is_ok());
     /// ```
-    pub fn new() -> io::Result<Terminations> {
+    pub fn new() -> io::Result<TerminationSignals> {
         let runtime = runtime::Builder::new_current_thread().enable_io().build()?;
         let guard = runtime.enter();
         let term = unix::signal(unix::SignalKind::terminate())?;
         let int = unix::signal(unix::SignalKind::interrupt())?;
         drop(guard);
-        Ok(Terminations { runtime, term, int })
+        Ok(TerminationSignals { runtime, term, int })
     }
 
-    /// Blocks the thread until the next one.
+    /// Blocks the thread until the next signal.
     pub fn wait(&mut self) {
-        let Terminations { runtime, term, int } = self;
+        let TerminationSignals { runtime, term, int } = self;
         runtime.block_on(async {
             tokio::select! {
                 _ = term.recv() => {}
@@ -45,47 +45,47 @@
     }
 }
 
-/// What the host asks of the process.
+/// Request of a signal.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Signal {
-    /// To end.
-    End,
-    /// To read its settings again.
+    /// End the process: SIGTERM or SIGINT.
+    Terminate,
+    /// Reload the settings: SIGHUP.
     Reload,
 }
 
-/// Asks to end and to reload.
+/// Receiver of SIGTERM, SIGINT and SIGHUP.
 #[derive(Debug)]
 pub struct Signals {
-    ends: Terminations,
+    terminations: TerminationSignals,
     hangup: unix::Signal,
 }
 
 impl Signals {
-    /// From now on these signals no longer end the process by themselves.
+    /// Installs handlers, so that these signals no longer end the process by themselves.
     ///
     /// # Errors
     ///
-    /// The signals cannot be received.
+    /// The handlers cannot be installed.
     ///
     /// ```
     /// assert!(lagoon_net::signals::Signals::new().is_ok());
     /// ```
     pub fn new() -> io::Result<Signals> {
-        let ends = Terminations::new()?;
-        let guard = ends.runtime.enter();
+        let terminations = TerminationSignals::new()?;
+        let guard = terminations.runtime.enter();
         let hangup = unix::signal(unix::SignalKind::hangup())?;
         drop(guard);
-        Ok(Signals { ends, hangup })
+        Ok(Signals { terminations, hangup })
     }
 
-    /// Blocks the thread until the next one.
+    /// Blocks the thread until the next signal.
     pub fn wait(&mut self) -> Signal {
-        let Signals { ends: Terminations { runtime, term, int }, hangup } = self;
+        let Signals { terminations: TerminationSignals { runtime, term, int }, hangup } = self;
         runtime.block_on(async {
             tokio::select! {
-                _ = term.recv() => Signal::End,
-                _ = int.recv() => Signal::End,
+                _ = term.recv() => Signal::Terminate,
+                _ = int.recv() => Signal::Terminate,
                 _ = hangup.recv() => Signal::Reload,
             }
         })
--- a/crates/lagoon-net/src/steward/calls.rs
+++ b/crates/lagoon-net/src/steward/calls.rs
@@ -1,11 +1,11 @@
-//! Operators' calls.
+//! Calls of operators, and of stewards of other zones on their behalf.
 
 use std::collections;
 
 use lagoonline::check;
 use lagoonline::control::document;
 use lagoonline::control::ledger;
-use lagoonline::control::spread;
+use lagoonline::control::replication;
 use lagoonline::id;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -13,14 +13,14 @@
 
 use super::Context;
 use super::core;
-use super::sweep;
+use super::memory_sweep;
 use super::usage;
 use super::zones;
 use crate::operator;
 use crate::platform;
 use crate::wire;
 
-/// Why a call was not carried out; `code` is for programs, `message` for people.
+/// Error of a call: a `code` for programs, a `message` for people.
 #[derive(Debug)]
 struct Failure {
     code: &'static str,
@@ -39,8 +39,8 @@
 
 type Outcome = Result<serde_json::Value, Failure>;
 
-/// Carries out a call and replies on its link.
-pub(super) async fn answer(context: Context, link: core::LinkId, call: wire::Call) {
+/// Executes a call and sends the reply on its link.
+pub(super) async fn handle(context: Context, link: core::LinkId, call: wire::Call) {
     let outcome = dispatch(&context, &call).await;
     let (good, value) = match outcome {
         Ok(value) => (true, value),
@@ -67,31 +67,31 @@
         wire::Verb::Drain => drain(context, call).await,
         wire::Verb::Orders => orders(context, call).await,
         wire::Verb::Usage => usage_report(context, call).await,
-        wire::Verb::Owners => Ok(json!(sweep::words(context, &call.text).await)),
+        wire::Verb::Owners => Ok(json!(memory_sweep::statuses_of(context, &call.text).await)),
         wire::Verb::Unspecified => {
             Err(Failure::new("unknown_call", "this steward does not know the call"))
         }
     }
 }
 
-/// Whether the call's key is an operators' key.
+/// Whether `hash` is the hash of an operators' key.
 fn is_operator(context: &Context, hash: &document::KeyHash) -> bool {
-    context.settings.operator_keys.iter().any(|key| is_same(key, hash))
+    context.settings.operator_keys.iter().any(|key| keys_match(key, hash))
 }
 
-/// Compares in constant time: how long it takes says nothing of the key.
-fn is_same(one: &document::KeyHash, other: &document::KeyHash) -> bool {
+/// Compares in constant time, so that timing reveals nothing about the key.
+fn keys_match(one: &document::KeyHash, other: &document::KeyHash) -> bool {
     use subtle::ConstantTimeEq;
     one.ct_eq(other).into()
 }
 
-/// Allows the call when its key is the operators' or one of the team's section in force.
+/// Accepts an operators' key, or a team key of the team's section in force.
 fn authorize(context: &Context, call: &wire::Call) -> Result<(), Failure> {
     let hash: document::KeyHash = sha2::Sha256::digest(call.key.as_bytes()).into();
     let core = context.core.borrow();
     let section = core.replica.section(&id::Team::from(call.team.as_str()));
     let keys = section.map(|section| section.body.policy.team_keys.as_slice()).unwrap_or_default();
-    if is_operator(context, &hash) || keys.iter().any(|key| is_same(key, &hash)) {
+    if is_operator(context, &hash) || keys.iter().any(|key| keys_match(key, &hash)) {
         return Ok(());
     }
     Err(Failure::new("denied", format!("the key may not act for team {}", call.team)))
@@ -110,21 +110,21 @@
     context.platform.as_ref().ok_or_else(none)
 }
 
-fn refusal(refusal: document::Refusal) -> Failure {
-    let message = refusal.to_string();
-    let (code, details) = match refusal {
-        document::Refusal::Faulty(check::Faults(faults)) => {
+fn store_failure(error: document::StoreError) -> Failure {
+    let message = error.to_string();
+    let (code, details) = match error {
+        document::StoreError::Invalid(check::Faults(faults)) => {
             let line = |fault: &check::Fault| json!([fault.pointer, fault.reason]);
             ("faulty", json!({ "faults": faults.iter().map(line).collect::<Vec<_>>() }))
         }
-        document::Refusal::Raced { version, changes } => {
+        document::StoreError::Conflict { version, changes } => {
             let changes: Vec<_> = changes.iter().map(ToString::to_string).collect();
             ("raced", json!({ "version": version, "changes": changes }))
         }
-        document::Refusal::Table(lagoonline::port::table::Error::Unknown { .. }) => {
+        document::StoreError::Table(lagoonline::port::table::Error::Unknown { .. }) => {
             ("unknown", serde_json::Value::Null)
         }
-        document::Refusal::Table(_) => ("platform", serde_json::Value::Null),
+        document::StoreError::Table(_) => ("platform", serde_json::Value::Null),
     };
     Failure { code, message, details }
 }
@@ -132,8 +132,8 @@
 fn put_of(call: &wire::Call) -> document::Put {
     document::Put {
         team: id::Team::from(call.team.as_str()),
-        from: id::Version(call.version),
-        put: call.put.clone(),
+        base: id::Version(call.version),
+        id: call.put.clone(),
         text: call.text.clone(),
     }
 }
@@ -141,7 +141,8 @@
 async fn section_get(context: &Context, call: &wire::Call) -> Outcome {
     authorize(context, call)?;
     let team = id::Team::from(call.team.as_str());
-    // The table is asked first: what is edited should be the newest. Without it, what is in force.
+    // Edits should start from the newest version, so the table is read first. If the platform does
+    // not answer, the version in force is returned.
     if let Some(platform) = &context.platform
         && let Ok(Some((version, stored))) = document::read_section(platform, &team).await
     {
@@ -159,9 +160,9 @@
 async fn section_check(context: &Context, call: &wire::Call) -> Outcome {
     authorize(context, call)?;
     let put = put_of(call);
-    document::check(platform(context)?, &put).await.map_err(refusal)?;
+    document::validate(platform(context)?, &put).await.map_err(store_failure)?;
     let current = document::read_section(platform(context)?, &put.team).await;
-    let current = current.map_err(|error| refusal(error.into()))?;
+    let current = current.map_err(|error| store_failure(error.into()))?;
     let text = current.map_or_else(|| "{}".to_owned(), |(_, stored)| stored.text);
     let changes: Vec<_> =
         document::diff(&text, &put.text).iter().map(ToString::to_string).collect();
@@ -174,7 +175,7 @@
         return Err(Failure::new("bad_call", "a put needs an id"));
     }
     let put = put_of(call);
-    let version = document::store(platform(context)?, &put).await.map_err(refusal)?;
+    let version = document::store(platform(context)?, &put).await.map_err(store_failure)?;
     let section = document::Section::parse(put.team.clone(), version, &put.text);
     if let Ok(section) = section {
         context.core.borrow_mut().apply(vec![section], None);
@@ -182,17 +183,18 @@
     Ok(json!({ "version": version }))
 }
 
-/// What one zone says of a version.
+/// Where one version of a section is in force in a zone.
 #[derive(Deserialize, Serialize)]
 struct ZoneStatus {
     zone: String,
-    /// Entry hosts known.
+    /// Number of known entry hosts.
     hosts: usize,
-    /// Those where the version is not in force: host and its version.
+    /// Hosts where the version is not in force, with the version they have.
     missing: Vec<(String, u64)>,
 }
 
-/// Argument that a steward gives another so that only its zone is looked at.
+/// Argument of a call that a steward forwards to another zone: the receiver answers for its own
+/// zone only.
 const ZONE_ONLY: &str = r#"{"zone_only":true}"#;
 
 fn zone_status(context: &Context, team: &id::Team, version: id::Version) -> ZoneStatus {
@@ -201,10 +203,10 @@
     let live = core.group.live().filter(|member| member.zone == *zone);
     let expected = live.map(|member| (member.host.clone(), member.zone.clone()));
     let expected: collections::BTreeMap<_, _> = expected.collect();
-    let reported = core.board.reports().filter(|(host, _)| !expected.contains_key(*host));
+    let reported = core.entry_reports.iter().filter(|(host, _)| !expected.contains_key(*host));
     let hosts = expected.len() + reported.count();
-    let missing = core.board.missing(team, version, expected);
-    let line = |line: &spread::Missing| (line.host.to_string(), line.version.0);
+    let missing = core.entry_reports.lagging_hosts(team, version, expected);
+    let line = |line: &replication::LaggingHost| (line.host.to_string(), line.version.0);
     ZoneStatus { zone: zone.to_string(), hosts, missing: missing.iter().map(line).collect() }
 }
 
@@ -219,13 +221,13 @@
     let in_force = context.core.borrow().replica.version(&team);
     let version = if call.version == 0 { in_force } else { id::Version(call.version) };
     let mut zones = vec![json!(zone_status(context, &team, version))];
-    let question = wire::Call {
+    let forwarded = wire::Call {
         version: version.0,
         text: ZONE_ONLY.to_owned(),
         key: String::new(),
         ..call.clone()
     };
-    for answer in zones::ask(context, &question).await {
+    for answer in zones::ask(context, &forwarded).await {
         let parsed = answer.text.and_then(|text| serde_json::from_str::<ZoneStatus>(&text).ok());
         zones.push(match parsed {
             Some(status) => json!(status),
@@ -242,9 +244,9 @@
         return Ok(zone_state(context));
     }
     authorize_operator(context, call)?;
-    let question = wire::Call { text: ZONE_ONLY.to_owned(), key: String::new(), ..call.clone() };
+    let forwarded = wire::Call { text: ZONE_ONLY.to_owned(), key: String::new(), ..call.clone() };
     let mut zones = vec![zone_state(context)];
-    for answer in zones::ask(context, &question).await {
+    for answer in zones::ask(context, &forwarded).await {
         let parsed = answer.text.and_then(|text| serde_json::from_str(&text).ok());
         let silent = || json!({ "zone": answer.zone.as_str(), "silent": true });
         zones.push(parsed.unwrap_or_else(silent));
@@ -257,7 +259,7 @@
     let zone = core.zone();
     let members = core.group.roster().members().filter(|member| member.zone == *zone);
     let host = |member: &lagoonline::control::membership::Member| {
-        let report = core.board.report(&member.host);
+        let report = core.entry_reports.report(&member.host);
         json!({
             "host": member.host.as_str(),
             "steward": if core.group.is_live(&member.host) { "live" } else { "dead" },
@@ -287,7 +289,7 @@
     })
 }
 
-/// Drains an entry host or an upstream of the fleet; `text` names it.
+/// Drains the entry host or upstream that `text` names.
 async fn drain(context: &Context, call: &wire::Call) -> Outcome {
     let name = call.text.as_str();
     let upstream = context.core.borrow().fleet.upstream(&id::Upstream::from(name)).cloned();
@@ -308,34 +310,34 @@
         return Err(Failure::new("unknown_name", message));
     };
     if member.zone != context.settings.zone {
-        let text = zones::ask_in(context, &member.zone, call).await;
+        let text = zones::ask_one_zone(context, &member.zone, call).await;
         let value = text.and_then(|text| serde_json::from_str(&text).ok());
         return value
             .ok_or_else(|| Failure::new("silent", format!("no answer from {}", member.zone)));
     }
-    let report = context.core.borrow().board.report(&host).cloned();
+    let report = context.core.borrow().entry_reports.report(&host).cloned();
     let incarnation = report.map_or(0, |report| report.incarnation.0);
     Ok(mark_leaving(context, name, incarnation))
 }
 
 fn mark_leaving(context: &Context, name: &str, incarnation: u64) -> serde_json::Value {
     let mark = wire::Mark { upstream: name.to_owned(), incarnation, leaving: true };
-    context.core.borrow_mut().take_marks(&[mark], None);
+    context.core.borrow_mut().apply_marks(&[mark], None);
     json!({ "draining": name, "incarnation": incarnation })
 }
 
-/// Orders of every zone: each steward says what it saw and decided while it was the orderer.
+/// Returns the commands to engines of every zone, as each reconciling steward recorded them.
 async fn orders(context: &Context, call: &wire::Call) -> Outcome {
     if call.text == ZONE_ONLY {
         let core = context.core.borrow();
-        let lines: Vec<_> = core.orders.values().cloned().collect();
+        let lines: Vec<_> = core.engine_status.values().cloned().collect();
         return Ok(json!(lines));
     }
     authorize_operator(context, call)?;
-    let question = wire::Call { text: ZONE_ONLY.to_owned(), key: String::new(), ..call.clone() };
+    let forwarded = wire::Call { text: ZONE_ONLY.to_owned(), key: String::new(), ..call.clone() };
     let mut lines = Vec::new();
     let mut silent = Vec::new();
-    for answer in zones::ask_orderers(context, &question).await {
+    for answer in zones::ask_reconcilers(context, &forwarded).await {
         let parsed = answer.text.and_then(|text| serde_json::from_str(&text).ok());
         match parsed {
             Some(serde_json::Value::Array(found)) => lines.extend(found),
@@ -345,17 +347,17 @@
     Ok(json!({ "engines": lines, "silent_zones": silent }))
 }
 
-/// Sums of the idle ledger; `text` says of which days and by what.
+/// Sums the idle ledger; `text` is a JSON [`operator::UsageQuery`].
 async fn usage_report(context: &Context, call: &wire::Call) -> Outcome {
     authorize_operator(context, call)?;
     let bad = |message: String| Failure::new("bad_call", message);
-    let days: operator::Days =
+    let days: operator::UsageQuery =
         serde_json::from_str(&call.text).map_err(|error| bad(error.to_string()))?;
     let grouping = days.by.parse::<ledger::Grouping>().map_err(|error| bad(error.to_string()))?;
     let found = usage::report(platform(context)?, grouping, &days).await;
-    let found = found.map_err(|error| refusal(error.into()))?;
+    let found = found.map_err(|error| store_failure(error.into()))?;
     let usage::Report { sums, rows } = found.ok_or_else(|| {
-        let message = format!("more than {} rows: ask for fewer days", usage::MOST_ROWS);
+        let message = format!("more than {} rows: ask for fewer days", usage::MAX_REPORT_ROWS);
         Failure::new("too_much", message)
     })?;
     Ok(json!({
--- a/crates/lagoon-net/src/steward/retain.rs
+++ b/crates/lagoon-net/src/steward/claim_sweep.rs
@@ -1,13 +1,14 @@
-//! Removes claims whose retention has ended, each shard's by one chosen steward of all zones.
+//! Removes claims whose retention has ended. Each shard of claims is swept by one steward of the
+//! fleet, chosen by rendezvous hashing.
 //!
-//! Without this every idempotency key ever used stays in the table. Two stewards that both take
-//! themselves for the chosen one cost reads only: rows are deleted at the version that was read.
+//! Without this every idempotency key ever used stays in the table. Two stewards that both consider
+//! themselves chosen only cost extra reads: rows are deleted at the version that was read.
 
 use std::collections;
 
 use lagoonline::clock::Clock as _;
-use lagoonline::control::owner;
-use lagoonline::life::claim;
+use lagoonline::control::rendezvous;
+use lagoonline::lifecycle::claim;
 
 use super::Context;
 
@@ -18,7 +19,7 @@
     let mut done = None;
     loop {
         let now = context.clock.wall_millis();
-        let (shard, wait) = claim::turn(now, settings.pace);
+        let (shard, wait) = claim::scheduled_shard(now, settings.interval);
         if done.replace(shard) == Some(shard) {
             tokio::time::sleep(wait).await;
             continue;
@@ -26,9 +27,9 @@
         if is_chosen(&context, shard) {
             let new = || claim::Sweeper::new(settings.clone(), shard);
             let sweeper = sweepers.entry(shard).or_insert_with(new);
-            // The next turn goes on from the same place.
+            // After an error the next step continues at the same position.
             if let Err(error) = sweeper.step(&platform, now).await {
-                log::debug!("claims are not swept: {error}");
+                log::debug!("sweeping claims failed: {error}");
             }
         } else {
             sweepers.remove(&shard);
@@ -39,5 +40,6 @@
 fn is_chosen(context: &Context, shard: u8) -> bool {
     let core = context.core.borrow();
     let hosts = core.group.live().map(|member| member.host.as_str());
-    owner::choose(hosts, &format!("claims/{shard:02x}")) == Some(core.group.own().host.as_str())
+    rendezvous::choose(hosts, &format!("claims/{shard:02x}"))
+        == Some(core.group.own().host.as_str())
 }
--- a/crates/lagoon-net/src/steward/core/document.rs
+++ b/crates/lagoon-net/src/steward/core/document.rs
@@ -1,25 +1,25 @@
-//! The document at one steward: what is in force, what peers lack, and when it is complete.
+//! Replication of the document: sections in force, sections that peers lack, and completeness.
 
 use std::borrow;
 use std::sync;
 
 use lagoonline::clock;
 use lagoonline::clock::Clock;
+use lagoonline::control::delta_log;
 use lagoonline::control::document;
 use lagoonline::control::ledger;
-use lagoonline::control::spread;
-use lagoonline::control::trail;
+use lagoonline::control::replication;
 use lagoonline::id;
 use lagoonline::view;
 
 use super::{Core, Counters, Link, LinkId};
 use crate::wire;
 
-/// Time after which sections that were asked of a peer are asked of another.
-const PULL_TIME: clock::Span = clock::Span::from_secs(1);
+/// Time after which missing sections are requested from another peer.
+const PULL_TIMEOUT: clock::Span = clock::Span::from_secs(1);
 
-/// Time that a newcomer gives the platform before the peers' word is enough.
-const PLATFORM_TIME: clock::Span = clock::Span::from_millis(1_500);
+/// Time that a new steward waits for the platform before the versions of its peers are enough.
+const PLATFORM_GRACE: clock::Span = clock::Span::from_millis(1_500);
 
 impl Core {
     pub(super) fn digest(&self) -> wire::Body {
@@ -27,7 +27,7 @@
         wire::Body::Digest(wire::Digest { versions })
     }
 
-    /// Puts sections in force, tells the entry process, and announces them to peers.
+    /// Puts sections in force, sends them to the entry process, and announces them to peers.
     pub(in crate::steward) fn apply(
         &mut self,
         sections: Vec<document::Section>,
@@ -40,7 +40,7 @@
             if self.replica.apply(section) {
                 let new = self.replica.section(&team);
                 if let Some((old, new)) = old.as_deref().zip(new) {
-                    self.trail.record(old, new);
+                    self.delta_log.record(old, new);
                 }
                 log::info!("section {team} version {} is in force", version.0);
                 applied.push(team);
@@ -49,12 +49,12 @@
         if applied.is_empty() {
             return;
         }
-        self.pull = None;
+        self.pull_started = None;
         Counters::add(&self.counters.sections_applied, applied.len() as u64);
         let merged = view::Fleet::merge(self.replica.sections().map(sync::Arc::as_ref));
-        self.accounts = ledger::accounts(&merged);
+        self.attributions = ledger::attributions(&merged);
         self.fleet = sync::Arc::new(merged);
-        self.name_codes();
+        self.index_name_codes();
         let sections = applied.iter().filter_map(|team| self.replica.section(team));
         let sections = sections.map(|section| wire::section(section)).collect();
         let complete = self.complete;
@@ -62,16 +62,16 @@
         self.send_all(&body, |_, link| link.peer.role == wire::Role::Entry);
         let digest = self.digest();
         let replica = self.replica.clone();
-        self.send_all(&digest, |name, link| {
-            let lacks = !replica.lacking(&link.versions).is_empty();
-            link.peer.role == wire::Role::Steward && Some(name) != from && lacks
+        self.send_all(&digest, |link_id, link| {
+            let lacks = !replica.newer_than(&link.versions).is_empty();
+            link.peer.role == wire::Role::Steward && Some(link_id) != from && lacks
         });
         self.check_complete();
     }
 
-    pub(super) fn take_sections(&mut self, sections: &wire::Sections, from: LinkId) {
+    pub(super) fn handle_sections(&mut self, sections: &wire::Sections, from: LinkId) {
         let mut parsed = Vec::new();
-        let mut is_whole_needed = false;
+        let mut needs_full_text = false;
         for section in &sections.sections {
             let team = id::Team::from(section.team.as_str());
             let version = id::Version(section.version);
@@ -80,32 +80,32 @@
                 *known = version.max(*known);
             }
             let Some(text) = self.text_of(section) else {
-                is_whole_needed |= self.replica.version(&team) < version;
+                needs_full_text |= self.replica.version(&team) < version;
                 continue;
             };
             match document::Section::parse(team, version, &text) {
                 Ok(section) => parsed.push(section),
-                Err(faults) => log::error!("section {} is not understood: {faults}", section.team),
+                Err(faults) => log::error!("section {} is invalid: {faults}", section.team),
             }
         }
         self.apply(parsed, Some(from));
-        if is_whole_needed {
-            self.ask_whole(sections, from);
+        if needs_full_text {
+            self.request_full_text(sections, from);
         }
     }
 
-    /// The section's text as told, or made by changes of the one in force here.
+    /// Returns the section's text, either as sent or by applying its deltas to the one in force.
     fn text_of<'a>(&self, section: &'a wire::Section) -> Option<borrow::Cow<'a, str>> {
         if section.deltas.is_empty() {
             return Some(borrow::Cow::Borrowed(&section.text));
         }
         let known = self.replica.section(&id::Team::from(section.team.as_str()));
-        let text = trail::follow(known.map(sync::Arc::as_ref), &wire::deltas(section));
+        let text = delta_log::apply(known.map(sync::Arc::as_ref), &wire::deltas(section));
         text.map(borrow::Cow::Owned)
     }
 
-    /// Asks for whole texts: to a digest without its team, a peer answers with that.
-    fn ask_whole(&mut self, sections: &wire::Sections, from: LinkId) {
+    /// Requests full texts: a digest that omits a team makes the peer send its whole section.
+    fn request_full_text(&mut self, sections: &wire::Sections, from: LinkId) {
         Counters::add(&self.counters.deltas_refused, 1);
         let mut versions = self.replica.versions();
         versions.retain(|team, _| !sections.sections.iter().any(|s| s.team == team.as_str()));
@@ -113,30 +113,30 @@
         self.send(from, wire::Body::Digest(wire::Digest { versions }));
     }
 
-    /// Sections for a peer that has `versions`: by their changes where those are known.
+    /// Encodes sections for a peer that has `versions`, as deltas where the log has them.
     fn sections_for(
         &self,
         sections: &[sync::Arc<document::Section>],
-        versions: &spread::Versions,
+        versions: &replication::Versions,
     ) -> Vec<wire::Section> {
-        let told = |section: &sync::Arc<document::Section>| {
+        let encode = |section: &sync::Arc<document::Section>| {
             let known = versions.get(&section.team).copied().unwrap_or_default();
-            let deltas = self.trail.since(known, section);
+            let deltas = self.delta_log.since(known, section);
             if deltas.is_empty() {
                 return wire::section(section);
             }
-            wire::section_by(section, &deltas)
+            wire::section_with_deltas(section, &deltas)
         };
-        sections.iter().map(told).collect()
+        sections.iter().map(encode).collect()
     }
 
-    pub(super) fn take_digest(&mut self, digest: &wire::Digest, from: LinkId) {
+    pub(super) fn handle_digest(&mut self, digest: &wire::Digest, from: LinkId) {
         let versions = wire::versions(&digest.versions);
-        let lacking = self.replica.lacking(&versions);
+        let lacking = self.replica.newer_than(&versions);
         if let Some(link) = self.links.get_mut(&from) {
             link.versions.clone_from(&versions);
             link.has_digest = true;
-            // What is sent now need not be sent again before the peer says otherwise.
+            // Sections sent below are assumed to arrive until the next digest of the peer.
             let sent = lacking.iter().map(|section| (section.team.clone(), section.version));
             link.versions.extend(sent);
         }
@@ -146,50 +146,50 @@
             self.send(from, wire::Body::Sections(wire::Sections { sections, complete }));
         }
         if !self.replica.covers(&versions) {
-            self.ask(from);
+            self.request_missing(from);
         }
         self.check_complete();
     }
 
-    /// Asks one peer at a time, so that a section crosses each host's links once.
-    fn ask(&mut self, peer: LinkId) {
+    /// Requests missing sections from one peer at a time, so that a host receives each only once.
+    fn request_missing(&mut self, peer: LinkId) {
         let now = self.clock.now();
-        if self.pull.is_some_and(|since| now.since(since) < PULL_TIME) {
+        if self.pull_started.is_some_and(|since| now.since(since) < PULL_TIMEOUT) {
             return;
         }
-        self.pull = Some(now);
+        self.pull_started = Some(now);
         self.send(peer, self.digest());
     }
 
-    /// Compares with peers that are ahead, after a lost link or answer.
-    pub(in crate::steward) fn repair(&mut self) {
+    /// Requests sections from a peer that is ahead, in case a link or a response was lost.
+    pub(in crate::steward) fn pull_missing(&mut self) {
         let ahead = |link: &Link| {
             link.peer.role == wire::Role::Steward && !self.replica.covers(&link.versions)
         };
-        let found = self.links.iter().find(|(_, link)| ahead(link)).map(|(name, _)| *name);
-        if let Some(name) = found {
-            self.ask(name);
+        let found = self.links.iter().find(|(_, link)| ahead(link)).map(|(link_id, _)| *link_id);
+        if let Some(link_id) = found {
+            self.request_missing(link_id);
         }
         self.check_complete();
     }
 
-    pub(in crate::steward) fn platform_head(&mut self, versions: spread::Versions) {
+    pub(in crate::steward) fn record_platform_head(&mut self, versions: replication::Versions) {
         self.platform.head = Some(versions);
         self.check_complete();
     }
 
-    pub(in crate::steward) fn platform_failed(&mut self) {
+    pub(in crate::steward) fn record_platform_failure(&mut self) {
         Counters::add(&self.counters.platform_failures, 1);
         self.platform.failed = true;
         self.check_complete();
     }
 
-    /// A newcomer is complete with the highest versions of the platform, or, while that is out,
-    /// of every peer that it reached.
+    /// Marks the document complete once the steward has the highest versions of the platform or,
+    /// while the platform is unreachable, of every peer that it reached.
     ///
-    /// Failure answered: all hosts of a zone are replaced during an outage, and one starts to
-    /// serve before it heard of the last change. Symptom: an accepted section reverts. A host
-    /// that reaches neither the platform nor a peer stays unready.
+    /// Failure mode: all hosts of a zone are replaced during a platform outage, and one serves
+    /// before it has the last change. Symptom: an accepted section reverts. A host that reaches
+    /// neither the platform nor a peer stays unready.
     pub(super) fn check_complete(&mut self) {
         if self.complete {
             return;
@@ -207,16 +207,16 @@
     }
 
     fn is_complete_by_peers(&self) -> bool {
-        let waited = self.clock.now().since(self.began) >= PLATFORM_TIME;
+        let waited = self.clock.now().since(self.started_at) >= PLATFORM_GRACE;
         let is_steward = |link: &&Link| link.peer.role == wire::Role::Steward;
         let mut peers = self.links.values().filter(is_steward).peekable();
         let any = peers.peek().is_some();
-        let heard = peers.all(|link| link.has_digest && self.replica.covers(&link.versions));
-        let head = self.platform.head.is_none() && self.platform.failed;
+        let all_covered = peers.all(|link| link.has_digest && self.replica.covers(&link.versions));
+        let platform_unavailable = self.platform.head.is_none() && self.platform.failed;
         waited
             && any
-            && heard
-            && head
+            && all_covered
+            && platform_unavailable
             && self.dialing.is_empty()
             && !self.replica.versions().is_empty()
     }
--- a/crates/lagoon-net/src/steward/core/mod.rs
+++ b/crates/lagoon-net/src/steward/core/mod.rs
@@ -1,11 +1,11 @@
-//! State of a steward, and what each message does to it.
+//! State of a steward, and the handlers that apply messages to it.
 
-mod brief;
 mod document;
 mod message;
+mod payload;
 mod report;
 mod spending;
-mod traffic;
+mod upstream;
 
 use std::collections;
 use std::sync;
@@ -13,42 +13,42 @@
 
 use lagoonline::clock;
 use lagoonline::clock::Clock;
+use lagoonline::control::delta_log;
 use lagoonline::control::ledger;
 use lagoonline::control::membership;
 use lagoonline::control::mesh;
-use lagoonline::control::owner;
-use lagoonline::control::spread;
-use lagoonline::control::trail;
+use lagoonline::control::rendezvous;
+use lagoonline::control::replication;
 use lagoonline::id;
 use lagoonline::port::engine;
 use lagoonline::view;
 use tokio::sync::mpsc;
 
-use super::orders;
+use super::reconcile;
 use super::settings;
 use crate::link;
 use crate::wire;
-pub(in crate::steward) use brief::Room;
+pub(in crate::steward) use payload::Payload;
 
-/// Messages that may wait on one link: beyond it the link is closed, and the next one brings the
-/// whole state again.
+/// Outgoing messages that one link queues. When the queue is full the link is closed; the link that
+/// replaces it starts with the full state.
 pub(in crate::steward) const LINK_QUEUE: usize = 1_024;
 
-/// Age below which a link is kept though the mesh does not want it.
+/// Minimum age of a dialed link before it is closed because the mesh no longer needs it.
 const LINK_GRACE: clock::Span = clock::Span::from_secs(10);
 
-/// What a steward counts.
+/// Counters of a steward.
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Datagrams sent.
     pub datagrams_sent: atomic::AtomicU64,
     /// Bytes of datagrams sent, without headers below UDP.
     pub datagram_bytes_sent: atomic::AtomicU64,
-    /// Datagrams refused: wrong tag, too old, or sent again.
+    /// Datagrams rejected: wrong tag, too old, or replayed.
     pub datagrams_refused: atomic::AtomicU64,
     /// Frames sent on links.
     pub frames_sent: atomic::AtomicU64,
-    /// Bytes of frames sent on links, entry process included.
+    /// Bytes of frames sent on all links, including the link to the entry process.
     pub frame_bytes_sent: atomic::AtomicU64,
     /// Bytes of frames sent to other hosts.
     pub peer_bytes_sent: atomic::AtomicU64,
@@ -62,28 +62,30 @@
     pub datagram_bytes_received: atomic::AtomicU64,
     /// Datagrams received.
     pub datagrams_received: atomic::AtomicU64,
-    /// Bytes of frames sent to other hosts, by kind of message: see [`KINDS`].
-    pub kind_bytes_sent: [atomic::AtomicU64; KINDS.len()],
-    /// Connections refused.
+    /// Bytes of frames sent to other hosts, by kind of message: see [`PEER_MESSAGE_KINDS`].
+    pub kind_bytes_sent: [atomic::AtomicU64; PEER_MESSAGE_KINDS.len()],
+    /// Incoming connections that failed the handshake.
     pub connections_refused: atomic::AtomicU64,
-    /// Sections applied.
+    /// Section versions applied.
     pub sections_applied: atomic::AtomicU64,
-    /// Changes of sections that did not fit what was in force: whole texts were asked for.
+    /// Section deltas that did not fit the version in force; the full texts were requested.
     pub deltas_refused: atomic::AtomicU64,
-    /// Members held to be dead.
-    pub deaths: atomic::AtomicU64,
-    /// Orders that were written after their lease had ended.
-    pub late_orders: atomic::AtomicU64,
-    /// Holdings of dead owners that engines gave back.
+    /// Members declared dead.
+    pub members_declared_dead: atomic::AtomicU64,
+    /// Engine commands that were still being sent when their lease expired.
+    pub late_commands: atomic::AtomicU64,
+    /// Holdings of dead owners that engines released.
     pub holdings_released: atomic::AtomicU64,
-    /// Failed calls of the platform.
+    /// Failed reads of the document from the platform.
     pub platform_failures: atomic::AtomicU64,
 }
 
-/// Kinds of messages that stewards send each other.
-pub const KINDS: [&str; 6] = ["digest", "sections", "loads", "marks", "members", "statuses"];
+/// Kinds of messages between stewards, in the order of [`Counters::kind_bytes_sent`].
+pub const PEER_MESSAGE_KINDS: [&str; 6] =
+    ["digest", "sections", "loads", "marks", "members", "statuses"];
 
-/// Place of a message's kind in [`KINDS`]; those that no host sends to another have none.
+/// Returns the index of a message's kind in [`PEER_MESSAGE_KINDS`]; `None` for messages that
+/// stewards do not send each other.
 pub(in crate::steward) fn kind(body: &wire::Body) -> Option<usize> {
     let name = match body {
         wire::Body::Digest(_) => "digest",
@@ -100,7 +102,7 @@
         | wire::Body::Call(_)
         | wire::Body::Reply(_) => return None,
     };
-    KINDS.iter().position(|kind| *kind == name)
+    PEER_MESSAGE_KINDS.iter().position(|kind| *kind == name)
 }
 
 impl Counters {
@@ -109,70 +111,71 @@
     }
 }
 
-/// One connection.
+/// An open link to a steward, an entry process or an operator.
 pub(in crate::steward) struct Link {
     pub(in crate::steward) peer: link::Peer,
     sender: mpsc::Sender<wire::Body>,
-    versions: spread::Versions,
+    versions: replication::Versions,
     has_digest: bool,
     is_dialed: bool,
-    opened: clock::Moment,
+    opened_at: clock::Moment,
 }
 
-/// Names a connection.
+/// Identifies a link within this process.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(in crate::steward) struct LinkId(u64);
 
-/// What the platform said last.
+/// Result of the last reads of the platform.
 #[derive(Default)]
 struct Platform {
-    head: Option<spread::Versions>,
+    head: Option<replication::Versions>,
     failed: bool,
 }
 
-/// State of a steward.
+/// State of a steward, shared by its tasks.
 pub(in crate::steward) struct Core {
     pub(in crate::steward) group: membership::Group,
-    pub(in crate::steward) replica: spread::Replica,
-    trail: trail::Trail,
-    pub(in crate::steward) board: spread::Board,
+    pub(in crate::steward) replica: replication::Replica,
+    delta_log: delta_log::DeltaLog,
+    pub(in crate::steward) entry_reports: replication::Reports,
     pub(in crate::steward) fleet: view::Shared,
     pub(in crate::steward) counters: sync::Arc<Counters>,
     pub(in crate::steward) complete: bool,
     pub(in crate::steward) loads: collections::BTreeMap<id::Upstream, Observed>,
     pub(in crate::steward) marks: collections::BTreeMap<id::Upstream, wire::Mark>,
-    /// Whose the time of each engine is, by the sections in force.
-    pub(in crate::steward) accounts: collections::BTreeMap<id::Upstream, ledger::Accounts>,
-    /// What was last seen and decided of each engine that orders went to.
-    pub(in crate::steward) orders: collections::BTreeMap<id::Upstream, orders::Line>,
-    /// Loads that other hosts of the zone are to hear of, and who has told them already.
-    untold: collections::BTreeMap<id::Upstream, collections::BTreeSet<id::Host>>,
-    /// The upstream that heartbeats told of last.
-    told: id::Upstream,
-    /// Upstreams in a new life, to be told in full, and the link that each came by.
-    lives: collections::BTreeMap<id::Upstream, Option<LinkId>>,
-    /// Upstreams by the codes of their names; `None` where two share one.
-    codes: collections::HashMap<u32, Option<id::Upstream>>,
+    /// Who the time of each engine is attributed to, by the sections in force.
+    pub(in crate::steward) attributions: collections::BTreeMap<id::Upstream, ledger::Attribution>,
+    /// Last observed state and decision for each engine that this steward sends commands to.
+    pub(in crate::steward) engine_status:
+        collections::BTreeMap<id::Upstream, reconcile::EngineStatus>,
+    /// Loads to be sent to other hosts of the zone, with the hosts that have them already.
+    pending_loads: collections::BTreeMap<id::Upstream, collections::BTreeSet<id::Host>>,
+    /// Upstream whose load was sent last; the next heartbeat continues after it.
+    last_sent_load: id::Upstream,
+    /// Upstreams in a new incarnation, whose full load is to be sent, and the link each came from.
+    new_incarnations: collections::BTreeMap<id::Upstream, Option<LinkId>>,
+    /// Upstreams by the hash codes of their names; `None` where two names collide.
+    name_codes: collections::HashMap<u32, Option<id::Upstream>>,
     spending: spending::Spending,
-    reports: report::Reports,
-    /// Dead stewards whose rows were removed from the table.
-    pub(in crate::steward) removed: collections::BTreeSet<id::Host>,
+    report_outbox: report::Outbox,
+    /// Dead stewards whose rows are already removed from the table.
+    pub(in crate::steward) removed_rows: collections::BTreeSet<id::Host>,
     pub(in crate::steward) dialing: collections::BTreeSet<id::Host>,
     links: collections::BTreeMap<LinkId, Link>,
     platform: Platform,
-    pull: Option<clock::Moment>,
+    pull_started: Option<clock::Moment>,
     next_link: u64,
-    began: clock::Moment,
-    clock: clock::Host,
+    started_at: clock::Moment,
+    clock: clock::System,
 }
 
-/// A load and when it was read.
+/// The load of an upstream, and the load that was last announced to other hosts.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::steward) struct Observed {
-    pub(in crate::steward) load: engine::Load,
-    pub(in crate::steward) read: clock::Moment,
-    told: engine::Load,
-    told_at: clock::Moment,
+    pub(in crate::steward) load: engine::LoadReport,
+    pub(in crate::steward) read_at: clock::Moment,
+    announced: engine::LoadReport,
+    announced_at: clock::Moment,
 }
 
 impl Core {
@@ -180,34 +183,34 @@
         own: membership::Member,
         settings: &settings::Settings,
         counters: sync::Arc<Counters>,
-        clock: clock::Host,
+        clock: clock::System,
     ) -> Self {
         let now = clock.now();
         Core {
             spending: spending::Spending::new(own.incarnation),
             group: membership::Group::new(own, settings.membership, now),
-            replica: spread::Replica::default(),
-            trail: trail::Trail::default(),
-            board: spread::Board::default(),
+            replica: replication::Replica::default(),
+            delta_log: delta_log::DeltaLog::default(),
+            entry_reports: replication::Reports::default(),
             fleet: view::Shared::default(),
             counters,
             complete: false,
             loads: collections::BTreeMap::new(),
             marks: collections::BTreeMap::new(),
-            accounts: collections::BTreeMap::new(),
-            orders: collections::BTreeMap::new(),
-            untold: collections::BTreeMap::new(),
-            told: id::Upstream::default(),
-            lives: collections::BTreeMap::new(),
-            codes: collections::HashMap::new(),
-            reports: report::Reports::default(),
-            removed: collections::BTreeSet::new(),
+            attributions: collections::BTreeMap::new(),
+            engine_status: collections::BTreeMap::new(),
+            pending_loads: collections::BTreeMap::new(),
+            last_sent_load: id::Upstream::default(),
+            new_incarnations: collections::BTreeMap::new(),
+            name_codes: collections::HashMap::new(),
+            report_outbox: report::Outbox::default(),
+            removed_rows: collections::BTreeSet::new(),
             dialing: collections::BTreeSet::new(),
             links: collections::BTreeMap::new(),
             platform: Platform::default(),
-            pull: None,
+            pull_started: None,
             next_link: 0,
-            began: now,
+            started_at: now,
             clock,
         }
     }
@@ -216,91 +219,91 @@
         &self.group.own().zone
     }
 
-    /// Whether this steward is the one of its zone that looks after `thing`.
+    /// Whether rendezvous hashing assigns `thing` to this steward among the live ones of its zone.
     pub(in crate::steward) fn owns(&self, thing: &str) -> bool {
         let own = &self.group.own();
-        owner::choose(self.group.live_in(&own.zone), thing) == Some(own.host.as_str())
+        rendezvous::choose(self.group.live_in(&own.zone), thing) == Some(own.host.as_str())
     }
 
-    /// Takes a new link in, and tells the other side what is known here.
-    pub(in crate::steward) fn open(
+    /// Registers a new link and sends the peer the state that it needs.
+    pub(in crate::steward) fn add_link(
         &mut self,
         peer: link::Peer,
         is_dialed: bool,
     ) -> (LinkId, mpsc::Receiver<wire::Body>) {
         let (sender, receiver) = mpsc::channel(LINK_QUEUE);
         self.next_link += 1;
-        let name = LinkId(self.next_link);
+        let link_id = LinkId(self.next_link);
         let role = peer.role;
-        let (versions, has_digest) = (spread::Versions::new(), false);
-        let opened = self.clock.now();
-        let link = Link { peer, sender, versions, has_digest, is_dialed, opened };
-        self.links.insert(name, link);
+        let (versions, has_digest) = (replication::Versions::new(), false);
+        let opened_at = self.clock.now();
+        let link = Link { peer, sender, versions, has_digest, is_dialed, opened_at };
+        self.links.insert(link_id, link);
         match role {
-            wire::Role::Steward => self.greet_steward(name),
-            wire::Role::Entry => self.greet_entry(name),
+            wire::Role::Steward => self.init_steward_link(link_id),
+            wire::Role::Entry => self.init_entry_link(link_id),
             wire::Role::Operator | wire::Role::Unspecified => {}
         }
-        (name, receiver)
+        (link_id, receiver)
     }
 
-    fn greet_steward(&mut self, name: LinkId) {
-        let members = wire::members(&self.group.roster().news());
-        self.send(name, wire::Body::Members(members));
-        self.send(name, self.digest());
-        self.send(name, self.statuses());
+    fn init_steward_link(&mut self, link_id: LinkId) {
+        let members = wire::members(&self.group.roster().updates());
+        self.send(link_id, wire::Body::Members(members));
+        self.send(link_id, self.digest());
+        self.send(link_id, self.statuses());
         let marks = self.marks.values().cloned().collect();
-        self.send(name, wire::Body::Marks(wire::Marks { marks }));
-        self.send_loads(name);
+        self.send(link_id, wire::Body::Marks(wire::Marks { marks }));
+        self.send_loads(link_id);
     }
 
-    fn send_loads(&mut self, name: LinkId) {
+    fn send_loads(&mut self, link_id: LinkId) {
         let now = self.clock.now();
         let load = |(upstream, observed): (&id::Upstream, &Observed)| {
-            wire::load(upstream, &observed.load, age_ms(now, observed.read))
+            wire::load(upstream, &observed.load, age_ms(now, observed.read_at))
         };
         let loads = self.loads.iter().map(load).collect();
-        self.send(name, wire::Body::Loads(wire::Loads { loads }));
+        self.send(link_id, wire::Body::Loads(wire::Loads { loads }));
     }
 
-    fn greet_entry(&mut self, name: LinkId) {
-        self.send(name, self.digest());
+    fn init_entry_link(&mut self, link_id: LinkId) {
+        self.send(link_id, self.digest());
         let sections = self.replica.sections().map(|section| wire::section(section)).collect();
         let sections = wire::Sections { sections, complete: self.complete };
-        self.send(name, wire::Body::Sections(sections));
-        self.send_loads(name);
+        self.send(link_id, wire::Body::Sections(sections));
+        self.send_loads(link_id);
         let marks = self.marks.values().cloned().collect();
-        self.send(name, wire::Body::Marks(wire::Marks { marks }));
+        self.send(link_id, wire::Body::Marks(wire::Marks { marks }));
     }
 
-    pub(in crate::steward) fn close(&mut self, name: LinkId) {
-        let Some(link) = self.links.remove(&name) else { return };
+    pub(in crate::steward) fn remove_link(&mut self, link_id: LinkId) {
+        let Some(link) = self.links.remove(&link_id) else { return };
         if link.peer.role != wire::Role::Entry {
             return;
         }
         let host = id::Host::from(link.peer.sender);
-        let Some(report) = self.board.report(&host) else { return };
-        log::warn!("entry process of {host} is gone");
-        let report = spread::Report { ready: false, ..report.clone() };
-        self.take_own_report(&host, report);
+        let Some(report) = self.entry_reports.report(&host) else { return };
+        log::warn!("entry process of {host} disconnected");
+        let report = replication::Report { ready: false, ..report.clone() };
+        self.apply_own_report(&host, report);
     }
 
-    pub(in crate::steward) fn send(&mut self, name: LinkId, body: wire::Body) {
-        let Some(link) = self.links.get(&name) else { return };
-        // A peer that does not read is dropped; it gets the whole state when it comes back.
+    pub(in crate::steward) fn send(&mut self, link_id: LinkId, body: wire::Body) {
+        let Some(link) = self.links.get(&link_id) else { return };
+        // A peer that does not read is disconnected; it gets the full state when it reconnects.
         if link.sender.try_send(body).is_err() {
-            self.links.remove(&name);
+            self.links.remove(&link_id);
         }
     }
 
-    pub(super) fn send_all<F>(&mut self, body: &wire::Body, wanted: F)
+    pub(super) fn send_all<F>(&mut self, body: &wire::Body, filter: F)
     where
         F: Fn(LinkId, &Link) -> bool,
     {
-        let links = self.links.iter().filter(|(name, link)| wanted(**name, link));
-        let names: Vec<LinkId> = links.map(|(name, _)| *name).collect();
-        for name in names {
-            self.send(name, body.clone());
+        let links = self.links.iter().filter(|(link_id, link)| filter(**link_id, link));
+        let link_ids: Vec<LinkId> = links.map(|(link_id, _)| *link_id).collect();
+        for link_id in link_ids {
+            self.send(link_id, body.clone());
         }
     }
 
@@ -311,17 +314,17 @@
         self.links.values().any(linked)
     }
 
-    /// Closes links that this side made and that the mesh no longer wants: else, as hosts come and
-    /// go, links and the messages on them would grow without end.
-    pub(in crate::steward) fn prune(&mut self) {
+    /// Closes links that this side dialed and the mesh no longer needs. Without this, links and the
+    /// messages on them grow without bound as hosts join and leave.
+    pub(in crate::steward) fn close_unneeded_links(&mut self) {
         let now = self.clock.now();
-        let wanted = mesh::wanted(&self.group);
+        let wanted = mesh::link_targets(&self.group);
         let is_wanted = |link: &Link| wanted.iter().any(|host| link.peer.sender == host.as_str());
         if !self.links.values().any(is_wanted) {
             return;
         }
         self.links.retain(|_, link| {
-            !link.is_dialed || is_wanted(link) || now.since(link.opened) < LINK_GRACE
+            !link.is_dialed || is_wanted(link) || now.since(link.opened_at) < LINK_GRACE
         });
     }
 
@@ -330,6 +333,6 @@
     }
 }
 
-fn age_ms(now: clock::Moment, read: clock::Moment) -> u64 {
-    u64::try_from(now.since(read).as_millis()).unwrap_or(u64::MAX)
+fn age_ms(now: clock::Moment, read_at: clock::Moment) -> u64 {
+    u64::try_from(now.since(read_at).as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/lagoon-net/src/steward/observe.rs
+++ b/crates/lagoon-net/src/steward/observe.rs
@@ -1,4 +1,4 @@
-//! Reads the load of the upstreams that this steward owns.
+//! Polls the load of the engines that this steward is responsible for.
 
 use lagoonline::control::document;
 use lagoonline::id;
@@ -10,7 +10,7 @@
 
 use super::Context;
 
-/// Longest time for one answer.
+/// Timeout of one request.
 const TIMEOUT: time::Millis = time::Millis(1_000);
 
 pub(super) async fn run(context: Context) {
@@ -19,12 +19,12 @@
         for (upstream, address) in owned(&context) {
             rt::spawn(observe(context.clone(), http.clone(), upstream, address));
         }
-        let wait = context.settings.observe.mul_f64(rand::random_range(0.9..1.1));
+        let wait = context.settings.observe_interval.mul_f64(rand::random_range(0.9..1.1));
         tokio::time::sleep(wait).await;
     }
 }
 
-/// Engines of this zone for which this steward is the observer.
+/// Returns the engines of this zone that rendezvous hashing assigns to this steward.
 pub(super) fn owned(context: &Context) -> Vec<(id::Upstream, std::net::SocketAddr)> {
     let core = context.core.borrow();
     let here = |upstream: &&lagoonline::view::Upstream| {
@@ -42,7 +42,7 @@
     address: std::net::SocketAddr,
 ) {
     let read = read(http, address, context.settings.zone.as_str());
-    // An upstream that does not answer keeps its last load, whose age tells.
+    // An upstream that does not respond keeps its last load; readers see its age.
     if let Ok(Some(load)) = time::timeout(TIMEOUT, read).await {
         context.core.borrow_mut().observe(&upstream, load);
     }
@@ -52,7 +52,7 @@
     http: client::Client,
     address: std::net::SocketAddr,
     zone: &str,
-) -> Option<engine::Load> {
+) -> Option<engine::LoadReport> {
     let request = http.get(format!("http://{address}/load")).set_header("Lagoon-Zone", zone);
     let response = request.send().await.ok()?;
     if response.status() != http::StatusCode::OK {
--- a/crates/lagoon-net/src/steward/session.rs
+++ b/crates/lagoon-net/src/steward/session.rs
@@ -1,4 +1,4 @@
-//! One connection: frames in, messages out.
+//! Connections: accepts them, and moves messages between a channel and the core.
 
 use std::net;
 
@@ -12,15 +12,16 @@
 use crate::link;
 use crate::wire;
 
-/// Most connections at once: hosts of a zone, gateways, an entry process and some operators.
-const CONNECTIONS: usize = 256;
+/// Maximum number of incoming connections: hosts of a zone, gateways of other zones, an entry
+/// process and some operators.
+const MAX_CONNECTIONS: usize = 256;
 
-/// Bytes of a frame besides its message, for the counters: length, tag, sender, life, sequence and
-/// nonce.
-const FRAME_HEAD: usize = 69;
+/// Bytes of a frame besides its message, for the counters: length, tag, sender, incarnation,
+/// sequence number and nonce.
+const FRAME_OVERHEAD: usize = 69;
 
-/// Wait after a failed accept, such as without free descriptors.
-const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(100);
+/// Delay after a failed accept, for example when no file descriptor is free.
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(100);
 
 pub(super) fn identity(context: &Context) -> link::Identity {
     link::Identity {
@@ -32,22 +33,22 @@
     }
 }
 
-/// Accepts connections.
+/// Accepts connections, at most [`MAX_CONNECTIONS`] at a time.
 pub(super) async fn listen(context: Context, listener: tokio_net::TcpListener) {
-    let places = std::sync::Arc::new(tokio::sync::Semaphore::new(CONNECTIONS));
+    let permits = std::sync::Arc::new(tokio::sync::Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
         match listener.accept().await {
             Ok((stream, address)) => {
                 let context = context.clone();
                 rt::spawn(async move {
                     accept(context, stream, address).await;
-                    drop(place);
+                    drop(permit);
                 });
             }
             Err(error) => {
-                log::warn!("accept: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!("accepting a connection failed: {error}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -64,7 +65,7 @@
     }
 }
 
-/// Serves a connection until it ends.
+/// Runs a connection until it is closed.
 pub(super) async fn serve(
     context: &Context,
     channel: link::Channel,
@@ -73,18 +74,18 @@
 ) {
     let sender = peer.sender.clone();
     let is_peer = peer.role == wire::Role::Steward;
-    let (name, receiver) = context.core.borrow_mut().open(peer, is_dialed);
-    let ended = exchange(context, channel, (name, is_peer), receiver).await;
-    context.core.borrow_mut().close(name);
+    let (link_id, receiver) = context.core.borrow_mut().add_link(peer, is_dialed);
+    let ended = exchange(context, channel, (link_id, is_peer), receiver).await;
+    context.core.borrow_mut().remove_link(link_id);
     if let Err(error) = ended {
-        log::debug!("link with {sender}: {error}");
+        log::debug!("link to {sender} closed: {error}");
     }
 }
 
 async fn exchange(
     context: &Context,
     mut channel: link::Channel,
-    (name, is_peer): (core::LinkId, bool),
+    (link_id, is_peer): (core::LinkId, bool),
     mut receiver: mpsc::Receiver<wire::Body>,
 ) -> Result<(), link::Error> {
     let counters = context.core.borrow().counters.clone();
@@ -93,20 +94,20 @@
             frame = channel.receive() => {
                 let Some(body) = frame?.body else { continue };
                 if is_peer {
-                    let bytes = (body.encoded_len() + FRAME_HEAD) as u64;
+                    let bytes = (body.encoded_len() + FRAME_OVERHEAD) as u64;
                     core::Counters::add(&counters.peer_frames_received, 1);
                     core::Counters::add(&counters.peer_bytes_received, bytes);
                 }
                 match body {
                     wire::Body::Call(call) => {
-                        rt::spawn(calls::answer(context.clone(), name, call));
+                        rt::spawn(calls::handle(context.clone(), link_id, call));
                     }
-                    body => context.core.borrow_mut().take(body, name),
+                    body => context.core.borrow_mut().handle_message(body, link_id),
                 }
             },
             body = receiver.recv() => {
                 let Some(body) = body else { return Ok(()) };
-                let bytes = (body.encoded_len() + FRAME_HEAD) as u64;
+                let bytes = (body.encoded_len() + FRAME_OVERHEAD) as u64;
                 core::Counters::add(&counters.frames_sent, 1);
                 core::Counters::add(&counters.frame_bytes_sent, bytes);
                 if is_peer {
--- a/crates/lagoon-net/src/steward/zones.rs
+++ b/crates/lagoon-net/src/steward/zones.rs
@@ -1,4 +1,4 @@
-//! Asks a steward of each other zone, for answers that need the whole fleet.
+//! Sends calls to stewards of other zones, for results that cover the whole fleet.
 
 use std::collections;
 use std::net;
@@ -6,7 +6,7 @@
 
 use futures_util::future;
 use lagoonline::control::mesh;
-use lagoonline::control::owner;
+use lagoonline::control::rendezvous;
 use lagoonline::id;
 
 use super::Context;
@@ -14,46 +14,46 @@
 use crate::link;
 use crate::wire;
 
-/// Longest time for one steward's answer.
-const ANSWER_TIME: time::Duration = time::Duration::from_millis(800);
+/// Timeout of one steward's reply.
+const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(800);
 
-/// Stewards of a zone that are tried.
-const TRIES: usize = 3;
+/// Maximum number of stewards of a zone that are tried.
+const MAX_TRIES: usize = 3;
 
-/// One zone's answer: `None` when none of its stewards answered.
+/// One zone's reply; `text` is `None` when none of the tried stewards replied.
 pub(super) struct Answer {
     pub(super) zone: id::Zone,
     pub(super) text: Option<String>,
 }
 
-/// Sends `call` to one steward of every other zone known.
+/// Sends `call` to one steward of every other known zone.
 pub(super) async fn ask(context: &Context, call: &wire::Call) -> Vec<Answer> {
     let zones = addresses(context);
     let asked = zones.into_iter().map(|(zone, addresses)| ask_zone(context, zone, addresses, call));
     future::join_all(asked).await
 }
 
-/// Sends `call` to the steward of each zone, this one included, that gives orders there.
-pub(super) async fn ask_orderers(context: &Context, call: &wire::Call) -> Vec<Answer> {
-    let asked = orderers(context);
+/// Sends `call` to the reconciling steward of each zone, including this one.
+pub(super) async fn ask_reconcilers(context: &Context, call: &wire::Call) -> Vec<Answer> {
+    let asked = reconcilers(context);
     let asked =
         asked.into_iter().map(|(zone, address)| ask_zone(context, zone, vec![address], call));
     future::join_all(asked).await
 }
 
-fn orderers(context: &Context) -> Vec<(id::Zone, net::SocketAddr)> {
+fn reconcilers(context: &Context) -> Vec<(id::Zone, net::SocketAddr)> {
     let core = context.core.borrow();
     let zones: collections::BTreeSet<_> = core.group.live().map(|member| &member.zone).collect();
-    let orderer = |zone: &&id::Zone| {
-        let host = owner::choose(core.group.live_in(zone), super::orders::ORDERER)?;
+    let reconciler = |zone: &&id::Zone| {
+        let host = rendezvous::choose(core.group.live_in(zone), super::reconcile::RECONCILER)?;
         let member = core.group.roster().member(&id::Host::from(host))?;
         Some(((*zone).clone(), member.address))
     };
-    zones.iter().filter_map(orderer).collect()
+    zones.iter().filter_map(reconciler).collect()
 }
 
 /// Sends `call` to one steward of `zone`.
-pub(super) async fn ask_in(
+pub(super) async fn ask_one_zone(
     context: &Context,
     zone: &id::Zone,
     call: &wire::Call,
@@ -62,7 +62,7 @@
     ask_zone(context, zone.clone(), addresses, call).await.text
 }
 
-/// Stewards of the other zones, gateways first.
+/// Returns the addresses of the stewards of the other zones, gateways first.
 fn addresses(context: &Context) -> collections::BTreeMap<id::Zone, Vec<net::SocketAddr>> {
     let core = context.core.borrow();
     let mut zones = collections::BTreeMap::<_, Vec<_>>::new();
@@ -83,9 +83,9 @@
     addresses: Vec<net::SocketAddr>,
     call: &wire::Call,
 ) -> Answer {
-    for address in addresses.into_iter().take(TRIES) {
+    for address in addresses.into_iter().take(MAX_TRIES) {
         let asked = ask_one(context, address, call);
-        if let Ok(Some(text)) = tokio::time::timeout(ANSWER_TIME, asked).await {
+        if let Ok(Some(text)) = tokio::time::timeout(ANSWER_TIMEOUT, asked).await {
             return Answer { zone, text: Some(text) };
         }
     }
--- a/crates/lagoon-net/src/wire/convert.rs
+++ b/crates/lagoon-net/src/wire/convert.rs
@@ -1,21 +1,21 @@
-//! Between messages and the types of the library.
+//! Conversions between messages and the types of lagoonline.
 
 use lagoonline::control::document;
 use lagoonline::control::membership;
-use lagoonline::control::spread;
+use lagoonline::control::replication;
 use lagoonline::id;
 use lagoonline::port::engine;
 
 use super::message;
 
-/// Versions as a message has them.
+/// Encodes versions.
 ///
 /// ```
 /// use lagoon_net::wire;
 /// let versions = [("a".into(), lagoonline::id::Version(3))].into();
 /// assert_eq!(wire::versions(&wire::team_versions(&versions)), versions);
 /// ```
-pub fn team_versions(versions: &spread::Versions) -> Vec<message::TeamVersion> {
+pub fn team_versions(versions: &replication::Versions) -> Vec<message::TeamVersion> {
     let line = |(team, version): (&id::Team, &id::Version)| message::TeamVersion {
         team: team.to_string(),
         version: version.0,
@@ -23,15 +23,15 @@
     versions.iter().map(line).collect()
 }
 
-/// Versions from a message.
-pub fn versions(lines: &[message::TeamVersion]) -> spread::Versions {
+/// Decodes versions.
+pub fn versions(lines: &[message::TeamVersion]) -> replication::Versions {
     let pair = |line: &message::TeamVersion| {
         (id::Team::from(line.team.as_str()), id::Version(line.version))
     };
     lines.iter().map(pair).collect()
 }
 
-/// A section as a message has it.
+/// Encodes a section with its full text.
 pub fn section(section: &document::Section) -> message::Section {
     message::Section {
         team: section.team.to_string(),
@@ -41,8 +41,11 @@
     }
 }
 
-/// A section as a message has it, told by changes of a version that the receiver has.
-pub fn section_by(section: &document::Section, deltas: &[document::Delta]) -> message::Section {
+/// Encodes a section as deltas from a version that the receiver has.
+pub fn section_with_deltas(
+    section: &document::Section,
+    deltas: &[document::Delta],
+) -> message::Section {
     message::Section {
         team: section.team.to_string(),
         version: section.version.0,
@@ -52,11 +55,13 @@
 }
 
 fn delta(delta: &document::Delta) -> message::Delta {
-    let place = |number: usize| u32::try_from(number).unwrap_or(u32::MAX);
+    let offset = |number: usize| u32::try_from(number).unwrap_or(u32::MAX);
     let step = |step: &document::Step| match step {
-        document::Step::Copy { start, length } => {
-            message::DeltaStep { text: String::new(), start: place(*start), length: place(*length) }
-        }
+        document::Step::Copy { start, length } => message::DeltaStep {
+            text: String::new(),
+            start: offset(*start),
+            length: offset(*length),
+        },
         document::Step::Insert(text) => {
             message::DeltaStep { text: text.clone(), ..message::DeltaStep::default() }
         }
@@ -69,7 +74,7 @@
     }
 }
 
-/// Changes from a message; one with a malformed hash matches no text.
+/// Decodes the deltas of a section. A malformed hash becomes one that matches no text.
 pub fn deltas(section: &message::Section) -> Vec<document::Delta> {
     let step = |step: &message::DeltaStep| {
         if step.text.is_empty() {
@@ -87,13 +92,13 @@
     section.deltas.iter().map(delta).collect()
 }
 
-/// A report of an entry process from its message.
-pub fn report(status: &message::Status) -> spread::Report {
-    spread::Report {
+/// Decodes a report of an entry process.
+pub fn report(status: &message::Status) -> replication::Report {
+    replication::Report {
         zone: id::Zone::from(status.zone.as_str()),
         incarnation: id::Incarnation(status.incarnation),
-        number: status.number,
-        gone: status.gone,
+        sequence: status.number,
+        entry_down: status.gone,
         ready: status.ready,
         draining: status.draining,
         in_flight: status.in_flight,
@@ -101,8 +106,8 @@
     }
 }
 
-/// A report of an entry process as a message.
-pub fn status(host: &id::Host, report: &spread::Report) -> message::Status {
+/// Encodes a report of an entry process.
+pub fn status(host: &id::Host, report: &replication::Report) -> message::Status {
     message::Status {
         host: host.to_string(),
         zone: report.zone.to_string(),
@@ -111,16 +116,16 @@
         draining: report.draining,
         in_flight: report.in_flight,
         in_force: team_versions(&report.in_force),
-        number: report.number,
-        gone: report.gone,
+        number: report.sequence,
+        gone: report.entry_down,
         changes: false,
     }
 }
 
-/// News of members from a message; members whose address is malformed are left out.
-pub fn news(members: &message::Members) -> Vec<membership::News> {
+/// Decodes membership updates; members with a malformed address are left out.
+pub fn membership_updates(members: &message::Members) -> Vec<membership::Update> {
     let member = |line: &message::Member| {
-        Some(membership::News::Member(membership::Member {
+        Some(membership::Update::Member(membership::Member {
             host: id::Host::from(line.host.as_str()),
             zone: id::Zone::from(line.zone.as_str()),
             address: line.address.parse().ok()?,
@@ -128,10 +133,10 @@
         }))
     };
     let vote = |line: &message::Vote| {
-        membership::News::Vote(membership::Vote {
-            by: id::Host::from(line.by.as_str()),
-            by_incarnation: id::Incarnation(line.by_incarnation),
-            number: line.number,
+        membership::Update::Vote(membership::Vote {
+            voter: id::Host::from(line.by.as_str()),
+            voter_incarnation: id::Incarnation(line.by_incarnation),
+            sequence: line.number,
             host: id::Host::from(line.host.as_str()),
             incarnation: id::Incarnation(line.incarnation),
             against: line.against,
@@ -141,21 +146,21 @@
     all.chain(members.votes.iter().map(vote)).collect()
 }
 
-/// News of members as a message.
-pub fn members(news: &[membership::News]) -> message::Members {
+/// Encodes membership updates.
+pub fn members(updates: &[membership::Update]) -> message::Members {
     let mut message = message::Members::default();
-    for item in news {
+    for item in updates {
         match item {
-            membership::News::Member(member) => message.members.push(message::Member {
+            membership::Update::Member(member) => message.members.push(message::Member {
                 host: member.host.to_string(),
                 zone: member.zone.to_string(),
                 address: member.address.to_string(),
                 incarnation: member.incarnation.0,
             }),
-            membership::News::Vote(vote) => message.votes.push(message::Vote {
-                by: vote.by.to_string(),
-                by_incarnation: vote.by_incarnation.0,
-                number: vote.number,
+            membership::Update::Vote(vote) => message.votes.push(message::Vote {
+                by: vote.voter.to_string(),
+                by_incarnation: vote.voter_incarnation.0,
+                number: vote.sequence,
                 host: vote.host.to_string(),
                 incarnation: vote.incarnation.0,
                 against: vote.against,
@@ -165,8 +170,8 @@
     message
 }
 
-/// A load as a message has it, `age_ms` milliseconds after it was read.
-pub fn load(upstream: &id::Upstream, load: &engine::Load, age_ms: u64) -> message::Load {
+/// Encodes a load that was read `age_ms` milliseconds ago.
+pub fn load(upstream: &id::Upstream, load: &engine::LoadReport, age_ms: u64) -> message::Load {
     message::Load {
         upstream: upstream.to_string(),
         running: load.running,
@@ -181,9 +186,9 @@
     }
 }
 
-/// A load from its message.
-pub fn engine_load(load: &message::Load) -> engine::Load {
-    engine::Load {
+/// Decodes a load.
+pub fn engine_load(load: &message::Load) -> engine::LoadReport {
+    engine::LoadReport {
         running: load.running,
         waiting: load.waiting,
         prefill_tokens: load.prefill_tokens,
--- a/crates/lagoon-net/src/wire/mod.rs
+++ b/crates/lagoon-net/src/wire/mod.rs
@@ -1,14 +1,14 @@
-//! Frames between the system's own processes, and from operators: prost messages in length
-//! prefixed frames, each authenticated with a key that the fleet shares.
+//! Protocol between the processes of a fleet, and with operators: prost messages in length-prefixed
+//! frames, each authenticated with the key of the fleet.
 
 mod auth;
-mod brief;
 mod codec;
+mod compact;
 mod convert;
 mod message;
 
 pub use auth::*;
-pub use brief::*;
 pub use codec::*;
+pub use compact::*;
 pub use convert::*;
 pub use message::*;
--- a/crates/lagoon-net/tests/entry/bad_input.rs
+++ b/crates/lagoon-net/tests/entry/bad_input.rs
@@ -1,4 +1,4 @@
-//! Callers that send what they should not: each gets a clear error, and nothing is left behind.
+//! Malformed and incomplete requests: each gets a clear error, and no resource is leaked.
 
 use std::io::Write as _;
 
@@ -28,7 +28,7 @@
 #[case::negative("Lagoon-Deadline-Ms: -5\r\n")]
 #[case::zero("Lagoon-Deadline-Ms: 0\r\n")]
 #[case::absurd("Lagoon-Deadline-Ms: 99999999999999999999999\r\n")]
-#[case::above_the_customers("Lagoon-Deadline-Ms: 60001\r\n")]
+#[case::above_the_customers_maximum("Lagoon-Deadline-Ms: 60001\r\n")]
 #[case::no_number("Lagoon-Deadline-Ms: soon\r\n")]
 #[case::bad_key("Idempotency-Key: a b\r\n")]
 fn refuses_bad_headers(#[case] headers: &str) {
@@ -96,7 +96,7 @@
         host::KEY
     );
     host.connect().write_all(head.as_bytes()).unwrap();
-    host::wait_until("it came and went", || {
+    host::wait_until("the request was received and has ended", || {
         host.running.handle().active() == 0 && host.metrics().contains("lagoon_requests_total{")
     });
     assert!(host.engines[0].node().record().attempts.is_empty());
@@ -128,8 +128,8 @@
     host.finish();
 }
 
-// Many callers vanish at every stage at once: with half a head, half a body, while waiting, in
-// mid-stream. Nothing stays held, and the host still answers.
+// Many callers disconnect at every stage at once: after half a head, after half a body, while
+// queued and in mid-stream. No resource stays held, and the host still serves calls.
 #[test]
 fn callers_that_vanish_leave_nothing() {
     let engine = lagoon_standin::engine::Settings { decode_ms: 200.0, ..host::quick() };
--- a/crates/lagoon-net/tests/entry/claims.rs
+++ b/crates/lagoon-net/tests/entry/claims.rs
@@ -1,4 +1,6 @@
-//! Idempotency keys over sockets, with the stand-in platform.
+//! Idempotency keys over real sockets, with the stand-in platform.
+//!
+//! The customer `crew` books at the service `pickup`, which a stand-in replica (runner) serves.
 
 use std::io::Write as _;
 use std::sync;
@@ -41,8 +43,8 @@
     host.exchange(&host::request("POST", "/services/pickup/x", headers, body))
 }
 
-// A crew books, loses the answer and books again with the same key. It gets the same answer, and
-// the runner saw one booking. Another body with the key is refused as never run.
+// A crew books, loses the response and books again with the same key. It gets the same response,
+// and the runner received one booking. A different body with the same key is refused as not run.
 #[test]
 fn a_key_books_once() {
     let (host, calls, table) = start(Runner::Answer);
@@ -60,8 +62,8 @@
     host.finish();
 }
 
-// The runner reads the booking and closes. The crew hears `unknown`, and asking again with the
-// key hears so too: nothing is sent again.
+// The runner reads the booking and closes the connection. The caller gets `unknown`, also when it
+// retries with the key: the booking is not sent again.
 #[test]
 fn a_lost_booking_is_not_sent_again() {
     let (host, calls, _table) = start(Runner::CloseAfterReading);
@@ -74,7 +76,8 @@
     host.finish();
 }
 
-// The runner says that the booking did not run. The key is free again, and asking again sends it.
+// The runner refuses the booking as not run. The key is released, and a retry sends the booking
+// again.
 #[test]
 fn a_refused_booking_frees_its_key() {
     let (host, calls, table) = start(Runner::RefuseAsNotRun);
@@ -83,13 +86,13 @@
         assert_eq!(host::status(&answer), "503", "{answer}");
         assert!(answer.to_lowercase().contains("lagoon-outcome: not-run"), "{answer}");
         assert_eq!(calls.lock().unwrap().len(), sent);
-        host::wait_until("the key is free", || any_row(&table, "\"released\""));
+        host::wait_until("the key is released", || any_row(&table, "\"released\""));
     }
     host.finish();
 }
 
-// The crew closes its connection before the answer. The booking runs to its end all the same, so
-// that the crew finds its answer under the key.
+// The crew disconnects before the response. The booking still runs to its end, so that a retry with
+// the key finds the response.
 #[test]
 fn a_caller_that_leaves_finds_its_answer() {
     let (host, calls, table) = start(Runner::Answer);
@@ -106,7 +109,7 @@
     host.finish();
 }
 
-/// One entry host before an engine and the table service.
+/// Starts one entry host with an engine and the table service.
 pub fn start_one(engine: engine::Settings, continues: bool) -> (host::Host, Table) {
     let table = start_table();
     let platform = platform::Settings { address: table.address(), ..platform::Settings::default() };
@@ -114,7 +117,7 @@
     (host::Host::start_with(vec![engine], continues, with_platform), table)
 }
 
-/// Two entry hosts before the same engine and table service.
+/// Starts two entry hosts that share an engine and the table service.
 fn start_two(engine: engine::Settings) -> (host::Host, host::Host, Table) {
     let table = start_table();
     let platform = platform::Settings { address: table.address(), ..platform::Settings::default() };
@@ -129,9 +132,9 @@
     (first, second, table)
 }
 
-// A caller has 5 tokens of its answer from one entry host and goes on at another with its key. It
-// gets the tokens from number 5 on, of the same attempt: the engine ran one. When the answer has
-// ended it is kept: asking once more gives all of it, and the engine still ran one attempt.
+// A caller has 5 tokens of a response from one entry host and resumes at another with its key. It
+// gets the tokens from index 5 on, of the same attempt. The finished response is stored: another
+// call with the key returns all of it, and the engine still ran a single attempt.
 #[test]
 fn another_host_takes_a_stream_over() {
     let slow = engine::Settings { decode_ms: 1_000.0, ..host::quick() };
@@ -149,7 +152,7 @@
     assert!(rest.contains("data: [DONE]"), "{rest}");
     let whole = host::read_all(&mut stream);
     assert_eq!(whole.matches("\"finish_reason\":null").count(), 60, "{whole}");
-    host::wait_until("the answer is kept", || any_row(&table, "\"done\""));
+    host::wait_until("the response is stored", || any_row(&table, "\"done\""));
     let again = second.post("/v1/completions", key, &call);
     assert_eq!(again.matches("\"finish_reason\":null").count(), 60, "{again}");
     assert!(again.contains("data: [DONE]"), "{again}");
@@ -158,8 +161,8 @@
     second.finish();
 }
 
-// The stream that the row names is gone with its engine's memory. The caller gets a new answer
-// under its key.
+// The engine is down during the first call, which fails and leaves a claim that names a stream the
+// engine does not have. The next call with the key gets a new response.
 #[test]
 fn a_stream_that_is_gone_runs_again() {
     let (first, second, _table) = start_two(host::quick());
--- a/crates/lagoon-net/tests/entry/leaving.rs
+++ b/crates/lagoon-net/tests/entry/leaving.rs
@@ -1,4 +1,4 @@
-//! Upstreams that leave, as two entry hosts with their stewards hear of it.
+//! Upstreams that leave, as two entry hosts learn it through their stewards.
 
 use std::sync::atomic;
 use std::thread;
@@ -17,19 +17,26 @@
 use crate::link;
 
 const HOSTS: [&str; 2] = ["suva-1", "suva-2"];
-/// By then what was on its way has arrived; twice the time that is promised.
-const SETTLED: time::Duration = time::Duration::from_secs(4);
-/// Slow enough for the customer's rate.
-const PACE: time::Duration = time::Duration::from_millis(40);
-const WATCHED: time::Duration = time::Duration::from_secs(3);
-
+/// Time after which no call may be sent to the leaving engine: twice the 2 s that the hosts may
+/// take.
+const SETTLE_TIME: time::Duration = time::Duration::from_secs(4);
+/// Pause between two calls, long enough to stay below the customer's default rate limit.
+const CALL_PAUSE: time::Duration = time::Duration::from_millis(40);
+/// Time after [`SETTLE_TIME`] during which no new call may arrive, while the list is stale.
+const WATCH_TIME: time::Duration = time::Duration::from_secs(3);
+
+/// How the hosts learn that the engine is leaving.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Sign {
+enum Source {
+    /// From the platform's list of hosts.
     List,
+    /// From the engine's refusal, at each host.
     Refusal,
+    /// From the engine's refusal at the other host.
     Peer,
 }
 
+/// Two entry hosts with a steward each, two engines and the platform.
 struct Site {
     platform: server::Running<platform::Platform>,
     engines: Vec<server::Running<engine::Engine>>,
@@ -67,13 +74,15 @@
         self.hosts.push(host::Host { running: running.unwrap(), engines: Vec::new() });
     }
 
-    /// Everything that was sent to the first engine: what it took, and what it refused as leaving.
+    /// Returns the number of calls sent to the first engine: those it accepted and those it refused
+    /// as leaving.
     fn sent(&self) -> usize {
-        let refused: usize = self.hosts.iter().map(refused).sum();
+        let refused: usize = self.hosts.iter().map(refused_calls).sum();
         self.engines[0].node().record().attempts.len() + refused
     }
 
-    fn list(&self, state: &str) {
+    /// Sets the state of the first engine in the platform's list.
+    fn set_listed_state(&self, state: &str) {
         let incarnation = self.engines[0].node().record().incarnation;
         let (name, zone, state) = ("engine-0".into(), "suva".into(), state.into());
         let line = platform::HostLine { name, zone, incarnation, state };
@@ -81,8 +90,8 @@
     }
 }
 
-/// Calls of a host that were refused as leaving.
-fn refused(host: &host::Host) -> usize {
+/// Returns the number of a host's calls that were refused as leaving.
+fn refused_calls(host: &host::Host) -> usize {
     let metrics = host.metrics();
     let name = "lagoon_attempts_total{cause=\"leaving\"} ";
     let line = metrics.lines().find_map(|line| line.strip_prefix(name));
@@ -92,11 +101,11 @@
 fn call(host: &host::Host) {
     let answer = host.post("/v1/completions", "", &host::completion("tin", 2, false));
     assert_eq!(host::status(&answer), "200", "{answer}");
-    thread::sleep(PACE);
+    thread::sleep(CALL_PAUSE);
 }
 
-/// Tells callers to stop, also when a check fails: threads that go on calling keep the scope, and
-/// so the failure, from ever being seen.
+/// Stops the calling threads when dropped, also when an assertion fails: threads that keep calling
+/// would keep the scope open, and the failure would never be reported.
 struct Stop<'a>(&'a atomic::AtomicBool);
 
 impl Drop for Stop<'_> {
@@ -105,29 +114,29 @@
     }
 }
 
-/// Callers call both hosts all the time, and each gets its answer. One engine is to leave: the
-/// platform's list says so, or the engine itself when it is called, or that is heard of from the
-/// other host. Soon no call goes there, also when the list is stale and says live again, and also
-/// with the platform down; and calls go there again once it is back in a new life.
+/// Both hosts are called continuously, and every call must succeed. One engine starts to leave. The
+/// hosts learn it from the platform's list, from a refusal by the engine, or from the other host.
+/// Soon no call is sent to it, also while a stale list reports it as live and while the platform is
+/// down. Once the engine is back with a new incarnation it gets calls again.
 #[rstest]
-#[case(Sign::List, false)]
-#[case(Sign::Refusal, false)]
-#[case(Sign::Refusal, true)]
-#[case(Sign::Peer, false)]
-#[case(Sign::Peer, true)]
-fn a_leaving_engine_gets_nothing_new(#[case] sign: Sign, #[case] platform_down: bool) {
+#[case(Source::List, false)]
+#[case(Source::Refusal, false)]
+#[case(Source::Refusal, true)]
+#[case(Source::Peer, false)]
+#[case(Source::Peer, true)]
+fn a_leaving_engine_gets_nothing_new(#[case] source: Source, #[case] platform_down: bool) {
     let site = Site::start();
-    site.list("live");
+    site.set_listed_state("live");
     let leaving = site.engines[0].node().clone();
-    let (stop, second) = (atomic::AtomicBool::new(false), atomic::AtomicBool::new(true));
+    let (stop, second_may_call) = (atomic::AtomicBool::new(false), atomic::AtomicBool::new(true));
     let is_on = |flag: &atomic::AtomicBool| flag.load(atomic::Ordering::Relaxed);
     thread::scope(|scope| {
         let _stop = Stop(&stop);
         let callers = site.hosts.iter().enumerate().map(|(index, host)| {
-            let (stop, second) = (&stop, &second);
+            let (stop, second_may_call) = (&stop, &second_may_call);
             scope.spawn(move || {
                 while !is_on(stop) {
-                    let calls = index == 0 || is_on(second);
+                    let calls = index == 0 || is_on(second_may_call);
                     if calls { call(host) } else { thread::sleep(time::Duration::from_millis(5)) }
                 }
             })
@@ -136,35 +145,38 @@
         host::wait_until("the engine works", || leaving.record().attempts.len() > 20);
         let down = platform::Faults { down: platform_down, ..site.platform.node().faults() };
         site.platform.node().set_faults(down);
-        second.store(sign != Sign::Peer, atomic::Ordering::Relaxed);
+        second_may_call.store(source != Source::Peer, atomic::Ordering::Relaxed);
         thread::sleep(time::Duration::from_millis(200));
 
         let (began, mut last, mut sent) = (time::Instant::now(), time::Duration::ZERO, 0);
-        match sign {
-            Sign::List => site.list("leaving"),
-            Sign::Refusal | Sign::Peer => leaving.leave(),
+        match source {
+            Source::List => site.set_listed_state("leaving"),
+            Source::Refusal | Source::Peer => leaving.leave(),
         }
-        while began.elapsed() < SETTLED {
-            // The word of the first host alone; the second one's calls come later.
-            second.fetch_or(began.elapsed() > SETTLED / 2, atomic::Ordering::Relaxed);
+        while began.elapsed() < SETTLE_TIME {
+            // The second host does not call during the first half, so it can learn of the leaving
+            // only from the first host.
+            second_may_call.fetch_or(began.elapsed() > SETTLE_TIME / 2, atomic::Ordering::Relaxed);
             let now = site.sent();
             if now != sent {
                 (sent, last) = (now, began.elapsed());
             }
         }
-        if sign == Sign::List {
-            site.list("live");
+        if source == Source::List {
+            site.set_listed_state("live");
         }
-        thread::sleep(WATCHED);
-        assert_eq!(site.sent(), sent, "it got new calls");
-        let by_host: Vec<_> = site.hosts.iter().map(refused).collect();
-        println!("{sign:?}, platform down {platform_down}: last call after {last:?}, {by_host:?}");
-        assert!(sign != Sign::Peer || by_host[1] == 0, "the second host was not told");
+        thread::sleep(WATCH_TIME);
+        assert_eq!(site.sent(), sent, "the leaving engine got new calls");
+        let by_host: Vec<_> = site.hosts.iter().map(refused_calls).collect();
+        println!(
+            "{source:?}, platform down {platform_down}: last call after {last:?}, {by_host:?}"
+        );
+        assert!(source != Source::Peer || by_host[1] == 0, "the second host was not informed");
 
         let faults = leaving.faults();
         leaving.set_faults(engine::Faults { down: true, ..faults.clone() });
         leaving.set_faults(faults);
-        host::wait_until("the new life gets calls", || site.sent() > sent);
+        host::wait_until("the new incarnation gets calls", || site.sent() > sent);
         stop.store(true, atomic::Ordering::Relaxed);
         callers.into_iter().for_each(|caller| caller.join().unwrap());
     });
--- a/crates/lagoon-net/tests/entry/takeover.rs
+++ b/crates/lagoon-net/tests/entry/takeover.rs
@@ -1,14 +1,14 @@
-//! A caller whose entry host died comes back with its key at another.
+//! A caller whose entry host died retries with its idempotency key at another host.
 //!
-//! The dead host is what it leaves: a claim's row in the table, and a stream on the engine that
-//! nobody reads.
+//! The dead host is represented by what it left behind: the row of a claim in the table, and a
+//! stream on the engine that nobody reads.
 
 use std::io::{Read as _, Write as _};
 use std::time;
 
 use lagoon_standin::engine;
 use lagoonline::id;
-use lagoonline::life::claim;
+use lagoonline::lifecycle::claim;
 use rstest::rstest;
 use serde_json::Value;
 
@@ -18,20 +18,21 @@
 const ATTEMPT: id::Attempt = id::Attempt(7);
 const TOKENS: u64 = 40;
 
-struct Left {
+/// A new host, the table with the dead host's claim, and the body of the interrupted call.
+struct Fixture {
     host: host::Host,
     rows: claims::Table,
     call: String,
 }
 
-/// Starts a host, and leaves what another one left that died while it served `prompt`.
-fn leave(prompt: &str, stream: bool, continues: bool, scale: f64) -> Left {
+/// Starts a host, with the claim and the stream of another host that died while it served `prompt`.
+fn start_after_death(prompt: &str, stream: bool, continues: bool, scale: f64) -> Fixture {
     let settings = engine::Settings { time_scale: scale, resume_ms: 600_000, ..host::quick() };
     let (host, rows) = claims::start_one(settings, continues);
     let call = host::completion(prompt, TOKENS, stream);
     let record = claim::Record {
         token: ATTEMPT.to_string(),
-        body: claim::body_hash("POST", "/v1/completions", call.as_bytes()),
+        body: claim::request_hash("POST", "/v1/completions", call.as_bytes()),
         holder: "suva-0/1".to_owned(),
         written_ms: 1,
         state: claim::State::Claimed {
@@ -49,19 +50,22 @@
         call.len()
     );
     dying.write_all(head.as_bytes()).unwrap();
-    // It dies with the answer's head and some tokens read.
+    // The other host dies after it has read the response head and some tokens.
     let (mut read, mut buffer) = (0, [0; 1_024]);
     while read < 1_000 {
         read += dying.read(&mut buffer).unwrap();
     }
-    Left { host, rows, call }
+    Fixture { host, rows, call }
 }
 
-fn from_header(from: Option<u64>) -> String {
+/// Returns the headers of a retry: the idempotency key, and the position to resume at if there is
+/// one.
+fn retry_headers(from: Option<u64>) -> String {
     let resume = from.map(|from| format!("Lagoon-Resume-From: {from}\r\n"));
     format!("Idempotency-Key: k1\r\n{}", resume.unwrap_or_default())
 }
 
+/// Returns the number of tokens in a complete response.
 fn tokens(answer: &str, stream: bool) -> u64 {
     if stream {
         assert!(answer.contains("data: [DONE]"), "{answer}");
@@ -72,56 +76,56 @@
     text.split_whitespace().count() as u64
 }
 
-/// The caller gets the rest of its answer from the position that it names, or all of it when it
-/// names none, streamed or not. The engine ran one attempt, which is the new host's now, and gives
-/// its memory back.
+/// The caller gets the rest of its response from the position that it asks for, or all of it
+/// without a position, streamed or not. The engine ran a single attempt, which now belongs to the
+/// new host, and frees its memory.
 #[rstest]
 #[case(true, Some(5))]
 #[case(true, None)]
 #[case(false, Some(5))]
 #[case(false, None)]
-fn its_stream_goes_on(#[case] stream: bool, #[case] from: Option<u64>) {
-    let left = leave("tin", stream, false, 50.0);
-    let answer = left.host.post("/v1/completions", &from_header(from), &left.call);
+fn a_dead_hosts_stream_is_resumed(#[case] stream: bool, #[case] from: Option<u64>) {
+    let fixture = start_after_death("tin", stream, false, 50.0);
+    let answer = fixture.host.post("/v1/completions", &retry_headers(from), &fixture.call);
     assert_eq!(host::status(&answer), "200", "{answer}");
     assert_eq!(tokens(&answer, stream), TOKENS - from.unwrap_or(0), "{answer}");
-    let engine = left.host.engines[0].node().clone();
+    let engine = fixture.host.engines[0].node().clone();
     assert_eq!(engine.record().attempts.len(), 1);
     host::wait_until("the memory is back", || {
         engine.record().bytes_reserved == engine.record().bytes_returned
     });
-    left.host.finish();
+    fixture.host.finish();
 }
 
-/// The engine has restarted as well, so the stream is gone. A caller that names no position gets a
-/// new answer; one that does gets it continued where its model allows that, and else a clear
-/// failure, since the rest of another answer is not the rest of its own.
+/// The engine has restarted too, so the stream is gone. A caller without a position gets a new
+/// response. One with a position gets the response continued where the model allows that and an
+/// error otherwise, since the rest of a different response does not fit the part it has.
 #[rstest]
 #[case(None, false, "200")]
 #[case(Some(5), true, "200")]
 #[case(Some(5), false, "502")]
-fn its_engine_is_gone(
+fn a_retry_after_the_engine_restarted(
     #[case] from: Option<u64>,
     #[case] continues: bool,
     #[case] status: &str,
     #[values(true, false)] stream: bool,
 ) {
-    let left = leave("tin", stream, continues, 50.0);
-    let engine = left.host.engines[0].node().clone();
+    let fixture = start_after_death("tin", stream, continues, 50.0);
+    let engine = fixture.host.engines[0].node().clone();
     engine.set_faults(engine::Faults { down: true, ..engine.faults() });
     engine.set_faults(engine::Faults::default());
-    let answer = left.host.post("/v1/completions", &from_header(from), &left.call);
+    let answer = fixture.host.post("/v1/completions", &retry_headers(from), &fixture.call);
     assert_eq!(host::status(&answer), status, "{answer}");
     if status == "200" {
         assert_eq!(tokens(&answer, stream), TOKENS - from.unwrap_or(0), "{answer}");
     } else {
         assert!(answer.to_lowercase().contains("lagoon-outcome: unknown"), "{answer}");
     }
-    assert!(!left.rows.node().rows("").is_empty());
-    left.host.finish();
+    assert!(!fixture.rows.node().rows("").is_empty());
+    fixture.host.finish();
 }
 
-/// Seconds from the call to its first token.
+/// Returns the seconds from the call to its first token.
 fn first_token(host: &host::Host, headers: &str, call: &str) -> f64 {
     let began = time::Instant::now();
     let mut stream = host.connect();
@@ -137,32 +141,32 @@
     first
 }
 
-/// The prompt has a million tokens, which the engine prefilled for the host that died. Taken over,
-/// its answer goes on without a second prefill; another caller's prompt of that length shows what
-/// one costs.
+/// The engine prefilled a million-token prompt for the host that died. After the takeover the
+/// response continues without a second prefill; another caller's prompt of the same length shows
+/// how long that would take.
 #[test]
 fn a_million_tokens_are_not_prefilled_again() {
     let prompt = "a".repeat(4 * 1_000_000);
-    let left = leave(&prompt, true, true, 10.0);
-    let taken = first_token(&left.host, &from_header(Some(5)), &left.call);
-    let engine = left.host.engines[0].node().clone();
+    let fixture = start_after_death(&prompt, true, true, 10.0);
+    let taken = first_token(&fixture.host, &retry_headers(Some(5)), &fixture.call);
+    let engine = fixture.host.engines[0].node().clone();
     assert_eq!(engine.record().attempts.len(), 1);
     let other = host::completion(&"b".repeat(4 * 1_000_000), TOKENS, true);
-    let anew = first_token(&left.host, "", &other);
+    let anew = first_token(&fixture.host, "", &other);
     println!(
         "first token: {taken:.3} s taken over, {anew:.3} s prefilled, engine 10 times as fast"
     );
-    left.host.finish();
+    fixture.host.finish();
 }
 
-/// A steward that finds the dead host's stream on the engine gives its memory back. One that was
-/// taken over is being read, so the engine has to know its new owner.
+/// A steward frees the memory of streams that belong to a dead host. A stream that was taken over
+/// is being read, so the engine must have recorded its new owner.
 #[test]
-fn its_stream_is_the_new_hosts() {
-    let left = leave("tin", true, false, 0.5);
-    let engine = left.host.engines[0].address();
-    let mut caller = left.host.connect();
-    let request = host::request("POST", "/v1/completions", &from_header(None), &left.call);
+fn a_taken_over_stream_belongs_to_the_new_host() {
+    let fixture = start_after_death("tin", true, false, 0.5);
+    let engine = fixture.host.engines[0].address();
+    let mut caller = fixture.host.connect();
+    let request = host::request("POST", "/v1/completions", &retry_headers(None), &fixture.call);
     caller.write_all(&request).unwrap();
     host::wait_until("the engine knows the new owner", || {
         let mut stream = host::connect(engine);
@@ -171,5 +175,5 @@
         host::read_all(&mut stream).contains("\"owner\":\"suva-1/")
     });
     host::read_all(&mut caller);
-    left.host.finish();
+    fixture.host.finish();
 }
--- a/crates/lagoonline/benches/decision.rs
+++ b/crates/lagoonline/benches/decision.rs
@@ -1,5 +1,5 @@
-//! Cost of one admission, one routing decision and one fingerprint, at today's size and at the
-//! target's.
+//! Cost of one admission, one routing decision, one limit check and one fingerprint, for a small
+//! and a large fleet.
 
 #![allow(missing_docs, reason = "the macro of the library makes a public function")]
 
@@ -10,25 +10,25 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 use lagoonline::clock::{Moment, Span};
 use lagoonline::control::document;
-use lagoonline::life::fingerprint::Fingerprint;
+use lagoonline::lifecycle::fingerprint::Fingerprint;
 use lagoonline::load::{self, Ending, Scheduler, Verdict};
 use lagoonline::{id, view};
 
 struct Size {
     name: &'static str,
-    runners: usize,
+    engines: usize,
     hosts: u32,
     customers: usize,
 }
 
 const SIZES: [Size; 2] = [
-    Size { name: "today", runners: 8, hosts: 3, customers: 10 },
-    Size { name: "target", runners: 133, hosts: 39, customers: 26_000 },
+    Size { name: "today", engines: 8, hosts: 3, customers: 10 },
+    Size { name: "target", engines: 133, hosts: 39, customers: 26_000 },
 ];
 
-fn fleet(runners: usize) -> view::Shared {
+fn fleet(engines: usize) -> view::Shared {
     let mut fleet = view::Fleet::default();
-    for index in 0..runners {
+    for index in 0..engines {
         let entry = document::Upstream {
             serves: document::Serves::Models(vec![id::Model::from("m")]),
             ..document::Upstream::default()
@@ -42,12 +42,12 @@
 fn scheduler(size: &Size) -> Scheduler {
     let settings = load::Settings { hosts_in_zone: size.hosts, ..load::Settings::default() };
     let mut scheduler = Scheduler::new(settings);
-    scheduler.set_fleet(Moment::START, &fleet(size.runners), &id::Model::from("m"));
+    scheduler.set_fleet(Moment::START, &fleet(size.engines), &id::Model::from("m"));
     scheduler
 }
 
-fn asks(size: &Size) -> Vec<load::Ask> {
-    let ask = |index: usize| load::Ask {
+fn requests(size: &Size) -> Vec<load::Request> {
+    let request = |index: usize| load::Request {
         customer: id::Customer::from(format!("c{index}")),
         team: id::Team::from(format!("t{}", index % 8)),
         weight: 1,
@@ -59,28 +59,28 @@
         deadline: Moment::START + Span::from_secs(3_600),
         prefixes: vec![(index as u64 % 64, 512)],
     };
-    (0..size.customers).map(ask).collect()
+    (0..size.customers).map(request).collect()
 }
 
-/// Times of single decisions, whose middle is printed: criterion tells means only.
+/// Durations of single decisions, whose median is printed because criterion reports only means.
 #[derive(Default)]
-struct Singles(Vec<Span>);
+struct Durations(Vec<Span>);
 
-impl Singles {
+impl Durations {
     fn print(mut self, name: &str) {
         self.0.sort_unstable();
-        if let Some(middle) = self.0.get(self.0.len() / 2) {
-            println!("{name}: p50 of {} single decisions {middle:?}", self.0.len());
+        if let Some(median) = self.0.get(self.0.len() / 2) {
+            println!("{name}: p50 of {} single decisions {median:?}", self.0.len());
         }
     }
 }
 
-/// A request that finds a place: admission and routing together.
+/// A request that is placed at once: admission and routing together.
 fn place(criterion: &mut Criterion) {
     for size in &SIZES {
-        let (mut scheduler, asks) = (scheduler(size), asks(size));
+        let (mut scheduler, requests) = (scheduler(size), requests(size));
         let mut turn = 0;
-        let mut singles = Singles::default();
+        let mut durations = Durations::default();
         let name = format!("offer that is placed, {}", size.name);
         criterion.bench_function(&name, |bencher| {
             bencher.iter_custom(|count| {
@@ -88,59 +88,60 @@
                 for _ in 0..count {
                     turn += 1;
                     let now = Moment::from_micros(turn as u64 * 1_000);
-                    let ask = load::Ask { arrived: now, ..asks[turn % asks.len()].clone() };
+                    let request =
+                        load::Request { arrived: now, ..requests[turn % requests.len()].clone() };
                     let start = time::Instant::now();
-                    let verdict = hint::black_box(scheduler.offer(now, ask));
+                    let verdict = hint::black_box(scheduler.offer(now, request));
                     let took = start.elapsed();
                     spent += took;
-                    singles.0.push(took);
+                    durations.0.push(took);
                     end(&mut scheduler, now, &verdict);
                 }
                 spent
             });
         });
-        singles.print(&name);
+        durations.print(&name);
     }
 }
 
 fn end(scheduler: &mut Scheduler, now: Moment, verdict: &Verdict) {
     let Verdict::Dispatch(placement) = verdict else { return };
-    scheduler.first_token(now, placement.ticket);
+    scheduler.record_first_token(now, placement.ticket);
     let ending = Ending::Done { prompt_tokens: 1_000, cached_tokens: 0, answer_tokens: 10 };
     scheduler.finish(now, placement.ticket, ending);
 }
 
-/// A request that finds every engine taken and waits, then leaves.
+/// A request that finds every engine occupied and waits, then leaves.
 fn wait(criterion: &mut Criterion) {
     for size in &SIZES {
-        let (mut scheduler, asks) = (scheduler(size), asks(size));
-        for ask in asks.iter().cycle().take(100_000) {
-            if let Verdict::Wait(_) = scheduler.offer(Moment::START, ask.clone()) {
+        let (mut scheduler, requests) = (scheduler(size), requests(size));
+        for request in requests.iter().cycle().take(100_000) {
+            if let Verdict::Wait(_) = scheduler.offer(Moment::START, request.clone()) {
                 break;
             }
         }
         let mut turn = 0;
-        let mut singles = Singles::default();
+        let mut durations = Durations::default();
         let name = format!("offer that waits, {}", size.name);
         criterion.bench_function(&name, |bencher| {
             bencher.iter_custom(|count| {
                 let mut spent = Span::ZERO;
                 for _ in 0..count {
                     turn += 1;
-                    let ask = asks[turn % asks.len()].clone();
+                    let request = requests[turn % requests.len()].clone();
                     let start = time::Instant::now();
-                    let verdict = hint::black_box(scheduler.offer(Moment::START, ask));
+                    let verdict = hint::black_box(scheduler.offer(Moment::START, request));
                     let took = start.elapsed();
                     spent += took;
-                    singles.0.push(took);
+                    durations.0.push(took);
                     if let Verdict::Wait(waiter) = verdict {
-                        scheduler.leave(waiter);
+                        scheduler.cancel(waiter);
                     }
                 }
                 spent
             });
         });
-        singles.print(&name);
+        durations.print(&name);
     }
 }
 
@@ -148,15 +149,15 @@
 fn limit(criterion: &mut Criterion) {
     for size in &SIZES {
         let mut limits = load::limit::Limits::new(size.hosts);
-        let asks = asks(size);
+        let requests = requests(size);
         let rate = load::limit::Rate { requests: 1e6, tokens: 1e12 };
         let mut turn = 0;
         criterion.bench_function(&format!("limit, {}", size.name), |bencher| {
             bencher.iter(|| {
                 turn += 1;
                 let now = Moment::from_micros(turn as u64 * 100);
-                let customer = &asks[turn % asks.len()].customer;
-                hint::black_box(limits.take(now, customer, rate, 1_000).is_ok())
+                let customer = &requests[turn % requests.len()].customer;
+                hint::black_box(limits.admit(now, customer, rate, 1_000).is_ok())
             });
         });
     }
--- a/crates/lagoonline/src/check.rs
+++ b/crates/lagoonline/src/check.rs
@@ -1,4 +1,5 @@
-//! Reading checked JSON: every fault of a text is found in one pass and named by JSON pointer.
+//! Reads JSON with validation: all faults of a text are found in one pass and located by JSON
+//! pointer. A fault is a single validation error.
 
 use std::cell;
 use std::collections;
@@ -7,23 +8,24 @@
 
 use serde_json::Value;
 
-/// One thing wrong with a JSON text.
+/// A single validation error in a JSON text.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Fault {
     /// JSON pointer (RFC 6901) to the offending value; empty for the whole text.
     pub pointer: String,
-    /// What is wrong with it.
+    /// What is wrong with the value.
     pub reason: String,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        // The whole text, whose pointer is empty, is displayed as `/`.
         let pointer = if self.pointer.is_empty() { "/" } else { &self.pointer };
         write!(f, "{pointer}: {}", self.reason)
     }
 }
 
-/// All faults of one JSON text, in pointer order.
+/// All faults of a JSON text, in pointer order.
 #[derive(Clone, Debug, Default, Eq, PartialEq, thiserror::Error)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -37,7 +39,8 @@
     }
 }
 
-/// Reads one JSON object field by field and collects faults.
+/// Reads the fields of a JSON object and collects the faults. Fields that are never read are
+/// reported as unknown.
 #[derive(Debug)]
 pub struct Reader<'a> {
     fields: Option<&'a serde_json::Map<String, Value>>,
@@ -46,11 +49,11 @@
     faults: &'a cell::RefCell<Vec<Fault>>,
 }
 
-/// Parses `text` and reads its top object with `read`.
+/// Parses `text` and reads its top-level object with `read`.
 ///
 /// # Errors
 ///
-/// All faults found: bad JSON, wrong types, values out of range, fields that nobody asked for.
+/// Returns all faults found: invalid JSON, wrong types, values out of range, unknown fields.
 ///
 /// ```
 /// use lagoonline::check;
@@ -71,11 +74,11 @@
     }
 }
 
-/// Reads the parsed object `value` with `read`.
+/// Reads the already parsed object `value` with `read`.
 ///
 /// # Errors
 ///
-/// As [`parse`], without bad JSON.
+/// Same as [`parse`], except for invalid JSON.
 ///
 /// ```
 /// use lagoonline::check;
@@ -134,12 +137,12 @@
         format!("{}/{}", self.pointer, name.replace('~', "~0").replace('/', "~1"))
     }
 
-    /// JSON pointer of the object being read.
+    /// Returns the JSON pointer of the object being read.
     pub fn pointer(&self) -> &str {
         &self.pointer
     }
 
-    /// Whether the field is there.
+    /// Returns whether the field is present.
     pub fn has(&self, name: &str) -> bool {
         self.get(name).is_some()
     }
@@ -183,7 +186,7 @@
         picked
     }
 
-    /// A whole number within `range`, or `default` when the field is absent.
+    /// Returns an integer within `range`, or `default` if the field is absent.
     pub fn number(&self, name: &str, default: u64, range: ops::RangeInclusive<u64>) -> u64 {
         let Some(number) = self.typed(name, "a whole number", Value::as_u64) else {
             return default;
@@ -195,7 +198,7 @@
         number
     }
 
-    /// A number within `range`, or `default` when the field is absent.
+    /// Returns a number within `range`, or `default` if the field is absent.
     pub fn float(&self, name: &str, default: f64, range: ops::RangeInclusive<f64>) -> f64 {
         let Some(number) = self.typed(name, "a number", Value::as_f64) else {
             return default;
@@ -207,17 +210,17 @@
         number
     }
 
-    /// True or false, or `default` when the field is absent.
+    /// Returns a boolean, or `default` if the field is absent.
     pub fn flag(&self, name: &str, default: bool) -> bool {
         self.typed(name, "true or false", Value::as_bool).unwrap_or(default)
     }
 
-    /// A text, or `default` when the field is absent.
+    /// Returns a string, or `default` if the field is absent.
     pub fn text(&self, name: &str, default: &str) -> String {
         self.typed(name, "a text", Value::as_str).unwrap_or(default).to_owned()
     }
 
-    /// A text that must be there and not be empty.
+    /// Returns a string that must be present and not empty.
     pub fn required(&self, name: &str) -> String {
         let text = self.text(name, "");
         if text.is_empty() && self.get(name).is_none_or(Value::is_string) {
@@ -226,7 +229,8 @@
         text
     }
 
-    /// A value parsed from a text, such as a socket address; absent gives `None`.
+    /// Returns a value parsed from a string, such as a socket address, or `None` if the field is
+    /// absent.
     pub fn parsed<T>(&self, name: &str, kind: &str) -> Option<T>
     where
         T: std::str::FromStr,
@@ -234,7 +238,7 @@
         self.typed(name, kind, |value| value.as_str()?.parse().ok())
     }
 
-    /// As [`Reader::parsed`], but it must be there; `default` stands in after a fault.
+    /// Like [`Reader::parsed`], but the field must be present; returns `default` after a fault.
     pub fn required_parsed<T>(&self, name: &str, kind: &str, default: T) -> T
     where
         T: std::str::FromStr,
@@ -245,7 +249,7 @@
         self.parsed(name, kind).unwrap_or(default)
     }
 
-    /// An array of texts; empty when absent.
+    /// Returns an array of strings; empty if the field is absent.
     pub fn texts(&self, name: &str) -> Vec<String> {
         let items = self.typed(name, "an array", Value::as_array);
         let mut texts = Vec::new();
@@ -258,7 +262,7 @@
         texts
     }
 
-    /// An object read with `read`; `None` when absent.
+    /// Returns an object read with `read`, or `None` if the field is absent.
     pub fn child<T, Read>(&self, name: &str, read: Read) -> Option<T>
     where
         Read: FnOnce(&Reader<'_>) -> T,
@@ -267,7 +271,8 @@
         Some(Reader::enter(value, self.join(name), self.faults, read))
     }
 
-    /// An object whose field names are data, each value read with `read`; empty when absent.
+    /// Returns the entries of an object with arbitrary field names, each value read with `read`;
+    /// empty if the field is absent.
     pub fn map<T, Read>(&self, name: &str, mut read: Read) -> Vec<(String, T)>
     where
         Read: FnMut(&str, &Reader<'_>) -> T,
@@ -276,14 +281,15 @@
         let entries = self.typed(name, "an object", Value::as_object);
         let mut result = Vec::new();
         for (key, value) in entries.into_iter().flatten() {
-            let place = format!("{pointer}/{}", key.replace('~', "~0").replace('/', "~1"));
-            let item = Reader::enter(value, place, self.faults, |reader| read(key, reader));
+            let item_pointer = format!("{pointer}/{}", key.replace('~', "~0").replace('/', "~1"));
+            let item = Reader::enter(value, item_pointer, self.faults, |reader| read(key, reader));
             result.push((key.clone(), item));
         }
         result
     }
 
-    /// An array of objects, each read with `read`; empty when absent.
+    /// Returns the items of an array of objects, each read with `read`; empty if the field is
+    /// absent.
     pub fn list<T, Read>(&self, name: &str, mut read: Read) -> Vec<T>
     where
         Read: FnMut(&Reader<'_>) -> T,
@@ -292,8 +298,8 @@
         let items = self.typed(name, "an array", Value::as_array);
         let mut result = Vec::new();
         for (index, value) in items.into_iter().flatten().enumerate() {
-            let place = format!("{pointer}/{index}");
-            result.push(Reader::enter(value, place, self.faults, &mut read));
+            let item_pointer = format!("{pointer}/{index}");
+            result.push(Reader::enter(value, item_pointer, self.faults, &mut read));
         }
         result
     }
--- a/crates/lagoonline/src/control/document/delta.rs
+++ b/crates/lagoonline/src/control/document/delta.rs
@@ -1,9 +1,11 @@
-//! A section's text as a change of the text before it.
+//! Deltas between two versions of a section's text.
 //!
-//! Load pattern: 26,000 customers, 1,400 edits a day, most of one customer. Whole texts of some
-//! 260 KB to each of 350 hosts at each edit are above a node's budget of 3 KB/s on average. What
-//! is sent is made of the texts' bytes, not of their values: operators' spaces and order of fields
-//! are part of the text, and every host must have exactly what was stored.
+//! The design load is 26,000 customers in 20 sections of about 260 KB each, and 1,400 edits a day,
+//! most of which change one customer. Sending the whole text of a section to each of 350 hosts at
+//! every edit would exceed a host's network budget of 3 KB/s on average.
+//!
+//! Deltas operate on the bytes of the texts and not on the parsed values: whitespace and field
+//! order are part of the text, and every host must have exactly the text that was stored.
 
 use std::collections;
 
@@ -11,39 +13,40 @@
 
 use crate::id;
 
-/// Ends a piece: nearly every piece then has one name in it and is found by it.
-const PIECE_END: char = '}';
+/// Delimiter at which texts are split into pieces for matching. Nearly every piece then contains
+/// the name of one entry, which makes it unique and easy to find.
+const DELIMITER: char = '}';
 
-/// One step in making the newer text.
+/// One step in building the newer text.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Bytes of the older text.
+    /// Copies bytes of the older text.
     Copy {
-        /// Where they start.
+        /// Byte offset in the older text.
         start: usize,
-        /// How many.
+        /// Number of bytes.
         length: usize,
     },
-    /// New text.
+    /// Inserts new text.
     Insert(String),
 }
 
-/// How the text of one version is made from that of an earlier one.
+/// Steps that build the text of one version from that of an earlier one.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Delta {
-    /// The earlier version.
+    /// Version that the delta applies to.
     pub from: id::Version,
-    /// The version made.
+    /// Version that the delta produces.
     pub to: id::Version,
-    /// SHA-256 of the text made.
+    /// SHA-256 of the resulting text.
     pub hash: [u8; 32],
     /// The steps, in order.
     pub steps: Vec<Step>,
 }
 
-/// A version with its text.
+/// A version of a section and its text.
 #[derive(Clone, Copy, Debug)]
-pub struct Text<'a> {
+pub struct VersionedText<'a> {
     /// The version.
     pub version: id::Version,
     /// The text.
@@ -51,24 +54,24 @@
 }
 
 impl Delta {
-    /// How `new` is made from `old`.
+    /// Computes the delta from `old` to `new`.
     ///
     /// ```
-    /// use lagoonline::control::document::{Delta, Text};
+    /// use lagoonline::control::document::{Delta, VersionedText};
     /// use lagoonline::id::Version;
-    /// let old = Text { version: Version(1), text: r#"{"a": {"n": 1}, "b": {}}"# };
-    /// let new = Text { version: Version(2), text: r#"{"a": {"n": 1}, "c": {}}"# };
+    /// let old = VersionedText { version: Version(1), text: r#"{"a": {"n": 1}, "b": {}}"# };
+    /// let new = VersionedText { version: Version(2), text: r#"{"a": {"n": 1}, "c": {}}"# };
     /// let delta = Delta::new(old, new);
     /// assert_eq!(delta.apply(old.text).as_deref(), Some(new.text));
     /// assert_eq!(delta.apply("{}"), None);
     /// ```
-    pub fn new(old: Text<'_>, new: Text<'_>) -> Delta {
+    pub fn new(old: VersionedText<'_>, new: VersionedText<'_>) -> Delta {
         let hash = sha2::Sha256::digest(new.text.as_bytes()).into();
         Delta { from: old.version, to: new.version, hash, steps: steps(old.text, new.text) }
     }
 
-    /// The newer text; `None` when `old` is not the text that the delta was made from, or the
-    /// delta was damaged.
+    /// Builds the newer text; returns `None` if `old` is not the text that the delta was computed
+    /// from or the delta is corrupt.
     pub fn apply(&self, old: &str) -> Option<String> {
         let mut text = String::new();
         for step in &self.steps {
@@ -83,8 +86,9 @@
         (hash == self.hash).then_some(text)
     }
 
-    /// Bytes that it takes to send, about.
+    /// Returns the approximate size in bytes when sent over the network.
     pub fn size(&self) -> usize {
+        // Encoded sizes of a copy step, of the framing of an insert step, and of versions and hash.
         let step = |step: &Step| match step {
             Step::Copy { .. } => 10,
             Step::Insert(text) => text.len() + 4,
@@ -93,18 +97,19 @@
     }
 }
 
+/// Computes the steps by matching whole pieces of the two texts.
 fn steps(old: &str, new: &str) -> Vec<Step> {
-    let mut places = collections::HashMap::<&str, usize>::new();
+    let mut offsets = collections::HashMap::<&str, usize>::new();
     let mut start = 0;
-    for piece in old.split_inclusive(PIECE_END) {
-        places.entry(piece).or_insert(start);
+    for piece in old.split_inclusive(DELIMITER) {
+        offsets.entry(piece).or_insert(start);
         start += piece.len();
     }
     let mut steps = Vec::new();
-    for piece in new.split_inclusive(PIECE_END) {
-        // Pieces that are alike are taken in the order of the older text.
-        let following = follows(&steps).filter(|end| old[*end..].starts_with(piece));
-        match following.or_else(|| places.get(piece).copied()) {
+    for piece in new.split_inclusive(DELIMITER) {
+        // Of several equal pieces, prefer the one that extends the last copy.
+        let contiguous = last_copy_end(&steps).filter(|end| old[*end..].starts_with(piece));
+        match contiguous.or_else(|| offsets.get(piece).copied()) {
             Some(start) => copy(&mut steps, start, piece.len()),
             None => insert(&mut steps, piece),
         }
@@ -112,14 +117,15 @@
     steps
 }
 
-/// Where the older text goes on after the last copy.
-fn follows(steps: &[Step]) -> Option<usize> {
+/// Returns the offset in the older text at which the last copy ends.
+fn last_copy_end(steps: &[Step]) -> Option<usize> {
     steps.iter().rev().find_map(|step| match step {
         Step::Copy { start, length } => Some(start + length),
         Step::Insert(_) => None,
     })
 }
 
+/// Appends a copy step, or extends the last one if the bytes are contiguous.
 fn copy(steps: &mut Vec<Step>, from: usize, more: usize) {
     if let Some(Step::Copy { start, length }) = steps.last_mut()
         && *start + *length == from
@@ -130,6 +136,7 @@
     steps.push(Step::Copy { start: from, length: more });
 }
 
+/// Appends an insert step, or extends the last one.
 fn insert(steps: &mut Vec<Step>, piece: &str) {
     if let Some(Step::Insert(text)) = steps.last_mut() {
         text.push_str(piece);
