--- a/crates/lagoonline/src/control/membership/group.rs
+++ b/crates/lagoonline/src/control/membership/group.rs
@@ -1,27 +1,29 @@
-//! The members as one steward sees them, and what it does about silence.
+//! One steward's view of the members, and failure detection by heartbeats and votes.
 
 use std::collections;
 
 use super::roster;
 use crate::clock;
-use crate::control::owner;
+use crate::control::rendezvous;
 use crate::id;
 
-/// Times and numbers of the heartbeats.
+/// Settings of heartbeats and failure detection.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Time between two heartbeats to the same neighbour.
+    /// Interval between heartbeats to the same peer.
     pub interval: clock::Span,
-    /// Rings that the hosts of a zone stand on; next to each other on one are neighbours, who watch
-    /// each other.
+    /// Number of rings that the hosts of a zone are arranged on. Hosts next to each other on a
+    /// ring are neighbours and monitor each other.
     pub rings: usize,
-    /// Silence after which a host votes against a neighbour: four heartbeats and some delay. At 5%
-    /// loss one is wrong once in 160,000 intervals, and most of the neighbours must be at once.
-    pub silence: clock::Span,
-    /// Most time between two ticks that counts: beyond it, this process was paused.
-    pub longest_tick: clock::Span,
-    /// Time after which a dead member is forgotten.
-    pub forget: clock::Span,
+    /// Time without a heartbeat after which a host votes against a neighbour: four heartbeat
+    /// intervals plus network delay. At 5% packet loss a vote is wrong once in 160,000 intervals,
+    /// and a member is declared dead only when most of its neighbours are wrong at the same time.
+    pub heartbeat_timeout: clock::Span,
+    /// Longest normal time between two ticks, which are due every 100 ms. Anything beyond it is
+    /// treated as a pause of this process and not as silence of its peers.
+    pub max_tick_gap: clock::Span,
+    /// Time after which a dead member is removed.
+    pub forget_after: clock::Span,
 }
 
 impl Default for Settings {
@@ -29,45 +31,58 @@
         Settings {
             interval: clock::Span::from_millis(500),
             rings: 2,
-            silence: clock::Span::from_millis(2_200),
-            longest_tick: clock::Span::from_millis(250),
-            forget: clock::Span::from_secs(600),
+            heartbeat_timeout: clock::Span::from_millis(2_200),
+            max_tick_gap: clock::Span::from_millis(250),
+            forget_after: clock::Span::from_secs(600),
         }
     }
 }
 
-/// A change of who lives.
+/// A change in the set of live members.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// A member joined, or came back in a new life.
+    /// A member joined, or rejoined with a new incarnation.
     Live(id::Host),
-    /// The majority of a member's neighbours is against it.
+    /// The majority of a member's eligible neighbours voted against it.
     Dead(id::Host),
 }
 
-/// The members as one steward sees them.
+/// Failure detector of one steward, with its view of the members of all zones.
+///
+/// The *neighbours* of a host are the hosts next to it on the rings of its zone; only their votes
+/// on the host are counted. Its *heartbeat peers* are its neighbours and, after timeouts, some
+/// substitutes for them.
+///
+/// The caller feeds in heartbeats and updates, calls [`Group::tick`] every 100 ms, and sends the
+/// updates that these calls return to all hosts that it has links to.
 #[derive(Clone, Debug)]
 pub struct Group {
     own: roster::Member,
     settings: Settings,
     roster: roster::Roster,
-    heard: collections::HashMap<id::Host, clock::Moment>,
+    /// Time of the last heartbeat of each monitored host.
+    last_heard: collections::HashMap<id::Host, clock::Moment>,
+    /// Dead members and the time at which they were declared dead.
     dead: collections::HashMap<id::Host, clock::Moment>,
-    /// Neighbours of each live member; computed again when the live members change.
+    /// Neighbours of each live member. Cleared to force a recomputation when live members change,
+    /// or when a heartbeat timeout requires substitute peers.
     neighbours: collections::HashMap<id::Host, Vec<id::Host>>,
-    /// Members that this steward exchanges heartbeats with, in order.
-    contacts: Vec<id::Host>,
+    /// Members that this steward exchanges heartbeats with, sorted.
+    heartbeat_peers: Vec<id::Host>,
+    /// Members that joined since the last tick.
     joined: Vec<id::Host>,
-    votes: u64,
-    ticked: clock::Moment,
+    /// Sequence number of the last vote of this steward.
+    last_vote: u64,
+    /// Time of the last tick.
+    last_tick: clock::Moment,
 }
 
 impl Group {
-    /// A group of this steward alone.
+    /// Creates a group that contains only this steward.
     ///
     /// ```
     /// use lagoonline::clock::Moment;
-    /// use lagoonline::control::membership::{Group, Member, News, Settings};
+    /// use lagoonline::control::membership::{Group, Member, Update, Settings};
     /// use lagoonline::id::{Host, Incarnation, Zone};
     /// let member = |name: &str| Member {
     ///     host: Host::from(name),
@@ -76,7 +91,7 @@
     ///     incarnation: Incarnation(1),
     /// };
     /// let mut group = Group::new(member("a"), Settings::default(), Moment::START);
-    /// group.take(&[News::Member(member("b"))], Moment::START);
+    /// group.apply(&[Update::Member(member("b"))], Moment::START);
     /// for millis in (0..3_000).step_by(100) {
     ///     group.tick(Moment::from_millis(millis));
     /// }
@@ -84,58 +99,73 @@
     /// ```
     pub fn new(own: roster::Member, settings: Settings, now: clock::Moment) -> Self {
         let mut roster = roster::Roster::default();
-        roster.take(&roster::News::Member(own.clone()));
-        let (heard, dead, neighbours) = Default::default();
-        let (contacts, joined, votes, ticked) = (Vec::new(), Vec::new(), 0, now);
-        Group { own, settings, roster, heard, dead, neighbours, contacts, joined, votes, ticked }
+        roster.apply(&roster::Update::Member(own.clone()));
+        let (last_heard, dead, neighbours) = Default::default();
+        let (heartbeat_peers, joined, last_vote, last_tick) = (Vec::new(), Vec::new(), 0, now);
+        Group {
+            own,
+            settings,
+            roster,
+            last_heard,
+            dead,
+            neighbours,
+            heartbeat_peers,
+            joined,
+            last_vote,
+            last_tick,
+        }
     }
 
-    /// This steward.
+    /// Returns this steward's own member record.
     pub fn own(&self) -> &roster::Member {
         &self.own
     }
 
-    /// What is known of members and votes.
+    /// Returns the known members and votes.
     pub fn roster(&self) -> &roster::Roster {
         &self.roster
     }
 
-    /// Whether a member is known and not dead.
+    /// Returns whether a member is known and not dead.
     pub fn is_live(&self, host: &id::Host) -> bool {
         self.roster.member(host).is_some() && !self.dead.contains_key(host)
     }
 
-    /// Members that are not dead, this one included.
+    /// Returns the members that are not dead, including this one.
     pub fn live(&self) -> impl Iterator<Item = &roster::Member> {
         self.roster.members().filter(|member| !self.dead.contains_key(&member.host))
     }
 
-    /// Dead members that are not forgotten yet.
+    /// Returns the dead members that have not been removed yet.
     pub fn dead(&self) -> impl Iterator<Item = &roster::Member> {
         self.roster.members().filter(|member| self.dead.contains_key(&member.host))
     }
 
-    /// Names of the live members of `zone`.
+    /// Returns the names of the live members of `zone`.
     pub fn live_in<'a>(&'a self, zone: &'a id::Zone) -> impl Iterator<Item = &'a str> {
         self.live().filter(move |member| member.zone == *zone).map(|member| member.host.as_str())
     }
 
-    /// Whom this steward exchanges heartbeats with, and keeps links with.
-    pub fn contacts(&self) -> &[id::Host] {
-        &self.contacts
+    /// Returns the members that this steward exchanges heartbeats with and keeps links to.
+    pub fn heartbeat_peers(&self) -> &[id::Host] {
+        &self.heartbeat_peers
     }
 
-    /// Failure answered: hosts that choose neighbours freely are chosen unevenly. Symptom: of 39
-    /// hosts one has eight neighbours, and pays twice the budget of heartbeats. On each ring, an
-    /// order by rendezvous of its own, a host has the one before it and the one behind it, so
-    /// nobody has more than two for each ring; rings of different orders make a random graph.
+    /// Returns the hosts of `zone` in the order of ring `number`.
+    ///
+    /// Each ring is ordered by a rendezvous hash of its own. A host's neighbours on a ring are its
+    /// predecessor and its successor, so it has at most two per ring, and several differently
+    /// ordered rings form a random graph. If each host selected its neighbours independently, the
+    /// load would be uneven: of 39 hosts one would have eight neighbours instead of four, and send
+    /// twice as many heartbeats as planned.
     fn ring<'a>(&'a self, zone: &'a id::Zone, number: usize) -> Vec<&'a str> {
         let members = self.live_in(zone).collect::<Vec<_>>();
         let count = members.len();
-        owner::rank(members, &format!("ring {number}"), count)
+        rendezvous::rank(members, &format!("ring {number}"), count)
     }
 
-    fn update_contacts(&mut self) {
+    /// Recomputes neighbours and heartbeat peers if the neighbours have been cleared.
+    fn update_heartbeat_peers(&mut self) {
         if !self.neighbours.is_empty() {
             return;
         }
@@ -159,178 +189,204 @@
             list.sort();
             list.dedup();
         }
-        let mut contacts = neighbours.get(&self.own.host).cloned().unwrap_or_default();
-        contacts.extend(self.substitutes());
-        contacts.sort();
-        contacts.dedup();
-        // Whoever starts to watch a host gives it the whole time from then on.
-        self.heard.retain(|host, _| contacts.binary_search(host).is_ok());
-        (self.neighbours, self.contacts) = (neighbours, contacts);
+        let mut peers = neighbours.get(&self.own.host).cloned().unwrap_or_default();
+        peers.extend(self.substitute_peers());
+        peers.sort();
+        peers.dedup();
+        // A host that becomes a peer again starts with a full timeout.
+        self.last_heard.retain(|host, _| peers.binary_search(host).is_ok());
+        (self.neighbours, self.heartbeat_peers) = (neighbours, peers);
     }
 
-    /// Failure answered: all neighbours of this host went at once, so it hears nobody's votes and
-    /// finds nobody dead. Symptom: it stays alone with a list of dead hosts. For each host that it
-    /// is against it takes another one as a contact, until one answers.
-    fn substitutes(&self) -> Vec<id::Host> {
-        let trusted = |name: &&str| !self.roster.is_against(&self.own.host, &id::Host::from(*name));
+    /// Returns substitute peers while this steward has voted against live hosts: one for each of
+    /// them, and one more for each ring.
+    ///
+    /// If all neighbours of this host fail at once, it receives no votes but its own. It could not
+    /// declare the failed hosts dead, and would stay isolated, considering them live. Substitute
+    /// peers are added until one of them responds.
+    fn substitute_peers(&self) -> Vec<id::Host> {
+        let is_trusted =
+            |name: &&str| !self.roster.has_voted_against(&self.own.host, &id::Host::from(*name));
         let others = self.live_in(&self.own.zone).filter(|name| *name != self.own.host.as_str());
         let others: Vec<&str> = others.collect();
-        let doubted = others.len() - others.iter().filter(|name| trusted(name)).count();
-        if doubted == 0 {
+        let opposed_count = others.len() - others.iter().filter(|name| is_trusted(name)).count();
+        if opposed_count == 0 {
             return Vec::new();
         }
-        let trusted = others.into_iter().filter(trusted);
-        let ranked = owner::rank(trusted, self.own.host.as_str(), self.settings.rings + doubted);
+        let trusted = others.into_iter().filter(is_trusted);
+        let ranked =
+            rendezvous::rank(trusted, self.own.host.as_str(), self.settings.rings + opposed_count);
         ranked.into_iter().map(id::Host::from).collect()
     }
 
-    /// A heartbeat came from a member in this life.
-    pub fn hear(
+    /// Records a heartbeat from the given incarnation of a member and returns the updates to send.
+    ///
+    /// Withdraws this steward's vote against the member, if there is one. Heartbeats of unknown
+    /// members and of other incarnations are ignored.
+    pub fn record_heartbeat(
         &mut self,
         host: &id::Host,
         incarnation: id::Incarnation,
         now: clock::Moment,
-    ) -> Vec<roster::News> {
+    ) -> Vec<roster::Update> {
         let Some(member) = self.roster.member(host) else { return Vec::new() };
         if member.incarnation != incarnation || *host == self.own.host {
             return Vec::new();
         }
-        self.heard.insert(host.clone(), now);
-        if !self.roster.is_against(&self.own.host, host) {
+        self.last_heard.insert(host.clone(), now);
+        if !self.roster.has_voted_against(&self.own.host, host) {
             return Vec::new();
         }
         vec![self.vote(host, incarnation, false)]
     }
 
+    /// Records a vote by this steward and returns it as an update.
     fn vote(
         &mut self,
         host: &id::Host,
         incarnation: id::Incarnation,
         against: bool,
-    ) -> roster::News {
-        self.votes += 1;
+    ) -> roster::Update {
+        self.last_vote += 1;
         let vote = roster::Vote {
-            by: self.own.host.clone(),
-            by_incarnation: self.own.incarnation,
-            number: self.votes,
+            voter: self.own.host.clone(),
+            voter_incarnation: self.own.incarnation,
+            sequence: self.last_vote,
             host: host.clone(),
             incarnation,
             against,
         };
-        let news = roster::News::Vote(vote);
-        self.roster.take(&news);
-        news
+        let update = roster::Update::Vote(vote);
+        self.roster.apply(&update);
+        update
     }
 
-    /// Takes news from a peer; what of it was new, to be passed on.
-    pub fn take(&mut self, news: &[roster::News], now: clock::Moment) -> Vec<roster::News> {
-        let mut passed = Vec::new();
-        for item in news {
-            if !self.roster.take(item) {
+    /// Applies updates from a peer and returns those that were new, to be forwarded.
+    pub fn apply(&mut self, updates: &[roster::Update], now: clock::Moment) -> Vec<roster::Update> {
+        let mut new = Vec::new();
+        for update in updates {
+            if !self.roster.apply(update) {
                 continue;
             }
-            if let roster::News::Member(member) = item {
-                self.welcome(member, now);
+            if let roster::Update::Member(member) = update {
+                self.add_live(member, now);
             }
-            passed.push(item.clone());
+            new.push(update.clone());
         }
-        passed
+        new
     }
 
-    fn welcome(&mut self, member: &roster::Member, now: clock::Moment) {
-        self.heard.insert(member.host.clone(), now);
+    /// Marks a member that joined or has a new incarnation as live.
+    fn add_live(&mut self, member: &roster::Member, now: clock::Moment) {
+        self.last_heard.insert(member.host.clone(), now);
         self.dead.remove(&member.host);
         self.joined.push(member.host.clone());
         self.neighbours.clear();
     }
 
-    /// Votes against contacts that are silent, counts votes, answers votes against this
-    /// steward, and forgets the long dead.
-    pub fn tick(&mut self, now: clock::Moment) -> (Vec<roster::News>, Vec<Change>) {
-        self.update_contacts();
-        self.excuse_pause(now);
-        let mut news = self.vote_on_silent(now);
-        news.extend(self.refute());
-        let changes = self.count(now);
-        news.extend(self.second(&changes));
-        self.forget(now);
-        (news, changes)
+    /// Runs one round of failure detection and returns the updates to send and the changes of the
+    /// live members.
+    ///
+    /// Votes against peers whose heartbeats timed out, counts votes, refutes votes against this
+    /// steward, and removes members that have been dead for long enough.
+    pub fn tick(&mut self, now: clock::Moment) -> (Vec<roster::Update>, Vec<Change>) {
+        self.update_heartbeat_peers();
+        self.exclude_pause(now);
+        let mut updates = self.vote_on_timeouts(now);
+        updates.extend(self.refute());
+        let changes = self.count_votes(now);
+        updates.extend(self.vote_on_dead(&changes));
+        self.remove_expired(now);
+        (updates, changes)
     }
 
-    /// Failure answered: this process was paused, and on waking every host looks silent. Symptom:
-    /// one paused host votes against all its neighbours. The time of the pause is taken off.
-    fn excuse_pause(&mut self, now: clock::Moment) {
-        let gap = now.since(self.ticked);
-        self.ticked = now;
-        let Some(pause) = gap.checked_sub(self.settings.longest_tick) else { return };
-        for heard in self.heard.values_mut() {
+    /// Excludes a pause of this process from the heartbeat timeouts of its peers.
+    ///
+    /// Otherwise every peer would appear to have timed out when the process resumes, and a paused
+    /// host would vote against all its neighbours.
+    fn exclude_pause(&mut self, now: clock::Moment) {
+        let gap = now.since(self.last_tick);
+        self.last_tick = now;
+        let Some(pause) = gap.checked_sub(self.settings.max_tick_gap) else { return };
+        for heard in self.last_heard.values_mut() {
             *heard = *heard + pause;
         }
     }
 
-    fn vote_on_silent(&mut self, now: clock::Moment) -> Vec<roster::News> {
-        let mut silent = Vec::new();
-        for host in &self.contacts {
-            let heard = *self.heard.entry(host.clone()).or_insert(now);
-            if now.since(heard) < self.settings.silence {
+    /// Votes against the peers whose heartbeats timed out.
+    fn vote_on_timeouts(&mut self, now: clock::Moment) -> Vec<roster::Update> {
+        let mut timed_out = Vec::new();
+        for host in &self.heartbeat_peers {
+            let heard = *self.last_heard.entry(host.clone()).or_insert(now);
+            if now.since(heard) < self.settings.heartbeat_timeout {
                 continue;
             }
             let member = self.roster.member(host);
-            if let Some(member) = member.filter(|_| !self.roster.is_against(&self.own.host, host)) {
-                silent.push((host.clone(), member.incarnation));
+            if let Some(member) =
+                member.filter(|_| !self.roster.has_voted_against(&self.own.host, host))
+            {
+                timed_out.push((host.clone(), member.incarnation));
             }
         }
-        if !silent.is_empty() {
+        if !timed_out.is_empty() {
             self.neighbours.clear();
         }
-        silent.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)).collect()
+        timed_out.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)).collect()
     }
 
-    /// Answers votes against this life with a new one.
+    /// Refutes votes against this incarnation by starting a new one, which invalidates them.
     ///
-    /// Failure answered: the hosts of a zone were cut in two, each half holds the other dead, and
-    /// the votes outlive the cut. Symptom: the halves never join again. A new life voids them.
-    fn refute(&mut self) -> Vec<roster::News> {
+    /// Otherwise a zone would never recover from a network partition: each half holds votes against
+    /// the other, and these votes persist after the partition ends. A new incarnation is also
+    /// started if the roster has a higher one for this host, since other stewards would ignore the
+    /// member record of the lower one.
+    fn refute(&mut self) -> Vec<roster::Update> {
         let known = self.roster.member(&self.own.host).map(|member| member.incarnation);
         let is_replaced = known.is_some_and(|known| known > self.own.incarnation);
-        if !is_replaced && !self.roster.is_doubted(&self.own.host) {
+        if !is_replaced && !self.roster.is_suspected(&self.own.host) {
             return Vec::new();
         }
         let own = &self.own.host;
         let members = self.roster.members();
-        let doubted = members.filter(|member| self.roster.is_against(own, &member.host));
-        let doubted = doubted.map(|member| (member.host.clone(), member.incarnation));
-        let doubted: Vec<_> = doubted.collect();
+        let opposed = members.filter(|member| self.roster.has_voted_against(own, &member.host));
+        let opposed = opposed.map(|member| (member.host.clone(), member.incarnation));
+        let opposed: Vec<_> = opposed.collect();
         let last = known.unwrap_or_default().max(self.own.incarnation);
         self.own.incarnation = id::Incarnation(last.0 + 1);
-        let mut news = vec![roster::News::Member(self.own.clone())];
-        self.roster.take(&news[0]);
-        // Votes of the earlier life are void; those against hosts that are dead must not be lost.
-        news.extend(doubted.iter().map(|(host, life)| self.vote(host, *life, true)));
-        news
+        let mut updates = vec![roster::Update::Member(self.own.clone())];
+        self.roster.apply(&updates[0]);
+        // The new incarnation invalidates all votes cast by the earlier one. The votes against
+        // other hosts must not be lost, since these hosts may be dead, so they are cast again.
+        updates
+            .extend(opposed.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)));
+        updates
     }
 
-    /// Neighbours that went at once with a host have no say in it: those that are doubted
-    /// themselves are left out of the count.
-    fn is_condemned(&self, host: &id::Host, neighbours: &[id::Host]) -> bool {
-        if !self.roster.is_doubted(host) {
+    /// Returns whether the majority of the eligible `neighbours` of `host` voted against it.
+    ///
+    /// Neighbours that have votes against themselves are not eligible: they may have failed
+    /// together with `host` and then cannot vote.
+    fn is_voted_dead(&self, host: &id::Host, neighbours: &[id::Host]) -> bool {
+        if !self.roster.is_suspected(host) {
             return false;
         }
-        let has_say = |neighbour: &&id::Host| {
-            **neighbour == self.own.host || !self.roster.is_doubted(neighbour)
+        let is_eligible = |neighbour: &&id::Host| {
+            **neighbour == self.own.host || !self.roster.is_suspected(neighbour)
         };
-        let with_say: Vec<_> = neighbours.iter().filter(has_say).collect();
-        let against = with_say.iter().filter(|neighbour| self.roster.is_against(neighbour, host));
-        2 * against.count() > with_say.len()
+        let eligible: Vec<_> = neighbours.iter().filter(is_eligible).collect();
+        let against =
+            eligible.iter().filter(|neighbour| self.roster.has_voted_against(neighbour, host));
+        2 * against.count() > eligible.len()
     }
 
-    fn count(&mut self, now: clock::Moment) -> Vec<Change> {
+    /// Counts the votes, marks members as dead and returns the changes since the last tick.
+    fn count_votes(&mut self, now: clock::Moment) -> Vec<Change> {
         let joined = std::mem::take(&mut self.joined);
         let mut changes: Vec<_> = joined.into_iter().map(Change::Live).collect();
-        let condemned = |(host, neighbours): &(&id::Host, &Vec<id::Host>)| {
-            **host != self.own.host && self.is_condemned(host, neighbours)
+        let voted_dead = |(host, neighbours): &(&id::Host, &Vec<id::Host>)| {
+            **host != self.own.host && self.is_voted_dead(host, neighbours)
         };
-        let died = self.neighbours.iter().filter(condemned).map(|(host, _)| host.clone());
+        let died = self.neighbours.iter().filter(voted_dead).map(|(host, _)| host.clone());
         let mut died: Vec<id::Host> = died.collect();
         died.sort();
         if !died.is_empty() {
@@ -343,31 +399,32 @@
         changes
     }
 
-    /// Votes as well against members of the own zone that were counted dead.
+    /// Adds this steward's own votes against members of its zone that it just declared dead.
     ///
-    /// Failure answered: each host counts with its own view of who the neighbours are, which differ
-    /// while many die at once. Symptom: a host that some hold dead, and so no longer watch, stays
-    /// live for ever to the others. With their votes these count it dead too.
-    fn second(&mut self, changes: &[Change]) -> Vec<roster::News> {
-        let mut seconded = Vec::new();
+    /// Each host counts votes with its own view of who the neighbours are, and these views differ
+    /// while many members fail at once. Hosts that declared a member dead stop monitoring it, so
+    /// without their votes the member could stay live for ever in the view of the others.
+    fn vote_on_dead(&mut self, changes: &[Change]) -> Vec<roster::Update> {
+        let mut votes = Vec::new();
         for change in changes {
             let Change::Dead(host) = change else { continue };
             let Some(member) = self.roster.member(host) else { continue };
-            let is_needed = !self.roster.is_against(&self.own.host, host);
+            let is_needed = !self.roster.has_voted_against(&self.own.host, host);
             if is_needed && member.zone == self.own.zone {
-                seconded.push((host.clone(), member.incarnation));
+                votes.push((host.clone(), member.incarnation));
             }
         }
-        seconded.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)).collect()
+        votes.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)).collect()
     }
 
-    fn forget(&mut self, now: clock::Moment) {
-        let limit = self.settings.forget;
-        let old = self.dead.iter().filter(|(_, since)| now.since(**since) >= limit);
-        let old: Vec<id::Host> = old.map(|(host, _)| host.clone()).collect();
-        for host in old {
+    /// Removes the members that have been dead for the configured time.
+    fn remove_expired(&mut self, now: clock::Moment) {
+        let limit = self.settings.forget_after;
+        let expired = self.dead.iter().filter(|(_, since)| now.since(**since) >= limit);
+        let expired: Vec<id::Host> = expired.map(|(host, _)| host.clone()).collect();
+        for host in expired {
             self.dead.remove(&host);
-            self.heard.remove(&host);
+            self.last_heard.remove(&host);
             self.roster.remove(&host);
         }
     }
--- a/crates/lagoonline/src/control/platform/breaker.rs
+++ b/crates/lagoonline/src/control/platform/breaker.rs
@@ -1,76 +1,81 @@
-//! Whether the platform is worth calling.
+//! Circuit breaker for calls to the platform.
 
 use crate::clock;
 
-/// Failures in a row after which calls stop: fewer would open it on the loss of a packet or two,
-/// more would hold up a host's work for as many timeouts.
-const OPEN_AFTER: u32 = 5;
+/// Consecutive failures after which the breaker opens. With fewer, the loss of one or two packets
+/// would open it; with more, the work of a host would be delayed by as many timeouts.
+const FAILURE_THRESHOLD: u32 = 5;
 
-/// What the breaker lets through.
+/// State of the breaker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum State {
+    /// All calls are allowed; counts consecutive failures.
     Closed { failures: u32 },
+    /// No call is allowed before `until`.
     Open { until: clock::Moment },
-    Trial { until: clock::Moment },
+    /// One trial call is in progress; the next one is allowed at `until`.
+    HalfOpen { until: clock::Moment },
 }
 
-/// Stops calls while the platform fails, then lets one through to try.
+/// Circuit breaker: stops calls while the platform fails, and periodically allows one trial call.
 ///
-/// Failure answered: the platform is out and every call waits for its timeout. Symptom: work that
-/// could go on without it stands still, and the platform gets the full load while it recovers.
+/// Without it, every call during an outage would wait for its timeout. This would block work that
+/// does not depend on the platform, and put the full load on the platform while it recovers.
 #[derive(Clone, Debug)]
 pub struct Breaker {
     state: State,
-    rest: clock::Span,
+    open_duration: clock::Span,
 }
 
 impl Breaker {
-    /// A closed breaker that stays open for `rest` once it opens.
+    /// Creates a closed breaker that stays open for up to `open_duration` once it opens.
     ///
     /// ```
     /// use lagoonline::{clock, control::platform};
-    /// let (start, rest) = (clock::Moment::START, clock::Span::from_secs(1));
-    /// let mut breaker = platform::Breaker::new(rest);
+    /// let (start, open_duration) = (clock::Moment::START, clock::Span::from_secs(1));
+    /// let mut breaker = platform::Breaker::new(open_duration);
     /// for _ in 0..5 {
     ///     assert!(breaker.admit(start));
-    ///     breaker.failed(start, 1.0);
+    ///     breaker.record_failure(start, 1.0);
     /// }
     /// assert!(!breaker.admit(start));
-    /// assert!(breaker.admit(start + rest), "one trial");
-    /// assert!(!breaker.admit(start + rest), "only one");
-    /// breaker.answered();
-    /// assert!(breaker.admit(start + rest));
+    /// assert!(breaker.admit(start + open_duration), "one trial");
+    /// assert!(!breaker.admit(start + open_duration), "only one");
+    /// breaker.record_answer();
+    /// assert!(breaker.admit(start + open_duration));
     /// ```
-    pub fn new(rest: clock::Span) -> Self {
-        Breaker { state: State::Closed { failures: 0 }, rest }
+    pub fn new(open_duration: clock::Span) -> Self {
+        Breaker { state: State::Closed { failures: 0 }, open_duration }
     }
 
-    /// Whether a call may be made now.
+    /// Returns whether a call may be made now.
     pub fn admit(&mut self, now: clock::Moment) -> bool {
         match self.state {
             State::Closed { .. } => true,
-            State::Open { until } | State::Trial { until } if now < until => false,
-            // A trial that never reported back is over after another rest.
-            State::Open { .. } | State::Trial { .. } => {
-                self.state = State::Trial { until: now + self.rest };
+            State::Open { until } | State::HalfOpen { until } if now < until => false,
+            // A trial call whose result is never recorded expires after `open_duration`.
+            State::Open { .. } | State::HalfOpen { .. } => {
+                self.state = State::HalfOpen { until: now + self.open_duration };
                 true
             }
         }
     }
 
-    /// The platform answered, whatever it said.
-    pub fn answered(&mut self) {
+    /// Records that the platform answered. An error answer counts too, since it shows that the
+    /// platform is reachable.
+    pub fn record_answer(&mut self) {
         self.state = State::Closed { failures: 0 };
     }
 
-    /// A call failed; `random` within 0 to 1 spreads the next trials of all hosts over half a rest.
-    pub fn failed(&mut self, now: clock::Moment, random: f64) {
-        let until = now + self.rest.mul_f64(0.5 + 0.5 * random.clamp(0.0, 1.0));
+    /// Records that a call failed. `random` in 0 to 1 spreads the next trial calls of all hosts
+    /// over half of `open_duration`.
+    pub fn record_failure(&mut self, now: clock::Moment, random: f64) {
+        let until = now + self.open_duration.mul_f64(0.5 + 0.5 * random.clamp(0.0, 1.0));
         self.state = match self.state {
-            State::Closed { failures } if failures + 1 < OPEN_AFTER => {
+            State::Closed { failures } if failures + 1 < FAILURE_THRESHOLD => {
                 State::Closed { failures: failures + 1 }
             }
-            State::Closed { .. } | State::Open { .. } | State::Trial { .. } => {
+            State::Closed { .. } | State::Open { .. } | State::HalfOpen { .. } => {
                 State::Open { until }
             }
         };
--- a/crates/lagoonline/src/control/platform/budget.rs
+++ b/crates/lagoonline/src/control/platform/budget.rs
@@ -1,21 +1,24 @@
-//! How many calls a second one host may make.
+//! Rate limit for the calls of one host.
 
 use crate::clock;
 
-/// A token bucket.
+/// Token bucket that limits the rate of calls. Reads and writes have separate buckets.
 ///
-/// The platform takes 2,000 reads and several hundred writes a second over all hosts; each host
-/// gets its share whether the others use theirs or not, so that no agreement is needed.
+/// The platform supports 2,000 reads and several hundred writes per second over all hosts. Each
+/// host gets a fixed share, whether or not the others use theirs, so no coordination is needed.
 #[derive(Clone, Debug)]
 pub struct Budget {
+    /// Calls per second.
     rate: f64,
+    /// Capacity of the bucket, in calls.
     burst: f64,
-    tokens: f64,
-    filled: clock::Moment,
+    /// Calls that can be made now.
+    available: f64,
+    last_refill: clock::Moment,
 }
 
 impl Budget {
-    /// A full bucket of `burst` calls, filled at `rate` calls a second.
+    /// Creates a full bucket of `burst` calls, refilled at `rate` calls per second.
     ///
     /// ```
     /// use lagoonline::{clock, control::platform};
@@ -25,18 +28,18 @@
     /// assert!(budget.take(clock::Moment::from_millis(500)));
     /// ```
     pub fn new(rate: f64, burst: f64, now: clock::Moment) -> Self {
-        Budget { rate, burst, tokens: burst, filled: now }
+        Budget { rate, burst, available: burst, last_refill: now }
     }
 
-    /// Takes one call; false when none is left.
+    /// Takes one call from the bucket; returns false if it is empty.
     pub fn take(&mut self, now: clock::Moment) -> bool {
-        let filled = now.since(self.filled).as_secs_f64() * self.rate;
-        self.tokens = (self.tokens + filled).min(self.burst);
-        self.filled = now;
-        let enough = self.tokens >= 1.0;
-        if enough {
-            self.tokens -= 1.0;
+        let refill = now.since(self.last_refill).as_secs_f64() * self.rate;
+        self.available = (self.available + refill).min(self.burst);
+        self.last_refill = now;
+        let is_available = self.available >= 1.0;
+        if is_available {
+            self.available -= 1.0;
         }
-        enough
+        is_available
     }
 }
--- a/crates/lagoonline/src/id.rs
+++ b/crates/lagoonline/src/id.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things; each its own type, so that they cannot be mixed up.
+//! Identifiers, each with its own type so that they cannot be confused.
 
 use std::borrow;
 use std::fmt;
@@ -14,7 +14,7 @@
         pub struct $name(sync::Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -53,23 +53,24 @@
 }
 
 name! {
-    /// A team: the owner of one section of the document.
+    /// A team, the owner of one section of the configuration document (see
+    /// [`crate::control::document`]).
     Team
 }
 name! {
-    /// A customer: the holder of caller keys, limits and a deadline.
+    /// A customer, the holder of caller keys, limits and a deadline.
     Customer
 }
 name! {
-    /// A model, as callers name it.
+    /// A model, by the name that callers use.
     Model
 }
 name! {
-    /// A plain service, as callers name it in `/services/NAME/`.
+    /// A plain service, by the name that callers use in `/services/NAME/`.
     Service
 }
 name! {
-    /// A route: requests of one host under one path prefix.
+    /// A route: requests to one host under one path prefix.
     Route
 }
 name! {
@@ -81,36 +82,38 @@
     Zone
 }
 name! {
-    /// A region: availability zones with cheap links between them.
+    /// A region: availability zones connected by cheap links.
     Region
 }
 name! {
-    /// An entry host.
+    /// An entry host: it accepts requests from callers and dispatches them to upstreams.
     Host
 }
 
-/// Which life of a process: higher is later. Made from the wall clock at start by adapters.
+/// Incarnation of a process; a restarted process has a higher one. Adapters derive it from the wall
+/// clock at start.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// Version of one team's section: 0 before the first, then counted up by one.
+/// Version of a team's section: 0 before the first, then incremented by one.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(transparent)]
 pub struct Version(pub u64);
 
-/// Fencing number of a lease: higher is later.
+/// Fencing number of a lease; a later lease has a higher one.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(transparent)]
 pub struct Fence(pub u64);
 
-/// One dispatch of one request to one upstream; 128 random bits, written as 32 hex digits.
+/// Random id of 128 bits, written as 32 hex digits: of one dispatch of a request to an upstream, of
+/// an idempotency claim, or of a reservation on an engine.
 ///
 /// ```
 /// use lagoonline::id::Attempt;
@@ -122,7 +125,7 @@
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Attempt(pub u128);
 
-/// Hex digits of an attempt's written form.
+/// Number of hex digits in the text form of an attempt.
 const ATTEMPT_DIGITS: usize = 32;
 
 impl fmt::Display for Attempt {
@@ -134,20 +137,20 @@
 /// The text is not 32 hex digits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("an attempt is {ATTEMPT_DIGITS} hex digits")]
-pub struct BadAttempt;
+pub struct ParseAttemptError;
 
 impl std::str::FromStr for Attempt {
-    type Err = BadAttempt;
+    type Err = ParseAttemptError;
 
-    fn from_str(text: &str) -> Result<Self, BadAttempt> {
+    fn from_str(text: &str) -> Result<Self, ParseAttemptError> {
         if text.len() != ATTEMPT_DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-            return Err(BadAttempt);
+            return Err(ParseAttemptError);
         }
-        u128::from_str_radix(text, 16).map(Attempt).map_err(|_| BadAttempt)
+        u128::from_str_radix(text, 16).map(Attempt).map_err(|_| ParseAttemptError)
     }
 }
 
-/// Who holds something on an upstream: an entry host in one of its lives.
+/// The owner of a resource on an upstream: an entry host in one of its incarnations.
 ///
 /// ```
 /// use lagoonline::id::{Host, Incarnation, Owner};
@@ -157,9 +160,9 @@
 /// ```
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Owner {
-    /// The entry host's name.
+    /// Name of the entry host.
     pub host: Host,
-    /// Its life.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
 }
 
@@ -172,14 +175,14 @@
 /// The text is not `HOST/INCARNATION`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("an owner is HOST/INCARNATION")]
-pub struct BadOwner;
+pub struct ParseOwnerError;
 
 impl std::str::FromStr for Owner {
-    type Err = BadOwner;
+    type Err = ParseOwnerError;
 
-    fn from_str(text: &str) -> Result<Self, BadOwner> {
-        let (host, number) = text.rsplit_once('/').ok_or(BadOwner)?;
-        let number = number.parse().map_err(|_| BadOwner)?;
+    fn from_str(text: &str) -> Result<Self, ParseOwnerError> {
+        let (host, number) = text.rsplit_once('/').ok_or(ParseOwnerError)?;
+        let number = number.parse().map_err(|_| ParseOwnerError)?;
         Ok(Owner { host: Host::from(host), incarnation: Incarnation(number) })
     }
 }
--- a/crates/lagoonline/src/lib.rs
+++ b/crates/lagoonline/src/lib.rs
@@ -1,9 +1,18 @@
-//! Decisions and state machines of a serving layer for prompts of very unlike lengths.
+//! Decision logic and state machines of a serving layer for prompts of very different lengths.
 //!
-//! Nothing here opens a socket, reads a clock or starts a task: time and randomness are passed
-//! in, foreign systems are reached through the traits of [`port`]. The adapters live in the crate
+//! Nothing here opens a socket, reads a clock or starts a task: time and randomness are passed in,
+//! and external systems are accessed through the traits in [`port`]. The adapters are in the crate
 //! `lagoon-net`.
 //!
+//! Terms used throughout:
+//!
+//! - an entry host accepts requests from callers and dispatches them to upstreams; its steward is
+//!   the control process that runs beside the entry process;
+//! - an upstream is a model engine or a replica of a plain service;
+//! - an attempt is one dispatch of a request to an upstream;
+//! - the platform provides the table service, the object store and the list of hosts;
+//! - the document is the configuration of all teams, with one section per team.
+//!
 //! ```
 //! use lagoonline::{clock, id, outcome};
 //!
@@ -18,7 +27,7 @@
 pub mod clock;
 pub mod control;
 pub mod id;
-pub mod life;
+pub mod lifecycle;
 pub mod load;
 pub mod outcome;
 pub mod port;
--- a/crates/lagoonline/src/life/fingerprint.rs
+++ b/crates/lagoonline/src/lifecycle/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same request, whatever ids they bear.
+//! Identity of a request's content, independent of its request id.
 
 use std::fmt;
 use std::ops;
@@ -6,17 +6,18 @@
 
 use sha2::Digest as _;
 
-/// Bytes of a digest that are kept: too many for two requests to share by chance, or for a caller
-/// to find a body that bears the fingerprint of another request.
-const DIGEST: usize = 16;
+/// Digest length in bytes. It is enough to rule out chance collisions, and to keep callers from
+/// constructing a body that has the fingerprint of another request.
+const DIGEST_BYTES: usize = 16;
 
-/// The identity of a request: its customer, path and query, and body.
+/// The identity of a request: its customer, path and query, and body, but not its method. The text
+/// form is `LENGTH-DIGEST` with the body length and the digest in hexadecimal.
 ///
-/// The length of the body comes first in the order, so that a table of fingerprints can tell
-/// without any hashing that it holds none of a certain length.
+/// The body length is the most significant part of the order, so a lookup by length tells without
+/// hashing that a set holds no fingerprint of that length.
 ///
 /// ```
-/// use lagoonline::life::fingerprint::Fingerprint;
+/// use lagoonline::lifecycle::fingerprint::Fingerprint;
 /// let first = Fingerprint::new("acme", "/talk/a", b"hello");
 /// assert_eq!(first, Fingerprint::new("acme", "/talk/a", b"hello"));
 /// assert_ne!(first, Fingerprint::new("acme", "/talk/", b"ahello"));
@@ -25,58 +26,58 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Fingerprint {
     length: u64,
-    digest: [u8; DIGEST],
+    digest: [u8; DIGEST_BYTES],
 }
 
-/// A text or bytes that are no fingerprint.
+/// Text or bytes that do not form a fingerprint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("not a fingerprint")]
 pub struct Malformed;
 
 impl Fingerprint {
-    /// The fingerprint of a request of `customer` (empty for none) to `target`, path and query, with
-    /// `body`. Takes time in proportion to the body.
+    /// Computes the fingerprint of a request by `customer` (empty if there is none) to `target`,
+    /// its path and query, with `body`. Takes time proportional to the body length.
     pub fn new(customer: &str, target: &str, body: &[u8]) -> Fingerprint {
         let mut hash = sha2::Sha256::new();
         for part in [customer.as_bytes(), target.as_bytes(), body] {
             hash.update(length(part).to_le_bytes());
             hash.update(part);
         }
-        let mut digest = [0; DIGEST];
-        digest.copy_from_slice(&hash.finalize()[..DIGEST]);
+        let mut digest = [0; DIGEST_BYTES];
+        digest.copy_from_slice(&hash.finalize()[..DIGEST_BYTES]);
         Fingerprint { length: length(body), digest }
     }
 
-    /// All fingerprints of requests whose body has `length` bytes.
+    /// Returns the range of all fingerprints of requests whose body has `length` bytes.
     ///
     /// ```
-    /// use lagoonline::life::fingerprint::Fingerprint;
+    /// use lagoonline::lifecycle::fingerprint::Fingerprint;
     /// let of_five = Fingerprint::of_length(5);
     /// assert!(of_five.contains(&Fingerprint::new("acme", "/talk/a", b"hello")));
     /// ```
     pub const fn of_length(length: u64) -> ops::RangeInclusive<Fingerprint> {
-        let first = Fingerprint { length, digest: [0; DIGEST] };
-        first..=Fingerprint { length, digest: [u8::MAX; DIGEST] }
+        let first = Fingerprint { length, digest: [0; DIGEST_BYTES] };
+        first..=Fingerprint { length, digest: [u8::MAX; DIGEST_BYTES] }
     }
 
-    /// Length of the body, in bytes.
+    /// Returns the length of the body in bytes.
     pub const fn length(&self) -> u64 {
         self.length
     }
 
-    /// The digest of customer, target and body.
+    /// Returns the digest of customer, target and body.
     pub const fn digest(&self) -> &[u8] {
         &self.digest
     }
 
-    /// The fingerprint with these parts, as another host told them.
+    /// Builds a fingerprint from its parts, as received from another host.
     ///
     /// # Errors
     ///
-    /// The digest has another length.
+    /// Fails if the digest does not have the right length.
     ///
     /// ```
-    /// use lagoonline::life::fingerprint::Fingerprint;
+    /// use lagoonline::lifecycle::fingerprint::Fingerprint;
     /// let first = Fingerprint::new("acme", "/talk/a", b"hello");
     /// assert_eq!(Fingerprint::from_parts(5, first.digest()), Ok(first));
     /// assert!(Fingerprint::from_parts(5, b"short").is_err());
@@ -104,7 +105,7 @@
     fn from_str(text: &str) -> Result<Fingerprint, Malformed> {
         let (length, digits) = text.split_once('-').ok_or(Malformed)?;
         let length = u64::from_str_radix(length, 16).map_err(|_| Malformed)?;
-        if digits.len() != 2 * DIGEST || !digits.is_ascii() {
+        if digits.len() != 2 * DIGEST_BYTES || !digits.is_ascii() {
             return Err(Malformed);
         }
         let digest = u128::from_str_radix(digits, 16).map_err(|_| Malformed)?;
--- a/crates/lagoonline/src/load/floor.rs
+++ b/crates/lagoonline/src/load/floor.rs
@@ -1,61 +1,62 @@
-//! A floor of each engine's rate for longer prompts.
+//! Reserves a minimum share of each engine's rate for longer prompts.
 //!
-//! Load pattern: saturation by short prompts. Engines prefill strictly by priority, so a long
-//! prompt that was admitted would make no progress until the short load falls, and miss its
-//! deadline. While longer prompts come, short ones are sent to an engine at no more than the rest
-//! of its rate. The floor is one and a half times the longer prompts' part of the work, so that
-//! they catch up, and a quarter at most: a million tokens at a fifth of 20,000 a second take 250 s
-//! of the usual 600 s. It holds for every engine, because a host does not know in time where the
-//! others have sent theirs.
+//! Load pattern: saturation by short prompts. Engines prefill strictly by priority, so an admitted
+//! long prompt would make no progress until the short load falls, and would miss its deadline.
+//! While longer prompts arrive, short ones are sent to an engine at no more than the rest of its
+//! rate. The floor is one and a half times the longer prompts' fraction of the work, so that they
+//! catch up, and a quarter at most: a million tokens at a fifth of 20,000 a second take 250 s of
+//! the usual 600 s. It applies to every engine, because a host does not know in time where the
+//! other hosts have sent their long prompts.
 //!
-//! Without it 24 medium prompts end late at 1.2 times capacity, with it none.
+//! Without the floor 24 medium prompts end late at 1.2 times capacity, with it none.
 
 use crate::clock;
 
-/// Floor as a multiple of the longer prompts' part of the work.
-const MULTIPLE: f64 = 1.5;
-/// Highest and lowest floor, the lowest for predictions while few longer prompts come.
-const BOUNDS: (f64, f64) = (0.05, 0.25);
+/// Floor as a multiple of the longer prompts' fraction of the work.
+const FLOOR_FACTOR: f64 = 1.5;
+/// Lowest and highest floor; the lowest applies to predictions while few longer prompts arrive.
+const FLOOR_BOUNDS: (f64, f64) = (0.05, 0.25);
 
-/// Part of an engine's rate kept for longer prompts, by their part of the work.
+/// Fraction of an engine's rate reserved for longer prompts, by their fraction of the work.
 ///
 /// ```
 /// use lagoonline::load::floor;
-/// assert_eq!(floor::part(0.0), 0.05);
-/// assert_eq!(floor::part(0.5), 0.25);
+/// assert_eq!(floor::share(0.0), 0.05);
+/// assert_eq!(floor::share(0.5), 0.25);
 /// ```
-pub fn part(longer: f64) -> f64 {
-    (MULTIPLE * longer).clamp(BOUNDS.0, BOUNDS.1)
+pub fn share(longer: f64) -> f64 {
+    (FLOOR_FACTOR * longer).clamp(FLOOR_BOUNDS.0, FLOOR_BOUNDS.1)
 }
 
-/// By how much one host's part of the rest may exceed an even one: hosts are not equally busy.
-const UNEVEN: f64 = 1.1;
-/// Short prefill that may come at once, in seconds of the engine's rate.
-const BURST: f64 = 0.5;
+/// Factor by which one host may exceed its even share of the rest, because hosts are not equally
+/// busy.
+const UNEVEN_FACTOR: f64 = 1.1;
+/// Short prefill that may be sent in one burst, in seconds of the engine's rate.
+const BURST_SECONDS: f64 = 0.5;
 
-/// Short prefill that one host may still send to one engine.
+/// Short prefill that one host has sent to one engine beyond its allowed rate.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Floor {
-    /// Tokens sent beyond the rate.
-    sent: f64,
+pub struct ShortExcess {
+    /// Excess tokens, as of `at`.
+    tokens: f64,
     at: clock::Moment,
 }
 
-impl Floor {
-    /// Whether short prefill may be sent now to an engine of which this host may use `rate`
-    /// tokens a second.
+impl ShortExcess {
+    /// Whether short prefill may be sent now to an engine of which this host may use `rate` tokens
+    /// per second.
     pub fn allows(&self, now: clock::Moment, rate: f64) -> bool {
-        self.left(now, rate) < BURST * rate * UNEVEN
+        self.excess(now, rate) < BURST_SECONDS * rate * UNEVEN_FACTOR
     }
 
-    /// Short prefill of `tokens` is sent.
-    pub fn sent(&mut self, now: clock::Moment, tokens: f64, rate: f64) {
-        self.sent = self.left(now, rate) + tokens;
+    /// Records short prefill of `tokens` that is sent now.
+    pub fn record_sent(&mut self, now: clock::Moment, tokens: f64, rate: f64) {
+        self.tokens = self.excess(now, rate) + tokens;
         self.at = now;
     }
 
-    /// Tokens sent beyond that rate that it has not caught up with.
-    pub fn left(&self, now: clock::Moment, rate: f64) -> f64 {
-        (self.sent - rate * UNEVEN * now.since(self.at).as_secs_f64()).max(0.0)
+    /// Tokens sent beyond `rate` that the elapsed time has not yet made up for.
+    pub fn excess(&self, now: clock::Moment, rate: f64) -> f64 {
+        (self.tokens - rate * UNEVEN_FACTOR * now.since(self.at).as_secs_f64()).max(0.0)
     }
 }
--- a/crates/lagoonline/src/load/mod.rs
+++ b/crates/lagoonline/src/load/mod.rs
@@ -1,9 +1,14 @@
-//! Decisions under load: what is let in, what waits, what is turned away, where work goes.
+//! Load management: admission, queueing, refusal and routing of requests.
 //!
-//! [`Scheduler`] is the face; each other module has one decision. A request passes [`admit`] by
-//! the [`predict`]ions, the queue ([`fair`] within length classes), the routing (by each
-//! upstream's [`rate`], [`ramp`], [`outlier`] state and [`prefix`] cache, with some engines kept
-//! [`clear`]), and perhaps [`retry`]; prompts beyond one engine go to a [`group`].
+//! There are two independent decision makers. [`Scheduler`] decides for one model at one entry
+//! host; its upstreams report their load. [`placement`] decides for one service whose engines
+//! publish a performance [`profile`]; its hosts tell each other what they have in flight.
+//!
+//! A request to the [`Scheduler`] passes [`admit`] according to the [`predict`]ions, the queue
+//! ([`fair`] within length classes), the routing (by each upstream's [`slowness`], [`ramp`],
+//! [`outlier`] state and [`prefix`] cache, with some engines kept [`clear`] of long prompts and a
+//! [`floor`] of each engine's rate reserved for longer ones), and possibly [`retry`]; prompts
+//! larger than one engine go to a [`group`]. [`rebalance`] moves engines between models.
 
 pub mod admit;
 mod baseline;
@@ -13,25 +18,25 @@
 pub mod group;
 pub mod limit;
 pub mod outlier;
-pub mod pass;
 pub mod placement;
 pub mod predict;
 pub mod prefix;
+pub mod profile;
 mod queue;
 pub mod ramp;
-pub mod rate;
+pub mod rebalance;
 pub mod retry;
 mod route;
 mod scheduler;
+mod schedulers;
 mod settings;
-mod shards;
-pub mod shift;
 pub mod silence;
 pub mod slowdown;
+pub mod slowness;
 pub mod tokens;
 mod upstream;
 pub mod usage;
 
 pub use scheduler::*;
+pub use schedulers::*;
 pub use settings::*;
-pub use shards::*;
--- a/crates/lagoonline/src/load/predict.rs
+++ b/crates/lagoonline/src/load/predict.rs
@@ -1,51 +1,54 @@
-//! When a request would get its first token and end.
+//! Predicts when a request would get its first token and end.
 //!
-//! Load pattern: saturation. A queue that takes everything in answers everything too late.
-//! The wait at this host is the work that goes before (by class and fair share) over the rate at
-//! which the queue really empties, learned while something waits, because either prefill, slots or
-//! memory may be what is scarce. Answers rarely use all the tokens they may, so their length and
-//! pace are learned too.
+//! Load pattern: saturation. A queue that accepts everything answers everything too late. The
+//! predicted wait at this host is the work ahead of the request (by class and fair share) divided
+//! by the rate at which the queue actually empties. That rate is learned while something waits,
+//! because prefill, slots or memory may be the scarce resource. Answers rarely use all the tokens
+//! they may, so their length and speed are learned too.
 //!
-//! Before the first answer, nothing is known of either, and an answer counts as no time. Taking all
-//! the tokens it may have at a usual pace instead refuses every call that allows for a long answer,
-//! on an idle engine, and no answer ever comes that would correct it. What is let in too much until
-//! then is bounded by the slots: the first answers end before those that waited for a slot.
+//! Before the first answer nothing is known about either, and an answer is predicted to take no
+//! time. If it were predicted to have all the tokens it may have at a usual speed, every call that
+//! allows a long answer would be refused even by an idle engine, and no answer would ever correct
+//! the prediction. The excess that is admitted until then is bounded by the slots: the first
+//! answers end before those of the requests that waited for a slot.
 
 use crate::clock;
 
 /// Shortest window over which the queue's rate is measured, in seconds.
-const WINDOW: f64 = 0.5;
-/// Weight of a new sample.
-const GAIN: f64 = 0.3;
-/// Least weight of one answer's length and pace; the first ones count as a plain mean.
+const MIN_WINDOW_SECONDS: f64 = 0.5;
+/// Weight of a new sample of the queue's rate.
+const RATE_GAIN: f64 = 0.3;
+/// Smallest weight of one answer's length and speed; the first answers are averaged evenly.
 const ANSWER_GAIN: f64 = 0.05;
 
 /// Rate at which a queue empties.
 #[derive(Clone, Copy, Debug, Default)]
-struct Rate {
+struct DrainRate {
+    /// Smoothed rate in tokens per second; none before the first sample.
     rate: Option<f64>,
+    /// Start of the current window and the tokens dispatched in it; none while nothing waits.
     window: Option<(clock::Moment, u64)>,
 }
 
-impl Rate {
-    fn dispatched(&mut self, now: clock::Moment, tokens: u64, waiting: bool) {
+impl DrainRate {
+    fn record_dispatch(&mut self, now: clock::Moment, tokens: u64, waiting: bool) {
         if !waiting {
             self.window = None;
             return;
         }
         let Some((start, sum)) = self.window else {
-            // What opens the window left before it.
+            // The work that opens the window was dispatched before it and doesn't count.
             self.window = Some((now, 0));
             return;
         };
         let sum = sum + tokens;
         let seconds = now.since(start).as_secs_f64();
-        if seconds < WINDOW {
+        if seconds < MIN_WINDOW_SECONDS {
             self.window = Some((start, sum));
             return;
         }
         let sample = sum as f64 / seconds;
-        self.rate = Some(self.rate.map_or(sample, |rate| rate + GAIN * (sample - rate)));
+        self.rate = Some(self.rate.map_or(sample, |rate| rate + RATE_GAIN * (sample - rate)));
         self.window = Some((now, 0));
     }
 }
@@ -53,57 +56,63 @@
 /// Learned figures of one model at one host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Forecast {
-    /// By rank: rate at which work of that rank leaves while more of it waits. Work of earlier
-    /// ranks that comes later and goes first is thus counted in.
-    queues: [Rate; 4],
+    /// Per rank: rate at which work of that rank is dispatched while more of it waits. Work of
+    /// earlier ranks that arrives later and goes first is thus taken into account.
+    queue_rates: [DrainRate; 4],
+    /// Number of answers seen.
     answers: u32,
-    answer_part: f64,
+    /// Mean length of an answer, as a fraction of the tokens that it might have had.
+    answer_fraction: f64,
+    /// Mean seconds between tokens.
     token_seconds: f64,
 }
 
 impl Forecast {
-    /// Work of `tokens` and this rank went out, while more of it still waits or not.
-    pub fn dispatched(&mut self, now: clock::Moment, rank: usize, tokens: u64, waiting: bool) {
-        self.queues[rank].dispatched(now, tokens, waiting);
+    /// Records that work of `tokens` and this rank was dispatched; `waiting` tells whether more of
+    /// it still waits.
+    pub fn record_dispatch(&mut self, now: clock::Moment, rank: usize, tokens: u64, waiting: bool) {
+        self.queue_rates[rank].record_dispatch(now, tokens, waiting);
     }
 
-    /// An answer ended: its tokens, the most it might have had, the time since its first token.
-    pub fn answered(&mut self, tokens: u64, most: u64, took: clock::Span) {
+    /// Records the end of an answer: its tokens, the most it could have had, and the time since its
+    /// first token.
+    pub fn record_answer(&mut self, tokens: u64, most: u64, took: clock::Span) {
         if tokens == 0 || most == 0 {
             return;
         }
-        let part = (tokens as f64 / most as f64).min(1.0);
-        let pace = took.as_secs_f64() / tokens as f64;
+        let fraction = (tokens as f64 / most as f64).min(1.0);
+        let seconds_per_token = took.as_secs_f64() / tokens as f64;
         self.answers = self.answers.saturating_add(1);
         let gain = ANSWER_GAIN.max(1.0 / f64::from(self.answers));
-        self.answer_part += gain * (part - self.answer_part);
-        self.token_seconds += gain * (pace - self.token_seconds);
+        self.answer_fraction += gain * (fraction - self.answer_fraction);
+        self.token_seconds += gain * (seconds_per_token - self.token_seconds);
     }
 
-    /// Usual seconds between tokens; 0 before the first answer.
-    pub fn gap(&self) -> f64 {
+    /// Learned seconds between tokens; 0 before the first answer.
+    pub fn token_interval(&self) -> f64 {
         self.token_seconds
     }
 
-    /// Seconds until work ahead, in tokens by rank, has left this host; `rate` is taken for ranks
-    /// of which none was learned.
+    /// Seconds until the work ahead, in tokens by rank, has been dispatched; `rate` is used for
+    /// ranks without a learned rate.
     pub fn wait(&self, ahead: [u64; 4], rate: f64) -> f64 {
-        let seconds =
-            |(tokens, queue): (u64, &Rate)| tokens as f64 / queue.rate.unwrap_or(rate).max(1.0);
-        ahead.into_iter().zip(&self.queues).map(seconds).sum()
+        let seconds = |(tokens, queue): (u64, &DrainRate)| {
+            tokens as f64 / queue.rate.unwrap_or(rate).max(1.0)
+        };
+        ahead.into_iter().zip(&self.queue_rates).map(seconds).sum()
     }
 
-    /// Seconds from first token to end of an answer of at most `most` tokens; none before the
+    /// Seconds from the first token to the end of an answer of at most `most` tokens; 0 before the
     /// first answer.
     ///
     /// ```
     /// use lagoonline::{clock::Span, load::predict};
     /// let mut forecast = predict::Forecast::default();
     /// assert_eq!(forecast.answer(10_000), 0.0);
-    /// forecast.answered(50, 100, Span::from_secs(1));
+    /// forecast.record_answer(50, 100, Span::from_secs(1));
     /// assert_eq!(forecast.answer(10_000), 100.0);
     /// ```
     pub fn answer(&self, most: u64) -> f64 {
-        most as f64 * self.answer_part * self.token_seconds
+        most as f64 * self.answer_fraction * self.token_seconds
     }
 }
--- a/crates/lagoonline/src/load/scheduler/fleet.rs
+++ b/crates/lagoonline/src/load/scheduler/fleet.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is told of upstreams: the fleet, load reports, leaving marks.
+//! Updates of the scheduler's view of upstreams: fleet changes, load reports, drain marks.
 
 use std::collections;
 use std::mem;
@@ -15,7 +15,8 @@
 use crate::view;
 
 impl scheduler::Scheduler {
-    /// Takes over the engines of `model` from a new fleet; work under way keeps its tickets.
+    /// Replaces the upstreams by the engines of `model` in a new fleet; work in flight keeps its
+    /// tickets.
     pub fn set_fleet(&mut self, now: clock::Moment, fleet: &view::Shared, model: &id::Model) {
         let old = mem::take(&mut self.upstreams);
         let mut old: collections::HashMap<_, _> =
@@ -23,39 +24,39 @@
         let mut entries: Vec<_> = fleet.engines(model).collect();
         let is_remote = |entry: &view::Upstream| entry.entry.zone != self.settings.zone;
         entries.sort_by(|a, b| (is_remote(a), &a.name).cmp(&(is_remote(b), &b.name)));
-        self.locals = 0;
+        self.local_count = 0;
         for entry in entries {
             let known = old.remove(&entry.name);
-            let upstream = self.refreshed(now, known, entry);
+            let upstream = self.updated_upstream(now, known, entry);
             self.upstreams.push(upstream);
         }
         let working = old.into_values().filter(|upstream| upstream.requests > 0);
         self.upstreams.extend(working.map(|mut old| {
-            old.gone = true;
+            old.removed = true;
             old
         }));
         let names = self.upstreams.iter().enumerate();
         self.index = names.map(|(index, upstream)| (upstream.name.clone(), index)).collect();
         let numbers = self.upstreams.iter().enumerate();
-        self.by_number = numbers.map(|(index, upstream)| (upstream.number, index)).collect();
-        self.measure();
-        self.estimate(fleet, model);
+        self.index_by_number = numbers.map(|(index, upstream)| (upstream.number, index)).collect();
+        self.update_sizes();
+        self.reset_ratio(fleet, model);
         self.started = true;
         if self.settings.weights.is_none() {
             self.weights = mean_weights(fleet);
         }
     }
 
-    /// Starts from the model's first estimate again if its owner has changed it.
-    fn estimate(&mut self, fleet: &view::Fleet, model: &id::Model) {
+    /// Resets the token estimate to the model's configured one if its owner has changed that.
+    fn reset_ratio(&mut self, fleet: &view::Fleet, model: &id::Model) {
         let Some(model) = fleet.models.get(model) else { return };
-        if model.bytes_per_token.to_bits() != self.first_ratio.to_bits() {
-            self.first_ratio = model.bytes_per_token;
+        if model.bytes_per_token.to_bits() != self.configured_ratio.to_bits() {
+            self.configured_ratio = model.bytes_per_token;
             self.ratio = tokens::Ratio::new(model.bytes_per_token);
         }
     }
 
-    fn refreshed(
+    fn updated_upstream(
         &mut self,
         now: clock::Moment,
         known: Option<upstream::Upstream>,
@@ -64,56 +65,63 @@
         let fresh = known.is_none();
         let mut upstream = known.unwrap_or_default();
         if fresh {
-            self.numbers += 1;
-            upstream.number = self.numbers;
-            upstream.nominal = entry.entry.prefill_rate;
-            upstream.joined = if self.started { Some(now) } else { None };
+            self.last_number += 1;
+            upstream.number = self.last_number;
+            upstream.nominal_rate = entry.entry.prefill_rate;
+            upstream.joined_at = if self.started { Some(now) } else { None };
         }
         let is_local = entry.entry.zone == self.settings.zone;
         upstream.name = entry.name.clone();
-        upstream.gone = false;
+        upstream.removed = false;
         upstream.slots = entry.entry.slots;
         upstream.kv_tokens = entry.entry.kv_tokens;
         upstream.role = entry.entry.role;
-        upstream.local = if is_local { Some(self.locals) } else { None };
-        upstream.delay = if is_local { 0.0 } else { self.delay(&entry.entry.zone) };
-        self.locals += usize::from(is_local);
+        upstream.local_index = if is_local { Some(self.local_count) } else { None };
+        upstream.zone_delay = if is_local { 0.0 } else { self.zone_delay(&entry.entry.zone) };
+        self.local_count += usize::from(is_local);
         upstream
     }
 
-    fn delay(&self, zone: &id::Zone) -> f64 {
+    fn zone_delay(&self, zone: &id::Zone) -> f64 {
         let listed = self.settings.remote_zones.iter().find(|(name, _)| name == zone);
         listed.map_or(self.settings.remote_default, |(_, span)| *span).as_secs_f64()
     }
 
-    /// Takes in a lagging load report.
-    pub fn observe(&mut self, now: clock::Moment, upstream: &id::Upstream, load: &engine::Load) {
+    /// Applies a load report, which lags behind the engine's state.
+    pub fn observe(
+        &mut self,
+        now: clock::Moment,
+        upstream: &id::Upstream,
+        load: &engine::LoadReport,
+    ) {
         let Some(&index) = self.index.get(upstream) else { return };
         let upstream = &mut self.upstreams[index];
         if upstream.incarnation != 0 && load.incarnation != upstream.incarnation {
             upstream.epoch += 1;
-            upstream.joined = Some(now);
+            upstream.joined_at = Some(now);
             upstream.health = outlier::Health::default();
         }
         upstream.incarnation = load.incarnation;
         let before = upstream.kv_tokens;
-        upstream.observe(now, load, &mut self.typical);
+        upstream.observe(now, load, &mut self.typical_prefill);
         if upstream.kv_tokens != before {
-            self.measure();
+            self.update_sizes();
         }
     }
 
-    fn measure(&mut self) {
+    fn update_sizes(&mut self) {
         let sizes = self.upstreams.iter().map(|upstream| upstream.kv_tokens);
-        self.largest = sizes.max().unwrap_or(0);
-        // Members of a group are of one zone; without any here, one engine is all there is.
-        let locals = self.upstreams[..self.locals].iter().map(|upstream| upstream.kv_tokens);
-        self.memory = group::reach(locals).max(self.largest);
-        let delays = self.upstreams[self.locals..].iter().map(|upstream| upstream.delay);
-        self.nearest = delays.fold(f64::MAX, f64::min);
+        self.largest_kv = sizes.max().unwrap_or(0);
+        // All members of a group are in one zone; without engines in this zone a single engine is
+        // the limit.
+        let local_sizes =
+            self.upstreams[..self.local_count].iter().map(|upstream| upstream.kv_tokens);
+        self.group_kv = group::capacity(local_sizes).max(self.largest_kv);
+        let delays = self.upstreams[self.local_count..].iter().map(|upstream| upstream.zone_delay);
+        self.min_zone_delay = delays.fold(f64::MAX, f64::min);
     }
 
-    /// Marks an upstream as leaving, or takes the mark back for a new incarnation.
+    /// Marks an upstream as leaving, or clears the mark for a new incarnation.
     pub fn set_leaving(&mut self, _now: clock::Moment, upstream: &id::Upstream, leaving: bool) {
         if let Some(&index) = self.index.get(upstream) {
             self.upstreams[index].leaving = leaving;
@@ -121,7 +129,7 @@
     }
 }
 
-/// Mean of what the teams of the fleet weigh.
+/// Mean of the weights in the policies of the fleet's teams.
 fn mean_weights(fleet: &view::Fleet) -> settings::Weights {
     let count = fleet.policies.len() as f64;
     if count == 0.0 {
--- a/crates/lagoonline/src/load/upstream.rs
+++ b/crates/lagoonline/src/load/upstream.rs
@@ -1,9 +1,9 @@
-//! What one host knows of one upstream: its own work there, and a lagging report of the rest.
+//! One upstream as known to one host: the host's own work there, and a lagging report of the rest.
 //!
-//! Load pattern: load views that lag by up to a second. On the report alone every host sends its
-//! queue to the engine that was idle a moment ago. So the work of this host is counted exactly,
-//! only the part of other hosts comes from the report, and prefill drains at the known rate
-//! between reports.
+//! Load pattern: load reports that lag by up to a second. If only the report were used, every host
+//! would send its queue to the engine that was idle a moment ago. The work of this host is
+//! therefore counted exactly, only the work of other hosts comes from the report, and prefill is
+//! drained at the known rate between reports.
 
 use crate::clock;
 use crate::control::document;
@@ -11,61 +11,62 @@
 use crate::load::floor;
 use crate::load::outlier;
 use crate::load::ramp;
-use crate::load::rate;
+use crate::load::slowness;
 use crate::port::engine;
 
-/// Tokens that an engine prefills in one step, which a newcomer of any priority waits for.
-const CHUNK: f64 = 1_024.0;
+/// Tokens that an engine prefills in one step, for which a new request of any priority waits.
+const CHUNK_TOKENS: f64 = 1_024.0;
 
-/// Prefill of other hosts that can be short prompts only, in seconds of the engine's rate: each
-/// host's own bound on what is ahead, with some for the lag.
-const SHORT_SECONDS: f64 = 0.4;
-/// Weight of one report in what others usually have.
+/// Prefill of other hosts that can consist of short prompts only, in seconds of the engine's rate:
+/// each host's own bound on outstanding prefill, with a margin for the lag.
+const MAX_SHORT_SECONDS: f64 = 0.4;
+/// Weight of one report in the typical prefill of other hosts.
 const TYPICAL_GAIN: f64 = 0.05;
-/// How old the work that a report shows may be. At 500 ms, hosts that share engines take too much
-/// of each other's work for their own: short p95 beside long prompts rose from 331 to 342 ms.
+/// How old the state that a report shows may be. With 500 ms, hosts that share engines mistake too
+/// much of each other's work for their own: the p95 of short prompts beside long ones rose from 331
+/// to 342 ms.
 const REPORT_LAG: clock::Span = clock::Span::from_millis(200);
-/// How long a report counts without a newer one: several reports may be lost, and a short prompt
-/// that waits for it to lapse is still answered.
-const REPORT_LIFE: clock::Span = clock::Span::from_secs(2);
+/// How long a report is valid without a newer one: several reports may be lost, and a short prompt
+/// that waits for it to expire is still answered.
+const REPORT_VALIDITY: clock::Span = clock::Span::from_secs(2);
 
-/// Most that this host had there of late.
+/// Recent maximum of this host's own work on an upstream.
 ///
-/// Failure answered: requests of ours end while a report that still shows them is on its way.
-/// Symptom: they count as other hosts' work, the engine looks full, nothing is sent to it, and so
-/// no answer brings a newer report; callers are refused as saturated before an idle engine. What
-/// we had within the lag is taken off instead, which at worst counts too little, and then the
-/// engine's own refusal is final.
+/// Failure mode: requests of this host end while a report that still includes them is in
+/// transit. Symptom: they are counted as other hosts' work, the engine looks full, nothing is sent
+/// to it, and so no answer triggers a newer report; callers are refused as saturated although the
+/// engine is idle. Subtracting the recent maximum of the own work at worst underestimates the work
+/// of others, and then the engine's own refusal is authoritative.
 #[derive(Clone, Copy, Debug, Default)]
 struct Peak {
     since: clock::Moment,
-    before: u64,
-    now: u64,
+    previous: u64,
+    current: u64,
 }
 
 impl Peak {
-    fn saw(&mut self, now: clock::Moment, amount: u64) {
+    fn record(&mut self, now: clock::Moment, amount: u64) {
         let age = now.since(self.since);
         if age >= REPORT_LAG {
-            self.before = if age < REPORT_LAG * 2 { self.now } else { 0 };
-            (self.now, self.since) = (0, now);
+            self.previous = if age < REPORT_LAG * 2 { self.current } else { 0 };
+            (self.current, self.since) = (0, now);
         }
-        self.now = self.now.max(amount);
+        self.current = self.current.max(amount);
     }
 
-    /// The peak, `amount` being what is there at the moment.
-    fn most(&mut self, now: clock::Moment, amount: u64) -> u64 {
-        self.saw(now, amount);
-        self.before.max(self.now)
+    /// The recent maximum, where `amount` is the current value.
+    fn max(&mut self, now: clock::Moment, amount: u64) -> u64 {
+        self.record(now, amount);
+        self.previous.max(self.current)
     }
 }
 
 /// Prefill of one request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Load {
-    /// By length.
+pub(crate) struct PromptPrefill {
+    /// Class by length.
     pub class: document::Class,
-    /// By length and the customer's share.
+    /// Class by length and the customer's share.
     pub rank: document::Class,
     pub tokens: u64,
 }
@@ -74,186 +75,206 @@
 #[derive(Debug, Default)]
 pub(crate) struct Upstream {
     pub name: id::Upstream,
-    /// Stable while the scheduler lives.
+    /// Stable for the lifetime of the scheduler.
     pub number: u32,
-    /// Raised when what is known of its cache becomes void.
+    /// Raised when what is known about its cache becomes invalid.
     pub epoch: u32,
-    /// Its place among the upstreams of this host's zone, none for those of other zones.
-    pub local: Option<usize>,
-    /// Time by which its wait must be shorter than a local one's, in seconds.
-    pub delay: f64,
+    /// Its index among the upstreams of this host's zone; none for those of other zones.
+    pub local_index: Option<usize>,
+    /// Delay and cost of its zone, as the seconds by which its wait must be shorter than a local
+    /// one's; 0 for this host's zone.
+    pub zone_delay: f64,
     pub slots: u32,
     pub kv_tokens: u64,
     pub role: engine::Role,
     pub leaving: bool,
     /// No longer in the fleet; kept until its work ends.
-    pub gone: bool,
-    pub joined: Option<clock::Moment>,
+    pub removed: bool,
+    /// When it joined or restarted; none if it was there when the scheduler started.
+    pub joined_at: Option<clock::Moment>,
+    /// Until when it gets no new requests because it reported itself full.
     pub full_until: clock::Moment,
     pub health: outlier::Health,
-    pub pace: rate::Pace,
-    /// Our requests, those before their first token by class in tokens, and our KV memory.
+    pub slowness: slowness::Slowness,
+    /// Number of this host's requests there.
     pub requests: u32,
+    /// Prefill of this host's requests without a first token, in tokens by rank.
     pub pending: [u64; 4],
-    /// The same by length, whatever the customer's share.
-    lengths: [u64; 4],
+    /// The same by length class, regardless of the customer's share.
+    pending_by_length: [u64; 4],
+    /// KV tokens of this host's requests there.
     pub kv: u64,
-    pub nominal: f64,
+    /// Prefill rate that it reports, in tokens per second.
+    pub nominal_rate: f64,
+    /// Incarnation of its process by the last report; 0 before the first one.
     pub incarnation: u64,
-    others_requests: u32,
-    others_kv: u64,
-    reported: clock::Moment,
+    /// Requests of other hosts, by the last report.
+    other_requests: u32,
+    /// KV tokens of other hosts, by the last report.
+    other_kv: u64,
+    /// When the last report arrived.
+    reported_at: clock::Moment,
     requests_peak: Peak,
     kv_peak: Peak,
-    own: [f64; 4],
-    others: [f64; 4],
-    pub floor: floor::Floor,
-    drained: clock::Moment,
+    /// Estimated outstanding prefill of this host as of `drained_to`, in tokens by rank.
+    own_prefill: [f64; 4],
+    /// The same for other hosts, as far as the last report shows it.
+    other_prefill: [f64; 4],
+    /// Short prefill that this host has sent beyond its allowed rate.
+    pub short_excess: floor::ShortExcess,
+    /// Time up to which the outstanding prefill has been advanced.
+    drained_to: clock::Moment,
 }
 
 impl Upstream {
-    /// Prefill rate by what was learned, in tokens a second.
+    /// Learned prefill rate, in tokens per second.
     pub fn rate(&self, now: clock::Moment) -> f64 {
-        self.nominal / self.pace.slowness(now)
+        self.nominal_rate / self.slowness.factor(now)
     }
 
-    /// Prefill of this class and shorter ones that is outstanding, in tokens, at the learned rate.
-    pub fn ahead(&self, now: clock::Moment, class: document::Class, rate: f64) -> f64 {
-        let upto = class as usize;
-        let all: f64 = (0..=upto).map(|class| self.own[class] + self.others[class]).sum();
-        let drained = rate::seconds(self.drained, now) * rate;
+    /// Outstanding prefill of this rank and earlier ones, in tokens, if the engine works at
+    /// `rate`.
+    pub fn ahead(&self, now: clock::Moment, rank: document::Class, rate: f64) -> f64 {
+        let last = rank as usize;
+        let all: f64 =
+            (0..=last).map(|rank| self.own_prefill[rank] + self.other_prefill[rank]).sum();
+        let drained = slowness::seconds_between(self.drained_to, now) * rate;
         (all - drained).max(0.0)
     }
 
-    /// Seconds until the first token of a prompt with `tokens` tokens to prefill, at the rate that
-    /// was learned.
-    pub fn first_token(
+    /// Seconds until the first token of a prompt with `tokens` tokens to prefill, if the engine
+    /// works at `rate`.
+    pub fn first_token_seconds(
         &self,
         now: clock::Moment,
-        class: document::Class,
+        rank: document::Class,
         tokens: f64,
         rate: f64,
     ) -> f64 {
-        let residual = if self.has_later(class) { CHUNK / 2.0 } else { 0.0 };
-        (self.ahead(now, class, rate) + tokens + residual) / rate.max(1.0) + self.delay
+        // On average half of the current chunk of a later rank remains to be prefilled.
+        let residual = if self.has_later_rank(rank) { CHUNK_TOKENS / 2.0 } else { 0.0 };
+        (self.ahead(now, rank, rate) + tokens + residual) / rate.max(1.0) + self.zone_delay
     }
 
-    /// Long prefill that is outstanding here, by our count and the last report, in tokens.
+    /// Outstanding long prefill, by this host's count and the last report, in tokens.
     pub fn long_pending(&self, now: clock::Moment) -> f64 {
-        (self.pending[2] + self.pending[3]) as f64 + self.others_long(now)
+        (self.pending[2] + self.pending[3]) as f64 + self.other_long_prefill(now)
     }
 
-    /// The part of other hosts, as far as it is not done since the report.
+    /// Long prefill of other hosts that is not done since the report.
     ///
-    /// Failure answered: a report counts work of ours as theirs, because the engine is behind what
-    /// we predicted. Symptom: while nothing is sent there, nothing takes that work off again, so
-    /// a long prompt waits before an idle engine until it is refused.
-    fn others_long(&self, now: clock::Moment) -> f64 {
-        let others = self.others[2] + self.others[3];
-        if others <= 0.0 || !self.is_current(now) {
+    /// Failure mode: a report counts work of this host as that of others, because the engine is
+    /// slower than predicted. Symptom: while nothing is sent there, nothing removes that work, so a
+    /// long prompt waits although the engine is idle, until it is refused.
+    fn other_long_prefill(&self, now: clock::Moment) -> f64 {
+        let others = self.other_prefill[2] + self.other_prefill[3];
+        if others <= 0.0 || !self.is_report_valid(now) {
             return 0.0;
         }
-        (others - rate::seconds(self.drained, now) * self.rate(now)).max(0.0)
+        (others - slowness::seconds_between(self.drained_to, now) * self.rate(now)).max(0.0)
     }
 
-    /// Prefill of all but the first rank that is outstanding here, in tokens.
-    pub fn later_pending(&self, now: clock::Moment) -> f64 {
+    /// Outstanding prefill of all but the first rank, in tokens.
+    pub fn later_rank_pending(&self, now: clock::Moment) -> f64 {
         self.pending[1] as f64 + self.long_pending(now)
     }
 
     /// Slots that are free for this host.
     pub fn free_slots(&self, now: clock::Moment, ramped: bool) -> u32 {
-        let joined = if ramped { self.joined } else { None };
+        let joined = if ramped { self.joined_at } else { None };
         let slots = ramp::slots(self.slots, joined, now);
-        let others = if self.is_current(now) { self.others_requests } else { 0 };
+        let others = if self.is_report_valid(now) { self.other_requests } else { 0 };
         slots.saturating_sub(self.requests + others)
     }
 
-    /// KV memory that is free, in tokens.
+    /// Free KV memory, in tokens.
     pub fn free_kv(&self, now: clock::Moment) -> u64 {
-        let others = if self.is_current(now) { self.others_kv } else { 0 };
+        let others = if self.is_report_valid(now) { self.other_kv } else { 0 };
         self.kv_tokens.saturating_sub(self.kv + others)
     }
 
-    /// Whether the last report still counts: with the observer dead, an engine that was full when
-    /// it died would otherwise look full for ever.
-    fn is_current(&self, now: clock::Moment) -> bool {
-        now.since(self.reported) < REPORT_LIFE
+    /// Whether the last report is still valid. If the observer crashes, an engine that was full at
+    /// that moment would otherwise look full forever.
+    fn is_report_valid(&self, now: clock::Moment) -> bool {
+        now.since(self.reported_at) < REPORT_VALIDITY
     }
 
-    /// Work of ours ends there.
-    pub fn ended(&mut self, now: clock::Moment, kv: u64) {
-        self.requests_peak.saw(now, u64::from(self.requests));
-        self.kv_peak.saw(now, self.kv);
+    /// Records that a request of this host ended there.
+    pub fn record_end(&mut self, now: clock::Moment, kv: u64) {
+        self.requests_peak.record(now, u64::from(self.requests));
+        self.kv_peak.record(now, self.kv);
         self.requests = self.requests.saturating_sub(1);
         self.kv = self.kv.saturating_sub(kv);
     }
 
-    /// Whether anything new may go there.
-    pub fn is_open(&self, now: clock::Moment, outliers: bool) -> bool {
+    /// Whether new requests may be sent there.
+    pub fn is_available(&self, now: clock::Moment, outliers: bool) -> bool {
         let healthy = !outliers || self.health.allows(now);
-        !self.gone && !self.leaving && healthy && self.full_until <= now
+        !self.removed && !self.leaving && healthy && self.full_until <= now
     }
 
     /// Whether prompts of a later rank are pending here.
-    pub fn has_later(&self, rank: document::Class) -> bool {
-        (rank as usize + 1..4).any(|rank| self.pending[rank] > 0 || self.others[rank] > 0.0)
+    pub fn has_later_rank(&self, rank: document::Class) -> bool {
+        (rank as usize + 1..4).any(|rank| self.pending[rank] > 0 || self.other_prefill[rank] > 0.0)
     }
 
-    /// Whether prompts longer than of this class are pending here, by our count and the last report.
-    pub fn has_longer(&self, class: document::Class) -> bool {
-        (class as usize + 1..4).any(|class| self.lengths[class] > 0 || self.others[class] > 0.0)
+    /// Whether prompts of a longer class are pending here, by this host's count and the last
+    /// report.
+    pub fn has_longer_class(&self, class: document::Class) -> bool {
+        (class as usize + 1..4)
+            .any(|class| self.pending_by_length[class] > 0 || self.other_prefill[class] > 0.0)
     }
 
-    /// Takes in a report. Reports do not tell prompts apart by length, but every host keeps short
-    /// prefill below a bound: `typical` is what others usually have, and what exceeds that in a
-    /// large report must be long.
-    pub fn observe(&mut self, now: clock::Moment, load: &engine::Load, typical: &mut f64) {
+    /// Applies a load report. Reports do not distinguish prompts by length, but every host keeps
+    /// short prefill below a bound: `typical` is what other hosts usually have outstanding, and
+    /// what exceeds it in a large report must be long.
+    pub fn observe(&mut self, now: clock::Moment, load: &engine::LoadReport, typical: &mut f64) {
         self.drain(now);
         if load.prefill_rate > 0.0 {
-            self.nominal = load.prefill_rate;
+            self.nominal_rate = load.prefill_rate;
         }
         if load.kv_tokens > 0 {
             self.kv_tokens = load.kv_tokens;
             let used = load.kv_tokens.saturating_sub(load.kv_free_tokens);
-            self.others_kv = used.saturating_sub(self.kv_peak.most(now, self.kv));
+            self.other_kv = used.saturating_sub(self.kv_peak.max(now, self.kv));
         }
-        self.reported = now;
-        let own = self.requests_peak.most(now, u64::from(self.requests));
+        self.reported_at = now;
+        let own = self.requests_peak.max(now, u64::from(self.requests));
         let own = u32::try_from(own).unwrap_or(u32::MAX);
-        self.others_requests = load.running.saturating_add(load.waiting).saturating_sub(own);
-        let own: f64 = self.own.iter().sum();
+        self.other_requests = load.running.saturating_add(load.waiting).saturating_sub(own);
+        let own: f64 = self.own_prefill.iter().sum();
         let others = (load.prefill_tokens as f64 - own).max(0.0);
-        if others <= self.nominal * SHORT_SECONDS {
+        if others <= self.nominal_rate * MAX_SHORT_SECONDS {
             *typical += TYPICAL_GAIN * (others - *typical);
-            self.others = [others, 0.0, 0.0, 0.0];
+            self.other_prefill = [others, 0.0, 0.0, 0.0];
         } else {
-            self.others = [typical.min(others), 0.0, (others - *typical).max(0.0), 0.0];
+            self.other_prefill = [typical.min(others), 0.0, (others - *typical).max(0.0), 0.0];
         }
     }
 
-    /// Adds prefill of ours.
-    pub fn add(&mut self, now: clock::Moment, load: Load, kv: u64) {
+    /// Adds prefill and memory of a request of this host.
+    pub fn add_prefill(&mut self, now: clock::Moment, prefill: PromptPrefill, kv: u64) {
         self.drain(now);
-        self.own[load.rank as usize] += load.tokens as f64;
-        self.pending[load.rank as usize] += load.tokens;
-        self.lengths[load.class as usize] += load.tokens;
+        self.own_prefill[prefill.rank as usize] += prefill.tokens as f64;
+        self.pending[prefill.rank as usize] += prefill.tokens;
+        self.pending_by_length[prefill.class as usize] += prefill.tokens;
         self.kv += kv;
     }
 
-    /// Prefill of ours is done or given up.
-    pub fn prefilled(&mut self, now: clock::Moment, load: Load) {
+    /// Records that prefill of this host is done or abandoned.
+    pub fn remove_prefill(&mut self, now: clock::Moment, prefill: PromptPrefill) {
         self.drain(now);
-        let (class, rank) = (load.class as usize, load.rank as usize);
-        self.lengths[class] = self.lengths[class].saturating_sub(load.tokens);
-        self.pending[rank] = self.pending[rank].saturating_sub(load.tokens);
-        self.own[rank] = self.own[rank].min(self.pending[rank] as f64);
+        let (class, rank) = (prefill.class as usize, prefill.rank as usize);
+        self.pending_by_length[class] =
+            self.pending_by_length[class].saturating_sub(prefill.tokens);
+        self.pending[rank] = self.pending[rank].saturating_sub(prefill.tokens);
+        self.own_prefill[rank] = self.own_prefill[rank].min(self.pending[rank] as f64);
     }
 
-    /// Moves the outstanding prefill on, shorter classes first as the engine does.
+    /// Advances the outstanding prefill, shorter classes first as in the engine.
     fn drain(&mut self, now: clock::Moment) {
-        let mut work = rate::seconds(self.drained, now) * self.rate(now);
-        for (own, others) in self.own.iter_mut().zip(&mut self.others) {
+        let mut work = slowness::seconds_between(self.drained_to, now) * self.rate(now);
+        for (own, others) in self.own_prefill.iter_mut().zip(&mut self.other_prefill) {
             let all = *own + *others;
             if all > 0.0 {
                 let left = (1.0 - work / all).max(0.0);
@@ -262,6 +283,6 @@
                 *others *= left;
             }
         }
-        self.drained = now;
+        self.drained_to = now;
     }
 }
--- a/crates/lagoonline/src/load/usage.rs
+++ b/crates/lagoonline/src/load/usage.rs
@@ -1,48 +1,53 @@
-//! Who uses more than its share now.
+//! Detects customers that use more than their share.
 //!
-//! Load pattern: one customer that sends ten times its share. Fair turns at this host are not
-//! enough: what it has dispatched already stands before the others inside the engines. So requests
-//! of a customer over two and a half times its share rank one length class later, here and in the
-//! engine, and those of the others pass them. At one and a half times, even customers were over it
-//! by chance, and at capacity their short prompts that waited behind all others ended late (6 of
-//! 30,180 answers; none at two and a half). A customer alone is never over its share, so nothing is
-//! taken from it while nobody else asks.
+//! Load pattern: one customer sends ten times its share. Fair queueing at this host is not enough:
+//! what the customer has dispatched already is ahead of the others inside the engines. Requests of
+//! a customer over two and a half times its share are therefore ranked one length class later, here
+//! and in the engine, and those of the other customers overtake them. At one and a half times, even
+//! customers exceeded it by chance, and at capacity their short prompts, which then waited behind
+//! all others, ended late (6 of 30,180 answers; none at two and a half). A customer that is alone
+//! never exceeds its share, so it is not restricted while nobody else sends requests.
 
 use std::collections;
 
 use crate::clock;
 use crate::id;
 
-/// Time over which use halves its weight, in seconds: some queue lengths, not a whole minute, so
-/// that a customer which stops sending is soon on par again.
-const HALF_LIFE: f64 = 5.0;
+/// Half-life of recorded use in seconds: a few queue lengths rather than a minute, so that a
+/// customer which stops sending soon has normal rank again.
+const HALF_LIFE_SECONDS: f64 = 5.0;
 /// Multiple of the fair share from which on a customer is over it.
-const OVER: f64 = 2.5;
-/// Decayed tokens below which a customer counts as away.
-const AWAY: f64 = 1.0;
-/// Customers remembered before those that are away are dropped.
-const KEPT: usize = 64;
+const OVER_FACTOR: f64 = 2.5;
+/// Decayed tokens below which a customer counts as inactive.
+const INACTIVE_TOKENS: f64 = 1.0;
+/// Number of customers from which on inactive ones are dropped.
+const MIN_CLEANUP_SIZE: usize = 64;
 
+/// Recent use of one customer.
 #[derive(Clone, Copy, Debug)]
-struct Use {
+struct Entry {
     tokens: f64,
     weight: u32,
+    /// Time up to which `tokens` has decayed.
     at: clock::Moment,
 }
 
-/// Recent use of one model at one host in one length class, by customer. Classes are apart, or a
-/// customer's one survey would hold up its short prompts for minutes.
+/// Recent use of one model at one host in one length class, by customer. Classes are separate
+/// because otherwise one very long prompt of a customer would delay its short prompts for minutes.
 #[derive(Debug, Default)]
 pub struct Usage {
-    uses: collections::HashMap<id::Customer, Use>,
+    entries: collections::HashMap<id::Customer, Entry>,
+    /// Decayed tokens of all customers, as of `at`.
     total: f64,
+    /// Sum of the weights of `entries`.
     weights: u64,
     at: clock::Moment,
-    limit: usize,
+    /// Number of entries from which on inactive ones are dropped next.
+    cleanup_size: usize,
 }
 
 impl Usage {
-    /// A customer asked for work of `tokens` tokens.
+    /// Records that a customer requested work of `tokens` tokens.
     pub fn record(
         &mut self,
         now: clock::Moment,
@@ -50,20 +55,20 @@
         weight: u32,
         tokens: u64,
     ) {
-        self.total = self.total * fade(self.at, now) + tokens as f64;
+        self.total = self.total * decay(self.at, now) + tokens as f64;
         self.at = now;
-        if let Some(used) = self.uses.get_mut(customer) {
-            used.tokens = used.tokens * fade(used.at, now) + tokens as f64;
-            used.at = now;
+        if let Some(entry) = self.entries.get_mut(customer) {
+            entry.tokens = entry.tokens * decay(entry.at, now) + tokens as f64;
+            entry.at = now;
             return;
         }
-        self.forget(now);
-        self.uses.insert(customer.clone(), Use { tokens: tokens as f64, weight, at: now });
+        self.drop_inactive(now);
+        self.entries.insert(customer.clone(), Entry { tokens: tokens as f64, weight, at: now });
         self.weights += u64::from(weight);
     }
 
-    /// Whether the customer uses more than two and a half times its share and the request of
-    /// `tokens` tokens: one or two requests are no pattern.
+    /// Whether the customer's use exceeds two and a half times the sum of its fair share and the
+    /// request of `tokens` tokens; the latter keeps one or two requests from counting as overuse.
     ///
     /// ```
     /// use lagoonline::{clock::Moment, id::Customer, load::usage::Usage};
@@ -76,23 +81,23 @@
     /// assert!(!usage.is_over(Moment::START, &few, 100));
     /// ```
     pub fn is_over(&self, now: clock::Moment, customer: &id::Customer, tokens: u64) -> bool {
-        let Some(used) = self.uses.get(customer) else { return false };
-        let total = self.total * fade(self.at, now);
-        let fair = total * f64::from(used.weight) / self.weights.max(1) as f64;
-        used.tokens * fade(used.at, now) > OVER * (fair + tokens as f64)
+        let Some(entry) = self.entries.get(customer) else { return false };
+        let total = self.total * decay(self.at, now);
+        let fair = total * f64::from(entry.weight) / self.weights.max(1) as f64;
+        entry.tokens * decay(entry.at, now) > OVER_FACTOR * (fair + tokens as f64)
     }
 
-    /// Drops customers that are away, each time their number has doubled.
-    fn forget(&mut self, now: clock::Moment) {
-        if self.uses.len() < self.limit.max(KEPT) {
+    /// Drops inactive customers, each time the number of customers has doubled.
+    fn drop_inactive(&mut self, now: clock::Moment) {
+        if self.entries.len() < self.cleanup_size.max(MIN_CLEANUP_SIZE) {
             return;
         }
-        self.uses.retain(|_, used| used.tokens * fade(used.at, now) >= AWAY);
-        self.weights = self.uses.values().map(|used| u64::from(used.weight)).sum();
-        self.limit = 2 * self.uses.len();
+        self.entries.retain(|_, entry| entry.tokens * decay(entry.at, now) >= INACTIVE_TOKENS);
+        self.weights = self.entries.values().map(|entry| u64::from(entry.weight)).sum();
+        self.cleanup_size = 2 * self.entries.len();
     }
 }
 
-fn fade(then: clock::Moment, now: clock::Moment) -> f64 {
-    (-now.since(then).as_secs_f64() / HALF_LIFE).exp2()
+fn decay(from: clock::Moment, now: clock::Moment) -> f64 {
+    (-now.since(from).as_secs_f64() / HALF_LIFE_SECONDS).exp2()
 }
--- a/crates/lagoonline/src/routing/confirm.rs
+++ b/crates/lagoonline/src/routing/confirm.rs
@@ -1,15 +1,15 @@
-//! Until when the version in force is known to be the newest.
+//! Tracks until when the routing configuration in force is known to be the newest version.
 //!
-//! Failure answered: a key is taken away while this host is cut off, frozen or turned away by the
-//! platform, and its holder is served on for as long as that lasts. A version counts as the newest
-//! only up to the last moment at which the platform is known to have held no later one; a request
-//! with a key is let in only within a bound after that moment. That is enough because a key taken
-//! away later than that moment was valid within the bound, whatever this host did since. The
-//! clock must count time in which the host is suspended.
+//! If a key is revoked while this host is cut off, suspended or refused by the platform, the host
+//! does not learn of it and would serve the holder of the key for as long as that lasts. Requests
+//! with a key are therefore refused once the last confirmation is older than a bound. A
+//! confirmation states that the platform had no later version at that moment, so a key that was
+//! revoked afterwards is accepted for at most the bound after its revocation, whatever happened to
+//! this host since. The clock must keep counting while the host is suspended.
 
 use crate::clock;
 
-/// The last moment at which the version in force is known to have been the newest.
+/// The last moment at which the configuration in force is known to have been the newest.
 ///
 /// ```
 /// use lagoonline::clock::{Moment, Span};
@@ -27,17 +27,18 @@
 }
 
 impl Confirmation {
-    /// The version in force was the newest at `at`; earlier news than the last is passed over.
+    /// Records that the configuration in force was the newest at `at`; moments earlier than the
+    /// last are ignored.
     pub fn confirm(&mut self, at: clock::Moment) {
         self.at = self.at.max(Some(at));
     }
 
-    /// Time since the last confirmation; `None` before the first.
+    /// Returns the time since the last confirmation, or `None` before the first.
     pub fn age(&self, now: clock::Moment) -> Option<clock::Span> {
         self.at.map(|at| now.since(at))
     }
 
-    /// Whether it is at most `bound` old.
+    /// Returns whether the last confirmation is at most `bound` old.
     pub fn is_fresh(&self, now: clock::Moment, bound: clock::Span) -> bool {
         self.age(now).is_some_and(|age| age <= bound)
     }
--- a/crates/lagoonline/src/routing/table.rs
+++ b/crates/lagoonline/src/routing/table.rs
@@ -1,4 +1,4 @@
-//! Lookups by request: the route with the longest prefix, and the customer of a key.
+//! Lookup of a request's route by longest prefix, and of the customer by key.
 
 use std::collections;
 use std::sync;
@@ -6,30 +6,32 @@
 use super::{Customer, Desired, Limits, Route, Service};
 use crate::id;
 
-/// One version of the routes, indexed.
+/// An indexed version of the routing configuration; not to be confused with the platform's
+/// [`crate::port::table`].
 #[derive(Debug, Default)]
 pub struct Table {
     version: u64,
     limits: Limits,
     /// Routes by host, longest prefix first.
-    hosts: collections::HashMap<String, Vec<sync::Arc<Route>>>,
+    routes_by_host: collections::HashMap<String, Vec<sync::Arc<Route>>>,
     services: collections::HashMap<id::Service, sync::Arc<Service>>,
     customers: Option<collections::HashMap<String, sync::Arc<Customer>>>,
 }
 
-/// What the table says of a request's key.
+/// Result of looking up a request's key.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Match {
-    /// No key is asked for.
+pub enum KeyMatch {
+    /// No key is required: there are no customers, or the route is public and the request has no
+    /// known key.
     Open,
-    /// The key is this customer's.
+    /// The key belongs to this customer.
     Customer(sync::Arc<Customer>),
-    /// No customer holds the key, or there was none.
+    /// The key is missing or belongs to no customer.
     Unknown,
 }
 
 impl Table {
-    /// Indexes `desired`.
+    /// Builds the index of `desired`.
     ///
     /// ```
     /// use lagoonline::routing;
@@ -38,11 +40,12 @@
     /// assert_eq!(table.version(), 0);
     /// ```
     pub fn new(desired: Desired) -> Table {
-        let mut hosts: collections::HashMap<String, Vec<sync::Arc<Route>>> = Default::default();
+        let mut routes_by_host: collections::HashMap<String, Vec<sync::Arc<Route>>> =
+            Default::default();
         for route in desired.routes {
-            hosts.entry(route.host.clone()).or_default().push(sync::Arc::new(route));
+            routes_by_host.entry(route.host.clone()).or_default().push(sync::Arc::new(route));
         }
-        for routes in hosts.values_mut() {
+        for routes in routes_by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         let services = desired.services.into_iter();
@@ -50,50 +53,50 @@
         Table {
             version: desired.version,
             limits: desired.limits,
-            hosts,
+            routes_by_host,
             services: services.collect(),
-            customers: desired.customers.map(by_key),
+            customers: desired.customers.map(index_by_key),
         }
     }
 
-    /// The version it was made of.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Bounds on callers.
+    /// Returns the limits on requests.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// The route of a request: among those of its host the one with the longest prefix that begins
-    /// the path. A port in `host` is passed over.
+    /// Returns the route of a request: the one for its host with the longest prefix that matches
+    /// the path. A port in `host` is ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&sync::Arc<Route>> {
         let host = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
-        self.hosts.get(&host)?.iter().find(|route| path.starts_with(&route.prefix))
+        self.routes_by_host.get(&host)?.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The service of this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &id::Service) -> Option<&sync::Arc<Service>> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Returns all services.
     pub fn services(&self) -> impl Iterator<Item = &sync::Arc<Service>> {
         self.services.values()
     }
 
-    /// Whose the key of a request on `route` is.
-    pub fn customer(&self, route: &Route, key: Option<&str>) -> Match {
-        let Some(customers) = &self.customers else { return Match::Open };
+    /// Returns the customer that the key of a request on `route` belongs to.
+    pub fn customer(&self, route: &Route, key: Option<&str>) -> KeyMatch {
+        let Some(customers) = &self.customers else { return KeyMatch::Open };
         if let Some(customer) = key.and_then(|key| customers.get(key)) {
-            return Match::Customer(customer.clone());
+            return KeyMatch::Customer(customer.clone());
         }
-        if route.public { Match::Open } else { Match::Unknown }
+        if route.public { KeyMatch::Open } else { KeyMatch::Unknown }
     }
 }
 
-fn by_key(customers: Vec<Customer>) -> collections::HashMap<String, sync::Arc<Customer>> {
+fn index_by_key(customers: Vec<Customer>) -> collections::HashMap<String, sync::Arc<Customer>> {
     let mut keys = collections::HashMap::new();
     for customer in customers {
         let customer = sync::Arc::new(customer);
@@ -104,26 +107,28 @@
     keys
 }
 
-/// The share of `route` that a request goes to; `draw` is uniform over all numbers.
-fn share(route: &Route, draw: u64) -> &super::Share {
+/// Returns the share of `route` that a request goes to; `draw` must be uniformly distributed over
+/// all `u64` values.
+fn pick_share(route: &Route, draw: u64) -> &super::Share {
     let total: u64 = route.shares.iter().map(|share| u64::from(share.weight)).sum();
-    let mut left = if total == 0 { 0 } else { draw % total };
+    let mut remaining = if total == 0 { 0 } else { draw % total };
     for share in &route.shares {
-        if left < u64::from(share.weight) {
+        if remaining < u64::from(share.weight) {
             return share;
         }
-        left -= u64::from(share.weight);
+        remaining -= u64::from(share.weight);
     }
     &route.shares[0]
 }
 
 impl Route {
-    /// The service that one request goes to; `draw` is uniform over all numbers.
+    /// Returns the service that a request goes to; `draw` must be uniformly distributed over all
+    /// `u64` values.
     ///
     /// # Panics
     ///
-    /// When the route has no share.
+    /// Panics if the route has no shares.
     pub fn service(&self, draw: u64) -> &id::Service {
-        &share(self, draw).service
+        &pick_share(self, draw).service
     }
 }
--- a/crates/lagoonline/tests/control_delta_fuzz.rs
+++ b/crates/lagoonline/tests/control_delta_fuzz.rs
@@ -1,8 +1,8 @@
-//! Hosts that tell each other of sections by changes, against the exact text of each version.
+//! Replication of sections by deltas, compared with the exact text of each version.
 
+use lagoonline::control::delta_log;
 use lagoonline::control::document;
-use lagoonline::control::spread;
-use lagoonline::control::trail;
+use lagoonline::control::replication;
 use lagoonline::id;
 use proptest::prelude::*;
 use proptest::test_runner;
@@ -13,22 +13,26 @@
 
 #[derive(Clone, Debug)]
 enum Transition {
-    /// An operator stores the next version: one customer's weight, with other spaces now and then.
-    Edit { customer: usize, weight: u32, spaced: bool },
-    /// An operator stores a text in which all customers are named anew, in another order.
-    Rewrite { seed: u32 },
-    /// A host reads the newest version from the table.
+    /// An operator stores the next version with another weight of one customer, sometimes also with
+    /// different whitespace.
+    Edit { customer: usize, weight: u32, extra_space: bool },
+    /// An operator stores the next version with the order of the customers rotated.
+    Rotate { by: u32 },
+    /// A host reads the latest version from the table.
     Fetch { host: usize },
-    /// A host offers what it has, by changes of the version that the other had then.
+    /// A host sends its version to another one: as deltas from the version that the other has now,
+    /// which stay in flight, or at once as the whole text if there are no deltas for that.
     Offer { from: usize, to: usize },
-    /// The oldest or the newest offer arrives, and goes on being on its way.
-    Arrive { newest: bool },
-    /// One offer on its way loses a step or gets other text.
-    Damage { drops: bool },
-    /// A host is replaced by one that has nothing.
+    /// The oldest or the newest offer in flight is delivered. It stays in flight, so it can be
+    /// delivered again.
+    Deliver { newest: bool },
+    /// The newest offer in flight loses a step or gets additional text.
+    Corrupt { drops_step: bool },
+    /// A host is replaced by one without any sections.
     Replace { host: usize },
 }
 
+/// Empty reference state: the system is checked by its invariants only.
 #[derive(Clone, Debug, Default)]
 struct Reference;
 
@@ -44,14 +48,14 @@
         let host = || 0..HOSTS;
         let edit = (0..30_usize, 1..9_u32, any::<bool>());
         prop_oneof![
-            4 => edit.prop_map(|(customer, weight, spaced)| {
-                Transition::Edit { customer, weight, spaced }
+            4 => edit.prop_map(|(customer, weight, extra_space)| {
+                Transition::Edit { customer, weight, extra_space }
             }),
-            1 => any::<u32>().prop_map(|seed| Transition::Rewrite { seed }),
+            1 => any::<u32>().prop_map(|by| Transition::Rotate { by }),
             2 => host().prop_map(|host| Transition::Fetch { host }),
             6 => (host(), host()).prop_map(|(from, to)| Transition::Offer { from, to }),
-            6 => any::<bool>().prop_map(|newest| Transition::Arrive { newest }),
-            1 => any::<bool>().prop_map(|drops| Transition::Damage { drops }),
+            6 => any::<bool>().prop_map(|newest| Transition::Deliver { newest }),
+            1 => any::<bool>().prop_map(|drops_step| Transition::Corrupt { drops_step }),
             1 => host().prop_map(|host| Transition::Replace { host }),
         ]
         .boxed()
@@ -62,18 +66,19 @@
     }
 }
 
-fn line(customer: usize, weight: u32) -> String {
+/// Returns the entry of one customer in the section's text.
+fn entry(customer: usize, weight: u32) -> String {
     format!(r#""c{customer}": {{"weight": {weight}, "tokens_per_second": 1000}}"#)
 }
 
-fn text(lines: &[String]) -> String {
-    format!(r#"{{"customers": {{{}}}}}"#, lines.join(", "))
+fn text(entries: &[String]) -> String {
+    format!(r#"{{"customers": {{{}}}}}"#, entries.join(", "))
 }
 
 #[derive(Clone, Default)]
 struct Host {
-    replica: spread::Replica,
-    trail: trail::Trail,
+    replica: replication::Replica,
+    log: delta_log::DeltaLog,
 }
 
 struct Offer {
@@ -83,8 +88,8 @@
 }
 
 struct System {
-    lines: Vec<String>,
-    /// Texts of all versions, from 1.
+    entries: Vec<String>,
+    /// Texts of all versions, starting with version 1.
     history: Vec<String>,
     hosts: Vec<Host>,
     offers: Vec<Offer>,
@@ -99,20 +104,21 @@
         self.replica.section(&team()).map(std::sync::Arc::as_ref)
     }
 
-    fn put(&mut self, version: id::Version, text: &str) {
+    /// Applies a received section and records its delta, as a steward does.
+    fn accept(&mut self, version: id::Version, text: &str) {
         let Ok(section) = document::Section::parse(team(), version, text) else { return };
         let old = self.section().cloned();
         if self.replica.apply(section)
             && let (Some(old), Some(new)) = (old, self.section().cloned())
         {
-            self.trail.record(&old, &new);
+            self.log.record(&old, &new);
         }
     }
 }
 
 impl System {
     fn store(&mut self) {
-        self.history.push(text(&self.lines));
+        self.history.push(text(&self.entries));
     }
 
     fn newest(&self) -> id::Version {
@@ -122,27 +128,27 @@
     fn offer(&mut self, from: usize, to: usize) {
         let Some(section) = self.hosts[from].section().cloned() else { return };
         let known = self.hosts[to].replica.version(&team());
-        let deltas = self.hosts[from].trail.since(known, &section);
+        let deltas = self.hosts[from].log.since(known, &section);
         if deltas.is_empty() {
-            self.hosts[to].put(section.version, &section.text);
+            self.hosts[to].accept(section.version, &section.text);
             return;
         }
         self.offers.push(Offer { to, version: section.version, deltas });
     }
 
-    fn arrive(&mut self, newest: bool) {
+    fn deliver(&mut self, newest: bool) {
         let offer = if newest { self.offers.last() } else { self.offers.first() };
         let Some(offer) = offer else { return };
         let host = &mut self.hosts[offer.to];
-        if let Some(text) = trail::follow(host.section(), &offer.deltas) {
-            host.put(offer.version, &text);
+        if let Some(text) = delta_log::apply(host.section(), &offer.deltas) {
+            host.accept(offer.version, &text);
         }
     }
 
-    fn damage(&mut self, drops: bool) {
+    fn corrupt(&mut self, drops_step: bool) {
         let delta = self.offers.last_mut().and_then(|offer| offer.deltas.last_mut());
         let Some(delta) = delta else { return };
-        if drops {
+        if drops_step {
             delta.steps.pop();
         } else {
             delta.steps.push(document::Step::Insert(" ".to_owned()));
@@ -155,33 +161,33 @@
     type SystemUnderTest = System;
 
     fn init_test(_: &Reference) -> System {
-        let lines = (0..30).map(|customer| line(customer, 1)).collect();
+        let entries = (0..30).map(|customer| entry(customer, 1)).collect();
         let hosts = vec![Host::default(); HOSTS];
-        let mut system = System { lines, history: Vec::new(), hosts, offers: Vec::new() };
+        let mut system = System { entries, history: Vec::new(), hosts, offers: Vec::new() };
         system.store();
         system
     }
 
     fn apply(mut system: System, _: &Reference, transition: Transition) -> System {
         match transition {
-            Transition::Edit { customer, weight, spaced } => {
-                let spaces = if spaced { "  " } else { "" };
-                system.lines[customer] = format!("{}{spaces}", line(customer, weight));
+            Transition::Edit { customer, weight, extra_space } => {
+                let spaces = if extra_space { "  " } else { "" };
+                system.entries[customer] = format!("{}{spaces}", entry(customer, weight));
                 system.store();
             }
-            Transition::Rewrite { seed } => {
-                let count = system.lines.len();
-                system.lines.rotate_left(seed as usize % count);
+            Transition::Rotate { by } => {
+                let count = system.entries.len();
+                system.entries.rotate_left(by as usize % count);
                 system.store();
             }
             Transition::Fetch { host } => {
                 let newest = system.newest();
                 let text = system.history[newest.0 as usize - 1].clone();
-                system.hosts[host].put(newest, &text);
+                system.hosts[host].accept(newest, &text);
             }
             Transition::Offer { from, to } => system.offer(from, to),
-            Transition::Arrive { newest } => system.arrive(newest),
-            Transition::Damage { drops } => system.damage(drops),
+            Transition::Deliver { newest } => system.deliver(newest),
+            Transition::Corrupt { drops_step } => system.corrupt(drops_step),
             Transition::Replace { host } => system.hosts[host] = Host::default(),
         }
         system
@@ -203,23 +209,27 @@
         ..ProptestConfig::default()
     })]
 
-    // Hosts hear of versions late, twice, out of order and damaged, by changes of texts that they
-    // have or no longer have. Whatever a host holds is the exact text of some version.
+    // Hosts receive deltas late, twice, out of order and corrupt, and based on versions that they
+    // may no longer have. Every section that a host accepts must have the exact text of its
+    // version.
     #[test]
-    fn a_host_has_only_exact_texts(sequential 50..200 => System);
+    fn replicated_sections_have_exact_texts(sequential 50..200 => System);
 }
 
 #[test]
-fn a_change_of_one_customer_is_short_and_two_far_apart_too() {
-    let lines: Vec<_> = (0..1_300).map(|customer| line(customer, 1)).collect();
-    let old = text(&lines);
-    let mut lines = lines;
-    lines[5] = line(5, 7);
-    lines[1_200] = line(1_200, 7);
-    lines.insert(600, line(9_999, 3));
-    let new = text(&lines);
-    let version = |version, text| document::Text { version: id::Version(version), text };
+fn the_delta_of_scattered_changes_is_small() {
+    // Three changes in different places of a section with 1,300 customers must not make the delta
+    // cover the unchanged text between them.
+    let entries: Vec<_> = (0..1_300).map(|customer| entry(customer, 1)).collect();
+    let old = text(&entries);
+    let mut entries = entries;
+    entries[5] = entry(5, 7);
+    entries[1_200] = entry(1_200, 7);
+    entries.insert(600, entry(9_999, 3));
+    let new = text(&entries);
+    let version = |version, text| document::VersionedText { version: id::Version(version), text };
     let delta = document::Delta::new(version(1, &old), version(2, &new));
     assert_eq!(delta.apply(&old).as_deref(), Some(&*new));
+    // Three changed entries of about 50 bytes each, and the copies between them.
     assert!(delta.size() < 400, "{} bytes of {}", delta.size(), new.len());
 }
--- a/crates/lagoonline/tests/control_document.rs
+++ b/crates/lagoonline/tests/control_document.rs
@@ -1,17 +1,17 @@
-//! The document: whole checks, compare-and-set, lost answers.
+//! The document: validation across sections, concurrent puts, and puts whose answer is lost.
 
-mod control;
+mod fake_table;
 
-use control::{Fault, Table, finish};
+use fake_table::{FakeTable, Fault, block_on};
 use lagoonline::control::document;
 use lagoonline::id;
 use rstest::rstest;
 
-fn put(team: &str, from: u64, name: &str, text: &str) -> document::Put {
+fn put(team: &str, base: u64, id: &str, text: &str) -> document::Put {
     document::Put {
         team: id::Team::from(team),
-        from: id::Version(from),
-        put: name.to_owned(),
+        base: id::Version(base),
+        id: id.to_owned(),
         text: text.to_owned(),
     }
 }
@@ -20,12 +20,15 @@
     document::Section::parse(id::Team::from(team), id::Version(1), text).unwrap()
 }
 
-const ENGINES: &str = r#"{"models": {"m": {}, "n": {}}, "services": {"s": {}},
+/// Section of the team `fleet`, which the sections under test refer to.
+const FLEET_SECTION: &str = r#"{"models": {"m": {}, "n": {}}, "services": {"s": {}},
     "customers": {"c": {"keys": ["0101010101010101010101010101010101010101010101010101010101010101"]}},
     "upstreams": {
         "e1": {"zone": "z", "address": "127.0.0.1:1", "models": ["m", "n"]},
         "e2": {"zone": "z", "address": "127.0.0.1:2", "models": ["m"]}}}"#;
 
+// A section with dangling references, names or keys of other customers, or claims that the fleet
+// cannot meet must be refused, and the fault must point to the place to correct.
 #[rstest]
 #[case::model(
     r#"{"customers": {"d": {"models": ["x"]}}}"#,
@@ -57,28 +60,33 @@
     "/claims/m/engines: claims of 3 engines for m, n are above the 2\n\
      /claims/n/engines: claims of 3 engines for m, n are above the 2"
 )]
-fn a_section_that_does_not_fit_is_refused_by_pointer(#[case] text: &str, #[case] faults: &str) {
-    let others = [section("fleet", ENGINES)];
+fn an_inconsistent_section_is_refused_with_a_pointer(#[case] text: &str, #[case] faults: &str) {
+    let others = [section("fleet", FLEET_SECTION)];
     let candidate = section("labels", text);
-    let found = document::check_whole(&others, &candidate).unwrap_err();
+    let found = document::check_document(&others, &candidate).unwrap_err();
     assert_eq!(found.to_string(), faults);
 }
 
 #[test]
-fn names_and_claims_that_fit_are_taken() {
-    let others = [section("fleet", ENGINES)];
+fn consistent_names_and_claims_are_accepted() {
+    // The checks must not be too strict: references to other sections and claims that the fleet can
+    // just meet are valid, and a section does not conflict with its own previous version.
+    let others = [section("fleet", FLEET_SECTION)];
     let text = r#"{"models": {"k": {}}, "customers": {"d": {"models": ["m", "k"]}},
         "claims": {"m": {"engines": 1}, "n": {"engines": 1}}}"#;
-    assert_eq!(document::check_whole(&others, &section("labels", text)), Ok(()));
-    assert_eq!(document::check_whole(&others, &section("fleet", ENGINES)), Ok(()));
+    assert_eq!(document::check_document(&others, &section("labels", text)), Ok(()));
+    assert_eq!(document::check_document(&others, &section("fleet", FLEET_SECTION)), Ok(()));
 }
 
 #[test]
-fn a_name_that_another_team_needs_is_not_removed() {
-    let others =
-        [section("fleet", ENGINES), section("labels", r#"{"claims": {"m": {"engines": 1}}}"#)];
+fn a_name_that_another_team_references_cannot_be_removed() {
+    // The removal would leave a dangling reference in the section of the other team.
+    let others = [
+        section("fleet", FLEET_SECTION),
+        section("labels", r#"{"claims": {"m": {"engines": 1}}}"#),
+    ];
     let text = r#"{"models": {"n": {}}}"#;
-    let faults = document::check_whole(&others, &section("fleet", text)).unwrap_err();
+    let faults = document::check_document(&others, &section("fleet", text)).unwrap_err();
     assert_eq!(
         faults.to_string(),
         "/models/m: is needed by team labels at /claims/m\n/upstreams: claims of 1 engines for m are above the 0"
@@ -86,15 +94,18 @@
 }
 
 #[test]
-fn of_two_operators_that_race_one_wins_and_the_other_sees_what_changed() {
-    // Both operators edit version 1. The first put makes version 2; the second is refused, and
-    // its operator is shown the first one's change. Nothing of the second is stored.
-    let table = Table::default();
-    finish(document::store(&table, &put("a", 0, "p0", r#"{"models": {"m": {}}}"#))).unwrap();
-    finish(document::store(&table, &put("a", 1, "p1", r#"{"models": {"m": {"max_tokens": 9}}}"#)))
-        .unwrap();
-    let lost = finish(document::store(&table, &put("a", 1, "p2", "{}"))).unwrap_err();
-    let document::Refusal::Raced { version, changes } = lost else { panic!("{lost}") };
+fn a_conflicting_put_is_refused_with_the_differences() {
+    // Two operators edit version 1. The first put creates version 2. The second put must be refused
+    // with the differences that the first one made, and nothing of it may be stored.
+    let table = FakeTable::default();
+    block_on(document::store(&table, &put("a", 0, "p0", r#"{"models": {"m": {}}}"#))).unwrap();
+    block_on(document::store(
+        &table,
+        &put("a", 1, "p1", r#"{"models": {"m": {"max_tokens": 9}}}"#),
+    ))
+    .unwrap();
+    let error = block_on(document::store(&table, &put("a", 1, "p2", "{}"))).unwrap_err();
+    let document::StoreError::Conflict { version, changes } = error else { panic!("{error}") };
     assert_eq!(version, id::Version(2));
     let changes: Vec<_> = changes.iter().map(ToString::to_string).collect();
     assert_eq!(changes, ["+ /models/m/max_tokens: 9"]);
@@ -105,59 +116,66 @@
 #[case::effect_without_answer(Fault::LoseAnswer)]
 #[case::effect_after_the_answer_was_lost(Fault::Delay)]
 fn a_put_whose_answer_was_lost_is_stored_once(#[case] fault: Fault) {
-    // The table takes the put and its answer is lost, or the put takes effect only later. The
-    // operator is told version 1 in the end, and the history has one row.
-    let table = Table::default();
+    // The answer of the table is lost after the put took effect, or the put takes effect only
+    // later. The operator must get version 1 in both cases, and the history must have a single row.
+    let table = FakeTable::default();
     table.fail_next(fault);
-    let version = finish(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
-    table.settle();
+    let version = block_on(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
+    table.apply_delayed();
     assert_eq!(version, id::Version(1));
     assert_eq!(table.rows("history/a/").len(), 1);
-    let again = finish(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
-    assert_eq!(again, id::Version(1), "the same put asked again");
+    let retried = block_on(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
+    assert_eq!(retried, id::Version(1), "the same put is retried");
     assert_eq!(table.commits(), 1);
 }
 
 #[test]
-fn a_lost_put_is_found_though_another_team_wrote_after_it() {
-    // The answer to the first put is lost and the operator's program asks again later, when
-    // another version stands in the row: it is told its own version from the history.
-    let table = Table::default();
-    finish(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
-    finish(document::store(&table, &put("a", 1, "p1", r#"{"models": {"m": {}}}"#))).unwrap();
-    let again = finish(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
-    assert_eq!(again, id::Version(1));
+fn a_retried_put_is_recognized_after_a_later_version() {
+    // The answer to a put is lost, and the operator's program retries it after a later version has
+    // been stored. It must get the version of its own put, which is found in the history.
+    let table = FakeTable::default();
+    block_on(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
+    block_on(document::store(&table, &put("a", 1, "p1", r#"{"models": {"m": {}}}"#))).unwrap();
+    let retried = block_on(document::store(&table, &put("a", 0, "p0", "{}"))).unwrap();
+    assert_eq!(retried, id::Version(1));
     assert_eq!(table.rows("history/a/").len(), 2);
 }
 
 #[test]
-fn two_teams_that_add_one_name_at_once_cannot_both_have_it() {
-    // Both puts are checked against a document without the name. The table takes the first; the
-    // second finds the head changed, checks anew, and is refused by pointer.
-    let table = Table::default();
-    let texts = r#"{"models": {"m": {}}}"#;
-    let (first, second) = (put("a", 0, "p0", texts), put("b", 0, "p1", texts));
+fn concurrent_puts_of_two_teams_cannot_define_the_same_name() {
+    // Two concurrent puts are both validated against a document without the name. The table accepts
+    // the first one. The second conflicts on the head row, is validated again, and must be refused.
+    let table = FakeTable::default();
+    let text = r#"{"models": {"m": {}}}"#;
+    let (first, second) = (put("a", 0, "p0", text), put("b", 0, "p1", text));
     let mut first = Box::pin(document::store(&table, &first));
     let mut second = Box::pin(document::store(&table, &second));
     let (mut one, mut two) = (None, None);
     while one.is_none() || two.is_none() {
-        one = one.or_else(|| control::poll_once(first.as_mut()));
-        two = two.or_else(|| control::poll_once(second.as_mut()));
+        one = one.or_else(|| fake_table::poll_once(first.as_mut()));
+        two = two.or_else(|| fake_table::poll_once(second.as_mut()));
     }
     assert_eq!(one, Some(Ok(id::Version(1))));
-    let Some(Err(document::Refusal::Faulty(faults))) = two else { panic!("{two:?}") };
+    let Some(Err(document::StoreError::Invalid(faults))) = two else { panic!("{two:?}") };
     assert_eq!(faults.to_string(), "/models/m: belongs to the section of team a");
 }
 
-/// A host that may dispatch under a key for longer than the key's row is kept lets the call run
-/// twice. The longest deadline, an hour of writing after it and an hour for a host that sleeps are
-/// together the least retention that a site may set.
+/// A host that can dispatch a call under an idempotency key for longer than the row of the key is
+/// retained may run the call twice. The shortest configurable retention is 24 hours. The row may be
+/// written until one hour after the deadline, and one more hour is left for a suspended host or a
+/// late commit, so the longest deadline is 22 hours.
 #[rstest]
 #[case(79_200_000, true)]
 #[case(79_200_001, false)]
-fn a_deadline_ends_well_before_its_keys_retention(#[case] millis: u64, #[case] fits: bool) {
+fn the_maximum_deadline_is_bounded_by_the_retention_of_keys(
+    #[case] millis: u64,
+    #[case] is_valid: bool,
+) {
     let text = format!(r#"{{"customers": {{"c": {{"max_deadline_ms": {millis}}}}}}}"#);
     let parsed = document::Section::parse(id::Team::from("labels"), id::Version(1), &text);
     let fault = "/customers/c/max_deadline_ms: 79200001 is not within 1 to 79200000";
-    assert_eq!(parsed.err().map(|faults| faults.to_string()), (!fits).then(|| fault.to_owned()));
+    assert_eq!(
+        parsed.err().map(|faults| faults.to_string()),
+        (!is_valid).then(|| fault.to_owned())
+    );
 }
--- a/crates/lagoonline/tests/control_ledger.rs
+++ b/crates/lagoonline/tests/control_ledger.rs
@@ -1,10 +1,10 @@
-//! The idle ledger: every millisecond to one account, each interval once.
+//! Usage accounting: every millisecond is attributed once, and every interval is counted once.
 
-mod control;
+mod fake_table;
 
 use std::collections;
 
-use control::{Fault, Table, finish};
+use fake_table::{FakeTable, Fault, block_on};
 use lagoonline::control::document;
 use lagoonline::control::ledger;
 use lagoonline::id;
@@ -28,32 +28,33 @@
 }
 
 #[test]
-fn each_claim_gets_an_engine_and_the_rest_is_the_owners() {
-    // Two teams claim one engine of model m each, and only e1 and e2 serve it. e3 is held by no
-    // claim, so its idle time is its owner's.
-    let accounts = ledger::accounts(&fleet());
-    let claimant = |name: &str| accounts[name].claimant.as_str().to_owned();
+fn claims_get_engines_and_other_engines_are_charged_to_their_owner() {
+    // Two teams claim one engine each for model m, which only e1 and e2 serve. No claim holds e3,
+    // so its idle time must be charged to its owner.
+    let attributions = ledger::attributions(&fleet());
+    let claimant = |name: &str| attributions[name].claimant.as_str().to_owned();
     let held: collections::BTreeSet<_> = [claimant("e1"), claimant("e2")].into();
     assert_eq!(held, ["other".to_owned(), "owner".to_owned()].into());
     assert_eq!(claimant("e3"), "");
-    assert_eq!(accounts["e3"].owner.as_str(), "owner");
+    assert_eq!(attributions["e3"].owner.as_str(), "owner");
 }
 
 #[test]
 fn a_row_written_again_after_a_lost_answer_counts_once() {
-    let table = Table::default();
+    // The first write took effect although its answer was lost; the retry must not add to it.
+    let table = FakeTable::default();
     let upstream = id::Upstream::from("e");
     let row = ledger::Row { interval: 7, idle_ms: ledger::INTERVAL_MS, ..Default::default() };
     table.fail_next(Fault::LoseAnswer);
-    assert!(finish(ledger::write(&table, &upstream, &row)).is_err());
-    finish(ledger::write(&table, &upstream, &row)).unwrap();
+    assert!(block_on(ledger::write(&table, &upstream, &row)).is_err());
+    block_on(ledger::write(&table, &upstream, &row)).unwrap();
     assert_eq!(table.rows("usage/").len(), 1);
     assert_eq!(table.commits(), 1);
 }
 
 #[test]
 fn a_missing_interval_is_unobserved() {
-    // Nobody wrote intervals 2 and 3: their time is shown as unobserved, not left out.
+    // Intervals 2 and 3 have no rows. Their time must be reported as unobserved and not left out.
     let upstream = id::Upstream::from("e");
     let row =
         |interval| ledger::Row { interval, idle_ms: ledger::INTERVAL_MS, ..Default::default() };
@@ -65,27 +66,28 @@
 
 #[derive(Clone, Debug)]
 enum Transition {
-    /// Time goes on while the engine works for customers, in these shares.
+    /// Time passes while the engine works for customers with these weights.
     Work { millis: u64, weights: Vec<u64> },
-    /// Time goes on while it is idle.
+    /// Time passes while the engine is idle.
     Idle(u64),
-    /// Time goes on and nobody looks.
-    Gap(u64),
+    /// Time passes while the engine is not observed.
+    Unobserved(u64),
     /// The wall clock is set back.
-    Back(u64),
-    /// Another steward observes it from now on; the first one's open interval is lost.
-    Move,
-    /// Finished rows are written; answers may be lost.
-    Write { lost: bool },
+    SetClockBack(u64),
+    /// Another steward takes over metering the engine; the open interval of the first one is lost.
+    ChangeObserver,
+    /// Finished rows are written; the first answer may be lost.
+    Write { loses_answer: bool },
 }
 
-/// The oracle: the wall time, and what a simple sum of the spans gives.
+/// Reference model: the current wall clock time and the highest one so far.
 #[derive(Clone, Debug, Default)]
 struct Reference {
     wall_ms: u64,
     highest_ms: u64,
 }
 
+/// Wall clock time at the start, in the middle of an interval.
 const START_MS: u64 = 1_000 * ledger::INTERVAL_MS + 12_345;
 
 impl ReferenceStateMachine for Reference {
@@ -102,10 +104,10 @@
             4 => (millis(), prop::collection::vec(0_u64..1_000, 0..4))
                 .prop_map(|(millis, weights)| Transition::Work { millis, weights }),
             4 => millis().prop_map(Transition::Idle),
-            1 => millis().prop_map(Transition::Gap),
-            1 => (1_u64..5_000).prop_map(Transition::Back),
-            1 => Just(Transition::Move),
-            2 => any::<bool>().prop_map(|lost| Transition::Write { lost }),
+            1 => millis().prop_map(Transition::Unobserved),
+            1 => (1_u64..5_000).prop_map(Transition::SetClockBack),
+            1 => Just(Transition::ChangeObserver),
+            2 => any::<bool>().prop_map(|loses_answer| Transition::Write { loses_answer }),
         ]
         .boxed()
     }
@@ -114,11 +116,11 @@
         match transition {
             Transition::Work { millis, .. }
             | Transition::Idle(millis)
-            | Transition::Gap(millis) => {
+            | Transition::Unobserved(millis) => {
                 state.wall_ms += millis;
             }
-            Transition::Back(millis) => state.wall_ms -= millis,
-            Transition::Move | Transition::Write { .. } => {}
+            Transition::SetClockBack(millis) => state.wall_ms -= millis,
+            Transition::ChangeObserver | Transition::Write { .. } => {}
         }
         state.highest_ms = state.highest_ms.max(state.wall_ms);
         state
@@ -126,7 +128,7 @@
 }
 
 struct System {
-    table: Table,
+    table: FakeTable,
     meter: ledger::Meter,
     wall_ms: u64,
     pending: Vec<ledger::Row>,
@@ -139,19 +141,20 @@
         self.meter.advance(self.wall_ms, activity);
     }
 
-    fn write(&mut self, lost: bool) {
-        self.pending.extend(self.meter.take());
-        if lost && !self.pending.is_empty() {
+    fn write(&mut self, loses_answer: bool) {
+        self.pending.extend(self.meter.take_finished());
+        if loses_answer && !self.pending.is_empty() {
             self.table.fail_next(Fault::LoseAnswer);
         }
         let (table, upstream) = (self.table.clone(), self.upstream.clone());
-        // Those whose answers were lost are written again.
+        // Rows whose answers were lost are written again.
         while !self.pending.is_empty() {
-            self.pending.retain(|row| finish(ledger::write(&table, &upstream, row)).is_err());
+            self.pending.retain(|row| block_on(ledger::write(&table, &upstream, row)).is_err());
         }
     }
 }
 
+/// State machine test of [`System`].
 struct Test;
 
 impl StateMachineTest for Test {
@@ -160,7 +163,7 @@
 
     fn init_test(_: &Reference) -> System {
         System {
-            table: Table::default(),
+            table: FakeTable::default(),
             meter: ledger::Meter::new(START_MS),
             wall_ms: START_MS,
             pending: Vec::new(),
@@ -179,13 +182,13 @@
                 system.advance(millis, &ledger::Activity::Working(shares));
             }
             Transition::Idle(millis) => system.advance(millis, &ledger::Activity::Idle),
-            Transition::Gap(millis) => system.advance(millis, &ledger::Activity::Unobserved),
-            Transition::Back(millis) => system.wall_ms -= millis,
-            Transition::Move => {
+            Transition::Unobserved(millis) => system.advance(millis, &ledger::Activity::Unobserved),
+            Transition::SetClockBack(millis) => system.wall_ms -= millis,
+            Transition::ChangeObserver => {
                 system.write(false);
                 system.meter = ledger::Meter::new(system.wall_ms);
             }
-            Transition::Write { lost } => system.write(lost),
+            Transition::Write { loses_answer } => system.write(loses_answer),
         }
         system
     }
@@ -198,7 +201,10 @@
             assert_eq!(row.version, 1, "an interval was written twice");
             let row: ledger::Row = serde_json::from_str(&row.value).unwrap();
             assert_eq!(row.total_ms(), ledger::INTERVAL_MS, "{row:?}");
-            assert!(row.interval * ledger::INTERVAL_MS < reference.highest_ms, "from the future");
+            assert!(
+                row.interval * ledger::INTERVAL_MS < reference.highest_ms,
+                "row of an interval that has not begun"
+            );
             parsed.push(row);
         }
         for grouping in [ledger::Grouping::Team, ledger::Grouping::Customer, ledger::Grouping::Day]
@@ -223,8 +229,9 @@
         ..ProptestConfig::default()
     })]
 
-    // An engine works, idles, is not seen; the clock is set back; observers change; answers are
-    // lost. Every row adds up to its wall time, and the report to that of all intervals.
+    // An engine works, is idle or is not observed, the wall clock is set back, observers change and
+    // answers are lost. Every row must add up to the length of its interval, and a report to the
+    // total length of all its intervals.
     #[test]
-    fn seconds_are_conserved(sequential 20..100 => Test);
+    fn rows_and_reports_add_up_to_the_wall_time(sequential 20..100 => Test);
 }
--- a/crates/lagoonline/tests/control/mod.rs
+++ b/crates/lagoonline/tests/fake_table/mod.rs
@@ -1,6 +1,6 @@
-//! A table service in memory with the faults of the real one, for the control tests.
+//! In-memory table service with fault injection, shared by the control plane tests.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses a different part")]
 
 use std::cell;
 use std::collections;
@@ -11,65 +11,65 @@
 
 use lagoonline::port::table;
 
-/// What happens to the next commits.
+/// Fault that is injected into a commit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// It takes effect and its answer is lost.
+    /// The commit takes effect, but its answer is lost.
     LoseAnswer,
-    /// Its answer is lost at once; it takes effect when [`Table::settle`] is called.
+    /// The answer is lost; the commit takes effect later, by [`FakeTable::apply_delayed`].
     Delay,
-    /// It is refused: nothing is written.
+    /// The commit is refused and nothing is written.
     Refuse,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     rows: collections::BTreeMap<String, table::Row>,
-    down: bool,
+    unavailable: bool,
     faults: collections::VecDeque<Fault>,
     delayed: Vec<table::Transaction>,
     commits: usize,
 }
 
-/// Rows in memory; clones share them. Every call first yields once, so that polls of several
-/// callers interleave.
+/// Table service with rows in memory, which clones share. Every call first yields once, so that
+/// the steps of concurrent callers interleave.
 #[derive(Clone, Debug, Default)]
-pub struct Table {
+pub struct FakeTable {
     inner: rc::Rc<cell::RefCell<Inner>>,
 }
 
-impl Table {
-    /// Makes the next commit that reaches the table fail so.
+impl FakeTable {
+    /// Queues a fault for the next commit that reaches the table.
     pub fn fail_next(&self, fault: Fault) {
         self.inner.borrow_mut().faults.push_back(fault);
     }
 
-    /// Starts or ends an outage.
-    pub fn set_down(&self, down: bool) {
-        self.inner.borrow_mut().down = down;
+    /// Starts or ends an outage, during which every call is refused.
+    pub fn set_unavailable(&self, unavailable: bool) {
+        self.inner.borrow_mut().unavailable = unavailable;
     }
 
-    /// Lets delayed commits take effect, as far as their checks hold.
-    pub fn settle(&self) {
+    /// Applies the delayed commits whose checks still hold.
+    pub fn apply_delayed(&self) {
         let delayed = std::mem::take(&mut self.inner.borrow_mut().delayed);
         for transaction in delayed {
             let _ = self.inner.borrow_mut().apply(&transaction);
         }
     }
 
-    /// All rows whose key starts with `prefix`.
+    /// Returns all rows whose key starts with `prefix`.
     pub fn rows(&self, prefix: &str) -> Vec<table::Row> {
         let inner = self.inner.borrow();
         inner.rows.values().filter(|row| row.key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Commits that took effect.
+    /// Returns the number of commits that took effect.
     pub fn commits(&self) -> usize {
         self.inner.borrow().commits
     }
 
-    fn check_up(&self) -> Result<(), table::Error> {
-        if self.inner.borrow().down {
+    fn check_available(&self) -> Result<(), table::Error> {
+        if self.inner.borrow().unavailable {
             return Err(refused());
         }
         Ok(())
@@ -77,11 +77,11 @@
 }
 
 fn refused() -> table::Error {
-    table::Error::Refused { step: "call", peer: "fake".to_owned(), why: "out".to_owned() }
+    table::Error::Refused { step: "call", peer: "fake".to_owned(), why: "unavailable".to_owned() }
 }
 
 fn unknown() -> table::Error {
-    table::Error::Unknown { step: "commit", peer: "fake".to_owned(), why: "lost".to_owned() }
+    table::Error::Unknown { step: "commit", peer: "fake".to_owned(), why: "answer lost".to_owned() }
 }
 
 impl Inner {
@@ -89,7 +89,7 @@
         self.rows.get(key).map_or(0, |row| row.version)
     }
 
-    fn take(&mut self, transaction: table::Transaction) -> Result<Vec<u64>, table::Error> {
+    fn commit(&mut self, transaction: table::Transaction) -> Result<Vec<u64>, table::Error> {
         match self.faults.pop_front() {
             None => self.apply(&transaction),
             Some(Fault::Refuse) => Err(refused()),
@@ -129,7 +129,7 @@
     }
 }
 
-/// Is pending at its first poll.
+/// Future that is pending at its first poll and ready at the second.
 #[derive(Default)]
 struct Yield {
     yielded: bool,
@@ -147,10 +147,10 @@
     }
 }
 
-impl table::Table for Table {
+impl table::Table for FakeTable {
     async fn read(&self, key: &str) -> Result<Option<table::Row>, table::Error> {
         Yield::default().await;
-        self.check_up()?;
+        self.check_available()?;
         Ok(self.inner.borrow().rows.get(key).cloned())
     }
 
@@ -161,23 +161,23 @@
         limit: usize,
     ) -> Result<Vec<table::Row>, table::Error> {
         Yield::default().await;
-        self.check_up()?;
+        self.check_available()?;
         let rows = self.rows(prefix).into_iter().filter(|row| row.key.as_str() > after);
         Ok(rows.take(limit).collect())
     }
 
     async fn commit(&self, transaction: table::Transaction) -> Result<Vec<u64>, table::Error> {
         Yield::default().await;
-        self.check_up()?;
-        let answer = self.inner.borrow_mut().take(transaction);
-        // The answer is on its way for a while.
+        self.check_available()?;
+        let answer = self.inner.borrow_mut().commit(transaction);
+        // The answer is in transit.
         Yield::default().await;
         answer
     }
 }
 
-/// Polls a future to its end; it may only wait for a [`Table`].
-pub fn finish<F>(future: F) -> F::Output
+/// Polls a future to completion; it must not wait for anything but a [`FakeTable`].
+pub fn block_on<F>(future: F) -> F::Output
 where
     F: future::Future,
 {
--- a/crates/lagoonline/tests/life_drain.rs
+++ b/crates/lagoonline/tests/life_drain.rs
@@ -1,13 +1,13 @@
-//! An entry host's shutdown, step by step.
+//! Graceful shutdown of an entry host.
 
 use lagoonline::clock::{Moment, Span};
-use lagoonline::life::drain::{Drain, Settings, State};
+use lagoonline::lifecycle::drain::{Drain, Settings, State};
 use rstest::rstest;
 
 const UNREADY: Span = Span::from_secs(3);
 const GRACE: Span = Span::from_secs(100);
-const CUT: State = State::Ended { cut: true };
-const CLEAN: State = State::Ended { cut: false };
+const INTERRUPTED: State = State::Ended { interrupted: true };
+const COMPLETED: State = State::Ended { interrupted: false };
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
@@ -15,20 +15,20 @@
     Signal,
 }
 
-/// After the first signal, with two requests under way, a host is not ready, closes connections
-/// after their answers, and then:
+/// After the first signal, with two requests in flight, a host reports not ready and closes
+/// connections after their answers. Then:
 ///
-/// - the balancer goes on sending for two probes; callers that it sends are served as before, and
-///   nobody is reset or refused;
-/// - a caller that reads a long stream gets it to its end; only then does the process exit;
-/// - a second signal ends it, with a clear failure to callers still served, and so does the limit,
-///   also where the host was never ticked between; what comes later changes nothing.
+/// - the load balancer keeps sending for two probes, and its requests are served as before instead
+///   of being reset or refused;
+/// - a caller that reads a long stream receives it completely before the process exits;
+/// - a second signal ends the shutdown with a clear error to callers still being served, and so
+///   does the time limit, even if `tick` was not called in between; later events change nothing.
 #[rstest]
 #[case::balancer(&[(2_999, Event::Tick, 0, State::Unready), (3_000, Event::Tick, 2, State::Draining)])]
-#[case::stream(&[(99_999, Event::Tick, 1, State::Draining), (99_999, Event::Tick, 0, CLEAN)])]
-#[case::insisted(&[(10, Event::Signal, 2, CUT), (20, Event::Signal, 9, CUT), (30, Event::Tick, 9, CUT)])]
-#[case::insisted_idle(&[(10, Event::Signal, 0, CLEAN), (20, Event::Signal, 9, CLEAN), (30, Event::Tick, 9, CLEAN)])]
-#[case::limit(&[(100_000, Event::Tick, 1, CUT)])]
+#[case::stream(&[(99_999, Event::Tick, 1, State::Draining), (99_999, Event::Tick, 0, COMPLETED)])]
+#[case::second_signal(&[(10, Event::Signal, 2, INTERRUPTED), (20, Event::Signal, 9, INTERRUPTED), (30, Event::Tick, 9, INTERRUPTED)])]
+#[case::second_signal_idle(&[(10, Event::Signal, 0, COMPLETED), (20, Event::Signal, 9, COMPLETED), (30, Event::Tick, 9, COMPLETED)])]
+#[case::limit(&[(100_000, Event::Tick, 1, INTERRUPTED)])]
 fn drains(#[case] events: &[(u64, Event, usize, State)]) {
     let mut drain = Drain::new(Settings { unready: UNREADY, grace: GRACE });
     assert!(drain.is_ready() && drain.accepts() && !drain.closes_connections());
@@ -45,9 +45,10 @@
     }
 }
 
-/// A host that was told nothing serves for ever.
+/// A host that gets no signal keeps serving.
 #[test]
 fn serves_without_a_signal() {
     let mut drain = Drain::default();
+    // Far in the future, but without an overflow in `from_millis`.
     assert_eq!(drain.tick(Moment::from_millis(u64::MAX / 2_000), 0), State::Serving);
 }
--- a/crates/lagoonline/tests/life_fuzz/main.rs
+++ b/crates/lagoonline/tests/life_fuzz/main.rs
@@ -1,6 +1,6 @@
 //! Stateful fuzzing of claims, engine memory, leaving marks and streams against simple oracles.
 //!
-//! `LAGOON_FUZZ_CASES` and `LAGOON_FUZZ_SEED` change the number of cases and the seed.
+//! `LAGOON_FUZZ_CASES` and `LAGOON_FUZZ_SEED` override the number of cases and the seed.
 
 mod machine;
 mod marks;
@@ -15,7 +15,7 @@
 use std::cell::Cell;
 use std::{env, fmt, marker, ops};
 
-use lagoonline::life::safeguard::{Safeguard, Set};
+use lagoonline::lifecycle::safeguard::{Safeguard, Set};
 use proptest::strategy::{BoxedStrategy, Just, Strategy};
 use proptest::test_runner;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
@@ -24,7 +24,7 @@
 const SEED: u64 = 20_261_202;
 const CLAIM_STEPS: ops::Range<usize> = 20..80;
 const OTHER_STEPS: ops::Range<usize> = 20..120;
-/// Cases within which the absence of a safeguard must be noticed.
+/// Number of cases within which a missing safeguard must be detected.
 const MUTANT_CASES: u32 = 6_000;
 const MUTANT_SHRINKS: u32 = 200;
 
@@ -33,7 +33,7 @@
     static SAFEGUARDS: Cell<Set> = Cell::new(Set::default());
 }
 
-/// The safeguards of this test.
+/// Returns the safeguards in force in this test.
 fn safeguards() -> Set {
     SAFEGUARDS.get()
 }
@@ -42,13 +42,13 @@
     STEPS.set(STEPS.get() + 1);
 }
 
-/// What a machine's steps are drawn from.
+/// A set of steps for a state machine.
 pub trait Steps: Clone + fmt::Debug + 'static {
-    /// One step of any kind.
+    /// Strategy that generates one step of any kind.
     fn steps() -> BoxedStrategy<Self>;
 }
 
-/// Steps in any order: the oracles, not a reference state, say what holds.
+/// Runs steps in any order. There is no reference state; the oracles check the results.
 pub struct Script<S>(marker::PhantomData<S>);
 
 impl<S> ReferenceStateMachine for Script<S>
@@ -69,7 +69,7 @@
     fn apply((): (), _: &S) {}
 }
 
-fn number<N>(name: &str, default: N) -> N
+fn env_number<N>(name: &str, default: N) -> N
 where
     N: std::str::FromStr,
 {
@@ -85,7 +85,7 @@
         cases,
         failure_persistence: None,
         max_shrink_iters: shrinks,
-        rng_seed: test_runner::RngSeed::Fixed(number("LAGOON_FUZZ_SEED", SEED)),
+        rng_seed: test_runner::RngSeed::Fixed(env_number("LAGOON_FUZZ_SEED", SEED)),
         ..test_runner::Config::default()
     };
     let mut runner = test_runner::TestRunner::new(config.clone());
@@ -98,42 +98,46 @@
     result.map_err(|error| error.to_string())
 }
 
-/// Whether all `usual` cases, or as many as were asked for, were run.
-fn holds<M, S>(usual: u32, steps: ops::Range<usize>) -> bool
+/// Runs `default_cases` cases, or the number given by the environment; returns whether at least
+/// `default_cases` were run.
+fn run_cases<M, S>(default_cases: u32, steps: ops::Range<usize>) -> bool
 where
     M: StateMachineTest<Reference = Script<S>>,
     S: Steps,
 {
-    let cases = number("LAGOON_FUZZ_CASES", usual);
+    let cases = env_number("LAGOON_FUZZ_CASES", default_cases);
     assert_eq!(run::<M, S>(cases, 2_000, steps), Ok(()));
-    assert!(cases < usual || STEPS.get() >= 10_000, "{} steps", STEPS.get());
-    cases >= usual
+    assert!(cases < default_cases || STEPS.get() >= 10_000, "only {} steps were run", STEPS.get());
+    cases >= default_cases
 }
 
 #[test]
 fn claims_hold_under_faults() {
-    let is_full = holds::<machine::Machine, _>(500, CLAIM_STEPS);
+    let is_full = run_cases::<machine::Machine, _>(500, CLAIM_STEPS);
     let tally = machine::tally();
-    assert!(!is_full || tally.ran > 500 && tally.replayed > 50, "{tally:?}");
+    assert!(
+        !is_full || tally.ran > 500 && tally.replayed > 50,
+        "too few calls ran or were replayed: {tally:?}"
+    );
 }
 
 #[test]
-fn memory_returns() {
-    holds::<memory::Machine, _>(300, OTHER_STEPS);
+fn memory_is_returned() {
+    run_cases::<memory::Machine, _>(300, OTHER_STEPS);
 }
 
 #[test]
 fn leaving_upstreams_get_nothing_new() {
-    holds::<marks::Machine, _>(300, OTHER_STEPS);
+    run_cases::<marks::Machine, _>(300, OTHER_STEPS);
 }
 
 #[test]
 fn streams_are_whole() {
-    holds::<streams::Machine, _>(300, OTHER_STEPS);
+    run_cases::<streams::Machine, _>(300, OTHER_STEPS);
 }
 
 #[rstest]
-fn oracle_notices_absent(
+fn oracle_notices_absent_safeguard(
     #[values(
         Safeguard::VersionCheck,
         Safeguard::ReadBack,
@@ -147,7 +151,7 @@
         Safeguard::Settle,
         Safeguard::CancelRepeat,
         Safeguard::OwnerSilence,
-        Safeguard::CutOffSweeper,
+        Safeguard::CutOffReaper,
         Safeguard::UnsureOwner,
         Safeguard::StaleMark
     )]
@@ -157,7 +161,7 @@
     let result = match missing {
         Safeguard::CancelRepeat
         | Safeguard::OwnerSilence
-        | Safeguard::CutOffSweeper
+        | Safeguard::CutOffReaper
         | Safeguard::UnsureOwner => {
             run::<memory::Machine, _>(MUTANT_CASES, MUTANT_SHRINKS, OTHER_STEPS)
         }
@@ -167,11 +171,12 @@
     assert!(result.is_err(), "no case noticed that {missing:?} was missing");
 }
 
-/// The checker's safeguards are its single checks: each is left out by the consumer in turn.
+/// The checks of the stream checker are safeguards, too. The consumer ignores one of them at a time,
+/// and the oracle must detect it; only `AfterEnd` is never ignored.
 #[rstest]
-fn oracle_notices_ignored(
+fn oracle_notices_ignored_check(
     #[values(
-        streams::Ignore::Crossed,
+        streams::Ignore::WrongAttempt,
         streams::Ignore::Repeated,
         streams::Ignore::Gap,
         streams::Ignore::Count
@@ -180,5 +185,5 @@
 ) {
     streams::ignore(ignore);
     let result = run::<streams::Machine, _>(MUTANT_CASES, MUTANT_SHRINKS, OTHER_STEPS);
-    assert!(result.is_err(), "{ignore:?} was not missed");
+    assert!(result.is_err(), "no case noticed that {ignore:?} was ignored");
 }
--- a/crates/lagoonline/tests/life_fuzz/scenarios.rs
+++ b/crates/lagoonline/tests/life_fuzz/scenarios.rs
@@ -1,4 +1,4 @@
-//! Single histories of a key, step by step.
+//! Specific sequences of events on a single key.
 
 use std::future::Future;
 use std::pin::pin;
@@ -7,9 +7,9 @@
 use bytes::Bytes;
 use futures_util::task::noop_waker;
 use lagoonline::clock::{self, Span};
-use lagoonline::life::{claim, request};
+use lagoonline::lifecycle::{claim, request};
 use lagoonline::outcome::{Outcome, Reason};
-use lagoonline::{id, life};
+use lagoonline::{id, lifecycle};
 
 use super::platform::{Fault, Platform};
 
@@ -29,15 +29,16 @@
 }
 
 fn claims(platform: &Platform, clock: &clock::Fake) -> Claims {
+    // Longer answers are stored as objects.
     let settings = claim::Settings { inline_bytes: 8, ..claim::Settings::default() };
     claim::Claims::new(platform.clone(), platform.clone(), clock.clone(), settings)
 }
 
-fn ask(token: u128, repeat: request::Repeat) -> claim::Ask {
-    claim::Ask {
+fn keyed_request(token: u128, repeat: request::Repeat) -> claim::Request {
+    claim::Request {
         customer: id::Customer::from("crew"),
         key: "pickup-7".into(),
-        body: claim::body_hash("POST", "/book", b"tins"),
+        request_hash: claim::request_hash("POST", "/book", b"tins"),
         repeat,
         token: id::Attempt(token),
         upstream: id::Upstream::from("engine-3"),
@@ -53,85 +54,86 @@
     }
 }
 
-/// A caller loses its entry host in the middle of a long answer and asks again elsewhere with the
-/// same key. The row tells the new host the engine and the attempt to resume there; and if the
-/// stream is gone, the new host takes the claim, and the old one's writes no longer count.
+/// A caller loses its entry host in the middle of a long answer and retries at another host with
+/// the same key. The row must tell the new host which engine and attempt to resume; if the stream
+/// is gone, the new host takes over the claim, and writes of the old host have no effect any more.
 #[test]
 fn a_running_stream_is_found_by_its_key() {
     let (platform, clock) = (Platform::default(), clock::Fake::default());
     let claims = claims(&platform, &clock);
     let allowed = request::Repeat::Allowed;
-    let first = ticket(wait(claims.begin(ask(1, allowed)))).dispatch(clock::Moment::START);
-    let Ok(claim::Begin::Running(running)) = wait(claims.begin(ask(2, allowed))) else {
+    let first =
+        ticket(wait(claims.begin(keyed_request(1, allowed)))).dispatch(clock::Moment::START);
+    let Ok(claim::Begin::Running(running)) = wait(claims.begin(keyed_request(2, allowed))) else {
         panic!("it runs");
     };
     assert_eq!((running.attempt, running.upstream.as_str()), (id::Attempt(1), "engine-3"));
-    let mut second = ticket(wait(claims.take_over(ask(3, allowed), &running)));
+    let mut second = ticket(wait(claims.take_over(keyed_request(3, allowed), &running)));
     wait(claims.retarget(&mut second, id::Upstream::from("engine-4"), id::Attempt(9)));
-    wait(claims.lose(first.expect("in time")));
-    let Ok(claim::Begin::Running(running)) = wait(claims.begin(ask(4, allowed))) else {
+    wait(claims.mark_unknown(first.expect("in time")));
+    let Ok(claim::Begin::Running(running)) = wait(claims.begin(keyed_request(4, allowed))) else {
         panic!("it runs");
     };
     assert_eq!((running.attempt, running.upstream.as_str()), (id::Attempt(9), "engine-4"));
 }
 
-/// A call ran and its caller has the answer, but the platform is down when it is to be stored.
-/// The next caller with the key hears `unknown`, never a second run; once the store is back, it
-/// gets the whole answer.
+/// A call ran and its caller has the answer, but the platform is down when the answer is to be
+/// stored. The next request with the key must get `unknown` instead of running again, and the
+/// complete answer once it has been stored.
 #[test]
 fn an_unstored_answer_is_unknown_until_it_is_stored() {
     let (platform, clock) = (Platform::default(), clock::Fake::default());
     let claims = claims(&platform, &clock);
     let never = request::Repeat::Never;
-    let sent = ticket(wait(claims.begin(ask(1, never)))).dispatch(clock::Moment::START);
+    let sent = ticket(wait(claims.begin(keyed_request(1, never)))).dispatch(clock::Moment::START);
     let body = Bytes::from_static(b"booked for Nausori");
     let answer = claim::Answer { status: 201, content_type: "text/plain".into(), body };
     platform.set_down(true);
     let unstored = wait(claims.finish(sent.expect("in time"), answer.clone()));
     let unstored = unstored.expect_err("the platform is down");
     platform.set_down(false);
-    let refusal = wait(claims.begin(ask(2, never))).expect_err("it may have run").failure;
+    let refusal = wait(claims.begin(keyed_request(2, never))).expect_err("it may have run").failure;
     assert_eq!((refusal.reason, refusal.outcome), (Reason::EarlierUnknown, Outcome::Unknown));
     wait(claims.finish(unstored.sent, unstored.answer)).expect("the platform is back");
-    match wait(claims.begin(ask(3, never))) {
+    match wait(claims.begin(keyed_request(3, never))) {
         Ok(claim::Begin::Replay(replayed)) => assert_eq!(replayed, answer),
         other => panic!("no replay: {other:?}"),
     }
 }
 
-/// The platform answers none of the claim's commits, and the caller hears `not-run`. The commits
-/// land a second later; the host settles the row, so the caller's next try runs.
+/// The platform confirms none of the claim's commits, and the caller is told `not-run`. A delayed
+/// commit is applied later; the host must settle the row so that the caller's next retry can run.
 #[test]
 fn a_late_claim_does_not_hold_its_key() {
     let (platform, clock) = (Platform::default(), clock::Fake::default());
     let claims = claims(&platform, &clock);
     let never = request::Repeat::Never;
-    for fault in [Fault::Late, Fault::LoseRequest].repeat(3) {
-        platform.fault(fault);
+    for fault in [Fault::Delay, Fault::LoseRequest].repeat(3) {
+        platform.inject(fault);
     }
-    let refusal = wait(claims.begin(ask(1, never))).expect_err("no commit was answered");
+    let refusal = wait(claims.begin(keyed_request(1, never))).expect_err("no commit was answered");
     assert_eq!(refusal.failure.outcome, Outcome::NotRun);
     let abandoned = refusal.abandoned.expect("commits may land");
-    while platform.late() > 0 {
-        platform.land(0);
+    while platform.delayed_count() > 0 {
+        platform.apply_delayed(0);
     }
-    assert!(wait(claims.begin(ask(2, never))).is_err());
+    assert!(wait(claims.begin(keyed_request(2, never))).is_err());
     assert!(wait(claims.settle(&abandoned)));
-    ticket(wait(claims.begin(ask(3, never))));
+    ticket(wait(claims.begin(keyed_request(3, never))));
 }
 
-/// The sweep removes rows once their retention has ended and not before, page by page, one read
-/// and at most one write a step.
+/// The sweep must delete rows only after their retention has ended, batch by batch, with one read
+/// and at most one write per step.
 #[test]
 fn retention_ends_after_its_time() {
     let (platform, clock) = (Platform::default(), clock::Fake::default());
     let claims = claims(&platform, &clock);
     for (token, customer) in (1..).zip(["crew", "clerk", "planner"]) {
         let customer = id::Customer::from(customer);
-        let ask = claim::Ask { customer, ..ask(token, request::Repeat::Never) };
-        drop(ticket(wait(claims.begin(ask))));
+        let request = claim::Request { customer, ..keyed_request(token, request::Repeat::Never) };
+        drop(ticket(wait(claims.begin(request))));
     }
-    let settings = claim::Sweep { batch: 2, ..claim::Sweep::default() };
+    let settings = claim::SweepSettings { batch: 2, ..claim::SweepSettings::default() };
     let mut sweeper = claim::Sweeper::new(settings, claim::shard("pickup-7"));
     let day = u64::try_from(Span::from_secs(86_400).as_millis()).expect("small");
     let at = [(day, 0), (day, 0), (day + 1, 2), (day + 1, 1), (day + 1, 0)];
@@ -141,9 +143,9 @@
     assert!(platform.values().is_empty());
 }
 
-/// Two customers choose the same key; neither reads or blocks the other's.
+/// Two customers use the same key; neither may read or block the other's claim.
 #[test]
 fn a_key_belongs_to_its_customer() {
-    let key = |customer: &str| life::claim::row_key(&id::Customer::from(customer), "k");
+    let key = |customer: &str| lifecycle::claim::row_key(&id::Customer::from(customer), "k");
     assert_ne!(key("crew"), key("clerk"));
 }
--- a/crates/lagoonline/tests/life_fuzz/world.rs
+++ b/crates/lagoonline/tests/life_fuzz/world.rs
@@ -1,4 +1,4 @@
-//! Entry hosts as tasks that go on only when the fuzz says so.
+//! Entry hosts as tasks that make progress only when the test polls them.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,77 +10,78 @@
 use bytes::Bytes;
 use futures_util::task::noop_waker;
 use lagoonline::clock::{self, Clock as _};
-use lagoonline::life::{claim, request, safeguard};
+use lagoonline::lifecycle::{claim, request, safeguard};
 use lagoonline::{id, outcome};
 
-use super::platform::{Fault, Platform, pause};
-use super::upstream::{Failed, Upstream};
+use super::platform::{Fault, Platform, yield_once};
+use super::upstream::{CallError, Upstream};
 
 pub const HOSTS: usize = 3;
-/// After so many an undisturbed call has run, and its answer is not stored yet.
+/// Number of polls after which an undisturbed call has run but its answer is not stored yet.
 const POLLS: usize = 4;
 const DEADLINE: clock::Span = clock::Span::from_secs(10);
 
-/// What a caller sends.
+/// A call sent by a caller.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub number: u32,
     pub customer: u8,
     pub key: Option<u8>,
     pub body: u8,
-    pub never: bool,
+    pub at_most_once: bool,
 }
 
-/// What a caller heard.
+/// The answer that a caller received.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct Response {
     pub outcome: outcome::Outcome,
     pub answer: Option<Bytes>,
     pub replayed: bool,
 }
 
 /// One call at one entry host.
-pub struct Case {
+pub struct Exchange {
     pub call: Call,
     pub host: usize,
     pub deadline: clock::Moment,
-    pub told: RefCell<Option<Told>>,
+    pub response: RefCell<Option<Response>>,
 }
 
-impl Case {
-    /// The first word is the one that the caller hears.
-    fn tell(&self, outcome: outcome::Outcome, answer: Option<Bytes>, replayed: bool) {
-        self.told.borrow_mut().get_or_insert(Told { outcome, answer, replayed });
+impl Exchange {
+    /// Records the answer for the caller; only the first one counts.
+    fn respond(&self, outcome: outcome::Outcome, answer: Option<Bytes>, replayed: bool) {
+        self.response.borrow_mut().get_or_insert(Response { outcome, answer, replayed });
     }
 }
 
 type Claims = claim::Claims<Platform, Platform, clock::Fake>;
 
-/// What the entry hosts share with the fuzz.
+/// External systems shared by the entry hosts and the test.
 #[derive(Clone, Default)]
-pub struct Outside {
+pub struct Environment {
     pub platform: Platform,
     pub upstream: Upstream,
     pub clock: clock::Fake,
-    /// Claims that were dispatched.
+    /// Tokens of the claims that were dispatched.
     pub dispatched: Rc<RefCell<BTreeSet<id::Attempt>>>,
 }
 
 pub struct Task {
-    pub case: Rc<Case>,
+    pub exchange: Rc<Exchange>,
     pub token: id::Attempt,
     future: Option<Pin<Box<dyn Future<Output = ()>>>>,
     pub crashed: bool,
-    /// Its patience passed before it ended, or retention before its late commit landed.
-    pub overslept: bool,
+    /// Whether its write grace passed before it ended, or the retention passed before its delayed
+    /// commit was applied.
+    pub is_exempt: bool,
 }
 
 pub struct World {
-    pub outside: Outside,
+    pub environment: Environment,
     pub tasks: Vec<Task>,
     pub incarnations: [u64; HOSTS],
     pub paused: [bool; HOSTS],
-    /// Customer and key of calls that were let in, by token.
+    /// Index of each call's task, by claim token.
     pub tokens: BTreeMap<String, usize>,
     safeguards: safeguard::Set,
     sweepers: [claim::Sweeper; 2],
@@ -89,14 +90,14 @@
 impl World {
     pub fn new(safeguards: safeguard::Set) -> Self {
         World {
-            outside: Outside::default(),
+            environment: Environment::default(),
             tasks: Vec::new(),
             incarnations: [1; HOSTS],
             paused: [false; HOSTS],
             tokens: BTreeMap::new(),
             safeguards,
             sweepers: ["key-0", "key-1"].map(|key| {
-                let settings = claim::Sweep { batch: 2, ..claim::Sweep::default() };
+                let settings = claim::SweepSettings { batch: 2, ..claim::SweepSettings::default() };
                 claim::Sweeper::new(settings, claim::shard(key))
             }),
         }
@@ -104,7 +105,7 @@
 
     pub fn call(&mut self, host: usize, call: Call) {
         let token = id::Attempt(u128::from(call.number) + 1);
-        let deadline = self.outside.clock.now() + DEADLINE;
+        let deadline = self.environment.clock.now() + DEADLINE;
         let owner = id::Owner {
             host: id::Host::from(format!("host-{host}")),
             incarnation: id::Incarnation(self.incarnations[host]),
@@ -115,26 +116,27 @@
             safeguards: self.safeguards,
             ..claim::Settings::default()
         };
-        let outside = self.outside.clone();
-        let ports = (outside.platform.clone(), outside.platform.clone(), outside.clock.clone());
+        let environment = self.environment.clone();
+        let ports =
+            (environment.platform.clone(), environment.platform.clone(), environment.clock.clone());
         let claims = claim::Claims::new(ports.0, ports.1, ports.2, settings);
-        let told = RefCell::new(None);
-        let case = Rc::new(Case { call, host, deadline, told });
-        let future = Box::pin(serve(claims, outside, Rc::clone(&case), token));
+        let response = RefCell::new(None);
+        let exchange = Rc::new(Exchange { call, host, deadline, response });
+        let future = Box::pin(serve(claims, environment, Rc::clone(&exchange), token));
         self.tokens.insert(token.to_string(), self.tasks.len());
         self.tasks.push(Task {
-            case,
+            exchange,
             token,
             future: Some(future),
             crashed: false,
-            overslept: false,
+            is_exempt: false,
         });
     }
 
-    /// Lets one of the unfinished tasks go on.
+    /// Polls one of the unfinished tasks.
     pub fn poll(&mut self, pick: usize, times: usize) {
         let paused = self.paused;
-        let ready = |task: &Task| task.future.is_some() && !paused[task.case.host];
+        let ready = |task: &Task| task.future.is_some() && !paused[task.exchange.host];
         let open: Vec<_> = (0..self.tasks.len()).filter(|n| ready(&self.tasks[*n])).collect();
         if open.is_empty() {
             return;
@@ -145,11 +147,11 @@
         }
     }
 
-    /// A caller of the paused `host` goes to the next one and is being served there when `host`
-    /// wakes to hear that the upstream had refused.
-    pub fn ask_again(&mut self, host: usize) {
-        let open = |task: &&Task| task.future.is_some() && task.case.host == host;
-        let Some(call) = self.tasks.iter().find(open).map(|task| task.case.call.clone()) else {
+    /// Retries a call of the paused `host` at the next host. While that one serves the call, `host`
+    /// resumes and learns that the upstream refused its own attempt.
+    pub fn retry_elsewhere(&mut self, host: usize) {
+        let open = |task: &&Task| task.future.is_some() && task.exchange.host == host;
+        let Some(call) = self.tasks.iter().find(open).map(|task| task.exchange.call.clone()) else {
             return;
         };
         let number = u32::try_from(self.tasks.len()).expect("few calls");
@@ -157,7 +159,7 @@
         if !self.paused[(host + 1) % HOSTS] {
             (0..POLLS).for_each(|_| self.tasks[number as usize].step());
         }
-        self.outside.upstream.fault(Fault::Refuse);
+        self.environment.upstream.inject(Fault::Refuse);
         self.resume(host);
     }
 
@@ -168,48 +170,48 @@
     pub fn crash(&mut self, host: usize) {
         self.incarnations[host] += 1;
         self.paused[host] = false;
-        for task in self.tasks.iter_mut().filter(|task| task.case.host == host) {
+        for task in self.tasks.iter_mut().filter(|task| task.exchange.host == host) {
             task.crashed |= task.future.take().is_some();
         }
     }
 
     pub fn resume(&mut self, host: usize) {
         self.paused[host] = false;
-        self.wake_overdue();
+        self.poll_overdue();
     }
 
     pub fn advance(&mut self, span: clock::Span) {
-        self.outside.clock.advance(span);
-        self.wake_overdue();
+        self.environment.clock.advance(span);
+        self.poll_overdue();
     }
 
-    /// Timers of running hosts wake what is overdue.
-    fn wake_overdue(&mut self) {
-        let (now, paused) = (self.outside.clock.now(), self.paused);
-        let due = |task: &&mut Task| now >= task.case.deadline && !paused[task.case.host];
+    /// Polls overdue tasks, as the timers of running hosts would.
+    fn poll_overdue(&mut self) {
+        let (now, paused) = (self.environment.clock.now(), self.paused);
+        let due = |task: &&mut Task| now >= task.exchange.deadline && !paused[task.exchange.host];
         self.tasks.iter_mut().filter(due).for_each(Task::step);
     }
 
-    pub fn oversleep(&mut self) {
+    pub fn exempt_unfinished(&mut self) {
         for task in &mut self.tasks {
-            task.overslept |= task.future.is_some();
+            task.is_exempt |= task.future.is_some();
         }
     }
 
-    /// A sweep that removes the row which shuts out a late commit of a claim lets that commit hold
-    /// the key for one more retention: a stated limit, so these calls, and no others, are excused.
+    /// A sweep may delete the row that blocks a delayed commit of a claim, so that the commit holds
+    /// the key for one more retention. This is a known limit; only the affected calls are exempt.
     pub fn sweep(&mut self) {
-        let before = self.outside.platform.late_over_rows();
-        let now = self.outside.clock.wall_millis();
-        let platform = self.outside.platform.clone();
+        let before = self.environment.platform.delayed_with_row();
+        let now = self.environment.clock.wall_millis();
+        let platform = self.environment.platform.clone();
         for sweeper in &mut self.sweepers {
             let mut step = Box::pin(sweeper.step(&platform, now));
             // A lost answer only delays the sweep.
             while poll(step.as_mut()).is_pending() {}
         }
-        let after = platform.late_over_rows();
+        let after = platform.delayed_with_row();
         for token in before.difference(&after) {
-            self.tasks[self.tokens[token]].overslept = true;
+            self.tasks[self.tokens[token]].is_exempt = true;
         }
     }
 }
@@ -230,123 +232,153 @@
     future.poll(&mut Context::from_waker(&noop_waker()))
 }
 
-/// The entry host's timer: `None` at the deadline, as `work` stands then.
-async fn within<F>(outside: &Outside, case: &Case, mut work: Pin<&mut F>) -> Option<F::Output>
+/// The entry host's timer: returns the result of `work`, or `None` if it is still pending at the
+/// deadline.
+async fn until_deadline<F>(
+    environment: &Environment,
+    exchange: &Exchange,
+    mut work: Pin<&mut F>,
+) -> Option<F::Output>
 where
     F: Future,
 {
     let timed = future::poll_fn(|context| match work.as_mut().poll(context) {
         Poll::Ready(output) => Poll::Ready(Some(output)),
-        Poll::Pending if outside.clock.now() >= case.deadline => Poll::Ready(None),
+        Poll::Pending if environment.clock.now() >= exchange.deadline => Poll::Ready(None),
         Poll::Pending => Poll::Pending,
     });
     timed.await
 }
 
-/// What the entry host's adapter does with one call.
-async fn serve(claims: Claims, outside: Outside, case: Rc<Case>, token: id::Attempt) {
-    let Some(key) = case.call.key else {
-        let held = request::Held::new(repeat(&case.call));
-        return unclaimed(&outside, &case, held).await;
+/// Handles one call as the entry host's adapter does.
+async fn serve(
+    claims: Claims,
+    environment: Environment,
+    exchange: Rc<Exchange>,
+    token: id::Attempt,
+) {
+    let Some(key) = exchange.call.key else {
+        let pending = request::Pending::new(repeat(&exchange.call));
+        return run_unclaimed(&environment, &exchange, pending).await;
     };
-    let ask = claim::Ask {
-        customer: id::Customer::from(format!("customer-{}", case.call.customer)),
+    let request = claim::Request {
+        customer: id::Customer::from(format!("customer-{}", exchange.call.customer)),
         key: format!("key-{key}"),
-        body: claim::body_hash("POST", "/", &[case.call.body, u8::from(case.call.never)]),
-        repeat: repeat(&case.call),
+        request_hash: claim::request_hash(
+            "POST",
+            "/",
+            &[exchange.call.body, u8::from(exchange.call.at_most_once)],
+        ),
+        repeat: repeat(&exchange.call),
         token,
         upstream: id::Upstream::from("upstream"),
-        deadline: case.deadline,
-        wall_ms: outside.clock.wall_millis(),
+        deadline: exchange.deadline,
+        wall_ms: environment.clock.wall_millis(),
     };
     let mut begin = Box::pin(async {
-        match claims.begin(ask.clone()).await {
-            // This fake engine keeps no streams to resume.
-            Ok(claim::Begin::Running(running)) => claims.take_over(ask, &running).await,
+        match claims.begin(request.clone()).await {
+            // This fake engine has no streams that could be resumed.
+            Ok(claim::Begin::Running(running)) => claims.take_over(request, &running).await,
             begun => begun,
         }
     });
-    let mut begun = within(&outside, &case, begin.as_mut()).await;
+    let mut begun = until_deadline(&environment, &exchange, begin.as_mut()).await;
     if begun.is_none() {
-        case.tell(request::Held::new(repeat(&case.call)).end(), None, false);
+        exchange.respond(request::Pending::new(repeat(&exchange.call)).end(), None, false);
         begun = Some(begin.as_mut().await);
     }
     drop(begin);
     let Some(begun) = begun else { return };
     match begun {
-        Ok(claim::Begin::Run(ticket)) => claimed(&claims, &outside, &case, ticket).await,
+        Ok(claim::Begin::Run(ticket)) => {
+            run_claimed(&claims, &environment, &exchange, ticket).await
+        }
         Ok(claim::Begin::Replay(answer)) => {
-            case.tell(outcome::Outcome::Done, Some(answer.body), true);
+            exchange.respond(outcome::Outcome::Done, Some(answer.body), true);
         }
         Ok(claim::Begin::Unclaimed) => {
-            unclaimed(&outside, &case, request::Held::new(repeat(&case.call))).await;
+            run_unclaimed(&environment, &exchange, request::Pending::new(repeat(&exchange.call)))
+                .await;
         }
-        Ok(claim::Begin::Running(_)) => case.tell(outcome::Outcome::Unknown, None, false),
+        Ok(claim::Begin::Running(_)) => exchange.respond(outcome::Outcome::Unknown, None, false),
         Err(refusal) => {
-            case.tell(refusal.failure.outcome, None, false);
+            exchange.respond(refusal.failure.outcome, None, false);
             settle(&claims, refusal.abandoned).await;
         }
     }
 }
 
 fn repeat(call: &Call) -> request::Repeat {
-    if call.never { request::Repeat::Never } else { request::Repeat::Allowed }
+    if call.at_most_once { request::Repeat::Never } else { request::Repeat::Allowed }
 }
 
-/// Goes on until the row is settled: the caller has its answer long before.
+/// Retries until the row is settled; the caller was answered long before.
 async fn settle(claims: &Claims, abandoned: Option<claim::Abandoned>) {
     while let Some(abandoned) = &abandoned {
         if claims.settle(abandoned).await {
             return;
         }
-        pause().await;
+        yield_once().await;
     }
 }
 
-async fn claimed(claims: &Claims, outside: &Outside, case: &Case, mut ticket: claim::Ticket) {
-    let mut held = request::Held::new(repeat(&case.call));
+async fn run_claimed(
+    claims: &Claims,
+    environment: &Environment,
+    exchange: &Exchange,
+    mut ticket: claim::Ticket,
+) {
+    let mut pending = request::Pending::new(repeat(&exchange.call));
     loop {
-        let now = outside.clock.now();
-        let over = held.attempts() >= 2;
+        let now = environment.clock.now();
+        let is_exhausted = pending.attempts() >= 2;
         let sent = match ticket.dispatch(now) {
-            Ok(sent) if !over => sent,
-            Ok(sent) => return release(claims, case, sent.refused(), held.end()).await,
+            Ok(sent) if !is_exhausted => sent,
+            Ok(sent) => return release(claims, exchange, sent.refused(), pending.end()).await,
             Err(claim::Expired(ticket)) => {
-                return release(claims, case, *ticket, held.end()).await;
+                return release(claims, exchange, *ticket, pending.end()).await;
             }
         };
-        outside.dispatched.borrow_mut().insert(sent.token());
-        let attempt = id::Attempt(u128::from(held.attempts()));
-        let dispatched = held.dispatch(attempt);
-        let mut call = Box::pin(outside.upstream.call(&case.call, now));
-        let Some(result) = within(outside, case, call.as_mut()).await else {
-            case.tell(dispatched.lost().end(), None, false);
+        environment.dispatched.borrow_mut().insert(sent.token());
+        // The fake upstream ignores attempt ids, so they need not be unique.
+        let attempt = id::Attempt(u128::from(pending.attempts()));
+        let dispatched = pending.dispatch(attempt);
+        let mut call = Box::pin(environment.upstream.call(&exchange.call, now));
+        let Some(result) = until_deadline(environment, exchange, call.as_mut()).await else {
+            exchange.respond(dispatched.lost().end(), None, false);
             return match call.await {
                 Ok(body) => finish(claims, sent, body).await,
-                Err(Failed::Refused) => settle(claims, claims.release(sent.refused()).await).await,
-                Err(Failed::Lost) => claims.lose(sent).await,
+                Err(CallError::Refused) => {
+                    settle(claims, claims.release(sent.refused()).await).await
+                }
+                Err(CallError::Lost) => claims.mark_unknown(sent).await,
             };
         };
         match result {
             Ok(body) => {
                 let outcome = dispatched.answering().complete();
-                case.tell(outcome, Some(body.clone()), false);
+                exchange.respond(outcome, Some(body.clone()), false);
                 return finish(claims, sent, body).await;
             }
-            Err(Failed::Refused) => {
-                held = dispatched.refused();
+            Err(CallError::Refused) => {
+                pending = dispatched.refused();
                 ticket = sent.refused();
             }
-            Err(Failed::Lost) => {
-                case.tell(dispatched.lost().end(), None, false);
-                return claims.lose(sent).await;
+            Err(CallError::Lost) => {
+                exchange.respond(dispatched.lost().end(), None, false);
+                return claims.mark_unknown(sent).await;
             }
         }
     }
 }
 
-async fn release(claims: &Claims, case: &Case, ticket: claim::Ticket, outcome: outcome::Outcome) {
-    case.tell(outcome, None, false);
+async fn release(
+    claims: &Claims,
+    exchange: &Exchange,
+    ticket: claim::Ticket,
+    outcome: outcome::Outcome,
+) {
+    exchange.respond(outcome, None, false);
     let abandoned = claims.release(ticket).await;
     settle(claims, abandoned).await;
 }
@@ -355,34 +387,39 @@
     let answer = claim::Answer { status: 200, content_type: "text/plain".into(), body };
     let mut result = claims.finish(sent, answer).await;
     while let Err(unstored) = result {
-        pause().await;
+        yield_once().await;
         result = claims.finish(unstored.sent, unstored.answer).await;
     }
 }
 
-/// A call without a claim: once, or again where it may repeat.
-async fn unclaimed(outside: &Outside, case: &Case, mut held: request::Held) {
+/// Runs a call without a claim: once, or again if it may repeat.
+async fn run_unclaimed(
+    environment: &Environment,
+    exchange: &Exchange,
+    mut pending: request::Pending,
+) {
     loop {
-        let now = outside.clock.now();
-        if now >= case.deadline || held.attempts() >= 2 {
-            return case.tell(held.end(), None, false);
+        let now = environment.clock.now();
+        if now >= exchange.deadline || pending.attempts() >= 2 {
+            return exchange.respond(pending.end(), None, false);
         }
-        let attempt = id::Attempt(u128::from(held.attempts()));
-        let dispatched = held.dispatch(attempt);
-        let mut call = Box::pin(outside.upstream.call(&case.call, now));
-        let Some(result) = within(outside, case, call.as_mut()).await else {
-            case.tell(dispatched.lost().end(), None, false);
-            // The upstream does not hear that its caller left.
+        // The fake upstream ignores attempt ids, so they need not be unique.
+        let attempt = id::Attempt(u128::from(pending.attempts()));
+        let dispatched = pending.dispatch(attempt);
+        let mut call = Box::pin(environment.upstream.call(&exchange.call, now));
+        let Some(result) = until_deadline(environment, exchange, call.as_mut()).await else {
+            exchange.respond(dispatched.lost().end(), None, false);
+            // The upstream does not notice that its caller has left.
             return drop(call.await);
         };
         match result {
             Ok(body) => {
-                return case.tell(dispatched.answering().complete(), Some(body), false);
+                return exchange.respond(dispatched.answering().complete(), Some(body), false);
             }
-            Err(Failed::Refused) => held = dispatched.refused(),
-            Err(Failed::Lost) => match dispatched.lost().again() {
-                Ok(again) => held = again,
-                Err(outcome) => return case.tell(outcome, None, false),
+            Err(CallError::Refused) => pending = dispatched.refused(),
+            Err(CallError::Lost) => match dispatched.lost().retry() {
+                Ok(again) => pending = again,
+                Err(outcome) => return exchange.respond(outcome, None, false),
             },
         }
     }
--- a/crates/lagoonline/tests/load_silence.rs
+++ b/crates/lagoonline/tests/load_silence.rs
@@ -1,4 +1,4 @@
-//! When a call leaves a silent upstream, and what that does to the upstream.
+//! When a call leaves a silent upstream, and how that affects later calls.
 
 use std::sync;
 
@@ -19,8 +19,8 @@
     scheduler
 }
 
-fn ask() -> load::Ask {
-    load::Ask {
+fn request() -> load::Request {
+    load::Request {
         customer: id::Customer::from("crew"),
         team: id::Team::from("t"),
         weight: 1,
@@ -41,36 +41,39 @@
     }
 }
 
-// A call goes to an engine that stays silent. Past the bound it is better off elsewhere, goes to
-// the other engine, and so do the calls of the next second: each try of the silent one would cost
-// a caller seconds.
+// Guards against sending further calls to a silent engine, each of which would cost a caller
+// seconds. After the bound the call is better off elsewhere and goes to another engine, and so do
+// the calls of the next second.
 #[test]
 fn a_silent_engine_gets_nothing_for_a_while() {
     let mut scheduler = scheduler(3);
-    let first = placed(scheduler.offer(Moment::START, ask()));
-    assert!(first.silence >= Span::from_secs(2) && first.silence < Span::from_secs(10));
-    let now = Moment::START + first.silence;
-    assert!(scheduler.is_better_elsewhere(now, first.ticket, &ask()));
-    let second = placed(scheduler.again(now, first.ticket, Ending::Silent, ask()));
+    let first = placed(scheduler.offer(Moment::START, request()));
+    assert!(
+        first.first_token_silence >= Span::from_secs(2)
+            && first.first_token_silence < Span::from_secs(10)
+    );
+    let now = Moment::START + first.first_token_silence;
+    assert!(scheduler.is_better_elsewhere(now, first.ticket, &request()));
+    let second = placed(scheduler.retry(now, first.ticket, Ending::Silent, request()));
     assert_ne!(second.upstream, first.upstream);
     for _ in 0..20 {
-        let next = placed(scheduler.offer(now + Span::from_millis(500), ask()));
+        let next = placed(scheduler.offer(now + Span::from_millis(500), request()));
         assert_ne!(next.upstream, first.upstream);
         let ending = Ending::Done { prompt_tokens: 10, cached_tokens: 0, answer_tokens: 8 };
         scheduler.finish(now + Span::from_millis(500), next.ticket, ending);
     }
 }
 
-// Every engine is silent, as when this host's own network fails. Calls move only as long as the
-// retry budget lasts; then they wait where they are, in place of being refused.
+// Guards against refusing calls when every engine is silent, such as after a failure of this host's
+// own network. Calls move only while the retry budget lasts; then they keep waiting where they are.
 #[test]
 fn calls_stay_when_the_retry_budget_is_spent() {
     let mut scheduler = scheduler(3);
-    let mut ticket = placed(scheduler.offer(Moment::START, ask())).ticket;
+    let mut ticket = placed(scheduler.offer(Moment::START, request())).ticket;
     let mut moves = 0;
     let mut now = Moment::START;
-    while scheduler.is_better_elsewhere(now, ticket, &ask()) && moves < 100 {
-        ticket = placed(scheduler.again(now, ticket, Ending::Silent, ask())).ticket;
+    while scheduler.is_better_elsewhere(now, ticket, &request()) && moves < 100 {
+        ticket = placed(scheduler.retry(now, ticket, Ending::Silent, request())).ticket;
         moves += 1;
         now = now + Span::from_secs(40);
     }
@@ -80,6 +83,6 @@
 #[test]
 fn there_is_no_elsewhere_beside_the_only_engine() {
     let mut scheduler = scheduler(1);
-    let only = placed(scheduler.offer(Moment::START, ask()));
-    assert!(!scheduler.is_better_elsewhere(Moment::from_millis(9_000), only.ticket, &ask()));
+    let only = placed(scheduler.offer(Moment::START, request()));
+    assert!(!scheduler.is_better_elsewhere(Moment::from_millis(9_000), only.ticket, &request()));
 }
