--- a/crates/lagoon-net/tests/entry/leaving.rs
+++ b/crates/lagoon-net/tests/entry/leaving.rs
@@ -85,7 +85,7 @@
     fn set_listed_state(&self, state: &str) {
         let incarnation = self.engines[0].node().record().incarnation;
         let (name, zone, state) = ("engine-0".into(), "suva".into(), state.into());
-        let line = platform::HostLine { name, zone, incarnation, state };
+        let line = platform::HostEntry { name, zone, incarnation, state };
         self.platform.node().set_hosts(vec![line]);
     }
 }
--- a/crates/lagoon-standin/src/platform/http.rs
+++ b/crates/lagoon-standin/src/platform/http.rs
@@ -83,7 +83,7 @@
 async fn set_hosts(platform: &Shared, request: &mut http::Request) -> http::Response {
     #[derive(Deserialize)]
     struct Hosts {
-        hosts: Vec<super::HostLine>,
+        hosts: Vec<super::HostEntry>,
     }
     match port::read_json::<Hosts>(request).await {
         Ok(list) => {
@@ -182,7 +182,7 @@
 }
 
 /// The newest list that is at least `lag` old; before there is one, the first.
-fn lagging(state: &super::State, lag: time::Duration) -> &[super::HostLine] {
+fn lagging(state: &super::State, lag: time::Duration) -> &[super::HostEntry] {
     let mut lists = state.hosts.iter().rev();
     let old = lists.find(|(at, _)| at.elapsed() >= lag).or(state.hosts.front());
     old.map_or(&[], |(_, lines)| lines)
--- a/crates/lagoon-standin/src/platform/mod.rs
+++ b/crates/lagoon-standin/src/platform/mod.rs
@@ -60,7 +60,7 @@
 
 /// One line of the list of hosts.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct HostLine {
+pub struct HostEntry {
     /// Name of the upstream or entry host.
     pub name: String,
     /// Its availability zone.
@@ -87,7 +87,7 @@
     faults: Faults,
     table: Table,
     objects: collections::HashMap<String, Bytes>,
-    hosts: collections::VecDeque<(time::Instant, Vec<HostLine>)>,
+    hosts: collections::VecDeque<(time::Instant, Vec<HostEntry>)>,
     reads: limit::Bucket,
     writes: limit::Bucket,
     weights: limit::Bucket,
@@ -149,7 +149,7 @@
     }
 
     /// Replaces the list of hosts; readers see it after the lag.
-    pub fn set_hosts(&self, lines: Vec<HostLine>) {
+    pub fn set_hosts(&self, lines: Vec<HostEntry>) {
         let mut state = self.lock();
         if state.hosts.len() == SNAPSHOTS {
             state.hosts.pop_front();
@@ -158,7 +158,7 @@
     }
 
     /// The list as it is now, without the lag.
-    pub fn hosts(&self) -> Vec<HostLine> {
+    pub fn hosts(&self) -> Vec<HostEntry> {
         self.lock().hosts.back().map(|(_, lines)| lines.clone()).unwrap_or_default()
     }
 }
--- a/crates/lagoon-standin/src/platform/settings.rs
+++ b/crates/lagoon-standin/src/platform/settings.rs
@@ -4,7 +4,7 @@
 
 use lagoonline::check;
 
-use super::{Faults, HostLine};
+use super::{Faults, HostEntry};
 
 /// Settings of the platform.
 #[derive(Clone, Debug, PartialEq)]
@@ -16,7 +16,7 @@
     /// Bytes of weights that the weight store gives in a second.
     pub weight_rate: f64,
     /// The list of hosts at the start.
-    pub hosts: Vec<HostLine>,
+    pub hosts: Vec<HostEntry>,
 }
 
 impl Default for Settings {
@@ -60,12 +60,12 @@
     }
 }
 
-fn read_host(reader: &check::Reader<'_>) -> HostLine {
+fn read_host(reader: &check::Reader<'_>) -> HostEntry {
     let state = reader.text("state", "live");
     if state != "live" && state != "leaving" {
         reader.fault("state", "must be live or leaving");
     }
-    HostLine {
+    HostEntry {
         name: reader.required("name"),
         zone: reader.required("zone"),
         incarnation: reader.number("incarnation", 0, 0..=u64::MAX),
--- a/crates/lagoon-standin/tests/platform.rs
+++ b/crates/lagoon-standin/tests/platform.rs
@@ -99,7 +99,7 @@
 fn the_list_of_hosts_lags() {
     run(async {
         let platform = platform::start(platform::Settings::default()).unwrap();
-        let line = platform::HostLine {
+        let line = platform::HostEntry {
             name: "suva-1".to_owned(),
             zone: "suva".to_owned(),
             incarnation: 1,
