--- a/crates/lagoon-standin/src/answer.rs
+++ b/crates/lagoon-standin/src/answer.rs
@@ -1,7 +1,7 @@
-//! The text of every answer: a function of the prompt and the chunk's number, so that a checker
-//! can tell whether an answer is whole and its own.
+//! Deterministic answer texts. Each chunk is a function of the prompt and the chunk number, so a
+//! test can check that an answer is complete and belongs to its prompt.
 
-/// Text of chunk `number` of the answer to the prompt whose hash is `prompt_hash`.
+/// Returns the text of chunk `number` of the answer to the prompt whose hash is `prompt_hash`.
 ///
 /// ```
 /// use lagoon_standin::answer;
@@ -14,7 +14,7 @@
     format!("{number}:{:08x} ", (mixed.wrapping_mul(0xff51_afd7_ed55_8ccd)) >> 32)
 }
 
-/// The whole answer of `count` chunks, from chunk `first` on.
+/// Returns the text of an answer of `count` chunks, without the chunks before `first`.
 ///
 /// ```
 /// use lagoon_standin::answer;
--- a/crates/lagoon-standin/src/control.rs
+++ b/crates/lagoon-standin/src/control.rs
@@ -1,7 +1,9 @@
-//! One address for the switches and records of all stand-ins of a process, also of dead ones.
+//! Control address for the fault switches and records of all stand-ins in a process.
 //!
-//! `POST /NAME/faults`, `GET /NAME/faults`, `GET /NAME/record` and `POST /NAME/leave`, as at the
-//! stand-in's own port, where NAME is that of its settings, or `platform`.
+//! It is reachable also while a stand-in itself is down.
+//!
+//! `POST /NAME/faults`, `GET /NAME/faults`, `GET /NAME/record` and `POST /NAME/leave` work as at
+//! the stand-in's own port. NAME is the name in its settings, or `platform`.
 
 use std::collections;
 
@@ -24,22 +26,22 @@
         Control { nodes: nodes.into_iter().collect() }
     }
 
-    /// The node that `NAME/CALL` means, and the call's path there.
-    fn find(&self, path: &str) -> Option<(server::Node, http::uri::Uri)> {
+    /// Resolves the path `NAME/CALL` to a stand-in and the path of the call there.
+    fn resolve(&self, path: &str) -> Option<(server::Node, http::uri::Uri)> {
         let (name, call) = path.split_once('/')?;
-        let known = matches!(call, "faults" | "record" | "leave");
-        let uri = format!("/{call}").parse().ok().filter(|_| known)?;
+        let is_known = matches!(call, "faults" | "record" | "leave");
+        let uri = format!("/{call}").parse().ok().filter(|_| is_known)?;
         Some((self.nodes.get(name)?.clone(), uri))
     }
 
     pub(crate) async fn handle(&self, mut request: http::Request) -> http::Response {
         let path = request.path().trim_start_matches('/').to_owned();
-        let Some((node, uri)) = self.find(&path) else {
+        let Some((node, uri)) = self.resolve(&path) else {
             port::discard(&mut request).await;
             return port::refuse(404, "unknown_call");
         };
         request.head_mut().uri = uri;
-        // Boxed because a node's handling has this one's as a part.
+        // Boxed because `Node::handle` may call this function: an async recursion.
         Box::pin(node.handle(request)).await
     }
 }
--- a/crates/lagoon-standin/src/engine/batch.rs
+++ b/crates/lagoon-standin/src/engine/batch.rs
@@ -1,21 +1,21 @@
-//! One step of a continuous batch: who prefills how much, who decodes, and how long it takes.
+//! Plans one step of a continuous batch: prefill tokens per stream, decoding streams, duration.
 
 use super::settings;
 
-/// What one step does to the running streams, given in their order of priority.
+/// Work of one step for the running streams, which are in priority order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// Tokens that each stream prefills.
+    /// Tokens to prefill, one entry for each stream.
     pub prefill: Vec<u64>,
-    /// Streams that decode one token.
+    /// Number of streams that decode one token each.
     pub decoding: usize,
-    /// Engine seconds that the step takes.
+    /// Duration of the step in engine seconds.
     pub seconds: f64,
 }
 
-/// Plans a step; `left` has the tokens that each running stream has yet to prefill, 0 for one that
-/// decodes. The chunk of prefill is shared in order, so that a long prompt cannot hold up the
-/// streams that decode for more than one chunk.
+/// Plans a step. `prefill_left` holds the tokens that each running stream still has to prefill, 0
+/// for a stream that decodes. Streams take their share of the prefill chunk in order, so a long
+/// prompt delays decoding streams by at most one chunk.
 ///
 /// ```
 /// use lagoon_standin::engine::{self, batch};
@@ -24,20 +24,20 @@
 /// assert_eq!(step.prefill, [70, 0, 30]);
 /// assert_eq!(step.decoding, 1);
 /// ```
-pub fn plan(settings: &settings::Settings, left: &[u64]) -> Step {
+pub fn plan(settings: &settings::Settings, prefill_left: &[u64]) -> Step {
     let mut budget = settings.prefill_chunk;
-    let mut prefill = Vec::with_capacity(left.len());
-    for &left in left {
+    let mut prefill = Vec::with_capacity(prefill_left.len());
+    for &left in prefill_left {
         let share = left.min(budget);
         budget -= share;
         prefill.push(share);
     }
-    let decoding = left.iter().filter(|&&left| left == 0).count();
-    let prefilled = (settings.prefill_chunk - budget) as f64;
-    let mut seconds = prefilled / settings.prefill_rate;
+    let decoding = prefill_left.iter().filter(|&&left| left == 0).count();
+    let prefilled_tokens = (settings.prefill_chunk - budget) as f64;
+    let mut seconds = prefilled_tokens / settings.prefill_rate;
     if decoding > 0 {
-        let further = (decoding - 1) as f64;
-        seconds += (settings.decode_ms + settings.decode_stream_ms * further) / 1_000.0;
+        let other_streams = (decoding - 1) as f64;
+        seconds += (settings.decode_ms + settings.decode_stream_ms * other_streams) / 1_000.0;
     }
     Step { prefill, decoding, seconds }
 }
--- a/crates/lagoon-standin/src/engine/cache.rs
+++ b/crates/lagoon-standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache: blocks of prompt by hash, least recently used out first, and its events.
+//! Prefix cache: prompt blocks by hash with LRU eviction, and the log of cache events.
 
 use std::cmp;
 use std::collections;
@@ -7,7 +7,7 @@
 use lagoonline::port::engine;
 use rand::Rng;
 
-/// Events kept for readers that come late.
+/// Number of events kept for slow readers; older ones are discarded.
 const EVENT_LIMIT: usize = 8_192;
 
 #[derive(Clone, Copy, Debug)]
@@ -15,80 +15,84 @@
     tokens: u64,
     depth: usize,
     parent: Option<u64>,
-    used: u64,
+    last_use: u64,
 }
 
-/// Blocks cached, with the events of their coming and going.
+/// Cached blocks, and the events of their insertion and eviction.
 #[derive(Debug)]
 pub(crate) struct Cache {
     block_tokens: u64,
-    loss: f64,
+    event_loss: f64,
     blocks: collections::HashMap<u64, Block>,
-    /// Least recently used first; of those used together the deepest goes first.
-    order: collections::BTreeSet<(u64, cmp::Reverse<usize>, u64)>,
-    uses: u64,
+    /// Eviction order by (last use, depth, hash): the oldest use first, and the deepest block first
+    /// among those of the same lookup or insert.
+    lru: collections::BTreeSet<(u64, cmp::Reverse<usize>, u64)>,
+    use_count: u64,
     sequence: u64,
     events: collections::VecDeque<(time::Instant, engine::CacheEvent)>,
 }
 
 impl Cache {
-    pub(crate) fn new(block_tokens: u64, loss: f64) -> Self {
+    pub(crate) fn new(block_tokens: u64, event_loss: f64) -> Self {
         Cache {
             block_tokens,
-            loss,
+            event_loss,
             blocks: collections::HashMap::new(),
-            order: collections::BTreeSet::new(),
-            uses: 0,
+            lru: collections::BTreeSet::new(),
+            use_count: 0,
             sequence: 0,
             events: collections::VecDeque::new(),
         }
     }
 
-    /// Tokens in all blocks.
+    /// Returns the number of tokens in all cached blocks.
     pub(crate) fn tokens(&self) -> u64 {
         self.blocks.len() as u64 * self.block_tokens
     }
 
-    /// Tokens of the longest cached start of `prefixes`; marks them as used.
+    /// Returns the tokens in the longest cached run of blocks from the start of `prefixes`, and
+    /// marks these blocks as just used.
     pub(crate) fn lookup(&mut self, prefixes: &[u64]) -> u64 {
-        self.uses += 1;
+        self.use_count += 1;
         let mut tokens = 0;
         for hash in prefixes {
             let Some(block) = self.blocks.get_mut(hash) else { break };
-            self.order.remove(&(block.used, cmp::Reverse(block.depth), *hash));
-            block.used = self.uses;
-            self.order.insert((block.used, cmp::Reverse(block.depth), *hash));
+            self.lru.remove(&(block.last_use, cmp::Reverse(block.depth), *hash));
+            block.last_use = self.use_count;
+            self.lru.insert((block.last_use, cmp::Reverse(block.depth), *hash));
             tokens += block.tokens;
         }
         tokens
     }
 
-    /// Caches the blocks of `prefixes` that fit into `room` tokens beside those cached already.
-    pub(crate) fn insert(&mut self, prefixes: &[u64], room: u64, now: time::Instant) {
-        self.uses += 1;
+    /// Inserts the first blocks of `prefixes`, as many as `capacity` tokens hold. Evicts other
+    /// blocks when all cached blocks together would exceed `capacity`.
+    pub(crate) fn insert(&mut self, prefixes: &[u64], capacity: u64, now: time::Instant) {
+        self.use_count += 1;
         let mut parent = None;
-        let most = usize::try_from(room / self.block_tokens).unwrap_or(usize::MAX);
-        for (depth, &hash) in prefixes.iter().take(most).enumerate() {
+        let max_blocks = usize::try_from(capacity / self.block_tokens).unwrap_or(usize::MAX);
+        for (depth, &hash) in prefixes.iter().take(max_blocks).enumerate() {
             if !self.blocks.contains_key(&hash) {
-                while self.tokens() + self.block_tokens > room && self.evict(now) {}
-                let block = Block { tokens: self.block_tokens, depth, parent, used: self.uses };
+                while self.tokens() + self.block_tokens > capacity && self.evict(now) {}
+                let block =
+                    Block { tokens: self.block_tokens, depth, parent, last_use: self.use_count };
                 self.blocks.insert(hash, block);
-                self.order.insert((self.uses, cmp::Reverse(depth), hash));
-                self.publish(hash, depth, true, now);
+                self.lru.insert((self.use_count, cmp::Reverse(depth), hash));
+                self.record_event(hash, depth, true, now);
             }
             parent = Some(hash);
         }
     }
 
-    /// Puts out the least recently used block; false when there is none.
+    /// Evicts the least recently used block. Returns false when the cache is empty.
     pub(crate) fn evict(&mut self, now: time::Instant) -> bool {
-        let Some((_, cmp::Reverse(depth), hash)) = self.order.pop_first() else { return false };
+        let Some((_, cmp::Reverse(depth), hash)) = self.lru.pop_first() else { return false };
         self.blocks.remove(&hash);
-        self.publish(hash, depth, false, now);
+        self.record_event(hash, depth, false, now);
         true
     }
 
-    /// Hashes from the first block to `prefix`, when all are cached.
+    /// Returns the hashes from the first block to `prefix`, or `None` when one is not cached.
     pub(crate) fn chain(&self, prefix: u64) -> Option<Vec<u64>> {
         let mut chain = vec![prefix];
         let mut block = self.blocks.get(&prefix)?;
@@ -100,9 +104,9 @@
         Some(chain)
     }
 
-    fn publish(&mut self, prefix: u64, depth: usize, cached: bool, now: time::Instant) {
+    fn record_event(&mut self, prefix: u64, depth: usize, cached: bool, now: time::Instant) {
         self.sequence += 1;
-        if self.loss > 0.0 && rand::rng().random_bool(self.loss) {
+        if self.event_loss > 0.0 && rand::rng().random_bool(self.event_loss) {
             return;
         }
         let tokens = (depth as u64 + 1) * self.block_tokens;
@@ -113,15 +117,16 @@
         self.events.push_back((now, event));
     }
 
-    /// Events after number `after` that are at least `lag` old.
+    /// Returns the events with a sequence number above `after` that are at least `lag` old.
     pub(crate) fn events(
         &self,
         after: u64,
         lag: time::Duration,
         now: time::Instant,
     ) -> Vec<engine::CacheEvent> {
-        let old = |at: &time::Instant| now.saturating_duration_since(*at) >= lag;
-        let events = self.events.iter().take_while(|(at, _)| old(at)).map(|(_, event)| *event);
+        let is_old_enough = |at: &time::Instant| now.saturating_duration_since(*at) >= lag;
+        let events =
+            self.events.iter().take_while(|(at, _)| is_old_enough(at)).map(|(_, event)| *event);
         events.filter(|event| event.sequence > after).collect()
     }
 }
--- a/crates/lagoon-standin/src/engine/orders.rs
+++ b/crates/lagoon-standin/src/engine/commands.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine: loading a model at the weight store's rate, and changing role.
+//! Commands to an engine: load a model at the weight store's rate, or change the role.
 
 use std::net;
 use std::sync;
@@ -10,35 +10,38 @@
 
 use super::settings;
 
-/// Bytes asked of the weight store at once.
-const TAKE_BYTES: u64 = 256 << 20;
-/// Wait after the weight store said no or nothing.
-const TAKE_PAUSE: time::Duration = time::Duration::from_millis(50);
+/// Bytes requested from the weight store in one call.
+const WEIGHT_REQUEST_BYTES: u64 = 256 << 20;
+/// Delay before the next request after the weight store refused one or did not respond.
+const WEIGHT_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
 
-/// What orders made of the engine.
+/// State that commands change: model, role and fencing number.
 #[derive(Clone, Debug)]
 pub(crate) struct State {
     pub(crate) model: String,
     pub(crate) adapter: String,
     pub(crate) version: String,
     pub(crate) role: engine::Role,
+    /// Highest fencing number seen.
     pub(crate) fence: u64,
+    /// Whether weights are being fetched; attempts are refused meanwhile.
     pub(crate) loading: bool,
+    /// Number of commands with a fencing number below the highest one seen.
     pub(crate) stale: u64,
-    /// Loads ordered so far.
+    /// Number of loads started so far, which is also the number of the latest load.
     pub(crate) loads: u64,
 }
 
-/// An order as it comes.
+/// Request body of a command.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct Envelope {
     pub(crate) fence: u64,
     pub(crate) order: engine::Command,
 }
 
-/// The order's fencing number is old and the engine checks it.
+/// The command was refused because its fencing number is below the highest one seen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct Stale;
+pub(crate) struct StaleFence;
 
 impl State {
     pub(crate) fn new(settings: &settings::Settings) -> Self {
@@ -54,12 +57,18 @@
         }
     }
 
-    /// Takes an order; the number returned names the load that must now be carried out.
-    pub(crate) fn take(&mut self, envelope: Envelope, checks: bool) -> Result<Option<u64>, Stale> {
+    /// Applies a command. Returns the number of the load that the caller must now run, if any.
+    ///
+    /// Without `checks_fence`, a command with an old fencing number is counted but applied.
+    pub(crate) fn apply(
+        &mut self,
+        envelope: Envelope,
+        checks_fence: bool,
+    ) -> Result<Option<u64>, StaleFence> {
         if envelope.fence < self.fence {
             self.stale += 1;
-            if checks {
-                return Err(Stale);
+            if checks_fence {
+                return Err(StaleFence);
             }
         }
         self.fence = self.fence.max(envelope.fence);
@@ -69,8 +78,8 @@
                 Ok(None)
             }
             engine::Command::Load { model, adapter, version } => {
-                let same = self.model == model.as_str();
-                if same && self.adapter == adapter && self.version == version {
+                let same_model = self.model == model.as_str();
+                if same_model && self.adapter == adapter && self.version == version {
                     return Ok(None);
                 }
                 model.as_str().clone_into(&mut self.model);
@@ -82,8 +91,8 @@
         }
     }
 
-    /// The load of this number is over; a later order's load goes on.
-    fn loaded(&mut self, number: u64) {
+    /// Marks the load of this number as finished, unless a later load has replaced it.
+    fn finish_load(&mut self, number: u64) {
         if self.loads == number {
             self.loading = false;
         }
@@ -98,24 +107,27 @@
     }
 }
 
-/// Fetches the weights at the rate that the weight store allows, then serves the model.
+/// Fetches the weights at the rate that the weight store allows, then marks the model as loaded.
+///
+/// Stops early when a later load has started.
 pub(crate) async fn load(engine: sync::Arc<super::Engine>, number: u64) {
     if let Some(store) = engine.settings.weight_store {
         let client = ntex::client::Client::new().await;
-        let mut left = engine.settings.weight_bytes;
-        while left > 0 && engine.lock().orders.loads == number {
-            let bytes = left.min(TAKE_BYTES);
-            if take(&client, store, bytes, &engine.settings.name).await {
-                left -= bytes;
+        let mut remaining = engine.settings.weight_bytes;
+        while remaining > 0 && engine.lock().commands.loads == number {
+            let bytes = remaining.min(WEIGHT_REQUEST_BYTES);
+            if request_weights(&client, store, bytes, &engine.settings.name).await {
+                remaining -= bytes;
             } else {
-                tokio::time::sleep(TAKE_PAUSE).await;
+                tokio::time::sleep(WEIGHT_RETRY_DELAY).await;
             }
         }
     }
-    engine.lock().orders.loaded(number);
+    engine.lock().commands.finish_load(number);
 }
 
-async fn take(
+/// Requests `bytes` of weights. Returns whether the store granted them.
+async fn request_weights(
     client: &ntex::client::Client,
     store: net::SocketAddr,
     bytes: u64,
--- a/crates/lagoon-standin/src/engine/delivery.rs
+++ b/crates/lagoon-standin/src/engine/delivery.rs
@@ -1,4 +1,4 @@
-//! Sends one stream's chunks to one reader, with the faults that an engine may show there.
+//! Response body of one reader of a stream, with the injected delivery faults.
 
 use std::fmt::Write;
 use std::sync;
@@ -13,10 +13,10 @@
 use crate::answer;
 use crate::port;
 
-/// Chunks written at once.
-const BURST: u64 = 64;
+/// Maximum number of chunks in one part of the body.
+const MAX_CHUNKS_PER_WRITE: u64 = 64;
 
-/// One reader of one stream.
+/// One reader of a stream and its position in it.
 #[derive(Debug)]
 pub(crate) struct Delivery {
     engine: sync::Arc<super::Engine>,
@@ -32,7 +32,7 @@
 }
 
 impl Delivery {
-    /// A reader from chunk `from` on; `None` when there is no such stream.
+    /// Subscribes to a stream from chunk `from`. Returns `None` when the stream does not exist.
     pub(crate) fn new(
         engine: sync::Arc<super::Engine>,
         attempt: id::Attempt,
@@ -43,7 +43,7 @@
         let stream = state.streams.get(&attempt)?;
         let progress = stream.progress.subscribe();
         let (prompt_hash, prompt_tokens) = (stream.prompt_hash, stream.prompt_tokens);
-        let next = from.unwrap_or(0).max(stream.first);
+        let next = from.unwrap_or(0).max(stream.first_chunk);
         drop(state);
         let (sent, end_sent, error_sent) = (0, false, false);
         Some(Delivery {
@@ -60,47 +60,49 @@
         })
     }
 
-    /// The next piece of the answer's body; `None` after the end mark.
-    pub(crate) async fn piece(&mut self) -> Option<Result<util::Bytes, port::Gone>> {
+    /// Returns the next part of the response body, or `None` after the end event.
+    ///
+    /// Waits while the reader's zone is cut off. An error closes the connection.
+    pub(crate) async fn next_part(&mut self) -> Option<Result<util::Bytes, port::Closed>> {
         loop {
             if self.end_sent {
-                self.engine.lock().delivered(self.attempt, time::Instant::now());
+                self.engine.lock().record_delivered(self.attempt, time::Instant::now());
                 return None;
             }
             let faults = self.engine.faults();
             if faults.down || (faults.cut_after_chunks > 0 && self.sent >= faults.cut_after_chunks)
             {
-                return Some(Err(port::Gone));
+                return Some(Err(port::Closed));
             }
             if faults.cut.contains(&self.zone) {
-                tokio::time::sleep(port::CUT_LOOK).await;
+                tokio::time::sleep(port::CUT_POLL_INTERVAL).await;
                 continue;
             }
             let progress = *self.progress.borrow_and_update();
             if self.next < progress.next {
-                return Some(Ok(self.chunks(progress.next, &faults)));
+                return Some(Ok(self.next_chunks(progress.next, &faults)));
             }
             if let Some(end) = progress.end {
-                return Some(self.end(end));
+                return Some(self.end_event(end));
             }
             if self.progress.changed().await.is_err() {
-                return Some(Err(port::Gone));
+                return Some(Err(port::Closed));
             }
         }
     }
 
-    fn chunks(&mut self, to: u64, faults: &super::Faults) -> util::Bytes {
-        let mut to = to.min(self.next + BURST);
+    fn next_chunks(&mut self, to: u64, faults: &super::Faults) -> util::Bytes {
+        let mut to = to.min(self.next + MAX_CHUNKS_PER_WRITE);
         if faults.cut_after_chunks > 0 {
             to = to.min(self.next + faults.cut_after_chunks - self.sent);
         }
         let mut text = String::new();
         for number in self.next..to {
-            let crossed = faults.cross_chunks > 0 && number == faults.cross_chunks;
-            let named = if crossed { id::Attempt(!self.attempt.0) } else { self.attempt };
-            let repeated = faults.repeat_chunks > 0 && number == faults.repeat_chunks;
-            for _ in 0..=u8::from(repeated) {
-                self.write(&mut text, named, number);
+            let is_crossed = faults.cross_chunks > 0 && number == faults.cross_chunks;
+            let attempt = if is_crossed { id::Attempt(!self.attempt.0) } else { self.attempt };
+            let is_repeated = faults.repeat_chunks > 0 && number == faults.repeat_chunks;
+            for _ in 0..=u8::from(is_repeated) {
+                self.write_chunk(&mut text, attempt, number);
             }
         }
         self.sent += to - self.next;
@@ -108,13 +110,13 @@
         util::Bytes::from(text)
     }
 
-    fn write(&self, text: &mut String, named: id::Attempt, number: u64) {
+    fn write_chunk(&self, text: &mut String, attempt: id::Attempt, number: u64) {
         let chunk = answer::chunk(self.prompt_hash, number);
-        // The chunk's text needs no JSON escapes; writing to a String cannot fail.
-        let _ = write!(text, "data: {{\"a\":\"{named}\",\"n\":{number},\"t\":\"{chunk}\"}}\n\n");
+        // The text of a chunk needs no JSON escaping, and writing to a `String` cannot fail.
+        let _ = write!(text, "data: {{\"a\":\"{attempt}\",\"n\":{number},\"t\":\"{chunk}\"}}\n\n");
     }
 
-    fn end(&mut self, end: state::End) -> Result<util::Bytes, port::Gone> {
+    fn end_event(&mut self, end: state::End) -> Result<util::Bytes, port::Closed> {
         let attempt = self.attempt.to_string();
         let event = match end {
             state::End::Done => {
@@ -128,7 +130,7 @@
             }
             state::End::Cancelled | state::End::Expired | state::End::Lost => {
                 if self.error_sent {
-                    return Err(port::Gone);
+                    return Err(port::Closed);
                 }
                 self.error_sent = true;
                 json!({"a": attempt, "error": end.as_str()})
--- a/crates/lagoon-standin/src/engine/faults.rs
+++ b/crates/lagoon-standin/src/engine/faults.rs
@@ -8,27 +8,27 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// It is dead: connections are refused, and all that it held is gone.
+    /// The process is down: connections are refused, and streams, KV memory and cache are lost.
     pub down: bool,
-    /// Milliseconds for which it does nothing, from when the switch is set.
+    /// Milliseconds for which the engine makes no progress, from the time the switch is set.
     pub freeze_ms: u64,
-    /// Factor by which it is slower than its rates; 1 for none.
+    /// Factor by which steps take longer; 1 for none.
     pub slow: f64,
-    /// Cuts each answer's connection after this many chunks; 0 for none.
+    /// Number of chunks after which each response's connection is closed; 0 for no limit.
     pub cut_after_chunks: u64,
-    /// Names another attempt in the chunk of this number; 0 for none.
+    /// Number of the chunk that carries the id of another attempt; 0 for none.
     pub cross_chunks: u64,
-    /// Sends the chunk of this number twice; 0 for none.
+    /// Number of the chunk that is sent twice; 0 for none.
     pub repeat_chunks: u64,
-    /// Refuses everything as `full`.
+    /// Refuses attempts and reservations with the code `full`.
     pub refuse_full: bool,
-    /// Cancels get no answer and have no effect.
+    /// Cancels get no response and have no effect.
     pub lose_cancel: bool,
-    /// Milliseconds before a request is looked at.
+    /// Delay before a request is handled, in milliseconds.
     pub delay_ms: u64,
-    /// Share of requests lost, 0 to 1.
+    /// Probability that a request is dropped before it is handled, 0 to 1.
     pub loss: f64,
-    /// Zones whose entry hosts get no answer.
+    /// Zones that are cut off: their entry hosts get no response.
     pub cut: Vec<String>,
 }
 
@@ -51,6 +51,7 @@
 }
 
 impl Faults {
+    /// Returns the faults that are applied before a request reaches the engine.
     pub(crate) fn port(&self) -> fault::Port {
         let Faults { down, delay_ms, loss, .. } = *self;
         fault::Port { down, delay_ms, loss, cut: self.cut.clone() }
--- a/crates/lagoon-standin/src/engine/http.rs
+++ b/crates/lagoon-standin/src/engine/http.rs
@@ -1,4 +1,4 @@
-//! An engine's calls, as in `docs/PROTOCOLS.md`.
+//! HTTP interface of an engine, see `docs/PROTOCOLS.md`.
 
 use std::net;
 use std::sync;
@@ -10,18 +10,18 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
+use super::commands;
 use super::delivery;
 use super::kv;
-use super::orders;
 use super::state;
 use crate::fault;
 use crate::port;
 use crate::prompt;
 
-/// Deadline of an attempt that names none.
-const USUAL_DEADLINE_MS: u64 = 600_000;
-/// Answer tokens of an attempt that names none.
-const USUAL_ANSWER_TOKENS: u64 = 16;
+/// Deadline of an attempt without the header `Lagoon-Deadline-Ms`.
+const DEFAULT_DEADLINE_MS: u64 = 600_000;
+/// Answer tokens of an attempt without the header `Lagoon-Answer-Tokens`.
+const DEFAULT_ANSWER_TOKENS: u64 = 16;
 
 type Shared = sync::Arc<super::Engine>;
 
@@ -30,11 +30,11 @@
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     let method = request.method().clone();
     let method = method.as_str();
-    if let Some(answer) = administer(&engine, &mut request, method, &parts).await {
+    if let Some(answer) = handle_admin(&engine, &mut request, method, &parts).await {
         return answer;
     }
-    if port::pass(&request, || engine.port_faults()).await.is_err() {
-        return port::vanish(&request);
+    if port::apply_faults(&request, || engine.port_faults()).await.is_err() {
+        return port::drop_connection(&request);
     }
     match (method, parts.as_slice()) {
         ("POST", ["generate"]) => generate(engine, request).await,
@@ -44,8 +44,8 @@
             cancel(&engine, &request, attempt)
         }
         ("GET", ["load"]) => port::json(200, &engine.lock().published()),
-        ("GET", ["cache", "events"]) => events(&engine, &request),
-        ("GET", ["holdings"]) => holdings(&engine),
+        ("GET", ["cache", "events"]) => list_events(&engine, &request),
+        ("GET", ["holdings"]) => list_holdings(&engine),
         ("POST", ["holdings", id, "release"]) => {
             port::discard(&mut request).await;
             engine.lock().release(&port::decode(id), time::Instant::now());
@@ -53,12 +53,12 @@
         }
         ("POST", ["kv", "reserve"]) => reserve(&engine, &mut request).await,
         ("POST", ["kv", "export"]) => export(&engine, &mut request).await,
-        ("GET", ["kv", "exports", id]) => exported(&engine, &port::decode(id)),
+        ("GET", ["kv", "exports", id]) => read_export(&engine, &port::decode(id)),
         ("POST", ["kv", "import"]) => import(&engine, &mut request).await,
-        ("POST", ["orders"]) => order(&engine, &mut request).await,
+        ("POST", ["orders"]) => apply_command(&engine, &mut request).await,
         ("GET", ["orders"]) => {
             let state = engine.lock();
-            port::json(200, &state.orders.json(state.incarnation))
+            port::json(200, &state.commands.json(state.incarnation))
         }
         _ => {
             port::discard(&mut request).await;
@@ -67,8 +67,8 @@
     }
 }
 
-/// Faults, the record and the word to leave are reached through every fault.
-async fn administer(
+/// Handles the administrative calls (faults, record, leave), which no injected fault affects.
+async fn handle_admin(
     engine: &Shared,
     request: &mut http::Request,
     method: &str,
@@ -96,6 +96,7 @@
     }
 }
 
+/// Accepts an attempt and streams its answer.
 async fn generate(engine: Shared, mut request: http::Request) -> http::Response {
     let Ok(attempt) = port::header(&request, "Lagoon-Attempt").parse::<id::Attempt>() else {
         return port::refuse(400, "malformed");
@@ -105,41 +106,41 @@
         Err(error) => return port::malformed(&error),
     };
     let Some(text) = prompt::text(&body) else { return port::refuse(400, "malformed") };
-    let mut call = read_call(&request, attempt, &text);
-    let groups = port::header(&request, "Lagoon-Group");
-    if !groups.is_empty() {
-        let need = engine.settings.tokens(text.len()) + call.answer_tokens;
-        call.group = group(&engine, groups, need).await;
-        if call.group.is_none() {
+    let mut attempt_request = read_headers(&request, attempt, &text);
+    let members = port::header(&request, "Lagoon-Group");
+    if !members.is_empty() {
+        let need = engine.settings.tokens(text.len()) + attempt_request.answer_tokens;
+        attempt_request.group = group_reservation(&engine, members, need).await;
+        if attempt_request.group.is_none() {
             return port::refuse(429, "full");
         }
     }
-    let accepted = engine.lock().accept(call, time::Instant::now());
+    let accepted = engine.lock().accept(attempt_request, time::Instant::now());
     if let Err(refusal) = accepted {
         let (status, code) = refusal.code();
         return port::refuse(status, code);
     }
-    stream(engine, &request, attempt, None)
+    stream_response(engine, &request, attempt, None)
 }
 
-fn read_call(request: &http::Request, attempt: id::Attempt, text: &str) -> state::Call {
-    let deadline = port::number(request, "Lagoon-Deadline-Ms").unwrap_or(USUAL_DEADLINE_MS);
+fn read_headers(request: &http::Request, attempt: id::Attempt, text: &str) -> state::Request {
+    let deadline = port::number(request, "Lagoon-Deadline-Ms").unwrap_or(DEFAULT_DEADLINE_MS);
     let priority = port::number(request, "Lagoon-Priority").unwrap_or(0);
-    let answer = port::number(request, "Lagoon-Answer-Tokens").unwrap_or(USUAL_ANSWER_TOKENS);
-    state::Call {
+    let answer = port::number(request, "Lagoon-Answer-Tokens").unwrap_or(DEFAULT_ANSWER_TOKENS);
+    state::Request {
         attempt,
         owner: port::header(request, "Lagoon-Owner").to_owned(),
         priority: u8::try_from(priority).unwrap_or(u8::MAX),
         model: port::header(request, "Lagoon-Model").to_owned(),
         deadline: time::Duration::from_millis(deadline.min(86_400_000)),
         prompt: prompt::Prompt::new(text),
-        skip: port::number(request, "Lagoon-Skip-Tokens").unwrap_or(0),
+        skip_tokens: port::number(request, "Lagoon-Skip-Tokens").unwrap_or(0),
         answer_tokens: answer,
         group: None,
     }
 }
 
-fn stream(
+fn stream_response(
     engine: Shared,
     request: &http::Request,
     attempt: id::Attempt,
@@ -150,16 +151,17 @@
     let Some(delivery) = delivery::Delivery::new(engine, attempt, zone, from) else {
         return port::refuse(404, "unknown_stream");
     };
-    let pieces = futures_util::stream::unfold(delivery, |mut delivery| async {
-        delivery.piece().await.map(|piece| (piece, delivery))
+    let parts = futures_util::stream::unfold(delivery, |mut delivery| async {
+        delivery.next_part().await.map(|part| (part, delivery))
     });
     http::Response::build(http::StatusCode::OK)
         .content_type("text/event-stream")
         .header("Lagoon-Attempt", attempt.to_string())
         .header("Lagoon-Load", load)
-        .streaming(Box::pin(pieces))
+        .streaming(Box::pin(parts))
 }
 
+/// Streams an accepted attempt from a given chunk, and makes the caller its owner.
 fn resume(engine: Shared, request: &http::Request, attempt: &str) -> http::Response {
     let Ok(attempt) = attempt.parse() else { return port::refuse(404, "unknown_stream") };
     let from = port::query(request, "from").parse().unwrap_or(0);
@@ -167,20 +169,20 @@
     if !owner.is_empty() {
         engine.lock().set_owner(attempt, owner);
     }
-    stream(engine, request, attempt, Some(from))
+    stream_response(engine, request, attempt, Some(from))
 }
 
 fn cancel(engine: &Shared, request: &http::Request, attempt: &str) -> http::Response {
     let Ok(attempt) = attempt.parse() else { return port::refuse(400, "malformed") };
     let mut state = engine.lock();
     if state.faults.lose_cancel {
-        return port::vanish(request);
+        return port::drop_connection(request);
     }
     state.cancel(attempt, time::Instant::now());
     port::json(200, &json!({}))
 }
 
-fn events(engine: &Shared, request: &http::Request) -> http::Response {
+fn list_events(engine: &Shared, request: &http::Request) -> http::Response {
     let after = port::query(request, "after").parse().unwrap_or(0);
     let state = engine.lock();
     let lag = time::Duration::from_millis(engine.settings.cache_lag_ms);
@@ -188,31 +190,31 @@
     port::json(200, &json!({"incarnation": state.incarnation, "events": events}))
 }
 
-/// The answer to `GET /holdings`.
+/// Response body of `GET /holdings`.
 #[derive(Debug, Deserialize, Serialize)]
 struct Holdings {
     incarnation: u64,
     holdings: Vec<engine::Holding>,
 }
 
-fn holdings(engine: &Shared) -> http::Response {
+fn list_holdings(engine: &Shared) -> http::Response {
     let now = time::Instant::now();
     let state = engine.lock();
-    let listed = state.kv.iter().map(|(id, piece)| engine::Holding {
+    let held = state.kv.iter().map(|(id, allocation)| engine::Holding {
         id: id.clone(),
-        owner: piece.owner.clone(),
-        kind: piece.kind,
-        bytes: piece.tokens * engine.settings.kv_bytes_per_token,
-        expires_ms: u64::try_from(piece.expires.saturating_duration_since(now).as_millis())
+        owner: allocation.owner.clone(),
+        kind: allocation.kind,
+        bytes: allocation.tokens * engine.settings.kv_bytes_per_token,
+        expires_ms: u64::try_from(allocation.expires.saturating_duration_since(now).as_millis())
             .unwrap_or(u64::MAX),
     });
-    let holdings = listed.collect();
+    let holdings = held.collect();
     port::json(200, &Holdings { incarnation: state.incarnation, holdings })
 }
 
-/// This engine's reservation in a group, when all of its reservations stand and together hold
-/// `need` tokens.
-async fn group(engine: &Shared, members: &str, need: u64) -> Option<String> {
+/// Returns the id of this engine's reservation in a group of engines, if all reservations of the
+/// group exist and together hold at least `need` tokens. `members` is a list of `ID@IP:PORT`.
+async fn group_reservation(engine: &Shared, members: &str, need: u64) -> Option<String> {
     let mut own = None;
     let mut tokens = 0;
     for member in members.split(',') {
@@ -222,17 +224,18 @@
             tokens += engine.lock().kv.get(id)?.tokens;
             own = Some(id.to_owned());
         } else {
-            tokens += reserved_at(engine, address, id).await?;
+            tokens += remote_reservation(engine, address, id).await?;
         }
     }
     own.filter(|_| tokens >= need)
 }
 
-async fn reserved_at(engine: &Shared, address: net::SocketAddr, id: &str) -> Option<u64> {
+/// Returns the tokens of a reservation at another engine.
+async fn remote_reservation(engine: &Shared, address: net::SocketAddr, id: &str) -> Option<u64> {
     let client = ntex::client::Client::new().await;
     let answer = client.get(format!("http://{address}/holdings")).send().await.ok()?;
-    let listed: Holdings = answer.json().limit(16 << 20).await.ok()?;
-    let bytes = listed.holdings.iter().find(|holding| holding.id == id)?.bytes;
+    let held: Holdings = answer.json().limit(16 << 20).await.ok()?;
+    let bytes = held.holdings.iter().find(|holding| holding.id == id)?.bytes;
     Some(bytes / engine.settings.kv_bytes_per_token)
 }
 
@@ -244,34 +247,36 @@
     ttl_ms: u64,
 }
 
-fn until(ttl_ms: u64) -> time::Instant {
+/// Returns the expiry for a time to live of at most one day.
+fn expiry(ttl_ms: u64) -> time::Instant {
     time::Instant::now() + time::Duration::from_millis(ttl_ms.min(86_400_000))
 }
 
+/// Reserves KV memory, or extends the expiry of a reservation that exists.
 async fn reserve(engine: &Shared, request: &mut http::Request) -> http::Response {
-    let asked: Reserve = match port::read_json(request).await {
-        Ok(asked) => asked,
+    let body: Reserve = match port::read_json(request).await {
+        Ok(body) => body,
         Err(error) => return port::malformed(&error),
     };
     let mut state = engine.lock();
     if state.leaving {
         return port::refuse(503, "leaving");
     }
-    if state.kv.get(&asked.id).is_some() {
-        state.kv.set_expiry(&asked.id, until(asked.ttl_ms));
+    if state.kv.get(&body.id).is_some() {
+        state.kv.set_expiry(&body.id, expiry(body.ttl_ms));
         return port::json(200, &json!({}));
     }
-    if state.faults.refuse_full || !state.make_room(asked.tokens, time::Instant::now()) {
+    if state.faults.refuse_full || !state.make_room(body.tokens, time::Instant::now()) {
         return port::refuse(429, "full");
     }
-    let piece = kv::Piece {
-        owner: asked.owner,
+    let allocation = kv::Allocation {
+        owner: body.owner,
         kind: engine::Kind::Reservation,
-        tokens: asked.tokens,
-        expires: until(asked.ttl_ms),
+        tokens: body.tokens,
+        expires: expiry(body.ttl_ms),
         prefixes: Vec::new(),
     };
-    state.kv.take(asked.id, piece);
+    state.kv.allocate(body.id, allocation);
     port::json(200, &json!({}))
 }
 
@@ -283,29 +288,30 @@
     ttl_ms: u64,
 }
 
+/// Allocates an export of the cached blocks up to a prefix, for another engine to import.
 async fn export(engine: &Shared, request: &mut http::Request) -> http::Response {
-    let asked: Export = match port::read_json(request).await {
-        Ok(asked) => asked,
+    let body: Export = match port::read_json(request).await {
+        Ok(body) => body,
         Err(error) => return port::malformed(&error),
     };
     let mut state = engine.lock();
-    let Some(prefixes) = state.cache.chain(asked.prefix) else {
+    let Some(prefixes) = state.cache.chain(body.prefix) else {
         return port::refuse(404, "unknown_prefix");
     };
     let tokens = prefixes.len() as u64 * engine.settings.tokens(prompt::BLOCK_BYTES);
     let bytes = tokens * engine.settings.kv_bytes_per_token;
-    if state.kv.get(&asked.id).is_none() {
+    if state.kv.get(&body.id).is_none() {
         if !state.make_room(tokens, time::Instant::now()) {
             return port::refuse(429, "full");
         }
-        let (owner, expires) = (asked.owner, until(asked.ttl_ms));
+        let (owner, expires) = (body.owner, expiry(body.ttl_ms));
         let kind = engine::Kind::Export;
-        state.kv.take(asked.id, kv::Piece { owner, kind, tokens, expires, prefixes });
+        state.kv.allocate(body.id, kv::Allocation { owner, kind, tokens, expires, prefixes });
     }
     port::json(200, &json!({"bytes": bytes}))
 }
 
-/// What an exporter hands over: block hashes stand for the cache itself.
+/// Exported cache blocks. The stand-in transfers only block hashes, no cache contents.
 #[derive(Debug, Deserialize, Serialize)]
 struct Exported {
     prefixes: Vec<u64>,
@@ -313,13 +319,13 @@
     bytes: u64,
 }
 
-fn exported(engine: &Shared, id: &str) -> http::Response {
+fn read_export(engine: &Shared, id: &str) -> http::Response {
     let state = engine.lock();
-    let piece = state.kv.get(id).filter(|piece| piece.kind == engine::Kind::Export);
-    let Some(piece) = piece else { return port::refuse(404, "unknown_export") };
-    let bytes = piece.tokens * engine.settings.kv_bytes_per_token;
-    let prefixes = piece.prefixes.clone();
-    port::json(200, &Exported { prefixes, tokens: piece.tokens, bytes })
+    let allocation = state.kv.get(id).filter(|allocation| allocation.kind == engine::Kind::Export);
+    let Some(allocation) = allocation else { return port::refuse(404, "unknown_export") };
+    let bytes = allocation.tokens * engine.settings.kv_bytes_per_token;
+    let prefixes = allocation.prefixes.clone();
+    port::json(200, &Exported { prefixes, tokens: allocation.tokens, bytes })
 }
 
 #[derive(Debug, Deserialize)]
@@ -328,41 +334,42 @@
     from: net::SocketAddr,
 }
 
+/// Fetches an export from another engine at `import_rate` and adds its blocks to the cache.
 async fn import(engine: &Shared, request: &mut http::Request) -> http::Response {
-    let asked: Import = match port::read_json(request).await {
-        Ok(asked) => asked,
+    let body: Import = match port::read_json(request).await {
+        Ok(body) => body,
         Err(error) => return port::malformed(&error),
     };
-    let Some(exported) = fetch(&asked).await else { return port::refuse(502, "no_export") };
+    let Some(exported) = fetch_export(&body).await else { return port::refuse(502, "no_export") };
     let seconds = exported.bytes as f64 / engine.settings.import_rate as f64;
     tokio::time::sleep(time::Duration::from_secs_f64(seconds)).await;
     let mut state = engine.lock();
-    state.remember(&exported.prefixes, time::Instant::now());
+    state.cache_prefixes(&exported.prefixes, time::Instant::now());
     let tokens = state.cache.lookup(&exported.prefixes);
     port::json(200, &json!({"tokens": tokens}))
 }
 
-async fn fetch(asked: &Import) -> Option<Exported> {
+async fn fetch_export(body: &Import) -> Option<Exported> {
     let client = ntex::client::Client::new().await;
-    let uri = format!("http://{}/kv/exports/{}", asked.from, asked.id);
+    let uri = format!("http://{}/kv/exports/{}", body.from, body.id);
     let answer = client.get(uri).send().await.ok()?;
     answer.json().limit(16 << 20).await.ok()
 }
 
-async fn order(engine: &Shared, request: &mut http::Request) -> http::Response {
-    let envelope: orders::Envelope = match port::read_json(request).await {
+async fn apply_command(engine: &Shared, request: &mut http::Request) -> http::Response {
+    let envelope: commands::Envelope = match port::read_json(request).await {
         Ok(envelope) => envelope,
         Err(error) => return port::malformed(&error),
     };
     let mut state = engine.lock();
-    match state.orders.take(envelope, engine.settings.checks_fence) {
-        Err(orders::Stale) => port::refuse(409, "stale_fence"),
+    match state.commands.apply(envelope, engine.settings.checks_fence) {
+        Err(commands::StaleFence) => port::refuse(409, "stale_fence"),
         Ok(load) => {
             if let Some(number) = load {
-                ntex::rt::spawn(orders::load(engine.clone(), number));
+                ntex::rt::spawn(commands::load(engine.clone(), number));
             }
-            let orders = &state.orders;
-            let (model, role, fence) = (&orders.model, orders.role, orders.fence);
+            let commands = &state.commands;
+            let (model, role, fence) = (&commands.model, commands.role, commands.fence);
             port::json(200, &json!({"model": model, "role": role, "fence": fence}))
         }
     }
--- a/crates/lagoon-standin/src/engine/mod.rs
+++ b/crates/lagoon-standin/src/engine/mod.rs
@@ -1,12 +1,12 @@
-//! A model engine: continuous batching, limited KV memory, prefix cache, streams that resume.
+//! Model engine stand-in: continuous batching, limited KV memory, prefix cache, resumable streams.
 
 pub mod batch;
 pub(crate) mod cache;
+mod commands;
 pub(crate) mod delivery;
 mod faults;
 pub(crate) mod http;
 pub(crate) mod kv;
-mod orders;
 mod settings;
 mod state;
 
@@ -20,25 +20,25 @@
 pub use state::{AttemptRecord, Record};
 
 use crate::fault;
-use crate::gate;
+use crate::listener;
 use crate::port;
 use crate::server;
 
-/// One engine: its settings, and its state under one lock.
+/// One engine: its settings, and its state behind one lock.
 #[derive(Debug)]
 pub struct Engine {
-    /// What it was started with.
+    /// Settings, with the address that is actually bound.
     pub settings: sync::Arc<Settings>,
-    pub(crate) gate: gate::Gate,
+    pub(crate) listener: listener::Listener,
     state: sync::Mutex<state::State>,
 }
 
 impl Engine {
-    /// An engine with nothing in it.
+    /// Creates an engine without streams, reservations or cached blocks.
     pub fn new(settings: Settings) -> Self {
         let settings = sync::Arc::new(settings);
         let state = state::State::new(settings.clone(), time::Instant::now());
-        Engine { settings, gate: gate::Gate::default(), state: sync::Mutex::new(state) }
+        Engine { settings, listener: listener::Listener::default(), state: sync::Mutex::new(state) }
     }
 
     pub(crate) fn lock(&self) -> sync::MutexGuard<'_, state::State> {
@@ -53,44 +53,46 @@
         self.lock().faults.port()
     }
 
-    /// The switches as they stand.
+    /// Returns the current fault switches.
     pub fn faults(&self) -> Faults {
         self.lock().faults.clone()
     }
 
-    /// Sets the switches. `down` loses all that the engine held, ends its connections and refuses
-    /// new ones; when it comes back it is a new incarnation.
+    /// Sets the fault switches. `down` discards streams, KV memory and cache, closes all
+    /// connections and refuses new ones. After it is cleared, the engine serves as a new
+    /// incarnation.
     pub fn set_faults(&self, faults: Faults) {
-        self.gate.set(!faults.down);
+        self.listener.set_open(!faults.down);
         self.lock().set_faults(faults, time::Instant::now());
     }
 
-    /// The platform's word to leave: running streams end, new ones are refused.
+    /// Starts a drain, as when the platform announces that the engine leaves: accepted streams
+    /// finish, new ones are refused.
     pub fn leave(&self) {
         self.lock().leaving = true;
     }
 
-    /// What it did.
+    /// Returns the record of accepted attempts and KV memory totals.
     pub fn record(&self) -> Record {
         self.lock().record()
     }
 }
 
-/// Starts one engine with threads of its own.
+/// Starts one engine on its own threads.
 ///
 /// # Errors
 ///
-/// The address cannot be bound, or a thread not be started.
+/// Returns an error if the address cannot be bound or a thread cannot be started.
 pub fn start(settings: Settings) -> io::Result<server::Running<Engine>> {
     let mut all = start_all(vec![settings])?;
     all.pop().ok_or_else(|| io::Error::other("no engine was started"))
 }
 
-/// Starts engines that share worker threads; any number of them costs four threads.
+/// Starts engines that share worker threads: four threads in all, for any number of engines.
 ///
 /// # Errors
 ///
-/// As [`start`].
+/// Returns an error in the same cases as [`start`].
 ///
 /// ```
 /// use lagoon_standin::engine;
@@ -112,11 +114,11 @@
 
 type Bound = ((net::TcpListener, server::Node), net::SocketAddr, sync::Arc<Engine>);
 
-/// Binds an engine that is not served yet.
+/// Creates an engine and binds its address, without serving it yet.
 pub(crate) fn bind(settings: Settings) -> io::Result<Bound> {
     let listener = port::bind(settings.address)?;
     let address = listener.local_addr()?;
     let engine = sync::Arc::new(Engine::new(Settings { address, ..settings }));
-    engine.gate.hold(&listener)?;
+    engine.listener.attach(&listener)?;
     Ok(((listener, server::Node::Engine(engine.clone())), address, engine))
 }
--- a/crates/lagoon-standin/src/engine/settings.rs
+++ b/crates/lagoon-standin/src/engine/settings.rs
@@ -7,47 +7,47 @@
 /// Settings of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Its name, as the document has it.
+    /// Name of the engine, as in the configuration document.
     pub name: String,
-    /// Where it listens; port 0 takes a free one.
+    /// Listen address; port 0 selects a free port.
     pub address: net::SocketAddr,
-    /// The model loaded at first.
+    /// Model that is loaded at the start.
     pub model: String,
-    /// Engine seconds pass this many times faster than real ones.
+    /// Number of engine seconds that pass in one real second.
     pub time_scale: f64,
     /// KV memory, in tokens.
     pub kv_tokens: u64,
-    /// KV memory for each token, in bytes.
+    /// KV memory per token, in bytes.
     pub kv_bytes_per_token: u64,
-    /// Bytes of prompt text for each token.
+    /// Bytes of prompt text per token.
     pub bytes_per_token: f64,
-    /// Streams in the batch at once.
+    /// Maximum number of streams in the batch.
     pub slots: usize,
-    /// Requests accepted and not yet in the batch, at most.
+    /// Maximum number of accepted requests that wait for the batch.
     pub waiting_limit: usize,
-    /// Tokens prefilled in an engine second when it does nothing else.
+    /// Tokens prefilled per engine second while no stream decodes.
     pub prefill_rate: f64,
-    /// Most tokens prefilled in one step of the batch.
+    /// Maximum number of tokens prefilled in one step of the batch.
     pub prefill_chunk: u64,
-    /// Engine milliseconds of a decode step with one stream.
+    /// Duration of a decode step with one stream, in engine milliseconds.
     pub decode_ms: f64,
-    /// Engine milliseconds that each further stream adds to a decode step.
+    /// Time that each further stream adds to a decode step, in engine milliseconds.
     pub decode_stream_ms: f64,
-    /// Age of the load reports, in real milliseconds, at most.
+    /// Interval between load reports, in real milliseconds.
     pub load_lag_ms: u64,
-    /// Age at which a cache event is published, in real milliseconds.
+    /// Delay before a cache event is published, in real milliseconds.
     pub cache_lag_ms: u64,
-    /// Share of cache events that are lost.
+    /// Probability that a cache event is lost, 0 to 1.
     pub cache_loss: f64,
-    /// Real milliseconds for which a stream that nobody reads, or a finished one, is kept.
+    /// Time for which a finished stream is kept, and one past its deadline, in real milliseconds.
     pub resume_ms: u64,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether commands with an old fencing number are refused.
     pub checks_fence: bool,
-    /// Weights of a model, in bytes.
+    /// Size of a model's weights, in bytes.
     pub weight_bytes: u64,
-    /// The weight store; without one, a model loads at once.
+    /// Address of the weight store; without one, a model loads immediately.
     pub weight_store: Option<net::SocketAddr>,
-    /// Bytes of KV cache imported in a real second.
+    /// Rate of KV cache imports, in bytes per real second.
     pub import_rate: u64,
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl Settings {
-    /// Reads one engine's object of a settings text.
+    /// Reads the settings object of one engine.
     ///
     /// ```
     /// use lagoon_standin::engine::Settings;
@@ -89,42 +89,46 @@
     /// assert_eq!(check::parse(text, Settings::read).unwrap().slots, 4);
     /// ```
     pub fn read(reader: &check::Reader<'_>) -> Self {
-        let usual = Settings::default();
-        let count = |name, default: usize, least| {
-            let number = reader.number(name, default as u64, least..=65_536);
+        let defaults = Settings::default();
+        let count = |name, default: usize, min| {
+            let number = reader.number(name, default as u64, min..=65_536);
             usize::try_from(number).unwrap_or(default)
         };
-        let span = |name, default| reader.number(name, default, 0..=3_600_000);
+        let millis = |name, default| reader.number(name, default, 0..=3_600_000);
         Settings {
-            name: reader.text("name", &usual.name),
-            address: reader.required_parsed("address", "IP:PORT", usual.address),
-            model: reader.text("model", &usual.model),
-            time_scale: reader.float("time_scale", usual.time_scale, 0.01..=10_000.0),
-            kv_tokens: reader.number("kv_tokens", usual.kv_tokens, 1..=1 << 40),
+            name: reader.text("name", &defaults.name),
+            address: reader.required_parsed("address", "IP:PORT", defaults.address),
+            model: reader.text("model", &defaults.model),
+            time_scale: reader.float("time_scale", defaults.time_scale, 0.01..=10_000.0),
+            kv_tokens: reader.number("kv_tokens", defaults.kv_tokens, 1..=1 << 40),
             kv_bytes_per_token: reader.number(
                 "kv_bytes_per_token",
-                usual.kv_bytes_per_token,
+                defaults.kv_bytes_per_token,
                 1..=1 << 30,
             ),
-            bytes_per_token: reader.float("bytes_per_token", usual.bytes_per_token, 0.1..=100.0),
-            slots: count("slots", usual.slots, 1),
-            waiting_limit: count("waiting_limit", usual.waiting_limit, 0),
-            prefill_rate: reader.float("prefill_rate", usual.prefill_rate, 1.0..=1e9),
-            prefill_chunk: reader.number("prefill_chunk", usual.prefill_chunk, 1..=1 << 20),
-            decode_ms: reader.float("decode_ms", usual.decode_ms, 0.001..=60_000.0),
-            decode_stream_ms: reader.float("decode_stream_ms", usual.decode_stream_ms, 0.0..=1e3),
-            load_lag_ms: span("load_lag_ms", usual.load_lag_ms),
-            cache_lag_ms: span("cache_lag_ms", usual.cache_lag_ms),
-            cache_loss: reader.float("cache_loss", usual.cache_loss, 0.0..=1.0),
-            resume_ms: span("resume_ms", usual.resume_ms),
-            checks_fence: reader.flag("checks_fence", usual.checks_fence),
-            weight_bytes: reader.number("weight_bytes", usual.weight_bytes, 1..=1 << 50),
+            bytes_per_token: reader.float("bytes_per_token", defaults.bytes_per_token, 0.1..=100.0),
+            slots: count("slots", defaults.slots, 1),
+            waiting_limit: count("waiting_limit", defaults.waiting_limit, 0),
+            prefill_rate: reader.float("prefill_rate", defaults.prefill_rate, 1.0..=1e9),
+            prefill_chunk: reader.number("prefill_chunk", defaults.prefill_chunk, 1..=1 << 20),
+            decode_ms: reader.float("decode_ms", defaults.decode_ms, 0.001..=60_000.0),
+            decode_stream_ms: reader.float(
+                "decode_stream_ms",
+                defaults.decode_stream_ms,
+                0.0..=1e3,
+            ),
+            load_lag_ms: millis("load_lag_ms", defaults.load_lag_ms),
+            cache_lag_ms: millis("cache_lag_ms", defaults.cache_lag_ms),
+            cache_loss: reader.float("cache_loss", defaults.cache_loss, 0.0..=1.0),
+            resume_ms: millis("resume_ms", defaults.resume_ms),
+            checks_fence: reader.flag("checks_fence", defaults.checks_fence),
+            weight_bytes: reader.number("weight_bytes", defaults.weight_bytes, 1..=1 << 50),
             weight_store: reader.parsed("weight_store", "IP:PORT"),
-            import_rate: reader.number("import_rate", usual.import_rate, 1..=1 << 50),
+            import_rate: reader.number("import_rate", defaults.import_rate, 1..=1 << 50),
         }
     }
 
-    /// Tokens of a text of `bytes` bytes.
+    /// Returns the number of tokens in a text of `bytes` bytes, at min 1.
     pub(crate) fn tokens(&self, bytes: usize) -> u64 {
         ((bytes as f64 / self.bytes_per_token).ceil() as u64).max(1)
     }
--- a/crates/lagoon-standin/src/engine/state.rs
+++ b/crates/lagoon-standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! All state of one engine, and how it moves on with time.
+//! State of one engine and its progress over time.
 
 use std::cmp;
 use std::collections;
@@ -12,50 +12,50 @@
 
 use super::batch;
 use super::cache;
+use super::commands;
 use super::faults;
 use super::kv;
-use super::orders;
 use super::settings;
 use crate::prompt;
 
-/// Seconds of real time that a late tick may catch up.
-const CATCH_UP: f64 = 0.25;
-/// How long a cancelled attempt is remembered, so that it is refused when it comes later.
-const TOMB: time::Duration = time::Duration::from_secs(600);
+/// Maximum real time that one late tick makes up for, in seconds.
+const MAX_CATCH_UP_SECONDS: f64 = 0.25;
+/// Time for which a cancelled attempt is refused, as its request may arrive after the cancel.
+const TOMBSTONE_TTL: time::Duration = time::Duration::from_secs(600);
 
-/// What the record says of one attempt.
+/// Record of one accepted attempt.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AttemptRecord {
     /// The attempt, as 32 hex digits.
     pub attempt: String,
-    /// Entry host and life that sent it.
+    /// Entry host that owns it, and its incarnation.
     pub owner: String,
     /// `waiting`, `running`, `done`, `cancelled`, `expired` or `lost`.
     pub state: String,
-    /// Number that the next chunk would have had.
+    /// Number of the next chunk, which counts skipped chunks too.
     pub chunks: u64,
-    /// Length of its prompt.
+    /// Length of its prompt, in tokens.
     pub prompt_tokens: u64,
-    /// FNV-1a of its prompt's text.
+    /// FNV-1a hash of the prompt text.
     pub prompt_hash: u64,
 }
 
-/// What an engine did.
+/// Record of an engine's activity, for test assertions.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// Its life.
+    /// Current incarnation of the engine.
     pub incarnation: u64,
-    /// Every attempt that it accepted.
+    /// All accepted attempts, also of earlier incarnations.
     pub attempts: Vec<AttemptRecord>,
-    /// KV memory ever reserved, in bytes.
+    /// Total KV memory reserved since the start, in bytes.
     pub bytes_reserved: u64,
-    /// KV memory ever returned, in bytes.
+    /// Total KV memory returned since the start, in bytes.
     pub bytes_returned: u64,
-    /// Orders that came with a fencing number below an earlier one.
+    /// Number of commands with a fencing number below the highest one seen.
     pub stale_orders: u64,
 }
 
-/// How a stream ended.
+/// Reason why a stream ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum End {
     Done,
@@ -75,57 +75,67 @@
     }
 }
 
-/// What the readers of a stream follow.
+/// Progress of a stream, as its readers see it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Progress {
+    /// Number of the next chunk to be decoded.
     pub(crate) next: u64,
+    /// `None` while the stream is waiting or running.
     pub(crate) end: Option<End>,
 }
 
-/// An attempt as it comes in.
+/// Parameters of a new attempt.
 #[derive(Debug)]
-pub(crate) struct Call {
+pub(crate) struct Request {
     pub(crate) attempt: id::Attempt,
     pub(crate) owner: String,
     pub(crate) priority: u8,
     pub(crate) model: String,
     pub(crate) deadline: time::Duration,
     pub(crate) prompt: prompt::Prompt,
-    pub(crate) skip: u64,
+    /// Tokens of the answer that the caller has already.
+    pub(crate) skip_tokens: u64,
     pub(crate) answer_tokens: u64,
-    /// This engine's reservation of a group that was found to hold the whole prompt.
+    /// This engine's reservation in a group of engines that together hold the whole prompt.
     pub(crate) group: Option<String>,
 }
 
+/// One accepted attempt. Each chunk is one token.
 #[derive(Debug)]
 pub(crate) struct Stream {
     priority: u8,
     arrival: u64,
     owner: String,
+    /// Id of this engine's reservation, for a stream that runs on a group of engines.
     group: Option<String>,
+    /// Time at which the stream is dropped: its deadline plus `resume_ms`, or `resume_ms` after it
+    /// is done.
     expires: time::Instant,
     prefixes: Vec<u64>,
     prefill_left: u64,
     pub(crate) prompt_hash: u64,
     pub(crate) prompt_tokens: u64,
     pub(crate) cached_tokens: u64,
-    pub(crate) first: u64,
-    total: u64,
+    /// Number of the first chunk, which follows the skipped ones.
+    pub(crate) first_chunk: u64,
+    /// Number of chunks in the whole answer, with the skipped ones.
+    total_chunks: u64,
     pub(crate) progress: watch::Sender<Progress>,
 }
 
 impl Stream {
+    /// Sort key of the queue and the batch: higher priority first, then earlier arrival.
     fn rank(&self) -> (cmp::Reverse<u8>, u64) {
         (cmp::Reverse(self.priority), self.arrival)
     }
 
-    /// Tokens of memory that it needs here.
-    fn need(&self) -> u64 {
-        if self.group.is_some() { 0 } else { self.prompt_tokens + self.total }
+    /// Returns the KV memory to allocate, in tokens. A stream of a group uses its reservation.
+    fn needed_tokens(&self) -> u64 {
+        if self.group.is_some() { 0 } else { self.prompt_tokens + self.total_chunks }
     }
 }
 
-/// Why an attempt is refused; it did not run and will not.
+/// Reason why an attempt was refused. A refused attempt has not run and never will.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Refusal {
     Full,
@@ -147,6 +157,7 @@
     }
 }
 
+/// State of one engine, which survives a crash only in part, see [`State::crash`].
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) settings: sync::Arc<settings::Settings>,
@@ -155,16 +166,23 @@
     pub(crate) incarnation: u64,
     pub(crate) kv: kv::Kv,
     pub(crate) cache: cache::Cache,
-    pub(crate) orders: orders::State,
+    pub(crate) commands: commands::State,
     pub(crate) streams: collections::HashMap<id::Attempt, Stream>,
+    /// Accepted attempts that are not in the batch yet.
     waiting: Vec<id::Attempt>,
+    /// Attempts in the batch, in priority order.
     running: Vec<id::Attempt>,
-    tombs: collections::HashMap<id::Attempt, time::Instant>,
+    /// Cancelled attempts, and the time until which each is refused.
+    tombstones: collections::HashMap<id::Attempt, time::Instant>,
+    /// Records of all accepted attempts; they survive a crash.
     history: collections::BTreeMap<id::Attempt, AttemptRecord>,
+    /// Number of accepted attempts, which orders those of equal priority.
     arrivals: u64,
-    credit: f64,
-    last: time::Instant,
+    /// Elapsed engine time that no step has used yet.
+    unspent_seconds: f64,
+    last_advance: time::Instant,
     frozen_until: Option<time::Instant>,
+    /// Load report that `GET /load` returns; it is up to `load_lag_ms` old.
     published: engine::LoadReport,
     published_at: time::Instant,
 }
@@ -173,22 +191,22 @@
     pub(crate) fn new(settings: sync::Arc<settings::Settings>, now: time::Instant) -> Self {
         let wall = time::SystemTime::now().duration_since(time::UNIX_EPOCH).unwrap_or_default();
         let cache = new_cache(&settings);
-        let orders = orders::State::new(&settings);
+        let commands = commands::State::new(&settings);
         let mut state = State {
             faults: faults::Faults::default(),
             leaving: false,
             incarnation: u64::try_from(wall.as_micros()).unwrap_or(0),
             kv: kv::Kv::default(),
             cache,
-            orders,
+            commands,
             streams: collections::HashMap::new(),
             waiting: Vec::new(),
             running: Vec::new(),
-            tombs: collections::HashMap::new(),
+            tombstones: collections::HashMap::new(),
             history: collections::BTreeMap::new(),
             arrivals: 0,
-            credit: 0.0,
-            last: now,
+            unspent_seconds: 0.0,
+            last_advance: now,
             frozen_until: None,
             published: engine::LoadReport::default(),
             published_at: now,
@@ -208,7 +226,8 @@
         self.faults = faults;
     }
 
-    /// The process dies: all that it held is gone, and what comes back is a new incarnation.
+    /// Simulates a crash of the process: drops all streams, KV memory and cache, and starts the
+    /// next incarnation.
     fn crash(&mut self) {
         let attempts: Vec<_> = self.streams.keys().copied().collect();
         for attempt in attempts {
@@ -216,113 +235,126 @@
         }
         self.streams.clear();
         self.kv.clear();
-        self.tombs.clear();
+        self.tombstones.clear();
         self.cache = new_cache(&self.settings);
-        self.orders =
-            orders::State { stale: self.orders.stale, ..orders::State::new(&self.settings) };
+        self.commands =
+            commands::State { stale: self.commands.stale, ..commands::State::new(&self.settings) };
         self.leaving = false;
         self.incarnation += 1;
         self.published = engine::LoadReport { sequence: 0, ..self.load() };
     }
 
-    /// Takes an attempt in, or refuses it.
-    pub(crate) fn accept(&mut self, call: Call, now: time::Instant) -> Result<(), Refusal> {
+    /// Accepts and queues an attempt, or refuses it.
+    pub(crate) fn accept(&mut self, request: Request, now: time::Instant) -> Result<(), Refusal> {
         let settings = self.settings.clone();
-        let prompt_tokens = settings.tokens(call.prompt.bytes);
-        let total = call.answer_tokens.max(call.skip);
-        if self.tombs.contains_key(&call.attempt) || self.streams.contains_key(&call.attempt) {
+        let prompt_tokens = settings.tokens(request.prompt.bytes);
+        let total_chunks = request.answer_tokens.max(request.skip_tokens);
+        if self.tombstones.contains_key(&request.attempt)
+            || self.streams.contains_key(&request.attempt)
+        {
             return Err(Refusal::AttemptExists);
         }
         if self.leaving {
             return Err(Refusal::Leaving);
         }
-        if call.model != self.orders.model || self.orders.loading {
+        if request.model != self.commands.model || self.commands.loading {
             return Err(Refusal::UnknownModel);
         }
-        if call.group.is_none() && prompt_tokens + total > settings.kv_tokens {
+        if request.group.is_none() && prompt_tokens + total_chunks > settings.kv_tokens {
             return Err(Refusal::TooLong);
         }
         let free_slot = self.running.len() + self.waiting.len() < settings.slots;
-        let must_wait = !free_slot || !self.fits(prompt_tokens + total, call.group.is_some());
-        if self.faults.refuse_full || (must_wait && self.waiting.len() >= settings.waiting_limit) {
+        let must_queue =
+            !free_slot || !self.fits(prompt_tokens + total_chunks, request.group.is_some());
+        if self.faults.refuse_full || (must_queue && self.waiting.len() >= settings.waiting_limit) {
             return Err(Refusal::Full);
         }
-        self.enqueue(call, prompt_tokens, total, now);
+        self.enqueue(request, prompt_tokens, total_chunks, now);
         Ok(())
     }
 
+    /// Returns whether a stream of this many tokens fits beside the current allocations.
     fn fits(&self, tokens: u64, group: bool) -> bool {
         group || self.kv.tokens() + tokens <= self.settings.kv_tokens
     }
 
-    fn enqueue(&mut self, call: Call, prompt_tokens: u64, total: u64, now: time::Instant) {
+    fn enqueue(
+        &mut self,
+        request: Request,
+        prompt_tokens: u64,
+        total_chunks: u64,
+        now: time::Instant,
+    ) {
         self.arrivals += 1;
-        let progress = Progress { next: call.skip, end: None };
+        let progress = Progress { next: request.skip_tokens, end: None };
         let stream = Stream {
-            priority: call.priority,
+            priority: request.priority,
             arrival: self.arrivals,
-            owner: call.owner.clone(),
-            group: call.group,
-            expires: now + call.deadline + time::Duration::from_millis(self.settings.resume_ms),
-            prefixes: call.prompt.prefixes,
+            owner: request.owner.clone(),
+            group: request.group,
+            expires: now + request.deadline + time::Duration::from_millis(self.settings.resume_ms),
+            prefixes: request.prompt.prefixes,
             prefill_left: prompt_tokens,
-            prompt_hash: call.prompt.hash,
+            prompt_hash: request.prompt.hash,
             prompt_tokens,
             cached_tokens: 0,
-            first: call.skip,
-            total,
+            first_chunk: request.skip_tokens,
+            total_chunks,
             progress: watch::Sender::new(progress),
         };
         let record = AttemptRecord {
-            attempt: call.attempt.to_string(),
-            owner: call.owner,
+            attempt: request.attempt.to_string(),
+            owner: request.owner,
             state: "waiting".to_owned(),
-            chunks: call.skip,
+            chunks: request.skip_tokens,
             prompt_tokens,
             prompt_hash: stream.prompt_hash,
         };
-        self.history.insert(call.attempt, record);
-        self.streams.insert(call.attempt, stream);
-        self.waiting.push(call.attempt);
+        self.history.insert(request.attempt, record);
+        self.streams.insert(request.attempt, stream);
+        self.waiting.push(request.attempt);
         self.admit(now);
     }
 
-    /// Moves waiting attempts into the batch, in order, while they fit. The first that does not
-    /// fit holds up those behind it, else a long prompt would wait for ever.
+    /// Moves waiting attempts into the batch in order, while they fit. The first attempt that does
+    /// not fit blocks those behind it, otherwise a long prompt could starve.
     fn admit(&mut self, now: time::Instant) {
         let streams = &self.streams;
         self.waiting.sort_by_key(|attempt| streams.get(attempt).map(Stream::rank));
         while self.running.len() < self.settings.slots {
             let Some(&attempt) = self.waiting.first() else { return };
             let Some(stream) = self.streams.get(&attempt) else { return };
-            let need = stream.need();
+            let need = stream.needed_tokens();
             if !self.make_room(need, now) {
                 return;
             }
             self.waiting.remove(0);
-            self.begin(attempt, need);
+            self.start(attempt, need);
         }
     }
 
-    fn begin(&mut self, attempt: id::Attempt, tokens: u64) {
+    /// Moves an attempt into the batch and allocates its memory. Cached prompt blocks need no
+    /// prefill, skipped chunks do.
+    fn start(&mut self, attempt: id::Attempt, tokens: u64) {
         let Some(stream) = self.streams.get_mut(&attempt) else { return };
         stream.cached_tokens = self.cache.lookup(&stream.prefixes).min(stream.prompt_tokens - 1);
-        stream.prefill_left = stream.prompt_tokens + stream.first - stream.cached_tokens;
-        let piece = kv::Piece {
+        stream.prefill_left = stream.prompt_tokens + stream.first_chunk - stream.cached_tokens;
+        let allocation = kv::Allocation {
             owner: stream.owner.clone(),
             kind: engine::Kind::Stream,
             tokens,
             expires: stream.expires,
             prefixes: Vec::new(),
         };
-        self.kv.take(attempt.to_string(), piece);
+        self.kv.allocate(attempt.to_string(), allocation);
         self.running.push(attempt);
         let streams = &self.streams;
         self.running.sort_by_key(|attempt| streams.get(attempt).map(Stream::rank));
-        self.note(attempt, "running");
+        self.record_state(attempt, "running");
     }
 
-    /// Frees `tokens` of memory by putting out cached blocks; false when held memory is too much.
+    /// Evicts cached blocks until `tokens` are free. Returns false when allocations leave less than
+    /// that.
     pub(crate) fn make_room(&mut self, tokens: u64, now: time::Instant) -> bool {
         if self.kv.tokens() + tokens > self.settings.kv_tokens {
             return false;
@@ -332,13 +364,14 @@
         true
     }
 
-    /// Puts blocks into the prefix cache as far as held memory leaves room.
-    pub(crate) fn remember(&mut self, prefixes: &[u64], now: time::Instant) {
+    /// Inserts blocks into the prefix cache, within the memory that allocations leave free.
+    pub(crate) fn cache_prefixes(&mut self, prefixes: &[u64], now: time::Instant) {
         let room = self.settings.kv_tokens - self.kv.tokens();
         self.cache.insert(prefixes, room, now);
     }
 
-    fn note(&mut self, attempt: id::Attempt, state: &str) {
+    /// Updates the state and chunk count in the record of an attempt.
+    fn record_state(&mut self, attempt: id::Attempt, state: &str) {
         let next = self.streams.get(&attempt).map(|stream| stream.progress.borrow().next);
         if let Some(record) = self.history.get_mut(&attempt) {
             state.clone_into(&mut record.state);
@@ -346,31 +379,32 @@
         }
     }
 
-    /// Ends a stream; one that is done keeps its memory until it is delivered or expires.
+    /// Ends a stream. A completed stream keeps its memory until it is delivered or expires.
     fn finish(&mut self, attempt: id::Attempt, end: End) {
         self.running.retain(|other| *other != attempt);
         self.waiting.retain(|other| *other != attempt);
-        self.note(attempt, end.as_str());
+        self.record_state(attempt, end.as_str());
         let Some(stream) = self.streams.get(&attempt) else { return };
         stream.progress.send_modify(|progress| progress.end = progress.end.or(Some(end)));
         if end != End::Done {
-            self.kv.give_back(&attempt.to_string());
+            self.kv.release(&attempt.to_string());
         }
     }
 
-    /// Stops an attempt and frees its memory; a later one of the same name will be refused.
+    /// Stops an attempt and frees its memory. A request for the same attempt that arrives later is
+    /// refused.
     pub(crate) fn cancel(&mut self, attempt: id::Attempt, now: time::Instant) {
-        self.tombs.insert(attempt, now + TOMB);
+        self.tombstones.insert(attempt, now + TOMBSTONE_TTL);
         let ended = self.streams.get(&attempt).is_none_or(|s| s.progress.borrow().end.is_some());
         if !ended {
             self.finish(attempt, End::Cancelled);
         }
-        self.kv.give_back(&attempt.to_string());
+        self.kv.release(&attempt.to_string());
         self.streams.remove(&attempt);
         self.admit(now);
     }
 
-    /// Another entry host has taken the stream over.
+    /// Records that another entry host has taken over the stream.
     pub(crate) fn set_owner(&mut self, attempt: id::Attempt, owner: &str) {
         if let Some(stream) = self.streams.get_mut(&attempt) {
             owner.clone_into(&mut stream.owner);
@@ -378,68 +412,76 @@
         }
     }
 
-    /// The whole answer went out: its memory comes back at once.
-    pub(crate) fn delivered(&mut self, attempt: id::Attempt, now: time::Instant) {
-        self.kv.give_back(&attempt.to_string());
+    /// Records that the whole answer was delivered, and frees its memory.
+    pub(crate) fn record_delivered(&mut self, attempt: id::Attempt, now: time::Instant) {
+        self.kv.release(&attempt.to_string());
         self.admit(now);
     }
 
-    /// Frees a holding of any kind; nothing when there is none.
+    /// Frees a holding of any kind; does nothing when it does not exist.
     pub(crate) fn release(&mut self, id: &str, now: time::Instant) {
         if let Ok(attempt) = id.parse::<id::Attempt>()
             && self.streams.contains_key(&attempt)
         {
             self.cancel(attempt, now);
         }
-        self.kv.give_back(id);
+        self.kv.release(id);
         self.admit(now);
     }
 
-    /// Moves on to `now`: expiries, admission, and as many steps as the time allows.
+    /// Advances to `now`: expires holdings, publishes load, admits attempts and runs as many batch
+    /// steps as the elapsed time allows.
     pub(crate) fn advance(&mut self, now: time::Instant) {
-        let passed = now.saturating_duration_since(self.last).as_secs_f64().min(CATCH_UP);
-        self.last = now;
+        let elapsed = now
+            .saturating_duration_since(self.last_advance)
+            .as_secs_f64()
+            .min(MAX_CATCH_UP_SECONDS);
+        self.last_advance = now;
         if self.frozen_until.is_some_and(|until| now < until) {
             return;
         }
         self.expire(now);
         self.publish(now);
         self.admit(now);
-        self.credit += passed * self.settings.time_scale / self.faults.slow.max(0.001);
+        self.unspent_seconds += elapsed * self.settings.time_scale / self.faults.slow.max(0.001);
         while !self.running.is_empty() {
-            let left = self.running.iter().filter_map(|attempt| self.streams.get(attempt));
-            let left: Vec<u64> = left.map(|stream| stream.prefill_left).collect();
-            let step = batch::plan(&self.settings, &left);
-            if step.seconds > self.credit {
+            let running = self.running.iter().filter_map(|attempt| self.streams.get(attempt));
+            let prefill_left: Vec<u64> = running.map(|stream| stream.prefill_left).collect();
+            let step = batch::plan(&self.settings, &prefill_left);
+            if step.seconds > self.unspent_seconds {
                 return;
             }
-            self.credit -= step.seconds;
-            self.apply(&step, &left, now);
+            self.unspent_seconds -= step.seconds;
+            self.apply(&step, &prefill_left, now);
         }
-        self.credit = 0.0;
+        self.unspent_seconds = 0.0;
     }
 
-    fn apply(&mut self, step: &batch::Step, left: &[u64], now: time::Instant) {
+    /// Applies the work of one step to the running streams.
+    fn apply(&mut self, step: &batch::Step, prefill_left: &[u64], now: time::Instant) {
         let running = self.running.clone();
-        for ((attempt, &share), &left) in running.into_iter().zip(&step.prefill).zip(left) {
-            if left == 0 {
+        for ((attempt, &tokens), &prefill_left) in
+            running.into_iter().zip(&step.prefill).zip(prefill_left)
+        {
+            if prefill_left == 0 {
                 self.decode(attempt);
-            } else if share > 0 {
-                self.prefill(attempt, share, now);
+            } else if tokens > 0 {
+                self.prefill(attempt, tokens, now);
             }
         }
         self.admit(now);
     }
 
-    fn prefill(&mut self, attempt: id::Attempt, share: u64, now: time::Instant) {
+    fn prefill(&mut self, attempt: id::Attempt, tokens: u64, now: time::Instant) {
         let Some(stream) = self.streams.get_mut(&attempt) else { return };
-        stream.prefill_left -= share;
+        stream.prefill_left -= tokens;
         if stream.prefill_left == 0 {
             let prefixes = std::mem::take(&mut stream.prefixes);
-            self.remember(&prefixes, now);
+            self.cache_prefixes(&prefixes, now);
         }
     }
 
+    /// Decodes one token. A stream of a group ends as lost when its reservation is gone.
     fn decode(&mut self, attempt: id::Attempt) {
         let Some(stream) = self.streams.get(&attempt) else { return };
         if let Some(group) = &stream.group
@@ -449,37 +491,39 @@
             return;
         }
         let next = stream.progress.borrow().next;
-        if next < stream.total {
+        if next < stream.total_chunks {
             stream.progress.send_modify(|progress| progress.next = next + 1);
         }
-        if next + 1 >= stream.total {
+        if next + 1 >= stream.total_chunks {
             self.finish(attempt, End::Done);
-            let kept = self.last + time::Duration::from_millis(self.settings.resume_ms);
-            self.kv.set_expiry(&attempt.to_string(), kept);
+            let expires = self.last_advance + time::Duration::from_millis(self.settings.resume_ms);
+            self.kv.set_expiry(&attempt.to_string(), expires);
             if let Some(stream) = self.streams.get_mut(&attempt) {
-                stream.expires = kept;
+                stream.expires = expires;
             }
         }
     }
 
+    /// Drops tombstones, streams and allocations whose time has passed.
     fn expire(&mut self, now: time::Instant) {
-        self.tombs.retain(|_, until| *until > now);
-        let due = self.streams.iter().filter(|(_, stream)| stream.expires <= now);
-        let due: Vec<id::Attempt> = due.map(|(attempt, _)| *attempt).collect();
-        for attempt in due {
+        self.tombstones.retain(|_, until| *until > now);
+        let expired = self.streams.iter().filter(|(_, stream)| stream.expires <= now);
+        let expired: Vec<id::Attempt> = expired.map(|(attempt, _)| *attempt).collect();
+        for attempt in expired {
             let ended =
                 self.streams.get(&attempt).is_some_and(|s| s.progress.borrow().end.is_some());
             if !ended {
                 self.finish(attempt, End::Expired);
             }
-            self.kv.give_back(&attempt.to_string());
+            self.kv.release(&attempt.to_string());
             self.streams.remove(&attempt);
         }
         for id in self.kv.expired(now) {
-            self.kv.give_back(&id);
+            self.kv.release(&id);
         }
     }
 
+    /// Publishes a new load report when the last one is `load_lag_ms` old.
     fn publish(&mut self, now: time::Instant) {
         let lag = time::Duration::from_millis(self.settings.load_lag_ms);
         if now.saturating_duration_since(self.published_at) < lag {
@@ -490,18 +534,18 @@
         self.published_at = now;
     }
 
-    /// Load as last published.
+    /// Returns the load report as last published.
     pub(crate) fn published(&self) -> engine::LoadReport {
         self.published
     }
 
-    /// Load as it is, for answers to carry.
+    /// Returns the current load, which stream responses carry.
     pub(crate) fn load(&self) -> engine::LoadReport {
-        let left = self.streams.values().filter(|s| s.progress.borrow().end.is_none());
+        let active = self.streams.values().filter(|s| s.progress.borrow().end.is_none());
         engine::LoadReport {
             running: u32::try_from(self.running.len()).unwrap_or(u32::MAX),
             waiting: u32::try_from(self.waiting.len()).unwrap_or(u32::MAX),
-            prefill_tokens: left.map(|stream| stream.prefill_left).sum(),
+            prefill_tokens: active.map(|stream| stream.prefill_left).sum(),
             kv_free_tokens: self.settings.kv_tokens.saturating_sub(self.kv.tokens()),
             kv_tokens: self.settings.kv_tokens,
             prefill_rate: self.settings.prefill_rate * self.settings.time_scale,
@@ -510,10 +554,10 @@
         }
     }
 
-    /// What it did.
+    /// Returns the record of accepted attempts and KV memory totals.
     pub(crate) fn record(&self) -> Record {
         let (reserved, returned) = self.kv.totals();
-        let unit = self.settings.kv_bytes_per_token;
+        let bytes_per_token = self.settings.kv_bytes_per_token;
         let attempts = self.history.iter().map(|(attempt, record)| {
             let next = self.streams.get(attempt).map(|stream| stream.progress.borrow().next);
             AttemptRecord { chunks: next.unwrap_or(record.chunks), ..record.clone() }
@@ -521,9 +565,9 @@
         Record {
             incarnation: self.incarnation,
             attempts: attempts.collect(),
-            bytes_reserved: reserved * unit,
-            bytes_returned: returned * unit,
-            stale_orders: self.orders.stale,
+            bytes_reserved: reserved * bytes_per_token,
+            bytes_returned: returned * bytes_per_token,
+            stale_orders: self.commands.stale,
         }
     }
 }
--- a/crates/lagoon-standin/src/fault.rs
+++ b/crates/lagoon-standin/src/fault.rs
@@ -1,31 +1,32 @@
-//! Fault switches: those that every port has, and how a change of some leaves the rest.
+//! Fault switches that all stand-ins share, and partial updates of fault switches.
 
 use serde::{Serialize, de};
 use serde_json::Value;
 
-/// What a server's port may do to a request before the server sees it.
+/// Faults that are applied to a request before the stand-in handles it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Port {
-    /// Connections are closed without an answer.
+    /// Connections are closed without a response.
     pub down: bool,
-    /// Milliseconds before a request is looked at.
+    /// Delay before a request is handled, in milliseconds.
     pub delay_ms: u64,
-    /// Share of requests that are lost before they are looked at, 0 to 1.
+    /// Probability that a request is dropped before it is handled, 0 to 1.
     pub loss: f64,
-    /// Zones whose entry hosts get no answer.
+    /// Zones that are cut off: their hosts get no response.
     pub cut: Vec<String>,
 }
 
-/// The change names a switch that is not there or gives it a value of the wrong type.
+/// A change of fault switches that names an unknown switch or has a value of the wrong type.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("fault switches: {0}")]
 pub struct Error(pub String);
 
-/// The switches `current` with the fields of the object `change` put in.
+/// Returns the switches `current` with the fields of the JSON object `change` replaced.
 ///
 /// # Errors
 ///
-/// The change is no object, names an unknown switch, or a value does not fit.
+/// Returns an error if the change is not an object, names an unknown switch, or has a value of the
+/// wrong type.
 ///
 /// ```
 /// use lagoon_standin::{engine, fault};
--- a/crates/lagoon-standin/src/fleet.rs
+++ b/crates/lagoon-standin/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole fleet's stand-ins in one process, from one settings text.
+//! Stand-ins of a whole fleet in one process, configured by one settings file.
 
 use std::io;
 use std::net;
@@ -13,12 +13,12 @@
 use crate::server;
 use crate::service;
 
-/// Settings of a fleet's stand-ins.
+/// Settings of all stand-ins of a fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Where switches and records are reached also when their stand-in is down.
+    /// Control address for fault switches and records, which serves also while a stand-in is down.
     pub control: Option<net::SocketAddr>,
-    /// The platform, if there is one.
+    /// The platform; `None` to start none.
     pub platform: Option<platform::Settings>,
     /// Model engines.
     pub engines: Vec<engine::Settings>,
@@ -27,12 +27,12 @@
 }
 
 impl Settings {
-    /// Reads a settings text:
+    /// Parses a settings text:
     /// `{"control": "IP:PORT", "platform": {...}, "engines": [...], "services": [...]}`.
     ///
     /// # Errors
     ///
-    /// All faults of the text, by JSON pointer.
+    /// Returns all faults of the text, with their JSON pointers.
     ///
     /// ```
     /// use lagoon_standin::fleet::Settings;
@@ -51,7 +51,8 @@
     }
 }
 
-fn named(nodes: &[(net::TcpListener, server::Node)]) -> Vec<(String, server::Node)> {
+/// Returns each node with the name under which the control address serves it.
+fn nodes_by_name(nodes: &[(net::TcpListener, server::Node)]) -> Vec<(String, server::Node)> {
     let name = |node: &server::Node| match node {
         server::Node::Engine(engine) => engine.settings.name.clone(),
         server::Node::Service(service) => service.settings.name.clone(),
@@ -63,7 +64,7 @@
 /// A running fleet of stand-ins.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The platform, if there is one.
+    /// The platform; `None` when the settings have none.
     pub platform: Option<server::Running<platform::Platform>>,
     /// Model engines, in the order of the settings.
     pub engines: Vec<server::Running<engine::Engine>>,
@@ -71,11 +72,12 @@
     pub services: Vec<server::Running<service::Service>>,
 }
 
-/// Starts all stand-ins on one set of threads.
+/// Starts all stand-ins on one shared set of threads.
 ///
 /// # Errors
 ///
-/// There is nothing to start, an address cannot be bound, or a thread not be started.
+/// Returns an error if there is nothing to start, an address cannot be bound, or a thread cannot be
+/// started.
 ///
 /// ```
 /// use lagoon_standin::{engine, fleet, service};
@@ -97,18 +99,19 @@
         nodes.push(node);
         (address, platform)
     });
-    let mut kept_engines = Vec::with_capacity(engines.len());
+    let mut bound_engines = Vec::with_capacity(engines.len());
     for (node, address, engine) in engines {
         nodes.push(node);
-        kept_engines.push((address, engine));
+        bound_engines.push((address, engine));
     }
-    let mut kept_services = Vec::with_capacity(services.len());
+    let mut bound_services = Vec::with_capacity(services.len());
     for (node, address, service) in services {
         nodes.push(node);
-        kept_services.push((address, service));
+        bound_services.push((address, service));
     }
     if let Some(address) = settings.control {
-        let control = server::Node::Control(sync::Arc::new(control::Control::new(named(&nodes))));
+        let control =
+            server::Node::Control(sync::Arc::new(control::Control::new(nodes_by_name(&nodes))));
         nodes.push((port::bind(address)?, control));
     }
     if nodes.is_empty() {
@@ -116,14 +119,15 @@
     }
     let server = sync::Arc::new(server::serve(nodes)?);
     Ok(Fleet {
-        platform: platform.map(|(at, node)| server::Running::new(at, node, server.clone())),
-        engines: kept_engines
+        platform: platform
+            .map(|(address, node)| server::Running::new(address, node, server.clone())),
+        engines: bound_engines
             .into_iter()
-            .map(|(at, node)| server::Running::new(at, node, server.clone()))
+            .map(|(address, node)| server::Running::new(address, node, server.clone()))
             .collect(),
-        services: kept_services
+        services: bound_services
             .into_iter()
-            .map(|(at, node)| server::Running::new(at, node, server.clone()))
+            .map(|(address, node)| server::Running::new(address, node, server.clone()))
             .collect(),
     })
 }
--- a/crates/lagoon-standin/src/lib.rs
+++ b/crates/lagoon-standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins of the platform, engines and services, with fault switches.
+//! Stand-ins for the platform, engines and services in tests, with fault switches.
 //!
-//! Small servers that speak the foreign side of `docs/PROTOCOLS.md`. Many of them share one set of
-//! worker threads, so a whole fleet fits one process.
+//! Small servers that implement the external side of the protocols in `docs/PROTOCOLS.md`. Many of
+//! them share one set of worker threads, so a whole fleet fits in one process.
 //!
 //! ```
 //! use lagoon_standin::engine;
@@ -16,7 +16,7 @@
 pub mod engine;
 pub mod fault;
 pub mod fleet;
-mod gate;
+mod listener;
 pub mod platform;
 pub mod port;
 pub mod prompt;
--- a/crates/lagoon-standin/src/main.rs
+++ b/crates/lagoon-standin/src/main.rs
@@ -1,6 +1,6 @@
-//! A fleet's stand-ins: `lagoon-standin --settings FILE [--check]`.
+//! Runs the stand-ins of a fleet: `lagoon-standin --settings FILE [--check]`.
 //!
-//! Exit codes: 0 good, 1 failed, 2 bad settings.
+//! Exit codes: 0 success, 1 failure, 2 invalid settings.
 
 use std::path;
 use std::process;
@@ -21,8 +21,8 @@
 }
 
 const PROGRAM: &str = "lagoon-standin";
-/// Says again and again that the port of a stand-in that is down does not accept.
-const ACCEPTING: [&str; 1] = ["ntex_server"];
+/// Muted because it repeatedly logs that a stand-in that is down cannot accept connections.
+const MUTED_CRATES: [&str; 1] = ["ntex_server"];
 
 fn main() -> process::ExitCode {
     let args: Args = match program::arguments(PROGRAM) {
@@ -36,12 +36,12 @@
     if args.check {
         return process::ExitCode::SUCCESS;
     }
-    let logs = logs::Settings { muted_crates: &ACCEPTING, ..logs::Settings::default() };
+    let logs = logs::Settings { muted_crates: &MUTED_CRATES, ..logs::Settings::default() };
     if let Err(error) = logs::start(&logs, PROGRAM) {
         return program::failed(PROGRAM, &error);
     }
     match fleet::start(settings) {
-        // The stand-ins serve on their own threads until a signal ends the process.
+        // The stand-ins run on their own threads until a signal ends the process.
         Ok(_fleet) => loop {
             thread::park();
         },
--- a/crates/lagoon-standin/src/platform/http.rs
+++ b/crates/lagoon-standin/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! The platform's calls, as in `docs/PROTOCOLS.md`.
+//! HTTP interface of the platform, see `docs/PROTOCOLS.md`.
 
 use std::sync;
 use std::time;
@@ -12,8 +12,8 @@
 use crate::fault;
 use crate::port;
 
-/// Rows that a read of many gives when it names no limit.
-const USUAL_LIMIT: usize = 1_000;
+/// Maximum number of rows in a response to a request without the parameter `limit`.
+const DEFAULT_ROW_LIMIT: usize = 1_000;
 
 type Shared = sync::Arc<super::Platform>;
 
@@ -22,17 +22,17 @@
     let method = request.method().clone();
     match (method.as_str(), path.as_str()) {
         ("GET", "/faults") => return port::json(200, &platform.faults()),
-        ("POST", "/faults") => return change(&platform, &mut request).await,
+        ("POST", "/faults") => return set_faults(&platform, &mut request).await,
         ("GET", "/record") => return port::json(200, &platform.record()),
         ("POST", "/hosts") => return set_hosts(&platform, &mut request).await,
         _ => {}
     }
-    if port::pass(&request, || port_faults(&platform)).await.is_err() {
-        return port::vanish(&request);
+    if port::apply_faults(&request, || port_faults(&platform)).await.is_err() {
+        return port::drop_connection(&request);
     }
     if platform.faults().down {
         port::discard(&mut request).await;
-        return refused(&platform, 503, "out");
+        return record_refusal(&platform, 503, "out");
     }
     match (method.as_str(), path.as_str()) {
         ("GET", "/table/row") => read(&platform, |state| {
@@ -43,9 +43,9 @@
         ("POST", "/table/commit") => commit(&platform, &mut request).await,
         ("GET", "/hosts") => read(&platform, |state| {
             let lag = time::Duration::from_millis(state.faults.hosts_lag_ms);
-            port::json(200, &json!({"hosts": lagging(state, lag)}))
+            port::json(200, &json!({"hosts": visible_hosts(state, lag)}))
         }),
-        ("POST", "/weights/take") => take(&platform, &mut request).await,
+        ("POST", "/weights/take") => take_weights(&platform, &mut request).await,
         (method, path) => match path.strip_prefix("/objects/") {
             Some(key) => object(&platform, &mut request, method, &port::decode(key)).await,
             None => {
@@ -61,12 +61,12 @@
     fault::Port { down: false, delay_ms, loss: 0.0, cut }
 }
 
-fn refused(platform: &Shared, status: u16, code: &str) -> http::Response {
+fn record_refusal(platform: &Shared, status: u16, code: &str) -> http::Response {
     platform.lock().record.refused += 1;
     port::refuse(status, code)
 }
 
-async fn change(platform: &Shared, request: &mut http::Request) -> http::Response {
+async fn set_faults(platform: &Shared, request: &mut http::Request) -> http::Response {
     let change: Value = match port::read_json(request).await {
         Ok(change) => change,
         Err(error) => return port::malformed(&error),
@@ -94,9 +94,10 @@
     }
 }
 
-fn read<Answer>(platform: &Shared, answer: Answer) -> http::Response
+/// Answers a read within the rate limit.
+fn read<Respond>(platform: &Shared, respond: Respond) -> http::Response
 where
-    Answer: FnOnce(&super::State) -> http::Response,
+    Respond: FnOnce(&super::State) -> http::Response,
 {
     let mut state = platform.lock();
     let rate = state.faults.reads_per_second;
@@ -105,13 +106,19 @@
         return port::refuse(429, "over_limit");
     }
     state.record.reads += 1;
-    answer(&state)
+    respond(&state)
 }
 
-/// Carries out a write of `count` rows; its answer is lost when the switch says so.
-fn write<Act>(platform: &Shared, request: &http::Request, count: usize, act: Act) -> http::Response
+/// Applies a write of `count` rows or objects within the rate limit. With the fault `lose_answer`
+/// the write takes effect but its response is lost.
+fn write<Apply>(
+    platform: &Shared,
+    request: &http::Request,
+    count: usize,
+    apply: Apply,
+) -> http::Response
 where
-    Act: FnOnce(&mut super::State) -> Result<http::Response, table::Conflict>,
+    Apply: FnOnce(&mut super::State) -> Result<http::Response, table::Conflict>,
 {
     let mut state = platform.lock();
     let rate = state.faults.writes_per_second;
@@ -119,10 +126,10 @@
         state.record.refused += 1;
         return port::refuse(429, "over_limit");
     }
-    match act(&mut state) {
+    match apply(&mut state) {
         Ok(answer) => {
             state.record.writes += count as u64;
-            if state.faults.lose_answer { port::vanish(request) } else { answer }
+            if state.faults.lose_answer { port::drop_connection(request) } else { answer }
         }
         Err(table::Conflict) => {
             state.record.refused += 1;
@@ -132,7 +139,7 @@
 }
 
 fn rows(state: &super::State, request: &http::Request) -> http::Response {
-    let limit = port::query(request, "limit").parse().unwrap_or(USUAL_LIMIT);
+    let limit = port::query(request, "limit").parse().unwrap_or(DEFAULT_ROW_LIMIT);
     let prefix = port::query(request, "prefix");
     let rows = state.table.rows(&prefix, &port::query(request, "after"), limit);
     port::json(200, &json!({"rows": rows}))
@@ -158,7 +165,7 @@
 ) -> http::Response {
     match method {
         "GET" => read(platform, |state| match state.objects.get(key) {
-            Some(object) => body(object),
+            Some(object) => object_response(object),
             None => port::refuse(404, "no_object"),
         }),
         "PUT" => {
@@ -175,32 +182,32 @@
     }
 }
 
-fn body(object: &Bytes) -> http::Response {
+fn object_response(object: &Bytes) -> http::Response {
     http::Response::build(http::StatusCode::OK)
         .content_type("application/octet-stream")
         .body(ntex::util::Bytes::copy_from_slice(object))
 }
 
-/// The newest list that is at least `lag` old; before there is one, the first.
-fn lagging(state: &super::State, lag: time::Duration) -> &[super::HostEntry] {
+/// Returns the newest host list that is at least `lag` old, or the oldest one if there is none.
+fn visible_hosts(state: &super::State, lag: time::Duration) -> &[super::HostEntry] {
     let mut lists = state.hosts.iter().rev();
-    let old = lists.find(|(at, _)| at.elapsed() >= lag).or(state.hosts.front());
-    old.map_or(&[], |(_, lines)| lines)
+    let visible = lists.find(|(at, _)| at.elapsed() >= lag).or(state.hosts.front());
+    visible.map_or(&[], |(_, hosts)| hosts)
 }
 
 #[derive(Debug, Deserialize)]
-struct Take {
+struct TakeWeights {
     bytes: u64,
 }
 
-async fn take(platform: &Shared, request: &mut http::Request) -> http::Response {
-    let asked: Take = match port::read_json(request).await {
-        Ok(asked) => asked,
+async fn take_weights(platform: &Shared, request: &mut http::Request) -> http::Response {
+    let body: TakeWeights = match port::read_json(request).await {
+        Ok(body) => body,
         Err(error) => return port::malformed(&error),
     };
     let rate = platform.settings.weight_rate;
     let mut state = platform.lock();
-    match state.weights.take(asked.bytes as f64, rate, time::Instant::now()) {
+    match state.weights.take(body.bytes as f64, rate, time::Instant::now()) {
         Ok(()) => port::json(200, &json!({})),
         Err(seconds) => {
             state.record.refused += 1;
--- a/crates/lagoon-standin/src/platform/limit.rs
+++ b/crates/lagoon-standin/src/platform/limit.rs
@@ -1,35 +1,36 @@
-//! Token buckets: a rate, with a burst of one second.
+//! Token bucket with a burst of one second's worth of its rate.
 
 use std::time;
 
-/// What is left of a rate.
+/// A token bucket. The rate is elapsed to each call, because fault switches can change it.
 #[derive(Debug)]
 pub(crate) struct Bucket {
+    /// `None` until the first call, which finds the bucket full.
     level: Option<f64>,
     at: time::Instant,
 }
 
 impl Bucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(crate) fn new(now: time::Instant) -> Self {
         Bucket { level: None, at: now }
     }
 
-    /// Takes `amount` of `rate` a second. More than one second's worth is let through when the
-    /// bucket is full, and then owed.
+    /// Takes `amount` tokens; the bucket refills with `rate` tokens per second. An amount above one
+    /// second's worth is granted when the bucket is full, and leaves the level negative.
     ///
     /// # Errors
     ///
-    /// Seconds until it is worthwhile to ask again.
+    /// Returns the seconds until the same call can succeed.
     pub(crate) fn take(&mut self, amount: f64, rate: f64, now: time::Instant) -> Result<(), f64> {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        let level = self.level.unwrap_or(rate) + passed * rate;
+        let elapsed = now.saturating_duration_since(self.at).as_secs_f64();
+        let level = self.level.unwrap_or(rate) + elapsed * rate;
         let level = level.min(rate);
         self.at = now;
-        let least = amount.min(rate);
-        if level < least || rate <= 0.0 {
+        let required = amount.min(rate);
+        if level < required || rate <= 0.0 {
             self.level = Some(level);
-            return Err((least - level) / rate.max(1e-9));
+            return Err((required - level) / rate.max(1e-9));
         }
         self.level = Some(level - amount);
         Ok(())
--- a/crates/lagoon-standin/src/platform/mod.rs
+++ b/crates/lagoon-standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform in one server: table, objects, list of hosts, weight store.
+//! Platform stand-in: table, object store, host list and weight store in one server.
 
 mod http;
 mod limit;
@@ -21,26 +21,26 @@
 use crate::port;
 use crate::server;
 
-/// Snapshots of the list of hosts kept, so that a lagging one can be shown.
-const SNAPSHOTS: usize = 1_024;
+/// Number of host list snapshots kept, from which an outdated list is served.
+const MAX_HOST_SNAPSHOTS: usize = 1_024;
 
 /// Fault switches of the platform.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// It is out: every call is answered 503 and has no effect.
+    /// Outage: every call is answered with 503 and has no effect.
     pub down: bool,
-    /// Milliseconds before a call is looked at.
+    /// Delay before a call is handled, in milliseconds.
     pub delay_ms: u64,
-    /// A write takes effect, its answer is lost.
+    /// Writes take effect, but their responses are lost.
     pub lose_answer: bool,
-    /// Reads allowed in a second.
+    /// Limit of reads per second.
     pub reads_per_second: f64,
-    /// Rows and objects written in a second.
+    /// Limit of rows and objects written per second.
     pub writes_per_second: f64,
-    /// Age of the list of hosts, in milliseconds.
+    /// Delay after which a change of the host list becomes visible, in milliseconds.
     pub hosts_lag_ms: u64,
-    /// Zones whose hosts get no answer.
+    /// Zones that are cut off: their hosts get no response.
     pub cut: Vec<String>,
 }
 
@@ -58,27 +58,27 @@
     }
 }
 
-/// One line of the list of hosts.
+/// One entry of the host list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HostEntry {
     /// Name of the upstream or entry host.
     pub name: String,
     /// Its availability zone.
     pub zone: String,
-    /// Which life of it the line speaks of.
+    /// Incarnation of the host that the entry describes.
     pub incarnation: u64,
     /// `live` or `leaving`.
     pub state: String,
 }
 
-/// What the platform did.
+/// Counters of the platform's activity, for test assertions.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// Reads answered.
+    /// Number of reads answered.
     pub reads: u64,
-    /// Rows and objects written.
+    /// Number of rows and objects written.
     pub writes: u64,
-    /// Calls refused: over a limit, a check that failed, or out.
+    /// Number of calls refused by a rate limit, a failed precondition or an outage.
     pub refused: u64,
 }
 
@@ -87,6 +87,7 @@
     faults: Faults,
     table: Table,
     objects: collections::HashMap<String, Bytes>,
+    /// Host list snapshots with the time of each change, the oldest first.
     hosts: collections::VecDeque<(time::Instant, Vec<HostEntry>)>,
     reads: limit::Bucket,
     writes: limit::Bucket,
@@ -94,16 +95,16 @@
     record: Record,
 }
 
-/// The platform's servers, as one.
+/// The platform: settings, and state behind one lock.
 #[derive(Debug)]
 pub struct Platform {
-    /// What it was started with.
+    /// Settings, with the address that is actually bound.
     pub settings: Settings,
     state: sync::Mutex<State>,
 }
 
 impl Platform {
-    /// A platform that stores nothing yet.
+    /// Creates a platform with an empty table and no objects.
     pub fn new(settings: Settings) -> Self {
         let now = time::Instant::now();
         let state = State {
@@ -123,51 +124,51 @@
         self.state.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// The switches as they stand.
+    /// Returns the current fault switches.
     pub fn faults(&self) -> Faults {
         self.lock().faults.clone()
     }
 
-    /// Sets the switches.
+    /// Sets the fault switches.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
 
-    /// What it did.
+    /// Returns the activity counters.
     pub fn record(&self) -> Record {
         self.lock().record
     }
 
-    /// All rows whose keys start with `prefix`, past limits and faults.
+    /// Returns all rows whose keys start with `prefix`. Bypasses rate limits and faults.
     pub fn rows(&self, prefix: &str) -> Vec<Row> {
         self.lock().table.rows(prefix, "", usize::MAX)
     }
 
-    /// Writes a row, past limits and faults; its new version.
+    /// Writes a row and returns its new version. Bypasses rate limits and faults.
     pub fn put(&self, key: &str, value: &str) -> u64 {
         self.lock().table.put(key, value)
     }
 
-    /// Replaces the list of hosts; readers see it after the lag.
-    pub fn set_hosts(&self, lines: Vec<HostEntry>) {
+    /// Replaces the host list; HTTP callers see it after `hosts_lag_ms`.
+    pub fn set_hosts(&self, hosts: Vec<HostEntry>) {
         let mut state = self.lock();
-        if state.hosts.len() == SNAPSHOTS {
+        if state.hosts.len() == MAX_HOST_SNAPSHOTS {
             state.hosts.pop_front();
         }
-        state.hosts.push_back((time::Instant::now(), lines));
+        state.hosts.push_back((time::Instant::now(), hosts));
     }
 
-    /// The list as it is now, without the lag.
+    /// Returns the current host list, without the lag.
     pub fn hosts(&self) -> Vec<HostEntry> {
-        self.lock().hosts.back().map(|(_, lines)| lines.clone()).unwrap_or_default()
+        self.lock().hosts.back().map(|(_, hosts)| hosts.clone()).unwrap_or_default()
     }
 }
 
-/// Starts the platform with threads of its own.
+/// Starts the platform on its own threads.
 ///
 /// # Errors
 ///
-/// The address cannot be bound, or a thread not be started.
+/// Returns an error if the address cannot be bound or a thread cannot be started.
 ///
 /// ```
 /// use lagoon_standin::platform;
@@ -183,7 +184,7 @@
 
 type Bound = ((net::TcpListener, server::Node), net::SocketAddr, sync::Arc<Platform>);
 
-/// Binds a platform that is not served yet.
+/// Creates a platform and binds its address, without serving it yet.
 pub(crate) fn bind(settings: Settings) -> io::Result<Bound> {
     let listener = port::bind(settings.address)?;
     let address = listener.local_addr()?;
--- a/crates/lagoon-standin/src/platform/settings.rs
+++ b/crates/lagoon-standin/src/platform/settings.rs
@@ -9,13 +9,13 @@
 /// Settings of the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Where it listens; port 0 takes a free one.
+    /// Listen address; port 0 selects a free port.
     pub address: net::SocketAddr,
-    /// Its limits and lags at the start.
+    /// Fault switches at the start, which include rate limits and lags.
     pub faults: Faults,
-    /// Bytes of weights that the weight store gives in a second.
+    /// Rate of the weight store, in bytes per second.
     pub weight_rate: f64,
-    /// The list of hosts at the start.
+    /// Host list at the start.
     pub hosts: Vec<HostEntry>,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl Settings {
-    /// Reads the platform's object of a settings text.
+    /// Reads the settings object of the platform.
     ///
     /// ```
     /// use lagoon_standin::platform::Settings;
@@ -41,20 +41,20 @@
     /// assert_eq!(settings.faults.writes_per_second, 300.0);
     /// ```
     pub fn read(reader: &check::Reader<'_>) -> Self {
-        let usual = Settings::default();
-        let limits = usual.faults;
+        let defaults = Settings::default();
+        let limits = defaults.faults;
         let rate = |name, default| reader.float(name, default, 0.0..=1e9);
-        let span = |name, default| reader.number(name, default, 0..=3_600_000);
+        let millis = |name, default| reader.number(name, default, 0..=3_600_000);
         Settings {
-            address: reader.required_parsed("address", "IP:PORT", usual.address),
+            address: reader.required_parsed("address", "IP:PORT", defaults.address),
             faults: Faults {
-                delay_ms: span("delay_ms", limits.delay_ms),
+                delay_ms: millis("delay_ms", limits.delay_ms),
                 reads_per_second: rate("reads_per_second", limits.reads_per_second),
                 writes_per_second: rate("writes_per_second", limits.writes_per_second),
-                hosts_lag_ms: span("hosts_lag_ms", limits.hosts_lag_ms),
+                hosts_lag_ms: millis("hosts_lag_ms", limits.hosts_lag_ms),
                 ..Faults::default()
             },
-            weight_rate: reader.float("weight_rate", usual.weight_rate, 1.0..=1e15),
+            weight_rate: reader.float("weight_rate", defaults.weight_rate, 1.0..=1e15),
             hosts: reader.list("hosts", read_host),
         }
     }
--- a/crates/lagoon-standin/src/platform/table.rs
+++ b/crates/lagoon-standin/src/platform/table.rs
@@ -1,26 +1,26 @@
-//! The table: rows with versions, and transactions that take effect whole or not at all.
+//! Versioned key-value table with atomic transactions.
 
 use std::collections;
 
 use serde::{Deserialize, Serialize};
 
-/// One row.
+/// One row of the table.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Row {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Its value: a JSON text.
+    /// Value of the row, a JSON text.
     pub value: String,
-    /// Counts the writes of this key.
+    /// Number of writes to this key, also before it was last deleted.
     pub version: u64,
 }
 
-/// A condition of a transaction: the row is at this version, 0 for absent.
+/// A precondition of a transaction: the row has this version.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Check {
     /// The row's key.
     pub key: String,
-    /// Its version.
+    /// Expected version; 0 if the row must not exist.
     pub version: u64,
 }
 
@@ -33,44 +33,44 @@
     pub value: String,
 }
 
-/// A transaction.
+/// A transaction: either all its writes take effect or none.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Commit {
-    /// All must hold.
+    /// Preconditions, which must all hold.
     pub checks: Vec<Check>,
-    /// Rows written.
+    /// Rows to write.
     pub puts: Vec<Put>,
-    /// Rows removed.
+    /// Keys of the rows to delete.
     pub deletes: Vec<String>,
 }
 
-/// A check did not hold; nothing was written.
+/// A precondition did not hold, and nothing was written.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Conflict;
 
 #[derive(Clone, Debug, Default)]
 struct Cell {
-    /// `None` for a row that was removed: its versions go on, so none comes twice.
+    /// `None` for a deleted row. Its cell stays so that versions continue and are never reused.
     value: Option<String>,
     version: u64,
 }
 
-/// All rows.
+/// All rows, ordered by key.
 #[derive(Debug, Default)]
 pub struct Table {
     cells: collections::BTreeMap<String, Cell>,
 }
 
 impl Table {
-    /// The row of this key.
+    /// Returns the row of this key, or `None` if it does not exist.
     pub fn row(&self, key: &str) -> Option<Row> {
         let cell = self.cells.get(key)?;
         let value = cell.value.clone()?;
         Some(Row { key: key.to_owned(), value, version: cell.version })
     }
 
-    /// Up to `limit` rows whose keys start with `prefix` and come after `after`.
+    /// Returns up to `limit` rows whose keys start with `prefix` and sort after `after`.
     pub fn rows(&self, prefix: &str, after: &str, limit: usize) -> Vec<Row> {
         let from = self.cells.range(prefix.to_owned()..);
         let matching = from.take_while(|(key, _)| key.starts_with(prefix));
@@ -78,7 +78,7 @@
         later.filter_map(|(key, _)| self.row(key)).take(limit).collect()
     }
 
-    /// Writes one row; its new version.
+    /// Writes one row and returns its new version.
     pub fn put(&mut self, key: &str, value: &str) -> u64 {
         let cell = self.cells.entry(key.to_owned()).or_default();
         cell.value = Some(value.to_owned());
@@ -86,11 +86,12 @@
         cell.version
     }
 
-    /// Carries out a transaction: the versions of the rows written, then 0 for each removed.
+    /// Commits a transaction. Returns the new version of each written row, then 0 for each deleted
+    /// row.
     ///
     /// # Errors
     ///
-    /// A check did not hold.
+    /// Returns [`Conflict`] if a precondition does not hold.
     ///
     /// ```
     /// use lagoon_standin::platform::{Commit, Table};
--- a/crates/lagoon-standin/src/port.rs
+++ b/crates/lagoon-standin/src/port.rs
@@ -1,4 +1,4 @@
-//! The HTTP side that all stand-ins share: bodies, answers, and the faults of a port.
+//! HTTP helpers that all stand-ins share: request bodies, responses, and faults of the port.
 
 use std::io;
 use std::time;
@@ -12,39 +12,39 @@
 
 use crate::fault;
 
-/// How long a request from a cut zone is left without an answer before its connection goes.
-const CUT_HOLD: time::Duration = time::Duration::from_secs(30);
-/// How often a held request looks whether the cut has healed.
-pub(crate) const CUT_LOOK: time::Duration = time::Duration::from_millis(20);
+/// Time for which a request from a cut zone is held before its connection is closed.
+const CUT_TIMEOUT: time::Duration = time::Duration::from_secs(30);
+/// Interval at which a held request checks whether the cut has healed.
+pub(crate) const CUT_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// The connection goes away without a whole answer.
+/// The connection is closed without a complete response.
 #[derive(Debug, thiserror::Error)]
 #[error("the stand-in closed the connection")]
-pub struct Gone;
+pub struct Closed;
 
-/// What reading a body can come to.
+/// Error of reading a request body.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
-    /// The sender went away before the end.
+    /// The connection ended before the body was complete.
     #[error("half a body: {0}")]
-    Half(String),
-    /// It is not the JSON expected.
+    Truncated(String),
+    /// The body is not the expected JSON.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
 }
 
-/// Reads a whole body.
+/// Reads a complete body.
 pub(crate) async fn read(request: &mut http::Request) -> Result<Bytes, BodyError> {
     let mut payload = request.take_payload();
     let mut body = Vec::new();
     while let Some(piece) = payload.recv().await {
-        let piece = piece.map_err(|error| BodyError::Half(error.to_string()))?;
+        let piece = piece.map_err(|error| BodyError::Truncated(error.to_string()))?;
         body.extend_from_slice(&piece);
     }
     Ok(Bytes::from(body))
 }
 
-/// Reads a body of JSON.
+/// Reads a JSON body.
 pub(crate) async fn read_json<T>(request: &mut http::Request) -> Result<T, BodyError>
 where
     T: de::DeserializeOwned,
@@ -53,26 +53,26 @@
     Ok(serde_json::from_slice(&body)?)
 }
 
-/// Reads away the body of a call that has no use for it.
+/// Reads and discards the body of a call that does not use it.
 ///
-/// Failure answered: the refusal is sent and the connection closed while the body arrives.
-/// Symptom: the sender sees a broken connection, and cannot tell that nothing was done.
+/// Failure mode: a refusal is sent and the connection closed while the body is still arriving.
+/// Symptom: the sender sees a broken connection and cannot tell that nothing was done.
 pub(crate) async fn discard(request: &mut http::Request) {
-    // A body that breaks off is refused all the same.
-    let _broken = read(request).await;
+    // An incomplete body makes no difference to the refusal.
+    let _incomplete = read(request).await;
 }
 
-/// A header's text; empty when absent or not ASCII.
+/// Returns the text of a header; empty when it is absent or not ASCII.
 pub(crate) fn header<'a>(request: &'a http::Request, name: &str) -> &'a str {
     request.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or("")
 }
 
-/// A header's number; `None` when absent or not a number.
+/// Returns the number in a header; `None` when it is absent or not a number.
 pub(crate) fn number(request: &http::Request, name: &str) -> Option<u64> {
     header(request, name).parse().ok()
 }
 
-/// Value of `name` in the query, percent-decoded; empty when absent.
+/// Returns the percent-decoded value of a query parameter; empty when it is absent.
 pub(crate) fn query(request: &http::Request, name: &str) -> String {
     let query = request.uri().query().unwrap_or("");
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -80,12 +80,12 @@
     found.unwrap_or_default()
 }
 
-/// Undoes percent-encoding.
+/// Decodes percent-encoding, and `+` as a space. An invalid escape stays as it is.
 pub(crate) fn decode(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
-    while let Some((&first, after)) = rest.split_first() {
-        let hex = (first == b'%').then(|| after.get(..2)).flatten();
+    while let Some((&byte, after)) = rest.split_first() {
+        let hex = (byte == b'%').then(|| after.get(..2)).flatten();
         let hex = hex.and_then(|digits| std::str::from_utf8(digits).ok());
         match hex.and_then(|digits| u8::from_str_radix(digits, 16).ok()) {
             Some(byte) => {
@@ -93,7 +93,7 @@
                 rest = &after[2..];
             }
             None => {
-                bytes.push(if first == b'+' { b' ' } else { first });
+                bytes.push(if byte == b'+' { b' ' } else { byte });
                 rest = after;
             }
         }
@@ -101,7 +101,7 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// An answer of JSON.
+/// Returns a JSON response.
 pub(crate) fn json<T>(status: u16, value: &T) -> http::Response
 where
     T: Serialize,
@@ -110,66 +110,73 @@
     http::Response::build(status).json(value)
 }
 
-/// A refusal: `{"error":{"code":CODE}}`.
+/// Returns a refusal: `{"error":{"code":CODE}}`.
 pub(crate) fn refuse(status: u16, code: &str) -> http::Response {
     json(status, &json!({"error": {"code": code}}))
 }
 
-/// A refusal for a body that could not be read.
+/// Returns a refusal for a body that could not be read.
 pub(crate) fn malformed(error: &BodyError) -> http::Response {
     json(400, &json!({"error": {"code": "malformed", "message": error.to_string()}}))
 }
 
-/// Closes the request's connection, so that the sender gets no answer.
-pub(crate) fn vanish(request: &http::Request) -> http::Response {
+/// Closes the request's connection, so that the sender gets no response.
+pub(crate) fn drop_connection(request: &http::Request) -> http::Response {
     if let Some(io) = request.io() {
         io.terminate();
     }
-    let broken = futures_util::stream::iter([Err::<util::Bytes, Gone>(Gone)]);
-    http::Response::build(http::StatusCode::SERVICE_UNAVAILABLE).force_close().streaming(broken)
+    let aborted = futures_util::stream::iter([Err::<util::Bytes, Closed>(Closed)]);
+    http::Response::build(http::StatusCode::SERVICE_UNAVAILABLE).force_close().streaming(aborted)
 }
 
-/// Does to a request what the port's switches say.
+/// Applies the port's faults to a request: loss, delay and zone cuts. `current` returns the present
+/// switches, because they may change while the request is held.
 ///
 /// # Errors
 ///
-/// The request must vanish without an answer.
-pub(crate) async fn pass<Look>(request: &http::Request, look: Look) -> Result<(), Gone>
+/// Returns [`Closed`] if the connection must be closed without a response.
+pub(crate) async fn apply_faults<Current>(
+    request: &http::Request,
+    current: Current,
+) -> Result<(), Closed>
 where
-    Look: Fn() -> fault::Port,
+    Current: Fn() -> fault::Port,
 {
-    let faults = look();
+    let faults = current();
     if faults.down || (faults.loss > 0.0 && rand::rng().random_bool(faults.loss.clamp(0.0, 1.0))) {
-        return Err(Gone);
+        return Err(Closed);
     }
     if faults.delay_ms > 0 {
         tokio::time::sleep(time::Duration::from_millis(faults.delay_ms)).await;
     }
-    healed(request, &look).await?;
-    if look().down { Err(Gone) } else { Ok(()) }
+    wait_for_heal(request, &current).await?;
+    if current().down { Err(Closed) } else { Ok(()) }
 }
 
-/// Holds what belongs to a request from a cut zone, until the cut heals.
+/// Waits until the zone of the request's sender is not cut off.
 ///
 /// # Errors
 ///
-/// It did not heal in time.
-pub(crate) async fn healed<Look>(request: &http::Request, look: Look) -> Result<(), Gone>
+/// Returns [`Closed`] if the cut lasts longer than `CUT_TIMEOUT`.
+pub(crate) async fn wait_for_heal<Current>(
+    request: &http::Request,
+    current: Current,
+) -> Result<(), Closed>
 where
-    Look: Fn() -> fault::Port,
+    Current: Fn() -> fault::Port,
 {
     let zone = header(request, "Lagoon-Zone").to_owned();
     let arrived = time::Instant::now();
-    while !zone.is_empty() && look().cut.contains(&zone) {
-        if arrived.elapsed() > CUT_HOLD {
-            return Err(Gone);
+    while !zone.is_empty() && current().cut.contains(&zone) {
+        if arrived.elapsed() > CUT_TIMEOUT {
+            return Err(Closed);
         }
-        tokio::time::sleep(CUT_LOOK).await;
+        tokio::time::sleep(CUT_POLL_INTERVAL).await;
     }
     Ok(())
 }
 
-/// Reads a settings address and binds it.
+/// Binds a listen address.
 pub(crate) fn bind(address: std::net::SocketAddr) -> io::Result<std::net::TcpListener> {
     std::net::TcpListener::bind(address)
 }
--- a/crates/lagoon-standin/src/prompt.rs
+++ b/crates/lagoon-standin/src/prompt.rs
@@ -1,21 +1,21 @@
-//! What an engine sees of a request's body: its prompt text, hashed.
+//! Extracts the prompt text from a request body, and hashes it.
 
 use serde_json::Value;
 
-/// Bytes between two prefix hashes.
+/// Length of a prompt block, in bytes. Each complete block ends a hashed prefix.
 pub const BLOCK_BYTES: usize = 4_096;
 
 const FNV_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// A prompt as the engine knows it.
+/// Hashes and length of a prompt.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Prompt {
-    /// FNV-1a (64 bits) of the whole text.
+    /// 64-bit FNV-1a hash of the whole text.
     pub hash: u64,
-    /// Hash of the text up to each multiple of [`BLOCK_BYTES`].
+    /// Hashes of the text up to each multiple of [`BLOCK_BYTES`].
     pub prefixes: Vec<u64>,
-    /// Bytes of the text.
+    /// Length of the text, in bytes.
     pub bytes: usize,
 }
 
@@ -43,9 +43,9 @@
     }
 }
 
-/// The prompt text of a completion's or chat completion's body; `None` when it has none.
+/// Returns the prompt text of a completion or chat completion body, or `None` if it has none.
 ///
-/// Several prompts or messages are taken one after the other, with nothing between them.
+/// Several prompts or messages are concatenated without a separator.
 ///
 /// ```
 /// use lagoon_standin::prompt;
@@ -57,22 +57,22 @@
 pub fn text(body: &[u8]) -> Option<String> {
     let mut value: Value = serde_json::from_slice(body).ok()?;
     if let Some(prompt) = value.get_mut("prompt") {
-        return joined(prompt.take());
+        return concatenate(prompt.take());
     }
     let messages = value.get("messages")?.as_array()?;
     let contents = messages.iter().filter_map(|message| message.get("content"));
-    Some(contents.filter_map(|content| joined(content.clone())).collect())
+    Some(contents.filter_map(|content| concatenate(content.clone())).collect())
 }
 
-/// A text, an array of texts, or an array of parts that have a `text`.
-fn joined(value: Value) -> Option<String> {
+/// Returns a string, or the concatenation of an array of strings or of objects with a `text`.
+fn concatenate(value: Value) -> Option<String> {
     match value {
         Value::String(text) => Some(text),
-        Value::Array(items) => Some(items.iter().filter_map(part).collect()),
+        Value::Array(items) => Some(items.iter().filter_map(part_text).collect()),
         Value::Null | Value::Bool(_) | Value::Number(_) | Value::Object(_) => None,
     }
 }
 
-fn part(item: &Value) -> Option<&str> {
+fn part_text(item: &Value) -> Option<&str> {
     item.as_str().or_else(|| item.get("text")?.as_str())
 }
--- a/crates/lagoon-standin/src/server.rs
+++ b/crates/lagoon-standin/src/server.rs
@@ -1,4 +1,5 @@
-//! Starts stand-ins: many listeners on one set of worker threads, and one thread for their time.
+//! Serves stand-ins: many listeners on one set of worker threads, and one thread that advances
+//! engine time.
 
 use std::io;
 use std::net;
@@ -13,16 +14,16 @@
 
 use crate::control;
 use crate::engine;
-use crate::gate;
+use crate::listener;
 use crate::platform;
 use crate::service as plain;
 
-/// Time between two looks at what the stand-ins have to do, in real time.
-const TICK: time::Duration = time::Duration::from_millis(2);
-/// Worker threads of one process's stand-ins.
-const WORKERS: usize = 2;
-/// Seconds that an idle connection stays open.
-const KEEP_ALIVE: u16 = 75;
+/// Interval at which engines advance, in real time.
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(2);
+/// HTTP worker threads of one server.
+const WORKER_THREADS: usize = 2;
+/// Time after which an idle connection is closed, in seconds.
+const KEEP_ALIVE_SECONDS: u16 = 75;
 
 /// One stand-in of any kind.
 #[derive(Clone, Debug)]
@@ -33,7 +34,7 @@
     Platform(sync::Arc<platform::Platform>),
     /// A replica of a plain service.
     Service(sync::Arc<plain::Service>),
-    /// The switches of others.
+    /// The control address for other stand-ins.
     Control(sync::Arc<control::Control>),
 }
 
@@ -56,28 +57,30 @@
 }
 
 impl Node {
-    /// The port that closes when the stand-in is down; the platform answers that it is out.
-    fn gate(&self) -> Option<&gate::Gate> {
+    /// Returns the listener that closes while the stand-in is down. The platform has none, because
+    /// it answers 503 during an outage.
+    fn listener(&self) -> Option<&listener::Listener> {
         match self {
-            Node::Engine(engine) => Some(&engine.gate),
-            Node::Service(service) => Some(&service.gate),
+            Node::Engine(engine) => Some(&engine.listener),
+            Node::Service(service) => Some(&service.listener),
             Node::Platform(_) | Node::Control(_) => None,
         }
     }
 
-    async fn watch(self, connection: ntex::io::IoRef) {
-        if let Some(gate) = self.gate() {
-            gate.watch(connection).await;
+    async fn watch_connection(self, connection: ntex::io::IoRef) {
+        if let Some(listener) = self.listener() {
+            listener.watch_connection(connection).await;
         }
     }
 }
 
-/// The server threads of a set of stand-ins; they end when it is dropped.
+/// Server threads of a set of stand-ins. They end when it is dropped.
 #[derive(Debug)]
 pub struct Server {
     stop: sync::Arc<atomic::AtomicBool>,
-    /// Behind a lock only because it may not be shared between threads without one.
+    /// In a mutex only because the handle is not `Sync`.
     control: sync::Mutex<ntex::server::Server>,
+    /// Thread that advances engine time.
     clock: Option<thread::JoinHandle<()>>,
 }
 
@@ -86,23 +89,22 @@
         self.stop.store(true, atomic::Ordering::Release);
         let control = self.control.get_mut().unwrap_or_else(sync::PoisonError::into_inner);
         drop(control.stop(false));
-        // The HTTP threads end by themselves. They are not waited for: a server that is stopped
-        // while its workers still start may never say that it has stopped, and its owner would
-        // hang on a join.
+        // The HTTP threads end on their own and are not joined: a server that is stopped while its
+        // workers are starting may never report that it has stopped, and a join would hang.
         if self.clock.take().is_some_and(|clock| clock.join().is_err()) {
             log::error!("the stand-ins' clock thread panicked");
         }
     }
 }
 
-/// Serves each node on its listener.
+/// Serves each node on its listener, on new threads.
 ///
 /// # Errors
 ///
-/// A thread could not be started or a listener not be used.
+/// Returns an error if a thread cannot be started or a listener cannot be used.
 pub fn serve(nodes: Vec<(net::TcpListener, Node)>) -> io::Result<Server> {
     let stop = sync::Arc::new(atomic::AtomicBool::new(false));
-    let clocks: Vec<Node> = nodes.iter().map(|(_, node)| node.clone()).collect();
+    let ticked: Vec<Node> = nodes.iter().map(|(_, node)| node.clone()).collect();
     let (sender, receiver) = mpsc::channel();
     thread::Builder::new().name("standin-http".to_owned()).spawn(move || {
         ntex::rt::System::new("standin", ntex::rt::DefaultRuntime).block_on(run(nodes, sender));
@@ -112,8 +114,8 @@
     let clock = thread::Builder::new().name("standin-clock".to_owned()).spawn(move || {
         while !stopped.load(atomic::Ordering::Acquire) {
             let now = time::Instant::now();
-            clocks.iter().for_each(|node| node.tick(now));
-            thread::sleep(TICK);
+            ticked.iter().for_each(|node| node.tick(now));
+            thread::sleep(TICK_INTERVAL);
         }
     })?;
     let control = sync::Mutex::new(control);
@@ -128,7 +130,7 @@
     let server = built.map(ntex::server::ServerBuilder::run);
     match server {
         Ok(server) => {
-            // The receiver waits for just this message.
+            // `serve` waits for this message, so the receiver exists.
             let _ = sender.send(Ok(server.clone()));
             if let Err(error) = server.await {
                 log::error!("stand-in server: {error}");
@@ -139,8 +141,8 @@
 }
 
 fn build(nodes: Vec<(net::TcpListener, Node)>) -> io::Result<ntex::server::ServerBuilder> {
-    let mut builder = ntex::server::ServerBuilder::new().workers(WORKERS).disable_signals();
-    let keep_alive = http::KeepAlive::Timeout(ntex::time::Seconds(KEEP_ALIVE));
+    let mut builder = ntex::server::ServerBuilder::new().workers(WORKER_THREADS).disable_signals();
+    let keep_alive = http::KeepAlive::Timeout(ntex::time::Seconds(KEEP_ALIVE_SECONDS));
     let settings = http::HttpServiceConfig::new().set_keepalive(keep_alive);
     let shared = ntex::SharedCfg::from(ntex::SharedCfg::new("standin").add(settings));
     for (listener, node) in nodes {
@@ -148,9 +150,9 @@
         let shared = shared.clone();
         builder = builder.listen(name, listener, async move |config| {
             config.config(shared.clone());
-            let (node, watched) = (node.clone(), node.clone());
+            let (node, watched_node) = (node.clone(), node.clone());
             let watch = move |connection: ntex::io::Io| {
-                ntex::rt::spawn(watched.clone().watch(connection.get_ref()));
+                ntex::rt::spawn(watched_node.clone().watch_connection(connection.get_ref()));
                 async move { Ok::<_, http::error::DispatchError>(connection) }
             };
             let serve =
@@ -164,7 +166,7 @@
     Ok(builder)
 }
 
-/// One running stand-in.
+/// A running stand-in.
 #[derive(Debug)]
 pub struct Running<T> {
     address: net::SocketAddr,
@@ -181,17 +183,18 @@
         Running { address, node, server }
     }
 
-    /// Where it listens.
+    /// Returns the address on which it listens.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Its faults and record.
+    /// Returns the stand-in itself, which gives access to its faults and record.
     pub fn node(&self) -> &sync::Arc<T> {
         &self.node
     }
 
-    /// Stops it; the last one of those started together ends their threads.
+    /// Drops this handle. The server threads end with the last handle of the stand-ins that were
+    /// started together.
     pub fn stop(self) {
         drop(self.server);
     }
--- a/crates/lagoon-standin/src/service/http.rs
+++ b/crates/lagoon-standin/src/service/http.rs
@@ -1,4 +1,5 @@
-//! A replica's calls: any method on any path but those of faults and record.
+//! HTTP interface of a replica: any method on any path, besides the administrative calls for
+//! faults, record and leave.
 
 use std::fmt::Write;
 use std::sync;
@@ -17,7 +18,7 @@
 pub(crate) async fn handle(service: Shared, mut request: http::Request) -> http::Response {
     match (request.method().as_str(), request.path()) {
         ("GET", "/faults") => return port::json(200, &service.faults()),
-        ("POST", "/faults") => return change(&service, &mut request).await,
+        ("POST", "/faults") => return set_faults(&service, &mut request).await,
         ("GET", "/record") => return port::json(200, &service.record()),
         ("POST", "/leave") => {
             port::discard(&mut request).await;
@@ -26,42 +27,43 @@
         }
         _ => {}
     }
-    if port::pass(&request, || service.port_faults()).await.is_err() {
-        return port::vanish(&request);
+    if port::apply_faults(&request, || service.port_faults()).await.is_err() {
+        return port::drop_connection(&request);
     }
     let slot = Slot::new(&service);
-    if slot.number > service.settings.slots || service.leaving.load(atomic::Ordering::Acquire) {
+    if slot.in_use > service.settings.slots || service.leaving.load(atomic::Ordering::Acquire) {
         port::discard(&mut request).await;
-        return not_run(&request);
+        return refuse_not_run(&request);
     }
-    let answer = run(&service, &mut request).await;
-    let healed = port::healed(&request, || service.port_faults()).await;
-    if healed.is_err() || service.faults().lose_answer || service.faults().down {
-        return port::vanish(&request);
+    let answer = run_call(&service, &mut request).await;
+    let heal = port::wait_for_heal(&request, || service.port_faults()).await;
+    if heal.is_err() || service.faults().lose_answer || service.faults().down {
+        return port::drop_connection(&request);
     }
     answer
 }
 
-/// One of the calls handled at once.
+/// Counts one call in flight until it is dropped.
 struct Slot<'a> {
     service: &'a super::Service,
-    number: usize,
+    /// Calls in flight when this one arrived, including this one.
+    in_use: usize,
 }
 
 impl<'a> Slot<'a> {
     fn new(service: &'a super::Service) -> Self {
-        let number = service.running.fetch_add(1, atomic::Ordering::AcqRel) + 1;
-        Slot { service, number }
+        let in_use = service.in_flight.fetch_add(1, atomic::Ordering::AcqRel) + 1;
+        Slot { service, in_use }
     }
 }
 
 impl Drop for Slot<'_> {
     fn drop(&mut self) {
-        self.service.running.fetch_sub(1, atomic::Ordering::AcqRel);
+        self.service.in_flight.fetch_sub(1, atomic::Ordering::AcqRel);
     }
 }
 
-async fn change(service: &Shared, request: &mut http::Request) -> http::Response {
+async fn set_faults(service: &Shared, request: &mut http::Request) -> http::Response {
     let change: Value = match port::read_json(request).await {
         Ok(change) => change,
         Err(error) => return port::malformed(&error),
@@ -75,14 +77,15 @@
     }
 }
 
-fn not_run(request: &http::Request) -> http::Response {
+/// Refuses a call with the header that tells the caller that it did not run.
+fn refuse_not_run(request: &http::Request) -> http::Response {
     http::Response::build(http::StatusCode::SERVICE_UNAVAILABLE)
         .header("Lagoon-Not-Run", "1")
         .header("Lagoon-Attempt", port::header(request, "Lagoon-Attempt"))
         .json(&json!({"error": {"code": "full"}}))
 }
 
-async fn run(service: &Shared, request: &mut http::Request) -> http::Response {
+async fn run_call(service: &Shared, request: &mut http::Request) -> http::Response {
     let mut call = super::CallRecord {
         attempt: port::header(request, "Lagoon-Attempt").to_owned(),
         method: request.method().as_str().to_owned(),
@@ -90,13 +93,13 @@
         body_sha256: String::new(),
         ran: false,
     };
-    let Some(hash) = hash(request).await else {
-        service.note(call);
+    let Some(hash) = hash_body(request).await else {
+        service.record_call(call);
         return port::refuse(400, "half_a_body");
     };
     (call.body_sha256, call.ran) = (hash, true);
-    // The effect comes first and the time after it, so that a lost answer is of a call that ran.
-    service.note(call.clone());
+    // The call is recorded before the delay, so that a call whose response is lost did run.
+    service.record_call(call.clone());
     tokio::time::sleep(time::Duration::from_millis(service.settings.work_ms)).await;
     http::Response::build(http::StatusCode::OK).header("Lagoon-Attempt", call.attempt.clone()).json(
         &json!({
@@ -106,8 +109,8 @@
     )
 }
 
-/// SHA-256 of the body as it passes; `None` for half a body.
-async fn hash(request: &mut http::Request) -> Option<String> {
+/// Returns the SHA-256 of the body as hex digits, or `None` if the body is incomplete.
+async fn hash_body(request: &mut http::Request) -> Option<String> {
     let mut payload = request.take_payload();
     let mut hasher = sha2::Sha256::new();
     while let Some(piece) = payload.recv().await {
--- a/crates/lagoon-standin/src/service/mod.rs
+++ b/crates/lagoon-standin/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! A replica of a plain service: answers any call, and keeps a record of those that ran.
+//! Stand-in of a plain service's replica: answers any call and records the calls that ran.
 
 mod http;
 mod settings;
@@ -14,7 +14,7 @@
 pub use settings::Settings;
 
 use crate::fault;
-use crate::gate;
+use crate::listener;
 use crate::port;
 use crate::server;
 
@@ -22,88 +22,89 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// It is dead: connections are refused, and those there were are closed.
+    /// The process is down: new connections are refused and open ones are closed.
     pub down: bool,
-    /// Milliseconds before a request is looked at.
+    /// Delay before a request is handled, in milliseconds.
     pub delay_ms: u64,
-    /// The call runs, its answer is lost.
+    /// Calls run, but their responses are lost.
     pub lose_answer: bool,
-    /// Share of requests lost before they run, 0 to 1.
+    /// Probability that a request is dropped before it runs, 0 to 1.
     pub loss: f64,
-    /// Zones whose entry hosts get no answer.
+    /// Zones that are cut off: their entry hosts get no response.
     pub cut: Vec<String>,
 }
 
 /// One call that reached the service.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CallRecord {
-    /// The attempt, as it came.
+    /// Value of the header `Lagoon-Attempt`.
     pub attempt: String,
-    /// Its method.
+    /// HTTP method.
     pub method: String,
-    /// Its path.
+    /// Request path.
     pub path: String,
-    /// SHA-256 of its whole body, as 64 hex digits; empty when half a body came.
+    /// SHA-256 of the body, as 64 hex digits; empty when the body was incomplete.
     pub body_sha256: String,
-    /// Whether it ran; half a body does not run.
+    /// Whether it ran; a call with an incomplete body does not run.
     pub ran: bool,
 }
 
-/// What a service did.
+/// Record of a service's activity, for test assertions.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// Every call, in the order in which they ran.
+    /// All calls, in the order in which they were recorded.
     pub calls: Vec<CallRecord>,
 }
 
-/// One replica.
+/// One replica of a plain service.
 #[derive(Debug)]
 pub struct Service {
-    /// What it was started with.
+    /// Settings, with the address that is actually bound.
     pub settings: Settings,
     faults: sync::Mutex<Faults>,
     calls: sync::Mutex<Vec<CallRecord>>,
-    running: atomic::AtomicUsize,
-    pub(crate) gate: gate::Gate,
+    in_flight: atomic::AtomicUsize,
+    pub(crate) listener: listener::Listener,
     leaving: atomic::AtomicBool,
 }
 
 impl Service {
-    /// A replica that did nothing yet.
+    /// Creates a replica with an empty record.
     pub fn new(settings: Settings) -> Self {
         Service {
             settings,
             faults: sync::Mutex::default(),
             calls: sync::Mutex::default(),
-            running: atomic::AtomicUsize::new(0),
-            gate: gate::Gate::default(),
+            in_flight: atomic::AtomicUsize::new(0),
+            listener: listener::Listener::default(),
             leaving: atomic::AtomicBool::new(false),
         }
     }
 
-    /// The switches as they stand.
+    /// Returns the current fault switches.
     pub fn faults(&self) -> Faults {
         self.faults.lock().unwrap_or_else(sync::PoisonError::into_inner).clone()
     }
 
-    /// Sets the switches. `down` ends its connections and refuses new ones.
+    /// Sets the fault switches. `down` closes all connections and refuses new ones.
     pub fn set_faults(&self, faults: Faults) {
-        self.gate.set(!faults.down);
+        self.listener.set_open(!faults.down);
         *self.faults.lock().unwrap_or_else(sync::PoisonError::into_inner) = faults;
     }
 
-    /// The platform's word to leave: calls in progress end, new ones are refused as not run.
+    /// Starts a drain, as when the platform announces that the replica leaves: calls in flight
+    /// finish, new ones are refused as not run.
     pub fn leave(&self) {
         self.leaving.store(true, atomic::Ordering::Release);
     }
 
-    /// What it did.
+    /// Returns the record of calls.
     pub fn record(&self) -> Record {
         let calls = self.calls.lock().unwrap_or_else(sync::PoisonError::into_inner);
         Record { calls: calls.clone() }
     }
 
-    fn note(&self, call: CallRecord) {
+    fn record_call(&self, call: CallRecord) {
         self.calls.lock().unwrap_or_else(sync::PoisonError::into_inner).push(call);
     }
 
@@ -113,11 +114,11 @@
     }
 }
 
-/// Starts one replica with threads of its own.
+/// Starts one replica on its own threads.
 ///
 /// # Errors
 ///
-/// The address cannot be bound, or a thread not be started.
+/// Returns an error if the address cannot be bound or a thread cannot be started.
 ///
 /// ```
 /// use lagoon_standin::service;
@@ -132,11 +133,11 @@
 
 type Bound = ((net::TcpListener, server::Node), net::SocketAddr, sync::Arc<Service>);
 
-/// Binds a replica that is not served yet.
+/// Creates a replica and binds its address, without serving it yet.
 pub(crate) fn bind(settings: Settings) -> io::Result<Bound> {
     let listener = port::bind(settings.address)?;
     let address = listener.local_addr()?;
     let service = sync::Arc::new(Service::new(Settings { address, ..settings }));
-    service.gate.hold(&listener)?;
+    service.listener.attach(&listener)?;
     Ok(((listener, server::Node::Service(service.clone())), address, service))
 }
--- a/crates/lagoon-standin/src/service/settings.rs
+++ b/crates/lagoon-standin/src/service/settings.rs
@@ -7,13 +7,13 @@
 /// Settings of a plain service's replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Its name, as the document has it.
+    /// Name of the service, as in the configuration document.
     pub name: String,
-    /// Where it listens; port 0 takes a free one.
+    /// Listen address; port 0 selects a free port.
     pub address: net::SocketAddr,
-    /// Milliseconds that a call takes.
+    /// Duration of a call, in milliseconds.
     pub work_ms: u64,
-    /// Calls handled at once; further ones are refused as not run.
+    /// Maximum number of calls in flight; further ones are refused as not run.
     pub slots: usize,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl Settings {
-    /// Reads one replica's object of a settings text.
+    /// Reads the settings object of one replica.
     ///
     /// ```
     /// use lagoon_standin::service::Settings;
@@ -38,13 +38,13 @@
     /// assert_eq!(faults.0.len(), 2);
     /// ```
     pub fn read(reader: &check::Reader<'_>) -> Self {
-        let usual = Settings::default();
-        let slots = reader.number("slots", usual.slots as u64, 1..=65_536);
+        let defaults = Settings::default();
+        let slots = reader.number("slots", defaults.slots as u64, 1..=65_536);
         Settings {
-            name: reader.text("name", &usual.name),
-            address: reader.required_parsed("address", "IP:PORT", usual.address),
-            work_ms: reader.number("work_ms", usual.work_ms, 0..=3_600_000),
-            slots: usize::try_from(slots).unwrap_or(usual.slots),
+            name: reader.text("name", &defaults.name),
+            address: reader.required_parsed("address", "IP:PORT", defaults.address),
+            work_ms: reader.number("work_ms", defaults.work_ms, 0..=3_600_000),
+            slots: usize::try_from(slots).unwrap_or(defaults.slots),
         }
     }
 }
--- a/crates/lagoon-standin/tests/common/mod.rs
+++ b/crates/lagoon-standin/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! A small client for the tests of the stand-ins.
-#![allow(dead_code, reason = "each test file uses its part")]
+//! HTTP client helpers for the tests of the stand-ins.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::net;
 
 use ntex::client;
 use serde_json::Value;
 
-/// Runs `test` on a runtime of its own.
+/// Runs `test` on its own runtime.
 pub fn run<F>(test: F)
 where
     F: Future<Output = ()> + 'static,
@@ -14,31 +14,32 @@
     ntex::rt::System::new("test", ntex::rt::DefaultRuntime).block_on(test);
 }
 
-/// An attempt of this number, as 32 hex digits.
+/// Returns the attempt id of this number, as 32 hex digits.
 pub fn attempt(number: u128) -> String {
     format!("{number:032x}")
 }
 
-/// Whether nothing listens at `address`.
+/// Returns whether connections to `address` are refused.
 pub fn refuses(address: net::SocketAddr) -> bool {
     net::TcpStream::connect(address)
         .is_err_and(|error| error.kind() == std::io::ErrorKind::ConnectionRefused)
 }
 
-/// Sends JSON; the answer's status and JSON, or null.
+/// Sends JSON. Returns the status and JSON body of the response: status 0 without a response, and
+/// null for a body that is not JSON.
 pub async fn post(address: net::SocketAddr, path: &str, body: Value) -> (u16, Value) {
     let client = client::Client::new().await;
     let sent = client.post(format!("http://{address}{path}")).send_json(&body).await;
-    finish(sent).await
+    read_json(sent).await
 }
 
-/// Fetches JSON.
+/// Fetches JSON; returns the same as [`post`].
 pub async fn get(address: net::SocketAddr, path: &str) -> (u16, Value) {
     let client = client::Client::new().await;
-    finish(client.get(format!("http://{address}{path}")).send().await).await
+    read_json(client.get(format!("http://{address}{path}")).send().await).await
 }
 
-async fn finish<E: std::fmt::Debug>(sent: Result<client::ClientResponse, E>) -> (u16, Value) {
+async fn read_json<E: std::fmt::Debug>(sent: Result<client::ClientResponse, E>) -> (u16, Value) {
     let Ok(answer) = sent.inspect_err(|error| eprintln!("no answer: {error:?}")) else {
         return (0, Value::Null);
     };
@@ -46,25 +47,29 @@
     (status, answer.json().limit(64 << 20).await.unwrap_or(Value::Null))
 }
 
-/// A generate call that is being read.
+/// The response to a generate or resume call, whose body is not read yet.
 pub struct Reader {
     pub status: u16,
     answer: Option<client::ClientResponse>,
 }
 
-/// What came of an answer.
+/// The events of a response body.
 #[derive(Debug, Default)]
 pub struct Answer {
     pub status: u16,
+    /// Text of all chunks, concatenated.
     pub text: String,
+    /// Numbers of the chunks, in the order of arrival.
     pub numbers: Vec<u64>,
+    /// Attempt ids of the chunks, in the order of arrival.
     pub attempts: Vec<String>,
     pub end: Option<Value>,
     pub error: Option<Value>,
-    pub broken: bool,
+    /// Whether the connection broke before the end of the body.
+    pub aborted: bool,
 }
 
-/// Starts a generate call with these headers besides the attempt and model.
+/// Starts a generate call. `headers` are added to those of the attempt, model and owner.
 pub async fn generate(
     address: net::SocketAddr,
     attempt: &str,
@@ -78,27 +83,28 @@
         .await
         .unwrap();
     let mut request = client.post(format!("http://{address}/generate"));
-    let usual = [("Lagoon-Attempt", attempt), ("Lagoon-Model", "model"), ("Lagoon-Owner", "a/1")];
-    for (name, value) in usual.iter().chain(headers) {
+    let common_headers =
+        [("Lagoon-Attempt", attempt), ("Lagoon-Model", "model"), ("Lagoon-Owner", "a/1")];
+    for (name, value) in common_headers.iter().chain(headers) {
         request = request.set_header(*name, *value);
     }
     let sent = request.send_json(&serde_json::json!({"prompt": prompt})).await;
-    read(sent.inspect_err(|error| eprintln!("no answer: {error:?}")).ok())
+    start_reading(sent.inspect_err(|error| eprintln!("no answer: {error:?}")).ok())
 }
 
-/// Resumes a stream.
+/// Resumes a stream from chunk `from`.
 pub async fn resume(address: net::SocketAddr, attempt: &str, from: u64) -> Reader {
     let client = client::Client::new().await;
     let uri = format!("http://{address}/streams/{attempt}?from={from}");
-    read(client.get(uri).send().await.ok())
+    start_reading(client.get(uri).send().await.ok())
 }
 
-fn read(answer: Option<client::ClientResponse>) -> Reader {
+fn start_reading(answer: Option<client::ClientResponse>) -> Reader {
     Reader { status: answer.as_ref().map_or(0, |answer| answer.status().as_u16()), answer }
 }
 
 impl Reader {
-    /// Reads to the end.
+    /// Reads the body to its end, or until the connection breaks.
     pub async fn all(self) -> Answer {
         let mut result = Answer { status: self.status, ..Answer::default() };
         let Some(answer) = self.answer else { return result };
@@ -106,7 +112,7 @@
         let mut buffer = String::new();
         while let Some(piece) = payload.recv().await {
             let Ok(piece) = piece else {
-                result.broken = true;
+                result.aborted = true;
                 break;
             };
             buffer.push_str(std::str::from_utf8(&piece).unwrap());
--- a/crates/lagoon-standin/tests/control.rs
+++ b/crates/lagoon-standin/tests/control.rs
@@ -1,4 +1,4 @@
-//! The one address for switches and records of all stand-ins of a process.
+//! Control address for the fault switches and records of all stand-ins in a process.
 
 mod common;
 
@@ -8,15 +8,16 @@
 use lagoon_standin::{engine, fleet, service};
 use serde_json::json;
 
-/// A port that was free a moment ago: the control address must be known before the start.
+/// Returns an address with a port that was free just now. The control address must be known before
+/// the fleet starts.
 fn free_address() -> net::SocketAddr {
     net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-// An engine and a replica die and come back by their switches alone, which are reached at the
-// control address while their own ports refuse connections.
+// An engine and a replica that are down refuse connections. The control address must still reach
+// their record, and the switch that restores them.
 #[test]
-fn a_dead_stand_in_is_reached_at_the_control_address() {
+fn control_address_serves_stand_ins_that_are_down() {
     run(async {
         let control = free_address();
         let fleet = fleet::start(fleet::Settings {
--- a/crates/lagoon-standin/tests/engine.rs
+++ b/crates/lagoon-standin/tests/engine.rs
@@ -1,4 +1,4 @@
-//! An engine as its callers see it.
+//! HTTP interface of the engine stand-in.
 
 mod common;
 
@@ -7,7 +7,8 @@
 use rstest::rstest;
 use serde_json::json;
 
-fn fast() -> engine::Settings {
+/// Settings that run 100 times faster than real time, with immediate and lossless cache events.
+fn fast_settings() -> engine::Settings {
     engine::Settings {
         time_scale: 100.0,
         load_lag_ms: 5,
@@ -18,9 +19,9 @@
 }
 
 #[test]
-fn an_answer_is_whole_and_its_memory_comes_back() {
+fn complete_answer_returns_its_memory() {
     run(async {
-        let engine = engine::start(fast()).unwrap();
+        let engine = engine::start(fast_settings()).unwrap();
         let headers = [("Lagoon-Answer-Tokens", "20")];
         let answer = generate(engine.address(), &attempt(1), "tin", &headers).await.all().await;
         assert_eq!(answer.numbers, (0..20).collect::<Vec<_>>());
@@ -34,9 +35,9 @@
 }
 
 #[test]
-fn a_continuation_numbers_its_chunks_from_the_skipped_ones() {
+fn continuation_numbers_chunks_after_the_skipped_ones() {
     run(async {
-        let engine = engine::start(fast()).unwrap();
+        let engine = engine::start(fast_settings()).unwrap();
         let headers = [("Lagoon-Answer-Tokens", "9"), ("Lagoon-Skip-Tokens", "6")];
         let answer = generate(engine.address(), &attempt(1), "tin", &headers).await.all().await;
         assert_eq!(answer.numbers, [6, 7, 8]);
@@ -44,16 +45,16 @@
     });
 }
 
-// The connection breaks after three chunks; the reader comes back for chunk 3 and later ones.
-// Between the two it must not lose or repeat any, because the engine kept the stream.
+// The connection breaks after three chunks and the reader resumes from chunk 3. The engine keeps
+// the stream, so no chunk may be lost or repeated.
 #[test]
-fn a_broken_stream_resumes_where_it_broke() {
+fn broken_stream_resumes_without_loss_or_duplicates() {
     run(async {
-        let engine = engine::start(fast()).unwrap();
+        let engine = engine::start(fast_settings()).unwrap();
         engine.node().set_faults(engine::Faults { cut_after_chunks: 3, ..Default::default() });
         let headers = [("Lagoon-Answer-Tokens", "8")];
         let first = generate(engine.address(), &attempt(1), "tin", &headers).await.all().await;
-        assert_eq!((first.numbers.as_slice(), first.broken), ([0, 1, 2].as_slice(), true));
+        assert_eq!((first.numbers.as_slice(), first.aborted), ([0, 1, 2].as_slice(), true));
         engine.node().set_faults(engine::Faults::default());
         let rest = resume(engine.address(), &attempt(1), 3).await.all().await;
         assert_eq!(rest.numbers, [3, 4, 5, 6, 7]);
@@ -62,12 +63,12 @@
     });
 }
 
-// The cancel overtakes the call. The engine remembers it and refuses the call, so that what was
-// given up cannot run afterwards and hold memory that nobody will return.
+// The cancel arrives before the generate call. The engine must refuse the late call, which would
+// otherwise run and hold memory that no caller releases.
 #[test]
-fn a_cancelled_attempt_that_comes_later_is_refused() {
+fn attempt_cancelled_before_it_arrives_is_refused() {
     run(async {
-        let engine = engine::start(fast()).unwrap();
+        let engine = engine::start(fast_settings()).unwrap();
         let path = format!("/streams/{}/cancel", attempt(1));
         assert_eq!(post(engine.address(), &path, json!({})).await.0, 200);
         let late = generate(engine.address(), &attempt(1), "tin", &[]).await;
@@ -77,9 +78,10 @@
 }
 
 #[test]
-fn a_cancel_returns_memory_of_a_running_stream() {
+fn cancel_returns_memory_of_a_running_stream() {
     run(async {
-        let engine = engine::start(engine::Settings { time_scale: 1.0, ..fast() }).unwrap();
+        let engine =
+            engine::start(engine::Settings { time_scale: 1.0, ..fast_settings() }).unwrap();
         let prompt = "x".repeat(400_000);
         let reader = generate(engine.address(), &attempt(1), &prompt, &[]).await;
         assert_eq!(reader.status, 200);
@@ -96,14 +98,14 @@
 #[rstest]
 #[case::unknown_model(&[("Lagoon-Model", "other")], 4, 404, "unknown_model")]
 #[case::too_long(&[], 2_000_000, 413, "too_long")]
-fn what_cannot_run_is_refused(
+fn attempt_that_cannot_run_is_refused(
     #[case] headers: &'static [(&'static str, &'static str)],
     #[case] bytes: usize,
     #[case] status: u16,
     #[case] code: &'static str,
 ) {
     run(async move {
-        let engine = engine::start(fast()).unwrap();
+        let engine = engine::start(fast_settings()).unwrap();
         let prompt = "x".repeat(bytes);
         let reader = generate(engine.address(), &attempt(1), &prompt, headers).await;
         assert_eq!(reader.status, status, "{code}");
@@ -112,9 +114,10 @@
 }
 
 #[test]
-fn a_full_engine_with_a_full_waiting_list_refuses() {
+fn engine_with_full_batch_and_queue_refuses() {
     run(async {
-        let settings = engine::Settings { time_scale: 1.0, slots: 1, waiting_limit: 1, ..fast() };
+        let settings =
+            engine::Settings { time_scale: 1.0, slots: 1, waiting_limit: 1, ..fast_settings() };
         let engine = engine::start(settings).unwrap();
         let prompt = "x".repeat(400_000);
         let first = generate(engine.address(), &attempt(1), &prompt, &[]).await;
@@ -125,9 +128,10 @@
 }
 
 #[test]
-fn the_higher_priority_is_prefilled_first() {
+fn higher_priority_is_prefilled_first() {
     run(async {
-        let engine = engine::start(engine::Settings { time_scale: 20.0, ..fast() }).unwrap();
+        let engine =
+            engine::start(engine::Settings { time_scale: 20.0, ..fast_settings() }).unwrap();
         let long = "x".repeat(800_000);
         let low = generate(engine.address(), &attempt(1), &long, &[("Lagoon-Priority", "1")]).await;
         let headers = [("Lagoon-Priority", "9")];
@@ -141,9 +145,9 @@
 }
 
 #[test]
-fn a_cached_prefix_shows_in_the_end_mark_and_in_events() {
+fn cached_prefix_is_reported_in_end_event_and_cache_events() {
     run(async {
-        let engine = engine::start(fast()).unwrap();
+        let engine = engine::start(fast_settings()).unwrap();
         let prompt = "y".repeat(3 * prompt::BLOCK_BYTES + 7);
         generate(engine.address(), &attempt(1), &prompt, &[]).await.all().await;
         let again = generate(engine.address(), &attempt(2), &prompt, &[]).await.all().await;
@@ -154,21 +158,21 @@
     });
 }
 
-// A prompt needs more than one engine holds. Both reserve a span, and the first one runs it; when
-// a reservation of the group is missing, the call is refused and nothing runs.
+// A prompt needs more KV memory than one engine has. Two engines reserve memory, and the first one
+// runs the prompt. While a reservation of the group is missing, the call is refused.
 #[test]
-fn a_group_of_engines_runs_what_one_cannot() {
+fn group_of_engines_runs_a_prompt_too_long_for_one() {
     run(async {
-        let settings = engine::Settings { kv_tokens: 10_000, ..fast() };
+        let settings = engine::Settings { kv_tokens: 10_000, ..fast_settings() };
         let engines = engine::start_all(vec![settings.clone(), settings]).unwrap();
         let prompt = "z".repeat(60_000);
         let (one, two) = (engines[0].address(), engines[1].address());
         let group = format!("r1@{one},r2@{two}");
         let headers = [("Lagoon-Group", group.as_str())];
-        let span = |id| json!({"id": id, "owner": "a/1", "tokens": 8_000, "ttl_ms": 60_000});
-        assert_eq!(post(one, "/kv/reserve", span("r1")).await.0, 200);
+        let reservation = |id| json!({"id": id, "owner": "a/1", "tokens": 8_000, "ttl_ms": 60_000});
+        assert_eq!(post(one, "/kv/reserve", reservation("r1")).await.0, 200);
         assert_eq!(generate(one, &attempt(1), &prompt, &headers).await.status, 429);
-        assert_eq!(post(two, "/kv/reserve", span("r2")).await.0, 200);
+        assert_eq!(post(two, "/kv/reserve", reservation("r2")).await.0, 200);
         let answer = generate(one, &attempt(1), &prompt, &headers).await.all().await;
         assert!(answer.end.is_some());
         for (engine, id) in engines.iter().zip(["r1", "r2"]) {
@@ -180,11 +184,11 @@
 }
 
 #[test]
-fn a_reservation_nobody_returns_expires() {
+fn unreleased_reservation_expires() {
     run(async {
-        let engine = engine::start(fast()).unwrap();
-        let asked = json!({"id": "r", "owner": "a/1", "tokens": 100, "ttl_ms": 1});
-        post(engine.address(), "/kv/reserve", asked).await;
+        let engine = engine::start(fast_settings()).unwrap();
+        let body = json!({"id": "r", "owner": "a/1", "tokens": 100, "ttl_ms": 1});
+        post(engine.address(), "/kv/reserve", body).await;
         while engine.node().record().bytes_returned == 0 {
             tokio::time::sleep(std::time::Duration::from_millis(2)).await;
         }
@@ -193,17 +197,17 @@
 }
 
 #[test]
-fn an_export_is_imported_into_another_cache() {
+fn export_is_imported_into_another_cache() {
     run(async {
-        let engines = engine::start_all(vec![fast(), fast()]).unwrap();
+        let engines = engine::start_all(vec![fast_settings(), fast_settings()]).unwrap();
         let (one, two) = (engines[0].address(), engines[1].address());
         let prompt = "k".repeat(2 * prompt::BLOCK_BYTES);
         generate(one, &attempt(1), &prompt, &[]).await.all().await;
         let prefix = prompt::Prompt::new(&prompt).hash;
-        let asked = json!({"id": "e", "owner": "a/1", "prefix": prefix, "ttl_ms": 60_000});
-        assert_eq!(post(one, "/kv/export", asked).await.1["bytes"], 2 * 1_024 * 1_024);
-        let asked = json!({"id": "e", "owner": "a/1", "from": one, "ttl_ms": 60_000});
-        assert_eq!(post(two, "/kv/import", asked).await.1["tokens"], 2 * 1_024);
+        let body = json!({"id": "e", "owner": "a/1", "prefix": prefix, "ttl_ms": 60_000});
+        assert_eq!(post(one, "/kv/export", body).await.1["bytes"], 2 * 1_024 * 1_024);
+        let body = json!({"id": "e", "owner": "a/1", "from": one, "ttl_ms": 60_000});
+        assert_eq!(post(two, "/kv/import", body).await.1["tokens"], 2 * 1_024);
         let missing = json!({"id": "x", "owner": "a/1", "from": one, "ttl_ms": 60_000});
         assert_eq!(post(two, "/kv/import", missing).await.0, 502);
     });
@@ -212,9 +216,9 @@
 #[rstest]
 #[case::checks(true, 409)]
 #[case::ignores(false, 200)]
-fn an_old_fencing_number(#[case] checks_fence: bool, #[case] status: u16) {
+fn old_fencing_number_is_counted_and_checked(#[case] checks_fence: bool, #[case] status: u16) {
     run(async move {
-        let engine = engine::start(engine::Settings { checks_fence, ..fast() }).unwrap();
+        let engine = engine::start(engine::Settings { checks_fence, ..fast_settings() }).unwrap();
         let order = |fence| json!({"fence": fence, "order": {"do": "role", "role": "short"}});
         assert_eq!(post(engine.address(), "/orders", order(5)).await.0, 200);
         assert_eq!(post(engine.address(), "/orders", order(4)).await.0, status);
@@ -224,9 +228,10 @@
 }
 
 #[test]
-fn a_leaving_engine_ends_what_runs_and_refuses_the_rest() {
+fn leaving_engine_finishes_streams_and_refuses_new_ones() {
     run(async {
-        let engine = engine::start(engine::Settings { time_scale: 5.0, ..fast() }).unwrap();
+        let engine =
+            engine::start(engine::Settings { time_scale: 5.0, ..fast_settings() }).unwrap();
         let running = generate(engine.address(), &attempt(1), "tin", &[]).await;
         post(engine.address(), "/leave", json!({})).await;
         assert_eq!(generate(engine.address(), &attempt(2), "tin", &[]).await.status, 503);
@@ -234,18 +239,19 @@
     });
 }
 
-// The engine dies under a stream: the reader's connection breaks without an end mark, and the
-// memory counts as returned because the process that held it is gone.
+// The engine crashes during a stream. The reader's connection breaks without an end event, and the
+// memory counts as returned because the process that held it has ended.
 #[test]
-fn a_dead_engine_breaks_its_streams_and_holds_nothing() {
+fn crashed_engine_breaks_streams_and_returns_memory() {
     run(async {
-        let engine = engine::start(engine::Settings { time_scale: 1.0, ..fast() }).unwrap();
+        let engine =
+            engine::start(engine::Settings { time_scale: 1.0, ..fast_settings() }).unwrap();
         let prompt = "x".repeat(400_000);
         let reader = generate(engine.address(), &attempt(1), &prompt, &[]).await;
         let before = engine.node().record().incarnation;
         assert_eq!(post(engine.address(), "/faults", json!({"down": true})).await.0, 200);
         let answer = reader.all().await;
-        assert!(answer.broken && answer.end.is_none());
+        assert!(answer.aborted && answer.end.is_none());
         assert_eq!(get(engine.address(), "/load").await.0, 0);
         assert!(refuses(engine.address()));
         let record = engine.node().record();
@@ -259,21 +265,21 @@
 #[rstest]
 #[case::crossed(json!({"cross_chunks": 2}))]
 #[case::repeated(json!({"repeat_chunks": 2}))]
-fn chunk_faults_show(#[case] change: serde_json::Value) {
+fn chunk_faults_are_visible_to_the_reader(#[case] change: serde_json::Value) {
     run(async move {
-        let engine = engine::start(fast()).unwrap();
+        let engine = engine::start(fast_settings()).unwrap();
         post(engine.address(), "/faults", change).await;
         let answer = generate(engine.address(), &attempt(1), "tin", &[]).await.all().await;
-        let crossed = answer.attempts.iter().any(|name| *name != attempt(1));
-        let repeated = answer.numbers.iter().filter(|number| **number == 2).count() == 2;
-        assert!(crossed != repeated);
+        let has_wrong_attempt = answer.attempts.iter().any(|name| *name != attempt(1));
+        let has_duplicate = answer.numbers.iter().filter(|number| **number == 2).count() == 2;
+        assert!(has_wrong_attempt != has_duplicate);
     });
 }
 
 #[test]
-fn an_unknown_switch_is_refused() {
+fn unknown_switch_is_refused() {
     run(async {
-        let engine = engine::start(fast()).unwrap();
+        let engine = engine::start(fast_settings()).unwrap();
         assert_eq!(post(engine.address(), "/faults", json!({"dwon": true})).await.0, 400);
     });
 }
--- a/crates/lagoon-standin/tests/platform.rs
+++ b/crates/lagoon-standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform as its users see it.
+//! HTTP interface of the platform stand-in.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use serde_json::json;
 
 #[test]
-fn a_transaction_is_carried_out_whole_or_not_at_all() {
+fn transaction_is_atomic() {
     run(async {
         let platform = platform::start(platform::Settings::default()).unwrap();
         let address = platform.address();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn rows_come_in_pages() {
+fn rows_are_read_in_pages() {
     run(async {
         let platform = platform::start(platform::Settings::default()).unwrap();
         for key in ["section/a", "section/b", "section/c", "lease/x"] {
@@ -43,10 +43,10 @@
     });
 }
 
-// The write takes effect and the connection goes before the answer. The writer must read back to
-// know, which this fault is for.
+// The write takes effect but the connection closes before the response. This fault tests that a
+// writer reads back the row to learn the outcome.
 #[test]
-fn a_lost_answer_is_of_a_write_that_took_effect() {
+fn write_with_lost_response_takes_effect() {
     run(async {
         let platform = platform::start(platform::Settings::default()).unwrap();
         post(platform.address(), "/faults", json!({"lose_answer": true})).await;
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_outage_writes_nothing() {
+fn write_during_an_outage_has_no_effect() {
     run(async {
         let platform = platform::start(platform::Settings::default()).unwrap();
         post(platform.address(), "/faults", json!({"down": true})).await;
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn objects_come_back_as_they_were_put() {
+fn objects_are_read_as_written() {
     run(async {
         let platform = platform::start(platform::Settings::default()).unwrap();
         let client = ntex::client::Client::new().await;
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn the_list_of_hosts_lags() {
+fn host_list_is_served_with_lag() {
     run(async {
         let platform = platform::start(platform::Settings::default()).unwrap();
         let line = platform::HostEntry {
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn the_weight_store_has_a_rate() {
+fn weight_store_limits_the_rate() {
     run(async {
         let settings = platform::Settings { weight_rate: 1.0, ..platform::Settings::default() };
         let platform = platform::start(settings).unwrap();
@@ -124,19 +124,20 @@
     });
 }
 
-// A cut is at the port: hosts of the cut zone hear nothing until it heals, and others are served.
+// A cut applies to the requests of one zone: they get no response until the cut heals, while other
+// zones are served.
 #[test]
-fn a_cut_zone_hears_nothing_until_the_cut_heals() {
+fn cut_zone_gets_no_response_until_the_cut_heals() {
     run(async {
         let platform = platform::start(platform::Settings::default()).unwrap();
         post(platform.address(), "/faults", json!({"cut": ["suva"]})).await;
         let client = ntex::client::Client::new().await;
         let uri = format!("http://{}/hosts", platform.address());
-        let ask = |zone| client.get(&uri).set_header("Lagoon-Zone", zone);
-        assert_eq!(ask("nausori").send().await.unwrap().status().as_u16(), 200);
+        let request = |zone| client.get(&uri).set_header("Lagoon-Zone", zone);
+        assert_eq!(request("nausori").send().await.unwrap().status().as_u16(), 200);
         let wait = std::time::Duration::from_millis(60);
-        assert!(tokio::time::timeout(wait, ask("suva").send()).await.is_err());
+        assert!(tokio::time::timeout(wait, request("suva").send()).await.is_err());
         post(platform.address(), "/faults", json!({"cut": []})).await;
-        assert_eq!(ask("suva").send().await.unwrap().status().as_u16(), 200);
+        assert_eq!(request("suva").send().await.unwrap().status().as_u16(), 200);
     });
 }
--- a/crates/lagoon-standin/tests/service.rs
+++ b/crates/lagoon-standin/tests/service.rs
@@ -1,4 +1,4 @@
-//! A plain service as its callers see it.
+//! HTTP interface of the service stand-in.
 
 mod common;
 
@@ -26,7 +26,7 @@
 #[case("PUT")]
 #[case("DELETE")]
 #[case("PATCH")]
-fn any_method_runs_and_is_recorded(#[case] method: &'static str) {
+fn every_method_runs_and_is_recorded(#[case] method: &'static str) {
     run(async move {
         let service = service::start(service::Settings::default()).unwrap();
         let answer = call(service.address(), method).await.unwrap();
@@ -40,10 +40,10 @@
     });
 }
 
-// The booking is made, and the connection goes before the answer: the caller cannot know, and the
-// record says that it ran, once.
+// The call runs but the connection closes before the response. The caller cannot know the outcome;
+// the record must show that the call ran once.
 #[test]
-fn a_lost_answer_is_of_a_call_that_ran() {
+fn call_with_lost_response_is_recorded() {
     run(async {
         let service = service::start(service::Settings::default()).unwrap();
         post(service.address(), "/faults", json!({"lose_answer": true})).await;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_lost_request_does_not_run() {
+fn lost_request_does_not_run() {
     run(async move {
         let service = service::start(service::Settings::default()).unwrap();
         post(service.address(), "/faults", json!({"loss": 1.0})).await;
@@ -62,10 +62,10 @@
     });
 }
 
-// The replica dies: new connections are refused, so that a caller knows that its call did not run.
-// When it is back, calls run again.
+// A replica that is down must refuse connections, so that a caller knows that its call did not run.
+// Once it is up again, calls run.
 #[test]
-fn a_dead_replica_refuses_connections() {
+fn replica_that_is_down_refuses_connections() {
     run(async move {
         let service = service::start(service::Settings::default()).unwrap();
         service.node().set_faults(service::Faults { down: true, ..service::Faults::default() });
@@ -77,10 +77,10 @@
     });
 }
 
-// The zone of the caller's entry host is cut off while its booking is being made: the booking runs,
-// and its answer comes only when the cut has healed.
+// The zone of the caller's entry host is cut off while its call runs. The call completes, but its
+// response is held until the cut heals.
 #[test]
-fn a_cut_holds_an_answer_under_way() {
+fn cut_holds_the_response_of_a_call_in_flight() {
     run(async {
         let settings = service::Settings { work_ms: 100, ..service::Settings::default() };
         let service = service::start(settings).unwrap();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_leaving_replica_says_that_the_call_did_not_run() {
+fn leaving_replica_refuses_calls_as_not_run() {
     run(async {
         let service = service::start(service::Settings::default()).unwrap();
         assert_eq!(post(service.address(), "/leave", json!({})).await.0, 200);
@@ -111,16 +111,17 @@
     });
 }
 
-/// Switches of the port in the test below.
-const SWITCHES: usize = 200;
-/// Far beyond the time that they take.
-const PATIENCE: time::Duration = time::Duration::from_secs(20);
+/// Number of times that the test below closes or opens the port.
+const SWITCH_COUNT: usize = 200;
+/// Limit for all these changes, far above the time that they take.
+const SWITCH_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
-// Callers connect all the time while the port closes and opens again at once. A connection that
-// ends with the port kept the state of the port locked while it waited; the next switch waited for
-// the lock, and a new connection on the same thread for the switch: nothing went on any more.
+// Callers connect continuously while the port closes and reopens. Guards against a deadlock: a
+// connection that ended with the port held the lock on the port's state while it waited, the next
+// change of the state waited for that lock, and a new connection on the same thread waited for the
+// change.
 #[test]
-fn a_port_that_closes_and_opens_again_stays_alive() {
+fn port_that_closes_and_reopens_keeps_serving() {
     run(async {
         let service = service::start(service::Settings::default()).unwrap();
         let (address, node) = (service.address(), service.node().clone());
@@ -140,14 +141,14 @@
         }
         let (done, is_done) = mpsc::channel();
         thread::spawn(move || {
-            for switch in 0..SWITCHES {
+            for switch in 0..SWITCH_COUNT {
                 let down = switch % 2 == 0;
                 node.set_faults(service::Faults { down, ..service::Faults::default() });
                 thread::sleep(time::Duration::from_millis(3));
             }
             done.send(()).unwrap();
         });
-        let ended = is_done.recv_timeout(PATIENCE);
+        let ended = is_done.recv_timeout(SWITCH_TIMEOUT);
         stop.store(true, atomic::Ordering::Relaxed);
         ended.expect("the port no longer opens or closes");
         assert_eq!(call(address, "POST").await.unwrap().status().as_u16(), 200);
