--- a/crates/lagoonline/src/routing/roster.rs
+++ b/crates/lagoonline/src/routing/roster.rs
@@ -1,6 +1,6 @@
 //! Determines, without coordination, the leader of each zone: the host that acts for the others. It
-//! polls the zone's engines for load reports, tells other zones what is in flight and, in a large
-//! zone, schedules the requests of the other hosts.
+//! polls the zone's engines for load reports and, in a large zone, schedules the requests of the
+//! other hosts and tells other zones what is in flight.
 //!
 //! There are hundreds of entry hosts with one or two requests per second each. If every host told
 //! every other of each dispatch, each would receive as many messages as all hosts send together; if
