--- a/crates/lagoon-gateway/src/admit.rs
+++ b/crates/lagoon-gateway/src/admit.rs
@@ -34,14 +34,14 @@
     };
     let age = state.confirmation_age();
     let Some(route) = table.route(&request.host, &request.path) else {
-        return Err(unknown_name(state, age, Reason::UnknownName, "no such route"));
+        return Err(unknown_route_or_key(state, age, Reason::UnknownName, "no such route"));
     };
     let key = request.head.key.as_deref();
     let customer = match table.customer(route, key) {
         routing::KeyMatch::Open => None,
         routing::KeyMatch::Customer(customer) => Some(customer.name.clone()),
         routing::KeyMatch::Unknown => {
-            return Err(unknown_name(
+            return Err(unknown_route_or_key(
                 state,
                 age,
                 Reason::Unauthenticated,
@@ -65,8 +65,8 @@
 }
 
 /// Returns the fault for a route or key that is not in this host's desired state. It is reported as
-/// unknown only if the desired state was confirmed recently.
-fn unknown_name(
+/// unknown only if the desired state was confirmed recently, otherwise as a platform outage.
+fn unknown_route_or_key(
     state: &state::State,
     age: Option<clock::Span>,
     reason: Reason,
@@ -96,12 +96,11 @@
         .with_retry_after(retry_time(state)))
 }
 
-/// Returns the retry time for a caller that is rejected because this host cannot reach the
-/// platform.
+/// Returns the retry time for a caller that is refused because this host cannot reach the platform.
 ///
 /// The platform may be unreachable for some hosts only. A caller that waits here before it tries
-/// another host, which could have answered at once, misses its deadline. So callers are sent on at
-/// once while another host reports that it can trust keys.
+/// another host, which could have answered at once, misses its deadline. So the retry time is short
+/// while another host reports that it can trust keys.
 fn retry_time(state: &state::State) -> clock::Span {
     if state.peer_trusts_keys() { forward::RETRY_ELSEWHERE_AFTER } else { forward::RETRY_AFTER }
 }
--- a/crates/lagoon-gateway/src/answer.rs
+++ b/crates/lagoon-gateway/src/answer.rs
@@ -6,7 +6,8 @@
 use ntex::http;
 use ntex::web;
 
-/// An error answered to a caller instead of an upstream's answer.
+/// An error answered to a caller instead of an upstream's answer. A failure, in contrast, is why a
+/// single connection or attempt brought no answer, and a refusal is that of a placer or an engine.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{}: {detail}", .reason.as_str())]
 pub(crate) struct Fault {
@@ -16,7 +17,7 @@
     pub(crate) step: Step,
     /// Whether the request may have run.
     pub(crate) outcome: Outcome,
-    /// Details for the caller: the peer, or the figures that decided.
+    /// Details for the caller, such as the upstream that failed or the limit that was exceeded.
     pub(crate) detail: String,
     /// When the caller should retry, if that helps.
     pub(crate) retry_after: Option<clock::Span>,
--- a/crates/lagoon-gateway/src/attempt.rs
+++ b/crates/lagoon-gateway/src/attempt.rs
@@ -11,10 +11,11 @@
 pub(crate) enum Failure {
     /// Nothing was sent.
     Unsent(String),
-    /// The upstream reported that it did not run the request. `helper` is set if the engine at
-    /// fault is one that had to prefill a part of the prompt.
-    Refused { helper: Option<id::Upstream>, detail: String },
-    /// The request may have run.
+    /// The upstream reported that it did not run the request. `failed_helper` is set if the engine
+    /// at fault is one that had to prefill a part of the prompt.
+    Refused { failed_helper: Option<id::Upstream>, detail: String },
+    /// The request may have run: the connection broke, the upstream was abandoned, or its answer
+    /// cannot be forwarded.
     Lost(String),
 }
 
@@ -22,7 +23,7 @@
     /// Returns the upstream at fault, if it is not the one that was asked.
     pub(crate) fn at_fault(&self) -> Option<&id::Upstream> {
         match self {
-            Failure::Refused { helper, .. } => helper.as_ref(),
+            Failure::Refused { failed_helper, .. } => failed_helper.as_ref(),
             Failure::Unsent(_) | Failure::Lost(_) => None,
         }
     }
@@ -31,8 +32,8 @@
     pub(crate) fn label(&self) -> &'static str {
         match self {
             Failure::Unsent(_) => "unsent",
-            Failure::Refused { helper: None, .. } => "refused",
-            Failure::Refused { helper: Some(_), .. } => "unhelped",
+            Failure::Refused { failed_helper: None, .. } => "refused",
+            Failure::Refused { failed_helper: Some(_), .. } => "unhelped",
             Failure::Lost(_) => "lost",
         }
     }
--- a/crates/lagoon-gateway/src/crash.rs
+++ b/crates/lagoon-gateway/src/crash.rs
@@ -24,18 +24,20 @@
 
 /// Requests whose connections broke, by upstream, while that upstream is being probed.
 #[derive(Debug, Default)]
-pub(crate) struct BrokenRequests(sync::Mutex<collections::HashMap<id::Upstream, Vec<Request>>>);
+pub(crate) struct BrokenRequests(
+    sync::Mutex<collections::HashMap<id::Upstream, Vec<BrokenRequest>>>,
+);
 
 /// A request whose connection broke.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Request {
+pub(crate) struct BrokenRequest {
     /// Fingerprint of the request, which does not depend on its id.
     pub(crate) fingerprint: fingerprint::Fingerprint,
     /// Progress of the upstream with the request.
     pub(crate) progress: quarantine::Progress,
 }
 
-impl fmt::Display for Request {
+impl fmt::Display for BrokenRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} ", self.fingerprint)?;
         match self.progress {
@@ -48,7 +50,8 @@
     }
 }
 
-/// The result of a probe.
+/// The result of a probe. It is unknown after a timeout, and if the upstream was not probed because
+/// it is leaving or no longer listed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum ProbeResult {
     Ended,
@@ -73,11 +76,11 @@
         upstream: &id::Upstream,
         progress: quarantine::Progress,
     ) {
-        let request = Request { fingerprint: self.fingerprint(), progress };
+        let request = BrokenRequest { fingerprint: self.fingerprint(), progress };
         let mut broken = state::lock(&self.state.broken_requests.0);
-        let waiting = broken.entry(upstream.clone()).or_default();
-        waiting.push(request);
-        let is_first = waiting.len() == 1;
+        let requests = broken.entry(upstream.clone()).or_default();
+        requests.push(request);
+        let is_first = requests.len() == 1;
         drop(broken);
         if is_first {
             drop(ntex::rt::spawn(probe_upstream(
--- a/crates/lagoon-gateway/src/event.rs
+++ b/crates/lagoon-gateway/src/event.rs
@@ -1,4 +1,5 @@
-//! Log lines: each is a JSON object with an event and the values that explain it.
+//! Log lines: each is a JSON object with an event and the values that explain it. An event here is
+//! a kind of log line, not an event of a streamed answer.
 
 use std::fmt;
 
--- a/crates/lagoon-gateway/src/exchange.rs
+++ b/crates/lagoon-gateway/src/exchange.rs
@@ -23,7 +23,7 @@
 /// Why there is no answer, or no complete one.
 #[derive(Clone, Debug, thiserror::Error)]
 pub(crate) enum Failure {
-    /// The connection failed before any byte was sent.
+    /// No byte was sent: the connection failed, or the request could not be built.
     #[error("no connection: {0}")]
     Unsent(String),
     /// The connection broke, or the answer is invalid: the request may have been acted on.
@@ -31,6 +31,7 @@
     Lost(String),
 }
 
+/// The connection, which makes progress only while it is polled.
 type Driver = http1::Connection<TokioIo<TcpStream>, Payload>;
 
 /// A connection with at most one request in progress.
--- a/crates/lagoon-gateway/src/forward.rs
+++ b/crates/lagoon-gateway/src/forward.rs
@@ -71,11 +71,13 @@
 pub(crate) const RETRY_AFTER: clock::Span = clock::Span::from_millis(400);
 /// Retry time given to a caller that only this host rejects: at once, at another host.
 pub(crate) const RETRY_ELSEWHERE_AFTER: clock::Span = clock::Span::from_millis(20);
-/// Prompt length in tokens from which a prompt ranks behind short ones in an engine.
+/// Prompt length in tokens from which a prompt ranks behind short ones in an engine. The length
+/// classes of the metrics are others.
 const MEDIUM_PROMPT_TOKENS: u64 = 25_000;
 /// Prompt length in tokens from which a prompt ranks behind medium ones.
 const LONG_PROMPT_TOKENS: u64 = 110_000;
-/// Refusals by upstreams that a request may meet in addition to its attempts.
+/// Attempts beyond the route's limit that are allowed because upstreams refused the request or
+/// could not be reached.
 const MAX_REFUSALS: u32 = 2;
 
 /// An admitted request.
@@ -107,12 +109,12 @@
 /// # Errors
 ///
 /// Why there is no answer of an upstream.
-pub(crate) async fn answer(
+pub(crate) async fn handle(
     state: &sync::Arc<state::State>,
     request: Request,
     caller: Caller,
 ) -> Result<web::HttpResponse, answer::Fault> {
-    state.wait_for_loads().await;
+    state.wait_for_dispatches().await;
     let admitted = admit::admit(state, request)?;
     let deadline = admitted.deadline;
     let mut may_have_run = false;
@@ -145,7 +147,8 @@
     loop {
         let allocation = admitted.allocate(&avoid).await.map_err(|fault| fault.or_unknown(lost))?;
         let upstream = allocation.placement.primary.upstream.clone();
-        // Upstreams identify a request by its caller's id, so an attempt needs no id of its own.
+        // Upstreams identify a request by the id that its caller gave it, so an attempt needs no id
+        // of its own.
         let dispatched = pending.dispatch(id::Attempt(0));
         attempts += 1;
         *may_have_run = true;
@@ -232,24 +235,27 @@
         }
     }
 
-    /// Whether another attempt is allowed and worthwhile. Takes it from the retry budget.
+    /// Whether another attempt is allowed and worthwhile; `attempts` and `refusals` are those so
+    /// far. Takes it from the retry budget unless the last one was not sent.
     pub(crate) fn take_retry(
         &self,
         attempts: u32,
         refusals: u32,
         failed: &attempt::Failure,
     ) -> bool {
-        let within = match failed {
+        let within_limits = match failed {
             attempt::Failure::Unsent(_) => attempts < self.route.max_attempts + MAX_REFUSALS,
             attempt::Failure::Refused { .. } => refusals <= MAX_REFUSALS,
             attempt::Failure::Lost(_) => attempts < self.route.max_attempts + refusals,
         };
-        if !within || self.time_left() < MIN_TIME_LEFT {
+        if !within_limits || self.time_left() < MIN_TIME_LEFT {
             return false;
         }
         let unsent = matches!(failed, attempt::Failure::Unsent(_));
-        let dispatcher = self.state.dispatcher(&self.service);
-        unsent || dispatcher.is_some_and(|dispatcher| state::lock(&dispatcher).budget.take_retry())
+        let service_state = self.state.service_state(&self.service);
+        unsent
+            || service_state
+                .is_some_and(|service_state| state::lock(&service_state).budget.take_retry())
     }
 
     /// Records activity of an upstream: bytes of an answer arrived.
@@ -265,18 +271,18 @@
         attempts: u32,
     ) -> Result<OpenAnswer, attempt::Failure> {
         let place::Allocation { placement, id: dispatch_id, in_flight } = allocation;
-        let first = &placement.primary;
+        let primary = &placement.primary;
         let connect = CONNECT_TIMEOUT.min(self.time_left());
-        let opened = exchange::Exchange::open(first.address, connect).await;
+        let opened = exchange::Exchange::open(primary.address, connect).await;
         let mut exchange = opened.map_err(|failure| {
-            self.record_unreachable(&first.upstream);
-            attempt::Failure::Unsent(format!("{}: {failure}", first.upstream))
+            self.record_unreachable(&primary.upstream);
+            attempt::Failure::Unsent(format!("{}: {failure}", primary.upstream))
         })?;
         let request = self.encode(&placement, in_flight.reservations(), last_event);
         let request = request.map_err(|error| attempt::Failure::Unsent(error.to_string()))?;
         self.log_dispatch(&placement, dispatch_id.number);
-        if let Some(dispatcher) = self.state.dispatcher(&self.service) {
-            state::lock(&dispatcher).budget.record_first_attempt();
+        if let Some(service_state) = self.state.service_state(&self.service) {
+            state::lock(&service_state).budget.record_first_attempt();
         }
         let sent = self.state.clock.now();
         let answer = {
@@ -285,23 +291,23 @@
                 match tokio::time::timeout(silence::CHECK_INTERVAL, &mut send).await {
                     Ok(Ok(answer)) => break answer,
                     Ok(Err(failure)) => {
-                        self.record_unreachable(&first.upstream);
+                        self.record_unreachable(&primary.upstream);
                         self.record_broken_connection(
-                            &first.upstream,
+                            &primary.upstream,
                             self.progress_before_answer(),
                         );
                         return Err(attempt::Failure::Lost(format!(
                             "{}: {failure}",
-                            first.upstream
+                            primary.upstream
                         )));
                     }
                     // The last upstream that may be tried is not abandoned: it may merely be busy.
-                    Err(_) if !self.may_retry(attempts) => {}
+                    Err(_) if !self.has_attempts_left(attempts) => {}
                     Err(_) => {
                         let silent = self.state.clock.now().since(sent);
                         if let Some(why) = self.abandon_reason(&placement, dispatch_id, silent) {
-                            self.record_unreachable(&first.upstream);
-                            let detail = format!("{}: {why}, for {silent:?}", first.upstream);
+                            self.record_unreachable(&primary.upstream);
+                            let detail = format!("{}: {why}, for {silent:?}", primary.upstream);
                             return Err(attempt::Failure::Lost(detail));
                         }
                     }
@@ -309,10 +315,11 @@
             }
         };
         let head_at = self.state.clock.now();
-        Ok(OpenAnswer { exchange, answer, in_flight, upstream: first.upstream.clone(), head_at })
+        Ok(OpenAnswer { exchange, answer, in_flight, upstream: primary.upstream.clone(), head_at })
     }
 
-    /// Builds the request to the upstream of `placement`, with its helpers and reservations.
+    /// Builds the request to the upstream of `placement`. The header for helpers also names the
+    /// answering engine if it has a reservation.
     fn encode(
         &self,
         placement: &placement::Placement,
@@ -362,7 +369,7 @@
         }
     }
 
-    /// Returns the request's rank in an engine: short prompts come first.
+    /// Returns the request's rank in an engine's queue, from 0 to 9: short prompts come first.
     fn rank(&self) -> Option<u8> {
         let prompt = self.request.head.prompt_tokens?;
         Some(match prompt {
@@ -400,15 +407,17 @@
         let forwarded = head::forward_answer(fields.into_iter());
         let peer = &open.upstream;
         if read.not_run {
-            let helper = read.at_fault.and_then(|address| self.record_failed_helper(peer, address));
-            let by = helper.as_ref().map(|helper| format!(" by {helper}")).unwrap_or_default();
+            let failed_helper =
+                read.at_fault.and_then(|address| self.record_failed_helper(peer, address));
+            let by =
+                failed_helper.as_ref().map(|helper| format!(" by {helper}")).unwrap_or_default();
             let detail = format!("{peer}: refused with status {status}{by}");
-            return Err(attempt::Failure::Refused { helper, detail });
+            return Err(attempt::Failure::Refused { failed_helper, detail });
         }
         let wrong_request =
             read.request_id.as_deref().is_some_and(|id| id != self.request.head.request_id);
         let success = (200..300).contains(&status);
-        if wrong_request || success && (!read.proven || read.encoded) {
+        if wrong_request || success && (!read.signed || read.encoded) {
             self.record_unreachable(peer);
             return Err(attempt::Failure::Lost(format!("{peer}: not the answer to this request")));
         }
@@ -440,18 +449,20 @@
         Ok(CheckedAnswer::Complete { status, headers: forwarded, body: body.freeze() })
     }
 
-    /// Records that the engine at `address` failed to help `first`, so that it is avoided for a
-    /// while. Returns its name if it is a known upstream other than `first`.
+    /// Records that the engine at `address` failed to help `primary`, so that it is avoided for a
+    /// while. Returns its name if it is a known upstream other than `primary`.
     fn record_failed_helper(
         &self,
-        first: &id::Upstream,
+        primary: &id::Upstream,
         address: net::SocketAddr,
     ) -> Option<id::Upstream> {
         let helper =
             self.state.with_placer(&self.service, |placer, _| placer.upstream_at(address).cloned());
-        let helper = helper.flatten().filter(|helper| helper != first)?;
-        self.state
-            .record_observation(&self.service, message::Observation::helper_failed(first, &helper));
+        let helper = helper.flatten().filter(|helper| helper != primary)?;
+        self.state.record_observation(
+            &self.service,
+            message::Observation::helper_failed(primary, &helper),
+        );
         Some(helper)
     }
 
@@ -472,6 +483,7 @@
             .text("helpers", helpers.join(" "))
             .span("expected_ms", placement.expected)
             .span("left_ms", self.time_left())
+            // Estimated load of the chosen upstream and of the next best one.
             .text("believed", placement.estimate)
             .text(
                 "believed_next",
@@ -481,6 +493,7 @@
     }
 
     pub(crate) fn log_failure(&self, upstream: &id::Upstream, failed: &attempt::Failure) {
+        // An attempt failed.
         event::Line::new("attempt_missed")
             .text("request", &self.request.head.request_id)
             .text("upstream", upstream)
--- a/crates/lagoon-gateway/src/hosts.rs
+++ b/crates/lagoon-gateway/src/hosts.rs
@@ -29,14 +29,14 @@
 /// Pause before a failed write is retried.
 const WRITE_RETRY_PAUSE: clock::Span = clock::Span::from_millis(700);
 /// Time given to the other hosts to report their dispatches in flight: zones are some milliseconds
-/// apart and hosts answer at once. A lost answer costs only efficiency.
-const LOADS_ANSWER_WAIT: clock::Span = clock::Span::from_millis(30);
+/// apart and hosts answer at once. A lost answer only makes placement less accurate.
+const DISPATCHES_ANSWER_WAIT: clock::Span = clock::Span::from_millis(30);
 
 /// Maximum pause after the first read of the table.
 ///
 /// When all hosts start within moments of each other, each finds only the rows of those before it.
-/// Many then believe that they rank first and have to read the platform for their zone, and go on
-/// doing so until the next read of this table.
+/// Many then rank themselves first and read the platform for their zone until the next read of this
+/// table.
 const MAX_FIRST_PAUSE: clock::Span = clock::Span::from_millis(600);
 
 /// The row of a host.
@@ -44,7 +44,8 @@
 struct Row {
     /// UDP address for datagrams from other hosts.
     address: net::SocketAddr,
-    /// TCP address at which it answers relay requests of hosts in its zone.
+    /// TCP address at which it answers relay requests of its zone, whether or not it reads the
+    /// platform.
     reader: net::SocketAddr,
     zone: id::Zone,
     /// Share of a processor core that the host may use.
@@ -85,6 +86,7 @@
             match client.call(&call, WRITE_TIMEOUT).await {
                 Ok(_) => event::Line::new("host_forgotten").text("host", &host).info(),
                 Err(error) => {
+                    // This host could not remove the row.
                     event::Line::new("host_not_forgotten")
                         .text("host", &host)
                         .text("error", error)
@@ -131,8 +133,8 @@
         let pause = state.settings.tuning.hosts_pause;
         if std::mem::take(&mut first) {
             mesh::announce(&state);
-            tokio::time::sleep(LOADS_ANSWER_WAIT).await;
-            state.raise_level(state::SyncLevel::Loads);
+            tokio::time::sleep(DISPATCHES_ANSWER_WAIT).await;
+            state.raise_level(state::SyncLevel::Dispatches);
             tokio::time::sleep(pause.min(MAX_FIRST_PAUSE)).await;
         } else {
             tokio::time::sleep(pause).await;
--- a/crates/lagoon-gateway/src/in_flight.rs
+++ b/crates/lagoon-gateway/src/in_flight.rs
@@ -27,7 +27,7 @@
     state: sync::Arc<state::State>,
     service: id::Service,
     id: placement::DispatchId,
-    prefilled: bool,
+    has_first_token: bool,
     /// Memory reservations, released when the dispatch ends.
     reservations: Option<reserve::Reservations>,
 }
@@ -38,8 +38,8 @@
         self.reservations.as_ref()
     }
 
-    /// Keeps `reservations` until the dispatch ends.
-    pub(crate) fn keep(&mut self, reservations: Option<reserve::Reservations>) {
+    /// Sets the reservations, which are kept until the dispatch ends.
+    pub(crate) fn set_reservations(&mut self, reservations: Option<reserve::Reservations>) {
         self.reservations = reservations;
     }
 
@@ -63,7 +63,7 @@
             state: admitted.state.clone(),
             service: admitted.service.clone(),
             id,
-            prefilled: false,
+            has_first_token: false,
             reservations: None,
         };
         if decider == Decider::Own {
@@ -74,9 +74,10 @@
         in_flight
     }
 
-    /// Records that the first token arrived.
+    /// Records that the first token arrived. The head of a streamed answer counts as its first
+    /// token.
     pub(crate) fn record_first_token(&mut self) {
-        if std::mem::replace(&mut self.prefilled, true) {
+        if std::mem::replace(&mut self.has_first_token, true) {
             return;
         }
         self.state
--- a/crates/lagoon-gateway/src/logs.rs
+++ b/crates/lagoon-gateway/src/logs.rs
@@ -17,9 +17,10 @@
 
 /// Capacity of the queue: more than a second at the highest rate.
 const QUEUE_LENGTH: usize = 1_024;
-/// Lines per second beyond which info lines are dropped; ten requests a second write about forty.
+/// Lines per second, of all levels together, beyond which info lines are dropped; ten requests a
+/// second write about forty.
 const INFO_LINES_PER_SECOND: u32 = 200;
-/// Lines per second beyond which warnings are dropped as well.
+/// Lines per second, of all levels together, beyond which warnings are dropped as well.
 const WARN_LINES_PER_SECOND: u32 = 400;
 
 /// Lines counted in the current second.
@@ -37,7 +38,7 @@
 }
 
 impl Output {
-    fn admits(&self, level: log::Level) -> bool {
+    fn is_within_rate(&self, level: log::Level) -> bool {
         let second = self.began.elapsed().as_secs();
         let mut rate = self.rate.lock().unwrap_or_else(sync::PoisonError::into_inner);
         if rate.second != second {
@@ -55,8 +56,8 @@
     }
 
     fn log(&self, record: &log::Record<'_>) {
-        let sent =
-            self.admits(record.level()) && self.lines.try_send(record.args().to_string()).is_ok();
+        let sent = self.is_within_rate(record.level())
+            && self.lines.try_send(record.args().to_string()).is_ok();
         if !sent {
             self.dropped.fetch_add(1, atomic::Ordering::Relaxed);
         }
--- a/crates/lagoon-gateway/src/main.rs
+++ b/crates/lagoon-gateway/src/main.rs
@@ -56,13 +56,13 @@
 fn run(
     settings: lagoon_gateway::Settings,
     node: &path::Path,
-    own: Option<&path::Path>,
+    tuning_file: Option<&path::Path>,
 ) -> io::Result<()> {
     // Installed before the server starts, so that an early signal drains it too.
     let mut signals = signals::Signals::new()?;
     let running = lagoon_gateway::start(settings)?;
     let handle = running.handle();
-    let (node, own) = (node.to_owned(), own.map(path::Path::to_owned));
+    let (node, tuning_file) = (node.to_owned(), tuning_file.map(path::Path::to_owned));
     thread::spawn(move || {
         loop {
             match signals.wait() {
@@ -70,8 +70,8 @@
                 // Settings do not change while the process runs. New ones are checked and logged,
                 // and apply at the next start.
                 signals::Signal::Reload => {
-                    let checked = lagoon_gateway::load(&node, own.as_deref());
-                    handle.reloaded(checked.map(|_| ()));
+                    let checked = lagoon_gateway::load(&node, tuning_file.as_deref());
+                    handle.settings_checked(checked.map(|_| ()));
                 }
             }
         }
--- a/crates/lagoon-gateway/src/mesh.rs
+++ b/crates/lagoon-gateway/src/mesh.rs
@@ -2,9 +2,9 @@
 //! questions to the zone's scheduler. [`routing::Roster`] decides which host reports to which.
 //!
 //! In a small zone every host tracks the dispatches of all hosts and places its own requests. In a
-//! larger one the first live host, the scheduler, places the requests of all hosts. Only it and its
-//! successors track the dispatches in flight, and it forwards the updates of its zone to the
-//! others.
+//! larger one the leader, the first live host by rank, is the scheduler and places the requests of
+//! all hosts. Only it and the next hosts by rank, the candidates, track the dispatches in flight,
+//! and it forwards the updates of its zone to the others.
 //!
 //! [`routing::Roster`]: lagoonline::routing::Roster
 
@@ -40,11 +40,11 @@
 /// The hosts that receive an update.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Audience {
-    /// Hosts of this zone.
+    /// Hosts of this zone that track dispatches in flight.
     OwnZone,
-    /// Hosts of other zones.
+    /// Hosts of other zones that track dispatches in flight.
     OtherZones,
-    /// Hosts of all zones.
+    /// Hosts of all zones that track dispatches in flight.
     AllZones,
 }
 
@@ -164,7 +164,7 @@
     if has_scheduler {
         incarnations.extend(peers.incarnations_in(&state.settings.node.zone));
     }
-    let remote = peers.remote_addresses(now);
+    let remote = peers.remote_tracker_addresses(now);
     drop(peers);
     let datagrams: Vec<_> = message::pack(state.in_flight_numbers(&incarnations))
         .into_iter()
@@ -182,6 +182,7 @@
 fn forget_silent_hosts(state: &state::State) {
     let silent = state::lock(&state.peers).remove_silent(state.clock.now());
     for incarnation in silent {
+        // The heartbeats of an incarnation (`life`) have stopped.
         event::Line::new("host_silent").number("life", incarnation).info();
         state.forget_incarnation(incarnation);
     }
@@ -196,6 +197,7 @@
         let (length, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
+                // Receiving a datagram failed.
                 event::Line::new("words_unheard").text("error", error).warn();
                 tokio::time::sleep(SOCKET_RETRY_PAUSE).await;
                 continue;
@@ -268,6 +270,7 @@
         state.forget_incarnation(previous);
     }
     let updates = state.in_flight_for_new_host(from);
+    // A new incarnation (`life`) was seen and got this many updates (`words`).
     event::Line::new("host_met")
         .text("address", from)
         .number("life", incarnation)
@@ -292,17 +295,17 @@
     }
 }
 
-/// Applies an update of the host incarnation `from`, and forwards it to other zones if `forwards`
+/// Applies an update of the host incarnation `sender`, and forwards it to other zones if `forwards`
 /// is set.
-fn apply_update(state: &state::State, from: u64, update: message::Update, forwards: bool) {
+fn apply_update(state: &state::State, sender: u64, update: message::Update, forwards: bool) {
     let service = id::Service::from(update.service.as_str());
-    let id = placement::DispatchId { host: update.host.unwrap_or(from), number: update.number };
-    let is_own = update.host.is_none();
+    let id = placement::DispatchId { host: update.host.unwrap_or(sender), number: update.number };
+    let is_senders = update.host.is_none();
     let Some(what) = update.what else {
         // A kind of update that only a later build knows.
         return;
     };
-    if forwards && is_own && is_forwarded(&what) {
+    if forwards && is_senders && is_forwarded(&what) {
         state
             .queue_update(message::Update::about(id, &service, what.clone()), Audience::OtherZones);
     }
--- a/crates/lagoon-gateway/src/message.rs
+++ b/crates/lagoon-gateway/src/message.rs
@@ -137,7 +137,8 @@
     /// What the upstream did, as an [`UpstreamOutcome`].
     #[prost(enumeration = "UpstreamOutcome", tag = "2")]
     pub(crate) manner: i32,
-    /// Upstream that could not reach it; absent if it was the host.
+    /// Upstream that could not reach `upstream`; absent if the reporting host itself made the
+    /// observation.
     #[prost(string, optional, tag = "3")]
     pub(crate) from: Option<String>,
 }
@@ -224,12 +225,12 @@
 }
 
 /// Decodes a span from milliseconds.
-pub(crate) fn span(millis: u32) -> clock::Span {
+pub(crate) fn from_millis(millis: u32) -> clock::Span {
     clock::Span::from_millis(u64::from(millis))
 }
 
 /// Encodes a span in whole milliseconds, limited to `u32::MAX`.
-pub(crate) fn millis(span: clock::Span) -> u32 {
+pub(crate) fn to_millis(span: clock::Span) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
 
@@ -241,8 +242,8 @@
             helpers: dispatch.helpers.iter().map(ToString::to_string).collect(),
             held: dispatch.helper_reserves.clone(),
             prompt: dispatch.prompt_tokens,
-            gap_ms: millis(dispatch.max_gap),
-            left_ms: millis(dispatch.deadline.since(now)),
+            gap_ms: to_millis(dispatch.max_gap),
+            left_ms: to_millis(dispatch.deadline.since(now)),
         }
     }
 
@@ -258,8 +259,8 @@
             helpers: self.helpers.into_iter().map(id::Upstream::from).collect(),
             prompt_tokens: self.prompt,
             helper_reserves: self.held,
-            max_gap: span(self.gap_ms),
-            deadline: now + span(self.left_ms),
+            max_gap: from_millis(self.gap_ms),
+            deadline: now + from_millis(self.left_ms),
         }
     }
 }
@@ -277,6 +278,7 @@
     let mut part = Vec::new();
     let mut size = 0;
     for item in items {
+        // The item also needs a tag and its length.
         let length = item.encoded_len() + 4;
         if size + length > MAX_DATAGRAM_BYTES && !part.is_empty() {
             parts.push(std::mem::take(&mut part));
@@ -292,9 +294,9 @@
 }
 
 impl Batch {
-    /// Encodes `updates` together with this batch's other fields as datagrams of at most
-    /// [`MAX_DATAGRAM_BYTES`] bytes, unless a single update is larger. Without updates there is one
-    /// datagram, which shows that the host is alive.
+    /// Encodes `updates` as datagrams, each with this batch's other fields. The updates of a
+    /// datagram take at most [`MAX_DATAGRAM_BYTES`], unless a single one is larger. Without updates
+    /// there is one datagram, which shows that the host is alive.
     pub(crate) fn datagrams(&self, updates: Vec<Update>) -> Vec<Vec<u8>> {
         let batch = |updates| Batch { words: updates, ..self.clone() };
         pack(updates).into_iter().map(|updates| batch(updates).encode_to_vec()).collect()
--- a/crates/lagoon-gateway/src/metrics.rs
+++ b/crates/lagoon-gateway/src/metrics.rs
@@ -22,7 +22,7 @@
 /// Labels of the histogram of first events.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct FirstEventLabels {
-    /// Length class of the prompt.
+    /// Length class of the prompt, one of those in [`Metrics::first_event`].
     pub(crate) length: &'static str,
 }
 
@@ -37,7 +37,7 @@
     pub(crate) retries: Counter,
     /// Updates to other hosts that were dropped.
     pub(crate) updates_dropped: Counter,
-    /// Questions that a scheduler left unanswered or rejected.
+    /// Questions that a scheduler did not answer, or answered without a decision.
     pub(crate) schedulers_skipped: Counter,
     /// Version of the desired state in force.
     pub(crate) desired_version: Gauge,
--- a/crates/lagoon-gateway/src/mirror.rs
+++ b/crates/lagoon-gateway/src/mirror.rs
@@ -9,7 +9,7 @@
 use lagoon_platform::store;
 
 /// Maximum number of removed rows that are kept, so that their removal can be reported.
-const MAX_TOMBSTONES: usize = 1_000;
+const MAX_REMOVED_ROWS: usize = 1_000;
 
 /// Compares two values of the row with the given key; true if they are equivalent.
 pub(crate) type SameValue = fn(&str, &[u8], &[u8]) -> bool;
@@ -77,14 +77,14 @@
         if delta.all && stale {
             return Vec::new();
         }
-        let gone = if delta.all { self.removals(&delta) } else { Vec::new() };
+        let removed = if delta.all { self.missing_rows(&delta) } else { Vec::new() };
         if delta.all && self.version.is_none() {
             self.history_start = delta.version;
         }
-        let rows = delta.rows.into_iter().chain(gone);
+        let rows = delta.rows.into_iter().chain(removed);
         let changed: Vec<_> = rows.filter(|row| self.store_row(row)).collect();
         self.version = self.version.max(Some(delta.version));
-        self.prune_tombstones();
+        self.prune_removed_rows();
         changed
     }
 
@@ -101,11 +101,13 @@
     }
 
     /// Returns removals for the known rows that are missing in a complete list.
-    fn removals(&self, delta: &Delta) -> Vec<store::Row> {
+    fn missing_rows(&self, delta: &Delta) -> Vec<store::Row> {
         let listed: collections::HashSet<_> = delta.rows.iter().map(|row| &row.key).collect();
         let known = self.rows.values().filter(|row| row.value.is_some());
-        let gone = known.filter(|row| !listed.contains(&row.key));
-        gone.map(|row| store::Row { value: None, version: delta.version, ..row.clone() }).collect()
+        let removed = known.filter(|row| !listed.contains(&row.key));
+        removed
+            .map(|row| store::Row { value: None, version: delta.version, ..row.clone() })
+            .collect()
     }
 
     /// Stores a row. Returns whether it differs from the known one.
@@ -129,14 +131,15 @@
     }
 
     /// Drops the older half of the removed rows when there are too many.
-    fn prune_tombstones(&mut self) {
+    fn prune_removed_rows(&mut self) {
         let removed = self.rows.values().filter(|row| row.value.is_none());
         let mut versions: Vec<u64> = removed.map(|row| row.version).collect();
-        if versions.len() <= MAX_TOMBSTONES {
+        if versions.len() <= MAX_REMOVED_ROWS {
             return;
         }
         versions.sort_unstable();
-        self.history_start = self.history_start.max(versions[versions.len() - MAX_TOMBSTONES / 2]);
+        self.history_start =
+            self.history_start.max(versions[versions.len() - MAX_REMOVED_ROWS / 2]);
         let history_start = self.history_start;
         self.rows.retain(|_, row| row.value.is_some() || row.version > history_start);
     }
--- a/crates/lagoon-gateway/src/peers.rs
+++ b/crates/lagoon-gateway/src/peers.rs
@@ -29,7 +29,7 @@
     incarnations: collections::HashMap<net::SocketAddr, Incarnation>,
 }
 
-/// Whether the sender of a datagram was known.
+/// Whether the incarnation that sent a datagram was known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Contact {
     /// The incarnation was seen before.
@@ -122,12 +122,12 @@
     }
 
     /// Returns the addresses of the hosts in this zone that track dispatches in flight.
-    pub(crate) fn zone_addresses(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
+    pub(crate) fn zone_tracker_addresses(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
         self.roster.zone_peers(now).iter().filter_map(|host| self.address(host)).collect()
     }
 
     /// Returns the addresses of the hosts in other zones that track dispatches in flight.
-    pub(crate) fn remote_addresses(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
+    pub(crate) fn remote_tracker_addresses(&self, now: clock::Moment) -> Vec<net::SocketAddr> {
         self.roster.remote_peers(now).iter().filter_map(|host| self.address(host)).collect()
     }
 
--- a/crates/lagoon-gateway/src/place.rs
+++ b/crates/lagoon-gateway/src/place.rs
@@ -16,11 +16,12 @@
 use crate::reserve;
 use crate::schedule;
 
-/// Maximum pause between two placement attempts while no engine has a free slot, free memory or a
-/// short enough prefill queue: a tenth of the prefill backlog that an engine may have.
-const MAX_BUSY_PAUSE: clock::Span = clock::Span::from_millis(40);
+/// Pause between two placement attempts, before jitter, while no engine has a free slot, free
+/// memory or a short enough prefill queue: a tenth of the prefill backlog that an engine may have.
+/// It is shorter on routes with a short target.
+const BUSY_PAUSE: clock::Span = clock::Span::from_millis(40);
 
-/// A chosen upstream, with the memory reserved for the request.
+/// A placement whose memory is reserved and which is counted as in flight.
 #[derive(Debug)]
 pub(crate) struct Allocation {
     pub(crate) placement: placement::Placement,
@@ -71,7 +72,7 @@
                     if last_shortage.replace(shortage) != Some(shortage) {
                         self.log_wait(shortage, waited);
                     }
-                    let pause = MAX_BUSY_PAUSE.min(self.route.target / 20);
+                    let pause = BUSY_PAUSE.min(self.route.target / 20);
                     tokio::time::sleep(jittered(pause)).await;
                     continue;
                 }
@@ -86,14 +87,14 @@
             }
             match self.reserve(&placement, id).await {
                 Ok(reservations) => {
-                    in_flight.keep(reservations);
+                    in_flight.set_reservations(reservations);
                     self.check_quarantine().await?;
                     return Ok(Allocation { placement, id, in_flight });
                 }
                 Err(refusal) => {
                     drop(in_flight);
-                    self.record_refusal(&refusal, waited);
-                    tokio::time::sleep(jittered(MAX_BUSY_PAUSE)).await;
+                    self.record_reservation_refusal(&refusal, waited);
+                    tokio::time::sleep(jittered(BUSY_PAUSE)).await;
                     if waited > self.route.target * 2 {
                         let fault = answer::Fault::not_run(
                             Reason::Saturated,
@@ -120,8 +121,8 @@
         Err(answer::Fault::not_run(Reason::CannotMeetDeadline, Step::Route, detail))
     }
 
-    /// Logs and publishes that an engine did not reserve memory.
-    fn record_refusal(&self, refusal: &reserve::Refusal, waited: clock::Span) {
+    /// Logs and publishes that an engine did not reserve memory, or could not be reached for it.
+    fn record_reservation_refusal(&self, refusal: &reserve::Refusal, waited: clock::Span) {
         event::Line::new("not_reserved")
             .text("request", &self.request.head.request_id)
             .text("upstream", &refusal.upstream)
@@ -177,7 +178,8 @@
             avoid,
             random: rand::rng().random(),
         };
-        let scheduled = schedule::ask(&self.state, &self.service, &request, self.time_left()).await;
+        let scheduled =
+            schedule::ask_scheduler(&self.state, &self.service, &request, self.time_left()).await;
         if let Some(result) = scheduled {
             return result;
         }
--- a/crates/lagoon-gateway/src/publish.rs
+++ b/crates/lagoon-gateway/src/publish.rs
@@ -15,8 +15,10 @@
 use crate::state;
 
 impl state::State {
-    /// Returns the dispatches in flight to send to a new incarnation of the host at `address`:
-    /// those of this host's zone as far as this host is the one to report them.
+    /// Returns the dispatches in flight to send to a new incarnation of the host at `address`. In a
+    /// zone without a scheduler these are this host's own. Otherwise a candidate sends all that it
+    /// knows to the hosts of its zone that get its heartbeats, and the leader sends the dispatches
+    /// of its zone to other zones.
     pub(crate) fn in_flight_for_new_host(&self, address: net::SocketAddr) -> Vec<message::Update> {
         let now = self.clock.now();
         let zone = &self.settings.node.zone;
@@ -48,12 +50,13 @@
     {
         let now = self.clock.now();
         let mut updates = Vec::new();
-        for (service, dispatcher) in self.dispatchers.load().iter() {
-            for (dispatch, prefilled) in state::lock(dispatcher).placer.in_flight(&wanted) {
+        for (service, service_state) in self.service_states.load().iter() {
+            for (dispatch, has_first_token) in state::lock(service_state).placer.in_flight(&wanted)
+            {
                 let mut add =
                     |what| updates.push(message::Update::about(dispatch.id, service, what));
                 add(message::Kind::Sent(message::Dispatch::new(dispatch, now)));
-                if prefilled {
+                if has_first_token {
                     add(message::Kind::First(message::Empty {}));
                 }
             }
@@ -69,9 +72,9 @@
     ) -> Vec<message::Dispatches> {
         let mut numbers: collections::HashMap<u64, Vec<u64>> =
             incarnations.iter().map(|incarnation| (*incarnation, Vec::new())).collect();
-        for dispatcher in self.dispatchers.load().values() {
+        for service_state in self.service_states.load().values() {
             for (dispatch, _) in
-                state::lock(dispatcher).placer.in_flight(|host| incarnations.contains(&host))
+                state::lock(service_state).placer.in_flight(|host| incarnations.contains(&host))
             {
                 numbers.entry(dispatch.id.host).or_default().push(dispatch.id.number);
             }
@@ -104,7 +107,7 @@
 
     /// Adds to `batch` the fields that every batch of this host carries.
     fn with_common_fields(&self, batch: message::Batch) -> message::Batch {
-        let confirmed_ms = self.confirmation_age().map(message::millis);
+        let confirmed_ms = self.confirmation_age().map(message::to_millis);
         let verdicts = self.verdicts_checksum();
         message::Batch { host: self.incarnation, confirmed_ms, verdicts, ..batch }
     }
@@ -114,8 +117,8 @@
         self.with_common_fields(message::Batch::default()).datagrams(updates)
     }
 
-    /// Sends `datagrams` to a host. A datagram that cannot be sent now is dropped, which costs only
-    /// efficiency.
+    /// Sends `datagrams` to a host. A datagram that cannot be sent now is dropped, which only makes
+    /// placement less accurate.
     pub(crate) fn send(&self, address: net::SocketAddr, datagrams: &[Vec<u8>]) {
         for datagram in datagrams {
             if self.socket.send_to(datagram, address).is_err() {
@@ -129,7 +132,7 @@
     pub(crate) fn tracking_addresses(&self) -> (Vec<net::SocketAddr>, Vec<net::SocketAddr>) {
         let now = self.clock.now();
         let peers = state::lock(&self.peers);
-        (peers.zone_addresses(now), peers.remote_addresses(now))
+        (peers.zone_tracker_addresses(now), peers.remote_tracker_addresses(now))
     }
 
     /// Whether this host forwards updates of the host at `address` to other zones.
@@ -148,12 +151,13 @@
     }
 
     /// Drops the dispatches of `incarnation` that are not among `numbers` and were first seen
-    /// longer than `span` ago. The zone's scheduler publishes their end to other zones.
+    /// longer than `grace` ago. The leader, which is the zone's scheduler, publishes their end to
+    /// other zones.
     pub(crate) fn retain_dispatches(
         &self,
         incarnation: u64,
         numbers: &collections::HashSet<u64>,
-        span: clock::Span,
+        grace: clock::Span,
     ) {
         let now = self.clock.now();
         let peers = state::lock(&self.peers);
@@ -162,11 +166,11 @@
             && peers.roster.is_leader(now)
             && peers.incarnations_in(&self.settings.node.zone).contains(&incarnation);
         drop(peers);
-        for (service, dispatcher) in self.dispatchers.load().iter() {
-            let ended_ids = state::lock(dispatcher).placer.retain_listed(
+        for (service, service_state) in self.service_states.load().iter() {
+            let ended_ids = state::lock(service_state).placer.retain_listed(
                 incarnation,
                 numbers,
-                now.saturating_sub(span),
+                now.saturating_sub(grace),
                 now,
             );
             for id in ended_ids.into_iter().filter(|_| publishes) {
@@ -202,7 +206,7 @@
     }
 
     /// Queues an update for the hosts in `audience`. If the queue is full, the update is dropped,
-    /// which costs only efficiency.
+    /// which only makes placement less accurate.
     pub(crate) fn queue_update(&self, update: message::Update, audience: mesh::Audience) {
         if self.updates.try_send(mesh::QueuedUpdate { update, audience }).is_err() {
             self.metrics.updates_dropped.inc();
--- a/crates/lagoon-gateway/src/quarantine/mod.rs
+++ b/crates/lagoon-gateway/src/quarantine/mod.rs
@@ -1,6 +1,6 @@
-//! Requests that crash upstreams: records crashes, exchanges evidence and verdicts with other
-//! hosts, and checks each request before it is sent. The verdicts themselves are made by
-//! [`lagoonline::lifecycle::quarantine`].
+//! Requests that crash upstreams, called lethal: records crashes, exchanges evidence and verdicts
+//! with other hosts, and checks each request before it is sent. The verdicts themselves are made by
+//! [`lagoonline::lifecycle::quarantine`], whose `Record` is a verdict.
 
 mod message;
 mod operator;
@@ -38,8 +38,8 @@
 
 /// The quarantine, shared by the threads of the process.
 #[derive(Debug, Default)]
-pub(crate) struct Shared {
-    records: sync::Mutex<quarantine::Quarantine>,
+pub(crate) struct SharedQuarantine {
+    inner: sync::Mutex<quarantine::Quarantine>,
     /// Checksum of the verdicts, sent with each batch of updates.
     checksum: atomic::AtomicU64,
     /// When verdicts were last sent to each host.
@@ -59,10 +59,11 @@
         let fingerprint = self.fingerprint();
         loop {
             let now = self.state.clock.now();
-            let status = state::lock(&self.state.quarantine.records).status(&fingerprint, now);
+            let status = state::lock(&self.state.quarantine.inner).status(&fingerprint, now);
             match status {
                 quarantine::Status::Allowed => return Ok(()),
                 quarantine::Status::Pending(span) => {
+                    // The verdict is made by the first evaluation after `span`.
                     tokio::time::sleep(span + server::EXPIRY_INTERVAL).await;
                 }
                 quarantine::Status::Quarantined(record) => {
@@ -75,7 +76,7 @@
     /// Whether evidence or a verdict on the request may exist, judged by the length of its body.
     fn may_be_known(&self) -> bool {
         let length = u64::try_from(self.request.body.len()).unwrap_or(u64::MAX);
-        state::lock(&self.state.quarantine.records).has_length(length)
+        state::lock(&self.state.quarantine.inner).has_length(length)
     }
 
     /// Records that the request was answered completely, which clears it of suspicion.
@@ -111,11 +112,11 @@
         &self,
         service: &id::Service,
         upstream: &id::Upstream,
-        requests: &[crash::Request],
+        requests: &[crash::BrokenRequest],
     ) {
         self.metrics.crashes.inc();
-        let mut quarantine = state::lock(&self.quarantine.records);
-        let suspect = |request: &crash::Request| {
+        let mut quarantine = state::lock(&self.quarantine.inner);
+        let suspect = |request: &crash::BrokenRequest| {
             let weight = quarantine.weight(request.progress)?;
             Some(quarantine::Suspect { fingerprint: request.fingerprint, weight })
         };
@@ -135,7 +136,7 @@
             Ok(suspects) => {
                 let upstream = id::Upstream::from(crashed.upstream.as_str());
                 let now = self.clock.now();
-                state::lock(&self.quarantine.records).record_crash(&upstream, &suspects, now);
+                state::lock(&self.quarantine.inner).record_crash(&upstream, &suspects, now);
             }
             Err(error) => log_unreadable(error),
         }
@@ -163,7 +164,7 @@
     /// Merges a verdict that came from `source`.
     pub(crate) fn merge_verdict(&self, record: quarantine::Record, source: &str) {
         let now = self.clock.now();
-        if !state::lock(&self.quarantine.records).merge(record, now) {
+        if !state::lock(&self.quarantine.inner).merge(record, now) {
             return;
         }
         event::Line::new("quarantine_learned")
@@ -173,14 +174,14 @@
             .number("released", record.released)
             .span("left_ms", record.expires_at.since(now))
             .info();
-        self.refresh_summary();
+        self.update_checksum_and_metrics();
     }
 
     /// Clears a request that was answered. Returns whether it was a suspect.
     fn clear_suspect(&self, fingerprint: &fingerprint::Fingerprint) -> bool {
         let now = self.clock.now();
         let (was_suspect, released) =
-            state::lock(&self.quarantine.records).record_answer(fingerprint, now);
+            state::lock(&self.quarantine.inner).record_answer(fingerprint, now);
         if let Some(record) = released {
             self.publish_verdict(&record);
         }
@@ -190,26 +191,26 @@
     /// Ends the quarantine of a request. Returns whether it was in quarantine.
     fn release(&self, fingerprint: &fingerprint::Fingerprint) -> bool {
         let now = self.clock.now();
-        let released = state::lock(&self.quarantine.records).release(fingerprint, now);
+        let released = state::lock(&self.quarantine.inner).release(fingerprint, now);
         if let Some(record) = &released {
             self.publish_verdict(record);
         }
         released.is_some()
     }
 
-    /// Returns the verdicts in force, including those that were released early.
+    /// Returns the verdicts that have not expired, including those that were released early.
     pub(crate) fn verdicts(&self) -> Vec<quarantine::Record> {
         let now = self.clock.now();
-        state::lock(&self.quarantine.records).records(now).copied().collect()
+        state::lock(&self.quarantine.inner).records(now).copied().collect()
     }
 
     /// Evaluates the suspects on which a verdict is due, and drops expired evidence. Only a host
-    /// that receives the crash reports of all hosts does so: by one host's crashes alone, every
-    /// request that ran beside a lethal one would look just as guilty.
+    /// that receives the crash reports of all hosts does so: one host's crashes alone give the same
+    /// evidence against every request that ran beside a lethal one.
     pub(crate) fn update_quarantine(&self) {
         let now = self.clock.now();
         let evaluates = state::lock(&self.peers).roster.is_candidate(now);
-        let mut quarantine = state::lock(&self.quarantine.records);
+        let mut quarantine = state::lock(&self.quarantine.inner);
         quarantine.expire(now);
         let verdicts = if evaluates { quarantine.evaluate(now) } else { Vec::new() };
         drop(quarantine);
@@ -224,19 +225,19 @@
                 .warn();
             self.publish_verdict(&verdict.record);
         }
-        self.refresh_summary();
+        self.update_checksum_and_metrics();
     }
 
     /// Publishes a verdict of this host to all hosts.
     fn publish_verdict(&self, record: &quarantine::Record) {
         self.queue_update(verdict_update(record, self.clock.now()), mesh::Audience::AllZones);
-        self.refresh_summary();
+        self.update_checksum_and_metrics();
     }
 
     /// Updates the checksum and the metrics after a change.
-    fn refresh_summary(&self) {
+    fn update_checksum_and_metrics(&self) {
         let now = self.clock.now();
-        let quarantine = state::lock(&self.quarantine.records);
+        let quarantine = state::lock(&self.quarantine.inner);
         let checksum = quarantine.checksum(now);
         let active = quarantine.records(now).filter(|record| record.is_active(now)).count();
         let suspects = quarantine.suspect_count();
--- a/crates/lagoon-gateway/src/quarantine/operator.rs
+++ b/crates/lagoon-gateway/src/quarantine/operator.rs
@@ -9,7 +9,7 @@
 use crate::event;
 use crate::state;
 
-/// Lists the verdicts.
+/// Path of the call that lists the verdicts, including released ones.
 const LIST: &str = "/quarantine";
 /// Prefix of the call that ends the quarantine of a fingerprint, which follows in the path.
 const RELEASE: &str = "/quarantine/release/";
--- a/crates/lagoon-gateway/src/quarantine/rows.rs
+++ b/crates/lagoon-gateway/src/quarantine/rows.rs
@@ -21,7 +21,8 @@
 const TABLE: &str = "lagoon-quarantine";
 /// Timeout for a call of the store.
 const CALL_TIMEOUT: clock::Span = clock::Span::from_millis(1_500);
-/// Interval between two rounds of writes; doubled with each consecutive failed call.
+/// Interval between two rounds of writes; doubled with each consecutive failed round, up to the
+/// roster's limit.
 const WRITE_INTERVAL: clock::Span = clock::Span::from_millis(700);
 /// Maximum number of writes, and of removals, in one round.
 const MAX_CALLS: usize = 10;
@@ -50,6 +51,7 @@
     let mut stored = Stored::new();
     let mut failures = 0;
     while let Err(error) = read(&state, &mut client, &mut stored).await {
+        // The stored verdicts could not be read.
         event::Line::new("quarantine_unread").text("error", error).warn();
         failures += 1;
         pause(&state, failures).await;
@@ -63,6 +65,7 @@
         failures = match write(&state, &mut client, &mut stored).await {
             Ok(()) => 0,
             Err(error) => {
+                // Verdicts could not be written or removed.
                 event::Line::new("quarantine_unwritten").text("error", error).warn();
                 failures + 1
             }
@@ -140,8 +143,8 @@
     };
     let new: Vec<_> = records.iter().filter(is_new).take(MAX_CALLS).copied().collect();
     for record in new {
-        let row = serde_json::json!(row(state, &record)).to_string();
-        let call = store::put(TABLE, &record.fingerprint.to_string(), row.as_bytes());
+        let text = serde_json::json!(encode_row(state, &record)).to_string();
+        let call = store::put(TABLE, &record.fingerprint.to_string(), text.as_bytes());
         // Writing a verdict again is harmless, so a lost answer needs no check.
         client.call(&call, CALL_TIMEOUT).await?;
         stored.insert(record.fingerprint, record.version);
@@ -156,7 +159,7 @@
     Ok(())
 }
 
-fn row(state: &state::State, record: &quarantine::Record) -> Row {
+fn encode_row(state: &state::State, record: &quarantine::Record) -> Row {
     let left = record.expires_at.since(state.clock.now()).as_millis();
     let left = u64::try_from(left).unwrap_or(u64::MAX);
     Row {
--- a/crates/lagoon-gateway/src/question.rs
+++ b/crates/lagoon-gateway/src/question.rs
@@ -37,7 +37,8 @@
     /// Upstreams on which the request failed before.
     #[prost(string, repeated, tag = "9")]
     pub(crate) avoid: Vec<String>,
-    /// Number by which the asking host identifies the request while it waits.
+    /// Identifies the request while it waits: each of its questions has a `number` of its own, but
+    /// the same turn.
     #[prost(uint64, tag = "10")]
     pub(crate) turn: u64,
 }
@@ -56,10 +57,10 @@
             service: service.to_string(),
             prompt: request.prompt_tokens,
             answer: request.answer_tokens,
-            target_ms: message::millis(request.target),
-            gap_ms: message::millis(request.max_gap),
-            waited_ms: message::millis(request.waited),
-            left_ms: message::millis(time_left),
+            target_ms: message::to_millis(request.target),
+            gap_ms: message::to_millis(request.max_gap),
+            waited_ms: message::to_millis(request.waited),
+            left_ms: message::to_millis(time_left),
             avoid: request.avoid.iter().map(ToString::to_string).collect(),
             turn: request.waiter.number,
         }
@@ -76,9 +77,9 @@
         placement::Request {
             prompt_tokens: self.prompt,
             answer_tokens: self.answer,
-            target: message::span(self.target_ms),
-            max_gap: message::span(self.gap_ms),
-            waited: message::span(self.waited_ms),
+            target: message::from_millis(self.target_ms),
+            max_gap: message::from_millis(self.gap_ms),
+            waited: message::from_millis(self.waited_ms),
             waiter: placement::DispatchId { host: asking, number: self.turn },
             zone,
             avoid,
@@ -93,8 +94,14 @@
         placed: &placement::Placement,
         now: clock::Moment,
     ) -> placement::Dispatch {
-        let left = message::span(self.left_ms);
-        placement::Dispatch::new(id, placed, self.prompt, message::span(self.gap_ms), now + left)
+        let left = message::from_millis(self.left_ms);
+        placement::Dispatch::new(
+            id,
+            placed,
+            self.prompt,
+            message::from_millis(self.gap_ms),
+            now + left,
+        )
     }
 }
 
@@ -104,7 +111,8 @@
     /// Number of the dispatch at the asking host.
     #[prost(uint64, tag = "1")]
     pub(crate) number: u64,
-    /// The decision; absent if the host that was asked does not schedule now.
+    /// The decision; absent if the host that was asked does not schedule now or does not know the
+    /// service.
     #[prost(oneof = "Decision", tags = "2, 3")]
     pub(crate) decision: Option<Decision>,
 }
@@ -192,7 +200,8 @@
     Memory = 1,
     /// Prefill time.
     Reading = 2,
-    /// Slack in the event gaps of running answers, which a prefill would delay.
+    /// Slack in event gaps: a prefill now would delay the events of running answers beyond their
+    /// gap targets.
     Pause = 3,
 }
 
@@ -244,7 +253,7 @@
             placement::Refusal::TooLong => refused(Reason::TooLong),
             placement::Refusal::Deferred(shortage) => lacking(Reason::Busy, shortage),
             placement::Refusal::Rejected(shortage, span) => {
-                Refused { span_ms: message::millis(span), ..lacking(Reason::Full, shortage) }
+                Refused { span_ms: message::to_millis(span), ..lacking(Reason::Full, shortage) }
             }
         }
     }
@@ -257,7 +266,9 @@
             Reason::NoUpstream => placement::Refusal::NoUpstream,
             Reason::TooLong => placement::Refusal::TooLong,
             Reason::Busy => placement::Refusal::Deferred(shortage),
-            Reason::Full => placement::Refusal::Rejected(shortage, message::span(refused.span_ms)),
+            Reason::Full => {
+                placement::Refusal::Rejected(shortage, message::from_millis(refused.span_ms))
+            }
         }
     }
 }
@@ -273,12 +284,12 @@
             first: placement.primary.upstream.to_string(),
             reserve: placement.reserve,
             helpers: placement.helpers.iter().map(helper).collect(),
-            expected_ms: message::millis(placement.expected),
+            expected_ms: message::to_millis(placement.expected),
             belief: Some(Estimate {
                 reading_ms: estimate.prefill_ms,
                 writers: estimate.decoding,
                 places: u32::try_from(estimate.used_slots).unwrap_or(u32::MAX),
-                heard_ms: message::millis(estimate.silence),
+                heard_ms: message::to_millis(estimate.silence),
             }),
         }
     }
@@ -298,13 +309,13 @@
             prefill_ms: estimate.reading_ms,
             decoding: estimate.writers,
             used_slots: estimate.places as usize,
-            silence: message::span(estimate.heard_ms),
+            silence: message::from_millis(estimate.heard_ms),
         });
         Some(placement::Placement {
             primary: entry(&self.first)?,
             reserve: self.reserve,
             helpers: self.helpers.iter().map(helper).collect::<Option<_>>()?,
-            expected: message::span(self.expected_ms),
+            expected: message::from_millis(self.expected_ms),
             estimate: estimate.unwrap_or_default(),
             runner_up: None,
         })
--- a/crates/lagoon-gateway/src/relay/follow.rs
+++ b/crates/lagoon-gateway/src/relay/follow.rs
@@ -27,7 +27,7 @@
 const ANSWER_SLACK: clock::Span = clock::Span::from_millis(350);
 /// Interval between searches for a reader while this host reads the platform itself.
 const SEARCH_INTERVAL: clock::Span = clock::Span::from_millis(1_000);
-/// Pause before hosts that were not reading are asked again.
+/// Pause before the hosts ranked before this one are asked again when none of them reads yet.
 const NOT_READING_PAUSE: clock::Span = clock::Span::from_millis(150);
 
 /// Another host of the zone.
@@ -50,6 +50,7 @@
         min_hosts: state.settings.tuning.relay_hosts,
         ..routing::SourceSettings::default()
     };
+    // Age of the tables beyond which this host reads the platform itself.
     let max_age = settings.search_span(node.bounds.apply);
     let mut sources = routing::SourceSelector::new(settings, node.host.clone(), node.cpu_share);
     let mut known = collections::BTreeMap::new();
@@ -65,6 +66,7 @@
             routing::Source::Platform => {
                 state.tables.set_reads_platform(true);
                 tokio::time::sleep(SEARCH_INTERVAL).await;
+                // Without a recent success another host may have better access to the platform.
                 let age = tables::age(&state, state.tables.upstreams_confirmed_at());
                 if age.is_none_or(|age| age > super::MAX_ANSWER_AGE) {
                     sources.record_platform_failure(state.clock.now());
@@ -82,6 +84,7 @@
                 if !is_fresh(&state, max_age) {
                     state.tables.set_reads_platform(true);
                 }
+                // This host stopped following the reader.
                 event::Line::new("reader_left").text("host", &host).text("why", reason).info();
             }
         }
--- a/crates/lagoon-gateway/src/relay/message.rs
+++ b/crates/lagoon-gateway/src/relay/message.rs
@@ -32,21 +32,21 @@
 pub(crate) struct Changes {
     /// The desired state.
     #[prost(message, optional, tag = "1")]
-    pub(crate) desired: Option<Table>,
+    pub(crate) desired: Option<TableChanges>,
     /// The list of upstreams.
     #[prost(message, optional, tag = "2")]
-    pub(crate) upstreams: Option<Table>,
+    pub(crate) upstreams: Option<TableChanges>,
     /// Milliseconds since the platform recovered from its last outage; absent if there was none.
     #[prost(uint64, optional, tag = "3")]
     pub(crate) returned_ms: Option<u64>,
     /// The entry hosts; absent until the reader has read them.
     #[prost(message, optional, tag = "4")]
-    pub(crate) hosts: Option<Table>,
+    pub(crate) hosts: Option<TableChanges>,
 }
 
 /// Changes of one table.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct Table {
+pub(crate) struct TableChanges {
     /// The changed rows, or all rows.
     #[prost(message, repeated, tag = "1")]
     pub(crate) rows: Vec<Row>,
@@ -75,10 +75,10 @@
     pub(crate) version: u64,
 }
 
-impl Table {
-    pub(crate) fn new(delta: mirror::Delta, age: std::time::Duration) -> Table {
+impl TableChanges {
+    pub(crate) fn new(delta: mirror::Delta, age: std::time::Duration) -> TableChanges {
         let row = |row: store::Row| Row { key: row.key, value: row.value, version: row.version };
-        Table {
+        TableChanges {
             rows: delta.rows.into_iter().map(row).collect(),
             all: delta.all,
             version: delta.version,
--- a/crates/lagoon-gateway/src/relay/mod.rs
+++ b/crates/lagoon-gateway/src/relay/mod.rs
@@ -26,7 +26,8 @@
 /// slow answer. With the hold time, and with one request that got no answer, keys are still trusted
 /// for less than the revocation bound.
 pub(crate) const MAX_ANSWER_AGE: clock::Span = clock::Span::from_millis(2_700);
-/// Time after a relay request for which a host reads at the pace of one that reads for others.
+/// Time after a relay request for which a host reads the platform with the waits and pauses of a
+/// reader (`reader_wait`, `reader_pause`).
 pub(crate) const READER_PACE_TIME: clock::Span = clock::Span::from_secs(3);
 /// Maximum size of a message in bytes: the rows of a table, each of at most 64 KB.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
--- a/crates/lagoon-gateway/src/relay/serve.rs
+++ b/crates/lagoon-gateway/src/relay/serve.rs
@@ -36,6 +36,7 @@
                     drop(ntex::rt::spawn(serve(state.clone(), stream, peer)));
                 }
                 Err(error) => {
+                    // A relay connection could not be accepted.
                     event::Line::new("host_not_accepted").text("error", error).warn();
                     tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
@@ -47,6 +48,7 @@
 
 async fn serve(state: sync::Arc<state::State>, stream: TcpStream, peer: net::SocketAddr) {
     if let Err(error) = serve_requests(&state, stream).await {
+        // The relay connection of another host broke.
         event::Line::new("host_lost").text("peer", peer).text("error", error).info();
     }
 }
@@ -75,9 +77,9 @@
 async fn answer(state: &state::State, request: &message::Request) -> Option<message::Changes> {
     let mut changes = state.tables.watch_changes();
     state.tables.record_request(state.clock.now());
-    // Without recent knowledge of its own, this host says so at once instead of holding the
-    // request. Tables that are being read again, because the platform dropped its history, are
-    // available in a moment, so they do not count as missing here.
+    // A host that cannot answer says so at once instead of holding the request. Tables that are
+    // being read again, because the platform dropped its history, count as known here: they are
+    // complete again in a moment.
     ages(state)?;
     let waiting = changes.wait_for(|_| has_changes(state, request));
     // Whether there was a change or the time has passed, the current state is sent.
@@ -87,7 +89,7 @@
 
 /// Whether the desired state or the list of upstreams has changed since the versions in `request`.
 fn has_changes(state: &state::State, request: &message::Request) -> bool {
-    let changed = |table: &tables::Table| state::lock(table).last_change();
+    let changed = |table: &tables::SharedTable| state::lock(table).last_change();
     request.desired.is_none_or(|known| changed(&state.tables.desired) > known)
         || request.upstreams.is_none_or(|known| changed(&state.tables.upstreams) > known)
 }
@@ -114,9 +116,9 @@
     let hosts = state::lock(&state.tables.hosts).changes_since(request.hosts);
     let recovery_age = tables::age(state, state.tables.recovered_at());
     Some(message::Changes {
-        desired: Some(message::Table::new(desired, desired_age)),
-        upstreams: Some(message::Table::new(upstreams, upstreams_age)),
-        hosts: hosts.map(|hosts| message::Table::new(hosts, clock::Span::ZERO)),
+        desired: Some(message::TableChanges::new(desired, desired_age)),
+        upstreams: Some(message::TableChanges::new(upstreams, upstreams_age)),
+        hosts: hosts.map(|hosts| message::TableChanges::new(hosts, clock::Span::ZERO)),
         returned_ms: recovery_age.map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
     })
 }
--- a/crates/lagoon-gateway/src/report.rs
+++ b/crates/lagoon-gateway/src/report.rs
@@ -43,7 +43,7 @@
             return;
         }
         for (service, entry) in due(&state, &mut schedule) {
-            drop(ntex::rt::spawn(ask(state.clone(), service, entry)));
+            drop(ntex::rt::spawn(poll_engine(state.clone(), service, entry)));
         }
     }
 }
@@ -66,10 +66,15 @@
 }
 
 /// Fetches the report of one engine, and publishes its slowness if it is slow.
-async fn ask(state: sync::Arc<state::State>, service: id::Service, entry: routing::Registration) {
+async fn poll_engine(
+    state: sync::Arc<state::State>,
+    service: id::Service,
+    entry: routing::Registration,
+) {
     let report = match fetch(&entry).await {
         Ok(report) => report,
         Err(error) => {
+            // There is no report of this engine.
             event::Line::new("engine_unreported")
                 .text("upstream", &entry.upstream)
                 .text("error", error)
--- a/crates/lagoon-gateway/src/reserve.rs
+++ b/crates/lagoon-gateway/src/reserve.rs
@@ -31,8 +31,8 @@
 const ORDER_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 /// Timeout for connecting to an engine.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(300);
-/// Share of the bound on unused memory for which a reservation is held, so that the memory of a
-/// dead host is free again before the bound.
+/// Share of the bound on unused memory (`bounds.free`) for which a reservation is held, so that the
+/// memory of a dead host is free again before the bound.
 const HOLD_SHARE: f64 = 0.85;
 /// Renewals within one hold time: two may be lost.
 const RENEWALS_PER_HOLD: u32 = 3;
@@ -123,12 +123,13 @@
     bounds.free.mul_f64(HOLD_SHARE).min(bounds.hold)
 }
 
-/// Returns how long after a request has ended its memory may still be renewed.
+/// Returns for how long after its last sign of activity a request still counts as active: a
+/// reservation renewed until then expires within the bound on unused memory.
 fn renewal_slack(state: &state::State) -> time::Duration {
     state.settings.node.bounds.free.saturating_sub(hold_time(state))
 }
 
-/// Reserves memory on each of `wanted` for a prompt that `first` answers and whose first token is
+/// Reserves memory on each of `wanted` for a prompt that `primary` answers and whose first token is
 /// expected after `expected`.
 ///
 /// # Errors
@@ -137,7 +138,7 @@
 pub(crate) async fn reserve_all(
     state: &sync::Arc<state::State>,
     name: &str,
-    first: &routing::Registration,
+    primary: &routing::Registration,
     wanted: &[(routing::Registration, u64)],
     expected: clock::Span,
 ) -> Result<Reservations, Refusal> {
@@ -162,30 +163,30 @@
     }
     let active_until = sync::Arc::downgrade(&held.active_until);
     let mut reservations = held.reservations.clone();
-    reservations.sort_by_key(|reservation| reservation.entry.upstream != first.upstream);
-    drop(ntex::rt::spawn(renew(state.clone(), first.clone(), reservations, active_until)));
+    reservations.sort_by_key(|reservation| reservation.entry.upstream != primary.upstream);
+    drop(ntex::rt::spawn(renew(state.clone(), primary.clone(), reservations, active_until)));
     Ok(held)
 }
 
-/// Renews `reservations`, the one of the engine `first` before the others, while the reservations
+/// Renews `reservations`, the one of the engine `primary` before the others, while the reservations
 /// are held.
 async fn renew(
     state: sync::Arc<state::State>,
-    first: routing::Registration,
+    primary: routing::Registration,
     reservations: Vec<Reservation>,
-    activity: sync::Weak<ActiveUntil>,
+    active_until: sync::Weak<ActiveUntil>,
 ) {
     let mut pause = hold_time(&state) / RENEWALS_PER_HOLD;
     loop {
         tokio::time::sleep(pause).await;
-        if activity.strong_count() == 0 {
+        if active_until.strong_count() == 0 {
             return;
         }
-        pause = match renew_round(&state, &first, &reservations, &activity).await {
+        pause = match renew_round(&state, &primary, &reservations, &active_until).await {
             Ok(()) => hold_time(&state) / RENEWALS_PER_HOLD,
             Err(error) => {
                 event::Line::new("not_renewed")
-                    .text("upstream", &first.upstream)
+                    .text("upstream", &primary.upstream)
                     .text("error", error)
                     .warn();
                 RENEWAL_RETRY_PAUSE
@@ -198,20 +199,22 @@
 ///
 /// # Errors
 ///
-/// The engine `first` did not respond, or a reservation is no longer used. The rest was not
+/// The engine `primary` did not respond, or a reservation is no longer used. The rest was not
 /// renewed.
 async fn renew_round(
     state: &state::State,
-    first: &routing::Registration,
+    primary: &routing::Registration,
     reservations: &[Reservation],
-    activity: &sync::Weak<ActiveUntil>,
+    active_until: &sync::Weak<ActiveUntil>,
 ) -> Result<(), String> {
-    if reservations.first().is_none_or(|reservation| reservation.entry.upstream != first.upstream) {
-        let connected = tcp::connect(first.address, CONNECT_TIMEOUT).await;
+    if reservations.first().is_none_or(|reservation| reservation.entry.upstream != primary.upstream)
+    {
+        let connected = tcp::connect(primary.address, CONNECT_TIMEOUT).await;
         connected.map_err(|error| error.to_string())?;
     }
     for reservation in reservations {
-        let Some(active_until) = activity.upgrade().map(|active_until| *state::lock(&active_until))
+        let Some(active_until) =
+            active_until.upgrade().map(|active_until| *state::lock(&active_until))
         else {
             return Ok(());
         };
@@ -230,7 +233,7 @@
             .text("upstream", &reservation.entry.upstream)
             .text("status", format!("{status:?}"))
             .warn();
-        if reservation.entry.upstream == first.upstream {
+        if reservation.entry.upstream == primary.upstream {
             status.map_err(|error| error.to_string())?;
         }
     }
@@ -255,6 +258,7 @@
     let expiry = state.clock.now() + hold_time(&state);
     loop {
         let status = send_order(&reservation.entry, engine::release_order(&reservation.id)).await;
+        // Every one of these means that the engine does not hold the reservation any more.
         let released = matches!(status, Ok(200 | 202 | 404 | 409 | head::MISDIRECTED));
         if released && reservation.has_pending_order(state.clock.now()) {
             // A reserve order that is still on its way may recreate it.
--- a/crates/lagoon-gateway/src/schedule.rs
+++ b/crates/lagoon-gateway/src/schedule.rs
@@ -76,7 +76,7 @@
 
 /// Asks the zone's scheduler to place a request. Returns `None` if this host has to place it
 /// itself: there is no scheduler, or none answers.
-pub(crate) async fn ask(
+pub(crate) async fn ask_scheduler(
     state: &state::State,
     service: &id::Service,
     request: &placement::Request<'_>,
@@ -93,7 +93,7 @@
         let decision = match answer {
             Ok(Ok(question::Answer { decision: Some(decision), .. })) => decision,
             Ok(_) => {
-                skip_scheduler(state, &host, "it is not scheduling now");
+                skip_scheduler(state, &host, "no decision");
                 continue;
             }
             Err(_) => {
@@ -122,10 +122,11 @@
     None
 }
 
-/// Lets the roster skip a scheduler that did not place a request.
+/// Lets the roster skip a scheduler that did not answer or made no decision.
 fn skip_scheduler(state: &state::State, host: &id::Host, why: &str) {
     state::lock(&state.peers).roster.skip(host, state.clock.now());
     state.metrics.schedulers_skipped.inc();
+    // The scheduler is skipped for a while.
     event::Line::new("scheduler_passed").text("host", host).text("why", why).info();
 }
 
@@ -138,7 +139,7 @@
     question: &question::Question,
 ) -> question::Answer {
     let decides =
-        state.phase() == state::Phase::Serving && state.has_reached(state::SyncLevel::Loads);
+        state.phase() == state::Phase::Serving && state.has_reached(state::SyncLevel::Dispatches);
     let decision = if decides { place(state, asking, question) } else { None };
     question::Answer { number: question.number, decision }
 }
--- a/crates/lagoon-gateway/src/server.rs
+++ b/crates/lagoon-gateway/src/server.rs
@@ -37,7 +37,7 @@
 const FLUSH_TIME: clock::Span = clock::Span::from_millis(100);
 /// Timeout for the servers to stop; log lines are written meanwhile.
 const STOP_TIMEOUT: clock::Span = clock::Span::from_millis(150);
-/// Interval of the removal of expired state.
+/// Interval of the removal of expired state and of the evaluation of quarantine suspects.
 pub(crate) const EXPIRY_INTERVAL: clock::Span = clock::Span::from_millis(100);
 /// Timeout for the head of a request; the limit that callers are told is shorter, see
 /// `routing::Limits`.
@@ -77,8 +77,8 @@
         self.state.advance(state::Phase::Unready);
     }
 
-    /// Logs the result of checking the settings again.
-    pub fn reloaded(&self, checked: Result<(), String>) {
+    /// Logs the result of checking changed settings, which apply at the next start.
+    pub fn settings_checked(&self, checked: Result<(), String>) {
         match checked {
             Ok(()) => event::Line::new("reload").text("settings", "good").info(),
             Err(error) => event::Line::new("reload").text("settings", error).warn(),
@@ -112,13 +112,13 @@
     let ready = net::TcpListener::bind(settings.node.ready)?;
     let datagrams = net::UdpSocket::bind((settings.node.ip, settings.node.ports.0))?;
     datagrams.set_nonblocking(true)?;
-    let peers = net::TcpListener::bind((settings.node.ip, settings.node.ports.0))?;
+    let relay = net::TcpListener::bind((settings.node.ip, settings.node.ports.0))?;
     let (state, updates) = state::State::new(settings, datagrams.try_clone()?);
     let handle =
         Handle { callers: callers.local_addr()?, ready: ready.local_addr()?, state: state.clone() };
     let work = move || {
         let system = ntex::rt::System::build().name("gateway").build(ntex::rt::DefaultRuntime);
-        system.block_on(serve(state, Sockets { callers, ready, peers, datagrams }, updates))
+        system.block_on(serve(state, Sockets { callers, ready, relay, datagrams }, updates))
     };
     let thread = thread::Builder::new().name("gateway".to_owned()).spawn(work)?;
     Ok(Running { handle, thread })
@@ -130,7 +130,7 @@
     callers: net::TcpListener,
     ready: net::TcpListener,
     /// Relay requests of other hosts of the zone.
-    peers: net::TcpListener,
+    relay: net::TcpListener,
     datagrams: net::UdpSocket,
 }
 
@@ -151,11 +151,11 @@
     let ready = listen(state.clone(), sockets.ready, Role::Ready)?;
     drop(ntex::rt::spawn(watch::desired(state.clone())));
     drop(ntex::rt::spawn(watch::upstreams(state.clone())));
-    let peers = sockets.peers.local_addr()?;
-    relay::serve(state.clone(), sockets.peers)?;
+    let relay_address = sockets.relay.local_addr()?;
+    relay::serve(state.clone(), sockets.relay)?;
     let address = sockets.datagrams.local_addr()?;
     mesh::run(&state, sockets.datagrams, updates)?;
-    hosts::run(&state, address, peers);
+    hosts::run(&state, address, relay_address);
     drop(ntex::rt::spawn(relay::follow(state.clone())));
     drop(ntex::rt::spawn(report::run(state.clone())));
     drop(ntex::rt::spawn(quarantine::run(state.clone())));
@@ -295,7 +295,7 @@
         }
         let caller =
             forward::Caller { io: io.clone(), _busy: busy, _active: state.track_request() };
-        forward::answer(state, request, caller).await
+        forward::handle(state, request, caller).await
     };
     let result = match &io {
         Some(io) => tokio::select! {
--- a/crates/lagoon-gateway/src/settings.rs
+++ b/crates/lagoon-gateway/src/settings.rs
@@ -18,7 +18,8 @@
     pub tuning: Tuning,
 }
 
-/// Tuning of this program; every setting has a default.
+/// Tuning of this program; every setting has a default. A wait is how long the platform holds a
+/// call open, a pause is the time between two calls.
 #[derive(Clone, Debug)]
 pub struct Tuning {
     /// Minimum level of the lines that are logged.
@@ -53,7 +54,7 @@
     pub reader_pause: clock::Span,
     /// Time for which updates to the other entry hosts are collected into a batch.
     pub batch_pause: clock::Span,
-    /// Settings of the placement.
+    /// Settings of the placement; [`placement::Settings`] explains each.
     pub placement: placement::Settings,
 }
 
@@ -85,7 +86,7 @@
             clock::Span::from_millis(reader.number(name, span, 1..=most))
         };
         let level = reader.parsed("level", "off, error, warn, info, debug or trace");
-        let figure = |name: &str, value: f64| reader.float(name, value, 0.0..=10_000.0);
+        let float = |name: &str, value: f64| reader.float(name, value, 0.0..=10_000.0);
         let placement = placement::Settings {
             part_ms: reader.float("part_ms", default.placement.part_ms, 1.0..=10_000.0),
             loose_part_ms: reader.float(
@@ -93,20 +94,20 @@
                 default.placement.loose_part_ms,
                 1.0..=10_000.0,
             ),
-            backlog_ms: figure("backlog_ms", default.placement.backlog_ms),
-            backlog_reference_ms: figure(
+            backlog_ms: float("backlog_ms", default.placement.backlog_ms),
+            backlog_reference_ms: float(
                 "backlog_prompt_ms",
                 default.placement.backlog_reference_ms,
             ),
-            backlog_growth: figure("backlog_growth", default.placement.backlog_growth),
-            tight_slack_ms: figure("stall_ms", default.placement.tight_slack_ms),
-            slot_wait_share: figure("hold_share", default.placement.slot_wait_share),
-            jitter_ms: figure("jitter_ms", default.placement.jitter_ms),
-            lateness_cost_ms: figure("harm_ms", default.placement.lateness_cost_ms),
+            backlog_growth: float("backlog_growth", default.placement.backlog_growth),
+            tight_slack_ms: float("stall_ms", default.placement.tight_slack_ms),
+            slot_wait_share: float("hold_share", default.placement.slot_wait_share),
+            jitter_ms: float("jitter_ms", default.placement.jitter_ms),
+            lateness_cost_ms: float("harm_ms", default.placement.lateness_cost_ms),
             tight_share: reader.float("tight_share", default.placement.tight_share, 0.05..=1.0),
-            spillover_penalty_ms: figure("stray_ms", default.placement.spillover_penalty_ms),
-            idle_penalty_ms: figure("reader_ms", default.placement.idle_penalty_ms),
-            prefill_share: figure("read_share", default.placement.prefill_share),
+            spillover_penalty_ms: float("stray_ms", default.placement.spillover_penalty_ms),
+            idle_penalty_ms: float("reader_ms", default.placement.idle_penalty_ms),
+            prefill_share: float("read_share", default.placement.prefill_share),
             ..default.placement
         };
         Tuning {
@@ -137,10 +138,10 @@
 /// let error = lagoon_gateway::load(Path::new("/no/such/file"), None).unwrap_err();
 /// assert!(error.starts_with("/no/such/file: "));
 /// ```
-pub fn load(host: &path::Path, own: Option<&path::Path>) -> Result<Settings, String> {
-    let text = read(host)?;
-    let node = node::read(&text).map_err(|faults| prefixed(host, &faults.0))?;
-    let tuning = match own {
+pub fn load(node_file: &path::Path, tuning_file: Option<&path::Path>) -> Result<Settings, String> {
+    let text = read(node_file)?;
+    let node = node::read(&text).map_err(|faults| prefixed(node_file, &faults.0))?;
+    let tuning = match tuning_file {
         None => Tuning::default(),
         Some(file) => check::parse(&read(file)?, Tuning::read).map_err(|faults| {
             let lines: Vec<_> = faults.0.iter().map(ToString::to_string).collect();
--- a/crates/lagoon-gateway/src/silence.rs
+++ b/crates/lagoon-gateway/src/silence.rs
@@ -7,9 +7,9 @@
 use crate::forward;
 use crate::state;
 
-/// Multiple of the route's target that an upstream may take beyond the expected time before another
-/// is tried.
-const PATIENCE_TARGETS: u32 = 2;
+/// Multiple of the route's target for the first event that an upstream may take beyond the expected
+/// time before another is tried.
+const MAX_LATE_TARGETS: u32 = 2;
 /// Additional time to wait: a lost packet is retransmitted within it.
 const LOST_PACKET_ALLOWANCE: clock::Span = clock::Span::from_millis(300);
 /// Interval at which a silent upstream is checked.
@@ -19,9 +19,9 @@
 
 impl forward::Admitted {
     /// Whether the retry budget allows another attempt.
-    pub(crate) fn has_retry(&self) -> bool {
-        let dispatcher = self.state.dispatcher(&self.service);
-        dispatcher.is_some_and(|dispatcher| state::lock(&dispatcher).budget.has_retry())
+    pub(crate) fn has_retry_budget(&self) -> bool {
+        let service_state = self.state.service_state(&self.service);
+        service_state.is_some_and(|service_state| state::lock(&service_state).budget.has_retry())
     }
 
     /// Whether an upstream has been active recently. If so, silence to a single request may mean
@@ -45,8 +45,8 @@
     }
 
     /// Returns why to abandon the upstream of `placement`, which has been silent for `silent` since
-    /// the dispatch `id`; `None` to keep waiting. A lost upstream is abandoned even if no retry is
-    /// allowed: the caller learns of it at once and may retry elsewhere.
+    /// the dispatch `id`; `None` to keep waiting. An unresponsive upstream is abandoned even if the
+    /// retry budget is empty: the caller learns of it at once and may retry elsewhere.
     pub(crate) fn abandon_reason(
         &self,
         placement: &placement::Placement,
@@ -54,30 +54,30 @@
         silent: clock::Span,
     ) -> Option<&'static str> {
         let upstream = &placement.primary.upstream;
-        let patience = self.patience(placement.expected);
+        let silence_limit = self.silence_limit(placement.expected);
         if silent < placement.expected + LOST_PACKET_ALLOWANCE {
             None
         } else if self.is_unresponsive(upstream) {
             Some("silent to others too")
-        } else if !self.has_retry() || silent < patience {
+        } else if !self.has_retry_budget() || silent < silence_limit {
             None
         } else if self.is_overtaken(id) {
             Some("later requests were answered")
-        } else if silent >= patience + self.route.target || !self.is_alive(upstream) {
+        } else if silent >= silence_limit + self.route.target || !self.is_alive(upstream) {
             Some("silent")
         } else {
             None
         }
     }
 
-    /// Returns how long an upstream may be silent before another is tried, unless it is merely
-    /// busy.
-    fn patience(&self, expected: clock::Span) -> clock::Span {
-        expected + self.route.target * PATIENCE_TARGETS + LOST_PACKET_ALLOWANCE
+    /// Returns how long an upstream may take to begin its answer before another is tried, unless it
+    /// is merely busy.
+    fn silence_limit(&self, expected: clock::Span) -> clock::Span {
+        expected + self.route.target * MAX_LATE_TARGETS + LOST_PACKET_ALLOWANCE
     }
 
     /// Whether another upstream may be tried after `attempts` attempts.
-    pub(crate) fn may_retry(&self, attempts: u32) -> bool {
+    pub(crate) fn has_attempts_left(&self, attempts: u32) -> bool {
         self.route.kind.may_repeat() && attempts < self.route.max_attempts
     }
 }
--- a/crates/lagoon-gateway/src/state.rs
+++ b/crates/lagoon-gateway/src/state.rs
@@ -32,6 +32,7 @@
     /// Serves all requests.
     Serving,
     /// Reports not ready and closes connections after their answers, but serves all requests.
+    /// Begins with the log line `draining`.
     Unready,
     /// Accepts no new requests.
     Draining,
@@ -39,7 +40,7 @@
 
 /// Placement state and retry budget of one service.
 #[derive(Debug)]
-pub(crate) struct Dispatcher {
+pub(crate) struct ServiceState {
     /// Places requests and tracks the dispatches in flight on the service's upstreams.
     pub(crate) placer: placement::Placer,
     /// Retry budget of the service.
@@ -55,16 +56,16 @@
     /// them.
     Tables,
     /// Other hosts have reported their dispatches in flight, or the time for it has passed.
-    Loads,
+    Dispatches,
 }
 
 /// Maximum time after the start for which requests wait until other hosts have reported their
 /// dispatches in flight.
 ///
 /// A host restarts within half a second and its callers reconnect at once. Without the wait it
-/// would send them all to the engine that it believes to be idle. When the platform is slow,
-/// callers are held no longer than a request to a busy engine takes.
-const MAX_LOADS_WAIT: clock::Span = clock::Span::from_millis(400);
+/// would send them all to the engine that it believes to be idle. The wait ends even if the
+/// platform is slow, after no longer than a request to a busy engine takes.
+const MAX_DISPATCHES_WAIT: clock::Span = clock::Span::from_millis(400);
 
 /// Margin that is subtracted from the key revocation bound when the age of the last confirmation is
 /// checked.
@@ -74,9 +75,9 @@
 /// other.
 const PEER_REPORT_VALIDITY: clock::Span = clock::Span::from_millis(500);
 
-type Dispatchers = collections::HashMap<id::Service, sync::Arc<sync::Mutex<Dispatcher>>>;
+type ServiceStates = collections::HashMap<id::Service, sync::Arc<sync::Mutex<ServiceState>>>;
 
-/// Capacity of the queue of updates to the other hosts: two seconds at the highest rate.
+/// Capacity of the queue of updates to the other hosts: two seconds at the highest rate of updates.
 const UPDATE_QUEUE_CAPACITY: usize = 4_096;
 
 /// The shared state of the process.
@@ -100,9 +101,9 @@
     sync_level: watch::Sender<SyncLevel>,
     started_at: clock::Moment,
     /// When another host last reported that it can trust keys.
-    peer_trusted_at: sync::Mutex<Option<clock::Moment>>,
+    peer_trusted_keys_at: sync::Mutex<Option<clock::Moment>>,
     /// The dispatchers of the services in the desired state.
-    pub(crate) dispatchers: ArcSwap<Dispatchers>,
+    pub(crate) service_states: ArcSwap<ServiceStates>,
     phase: watch::Sender<Phase>,
     /// Number of active requests.
     active: watch::Sender<usize>,
@@ -126,7 +127,7 @@
     /// Requests whose upstream connections broke and whose upstream is being probed.
     pub(crate) broken_requests: crash::BrokenRequests,
     /// Requests that crash upstreams.
-    pub(crate) quarantine: quarantine::Shared,
+    pub(crate) quarantine: quarantine::SharedQuarantine,
 }
 
 /// Locks `mutex` even if a holder panicked: every update leaves the data consistent.
@@ -161,9 +162,9 @@
             registry: sync::Mutex::default(),
             tables: tables::Tables::default(),
             upstreams_listed: atomic::AtomicBool::new(false),
-            peer_trusted_at: sync::Mutex::default(),
+            peer_trusted_keys_at: sync::Mutex::default(),
             sync_level: watch::Sender::new(SyncLevel::Nothing),
-            dispatchers: ArcSwap::default(),
+            service_states: ArcSwap::default(),
             phase: watch::Sender::new(Phase::Serving),
             active: watch::Sender::new(0),
             dispatch_counter: atomic::AtomicU64::new(0),
@@ -176,7 +177,7 @@
             updates,
             socket,
             broken_requests: crash::BrokenRequests::default(),
-            quarantine: quarantine::Shared::default(),
+            quarantine: quarantine::SharedQuarantine::default(),
         };
         (sync::Arc::new(state), receiver)
     }
@@ -198,7 +199,7 @@
                 .info();
             self.routing_table.store(Some(sync::Arc::new(routing::Table::new(desired))));
             self.metrics.desired_version.set(i64::try_from(version).unwrap_or(i64::MAX));
-            self.refresh_dispatchers();
+            self.refresh_service_states();
         }
         if version >= known {
             self.confirm(at);
@@ -240,25 +241,25 @@
             registry.apply(change, now);
         }
         drop(registry);
-        self.refresh_dispatchers();
+        self.refresh_service_states();
     }
 
     /// Drops expired entries.
     pub(crate) fn expire(&self) {
         let now = self.clock.now();
         if lock(&self.registry).expire(now) {
-            self.refresh_dispatchers();
+            self.refresh_service_states();
         }
-        for dispatcher in self.dispatchers.load().values() {
-            lock(dispatcher).placer.expire(now);
+        for service_state in self.service_states.load().values() {
+            lock(service_state).placer.expire(now);
         }
     }
 
     /// Records the age of another host's last confirmation of the desired state.
     pub(crate) fn record_peer_confirmation(&self, age_ms: Option<u32>) {
-        let age = age_ms.map(message::span);
+        let age = age_ms.map(message::from_millis);
         if age.is_some() && self.trusts_keys(age) {
-            *lock(&self.peer_trusted_at) = Some(self.clock.now());
+            *lock(&self.peer_trusted_keys_at) = Some(self.clock.now());
         }
     }
 
@@ -271,27 +272,28 @@
 
     /// Whether another host reported recently that it can trust keys.
     pub(crate) fn peer_trusts_keys(&self) -> bool {
-        let at = *lock(&self.peer_trusted_at);
+        let at = *lock(&self.peer_trusted_keys_at);
         at.is_some_and(|at| self.clock.now().since(at) <= PEER_REPORT_VALIDITY)
     }
 
     /// Returns the model engines of all services.
     pub(crate) fn engines(&self) -> Vec<(id::Service, routing::Registration)> {
         let mut engines = Vec::new();
-        for (service, dispatcher) in self.dispatchers.load().iter() {
-            let dispatcher = lock(dispatcher);
-            engines
-                .extend(dispatcher.placer.engines().map(|entry| (service.clone(), entry.clone())));
+        for (service, service_state) in self.service_states.load().iter() {
+            let service_state = lock(service_state);
+            engines.extend(
+                service_state.placer.engines().map(|entry| (service.clone(), entry.clone())),
+            );
         }
         engines
     }
 
     /// Returns the dispatcher of a service.
-    pub(crate) fn dispatcher(
+    pub(crate) fn service_state(
         &self,
         service: &id::Service,
-    ) -> Option<sync::Arc<sync::Mutex<Dispatcher>>> {
-        self.dispatchers.load().get(service).cloned()
+    ) -> Option<sync::Arc<sync::Mutex<ServiceState>>> {
+        self.service_states.load().get(service).cloned()
     }
 
     /// Calls `act` with the service's placer and the current time. Returns `None` if the service
@@ -300,9 +302,9 @@
     where
         Act: FnOnce(&mut placement::Placer, clock::Moment) -> Output,
     {
-        let dispatcher = self.dispatcher(service)?;
-        let mut dispatcher = lock(&dispatcher);
-        Some(act(&mut dispatcher.placer, self.clock.now()))
+        let service_state = self.service_state(service)?;
+        let mut service_state = lock(&service_state);
+        Some(act(&mut service_state.placer, self.clock.now()))
     }
 
     /// Waits until the process has reached `level`.
@@ -321,15 +323,15 @@
     }
 
     /// Waits until the dispatches in flight at other hosts are known, for at most
-    /// [`MAX_LOADS_WAIT`].
-    pub(crate) async fn wait_for_loads(&self) {
-        let left = (self.started_at + MAX_LOADS_WAIT).since(self.clock.now());
+    /// [`MAX_DISPATCHES_WAIT`].
+    pub(crate) async fn wait_for_dispatches(&self) {
+        let left = (self.started_at + MAX_DISPATCHES_WAIT).since(self.clock.now());
         // On a timeout the host goes on with what it knows.
-        drop(tokio::time::timeout(left, self.wait_for_level(SyncLevel::Loads)).await);
+        drop(tokio::time::timeout(left, self.wait_for_level(SyncLevel::Dispatches)).await);
     }
 
     /// Updates the dispatchers to the services of the desired state and the registered upstreams.
-    fn refresh_dispatchers(&self) {
+    fn refresh_service_states(&self) {
         let Some(table) = self.routing_table() else { return };
         let registry = lock(&self.registry);
         let mut by_service: collections::HashMap<id::Service, Vec<routing::Registration>> =
@@ -339,21 +341,22 @@
                 entries.push(entry.clone());
             }
         }
-        let known = self.dispatchers.load_full();
-        let mut dispatchers = Dispatchers::default();
+        let known = self.service_states.load_full();
+        let mut service_states = ServiceStates::default();
         for (service, entries) in by_service {
             let profile = table.service(&service).and_then(|service| service.profile);
-            let dispatcher = known.get(&service).cloned().unwrap_or_else(|| self.new_dispatcher());
-            lock(&dispatcher).placer.set_upstreams(&entries, profile);
-            dispatchers.insert(service, dispatcher);
+            let service_state =
+                known.get(&service).cloned().unwrap_or_else(|| self.new_service_state());
+            lock(&service_state).placer.set_upstreams(&entries, profile);
+            service_states.insert(service, service_state);
         }
-        self.dispatchers.store(sync::Arc::new(dispatchers));
+        self.service_states.store(sync::Arc::new(service_states));
         if self.upstreams_listed.load(atomic::Ordering::Relaxed) {
             self.raise_level(SyncLevel::Tables);
         }
     }
 
-    fn new_dispatcher(&self) -> sync::Arc<sync::Mutex<Dispatcher>> {
+    fn new_service_state(&self) -> sync::Arc<sync::Mutex<ServiceState>> {
         let mut placer =
             placement::Placer::new(self.settings.tuning.placement, self.settings.node.zone.clone());
         let mut budget = retry::Budget::default();
@@ -361,7 +364,7 @@
         budget.set_ratio(self.settings.node.bounds.retry_ratio);
         budget.set_slack(self.settings.node.bounds.retry_slack, hosts);
         placer.set_placing_hosts(self.placing_hosts.load(atomic::Ordering::Relaxed));
-        sync::Arc::new(sync::Mutex::new(Dispatcher { placer, budget }))
+        sync::Arc::new(sync::Mutex::new(ServiceState { placer, budget }))
     }
 
     /// Sets the number of entry hosts, this one included, and how many of them place requests.
@@ -373,10 +376,10 @@
             return;
         }
         let slack = self.settings.node.bounds.retry_slack;
-        for dispatcher in self.dispatchers.load().values() {
-            let mut dispatcher = lock(dispatcher);
-            dispatcher.budget.set_slack(slack, hosts);
-            dispatcher.placer.set_placing_hosts(placing_hosts);
+        for service_state in self.service_states.load().values() {
+            let mut service_state = lock(service_state);
+            service_state.budget.set_slack(slack, hosts);
+            service_state.placer.set_placing_hosts(placing_hosts);
         }
     }
 
@@ -438,6 +441,7 @@
             .number("leaving", entry.leaving)
             .info(),
         routing::Change::Removed(upstream) => {
+            // The row of the upstream was removed.
             event::Line::new("upstream_vanished").text("upstream", upstream).info();
         }
     }
--- a/crates/lagoon-gateway/src/stream.rs
+++ b/crates/lagoon-gateway/src/stream.rs
@@ -63,7 +63,7 @@
     caller: forward::Caller,
 ) -> Body {
     let (sender, events) = mpsc::channel(EVENT_BUFFER);
-    let body = sender.clone();
+    let body_sender = sender.clone();
     let forwarder = Forwarder {
         last_event: admitted.request.head.last_event,
         admitted,
@@ -79,13 +79,13 @@
             match &caller.io {
                 Some(io) => tokio::select! {
                     () = io.on_disconnect() => {}
-                    () = body.closed() => {}
+                    () = body_sender.closed() => {}
                 },
-                None => body.closed().await,
+                None => body_sender.closed().await,
             }
         };
         if forwarder.run(open, disconnected).await == End::Broken {
-            cut(caller.io.as_ref(), &body).await;
+            cut(caller.io.as_ref(), &body_sender).await;
         }
         drop(caller);
     }));
@@ -98,15 +98,15 @@
 /// An error passed to the server would be written into the body as an answer of its own, and ending
 /// the body would make the stream look complete. So the body is held open until the connection is
 /// closed.
-async fn cut(io: Option<&ntex::io::IoRef>, body: &mpsc::Sender<util::Bytes>) {
+async fn cut(io: Option<&ntex::io::IoRef>, body_sender: &mpsc::Sender<util::Bytes>) {
     if let Some(io) = io {
         io.close();
     }
-    if tokio::time::timeout(CUT_TIMEOUT, body.closed()).await.is_err()
+    if tokio::time::timeout(CUT_TIMEOUT, body_sender.closed()).await.is_err()
         && let Some(io) = io
     {
         io.terminate();
-        body.closed().await;
+        body_sender.closed().await;
     }
 }
 
@@ -128,7 +128,7 @@
     last_event: Option<u64>,
     /// Events forwarded so far.
     events: u64,
-    /// Upstreams tried so far.
+    /// Upstreams that count against the route's limit; refused and unsent attempts do not.
     upstreams: u32,
     /// When the last event was forwarded.
     last_forwarded: clock::Moment,
@@ -324,16 +324,16 @@
 
     /// Whether to abandon an upstream that has been silent for `silent`.
     fn should_abandon(&self, upstream: &id::Upstream, silent: clock::Span) -> bool {
-        let silence = self.silence_timeout();
+        let timeout = self.silence_timeout();
         // The last upstream that may be tried is not abandoned: it may merely be busy.
-        if self.upstreams >= self.admitted.route.max_attempts || silent < MIN_SILENCE.min(silence) {
+        if self.upstreams >= self.admitted.route.max_attempts || silent < MIN_SILENCE.min(timeout) {
             return false;
         }
         if self.admitted.is_unresponsive(upstream) {
             return true;
         }
-        let may_be_busy = !self.admitted.has_retry() || self.admitted.is_alive(upstream);
-        silent >= silence * 2 || silent >= silence && !may_be_busy
+        let may_be_busy = !self.admitted.has_retry_budget() || self.admitted.is_alive(upstream);
+        silent >= timeout * 2 || silent >= timeout && !may_be_busy
     }
 
     /// Returns how long an upstream may be silent before another is tried, unless it is merely
@@ -386,7 +386,8 @@
             .info();
     }
 
-    /// Forwards the rest of the buffer unchanged after the body has ended.
+    /// Forwards the rest of the buffer unchanged after the body has ended: the answer is complete
+    /// even if its last event lacks the blank line.
     async fn forward_rest(&mut self) -> Result<(), String> {
         if self.buffer.is_empty() {
             return Ok(());
--- a/crates/lagoon-gateway/src/tables.rs
+++ b/crates/lagoon-gateway/src/tables.rs
@@ -18,16 +18,16 @@
 /// Recoveries of the platform closer together than this are the same one, reported twice.
 const SAME_RECOVERY: clock::Span = clock::Span::from_millis(500);
 
-/// A table that is shared by its reader and the relay.
-pub(crate) type Table = sync::Arc<sync::Mutex<mirror::Mirror>>;
+/// A table that is shared by the watch that reads it and the relay that passes it on.
+pub(crate) type SharedTable = sync::Arc<sync::Mutex<mirror::Mirror>>;
 
 /// The tables, and when they were last confirmed to be complete.
 #[derive(Debug)]
 pub(crate) struct Tables {
-    pub(crate) desired: Table,
-    pub(crate) upstreams: Table,
+    pub(crate) desired: SharedTable,
+    pub(crate) upstreams: SharedTable,
     /// The entry hosts.
-    pub(crate) hosts: Table,
+    pub(crate) hosts: SharedTable,
     /// When the list of upstreams was last confirmed to be complete.
     upstreams_confirmed_at: sync::Mutex<Option<clock::Moment>>,
     /// When the platform last answered again after an outage.
--- a/crates/lagoon-gateway/src/tcp.rs
+++ b/crates/lagoon-gateway/src/tcp.rs
@@ -15,9 +15,9 @@
 /// times within this.
 const UNACKNOWLEDGED_TIMEOUT: time::Duration = time::Duration::from_millis(2_500);
 /// Idle time before the first keepalive probe, and interval between probes.
-const PROBE_INTERVAL: time::Duration = time::Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 /// Unanswered probes that break the connection.
-const PROBES: u32 = 3;
+const KEEPALIVE_PROBES: u32 = 3;
 
 /// Connects within `timeout`.
 ///
@@ -45,8 +45,8 @@
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_INTERVAL)
-        .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&probes)
 }
--- a/crates/lagoon-gateway/src/watch.rs
+++ b/crates/lagoon-gateway/src/watch.rs
@@ -16,13 +16,14 @@
 use crate::store as client;
 use crate::tables;
 
-/// Time that an answer may take beyond the wait that was asked for: a slow store takes 250 ms, and
-/// a lost packet costs as much again.
+/// Time that an answer may take beyond the wait that was asked for, and timeout of a call that
+/// reads rows: a slow store takes 250 ms, and a lost packet costs as much again.
 const ANSWER_SLACK: clock::Span = clock::Span::from_millis(800);
 /// Share of the bound on leaving upstreams that may pass between two reads of the list. The rest is
 /// for a slow answer and a lost packet.
 const PAUSE_SHARE: f64 = 0.4;
-/// Base of the pause after a failed call, doubled with each consecutive failure.
+/// Base of the pause after failed calls, doubled with each consecutive failure, including the
+/// first.
 const BACKOFF_BASE: clock::Span = clock::Span::from_millis(60);
 /// Maximum number of doublings.
 const MAX_DOUBLINGS: u32 = 5;
@@ -40,7 +41,7 @@
     /// How long the platform holds a call open.
     wait: clock::Span,
     /// The local copy of the table.
-    mirror: tables::Table,
+    mirror: tables::SharedTable,
     /// Consecutive failed calls.
     failures: u32,
     max_pause: clock::Span,
@@ -65,7 +66,7 @@
         name: &'static str,
         table: &'static str,
         wait: clock::Span,
-        mirror: tables::Table,
+        mirror: tables::SharedTable,
     ) -> Watch {
         Watch {
             client: client::Client::new(state.settings.node.store),
@@ -91,6 +92,7 @@
             match result {
                 Ok(Some(changes)) => {
                     if changes.recovered {
+                        // Calls for this table succeed again.
                         event::Line::new("dependency_regained")
                             .text("dependency", self.name)
                             .number("failures", self.failures)
@@ -173,6 +175,7 @@
     async fn back_off(&mut self, error: &client::Error) {
         self.failures += 1;
         if self.failures == 1 {
+            // Calls for this table have begun to fail.
             event::Line::new("dependency_lost")
                 .text("dependency", self.name)
                 .text("error", error)
@@ -204,8 +207,8 @@
         watch.update_max_pause(&state);
         let changes = watch.next().await;
         tables::apply_desired(&state, &changes.rows, changes.at);
-        // No other host can be asked yet at the first read; a moment later another host may be
-        // reading.
+        // The desired state is read again soon after the first time: no other host can be asked at
+        // that point, but a moment later another host may be reading.
         tokio::time::sleep(std::mem::take(&mut first_pause)).await;
     }
 }
--- a/crates/lagoon-gateway/tests/host/mod.rs
+++ b/crates/lagoon-gateway/tests/host/mod.rs
@@ -122,12 +122,12 @@
 
     /// Returns the status of the readiness check.
     pub fn readiness(&self) -> u16 {
-        exchange(self.ready, "GET /api/ready HTTP/1.1\r\nhost: h\r\n\r\n").0
+        send_request(self.ready, "GET /api/ready HTTP/1.1\r\nhost: h\r\n\r\n").0
     }
 
     /// Returns the number of quarantined requests.
     pub fn quarantined_count(&self) -> usize {
-        let list = exchange(self.ready, "GET /quarantine HTTP/1.1\r\nhost: h\r\n\r\n").1;
+        let list = send_request(self.ready, "GET /quarantine HTTP/1.1\r\nhost: h\r\n\r\n").1;
         let list: serde_json::Value = serde_json::from_str(&list).unwrap();
         let verdicts = list["quarantine"].as_array().unwrap().iter();
         verdicts.filter(|verdict| verdict["released"] == false).count()
@@ -139,7 +139,7 @@
             "{method} {path} HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: q1\r\n\
              authorization: Token {key}\r\nlagoonline-request-deadline: 8000\r\n{more}\r\n"
         );
-        exchange(self.callers, &head)
+        send_request(self.callers, &head)
     }
 
     /// Sends a short prompt and returns its answer.
@@ -163,7 +163,7 @@
 
 /// Sends a request and returns the status and the body as far as it came. Status 0 means no answer.
 /// " CUT" is appended to a chunked body without its terminating chunk.
-pub fn exchange(address: net::SocketAddr, head: &str) -> (u16, String) {
+pub fn send_request(address: net::SocketAddr, head: &str) -> (u16, String) {
     let mut stream = net::TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
     stream.write_all(head.as_bytes()).unwrap();
@@ -189,20 +189,20 @@
         let length: usize = length.trim().parse().ok()?;
         return (body.len() >= length).then(|| (status, body.to_owned()));
     }
-    let mut whole = String::new();
-    let mut left = body;
-    while let Some((size, rest)) = left.split_once("\r\n") {
+    let mut decoded = String::new();
+    let mut remaining = body;
+    while let Some((size, rest)) = remaining.split_once("\r\n") {
         let size = usize::from_str_radix(size, 16).ok()?;
         if size == 0 {
-            return Some((status, whole));
+            return Some((status, decoded));
         }
         if rest.len() < size + 2 {
             break;
         }
-        whole.push_str(&rest[..size]);
-        left = &rest[size + 2..];
+        decoded.push_str(&rest[..size]);
+        remaining = &rest[size + 2..];
     }
-    ended.then(|| (status, whole + " CUT"))
+    ended.then(|| (status, decoded + " CUT"))
 }
 
 /// Returns the events of a complete answer.
--- a/crates/lagoon-gateway/tests/lethal.rs
+++ b/crates/lagoon-gateway/tests/lethal.rs
@@ -12,11 +12,11 @@
 
 use rstest::rstest;
 
-use host::{Host, HostSettings, STEP_TIMEOUT, all_events, desired, exchange};
+use host::{Host, HostSettings, STEP_TIMEOUT, all_events, desired, send_request};
 use standin::{Behavior, LETHAL, Standin};
 
 /// Time after the third crash within which all hosts have the verdict.
-const STABLE_WINDOW: time::Duration = time::Duration::from_millis(3_000);
+const VERDICT_SPREAD_TIME: time::Duration = time::Duration::from_millis(3_000);
 /// Number of times that a lethal request may still be sent after that.
 const LATE_SENDS: usize = 3;
 /// Number of engines behind the hosts.
@@ -45,7 +45,7 @@
          lagoonline-token-count: 5000,400\r\ncontent-length: {}\r\n\r\n{body}",
         body.len(),
     );
-    exchange(host.callers, &head)
+    send_request(host.callers, &head)
 }
 
 /// Hosts of two zones in front of the same engines.
@@ -60,7 +60,8 @@
         Fleet::start_with(HostSettings::default())
     }
 
-    /// Starts all hosts with the settings of `place`, except for name and zone.
+    /// Starts all hosts with `settings`, except for name and zone. A zone has two hosts; with a
+    /// larger `relay_hosts` it has no scheduler, and each host evaluates suspects itself.
     fn start_with(settings: HostSettings<'_>) -> Fleet {
         let standin = Standin::start();
         standin.put("op", "config", &desired(1, &["k1"], 10_000));
@@ -134,8 +135,8 @@
 #[case::one_host_of_each_zone_evaluates(2)]
 fn a_request_that_crashed_three_engines_is_sent_no_more(#[case] relay_hosts: u64) {
     let mut fleet = Fleet::start_with(HostSettings { relay_hosts, ..HostSettings::default() });
-    fleet.send_lethal_for(STABLE_WINDOW * 2);
-    let late = fleet.lethal_after(fleet.third_crash() + STABLE_WINDOW);
+    fleet.send_lethal_for(VERDICT_SPREAD_TIME * 2);
+    let late = fleet.lethal_after(fleet.third_crash() + VERDICT_SPREAD_TIME);
     let crashes = fleet.standin.crashes().len();
     assert!(late <= LATE_SENDS, "sent {late} times more, {crashes} engines crashed");
 }
@@ -149,7 +150,7 @@
     fleet.hosts.clear();
     let began = time::Instant::now();
     fleet.hosts.push(Host::join(&fleet.standin, late_host()));
-    fleet.send_lethal_for(STABLE_WINDOW);
+    fleet.send_lethal_for(VERDICT_SPREAD_TIME);
     let late = fleet.lethal_after(began);
     assert!(late <= LATE_SENDS, "sent {late} times more after all hosts were killed");
 }
@@ -193,7 +194,7 @@
 #[rstest]
 #[case::reset(Behavior::DropAnswer)]
 #[case::broken_off(Behavior::BreakAfter(0))]
-#[case::spoiled(Behavior::Unsigned)]
+#[case::unsigned(Behavior::Unsigned)]
 fn broken_connections_do_not_quarantine_a_request(#[case] behavior: Behavior) {
     let mut fleet = Fleet::start();
     fleet.all_engines(behavior);
@@ -213,7 +214,7 @@
     fleet.send_lethal_until_refused();
     let row = fleet.wait_for_row();
     let release = format!("POST /quarantine/release/{row} HTTP/1.1\r\nhost: h\r\n\r\n");
-    assert_eq!(exchange(fleet.hosts[0].ready, &release).0, 200);
+    assert_eq!(send_request(fleet.hosts[0].ready, &release).0, 200);
     for host in &fleet.hosts {
         host.until("released", || host.quarantined_count() == 0);
     }
--- a/crates/lagoon-gateway/tests/logs.rs
+++ b/crates/lagoon-gateway/tests/logs.rs
@@ -57,8 +57,8 @@
 fn a_caller_that_left_is_logged_by_its_request_id() {
     record();
     let host = Host::start();
-    host.standin.behavior("e1", Behavior::Hold);
-    host.standin.behavior("e2", Behavior::Hold);
+    host.standin.behavior("e1", Behavior::IgnoreAll);
+    host.standin.behavior("e2", Behavior::IgnoreAll);
     let mut stream = net::TcpStream::connect(host.callers).unwrap();
     let head = "POST /talk/a HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: left-early\r\n\
          authorization: Token k1\r\nlagoonline-token-count: 5000,400\r\n\r\n";
--- a/crates/lagoon-gateway/tests/path.rs
+++ b/crates/lagoon-gateway/tests/path.rs
@@ -1,5 +1,6 @@
 //! Tests of the whole request path over sockets, with a stand-in of the platform's store and
-//! upstreams.
+//! upstreams. Engines answer streamed prompts (`talk`, `review`); replicas of a plain service
+//! answer bookings, which may run only once, and lookups, which are idempotent.
 
 #[path = "../../../platform/tests/standin/mod.rs"]
 #[allow(dead_code, reason = "each test program uses a part of it")]
@@ -15,7 +16,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use host::{Host, STEP_TIMEOUT, all_events, desired, exchange};
+use host::{Host, STEP_TIMEOUT, all_events, desired, send_request};
 use standin::{Behavior, event};
 
 /// Without faults a stream, a booking and a lookup are answered completely. The upstream is given
@@ -37,7 +38,8 @@
     assert!(host.standin.received_requests().iter().any(|request| request.path == "/look/1?q=2"));
 }
 
-/// A booking's body reaches the replica unchanged.
+/// A booking's body reaches the replica unchanged. Its length is 11 bytes, so the last byte that is
+/// sent does not belong to it.
 #[rstest]
 fn a_body_is_passed_on_unchanged() {
     let host = Host::start();
@@ -46,7 +48,7 @@
         "POST /book/1 HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: q1\r\n\
          authorization: Token k1\r\n{more}"
     );
-    assert_eq!(exchange(host.callers, &head).0, 200);
+    assert_eq!(send_request(host.callers, &head).0, 200);
     assert_eq!(host.standin.received_requests()[0].body, b"two\r\n\r\nlines"[..11]);
 }
 
@@ -106,18 +108,18 @@
 fn memory_is_not_renewed_for_an_unresponsive_engine() {
     let host = Host::start();
     for name in ["e1", "e2"] {
-        host.standin.behavior(name, Behavior::Mute);
+        host.standin.behavior(name, Behavior::IgnorePrompts);
     }
     let (callers, standin) = (host.callers, host.standin.clone());
     let head = "POST /talk/a HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: q1\r\n\
         authorization: Token k1\r\nlagoonline-request-deadline: 9000\r\n\
         lagoonline-token-count: 300000,400\r\n\r\n";
-    let caller = std::thread::spawn(move || exchange(callers, head));
+    let caller = std::thread::spawn(move || send_request(callers, head));
     let prompt =
         || standin.received_requests().into_iter().find(|request| request.path == "/talk/a");
     host.until("sent", || prompt().is_some());
     let first = prompt().unwrap().upstream;
-    standin.behavior(&first, Behavior::Hold);
+    standin.behavior(&first, Behavior::IgnoreAll);
     let renewals = || {
         let requests = standin.received_requests();
         let orders = requests
@@ -180,7 +182,7 @@
 }
 
 /// Both replicas report that they did not run a booking. The caller must get 503, which promises
-/// that it has not run, and a retry time.
+/// that it has not run.
 #[rstest]
 fn a_refused_booking_is_reported_as_not_run() {
     let host = Host::start();
@@ -265,7 +267,7 @@
     let stream = std::thread::spawn(move || {
         let head = "POST /talk/a HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: q1\r\n\
              authorization: Token k1\r\nlagoonline-token-count: 5000,400\r\n\r\n";
-        exchange(callers, head)
+        send_request(callers, head)
     });
     host.until("streaming", || !host.standin.received_requests().is_empty());
     running.handle().drain();
@@ -354,13 +356,13 @@
     let mut host = Host::start();
     host.standin.behavior("e1", Behavior::Slow);
     host.standin.behavior("e2", Behavior::Slow);
-    host.standin.behavior("r1", Behavior::Hold);
-    host.standin.behavior("r2", Behavior::Hold);
+    host.standin.behavior("r1", Behavior::IgnoreAll);
+    host.standin.behavior("r2", Behavior::IgnoreAll);
     let callers = host.callers;
     let booking = std::thread::spawn(move || {
         let head = "POST /book/1 HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: q1\r\n\
              authorization: Token k1\r\ncontent-length: 0\r\n\r\n";
-        exchange(callers, head)
+        send_request(callers, head)
     });
     host.until("sent", || !host.standin.received_requests().is_empty());
     let running = host.running.take().unwrap();
--- a/crates/lagoon-gateway/tests/relay.rs
+++ b/crates/lagoon-gateway/tests/relay.rs
@@ -20,11 +20,11 @@
 /// Maximum time of a step on a busy machine.
 const STEP_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 /// How long one watch of the desired state is held.
-const WATCH: time::Duration = time::Duration::from_millis(300);
+const WATCH_TIME: time::Duration = time::Duration::from_millis(300);
 /// Time after a restart of all hosts within which callers are served.
-const RECOVERY: time::Duration = time::Duration::from_secs(12);
+const RECOVERY_TIME: time::Duration = time::Duration::from_secs(12);
 /// Key revocation bound.
-const REVOKE: time::Duration = time::Duration::from_millis(5_000);
+const REVOKE_BOUND: time::Duration = time::Duration::from_millis(5_000);
 
 /// Silence after which a host's row is removed.
 const HOST_GONE_TIME: time::Duration = time::Duration::from_millis(2_000);
@@ -43,12 +43,12 @@
              Platform:\n  Address: \"{}\"\nBounds:\n  GraceS: 8\n  StrictRevoke: true\n  \
              RevokeMs: {}\n",
             standin.store_address,
-            REVOKE.as_millis(),
+            REVOKE_BOUND.as_millis(),
         );
         let settings = lagoon_gateway::Settings {
             node: lagoon_platform::settings::read(&text).unwrap(),
             tuning: lagoon_gateway::Tuning {
-                desired_wait: WATCH,
+                desired_wait: WATCH_TIME,
                 relay_hosts: 2,
                 hosts_pause: time::Duration::from_millis(20),
                 hosts_gone: HOST_GONE_TIME,
@@ -140,10 +140,11 @@
     standin.upstream("r1", "app", 6);
     let first = Host::start(&standin, "h1", 0.5);
     let second = Host::start(&standin, "h2", 0.1);
-    // Two hosts that each read the platform would begin about 13 watches in this time.
+    // One host begins about 7 watches in this time; two hosts that each read the platform would
+    // begin about 13.
     until("read by one host", || {
         let before = standin.watches("op");
-        thread::sleep(WATCH * 20 / 3);
+        thread::sleep(WATCH_TIME * 20 / 3);
         (1..=9).contains(&(standin.watches("op") - before))
     });
     (standin, first, second)
@@ -195,7 +196,7 @@
         until("refused", || host.lookup("k1") == 503);
     }
     let took = began.elapsed();
-    assert!(took < REVOKE + time::Duration::from_millis(500), "refused only after {took:?}");
+    assert!(took < REVOKE_BOUND + time::Duration::from_millis(500), "refused only after {took:?}");
     standin.set_down(false);
     for host in [&second, &first] {
         until("served", || host.lookup("k1") == 200);
@@ -221,8 +222,8 @@
             .map(|request| request.upstream.clone())
             .collect::<Vec<_>>()
     };
-    standin.behavior("r1", Behavior::Hold);
-    standin.behavior("r2", Behavior::Hold);
+    standin.behavior("r1", Behavior::IgnoreAll);
+    standin.behavior("r2", Behavior::IgnoreAll);
     standin.upstream("r1", "app", 6);
     let first = Host::start(&standin, "h1", 0.5);
     assert_eq!(send(&first, 3), ["r1", "r1", "r1"]);
@@ -243,7 +244,7 @@
         let standin = Standin::start();
         standin.put("op", "config", &booking_state());
         for name in ["r1", "r2"] {
-            standin.behavior(name, Behavior::Hold);
+            standin.behavior(name, Behavior::IgnoreAll);
             standin.upstream(name, "app", 6);
         }
         let hosts = vec![Host::start(&standin, "h1", 0.5), Host::start(&standin, "h2", 0.1)];
@@ -352,7 +353,7 @@
         until("served", || host.lookup("k2") == 200);
         assert_eq!(host.lookup("k1"), 401, "an older version is in force again");
     }
-    assert!(began.elapsed() < RECOVERY, "served after {:?}", began.elapsed());
+    assert!(began.elapsed() < RECOVERY_TIME, "served after {:?}", began.elapsed());
 }
 
 /// The scheduler may list an upstream that this host knows to be leaving, or does not know. A
--- a/crates/lagoon-gateway/tests/scheduler/mod.rs
+++ b/crates/lagoon-gateway/tests/scheduler/mod.rs
@@ -48,7 +48,9 @@
 }
 
 impl Scheduler {
-    /// Registers as the largest host of the zone and answers every question with `upstream`.
+    /// Registers as the host with the largest share of a core, which makes it the scheduler, and
+    /// answers every question with `upstream`. Nobody listens at its relay address, so other hosts
+    /// read the platform themselves.
     pub fn start(standin: &Standin, upstream: &str) -> Scheduler {
         let socket = net::UdpSocket::bind("127.0.0.1:0").unwrap();
         let reader = net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
--- a/crates/lagoon-gateway/tests/silence.rs
+++ b/crates/lagoon-gateway/tests/silence.rs
@@ -13,7 +13,7 @@
 
 use rstest::rstest;
 
-use host::{Host, all_events, exchange};
+use host::{Host, all_events, send_request};
 use standin::Behavior;
 
 /// Starts a host in front of one engine that behaves as `behavior`.
@@ -40,7 +40,7 @@
     );
     thread::spawn(move || {
         let began = time::Instant::now();
-        (exchange(callers, &head), began.elapsed())
+        (send_request(callers, &head), began.elapsed())
     })
 }
 
@@ -57,7 +57,7 @@
 /// A request must not wait for an engine that answers later requests but not this one.
 #[rstest]
 fn a_prompt_leaves_an_engine_that_answers_later_requests() {
-    let host = start_with_one_engine(Behavior::Mute);
+    let host = start_with_one_engine(Behavior::IgnorePrompts);
     let unanswered = prompt(&host, "talk", 5_000);
     host.until("sent", || !host.standin.received_requests().is_empty());
     host.standin.behavior("e1", Behavior::Complete);
@@ -83,10 +83,10 @@
     let talk = prompt(&host, "talk", 5_000);
     host.until("sent", || host.standin.received_requests().len() == 2);
     host.standin.upstream("e3", "llm", 16);
-    for (stream, most) in [(talk, 2_500), (review, 3_000)] {
+    for (stream, limit_ms) in [(talk, 2_500), (review, 3_000)] {
         let (answer, took) = stream.join().unwrap();
         assert_eq!(answer, (200, all_events()));
-        assert!(took < time::Duration::from_millis(most), "whole after {took:?}");
+        assert!(took < time::Duration::from_millis(limit_ms), "whole after {took:?}");
     }
 }
 
@@ -95,7 +95,7 @@
 fn memory_of_an_ended_request_is_not_renewed() {
     let host = Host::start();
     for name in ["e1", "e2"] {
-        host.standin.behavior(name, Behavior::Mute);
+        host.standin.behavior(name, Behavior::IgnorePrompts);
     }
     let caller = prompt(&host, "review", 300_000);
     host.until("sent", || {
@@ -114,7 +114,7 @@
 /// released again.
 #[rstest]
 fn an_unanswered_reservation_is_released_again() {
-    let host = start_with_one_engine(Behavior::Hold);
+    let host = start_with_one_engine(Behavior::IgnoreAll);
     let caller = prompt(&host, "review", 150_000);
     host.until("ordered", || !orders(&host, "reserve").is_empty());
     let id = orders(&host, "reserve").remove(0);
