--- a/crates/lagoon-net/src/operator/client.rs
+++ b/crates/lagoon-net/src/operator/client.rs
@@ -117,7 +117,7 @@
         let mut failures = 0;
         let first = rand::random_range(0..self.settings.stewards.len().max(1));
         for address in self.settings.stewards.iter().cycle().skip(first) {
-            match self.ask(*address, &call).await {
+            match self.call_steward(*address, &call).await {
                 // A refusal after a lost reply does not tell whether the call with the lost reply
                 // took effect, so the uncertain error is kept.
                 Err(error) if is_transient(&error) && failures > 0 && is_uncertain(&last) => {
@@ -136,7 +136,11 @@
         Err(last)
     }
 
-    async fn ask(&self, address: net::SocketAddr, call: &wire::Call) -> Result<Value, Error> {
+    async fn call_steward(
+        &self,
+        address: net::SocketAddr,
+        call: &wire::Call,
+    ) -> Result<Value, Error> {
         let no_answer = |why: String| Error::NoAnswer(format!("{address}: {why}"));
         match time::timeout(self.settings.timeout, self.exchange(address, call)).await {
             Err(_) => Err(no_answer("timed out".to_owned())),
--- a/crates/lagoon-net/src/steward/calls.rs
+++ b/crates/lagoon-net/src/steward/calls.rs
@@ -227,11 +227,11 @@
         key: String::new(),
         ..call.clone()
     };
-    for answer in zones::ask(context, &forwarded).await {
-        let parsed = answer.text.and_then(|text| serde_json::from_str::<ZoneStatus>(&text).ok());
+    for reply in zones::call_all(context, &forwarded).await {
+        let parsed = reply.text.and_then(|text| serde_json::from_str::<ZoneStatus>(&text).ok());
         zones.push(match parsed {
             Some(status) => json!(status),
-            None => json!({ "zone": answer.zone.as_str(), "silent": true }),
+            None => json!({ "zone": reply.zone.as_str(), "silent": true }),
         });
     }
     let is_done = |zone: &serde_json::Value| zone["missing"].as_array().is_some_and(Vec::is_empty);
@@ -246,9 +246,9 @@
     authorize_operator(context, call)?;
     let forwarded = wire::Call { text: ZONE_ONLY.to_owned(), key: String::new(), ..call.clone() };
     let mut zones = vec![zone_state(context)];
-    for answer in zones::ask(context, &forwarded).await {
-        let parsed = answer.text.and_then(|text| serde_json::from_str(&text).ok());
-        let silent = || json!({ "zone": answer.zone.as_str(), "silent": true });
+    for reply in zones::call_all(context, &forwarded).await {
+        let parsed = reply.text.and_then(|text| serde_json::from_str(&text).ok());
+        let silent = || json!({ "zone": reply.zone.as_str(), "silent": true });
         zones.push(parsed.unwrap_or_else(silent));
     }
     Ok(json!({ "zones": zones }))
@@ -310,7 +310,7 @@
         return Err(Failure::new("unknown_name", message));
     };
     if member.zone != context.settings.zone {
-        let text = zones::ask_one_zone(context, &member.zone, call).await;
+        let text = zones::call_zone(context, &member.zone, call).await;
         let value = text.and_then(|text| serde_json::from_str(&text).ok());
         return value
             .ok_or_else(|| Failure::new("silent", format!("no answer from {}", member.zone)));
@@ -337,11 +337,11 @@
     let forwarded = wire::Call { text: ZONE_ONLY.to_owned(), key: String::new(), ..call.clone() };
     let mut lines = Vec::new();
     let mut silent = Vec::new();
-    for answer in zones::ask_reconcilers(context, &forwarded).await {
-        let parsed = answer.text.and_then(|text| serde_json::from_str(&text).ok());
+    for reply in zones::call_reconcilers(context, &forwarded).await {
+        let parsed = reply.text.and_then(|text| serde_json::from_str(&text).ok());
         match parsed {
             Some(serde_json::Value::Array(found)) => lines.extend(found),
-            _ => silent.push(answer.zone.to_string()),
+            _ => silent.push(reply.zone.to_string()),
         }
     }
     Ok(json!({ "engines": lines, "silent_zones": silent }))
--- a/crates/lagoon-net/src/steward/core/mod.rs
+++ b/crates/lagoon-net/src/steward/core/mod.rs
@@ -34,7 +34,8 @@
 /// replaces it starts with the full state.
 pub(in crate::steward) const LINK_QUEUE: usize = 1_024;
 
-/// Minimum age of a dialed link before it is closed because the mesh no longer needs it.
+/// Minimum age of a dialed link before it is closed because the mesh does not need it. Links to
+/// first peers and to dead members are outside the mesh, and need time to exchange the membership.
 const LINK_GRACE: clock::Span = clock::Span::from_secs(10);
 
 /// Counters of a steward.
@@ -115,8 +116,11 @@
 pub(in crate::steward) struct Link {
     pub(in crate::steward) peer: link::Peer,
     sender: mpsc::Sender<wire::Body>,
+    /// Section versions that the peer has, or that were sent to it.
     versions: replication::Versions,
+    /// Whether the peer has sent a digest.
     has_digest: bool,
+    /// Whether this side opened the connection.
     is_dialed: bool,
     opened_at: clock::Moment,
 }
@@ -128,7 +132,9 @@
 /// Result of the last reads of the platform.
 #[derive(Default)]
 struct Platform {
+    /// Versions in the head that was read last.
     head: Option<replication::Versions>,
+    /// Whether any read has failed.
     failed: bool,
 }
 
@@ -137,9 +143,12 @@
     pub(in crate::steward) group: membership::Group,
     pub(in crate::steward) replica: replication::Replica,
     delta_log: delta_log::DeltaLog,
+    /// Reports of the entry processes of the zone.
     pub(in crate::steward) entry_reports: replication::Reports,
+    /// The sections in force, merged.
     pub(in crate::steward) fleet: view::Shared,
     pub(in crate::steward) counters: sync::Arc<Counters>,
+    /// Whether the document is complete: see [`Core::check_complete`].
     pub(in crate::steward) complete: bool,
     pub(in crate::steward) loads: collections::BTreeMap<id::Upstream, Observed>,
     pub(in crate::steward) marks: collections::BTreeMap<id::Upstream, wire::Mark>,
@@ -160,9 +169,11 @@
     report_outbox: report::Outbox,
     /// Dead stewards whose rows are already removed from the table.
     pub(in crate::steward) removed_rows: collections::BTreeSet<id::Host>,
+    /// Hosts to which a connection is being opened.
     pub(in crate::steward) dialing: collections::BTreeSet<id::Host>,
     links: collections::BTreeMap<LinkId, Link>,
     platform: Platform,
+    /// Time of the last request for missing sections.
     pull_started: Option<clock::Moment>,
     next_link: u64,
     started_at: clock::Moment,
@@ -247,6 +258,7 @@
         (link_id, receiver)
     }
 
+    /// Sends the state that a newly linked steward needs.
     fn init_steward_link(&mut self, link_id: LinkId) {
         let members = wire::members(&self.group.roster().updates());
         self.send(link_id, wire::Body::Members(members));
@@ -266,6 +278,7 @@
         self.send(link_id, wire::Body::Loads(wire::Loads { loads }));
     }
 
+    /// Sends the state that a newly linked entry process needs.
     fn init_entry_link(&mut self, link_id: LinkId) {
         self.send(link_id, self.digest());
         let sections = self.replica.sections().map(|section| wire::section(section)).collect();
@@ -276,6 +289,7 @@
         self.send(link_id, wire::Body::Marks(wire::Marks { marks }));
     }
 
+    /// Removes a closed link. The report of a disconnected entry process becomes unready.
     pub(in crate::steward) fn remove_link(&mut self, link_id: LinkId) {
         let Some(link) = self.links.remove(&link_id) else { return };
         if link.peer.role != wire::Role::Entry {
@@ -296,6 +310,7 @@
         }
     }
 
+    /// Sends a message on all links that match `filter`.
     pub(super) fn send_all<F>(&mut self, body: &wire::Body, filter: F)
     where
         F: Fn(LinkId, &Link) -> bool,
@@ -314,17 +329,18 @@
         self.links.values().any(linked)
     }
 
-    /// Closes links that this side dialed and the mesh no longer needs. Without this, links and the
-    /// messages on them grow without bound as hosts join and leave.
+    /// Closes links that this side dialed and the mesh does not need, unless no link of the mesh is
+    /// open. Without this, links and the messages on them grow without bound as hosts join and
+    /// leave.
     pub(in crate::steward) fn close_unneeded_links(&mut self) {
         let now = self.clock.now();
-        let wanted = mesh::link_targets(&self.group);
-        let is_wanted = |link: &Link| wanted.iter().any(|host| link.peer.sender == host.as_str());
-        if !self.links.values().any(is_wanted) {
+        let targets = mesh::link_targets(&self.group);
+        let is_needed = |link: &Link| targets.iter().any(|host| link.peer.sender == host.as_str());
+        if !self.links.values().any(is_needed) {
             return;
         }
         self.links.retain(|_, link| {
-            !link.is_dialed || is_wanted(link) || now.since(link.opened_at) < LINK_GRACE
+            !link.is_dialed || is_needed(link) || now.since(link.opened_at) < LINK_GRACE
         });
     }
 
--- a/crates/lagoon-net/src/steward/memory_sweep.rs
+++ b/crates/lagoon-net/src/steward/memory_sweep.rs
@@ -43,7 +43,7 @@
             let Ok(Some(holdings)) = tokio::time::timeout(TIMEOUT, listed).await else { continue };
             let mut remote_owners = reaper.owners_to_query(&holdings, context.clock.now());
             remote_owners.retain(|owner| !zone_hosts.contains(&owner.host));
-            ask(&context, &mut reaper, &remote_owners).await;
+            query_zones(&context, &mut reaper, &remote_owners).await;
             let released = reaper.sweep(&upstream, &holdings, context.clock.now());
             release(&context, &client, (&upstream, address), &released).await;
         }
@@ -79,7 +79,7 @@
 
 /// Queries the other zones about owners that are not hosts of this one. An owner that no zone knows
 /// is recorded as gone if every zone answered, and as unsure otherwise.
-async fn ask(
+async fn query_zones(
     context: &Context,
     reaper: &mut reap::Reaper,
     remote_owners: &collections::BTreeSet<id::Owner>,
@@ -90,14 +90,14 @@
     let hosts: collections::BTreeSet<_> = remote_owners.iter().map(|owner| &owner.host).collect();
     let text = serde_json::to_string(&hosts).unwrap_or_default();
     let call = wire::Call { verb: wire::Verb::Owners.into(), text, ..wire::Call::default() };
-    let answers = zones::ask(context, &call).await;
+    let replies = zones::call_all(context, &call).await;
     let now = context.clock.now();
     let mut answered = collections::BTreeSet::new();
     let mut known = collections::BTreeSet::new();
-    for answer in answers {
-        let statuses = answer.text.and_then(|text| serde_json::from_str(&text).ok());
+    for reply in replies {
+        let statuses = reply.text.and_then(|text| serde_json::from_str(&text).ok());
         let Some(statuses): Option<Vec<owner::Status>> = statuses else { continue };
-        answered.insert(answer.zone);
+        answered.insert(reply.zone);
         for status in statuses {
             reaper.apply_status(&status, false, now);
             known.extend(status.owner.parse().map(|owner: id::Owner| owner.host));
--- a/crates/lagoon-net/src/steward/reconcile.rs
+++ b/crates/lagoon-net/src/steward/reconcile.rs
@@ -103,6 +103,8 @@
 }
 
 impl Reconciler {
+    /// Reads the state of all engines, sends the commands they need, and releases the lease when
+    /// nothing is outstanding.
     async fn reconcile_all(&mut self) {
         let mut outstanding = false;
         let mut seen = Vec::new();
@@ -167,6 +169,7 @@
         true
     }
 
+    /// Returns the context of a decision, without a fencing number.
     fn context(&self, target: &Target) -> reconcile::Context {
         let core = self.context.core.borrow();
         let load = core.loads.get(&target.name).map(|observed| observed.load);
@@ -174,6 +177,7 @@
         reconcile::Context { checks_fence: target.checks_fence, in_flight, ..Default::default() }
     }
 
+    /// Reads the state of an engine; `None` if it does not report one in time.
     async fn read(&self, target: &Target) -> Option<reconcile::Actual> {
         let request = self.http.get(format!("http://{}/orders", target.address));
         let request = request.set_header("Lagoon-Zone", self.context.settings.zone.as_str());
@@ -186,10 +190,11 @@
         time::timeout(READ_TIMEOUT, read).await.ok().flatten()
     }
 
+    /// Sends a command under the lease.
     async fn send(&mut self, target: &Target, order: &engine::Command) -> SendOutcome {
         let is_load = matches!(order, engine::Command::Load { .. });
         if is_load && self.loading >= MAX_CONCURRENT_LOADS {
-            return SendOutcome::NoWeights;
+            return SendOutcome::LoadLimit;
         }
         let Some(permit) = self.lease.permit() else { return SendOutcome::NoLease };
         let request = self.http.post(format!("http://{}/orders", target.address));
@@ -214,6 +219,7 @@
         }
     }
 
+    /// Updates the status of an engine that operators see.
     fn record(
         &self,
         target: &Target,
@@ -234,20 +240,23 @@
     }
 }
 
-/// Outcome of sending a command.
+/// Outcome of sending a command; [`SendOutcome::as_str`] is the text that operators see.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum SendOutcome {
-    NoWeights,
+    /// Not sent: [`MAX_CONCURRENT_LOADS`] engines are loading.
+    LoadLimit,
+    /// Not sent: the lease does not permit it.
     NoLease,
     Accepted,
     Refused,
+    /// Sent, but no response arrived in time.
     Unknown,
 }
 
 impl SendOutcome {
     const fn as_str(self) -> &'static str {
         match self {
-            SendOutcome::NoWeights => "others load first",
+            SendOutcome::LoadLimit => "others load first",
             SendOutcome::NoLease => "the lease ended",
             SendOutcome::Accepted => "ordered",
             SendOutcome::Refused => "the engine refused",
@@ -257,7 +266,7 @@
 
     const fn count(self) -> u64 {
         match self {
-            SendOutcome::NoWeights | SendOutcome::NoLease => 0,
+            SendOutcome::LoadLimit | SendOutcome::NoLease => 0,
             SendOutcome::Accepted | SendOutcome::Refused | SendOutcome::Unknown => 1,
         }
     }
--- a/crates/lagoon-net/src/steward/zones.rs
+++ b/crates/lagoon-net/src/steward/zones.rs
@@ -15,30 +15,30 @@
 use crate::wire;
 
 /// Timeout of one steward's reply.
-const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(800);
+const REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(800);
 
 /// Maximum number of stewards of a zone that are tried.
 const MAX_TRIES: usize = 3;
 
 /// One zone's reply; `text` is `None` when none of the tried stewards replied.
-pub(super) struct Answer {
+pub(super) struct ZoneReply {
     pub(super) zone: id::Zone,
     pub(super) text: Option<String>,
 }
 
 /// Sends `call` to one steward of every other known zone.
-pub(super) async fn ask(context: &Context, call: &wire::Call) -> Vec<Answer> {
+pub(super) async fn call_all(context: &Context, call: &wire::Call) -> Vec<ZoneReply> {
     let zones = addresses(context);
-    let asked = zones.into_iter().map(|(zone, addresses)| ask_zone(context, zone, addresses, call));
-    future::join_all(asked).await
+    let calls = zones.into_iter().map(|(zone, addresses)| call_any(context, zone, addresses, call));
+    future::join_all(calls).await
 }
 
 /// Sends `call` to the reconciling steward of each zone, including this one.
-pub(super) async fn ask_reconcilers(context: &Context, call: &wire::Call) -> Vec<Answer> {
-    let asked = reconcilers(context);
-    let asked =
-        asked.into_iter().map(|(zone, address)| ask_zone(context, zone, vec![address], call));
-    future::join_all(asked).await
+pub(super) async fn call_reconcilers(context: &Context, call: &wire::Call) -> Vec<ZoneReply> {
+    let targets = reconcilers(context);
+    let calls =
+        targets.into_iter().map(|(zone, address)| call_any(context, zone, vec![address], call));
+    future::join_all(calls).await
 }
 
 fn reconcilers(context: &Context) -> Vec<(id::Zone, net::SocketAddr)> {
@@ -53,13 +53,13 @@
 }
 
 /// Sends `call` to one steward of `zone`.
-pub(super) async fn ask_one_zone(
+pub(super) async fn call_zone(
     context: &Context,
     zone: &id::Zone,
     call: &wire::Call,
 ) -> Option<String> {
     let addresses = addresses(context).remove(zone)?;
-    ask_zone(context, zone.clone(), addresses, call).await.text
+    call_any(context, zone.clone(), addresses, call).await.text
 }
 
 /// Returns the addresses of the stewards of the other zones, gateways first.
@@ -77,22 +77,26 @@
     ordered.collect()
 }
 
-async fn ask_zone(
+async fn call_any(
     context: &Context,
     zone: id::Zone,
     addresses: Vec<net::SocketAddr>,
     call: &wire::Call,
-) -> Answer {
+) -> ZoneReply {
     for address in addresses.into_iter().take(MAX_TRIES) {
-        let asked = ask_one(context, address, call);
-        if let Ok(Some(text)) = tokio::time::timeout(ANSWER_TIMEOUT, asked).await {
-            return Answer { zone, text: Some(text) };
+        let reply = call_steward(context, address, call);
+        if let Ok(Some(text)) = tokio::time::timeout(REPLY_TIMEOUT, reply).await {
+            return ZoneReply { zone, text: Some(text) };
         }
     }
-    Answer { zone, text: None }
+    ZoneReply { zone, text: None }
 }
 
-async fn ask_one(context: &Context, address: net::SocketAddr, call: &wire::Call) -> Option<String> {
+async fn call_steward(
+    context: &Context,
+    address: net::SocketAddr,
+    call: &wire::Call,
+) -> Option<String> {
     let identity = link::Identity { role: wire::Role::Operator, ..session::identity(context) };
     let (mut channel, _) = link::Channel::connect(address, &identity).await.ok()?;
     channel.send(wire::Body::Call(call.clone())).await.ok()?;
