--- a/crates/lagoon-net/src/link/client.rs
+++ b/crates/lagoon-net/src/link/client.rs
@@ -20,7 +20,7 @@
 /// Outgoing messages that are queued. More are dropped, because later messages replace them.
 const MAX_QUEUED: usize = 256;
 
-/// Maximum delay between two attempts to connect.
+/// Maximum delay between two attempts to connect to the steward.
 const MAX_RETRY_DELAY: clock::Span = clock::Span::from_secs(2);
 
 /// Update received from the steward.
@@ -180,6 +180,7 @@
         }
     }
 
+    /// Runs an open connection until it fails or every [`Handle`] is dropped.
     async fn serve<S>(
         &mut self,
         mut channel: channel::Channel,
@@ -244,6 +245,7 @@
         None
     }
 
+    /// Puts received sections in force and passes the merged result to the sink.
     fn apply_sections<S>(&mut self, sections: &wire::Sections, sink: &mut S)
     where
         S: Sink,
--- a/crates/lagoon-net/src/platform/client.rs
+++ b/crates/lagoon-net/src/platform/client.rs
@@ -71,6 +71,7 @@
         !self.state().breaker.clone().admit(self.clock.now())
     }
 
+    /// Checks the breaker and takes one call from the budget.
     fn admit(&self, kind: Kind) -> Result<(), &'static str> {
         let now = self.clock.now();
         let mut state = self.state();
@@ -193,6 +194,7 @@
         Ok(Response { status: response.status(), body })
     }
 
+    /// Maps the status of a response to the error that it stands for.
     fn check_status(
         &self,
         step: &'static str,
--- a/crates/lagoon-net/src/steward/calls.rs
+++ b/crates/lagoon-net/src/steward/calls.rs
@@ -97,6 +97,7 @@
     Err(Failure::new("denied", format!("the key may not act for team {}", call.team)))
 }
 
+/// Accepts an operators' key only.
 fn authorize_operator(context: &Context, call: &wire::Call) -> Result<(), Failure> {
     let hash: document::KeyHash = sha2::Sha256::digest(call.key.as_bytes()).into();
     if is_operator(context, &hash) {
@@ -110,6 +111,7 @@
     context.platform.as_ref().ok_or_else(none)
 }
 
+/// Converts an error of the document store to the error of a call.
 fn store_failure(error: document::StoreError) -> Failure {
     let message = error.to_string();
     let (code, details) = match error {
@@ -129,6 +131,7 @@
     Failure { code, message, details }
 }
 
+/// Returns the put that a call asks for.
 fn put_of(call: &wire::Call) -> document::Put {
     document::Put {
         team: id::Team::from(call.team.as_str()),
@@ -138,6 +141,7 @@
     }
 }
 
+/// Returns the newest version and text of the team's section.
 async fn section_get(context: &Context, call: &wire::Call) -> Outcome {
     authorize(context, call)?;
     let team = id::Team::from(call.team.as_str());
@@ -157,6 +161,7 @@
     }
 }
 
+/// Validates a section and returns the changes that it would make.
 async fn section_check(context: &Context, call: &wire::Call) -> Outcome {
     authorize(context, call)?;
     let put = put_of(call);
@@ -169,6 +174,7 @@
     Ok(json!({ "changes": changes }))
 }
 
+/// Stores a section, and puts it in force here at once.
 async fn section_put(context: &Context, call: &wire::Call) -> Outcome {
     authorize(context, call)?;
     if call.put.is_empty() {
@@ -197,6 +203,8 @@
 /// zone only.
 const ZONE_ONLY: &str = r#"{"zone_only":true}"#;
 
+/// Returns where a version is in force in this zone, over hosts with a live steward and all others
+/// that have a report.
 fn zone_status(context: &Context, team: &id::Team, version: id::Version) -> ZoneStatus {
     let core = context.core.borrow();
     let zone = core.zone();
@@ -210,6 +218,8 @@
     ZoneStatus { zone: zone.to_string(), hosts, missing: missing.iter().map(line).collect() }
 }
 
+/// Returns where a version of the team's section is in force, zone by zone. Version 0 stands for
+/// the one in force here.
 async fn section_status(context: &Context, call: &wire::Call) -> Outcome {
     let team = id::Team::from(call.team.as_str());
     if call.text == ZONE_ONLY {
@@ -239,6 +249,7 @@
     Ok(json!({ "version": version, "accepted": accepted, "zones": zones }))
 }
 
+/// Returns the state of hosts and upstreams, zone by zone.
 async fn status(context: &Context, call: &wire::Call) -> Outcome {
     if call.text == ZONE_ONLY {
         return Ok(zone_state(context));
@@ -254,6 +265,7 @@
     Ok(json!({ "zones": zones }))
 }
 
+/// Returns the state of this zone's hosts and upstreams.
 fn zone_state(context: &Context) -> serde_json::Value {
     let core = context.core.borrow();
     let zone = core.zone();
@@ -320,6 +332,7 @@
     Ok(mark_leaving(context, name, incarnation))
 }
 
+/// Marks an incarnation of an upstream or entry host as leaving.
 fn mark_leaving(context: &Context, name: &str, incarnation: u64) -> serde_json::Value {
     let mark = wire::Mark { upstream: name.to_owned(), incarnation, leaving: true };
     context.core.borrow_mut().apply_marks(&[mark], None);
--- a/crates/lagoon-net/src/steward/core/document.rs
+++ b/crates/lagoon-net/src/steward/core/document.rs
@@ -22,6 +22,7 @@
 const PLATFORM_GRACE: clock::Span = clock::Span::from_millis(1_500);
 
 impl Core {
+    /// Builds the digest of the versions in force.
     pub(super) fn digest(&self) -> wire::Body {
         let versions = wire::team_versions(&self.replica.versions());
         wire::Body::Digest(wire::Digest { versions })
@@ -69,6 +70,7 @@
         self.check_complete();
     }
 
+    /// Applies received sections, and requests full texts where a delta does not fit.
     pub(super) fn handle_sections(&mut self, sections: &wire::Sections, from: LinkId) {
         let mut parsed = Vec::new();
         let mut needs_full_text = false;
@@ -130,6 +132,7 @@
         sections.iter().map(encode).collect()
     }
 
+    /// Records a peer's versions, sends the sections it lacks, and requests those it is ahead in.
     pub(super) fn handle_digest(&mut self, digest: &wire::Digest, from: LinkId) {
         let versions = wire::versions(&digest.versions);
         let lacking = self.replica.newer_than(&versions);
@@ -173,11 +176,13 @@
         self.check_complete();
     }
 
+    /// Records the versions of a head read from the platform.
     pub(in crate::steward) fn record_platform_head(&mut self, versions: replication::Versions) {
         self.platform.head = Some(versions);
         self.check_complete();
     }
 
+    /// Records that a read from the platform failed.
     pub(in crate::steward) fn record_platform_failure(&mut self) {
         Counters::add(&self.counters.platform_failures, 1);
         self.platform.failed = true;
@@ -206,6 +211,7 @@
         });
     }
 
+    /// Whether the replica covers all peers that were reached, and the platform is unavailable.
     fn is_complete_by_peers(&self) -> bool {
         let waited = self.clock.now().since(self.started_at) >= PLATFORM_GRACE;
         let is_steward = |link: &&Link| link.peer.role == wire::Role::Steward;
--- a/crates/lagoon-net/src/steward/core/upstream.rs
+++ b/crates/lagoon-net/src/steward/core/upstream.rs
@@ -84,6 +84,7 @@
         near.map(|(link_id, _)| *link_id).collect()
     }
 
+    /// Applies received loads that are newer than the known ones, and passes them on.
     pub(super) fn handle_loads(&mut self, loads: &wire::Loads, from: LinkId) {
         let now = self.clock.now();
         let role = self.links.get(&from).map(|link| link.peer.role);
--- a/crates/lagoon-net/src/steward/fetch.rs
+++ b/crates/lagoon-net/src/steward/fetch.rs
@@ -82,6 +82,7 @@
 /// Versions listed by the head and not yet in force, and the time at which each was first seen.
 type PendingVersions = collections::BTreeMap<id::Team, (id::Version, clock::Moment)>;
 
+/// Reads the head, then the sections that are newer there and that no peer sent in time.
 async fn fetch<T>(
     context: &Context,
     table: &T,
--- a/crates/lagoon-net/src/steward/heartbeat.rs
+++ b/crates/lagoon-net/src/steward/heartbeat.rs
@@ -18,6 +18,7 @@
 /// Time between two flushes of new upstream incarnations and of customer usage.
 const FLUSH_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
+/// Receives and sends heartbeats, and runs the timers, until the task is cancelled.
 pub(super) async fn run(context: Context, socket: tokio_net::UdpSocket) {
     let mut heartbeats = time::interval(context.settings.membership.interval);
     let mut ticks = time::interval(TICK_INTERVAL);
@@ -48,6 +49,7 @@
     }
 }
 
+/// Processes one received datagram.
 fn receive(context: &Context, window: &mut wire::ReplayWindow, sealed: &[u8]) {
     let counters = context.core.borrow().counters.clone();
     core::Counters::add(&counters.datagrams_received, 1);
@@ -68,6 +70,7 @@
     }
 }
 
+/// Sends one round of heartbeats.
 fn send_all(context: &Context, socket: &tokio_net::UdpSocket, sequence: &mut u64) {
     let targets = targets(context);
     let payload = context.core.borrow_mut().next_payload();
@@ -110,6 +113,7 @@
     }
 }
 
+/// Checks timeouts, and passes on what changed.
 fn tick(context: &Context) {
     let mut core = context.core.borrow_mut();
     let (updates, changes) = core.group.tick(context.clock.now());
--- a/crates/lagoon-net/src/steward/memory_sweep.rs
+++ b/crates/lagoon-net/src/steward/memory_sweep.rs
@@ -1,5 +1,5 @@
-//! Releases engine memory that dead entry processes still hold. The steward that observes an engine
-//! does this for it.
+//! Releases engine memory that dead entry processes still hold. Each engine is swept by the steward
+//! that observes it.
 //!
 //! Two stewards that both consider themselves the observer only cost extra calls: both apply the
 //! same rules, and releasing a holding twice has no further effect.
@@ -124,6 +124,7 @@
     statuses.filter(|(host, _)| hosts.contains(host)).map(|(_, status)| status).collect()
 }
 
+/// Releases holdings of an engine one by one.
 async fn release(
     context: &Context,
     client: &client::Client,
--- a/crates/lagoon-net/src/steward/observe.rs
+++ b/crates/lagoon-net/src/steward/observe.rs
@@ -35,6 +35,7 @@
     found.map(|upstream| (upstream.name.clone(), upstream.entry.address)).collect()
 }
 
+/// Reads the load of one upstream and records it.
 async fn observe(
     context: Context,
     http: client::Client,
--- a/crates/lagoon-net/src/steward/session.rs
+++ b/crates/lagoon-net/src/steward/session.rs
@@ -23,6 +23,7 @@
 /// Delay after a failed accept, for example when no file descriptor is free.
 const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(100);
 
+/// Returns this steward's identity on links.
 pub(super) fn identity(context: &Context) -> link::Identity {
     link::Identity {
         sender: context.settings.host.to_string(),
@@ -82,6 +83,7 @@
     }
 }
 
+/// Moves messages in both directions until the connection fails or the core removes the link.
 async fn exchange(
     context: &Context,
     mut channel: link::Channel,
--- a/crates/lagoon-net/src/steward/zones.rs
+++ b/crates/lagoon-net/src/steward/zones.rs
@@ -41,6 +41,7 @@
     future::join_all(calls).await
 }
 
+/// Returns the reconciling steward of each zone.
 fn reconcilers(context: &Context) -> Vec<(id::Zone, net::SocketAddr)> {
     let core = context.core.borrow();
     let zones: collections::BTreeSet<_> = core.group.live().map(|member| &member.zone).collect();
@@ -77,6 +78,7 @@
     ordered.collect()
 }
 
+/// Sends `call` to the given stewards of a zone in turn, until one replies.
 async fn call_any(
     context: &Context,
     zone: id::Zone,
@@ -92,6 +94,7 @@
     ZoneReply { zone, text: None }
 }
 
+/// Sends `call` to one steward; `None` if the call fails.
 async fn call_steward(
     context: &Context,
     address: net::SocketAddr,
--- a/crates/lagoon-net/src/wire/codec.rs
+++ b/crates/lagoon-net/src/wire/codec.rs
@@ -89,6 +89,7 @@
         self.own_nonce.clone()
     }
 
+    /// Stores the peer's nonce when the frame is part of the handshake.
     fn learn_nonce(&mut self, frame: &message::Frame) {
         match &frame.body {
             Some(message::Body::Challenge(challenge)) => {
@@ -99,6 +100,8 @@
         }
     }
 
+    /// Rejects a frame that is not the next of this connection. The challenge comes first, when the
+    /// peer does not know the nonce yet.
     fn check_order(&mut self, frame: &message::Frame) -> Result<(), Error> {
         let first = matches!(frame.body, Some(message::Body::Challenge(_)));
         let fits = if first { self.received == 0 } else { frame.nonce == self.own_nonce };
