--- a/crates/lagoon-net/src/platform/client.rs
+++ b/crates/lagoon-net/src/platform/client.rs
@@ -100,6 +100,7 @@
 pub struct Client {
     http: client::Client,
     limits: sync::Arc<Limits>,
+    /// Address of the platform, for URLs and errors.
     peer: String,
     zone: String,
 }
@@ -112,6 +113,7 @@
 
 /// Parameters of a call.
 pub(super) struct Call<'a> {
+    /// Name of the operation, for errors.
     pub(super) step: &'static str,
     pub(super) kind: Kind,
     pub(super) method: http::Method,
