--- a/crates/lagoonline/src/load/admit.rs
+++ b/crates/lagoonline/src/load/admit.rs
@@ -57,7 +57,8 @@
     Ok(())
 }
 
-/// A refusal of a request that was not sent anywhere, with a Retry-After of about `seconds`.
+/// A refusal of a request that was not sent anywhere, with a Retry-After of about `seconds`, which
+/// is clamped to 1 to 60 s; 1 if nothing is predicted.
 pub fn refusal(reason: outcome::Reason, seconds: f64, random: u64) -> outcome::Failure {
     let spread = 1.0 + RETRY_AFTER_SPREAD * (random % 1_024) as f64 / 1_024.0;
     let seconds =
--- a/crates/lagoonline/src/load/baseline.rs
+++ b/crates/lagoonline/src/load/baseline.rs
@@ -5,13 +5,13 @@
 use crate::load::settings;
 use crate::load::upstream;
 
-/// The upstream that a baseline policy chooses; `turn` counts its choices and `random` is a random
-/// number.
+/// The upstream that a baseline policy chooses; `counter` grows as requests are queued or
+/// dispatched, and `random` is a random number.
 pub(crate) fn choose(
     policy: settings::Policy,
     now: clock::Moment,
     upstreams: &[upstream::Upstream],
-    turn: u64,
+    counter: u64,
     random: u64,
 ) -> Option<usize> {
     let free = |index: &usize| {
@@ -23,7 +23,7 @@
     let requests = |index: &usize| upstreams[*index].requests;
     match policy {
         settings::Policy::RoundRobin => {
-            let start = (turn % count as u64) as usize;
+            let start = (counter % count as u64) as usize;
             (0..upstreams.len()).map(|step| (start + step) % count).find(free)
         }
         settings::Policy::TwoChoices => {
--- a/crates/lagoonline/src/load/clear.rs
+++ b/crates/lagoonline/src/load/clear.rs
@@ -3,12 +3,13 @@
 //! Load pattern: long prompts mixed with short ones. Even with priorities, a short prompt on an
 //! engine that prefills a long one waits for the current chunk, and its tokens come between chunks.
 //! Engines without long prompts avoid that. Their share is what the long prompts' fraction of the
-//! prefill work leaves, scaled by the owners' weights. It changes by one engine at most every five
-//! seconds, and only if it is off by at least three quarters of one: long prompts stay for tens of
-//! seconds, so an engine that changes sides at every burst serves neither kind well.
+//! prefill work leaves, scaled by the weights in the teams' policies. It changes by one engine at
+//! most every five seconds, and only if it is off by at least three quarters of one: long prompts
+//! stay for tens of seconds, so an engine that is kept clear and opened again at every burst serves
+//! neither kind well.
 //!
-//! In runs of 300 s short prompts are no slower without engines kept clear (p95 315 ms, with them
-//! 341).
+//! In runs of 300 s there is no gain: the p95 of short prompts is 315 ms without engines kept clear
+//! and 341 ms with them.
 
 use crate::clock;
 use crate::control::document;
@@ -25,9 +26,9 @@
 /// serve the short prompts that don't fit on the clear ones.
 const LONG_WORK_FACTOR: f64 = 3.0;
 
-/// Number of engines kept clear, and the observed mix of prompts.
+/// The observed mix of prompts by length class, and the number of engines kept clear because of it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ClearShare {
+pub struct PromptMix {
     /// Decayed prefill work in tokens by length class, as of `updated_at`.
     work: [f64; 4],
     updated_at: clock::Moment,
@@ -37,7 +38,7 @@
     last_change: clock::Moment,
 }
 
-impl ClearShare {
+impl PromptMix {
     /// Records the arrival of a prompt of this class and length.
     pub fn record_arrival(&mut self, now: clock::Moment, class: document::Class, tokens: u64) {
         let decay = (-now.since(self.updated_at).as_secs_f64() / HALF_LIFE_SECONDS).exp2();
@@ -49,16 +50,16 @@
     }
 
     /// Fraction of the prefill work that comes from prompts of this class and shorter ones.
-    pub fn up_to(&self, class: document::Class) -> f64 {
+    pub fn fraction_up_to(&self, class: document::Class) -> f64 {
         let all: f64 = self.work.iter().sum();
         let part: f64 = self.work[..=class as usize].iter().sum();
         if all > 0.0 { part / all } else { 1.0 }
     }
 
-    /// Number of engines out of `all` to keep clear now; `short_share` is the owners' weight of
+    /// Number of engines out of `all` to keep clear now; `short_share` is the teams' weight of
     /// short requests from 0 to 1.
     pub fn engines(&mut self, now: clock::Moment, all: usize, short_share: f64) -> usize {
-        let long = 1.0 - self.up_to(document::Class::Medium);
+        let long = 1.0 - self.fraction_up_to(document::Class::Medium);
         let share = (1.0 - LONG_WORK_FACTOR * long).clamp(0.0, MAX_SHARE);
         let wanted = if long > 0.0 { share * short_share } else { 0.0 };
         let wanted = wanted * all as f64;
--- a/crates/lagoonline/src/load/floor.rs
+++ b/crates/lagoonline/src/load/floor.rs
@@ -4,9 +4,10 @@
 //! long prompt would make no progress until the short load falls, and would miss its deadline.
 //! While longer prompts arrive, short ones are sent to an engine at no more than the rest of its
 //! rate. The floor is one and a half times the longer prompts' fraction of the work, so that they
-//! catch up, and a quarter at most: a million tokens at a fifth of 20,000 a second take 250 s of
-//! the usual 600 s. It applies to every engine, because a host does not know in time where the
-//! other hosts have sent their long prompts.
+//! catch up, and a quarter at most: with a floor of a fifth, an engine of 20,000 tokens a second
+//! prefills a million tokens in 250 s, which is within the usual longest deadline of 600 s. It
+//! applies to every engine, because a host does not know in time where the other hosts have sent
+//! their long prompts.
 //!
 //! Without the floor 24 medium prompts end late at 1.2 times capacity, with it none.
 
@@ -14,7 +15,8 @@
 
 /// Floor as a multiple of the longer prompts' fraction of the work.
 const FLOOR_FACTOR: f64 = 1.5;
-/// Lowest and highest floor; the lowest applies to predictions while few longer prompts arrive.
+/// Lowest and highest floor. While no longer prompts arrive, nothing is reserved, and the lowest
+/// floor only serves to predict how fast the next longer prompt would be prefilled.
 const FLOOR_BOUNDS: (f64, f64) = (0.05, 0.25);
 
 /// Fraction of an engine's rate reserved for longer prompts, by their fraction of the work.
@@ -24,8 +26,8 @@
 /// assert_eq!(floor::share(0.0), 0.05);
 /// assert_eq!(floor::share(0.5), 0.25);
 /// ```
-pub fn share(longer: f64) -> f64 {
-    (FLOOR_FACTOR * longer).clamp(FLOOR_BOUNDS.0, FLOOR_BOUNDS.1)
+pub fn share(longer_fraction: f64) -> f64 {
+    (FLOOR_FACTOR * longer_fraction).clamp(FLOOR_BOUNDS.0, FLOOR_BOUNDS.1)
 }
 
 /// Factor by which one host may exceed its even share of the rest, because hosts are not equally
--- a/crates/lagoonline/src/load/limit.rs
+++ b/crates/lagoonline/src/load/limit.rs
@@ -2,10 +2,10 @@
 //! path.
 //!
 //! Load pattern: a customer sends far more than its limit, through all hosts at once. If each host
-//! enforced the limit separately, it would be granted once per host; a shared counter would put the
-//! platform on the request path. Instead each host fills its token bucket at the rate of the whole
-//! zone and subtracts what the other hosts report as admitted. A host that is the only one to serve
-//! a customer can thus use the whole limit, and no shares have to be agreed.
+//! enforced the limit separately, it would be granted once per host; a shared counter would need a
+//! call to the platform's store on the request path. Instead each host fills its token bucket at
+//! the rate of the whole zone and subtracts what the other hosts report as admitted. A host that is
+//! the only one to serve a customer can thus use the whole limit, and no shares have to be agreed.
 //!
 //! Error bound: a host admits requests only while its bucket is above zero, and learns of the use
 //! at other hosts after a lag of at most D. In any time t the zone therefore admits at most
@@ -25,12 +25,13 @@
 use crate::load::admit;
 use crate::outcome;
 
-/// Burst size, as time at the limit's rate: two bursts of a page that sends its requests together.
+/// Burst size, as time at the limit's rate: room for two bursts of a web page that sends its
+/// requests together.
 const BURST_SECONDS: f64 = 2.0;
 /// Time without reports after which a host falls back to its share of the rate.
 const REPORT_TIMEOUT: clock::Span = clock::Span::from_secs(3);
-/// Largest debt, as time at the limit's rate, so that a late report that arrives all at once does
-/// not lock a customer out for long.
+/// Largest debt, as time at the limit's rate, so that delayed reports that arrive together do not
+/// lock a customer out for long.
 const MAX_DEBT_SECONDS: f64 = 10.0;
 
 /// A customer's limits within one zone.
--- a/crates/lagoonline/src/load/mod.rs
+++ b/crates/lagoonline/src/load/mod.rs
@@ -1,8 +1,9 @@
 //! Load management: admission, queueing, refusal and routing of requests.
 //!
-//! There are two independent decision makers. [`Scheduler`] decides for one model at one entry
-//! host; its upstreams report their load. [`placement`] decides for one service whose engines
-//! publish a performance [`profile`]; its hosts tell each other what they have in flight.
+//! There are two independent decision makers. [`Scheduler`], used by the entry host of
+//! `lagoon-net`, decides for one model at one entry host; its upstreams report their load.
+//! [`placement`], used by `lagoon-gateway`, decides for one service whose engines publish a
+//! performance [`profile`]; its hosts tell each other what they have in flight.
 //!
 //! A request to the [`Scheduler`] passes [`admit`] according to the [`predict`]ions, the queue
 //! ([`fair`] within length classes), the routing (by each upstream's [`slowness`], [`ramp`],
--- a/crates/lagoonline/src/load/outlier.rs
+++ b/crates/lagoonline/src/load/outlier.rs
@@ -1,4 +1,5 @@
-//! Circuit breaker for failing upstreams, with a limit on how many are out at once.
+//! Outlier ejection: a circuit breaker for failing upstreams, with a limit on how many are out at
+//! once.
 //!
 //! Load pattern: an engine crashes or returns errors quickly; its outstanding count is always low,
 //! so every least-loaded choice prefers it and it attracts the load. Three failures in a row open
@@ -94,6 +95,7 @@
         if !remote && (self.failures < MAX_FAILURES || capped) {
             return;
         }
+        // Five doublings are past the longest time; more would only risk an overflow of the shift.
         let seconds = (FIRST_OPEN_SECONDS << self.open_count.min(5)).min(MAX_OPEN_SECONDS);
         self.open_count += 1;
         self.circuit = Circuit::Open(now + clock::Span::from_secs(seconds));
--- a/crates/lagoonline/src/load/placement/engine.rs
+++ b/crates/lagoonline/src/load/placement/engine.rs
@@ -1,4 +1,5 @@
-//! State of one upstream, as far as this host knows what is in flight on it.
+//! State of one upstream, which is a model engine or a replica of a plain service, as far as this
+//! host knows what is in flight on it.
 
 use super::{Dispatch, DispatchId};
 use crate::clock;
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Its entry in the routing table.
+    /// Its registration.
     pub fn entry(&self) -> &routing::Registration {
         &self.entry
     }
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Whether it currently decodes the answer of `work`.
+    /// Whether it currently decodes the answer of `dispatch`.
     pub(super) fn is_decoding(&self, dispatch: DispatchId) -> bool {
         self.parts.iter().any(|part| part.dispatch == dispatch && part.stage == Stage::Decode)
     }
@@ -256,8 +257,9 @@
         let mut budget = span * queued_ms / (queued_ms + self.pass_ms());
         // Parts of prompts that other engines answer are prefilled ahead of the engine's own
         // prompts.
-        let (helped, own) = self.parts.iter_mut().partition::<Vec<_>, _>(|part| !part.is_primary);
-        for part in helped.into_iter().chain(own) {
+        let (helper_parts, own) =
+            self.parts.iter_mut().partition::<Vec<_>, _>(|part| !part.is_primary);
+        for part in helper_parts.into_iter().chain(own) {
             if let Stage::Prefill(left) = &mut part.stage {
                 let done = left.min(budget);
                 *left -= done;
@@ -275,8 +277,8 @@
     /// Milliseconds until the prefill of a part for another engine would start; such parts go ahead
     /// of the engine's own prompts.
     pub(super) fn helper_wait_ms(&self) -> f64 {
-        let helped = self.parts.iter().filter(|part| !part.is_primary);
-        helped.map(Part::remaining_ms).sum::<f64>() + self.pass_ms() / 2.0
+        let helper_parts = self.parts.iter().filter(|part| !part.is_primary);
+        helper_parts.map(Part::remaining_ms).sum::<f64>() + self.pass_ms() / 2.0
     }
 
     /// Number of the engine's own prompts that are still in prefill; each is delayed by a part that
@@ -344,7 +346,7 @@
 
     /// KV tokens of each request in decode whose gap limit would be exceeded because of an added
     /// prefill of `prefill_ms`; requests that are late already are left out.
-    pub(super) fn newly_late(&self, prefill_ms: f64) -> impl Iterator<Item = u64> {
+    pub(super) fn newly_late_tokens(&self, prefill_ms: f64) -> impl Iterator<Item = u64> {
         let before = self.pass_ms() + self.queued_prefill_ms();
         let after = before + prefill_ms;
         let parts = self.parts.iter().filter(|part| part.stage == Stage::Decode);
--- a/crates/lagoonline/src/load/placement/mod.rs
+++ b/crates/lagoonline/src/load/placement/mod.rs
@@ -94,13 +94,14 @@
     pub prompt_tokens: u64,
     /// Most tokens that the answer may have.
     pub answer_tokens: u64,
-    /// Time left until the first event would be late.
+    /// Time left until the first event, which is the first token of a model's answer, would be
+    /// late.
     pub target: clock::Span,
     /// Longest pause between two events of the answer that still meets the objective.
     pub max_gap: clock::Span,
     /// How long it has waited at this host.
     pub waited: clock::Span,
-    /// Identifies the request while it waits.
+    /// Identifies the request while it waits; taken from the same sequence as dispatches.
     pub waiter: DispatchId,
     /// Zone of this host.
     pub zone: &'a id::Zone,
@@ -354,15 +355,15 @@
         }
     }
 
-    /// Records that the engine `first` could not reach `helper`, which was to prefill a part of a
+    /// Records that the engine `primary` could not reach `helper`, which was to prefill a part of a
     /// prompt.
     pub fn record_helper_failure(
         &mut self,
-        first: &id::Upstream,
+        primary: &id::Upstream,
         helper: &id::Upstream,
         now: clock::Moment,
     ) {
-        let from = self.upstreams.get(first).map(|engine| engine.entry().zone.clone());
+        let from = self.upstreams.get(primary).map(|engine| engine.entry().zone.clone());
         let span = self.settings.suspect_span;
         if let (Some(from), Some(engine)) = (from, self.upstreams.get_mut(helper)) {
             engine.record_failure(now, span);
@@ -376,7 +377,7 @@
         entries.find(|entry| entry.address == address).map(|entry| &entry.upstream)
     }
 
-    /// The routing entry of the upstream with this name.
+    /// The registration of the upstream with this name.
     pub fn entry(&self, name: &str) -> Option<&routing::Registration> {
         self.upstreams.get(name).map(Engine::entry)
     }
@@ -400,7 +401,7 @@
         }
     }
 
-    /// The routing entries of the model engines, which are the upstreams with a performance
+    /// The registrations of the model engines, which are the upstreams with a performance
     /// profile.
     pub fn engines(&self) -> impl Iterator<Item = &routing::Registration> {
         let engines = self.upstreams.values().filter(|engine| engine.profile().is_some());
@@ -514,10 +515,10 @@
 
     /// Upstreams that may be used: those that look healthy, or all if none does.
     fn usable(&self, request: &Request<'_>, now: clock::Moment) -> Vec<&Engine> {
-        let offered = |engine: &&Engine| {
+        let eligible = |engine: &&Engine| {
             !engine.entry().leaving && !request.avoid.contains(&engine.entry().upstream)
         };
-        let all: Vec<&Engine> = self.upstreams.values().filter(offered).collect();
+        let all: Vec<&Engine> = self.upstreams.values().filter(eligible).collect();
         let healthy = |engine: &&Engine| {
             let partitioned = self.partitions.is_partitioned(&self.zone, &engine.entry().zone, now);
             !engine.is_avoided(now) && !partitioned && !engine.is_slow(now)
@@ -556,10 +557,11 @@
     }
 }
 
-/// Failure rate above which an upstream counts as failing: twice the rate at which healthy services
-/// fail.
+/// Failure rate above which an upstream counts as failing: twice the rate at which services fail in
+/// normal operation.
 const FAILING_RATE: f64 = 0.3;
-/// Penalty for a replica in another zone, in thousandths of its slots: as if two of six were taken.
+/// Penalty for a replica in another zone, in thousandths of its slots: about as if two of six were
+/// taken.
 const REMOTE_PENALTY: u64 = 300;
 /// Penalty for a failure rate of one, in thousandths of a replica's slots: as if twice overloaded.
 const FAILURE_PENALTY: f64 = 2_000.0;
--- a/crates/lagoonline/src/load/placement/prompt.rs
+++ b/crates/lagoonline/src/load/placement/prompt.rs
@@ -5,23 +5,23 @@
 use crate::clock;
 use crate::load::profile;
 
-/// Penalty in milliseconds for a failure rate of one: more than any engine can gain elsewhere.
+/// Penalty in milliseconds for a failure rate of one: larger than any other difference in cost
+/// between engines.
 const FAILURE_PENALTY_MS: f64 = 1_500.0;
 
 /// Which engines a plan for a prompt with a loose gap limit may use, the most restrictive first.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Scope {
-    /// Engines on the request's side of the division whose answers in decode would all stay in
-    /// time.
+    /// Unreserved engines whose answers in decode would all stay in time.
     Harmless,
-    /// All engines on the request's side of the division.
-    OwnSide,
+    /// All engines that are not reserved for tight gap limits.
+    Unreserved,
     /// All engines.
     All,
 }
 
-/// The usable engines, of which the first `reserved` are reserved for answers with a tight gap
-/// limit.
+/// The usable engines. The first `reserved` are reserved for answers with a tight gap limit; the
+/// rest is for those with a loose one.
 #[derive(Clone, Copy, Debug)]
 struct Division<'a> {
     usable: &'a [&'a Engine],
@@ -89,11 +89,11 @@
         let tight = self.tight_requests(usable);
         let slots: u32 = usable.iter().map(|engine| engine.slots()).sum();
         let engines = usable.len() as f64;
-        let each = f64::from(slots) / engines.max(1.0) * self.settings.tight_share;
-        let wanted = f64::from(tight) / each.max(f64::MIN_POSITIVE);
-        let needed = self.prefill_load.engines(now) / self.settings.prefill_share;
-        let share = (engines / (wanted + needed).max(f64::MIN_POSITIVE)).min(1.0);
-        ((wanted * share).ceil() as usize).clamp(1, usable.len())
+        let tight_per_engine = f64::from(slots) / engines.max(1.0) * self.settings.tight_share;
+        let tight_engines = f64::from(tight) / tight_per_engine.max(f64::MIN_POSITIVE);
+        let loose_engines = self.prefill_load.engines(now) / self.settings.prefill_share;
+        let share = (engines / (tight_engines + loose_engines).max(f64::MIN_POSITIVE)).min(1.0);
+        ((tight_engines * share).ceil() as usize).clamp(1, usable.len())
     }
 
     /// Whether the answer has a tight gap limit.
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Places a prompt with a tight gap limit on either side of the division, wherever a slot is
-    /// free.
+    /// Places a prompt with a tight gap limit wherever a slot is free, preferably on a reserved
+    /// engine.
     fn place_tight(
         &self,
         request: &Request<'_>,
@@ -175,7 +175,7 @@
         let mut refusal = Refusal::NoUpstream;
         let free_ms = self.mean_answer_span(profile).as_secs_f64() * 1e3;
         let part_alone_ms = total_ms / part_count as f64;
-        for scope in [Scope::Harmless, Scope::OwnSide, Scope::All] {
+        for scope in [Scope::Harmless, Scope::Unreserved, Scope::All] {
             let eligible = self.eligible(division, scope, total_ms.min(part_ms));
             match self.plan(request, division, &eligible, (total_ms, part_ms), now) {
                 Ok(mut plan) => {
@@ -211,7 +211,8 @@
         }
     }
 
-    /// The refusal of a prompt with a tight gap limit when every slot of every engine is taken.
+    /// The refusal of a prompt with a tight gap limit when no slot is free, or no engine with a
+    /// free slot has the memory.
     ///
     /// Load pattern: short prompts arrive faster than engines finish their answers. If they queued
     /// in the engines, each would wait behind all earlier ones, and soon every answer would be late
@@ -233,7 +234,7 @@
     }
 
     /// Checks whether a prompt with a loose gap limit may add to the prefill backlog of the engines
-    /// on its side.
+    /// that are not reserved.
     ///
     /// Load pattern: a burst of long prompts brings more prefill than the engines can do. If all
     /// were dispatched at once, they would queue in the engines, where they cannot be reordered:
@@ -277,7 +278,7 @@
         let harmless = |index: &usize| usable[*index].late_answers(part_ms) == 0;
         match scope {
             Scope::Harmless => (reserved..usable.len()).filter(harmless).collect(),
-            Scope::OwnSide => (reserved..usable.len()).collect(),
+            Scope::Unreserved => (reserved..usable.len()).collect(),
             Scope::All => (0..usable.len()).collect(),
         }
     }
@@ -309,7 +310,7 @@
         let spillover = |index: usize| {
             if tight && index >= reserved { self.settings.spillover_penalty_ms } else { 0.0 }
         };
-        let ranked = self.rank(request, usable, candidates, |index| {
+        let by_cost = self.order_by_cost(request, usable, candidates, |index| {
             let engine = usable[index];
             let failures = engine.failure_rate(now) * FAILURE_PENALTY_MS;
             let starts_decode = !tight && engine.used_slots() == 0;
@@ -323,7 +324,7 @@
         let need = request.prompt_tokens + request.answer_tokens;
         let share = self.settings.memory_share;
         // The primary decodes the answer, so it needs the memory, or helpers that hold the excess.
-        let fitting = ranked.iter().find(|index| usable[**index].free_memory(share) >= need);
+        let fitting = by_cost.iter().find(|index| usable[**index].free_memory(share) >= need);
         let could_fit = usable.iter().any(|engine| engine.usable_memory(share) >= need);
         if fitting.is_none() && tight && could_fit {
             // An engine without a free slot may have the memory, but the answer would be late
@@ -345,7 +346,7 @@
             }
         };
         let eligible = &self.reachable(usable, eligible, primary, now);
-        for index in self.rank(request, usable, eligible, |index| {
+        for index in self.order_by_cost(request, usable, eligible, |index| {
             let engine = usable[index];
             self.helper_cost(engine, part_ms)
                 + engine.failure_rate(now) * FAILURE_PENALTY_MS
@@ -362,7 +363,7 @@
         let waits = helpers.iter().map(|(index, _)| usable[*index].helper_wait_ms());
         let wait = waits.fold(usable[primary].wait_ms(), f64::max);
         let first_token_ms = wait + part_ms + usable[primary].pass_ms();
-        let runner_up = ranked.iter().copied().find(|index| *index != primary);
+        let runner_up = by_cost.iter().copied().find(|index| *index != primary);
         Ok(Plan { primary, helpers, part_ms, first_token_ms, net_value: 0.0, runner_up })
     }
 
@@ -382,18 +383,19 @@
             _ => 0.0,
         };
         let parts = || plan.helpers.iter().map(|(index, _)| *index).chain([plan.primary]);
-        let lost = |index: usize| usable[index].newly_late(plan.part_ms).map(value).sum::<f64>();
+        let lost =
+            |index: usize| usable[index].newly_late_tokens(plan.part_ms).map(value).sum::<f64>();
         let late_value: f64 = parts().map(lost).sum();
         let tight = self.tight_requests(usable);
         let reserved_share =
             parts().filter(|index| *index < reserved).count() as f64 / reserved.max(1) as f64;
         let stall = (plan.part_ms - self.settings.tight_slack_ms).max(0.0) / 1e3;
-        let arrivals = f64::from(tight) / self.settings.tight_answer_span.as_secs_f64()
+        let arrival_loss = f64::from(tight) / self.settings.tight_answer_span.as_secs_f64()
             * reserved_share
             * stall;
         let served = 1.0 - usable[plan.primary].failure_rate(now);
         value(request.prompt_tokens) * in_time * served
-            - (late_value + arrivals) * (1.0 - LATE_VALUE)
+            - (late_value + arrival_loss) * (1.0 - LATE_VALUE)
     }
 
     /// The refusal of a prompt for which engines lack a resource.
@@ -415,7 +417,7 @@
     /// The indices `eligible` ordered by cost, with a random jitter that hides small differences.
     /// Hosts that have not yet heard of each other's decisions would otherwise all choose the same
     /// engine, and several prompts would be prefilled in one pass.
-    fn rank<Cost>(
+    fn order_by_cost<Cost>(
         &self,
         request: &Request<'_>,
         usable: &[&Engine],
--- a/crates/lagoonline/src/load/placement/settings.rs
+++ b/crates/lagoonline/src/load/placement/settings.rs
@@ -1,21 +1,21 @@
-//! Parameters of placement, each with its reason.
+//! Parameters of placement.
 
 use crate::clock;
 
-/// Parameters of placement. A field that can be set in a host's settings has the name of that
-/// setting.
+/// Parameters of placement. Where a host's settings can set a field, the name of the setting is
+/// given.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// Target prefill time of one engine's part of a prompt, in milliseconds, for prompts with a
     /// tight gap limit: the decode steps of a pass and two such parts stay below the gap limit of
-    /// short prompts.
+    /// short prompts. Setting `part_ms`.
     pub part_ms: f64,
     /// Target prefill time of a part for prompts with a loose gap limit, in milliseconds. Smaller
     /// parts involve more engines, and the first token comes only after the last of them has
-    /// finished.
+    /// finished. Setting `loose_part_ms`.
     pub loose_part_ms: f64,
-    /// Most engines that may help with one prompt: one less than the number of names that an engine
-    /// accepts, because its own reservation is listed too.
+    /// Most engines that may help with one prompt: the request to an engine lists the helpers and
+    /// the engine's own reservation, and an engine accepts one more entry than this.
     pub max_helpers: usize,
     /// Share of an engine's memory that placement may fill; the rest is for answers and for
     /// dispatches that this host has not heard of.
@@ -33,39 +33,45 @@
     /// in each.
     pub tight_gap: clock::Span,
     /// Share of the slots on the engines reserved for tight gap limits that the division plans to
-    /// fill; the rest is headroom for a burst.
+    /// fill; the rest is headroom for a burst. Setting `tight_share`.
     pub tight_share: f64,
-    /// Milliseconds by which an engine reserved for loose gap limits must be better to get a prompt
-    /// with a tight one.
+    /// Milliseconds by which an engine that is not reserved for tight gap limits must be better to
+    /// get a prompt with a tight one. Setting `stray_ms`.
     pub spillover_penalty_ms: f64,
     /// Milliseconds by which an engine without an answer in decode must be better to become the
     /// primary of a prompt with a loose gap limit. An engine runs all decode steps of a pass for
-    /// one answer as for ten, so an engine that decodes nothing prefills for others in half the
-    /// time.
+    /// one answer as for ten, and without them it prefills for others in half the time, so answers
+    /// should share few engines. Setting `reader_ms`.
     pub idle_penalty_ms: f64,
     /// Share of an engine's time planned for the prefill of prompts with a loose gap limit. With
-    /// less, short prompts lack slots; with more, the long prompts wait for each other.
+    /// less, short prompts lack slots; with more, the long prompts wait for each other. Setting
+    /// `read_share`.
     pub prefill_share: f64,
     /// Milliseconds by which the first token of a short prompt may be delayed without being late.
+    /// Setting `stall_ms`.
     pub tight_slack_ms: f64,
     /// Average duration of an answer with a tight gap limit, from which the arrival rate of short
     /// prompts is estimated by the number in flight.
     pub tight_answer_span: clock::Span,
-    /// Range in milliseconds of the random jitter between equally good choices.
+    /// Range in milliseconds of the random jitter that is added to the cost of each engine, which
+    /// hides small differences. Setting `jitter_ms`.
     pub jitter_ms: f64,
     /// Average prefill backlog per engine, in milliseconds, up to which a long prompt is
     /// dispatched: a burst of short prompts waits no longer than this and their own prefill.
+    /// Setting `backlog_ms`.
     pub backlog_ms: f64,
     /// Prefill time in milliseconds of the largest prompt to which that bound applies in full; a
-    /// larger prompt has a proportionally smaller bound, down to a quarter.
+    /// larger prompt has a proportionally smaller bound, down to a quarter. Setting
+    /// `backlog_prompt_ms`.
     pub backlog_reference_ms: f64,
-    /// Share of a prompt's waiting time by which its bound grows.
+    /// Share of a prompt's waiting time by which its bound grows. Setting `backlog_growth`.
     pub backlog_growth: f64,
-    /// Share of the time left to its first token that a short prompt may wait for a slot.
+    /// Share of the time left to its first token that a short prompt may wait for a slot. Setting
+    /// `hold_share`.
     pub slot_wait_share: f64,
     /// Longest time that a prompt waits for a smaller prefill backlog.
     pub max_wait: clock::Span,
-    /// Milliseconds of delay that one answer made late is worth.
+    /// Milliseconds of delay that count as much as one answer made late. Setting `harm_ms`.
     pub lateness_cost_ms: f64,
     /// How long an upstream that failed without a response is avoided.
     pub suspect_span: clock::Span,
--- a/crates/lagoonline/src/load/predict.rs
+++ b/crates/lagoonline/src/load/predict.rs
@@ -9,8 +9,9 @@
 //! Before the first answer nothing is known about either, and an answer is predicted to take no
 //! time. If it were predicted to have all the tokens it may have at a usual speed, every call that
 //! allows a long answer would be refused even by an idle engine, and no answer would ever correct
-//! the prediction. The excess that is admitted until then is bounded by the slots: the first
-//! answers end before those of the requests that waited for a slot.
+//! the prediction. Until then too many requests may be admitted, but the slots bound the damage:
+//! the first answers end, and correct the prediction, before a request that waited for a slot is
+//! dispatched.
 
 use crate::clock;
 
--- a/crates/lagoonline/src/load/prefix.rs
+++ b/crates/lagoonline/src/load/prefix.rs
@@ -45,6 +45,8 @@
             |old: &Option<Location>| old.is_some_and(|old| old.engine == location.engine);
         let known = locations.iter().position(same_engine);
         let index = known.or_else(|| locations.iter().position(Option::is_none));
+        // If all are taken, the engine's number selects the one to overwrite, so no use is
+        // recorded.
         locations[index.unwrap_or(location.engine as usize % MAX_LOCATIONS)] = Some(location);
     }
 
--- a/crates/lagoonline/src/load/profile.rs
+++ b/crates/lagoonline/src/load/profile.rs
@@ -33,11 +33,12 @@
     pub prefill_per_ms: f64,
     /// Milliseconds of attention per million pairs of a prompt token and an earlier one.
     pub pairs_ms_per_m: f64,
-    /// Most prompt tokens prefilled in one step.
+    /// Most prompt tokens prefilled in one step. Not used by placement.
     pub chunk: u32,
-    /// Age of a load report, in milliseconds.
+    /// Age of a load report, in milliseconds. Not used by placement.
     pub report_lag_ms: f64,
-    /// Extra milliseconds of a step for a request that several engines prefilled.
+    /// Extra milliseconds of a step for a request that several engines prefilled, for the network
+    /// hop between them. Not used by placement.
     pub hop_ms: f64,
     /// Mean prompt length in tokens.
     pub mean_prompt: u64,
--- a/crates/lagoonline/src/load/queue.rs
+++ b/crates/lagoonline/src/load/queue.rs
@@ -3,9 +3,9 @@
 //!
 //! Load pattern: a burst, or more load than capacity. The queue is bounded in requests and in bytes
 //! (a small host has little memory), and each waiter in time (its `expiry`); a caller that leaves
-//! frees its place at once. When the queue is full, the customer with the most waiters loses its
-//! last one to a new request of a customer with fewer; otherwise one customer's burst would fill
-//! the queue and lock out the others.
+//! frees its place at once. When the queue is full, the customer with the longest queue loses its
+//! last request to a new request of a customer with less than half as many; otherwise one
+//! customer's burst would fill the queue and lock out the others.
 //!
 //! The p95 of short prompts beside long ones is 2,609 ms without priorities by length, 341 with
 //! them.
@@ -169,8 +169,8 @@
         Some(item)
     }
 
-    /// Tokens by band that are dispatched before the last token of a new request, by rank and fair
-    /// share.
+    /// Tokens by band ahead of a new request: everything in earlier bands, and in its own band what
+    /// is served before it by fair share.
     pub fn tokens_before(&self, band: usize, request: &scheduler::Request) -> [u64; BANDS] {
         let mut before = [0; BANDS];
         for (tokens, band) in before.iter_mut().zip(&self.bands[..band]) {
@@ -194,8 +194,8 @@
         active_customers * active_teams * (own + cost(request))
     }
 
-    /// The last waiter of the customer with the most waiters, if these are more than twice as many
-    /// as the asking customer has.
+    /// The last waiter of the longest customer queue in any band, if that has more than twice as
+    /// many requests as the asking customer has in all bands, including the new one.
     pub fn displaced_by(&self, request: &scheduler::Request) -> Option<scheduler::Waiter> {
         if !self.fair {
             return None;
--- a/crates/lagoonline/src/load/retry.rs
+++ b/crates/lagoonline/src/load/retry.rs
@@ -5,7 +5,8 @@
 //! the overload feeds itself. A tenth of first attempts is enough for one engine in ten to fail
 //! with all its work; the burst of ten allows retries at a host with little traffic.
 //!
-//! No load scenario exhausts the budget, because failing upstreams are avoided at once.
+//! The load scenarios of `lagoon-load` do not exhaust the budget, because failing upstreams are
+//! avoided at once.
 
 /// Retries added per first attempt unless [`Budget::set_ratio`] changes it.
 const DEFAULT_RATIO: f64 = 0.1;
@@ -27,17 +28,20 @@
     }
 }
 
-/// Fraction of the slack shared by all hosts that their bursts may use together: the rest is for
-/// hosts that join and leave.
+/// Fraction of the slack that the bursts of all hosts may use together: the rest is for hosts that
+/// join and leave. The slack is the number of retries that all hosts together may make beyond the
+/// allowed ratio.
 const SLACK_SHARE: f64 = 0.6;
-/// Fraction of the allowed retries per request that first attempts add: first attempts that reach
-/// no upstream add to the budget too, and starting hosts bring a burst of their own.
+/// Fraction of the allowed ratio that each first attempt adds. It is below one because first
+/// attempts that reach no upstream add to the budget too, and because starting hosts bring a burst
+/// of their own.
 const RATIO_SHARE: f64 = 0.75;
 /// Smallest burst: with less, a host with little traffic could never retry.
 const MIN_BURST: f64 = 1.0;
 
 impl Budget {
-    /// Limits the burst so that the bursts of `hosts` hosts together stay within `slack`.
+    /// Limits the burst so that the bursts of `hosts` hosts together stay within `slack`, the
+    /// retries that they may make together beyond the allowed ratio.
     ///
     /// Load pattern: many upstreams fail together in a fleet of hundreds of hosts, each of which
     /// may retry a few requests at once. If each used its full burst, together they would exceed by
@@ -54,7 +58,8 @@
         self.available = self.available.min(self.burst);
     }
 
-    /// Allows `ratio` retries per request of all hosts.
+    /// Sets the retries added per first attempt so that those of all hosts stay within `ratio` per
+    /// request.
     ///
     /// ```
     /// let mut budget = lagoonline::load::retry::Budget::default();
--- a/crates/lagoonline/src/load/route.rs
+++ b/crates/lagoonline/src/load/route.rs
@@ -42,7 +42,8 @@
 const MAX_REMOTE_SCANNED: usize = 64;
 /// Weight of what this host has sent beyond its share.
 const IMBALANCE_WEIGHT: f64 = 2.0;
-/// Random pairs that are tried before all upstreams are examined.
+/// Pairs of random draws. The first two suitable upstreams among all draws are compared; if none is
+/// suitable, all upstreams are examined.
 const RANDOM_PAIRS: usize = 2;
 
 /// Resources that a request needs.
@@ -56,7 +57,8 @@
     pub tokens: u64,
     /// KV memory for prompt and answer, in tokens.
     pub kv: u64,
-    /// Engines by number, with the tokens of this prompt that they have cached.
+    /// Engines by number, with the tokens of this prompt that they have cached; (0, 0) for an
+    /// unused entry, as numbers start at 1.
     pub hits: [(u32, u64); 4],
 }
 
@@ -101,7 +103,8 @@
     pub min_zone_delay: f64,
     /// Number of local upstreams kept clear of long prompts.
     pub clear_count: usize,
-    /// Whether the request has waited long enough to be ranked one class earlier.
+    /// Whether the request has moved up in the queue because of its age; a medium prompt may then
+    /// fill more of the bound on long prefill.
     pub aged: bool,
     /// Share of an engine's rate that short prompts may use; 1 while no longer ones arrive.
     pub short_rate_share: f64,
--- a/crates/lagoonline/src/load/scheduler/admission.rs
+++ b/crates/lagoonline/src/load/scheduler/admission.rs
@@ -45,6 +45,7 @@
         let random = self.next_random();
         let survey = self.router(now).survey(&need, random);
         if need.kv > self.group_kv {
+            // The longest Retry-After: it takes another fleet to hold this prompt.
             return Err(admit::refusal(outcome::Reason::TooLong, 60.0, random));
         }
         if !self.settings.safeguards.admit {
@@ -62,9 +63,9 @@
         let longest = self.settings.longest_wait[need.class as usize];
         let fraction = admit_fraction(&need);
         admit::check(prediction, longest.mul_f64(fraction), left, random)?;
-        let engine = prediction.first_token + prediction.answer;
-        let engine = engine.min(left.as_secs_f64() * ENGINE_FRACTION);
-        let spare = left.saturating_sub(clock::Span::from_secs_f64(engine));
+        let engine_seconds = prediction.first_token + prediction.answer;
+        let engine_seconds = engine_seconds.min(left.as_secs_f64() * ENGINE_FRACTION);
+        let spare = left.saturating_sub(clock::Span::from_secs_f64(engine_seconds));
         Ok(now + spare)
     }
 
--- a/crates/lagoonline/src/load/scheduler/fleet.rs
+++ b/crates/lagoonline/src/load/scheduler/fleet.rs
@@ -1,4 +1,5 @@
-//! Updates of the scheduler's view of upstreams: fleet changes, load reports, drain marks.
+//! Updates of the scheduler's view of upstreams: fleet changes, load reports, marks of leaving
+//! upstreams.
 
 use std::collections;
 use std::mem;
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Resets the token estimate to the model's configured one if its owner has changed that.
+    /// Resets the token estimate to the model's configured one if the document has changed it.
     fn reset_ratio(&mut self, fleet: &view::Fleet, model: &id::Model) {
         let Some(model) = fleet.models.get(model) else { return };
         if model.bytes_per_token.to_bits() != self.configured_ratio.to_bits() {
--- a/crates/lagoonline/src/load/scheduler/mod.rs
+++ b/crates/lagoonline/src/load/scheduler/mod.rs
@@ -23,7 +23,7 @@
 mod place;
 
 /// Prefixes of one prompt that are recorded: shared ones are at its start.
-const MAX_PREFIXES: usize = 256;
+const MAX_PROMPT_PREFIXES: usize = 256;
 /// Interval between polls while something waits: capacity freed by other hosts' work causes no call
 /// here.
 const POLL_INTERVAL: clock::Span = clock::Span::from_millis(5);
@@ -83,7 +83,7 @@
     pub token_silence: clock::Span,
 }
 
-/// The decision on a request.
+/// The decision on a request that was just offered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// Send the request now.
@@ -94,7 +94,7 @@
     Refuse(outcome::Failure),
 }
 
-/// The decision on a waiting request.
+/// The decision that ends the wait of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Wake {
     /// Send the request now.
@@ -152,7 +152,7 @@
     displaced: Vec<Wake>,
     in_flight: collections::HashMap<Ticket, InFlight>,
     budget: retry::Budget,
-    clear_share: clear::ClearShare,
+    prompt_mix: clear::PromptMix,
     /// Recent use of customers, by length class.
     usage: [usage::Usage; 4],
     /// Prefill that other hosts typically have outstanding on one engine, in tokens.
@@ -202,7 +202,7 @@
     /// Requests a placement for a new request.
     pub fn offer(&mut self, now: clock::Moment, request: Request) -> Verdict {
         self.budget.record_first_attempt();
-        self.clear_share.record_arrival(now, class(&request), request.prompt_tokens);
+        self.prompt_mix.record_arrival(now, class(&request), request.prompt_tokens);
         let cost = queue::cost(&request);
         self.usage[class(&request) as usize].record(now, &request.customer, request.weight, cost);
         self.place_or_queue(now, request)
@@ -245,7 +245,7 @@
             upstream.remove_prefill(now, part.prefill);
             upstream.slowness.record_first_token(now, ticket);
             let location = prefix::Location { engine: upstream.number, epoch: upstream.epoch };
-            for (hash, _) in dispatched.prefixes.iter().take(MAX_PREFIXES) {
+            for (hash, _) in dispatched.prefixes.iter().take(MAX_PROMPT_PREFIXES) {
                 self.prefixes.insert(*hash, location);
             }
         }
@@ -287,9 +287,9 @@
             self.forecast.record_answer(answer_tokens, dispatched.answer_tokens, took);
         }
         let failed = matches!(ending, Ending::Failed | Ending::Silent);
-        let out = if failed { self.unavailable_count() } else { 0 };
+        let out = if failed { self.out_count() } else { 0 };
         let all = self.upstreams.len();
-        for (place, part) in dispatched.parts.iter().enumerate() {
+        for (position, part) in dispatched.parts.iter().enumerate() {
             let Some(&index) = self.index.get(&part.upstream) else { continue };
             let upstream = &mut self.upstreams[index];
             upstream.record_end(now, part.kv);
@@ -300,14 +300,14 @@
                 upstream.slowness.record_silence(now, ticket);
             }
             upstream.slowness.record_end(ticket);
-            if place == 0 {
+            if position == 0 {
                 update_health(upstream, now, ending, out, all);
             }
         }
     }
 
     /// Number of upstreams whose circuit is not closed.
-    fn unavailable_count(&self) -> usize {
+    fn out_count(&self) -> usize {
         self.upstreams.iter().filter(|upstream| upstream.health.is_out()).count()
     }
 
--- a/crates/lagoonline/src/load/scheduler/place.rs
+++ b/crates/lagoonline/src/load/scheduler/place.rs
@@ -18,12 +18,14 @@
 const PRIORITY: [u8; 4] = [208, 160, 96, 64];
 /// Priority of every request if the priority safeguard is off.
 const DEFAULT_PRIORITY: u8 = 128;
-/// Priority bonus of a request that has aged in the queue of this host.
+/// Priority bonus of a request that has aged in the queue of this host; less than the distance
+/// between two classes.
 const AGED_BONUS: u8 = 24;
 /// A waiter moves up by one class each time it has waited this fraction of its longest wait.
 const AGEING_DIVISOR: u32 = 4;
 
-/// Weight of a long prompt's delay relative to a short one's if only first tokens count.
+/// Weight of a long prompt's delay relative to a short one's, if the teams' weights count nothing
+/// but first tokens.
 const LONG_WEIGHT: f64 = 8.0;
 
 impl scheduler::Scheduler {
@@ -131,7 +133,7 @@
         class: document::Class,
         request: &scheduler::Request,
     ) -> bool {
-        self.usage[class as usize].is_over(now, &request.customer, queue::cost(request))
+        self.usage[class as usize].is_over_share(now, &request.customer, queue::cost(request))
     }
 
     /// Bands in order of urgency, which is the band less the steps that its first waiter has moved
@@ -167,8 +169,8 @@
         } else if full_policy {
             router.choose(&need, random)?
         } else {
-            let (policy, turn) = (self.settings.policy, self.last_id);
-            let index = baseline::choose(policy, now, &self.upstreams, turn, random)?;
+            let (policy, counter) = (self.settings.policy, self.last_id);
+            let index = baseline::choose(policy, now, &self.upstreams, counter, random)?;
             let upstream = &self.upstreams[index];
             // Without a prediction a long prompt would be abandoned as silent.
             let seconds = router.seconds(upstream, &need, upstream.rate(now));
@@ -185,7 +187,7 @@
 
     /// Share of an engine's rate that a request is guaranteed: for longer prompts only the floor.
     pub(super) fn guaranteed_rate_share(&self, need: &route::Need) -> f64 {
-        let longer = 1.0 - self.clear_share.up_to(document::Class::Short);
+        let longer = 1.0 - self.prompt_mix.fraction_up_to(document::Class::Short);
         if need.rank == document::Class::Short { 1.0 } else { floor::share(longer) }
     }
 
@@ -330,12 +332,12 @@
         if !self.settings.safeguards.clear {
             return 0;
         }
-        self.clear_share.engines(now, self.local_count, self.weights.short_share())
+        self.prompt_mix.engines(now, self.local_count, self.weights.short_share())
     }
 
     /// Share of an engine's rate that short prompts may use.
     fn short_rate_share(&self) -> f64 {
-        let longer = 1.0 - self.clear_share.up_to(document::Class::Short);
+        let longer = 1.0 - self.prompt_mix.fraction_up_to(document::Class::Short);
         let floor = self.settings.safeguards.floor && longer > 0.0;
         if floor { 1.0 - floor::share(longer) } else { 1.0 }
     }
@@ -374,12 +376,12 @@
     /// shorter ones, so the longest known one is found by binary search.
     fn prefix_hits(&self, prefixes: &[(u64, u64)]) -> [(u32, u64); 4] {
         let mut hits = [(0, 0); 4];
-        let known = &prefixes[..prefixes.len().min(scheduler::MAX_PREFIXES)];
+        let recorded = &prefixes[..prefixes.len().min(scheduler::MAX_PROMPT_PREFIXES)];
         let holds = |(hash, _): &(u64, u64)| {
             self.prefixes.holders(*hash).iter().flatten().any(|location| self.is_current(location))
         };
-        let length = known.partition_point(holds);
-        let Some((hash, tokens)) = length.checked_sub(1).map(|index| known[index]) else {
+        let length = recorded.partition_point(holds);
+        let Some((hash, tokens)) = length.checked_sub(1).map(|index| recorded[index]) else {
             return hits;
         };
         let locations = self.prefixes.holders(hash);
--- a/crates/lagoonline/src/load/schedulers.rs
+++ b/crates/lagoonline/src/load/schedulers.rs
@@ -1,4 +1,4 @@
-//! The schedulers of all models.
+//! The schedulers of all models, one for each.
 
 use std::collections;
 use std::sync;
--- a/crates/lagoonline/src/load/settings.rs
+++ b/crates/lagoonline/src/load/settings.rs
@@ -7,7 +7,7 @@
 /// How requests are ordered and placed.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Policy {
-    /// All safeguards of this folder.
+    /// All safeguards of [`crate::load`].
     #[default]
     Full,
     /// Baseline: upstreams in turn, one first-come queue.
@@ -115,7 +115,7 @@
     }
 }
 
-/// Weights set by the owners; see [`document::Policy`].
+/// Relative importance of the objectives; teams set it in their policies, see [`document::Policy`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
     /// Weight of the time to first token, by length class.
@@ -164,7 +164,7 @@
     pub choice: Choice,
     /// Safeguards of the full policy.
     pub safeguards: Safeguards,
-    /// Weights set by the owners; none for the mean of the fleet's team policies.
+    /// Relative importance of the objectives; none for the mean of the fleet's team policies.
     pub weights: Option<Weights>,
     /// Longest wait at this host, by length class: after it a refusal with a Retry-After serves the
     /// caller better.
--- a/crates/lagoonline/src/load/silence.rs
+++ b/crates/lagoonline/src/load/silence.rs
@@ -1,8 +1,8 @@
 //! How long an upstream may be silent before a request is better off on another one.
 //!
 //! Load pattern: an engine accepts connections and then sends nothing, because its process is
-//! frozen or its link drops the responses. No connection breaks, so without a bound each request on it
-//! is held until its deadline while other engines are idle, and callers see timeouts although no
+//! frozen or its link drops the responses. No connection breaks, so without a bound each request on
+//! it is held until its deadline while other engines are idle, and callers see timeouts although no
 //! error is recorded. The bound is derived from the prediction: four times the predicted time to
 //! the first token covers the slowness that has not been learned yet, and the additional two
 //! seconds are four times the first-token objective, so an engine that is merely busy is not
--- a/crates/lagoonline/src/load/slowdown.rs
+++ b/crates/lagoonline/src/load/slowdown.rs
@@ -3,14 +3,14 @@
 //! Load pattern: long prompts mixed with short ones. Without a metric for it, operators see that
 //! first tokens of short prompts got slower, but cannot distinguish longer prompts from slower
 //! links. The time on an idle engine is the prefill at the engine's rate plus an overhead of links
-//! and batching that is the same for all prompts; the smallest recent overhead is used for it. With
-//! `RISE_FRACTION` that overhead follows a fleet that became permanently slower within a few
-//! thousand prompts, while a busy minute hardly changes it.
+//! and batching that is the same for all prompts; the smallest recent overhead is used for it. A
+//! prompt with a greater overhead raises it by a small fraction of the difference, so that it
+//! follows a fleet that became permanently slower within a few thousand prompts, while a busy
+//! minute hardly changes it.
 
 use crate::clock;
 
-/// Fraction of the difference by which the overhead rises with each prompt that showed a greater
-/// one.
+/// Fraction of the difference by which a prompt with a greater overhead raises the learned one.
 const RISE_FRACTION: f64 = 0.001;
 
 /// Learned smallest overhead of first tokens, in seconds.
--- a/crates/lagoonline/src/load/slowness.rs
+++ b/crates/lagoonline/src/load/slowness.rs
@@ -2,7 +2,7 @@
 //!
 //! Load pattern: a slow upstream whose report still states its nominal rate. Without this module
 //! its predicted wait looks as short as the others' and it keeps its share of the load. Each first
-//! token of a short or medium prompt gives the ratio of the actual to the predicted time; long
+//! token of a prompt of short rank gives the ratio of the actual to the predicted time; longer
 //! prompts are left out, because later prompts overtake them. A prompt that is late already counts
 //! before its first token, so that an upstream loses its load before its slow answers arrive. The
 //! ratio decays towards 1; otherwise an upstream that gets no load could never show that it has
@@ -84,8 +84,8 @@
         self.learn(now, sample, expected / (expected + NOISE_SECONDS));
     }
 
-    /// Records the end of an answer of `tokens` tokens that took `seconds` per token, where `usual`
-    /// is usual.
+    /// Records the end of an answer of `tokens` tokens that took `seconds` per token, where answers
+    /// usually take `usual` seconds per token.
     pub fn record_answer(&mut self, now: clock::Moment, tokens: u64, seconds: f64, usual: f64) {
         if tokens >= MIN_ANSWER_TOKENS && usual > 0.0 {
             self.learn(now, seconds / usual, 1.0);
--- a/crates/lagoonline/src/load/tokens.rs
+++ b/crates/lagoonline/src/load/tokens.rs
@@ -1,10 +1,11 @@
 //! Estimates prompt tokens from bytes, corrected by the counts of engines.
 //!
 //! Load pattern: prompts in languages and formats whose bytes per token differ from the model's
-//! configured estimate. Without the correction a label of dense numbers is taken for half its
-//! length, and queues and memory are planned wrong for every request of that model. One answer
-//! changes the estimate by a twentieth of the difference, so a single odd prompt has little effect;
-//! the bounds of 0.5 to 16 bytes prevent a faulty engine's counts from breaking admission.
+//! configured estimate. Without the correction a prompt that consists of dense numbers, for
+//! example, is taken for half its length, and queues and memory are planned wrong for every request
+//! of that model. One answer changes the estimate by a twentieth of the difference, so a single odd
+//! prompt has little effect; the bounds of 0.5 to 16 bytes prevent a faulty engine's counts from
+//! breaking admission.
 
 use crate::control::document;
 
--- a/crates/lagoonline/src/load/upstream.rs
+++ b/crates/lagoonline/src/load/upstream.rs
@@ -1,8 +1,8 @@
 //! One upstream as known to one host: the host's own work there, and a lagging report of the rest.
 //!
-//! Load pattern: load reports that lag by up to a second. If only the report were used, every host
-//! would send its queue to the engine that was idle a moment ago. The work of this host is
-//! therefore counted exactly, only the work of other hosts comes from the report, and prefill is
+//! Load pattern: a view of the load that is up to a second old. If only load reports were used,
+//! every host would send its queue to the engine that was idle a moment ago. The work of this host
+//! is therefore counted exactly, only the work of other hosts comes from the report, and prefill is
 //! drained at the known rate between reports.
 
 use crate::clock;
@@ -17,14 +17,14 @@
 /// Tokens that an engine prefills in one step, for which a new request of any priority waits.
 const CHUNK_TOKENS: f64 = 1_024.0;
 
-/// Prefill of other hosts that can consist of short prompts only, in seconds of the engine's rate:
-/// each host's own bound on outstanding prefill, with a margin for the lag.
+/// Largest prefill of other hosts that may still consist of short prompts only, in seconds of the
+/// engine's rate: each host's own bound on outstanding prefill, with a margin for the lag.
 const MAX_SHORT_SECONDS: f64 = 0.4;
 /// Weight of one report in the typical prefill of other hosts.
 const TYPICAL_GAIN: f64 = 0.05;
-/// How old the state that a report shows may be. With 500 ms, hosts that share engines mistake too
-/// much of each other's work for their own: the p95 of short prompts beside long ones rose from 331
-/// to 342 ms.
+/// Assumed age of the state in a report on its arrival: own work within it is subtracted from the
+/// report. With 500 ms, hosts that share engines mistake too much of each other's work for their
+/// own: the p95 of short prompts beside long ones rose from 331 to 342 ms.
 const REPORT_LAG: clock::Span = clock::Span::from_millis(200);
 /// How long a report is valid without a newer one: several reports may be lost, and a short prompt
 /// that waits for it to expire is still answered.
@@ -104,7 +104,8 @@
     pending_by_length: [u64; 4],
     /// KV tokens of this host's requests there.
     pub kv: u64,
-    /// Prefill rate that it reports, in tokens per second.
+    /// Prefill rate that it reports, in tokens per second; the configured one before the first
+    /// report.
     pub nominal_rate: f64,
     /// Incarnation of its process by the last report; 0 before the first one.
     pub incarnation: u64,
@@ -152,8 +153,8 @@
         rate: f64,
     ) -> f64 {
         // On average half of the current chunk of a later rank remains to be prefilled.
-        let residual = if self.has_later_rank(rank) { CHUNK_TOKENS / 2.0 } else { 0.0 };
-        (self.ahead(now, rank, rate) + tokens + residual) / rate.max(1.0) + self.zone_delay
+        let chunk_rest = if self.has_later_rank(rank) { CHUNK_TOKENS / 2.0 } else { 0.0 };
+        (self.ahead(now, rank, rate) + tokens + chunk_rest) / rate.max(1.0) + self.zone_delay
     }
 
     /// Outstanding long prefill, by this host's count and the last report, in tokens.
@@ -193,8 +194,9 @@
         self.kv_tokens.saturating_sub(self.kv + others)
     }
 
-    /// Whether the last report is still valid. If the observer crashes, an engine that was full at
-    /// that moment would otherwise look full forever.
+    /// Whether the last report is still valid. If reports stop, for example because the process
+    /// that polls the engine crashes, an engine that was full in the last one would otherwise look
+    /// full forever.
     fn is_report_valid(&self, now: clock::Moment) -> bool {
         now.since(self.reported_at) < REPORT_VALIDITY
     }
--- a/crates/lagoonline/src/load/usage.rs
+++ b/crates/lagoonline/src/load/usage.rs
@@ -3,18 +3,18 @@
 //! Load pattern: one customer sends ten times its share. Fair queueing at this host is not enough:
 //! what the customer has dispatched already is ahead of the others inside the engines. Requests of
 //! a customer over two and a half times its share are therefore ranked one length class later, here
-//! and in the engine, and those of the other customers overtake them. At one and a half times, even
-//! customers exceeded it by chance, and at capacity their short prompts, which then waited behind
-//! all others, ended late (6 of 30,180 answers; none at two and a half). A customer that is alone
-//! never exceeds its share, so it is not restricted while nobody else sends requests.
+//! and in the engine, and those of the other customers overtake them. At one and a half times,
+//! customers with equal load exceeded it by chance, and at capacity their short prompts, which then
+//! waited behind all others, ended late (6 of 30,180 answers; none at two and a half). A customer
+//! that is alone never exceeds its share, so it is not restricted while nobody else sends requests.
 
 use std::collections;
 
 use crate::clock;
 use crate::id;
 
-/// Half-life of recorded use in seconds: a few queue lengths rather than a minute, so that a
-/// customer which stops sending soon has normal rank again.
+/// Half-life of recorded use in seconds: a few times the usual wait in the queue rather than a
+/// minute, so that a customer which stops sending soon has normal rank again.
 const HALF_LIFE_SECONDS: f64 = 5.0;
 /// Multiple of the fair share from which on a customer is over it.
 const OVER_FACTOR: f64 = 2.5;
@@ -75,12 +75,12 @@
     /// let (few, many) = (Customer::from("few"), Customer::from("many"));
     /// let mut usage = Usage::default();
     /// usage.record(Moment::START, &many, 1, 1_900);
-    /// assert!(!usage.is_over(Moment::START, &many, 100));
+    /// assert!(!usage.is_over_share(Moment::START, &many, 100));
     /// for name in ["a", "b", "few"] { usage.record(Moment::START, &name.into(), 1, 100); }
-    /// assert!(usage.is_over(Moment::START, &many, 100));
-    /// assert!(!usage.is_over(Moment::START, &few, 100));
+    /// assert!(usage.is_over_share(Moment::START, &many, 100));
+    /// assert!(!usage.is_over_share(Moment::START, &few, 100));
     /// ```
-    pub fn is_over(&self, now: clock::Moment, customer: &id::Customer, tokens: u64) -> bool {
+    pub fn is_over_share(&self, now: clock::Moment, customer: &id::Customer, tokens: u64) -> bool {
         let Some(entry) = self.entries.get(customer) else { return false };
         let total = self.total * decay(self.at, now);
         let fair = total * f64::from(entry.weight) / self.weights.max(1) as f64;
--- a/crates/lagoonline/tests/load_cold.rs
+++ b/crates/lagoonline/tests/load_cold.rs
@@ -68,11 +68,11 @@
     assert!(matches!(verdict, Verdict::Dispatch(_)), "{verdict:?}");
 }
 
-// Guards against an engine that looks full forever: the observer crashes after a report of a full
-// engine whose work belongs to other hosts. Once the report is seconds old, requests are sent to
-// the engine again, whose own refusal is authoritative.
+// Guards against an engine that looks full forever: no reports follow one of a full engine whose
+// work belongs to other hosts, for example because the process that polls engines crashed. Once the
+// report is seconds old, requests are sent to the engine again, whose own refusal is authoritative.
 #[test]
-fn a_report_that_nothing_follows_stops_counting() {
+fn an_old_report_expires() {
     let mut scheduler = scheduler();
     let full = engine::Load { running: 4, kv_tokens: 1_000_000, incarnation: 1, ..no_load() };
     let now = Moment::from_millis(1_000);
--- a/crates/lagoonline/tests/load_fuzz.rs
+++ b/crates/lagoonline/tests/load_fuzz.rs
@@ -30,7 +30,7 @@
     Fleet { mask: u8 },
 }
 
-/// The steps don't depend on a model's state; the oracle is part of [`World`].
+/// The steps don't depend on the state of the reference model; the oracle is part of [`World`].
 struct Steps;
 
 impl ReferenceStateMachine for Steps {
@@ -209,7 +209,8 @@
     }
 
     fn record_leaving(&mut self, upstream: id::Upstream, number: u8) {
-        // An upstream that left the fleet and joined again has no earlier state.
+        // Number 2 is `Ending::Leaving`. The mark is set here too, because the scheduler loses it
+        // for an upstream that leaves the fleet and joins again.
         if number == 2 {
             self.scheduler.set_leaving(self.now, &upstream, true);
             self.leaving.insert(upstream);
@@ -270,6 +271,7 @@
     }
 }
 
+/// Test of the policy at this index of `Policy::ALL`.
 struct Test<const POLICY: usize>;
 
 impl<const POLICY: usize> StateMachineTest for Test<POLICY> {
--- a/crates/lagoonline/tests/load_group.rs
+++ b/crates/lagoonline/tests/load_group.rs
@@ -42,7 +42,7 @@
 // Guards against a grant that outlives a failed member: the holder is notified, and the other
 // members' memory is free for the next prompt at once.
 #[test]
-fn a_member_that_dies_ends_the_grant_for_all() {
+fn a_failed_member_ends_the_grant_for_all() {
     let mut arbiter = arbiter();
     let request = arbiter.request(1_200, Moment::NEVER);
     arbiter.poll(Moment::START);
@@ -55,7 +55,7 @@
 // Guards against a memory leak when the holder crashes: its grant ends with the lease, and a holder
 // that was only paused learns it from its next renewal and stops.
 #[test]
-fn a_holder_that_dies_gives_its_memory_back() {
+fn the_lease_of_a_crashed_holder_expires() {
     let mut arbiter = arbiter();
     let request = arbiter.request(900, Moment::NEVER);
     arbiter.poll(Moment::START);
@@ -112,7 +112,7 @@
                 Notice::Granted(request, allocations) => {
                     let requested = self.waiting.remove(&request).expect("granted twice");
                     let held: u64 = allocations.iter().map(|allocation| allocation.tokens).sum();
-                    assert_eq!(held, requested, "not the whole");
+                    assert_eq!(held, requested, "granted less than requested");
                     assert!(allocations.is_sorted_by(|a, b| a.upstream < b.upstream));
                     self.granted.insert(request, requested);
                 }
@@ -160,7 +160,7 @@
     // Requests arrive, members fail and holders disappear in any order. At each step the memory
     // held equals that of the grants, and after all leases have expired nothing is held or waits.
     #[test]
-    fn nothing_leaks_and_nobody_is_stuck(steps in proptest::collection::vec(step(), 1..80)) {
+    fn nothing_leaks_or_waits_forever(steps in proptest::collection::vec(step(), 1..80)) {
         let (mut arbiter, mut holders, mut now) = (arbiter(), Holders::default(), Moment::START);
         for step in &steps {
             apply(&mut arbiter, &mut holders, &mut now, step);
--- a/crates/lagoonline/tests/load_placement.rs
+++ b/crates/lagoonline/tests/load_placement.rs
@@ -72,14 +72,14 @@
         &mut self,
         prompt: u64,
         gap: Span,
-        waited: u64,
+        waited_ms: u64,
     ) -> Result<placement::Placement, placement::Refusal> {
         let target = if gap == TIGHT { Span::from_millis(300) } else { Span::from_millis(2_500) };
         self.place_request(&placement::Request {
             prompt_tokens: prompt,
             target,
             max_gap: gap,
-            waited: Span::from_millis(waited),
+            waited: Span::from_millis(waited_ms),
             ..self.request()
         })
     }
--- a/crates/lagoonline/tests/load_silence.rs
+++ b/crates/lagoonline/tests/load_silence.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn there_is_no_elsewhere_beside_the_only_engine() {
+fn a_call_stays_on_the_only_engine() {
     let mut scheduler = scheduler(1);
     let only = placed(scheduler.offer(Moment::START, request()));
     assert!(!scheduler.is_better_elsewhere(Moment::from_millis(9_000), only.ticket, &request()));
