--- a/crates/lagoonline/src/load/rebalance.rs
+++ b/crates/lagoonline/src/load/rebalance.rs
@@ -103,9 +103,7 @@
             if borrows && self.store_free_at > now {
                 continue;
             }
-            let Some(engine) = find_donor(now, model, demands, engines, for_claim) else {
-                continue;
-            };
+            let Some(engine) = donor(now, model, demands, engines, for_claim) else { continue };
             self.record_order(now, model, demand);
             return Some(Move { engine: engine.name.clone(), to: model.clone(), for_claim });
         }
@@ -147,7 +145,7 @@
 }
 
 /// The least busy engine of a model that can give one away.
-fn find_donor<'a>(
+fn donor<'a>(
     now: clock::Moment,
     to: &id::Model,
     demands: &collections::BTreeMap<id::Model, Demand>,
