--- a/crates/lagoon-net/src/entry/link/mod.rs
+++ b/crates/lagoon-net/src/entry/link/mod.rs
@@ -151,10 +151,10 @@
             in_force: state.view().fleet.versions.clone(),
         });
         state.link.flush_loads(&handle);
-        let spends = state.rate_limits().take_report();
-        if !spends.is_empty() || ticks % IDLE_REPORT_TICKS == 0 {
+        let usages = state.rate_limits().take_report();
+        if !usages.is_empty() || ticks % IDLE_REPORT_TICKS == 0 {
             sequence += 1;
-            handle.spending(spending(&state, &spends, sequence));
+            handle.spending(usage_report(&state, &usages, sequence));
         }
         ticks += 1;
         tokio::time::sleep(REPORT_INTERVAL).await;
@@ -162,16 +162,16 @@
 }
 
 /// Builds the report of the requests and tokens that were admitted since the last one.
-fn spending(state: &state::State, spends: &[limit::Usage], sequence: u64) -> wire::Spending {
-    let line = |spend: &limit::Usage| wire::Spend {
-        customer: spend.customer.to_string(),
-        requests: spend.requests,
-        tokens: spend.tokens,
+fn usage_report(state: &state::State, usages: &[limit::Usage], sequence: u64) -> wire::Spending {
+    let line = |usage: &limit::Usage| wire::Spend {
+        customer: usage.customer.to_string(),
+        requests: usage.requests,
+        tokens: usage.tokens,
     };
     wire::Spending {
         host: state.settings.host.to_string(),
         span_ms: u64::try_from(REPORT_INTERVAL.as_millis()).unwrap_or(u64::MAX),
-        lines: spends.iter().map(line).collect(),
+        lines: usages.iter().map(line).collect(),
         sequence,
     }
 }
@@ -214,13 +214,13 @@
             }
             link::Update::Drain => state.advance(state::Phase::Unready),
             link::Update::Spending(spending) => {
-                let spend = |line: &wire::Spend| limit::Usage {
+                let usage = |line: &wire::Spend| limit::Usage {
                     customer: id::Customer::from(line.customer.as_str()),
                     requests: line.requests,
                     tokens: line.tokens,
                 };
-                let spends: Vec<_> = spending.lines.iter().map(spend).collect();
-                state.rate_limits().apply_report(state.clock.now(), &spends);
+                let usages: Vec<_> = spending.lines.iter().map(usage).collect();
+                state.rate_limits().apply_report(state.clock.now(), &usages);
             }
         }
     }
--- a/crates/lagoon-net/src/entry/state.rs
+++ b/crates/lagoon-net/src/entry/state.rs
@@ -39,7 +39,7 @@
 pub(crate) struct View {
     pub(crate) fleet: view::Shared,
     /// The scheduler of each model.
-    pub(crate) shards: load::Schedulers,
+    pub(crate) schedulers: load::Schedulers,
     pub(crate) queues: collections::HashMap<id::Model, sync::Arc<admission::Queue>>,
     pub(crate) replicas: replica::Replicas,
 }
@@ -143,13 +143,13 @@
         }
         let old = self.view();
         let now = self.clock.now();
-        let shards = old.shards.with_fleet(now, &fleet, &self.settings.load);
-        let queues = self.build_queues(&old, &shards);
+        let schedulers = old.schedulers.with_fleet(now, &fleet, &self.settings.load);
+        let queues = self.build_queues(&old, &schedulers);
         let replicas = old.replicas.with_fleet(&fleet);
         for queue in queues.values() {
             queue.wake_due();
         }
-        self.view.store(sync::Arc::new(View { fleet, shards, queues, replicas }));
+        self.view.store(sync::Arc::new(View { fleet, schedulers, queues, replicas }));
         *changed = now;
     }
 
@@ -158,13 +158,13 @@
     fn build_queues(
         &self,
         old: &View,
-        shards: &load::Schedulers,
+        schedulers: &load::Schedulers,
     ) -> collections::HashMap<id::Model, sync::Arc<admission::Queue>> {
         let mut queues = collections::HashMap::new();
-        for (model, shard) in shards.iter() {
+        for (model, scheduler) in schedulers.iter() {
             let kept = old.queues.get(model).cloned();
             let queue = kept.unwrap_or_else(|| {
-                let queue = admission::Queue::new(self.clock, shard.clone());
+                let queue = admission::Queue::new(self.clock, scheduler.clone());
                 // The control thread runs as long as the process, so the receiver exists.
                 let _ended = self.new_queues.send(sync::Arc::downgrade(&queue));
                 queue
