--- a/crates/lagoon-net/src/platform/client.rs
+++ b/crates/lagoon-net/src/platform/client.rs
@@ -71,6 +71,7 @@
         !self.state().breaker.clone().admit(self.clock.now())
     }
 
+    /// Checks the breaker and takes one call from the budget.
     fn admit(&self, kind: Kind) -> Result<(), &'static str> {
         let now = self.clock.now();
         let mut state = self.state();
@@ -99,6 +100,7 @@
 pub struct Client {
     http: client::Client,
     limits: sync::Arc<Limits>,
+    /// Address of the platform, for URLs and errors.
     peer: String,
     zone: String,
 }
@@ -111,6 +113,7 @@
 
 /// Parameters of a call.
 pub(super) struct Call<'a> {
+    /// Name of the operation, for errors.
     pub(super) step: &'static str,
     pub(super) kind: Kind,
     pub(super) method: http::Method,
@@ -193,6 +196,7 @@
         Ok(Response { status: response.status(), body })
     }
 
+    /// Maps the status of a response to the error that it stands for.
     fn check_status(
         &self,
         step: &'static str,
--- a/crates/lagoon-net/src/steward/calls.rs
+++ b/crates/lagoon-net/src/steward/calls.rs
@@ -97,6 +97,7 @@
     Err(Failure::new("denied", format!("the key may not act for team {}", call.team)))
 }
 
+/// Accepts an operators' key only.
 fn authorize_operator(context: &Context, call: &wire::Call) -> Result<(), Failure> {
     let hash: document::KeyHash = sha2::Sha256::digest(call.key.as_bytes()).into();
     if is_operator(context, &hash) {
@@ -110,6 +111,7 @@
     context.platform.as_ref().ok_or_else(none)
 }
 
+/// Converts an error of the document store to the error of a call.
 fn store_failure(error: document::StoreError) -> Failure {
     let message = error.to_string();
     let (code, details) = match error {
@@ -129,6 +131,7 @@
     Failure { code, message, details }
 }
 
+/// Returns the put that a call asks for.
 fn put_of(call: &wire::Call) -> document::Put {
     document::Put {
         team: id::Team::from(call.team.as_str()),
@@ -138,6 +141,7 @@
     }
 }
 
+/// Returns the newest version and text of the team's section.
 async fn section_get(context: &Context, call: &wire::Call) -> Outcome {
     authorize(context, call)?;
     let team = id::Team::from(call.team.as_str());
@@ -157,6 +161,7 @@
     }
 }
 
+/// Validates a section and returns the changes that it would make.
 async fn section_check(context: &Context, call: &wire::Call) -> Outcome {
     authorize(context, call)?;
     let put = put_of(call);
@@ -169,6 +174,7 @@
     Ok(json!({ "changes": changes }))
 }
 
+/// Stores a section, and puts it in force here at once.
 async fn section_put(context: &Context, call: &wire::Call) -> Outcome {
     authorize(context, call)?;
     if call.put.is_empty() {
@@ -197,6 +203,8 @@
 /// zone only.
 const ZONE_ONLY: &str = r#"{"zone_only":true}"#;
 
+/// Returns where a version is in force in this zone, over hosts with a live steward and all others
+/// that have a report.
 fn zone_status(context: &Context, team: &id::Team, version: id::Version) -> ZoneStatus {
     let core = context.core.borrow();
     let zone = core.zone();
@@ -210,6 +218,8 @@
     ZoneStatus { zone: zone.to_string(), hosts, missing: missing.iter().map(line).collect() }
 }
 
+/// Returns where a version of the team's section is in force, zone by zone. Version 0 stands for
+/// the one in force here.
 async fn section_status(context: &Context, call: &wire::Call) -> Outcome {
     let team = id::Team::from(call.team.as_str());
     if call.text == ZONE_ONLY {
@@ -227,11 +237,11 @@
         key: String::new(),
         ..call.clone()
     };
-    for answer in zones::ask(context, &forwarded).await {
-        let parsed = answer.text.and_then(|text| serde_json::from_str::<ZoneStatus>(&text).ok());
+    for reply in zones::call_all(context, &forwarded).await {
+        let parsed = reply.text.and_then(|text| serde_json::from_str::<ZoneStatus>(&text).ok());
         zones.push(match parsed {
             Some(status) => json!(status),
-            None => json!({ "zone": answer.zone.as_str(), "silent": true }),
+            None => json!({ "zone": reply.zone.as_str(), "silent": true }),
         });
     }
     let is_done = |zone: &serde_json::Value| zone["missing"].as_array().is_some_and(Vec::is_empty);
@@ -239,6 +249,7 @@
     Ok(json!({ "version": version, "accepted": accepted, "zones": zones }))
 }
 
+/// Returns the state of hosts and upstreams, zone by zone.
 async fn status(context: &Context, call: &wire::Call) -> Outcome {
     if call.text == ZONE_ONLY {
         return Ok(zone_state(context));
@@ -246,14 +257,15 @@
     authorize_operator(context, call)?;
     let forwarded = wire::Call { text: ZONE_ONLY.to_owned(), key: String::new(), ..call.clone() };
     let mut zones = vec![zone_state(context)];
-    for answer in zones::ask(context, &forwarded).await {
-        let parsed = answer.text.and_then(|text| serde_json::from_str(&text).ok());
-        let silent = || json!({ "zone": answer.zone.as_str(), "silent": true });
+    for reply in zones::call_all(context, &forwarded).await {
+        let parsed = reply.text.and_then(|text| serde_json::from_str(&text).ok());
+        let silent = || json!({ "zone": reply.zone.as_str(), "silent": true });
         zones.push(parsed.unwrap_or_else(silent));
     }
     Ok(json!({ "zones": zones }))
 }
 
+/// Returns the state of this zone's hosts and upstreams.
 fn zone_state(context: &Context) -> serde_json::Value {
     let core = context.core.borrow();
     let zone = core.zone();
@@ -310,7 +322,7 @@
         return Err(Failure::new("unknown_name", message));
     };
     if member.zone != context.settings.zone {
-        let text = zones::ask_one_zone(context, &member.zone, call).await;
+        let text = zones::call_zone(context, &member.zone, call).await;
         let value = text.and_then(|text| serde_json::from_str(&text).ok());
         return value
             .ok_or_else(|| Failure::new("silent", format!("no answer from {}", member.zone)));
@@ -320,6 +332,7 @@
     Ok(mark_leaving(context, name, incarnation))
 }
 
+/// Marks an incarnation of an upstream or entry host as leaving.
 fn mark_leaving(context: &Context, name: &str, incarnation: u64) -> serde_json::Value {
     let mark = wire::Mark { upstream: name.to_owned(), incarnation, leaving: true };
     context.core.borrow_mut().apply_marks(&[mark], None);
@@ -337,11 +350,11 @@
     let forwarded = wire::Call { text: ZONE_ONLY.to_owned(), key: String::new(), ..call.clone() };
     let mut lines = Vec::new();
     let mut silent = Vec::new();
-    for answer in zones::ask_reconcilers(context, &forwarded).await {
-        let parsed = answer.text.and_then(|text| serde_json::from_str(&text).ok());
+    for reply in zones::call_reconcilers(context, &forwarded).await {
+        let parsed = reply.text.and_then(|text| serde_json::from_str(&text).ok());
         match parsed {
             Some(serde_json::Value::Array(found)) => lines.extend(found),
-            _ => silent.push(answer.zone.to_string()),
+            _ => silent.push(reply.zone.to_string()),
         }
     }
     Ok(json!({ "engines": lines, "silent_zones": silent }))
