--- a/crates/lagoon-standin/src/platform/mod.rs
+++ b/crates/lagoon-standin/src/platform/mod.rs
@@ -89,6 +89,7 @@
     objects: collections::HashMap<String, Bytes>,
     /// Host list snapshots with the time of each change, the oldest first.
     hosts: collections::VecDeque<(time::Instant, Vec<HostEntry>)>,
+    /// Rate limit of reads; the other two limit writes and weight downloads.
     reads: limit::Bucket,
     writes: limit::Bucket,
     weights: limit::Bucket,
--- a/crates/lagoon-standin/tests/platform.rs
+++ b/crates/lagoon-standin/tests/platform.rs
@@ -43,8 +43,8 @@
     });
 }
 
-// The write takes effect but the connection closes before the response. This fault tests that a
-// writer reads back the row to learn the outcome.
+// The write takes effect but the connection closes before the response. Other tests use this fault
+// to check that a writer reads the row back to learn the outcome.
 #[test]
 fn write_with_lost_response_takes_effect() {
     run(async {
