--- a/crates/lagoon-gateway/src/reserve.rs
+++ b/crates/lagoon-gateway/src/reserve.rs
@@ -258,7 +258,8 @@
     let expiry = state.clock.now() + hold_time(&state);
     loop {
         let status = send_order(&reservation.entry, engine::release_order(&reservation.id)).await;
-        // Every one of these means that the engine does not hold the reservation any more.
+        // Counts as released also if the order was only accepted, or was refused by an engine that
+        // does not have the reservation.
         let released = matches!(status, Ok(200 | 202 | 404 | 409 | head::MISDIRECTED));
         if released && reservation.has_pending_order(state.clock.now()) {
             // A reserve order that is still on its way may recreate it.
