--- a/crates/lagoon-net/src/platform/hosts.rs
+++ b/crates/lagoon-net/src/platform/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts.
+//! The platform's list of hosts, entries of which may be out of date.
 
 use lagoonline::id;
 use lagoonline::port::hosts;
@@ -9,7 +9,7 @@
 use super::client;
 
 #[derive(Deserialize)]
-struct Line {
+struct Entry {
     name: String,
     zone: String,
     #[serde(default)]
@@ -18,17 +18,17 @@
 }
 
 #[derive(Deserialize)]
-struct List {
-    hosts: Vec<Line>,
+struct HostList {
+    hosts: Vec<Entry>,
 }
 
-impl From<Line> for hosts::Entry {
-    fn from(line: Line) -> Self {
-        let leaving = line.state == "leaving";
+impl From<Entry> for hosts::Entry {
+    fn from(entry: Entry) -> Self {
+        let leaving = entry.state == "leaving";
         hosts::Entry {
-            name: line.name,
-            zone: id::Zone::from(line.zone),
-            incarnation: id::Incarnation(line.incarnation),
+            name: entry.name,
+            zone: id::Zone::from(entry.zone),
+            incarnation: id::Incarnation(entry.incarnation),
             state: if leaving { hosts::State::Leaving } else { hosts::State::Live },
         }
     }
@@ -49,7 +49,7 @@
         if response.status != http::StatusCode::OK {
             return Err(self.refused(step, response.status));
         }
-        let list: List = self.parse(step, &response.body)?;
+        let list: HostList = self.parse(step, &response.body)?;
         Ok(list.hosts.into_iter().map(hosts::Entry::from).collect())
     }
 }
--- a/crates/lagoon-net/src/platform/table.rs
+++ b/crates/lagoon-net/src/platform/table.rs
@@ -50,7 +50,7 @@
 }
 
 impl<'a> Commit<'a> {
-    fn of(transaction: &'a table::Transaction) -> Self {
+    fn from_transaction(transaction: &'a table::Transaction) -> Self {
         let check = |check: &'a table::Check| Check { key: &check.key, version: check.version };
         let mut commit = Commit::default();
         commit.checks.extend(transaction.checks.iter().map(check));
@@ -66,7 +66,7 @@
 
 /// Reorders versions: the service returns those of puts only, while the port promises one for each
 /// change in the order of the transaction.
-fn in_order(transaction: &table::Transaction, versions: &[u64]) -> Vec<u64> {
+fn versions_in_order(transaction: &table::Transaction, versions: &[u64]) -> Vec<u64> {
     let mut puts = versions.iter().copied();
     let version = |change: &table::Change| match change {
         table::Change::Put { .. } => puts.next().unwrap_or_default(),
@@ -123,7 +123,7 @@
 
     async fn commit(&self, transaction: table::Transaction) -> Result<Vec<u64>, table::Error> {
         let step = "commit";
-        let body = serde_json::to_vec(&Commit::of(&transaction));
+        let body = serde_json::to_vec(&Commit::from_transaction(&transaction));
         let body = body.map_err(|error| self.refused(step, error))?;
         let call = client::Call {
             step,
@@ -138,6 +138,6 @@
             return Err(self.refused(step, response.status));
         }
         let committed: Committed = self.parse(step, &response.body)?;
-        Ok(in_order(&transaction, &committed.versions))
+        Ok(versions_in_order(&transaction, &committed.versions))
     }
 }
