--- a/crates/lagoon-burn/src/collect.rs
+++ b/crates/lagoon-burn/src/collect.rs
@@ -1,4 +1,4 @@
-//! Scrapes entry hosts and saves what they say.
+//! Scrapes the metrics of entry hosts and saves them to files.
 
 use std::fs;
 use std::io;
@@ -10,44 +10,46 @@
 /// Why a scrape failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The host did not answer with metrics.
-    #[error("scraping {host}: {why}")]
+    /// The host could not be reached, or its response was not successful.
+    #[error("scraping {host}: {reason}")]
     Scrape {
         /// The entry host.
         host: String,
-        /// What was seen.
-        why: String,
+        /// Transport error or HTTP status.
+        reason: String,
     },
-    /// The text could not be saved.
+    /// The metrics could not be written to a file.
     #[error("saving {}: {error}", path.display())]
     Save {
-        /// Where.
+        /// The file.
         path: path::PathBuf,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
 }
 
-/// Longest answer, in bytes.
-const ANSWER_LIMIT: usize = 16 << 20;
+/// Maximum size of a response body, in bytes.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Scrapes `http://ADDRESS/metrics` and saves the text below `dir` for [`crate::store`].
+/// Scrapes `http://ADDRESS/metrics` and saves the response to `DIR/HOST/SECOND.prom`, from
+/// where [`crate::store`] reads it. SECOND is the time of the scrape.
 ///
 /// # Errors
 ///
-/// The host did not answer, or the text could not be saved.
+/// The scrape failed, or the response could not be written.
 pub async fn save(dir: &path::Path, host: &str, address: &str) -> Result<(), Error> {
-    let fail = |why: String| Error::Scrape { host: host.to_owned(), why };
+    let fail = |reason: String| Error::Scrape { host: host.to_owned(), reason };
     let client = client::Client::new().await;
     let request = client.get(format!("http://{address}/metrics"));
-    let answer = request.send().await.map_err(|error| fail(error.to_string()))?;
-    if !answer.status().is_success() {
-        return Err(fail(format!("status {}", answer.status())));
+    let response = request.send().await.map_err(|error| fail(error.to_string()))?;
+    if !response.status().is_success() {
+        return Err(fail(format!("status {}", response.status())));
     }
-    let body = answer.body().limit(ANSWER_LIMIT).await.map_err(|error| fail(error.to_string()))?;
-    let second = time::SystemTime::now().duration_since(time::UNIX_EPOCH).unwrap_or_default();
-    let folder = dir.join(host);
-    let path = folder.join(format!("{}.prom", second.as_secs()));
-    let write = || fs::create_dir_all(&folder).and_then(|()| fs::write(&path, &body));
+    let body =
+        response.body().limit(MAX_BODY_BYTES).await.map_err(|error| fail(error.to_string()))?;
+    let since_epoch = time::SystemTime::now().duration_since(time::UNIX_EPOCH).unwrap_or_default();
+    let host_dir = dir.join(host);
+    let path = host_dir.join(format!("{}.prom", since_epoch.as_secs()));
+    let write = || fs::create_dir_all(&host_dir).and_then(|()| fs::write(&path, &body));
     write().map_err(|error| Error::Save { path: path.clone(), error })
 }
--- a/crates/lagoon-burn/src/indicator.rs
+++ b/crates/lagoon-burn/src/indicator.rs
@@ -1,4 +1,4 @@
-//! Good and all events of an objective, counted from the growth of the entry hosts' counters.
+//! Counts the good and total events of an objective from the growth of the entry hosts' counters.
 
 use std::collections;
 
@@ -11,42 +11,43 @@
 pub(crate) const FIRST_TOKEN: &str = "lagoon_first_token_seconds";
 /// Time between tokens, by model and zone.
 const BETWEEN_TOKENS: &str = "lagoon_between_tokens_seconds";
-/// Time to first token of short prompts as a multiple of that on an idle upstream.
+/// Time to first token of short prompts, as a multiple of that on an idle upstream.
 const SHORT_SLOWDOWN: &str = "lagoon_short_slowdown_ratios";
 /// Requests by outcome and reason.
 const REQUESTS: &str = "lagoon_requests";
-/// Requests of the customers with most of them, by outcome and reason.
+/// Requests of the customers with the most requests, by outcome and reason.
 const CUSTOMER_REQUESTS: &str = "lagoon_customer_requests";
 
-/// Milliseconds of a second.
-const MILLIS: f64 = 1_000.0;
+/// Objectives have bounds in milliseconds, histograms in seconds.
+const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// Events of one indicator.
+/// Number of events of one indicator.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Count {
-    /// Within the bound.
+    /// Events within the bound of the objective.
     pub good: f64,
-    /// All.
-    pub all: f64,
+    /// All events.
+    pub total: f64,
 }
 
 impl Count {
-    /// Share of good events, `None` without events.
+    /// Returns the share of good events, or `None` without events.
     ///
     /// ```
     /// use lagoon_burn::indicator::Count;
-    /// assert_eq!(Count { good: 3.0, all: 4.0 }.share(), Some(0.75));
+    /// assert_eq!(Count { good: 3.0, total: 4.0 }.share(), Some(0.75));
     /// assert_eq!(Count::default().share(), None);
     /// ```
     pub fn share(self) -> Option<f64> {
-        (self.all > 0.0).then(|| self.good / self.all)
+        (self.total > 0.0).then(|| self.good / self.total)
     }
 
-    /// How many times faster than allowed the error budget is used, `None` without events.
+    /// Returns the burn rate: how many times faster than allowed the error budget of `target` (a
+    /// share of good events) is used up. `None` without events.
     ///
     /// ```
     /// use lagoon_burn::indicator::Count;
-    /// let burn = Count { good: 98.0, all: 100.0 }.burn(0.99).unwrap();
+    /// let burn = Count { good: 98.0, total: 100.0 }.burn(0.99).unwrap();
     /// assert!((burn - 2.0).abs() < 1e-9);
     /// ```
     pub fn burn(self, target: f64) -> Option<f64> {
@@ -54,54 +55,55 @@
     }
 }
 
-/// Part of the traffic: all of it, or what has this value of a label.
+/// Selects the traffic to count: all of it, or the counters with one value of a label.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Part<'a> {
-    /// Everything.
+pub enum Filter<'a> {
+    /// All traffic.
     All,
-    /// One model.
+    /// Traffic of one model.
     Model(&'a str),
-    /// One availability zone.
+    /// Traffic of one availability zone.
     Zone(&'a str),
-    /// One customer; only outcomes are counted by customer.
+    /// Traffic of one customer. Only outcomes are counted by customer, so latency objectives have
+    /// no events with this filter.
     Customer(&'a str),
 }
 
-impl Part<'_> {
-    fn holds(self, key: &series::Key) -> bool {
+impl Filter<'_> {
+    fn matches(self, key: &series::Key) -> bool {
         match self {
-            Part::All => true,
-            Part::Model(name) => key.label("model") == name || key.is_of_model(name),
-            Part::Zone(name) => key.label("zone") == name,
-            Part::Customer(name) => key.label("customer") == name,
+            Filter::All => true,
+            Filter::Model(name) => key.label("model") == name || key.is_request_for_model(name),
+            Filter::Zone(name) => key.label("zone") == name,
+            Filter::Customer(name) => key.label("customer") == name,
         }
     }
 }
 
-/// Counts the events of `objective` in `part` of what `growth` holds.
+/// Counts the events of `objective` in the counters of `growth` that `filter` selects.
 pub fn count(
     objective: &document::Objective,
     growth: &collections::BTreeMap<series::Key, f64>,
-    part: Part<'_>,
+    filter: Filter<'_>,
 ) -> Count {
-    let seconds = objective.bound / MILLIS;
+    let seconds = objective.bound / MILLIS_PER_SECOND;
     match objective.indicator {
         document::Indicator::FirstToken(class) => {
             let of_class = |key: &series::Key| key.label("class") == class.as_str();
-            within(growth, FIRST_TOKEN, seconds, |key| part.holds(key) && of_class(key))
+            count_within(growth, FIRST_TOKEN, seconds, |key| filter.matches(key) && of_class(key))
         }
         document::Indicator::BetweenTokens => {
-            within(growth, BETWEEN_TOKENS, seconds, |key| part.holds(key))
+            count_within(growth, BETWEEN_TOKENS, seconds, |key| filter.matches(key))
         }
         document::Indicator::ShortSlowdown => {
-            within(growth, SHORT_SLOWDOWN, objective.bound, |key| part.holds(key))
+            count_within(growth, SHORT_SLOWDOWN, objective.bound, |key| filter.matches(key))
         }
-        document::Indicator::WithinDeadline => outcomes(growth, part, is_answered),
-        document::Indicator::KnownOutcome => outcomes(growth, part, is_known),
+        document::Indicator::WithinDeadline => count_requests(growth, filter, is_done),
+        document::Indicator::KnownOutcome => count_requests(growth, filter, is_known),
     }
 }
 
-fn is_answered(outcome: &str) -> bool {
+fn is_done(outcome: &str) -> bool {
     outcome == outcome::Outcome::Done.as_str()
 }
 
@@ -109,73 +111,78 @@
     outcome != outcome::Outcome::Unknown.as_str()
 }
 
-/// Requests that failed by their caller's own doing say nothing of the service.
-fn is_callers_doing(reason: &str) -> bool {
+/// Whether the caller caused the failure. Such requests do not count against the service.
+fn is_caller_fault_reason(reason: &str) -> bool {
     let reasons = outcome::Reason::ALL.into_iter();
     reasons.filter(|reason| reason.is_caller_fault()).any(|known| known.as_str() == reason)
 }
 
-fn outcomes<Good>(
+fn count_requests<IsGood>(
     growth: &collections::BTreeMap<series::Key, f64>,
-    part: Part<'_>,
-    good: Good,
+    filter: Filter<'_>,
+    is_good: IsGood,
 ) -> Count
 where
-    Good: Fn(&str) -> bool,
+    IsGood: Fn(&str) -> bool,
 {
-    let metric = match part {
-        Part::Customer(_) => CUSTOMER_REQUESTS,
-        Part::All | Part::Model(_) | Part::Zone(_) => REQUESTS,
+    let metric = match filter {
+        Filter::Customer(_) => CUSTOMER_REQUESTS,
+        Filter::All | Filter::Model(_) | Filter::Zone(_) => REQUESTS,
     };
     let mut count = Count::default();
     for (key, &grown) in growth {
-        if key.metric != metric || !part.holds(key) || is_callers_doing(key.label("reason")) {
+        if key.metric != metric
+            || !filter.matches(key)
+            || is_caller_fault_reason(key.label("reason"))
+        {
             continue;
         }
-        count.all += grown;
-        if good(key.label("outcome")) {
+        count.total += grown;
+        if is_good(key.label("outcome")) {
             count.good += grown;
         }
     }
     count
 }
 
-/// Events of a histogram at or below `bound`, taken as spread evenly within a bucket.
-fn within<Holds>(
+/// Counts the events of a histogram at or below `bound`. Events are assumed to be spread evenly
+/// within a bucket.
+fn count_within<Matches>(
     growth: &collections::BTreeMap<series::Key, f64>,
     metric: &str,
     bound: f64,
-    holds: Holds,
+    matches: Matches,
 ) -> Count
 where
-    Holds: Fn(&series::Key) -> bool,
+    Matches: Fn(&series::Key) -> bool,
 {
-    let buckets = buckets(growth, metric, holds);
-    let all = buckets.last().map_or(0.0, |&(_, events)| events);
-    let (mut below, mut events_below) = (0.0, 0.0);
+    let buckets = buckets(growth, metric, matches);
+    let total = buckets.last().map_or(0.0, |&(_, events)| events);
+    let (mut lower, mut events_at_lower) = (0.0, 0.0);
     for &(upper, events) in &buckets {
         if upper >= bound {
-            let share = if upper.is_finite() { (bound - below) / (upper - below) } else { 0.0 };
-            let good = events_below + (events - events_below) * share;
-            return Count { good, all };
+            let share = if upper.is_finite() { (bound - lower) / (upper - lower) } else { 0.0 };
+            let good = events_at_lower + (events - events_at_lower) * share;
+            return Count { good, total };
         }
-        (below, events_below) = (upper, events);
+        (lower, events_at_lower) = (upper, events);
     }
-    Count { good: all, all }
+    Count { good: total, total }
 }
 
-/// Cumulative buckets of a histogram: upper bound and events, summed over the keys that `holds`.
-pub fn buckets<Holds>(
+/// Returns the cumulative buckets of a histogram as pairs of upper bound and events, summed over
+/// the keys that `matches` accepts.
+pub fn buckets<Matches>(
     growth: &collections::BTreeMap<series::Key, f64>,
     metric: &str,
-    holds: Holds,
+    matches: Matches,
 ) -> Vec<(f64, f64)>
 where
-    Holds: Fn(&series::Key) -> bool,
+    Matches: Fn(&series::Key) -> bool,
 {
     let mut sums: Vec<(f64, f64)> = Vec::new();
     for (key, &grown) in growth {
-        if key.metric != metric || !holds(key) {
+        if key.metric != metric || !matches(key) {
             continue;
         }
         let Ok(upper) = key.label("le").parse::<f64>() else { continue };
@@ -188,8 +195,8 @@
     sums
 }
 
-/// Value below which `share` of a histogram's events lie, `None` without events; the highest
-/// finite bound where the share lies beyond it.
+/// Returns the value below which `share` of a histogram's events lie, or `None` without events. A
+/// quantile above the highest finite bound is reported as that bound.
 ///
 /// ```
 /// use lagoon_burn::indicator;
@@ -197,17 +204,18 @@
 /// assert_eq!(indicator::quantile(&buckets, 0.75), Some(1.5));
 /// ```
 pub fn quantile(buckets: &[(f64, f64)], share: f64) -> Option<f64> {
-    let all = buckets.last().map(|&(_, events)| events).filter(|&events| events > 0.0)?;
-    let wanted = all * share;
-    let (mut below, mut events_below) = (0.0, 0.0);
+    let total = buckets.last().map(|&(_, events)| events).filter(|&events| events > 0.0)?;
+    let rank = total * share;
+    let (mut lower, mut events_at_lower) = (0.0, 0.0);
     for &(upper, events) in buckets {
-        if events >= wanted && upper.is_finite() {
-            let within = (wanted - events_below) / (events - events_below).max(f64::MIN_POSITIVE);
-            return Some(below + (upper - below) * within);
+        if events >= rank && upper.is_finite() {
+            let position =
+                (rank - events_at_lower) / (events - events_at_lower).max(f64::MIN_POSITIVE);
+            return Some(lower + (upper - lower) * position);
         }
         if upper.is_finite() {
-            (below, events_below) = (upper, events);
+            (lower, events_at_lower) = (upper, events);
         }
     }
-    Some(below)
+    Some(lower)
 }
--- a/crates/lagoon-burn/src/lib.rs
+++ b/crates/lagoon-burn/src/lib.rs
@@ -1,5 +1,5 @@
-//! Report on service-level burn: how fast each objective's error budget is used up, from saved
-//! scrapes of the entry hosts' metrics.
+//! Reports the burn rate of service-level objectives, which is how fast each one uses up its error
+//! budget, from saved scrapes of the entry hosts' metrics.
 //!
 //! ```
 //! use lagoon_burn::{report, store};
@@ -9,13 +9,13 @@
 //! let team = id::Team::from("labels");
 //! let section = document::Section::parse(team, id::Version(1), text).unwrap();
 //! let mut store = store::Store::default();
-//! for (second, done, lost) in [(0, 0, 0), (300, 990, 10)] {
+//! for (timestamp, done, unknown) in [(0, 0, 0), (300, 990, 10)] {
 //!     let scrape = format!(
 //!         "# TYPE lagoon_requests counter\n\
 //!          lagoon_requests_total{{outcome=\"done\",reason=\"none\"}} {done}\n\
-//!          lagoon_requests_total{{outcome=\"unknown\",reason=\"upstream_failed\"}} {lost}\n"
+//!          lagoon_requests_total{{outcome=\"unknown\",reason=\"upstream_failed\"}} {unknown}\n"
 //!     );
-//!     store.add("suva-1", second, &scrape).unwrap();
+//!     store.add("suva-1", timestamp, &scrape).unwrap();
 //! }
 //! let report = report::Report::new(&[section], &store, 300);
 //! assert!((report.objectives[0].good_share.unwrap() - 0.99).abs() < 1e-9);
--- a/crates/lagoon-burn/src/main.rs
+++ b/crates/lagoon-burn/src/main.rs
@@ -1,4 +1,4 @@
-//! `lagoon-burn`: report on service-level burn.
+//! `lagoon-burn`: collects scrapes of entry hosts and reports the burn rate of objectives.
 
 use std::fs;
 use std::io;
@@ -67,15 +67,15 @@
 
 const PROGRAM: &str = "lagoon-burn";
 
-/// Exit code when an alert fires, the same as of a failure: scripts look at both.
-const ALERT: u8 = program::FAILED;
+/// Exit code when an alert fires. Equals that of a failure because scripts must react to both.
+const ALERT_FIRES: u8 = program::FAILED;
 
 #[derive(Debug, thiserror::Error)]
 enum Error {
     #[error("{0} is not NAME=VALUE")]
-    Pair(String),
-    #[error("{file}: {why}")]
-    Section { file: String, why: String },
+    BadPair(String),
+    #[error("{file}: {reason}")]
+    Section { file: String, reason: String },
     #[error(transparent)]
     Store(#[from] store::Error),
     #[error(transparent)]
@@ -87,8 +87,8 @@
 impl Error {
     fn code(&self) -> u8 {
         match self {
-            Error::Pair(_) | Error::Section { .. } => program::BAD_USAGE,
-            Error::Store(_) | Error::Io(_) | Error::Json(_) => ALERT,
+            Error::BadPair(_) | Error::Section { .. } => program::BAD_USAGE,
+            Error::Store(_) | Error::Io(_) | Error::Json(_) => ALERT_FIRES,
         }
     }
 }
@@ -111,25 +111,28 @@
     }
 }
 
-fn pair(text: &str) -> Result<(&str, &str), Error> {
-    text.split_once('=').ok_or_else(|| Error::Pair(text.to_owned()))
+/// Splits `NAME=VALUE`.
+fn parse_pair(text: &str) -> Result<(&str, &str), Error> {
+    text.split_once('=').ok_or_else(|| Error::BadPair(text.to_owned()))
 }
 
+/// Scrapes the hosts and returns the exit code: a failure if any scrape failed.
 fn run_collect(args: Collect) -> Result<process::ExitCode, Error> {
-    let hosts = args.hosts.iter().map(|text| pair(text));
-    let hosts: Vec<(String, String)> = hosts.map(|pair| pair.map(own)).collect::<Result<_, _>>()?;
+    let hosts = args.hosts.iter().map(|text| parse_pair(text));
+    let hosts: Vec<(String, String)> =
+        hosts.map(|pair| pair.map(to_owned_pair)).collect::<Result<_, _>>()?;
     let system = ntex::rt::System::new(PROGRAM, ntex::rt::DefaultRuntime);
-    let whole = system.block_on(collect_all(args, hosts));
-    Ok(if whole { process::ExitCode::SUCCESS } else { process::ExitCode::from(ALERT) })
+    let complete = system.block_on(collect_all(args, hosts));
+    Ok(if complete { process::ExitCode::SUCCESS } else { process::ExitCode::from(ALERT_FIRES) })
 }
 
-fn own((name, value): (&str, &str)) -> (String, String) {
+fn to_owned_pair((name, value): (&str, &str)) -> (String, String) {
     (name.to_owned(), value.to_owned())
 }
 
-/// Whether every scrape succeeded.
+/// Scrapes each host `args.times` times. Returns whether every scrape succeeded.
 async fn collect_all(args: Collect, hosts: Vec<(String, String)>) -> bool {
-    let mut whole = true;
+    let mut complete = true;
     for round in 0..args.times {
         if round > 0 {
             ntex::time::sleep(time::Duration::from_secs(args.every)).await;
@@ -137,26 +140,28 @@
         for (host, address) in &hosts {
             if let Err(error) = collect::save(&args.scrapes, host, address).await {
                 eprintln!("{PROGRAM}: {error}");
-                whole = false;
+                complete = false;
             }
         }
     }
-    whole
+    complete
 }
 
+/// Reads the section of a team from an argument `TEAM=FILE`.
 fn read_section(text: &str) -> Result<document::Section, Error> {
-    let (team, file) = pair(text)?;
-    let fail = |why: String| Error::Section { file: file.to_owned(), why };
+    let (team, file) = parse_pair(text)?;
+    let fail = |reason: String| Error::Section { file: file.to_owned(), reason };
     let text = fs::read_to_string(file).map_err(|error| fail(error.to_string()))?;
     let section = document::Section::parse(id::Team::from(team), id::Version::default(), &text);
     section.map_err(|faults| fail(faults.to_string()))
 }
 
+/// Prints the report and returns the exit code: [`ALERT_FIRES`] if any alert fires.
 fn run_report(args: &Report) -> Result<process::ExitCode, Error> {
     let sections = args.section.iter().map(|text| read_section(text));
     let sections: Vec<_> = sections.collect::<Result<_, _>>()?;
     let store = store::Store::read(&args.scrapes)?;
-    let at = args.at.or(store.last_second()).unwrap_or(0);
+    let at = args.at.or(store.last_timestamp()).unwrap_or(0);
     let report = report::Report::new(&sections, &store, at);
     if args.json {
         println!("{}", serde_json::to_string_pretty(&report)?);
@@ -167,5 +172,5 @@
         fs::write(file, page::write(&report))?;
     }
     let alert = report.worst_alert().is_some();
-    Ok(if alert { process::ExitCode::from(ALERT) } else { process::ExitCode::SUCCESS })
+    Ok(if alert { process::ExitCode::from(ALERT_FIRES) } else { process::ExitCode::SUCCESS })
 }
--- a/crates/lagoon-burn/src/page.rs
+++ b/crates/lagoon-burn/src/page.rs
@@ -1,4 +1,4 @@
-//! The report as one HTML page that needs nothing else.
+//! The report as one self-contained HTML page.
 
 use std::fmt::Write;
 
@@ -6,6 +6,7 @@
 use crate::report;
 use crate::text;
 
+/// Style sheet of the page.
 const STYLE: &str = "body{font:15px/1.45 system-ui,sans-serif;max-width:800px;margin:24px auto;\
 color:#222;padding:0 12px}h1{font-size:22px;margin-bottom:0}h2{font-size:17px;margin:28px 0 4px}\
 table{border-collapse:collapse;width:100%}td,th{text-align:right;padding:4px 8px;\
@@ -16,7 +17,7 @@
 .ticket{background:#e69f00;padding:1px 7px;border-radius:3px}.note{color:#666}\
 svg{max-width:100%;height:auto}";
 
-/// The report as HTML.
+/// Formats the report as an HTML page.
 ///
 /// ```
 /// use lagoon_burn::{page, report, store};
@@ -31,16 +32,16 @@
          <meta name=\"viewport\" content=\"width=device-width\"><title>Service-level burn</title>\
          <style>{STYLE}</style><h1>Service-level burn</h1><p class=\"note\">{} of scrapes, \
          up to {}</p>",
-        hours(report.span),
-        date(report.at),
+        format_hours(report.span),
+        format_date(report.at),
     );
     write_alerts(&mut out, report);
     write_table(&mut out, report);
-    let titled = [
-        ("Burn over time (the line at 1 uses up exactly the budget)", plot::burns(report)),
-        ("Time to first token by prompt length", plot::first_tokens(report)),
+    let plots = [
+        ("Burn over time (the line at 1 uses up exactly the budget)", plot::draw_burns(report)),
+        ("Time to first token by prompt length", plot::draw_first_tokens(report)),
     ];
-    for (title, svg) in titled {
+    for (title, svg) in plots {
         let _ = write!(out, "<h2>{title}</h2>");
         out.push_str(svg.as_deref().unwrap_or("<p class=\"note\">No events.</p>"));
     }
@@ -50,17 +51,17 @@
     out
 }
 
-fn hours(seconds: u64) -> String {
+fn format_hours(seconds: u64) -> String {
     format!("{:.1} h", seconds as f64 / 3_600.0)
 }
 
-fn date(second: u64) -> String {
-    let date = i64::try_from(second).ok().and_then(|s| chrono::DateTime::from_timestamp(s, 0));
-    date.map_or_else(|| second.to_string(), |date| date.format("%Y-%m-%d %H:%M UTC").to_string())
+fn format_date(timestamp: u64) -> String {
+    let date = i64::try_from(timestamp).ok().and_then(|s| chrono::DateTime::from_timestamp(s, 0));
+    date.map_or_else(|| timestamp.to_string(), |date| date.format("%Y-%m-%d %H:%M UTC").to_string())
 }
 
-/// Makes a text safe within HTML: objectives are named by teams.
-pub(crate) fn escape(text: &str) -> String {
+/// Escapes a text for HTML. Teams choose the names of objectives, so names may contain markup.
+pub(crate) fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
@@ -69,14 +70,14 @@
     for objective in &report.objectives {
         for alert in &objective.alerts {
             any = true;
-            let word = text::urgency(alert.urgency);
+            let label = text::urgency_label(alert.urgency);
             let _ = write!(
                 out,
-                "<p><span class=\"{}\">{word}</span> <b>{}/{}</b>: burn at or above {} over both \
+                "<p><span class=\"{}\">{label}</span> <b>{}/{}</b>: burn at or above {} over both \
                  {} and {}</p>",
-                word.to_lowercase(),
-                escape(&objective.team),
-                escape(&objective.name),
+                label.to_lowercase(),
+                escape_html(&objective.team),
+                escape_html(&objective.name),
                 alert.rate,
                 alert.long,
                 alert.short,
@@ -96,22 +97,23 @@
     for objective in &report.objectives {
         let left = objective.budget_left;
         let width = left.unwrap_or(0.0).clamp(0.0, 1.0) * 100.0;
+        // The bar changes colour when less than a quarter of the budget is left.
         let low = if width < 25.0 { " class=\"low\"" } else { "" };
         let _ = write!(
             out,
             "<tr><td><b>{}/{}</b><br><span class=\"note\">{}; {:.0} events</span><td>{}<td>{}\
              <td><span class=\"bar\"><i{low} style=\"width:{width:.0}%\"></i></span><br>{}",
-            escape(&objective.team),
-            escape(&objective.name),
-            escape(&objective.indicator),
+            escape_html(&objective.team),
+            escape_html(&objective.name),
+            escape_html(&objective.indicator),
             objective.events,
-            text::percent(objective.good_share),
-            text::percent(Some(objective.target)),
-            text::percent(left),
+            text::format_percent(objective.good_share),
+            text::format_percent(Some(objective.target)),
+            text::format_percent(left),
         );
         for window in ["1h", "6h", "3d"] {
             let burn = objective.burns.iter().find(|burn| burn.window == window);
-            let _ = write!(out, "<td>{}", text::burn(burn.and_then(|burn| burn.burn)));
+            let _ = write!(out, "<td>{}", text::format_burn(burn.and_then(|burn| burn.burn)));
         }
     }
     out.push_str("</table>");
@@ -126,15 +128,17 @@
     out.push_str("<table><tr><th>objective<th>part<th>bad<th>good share");
     for objective in &report.objectives {
         for (index, offender) in objective.offenders.iter().enumerate() {
-            let name = format!("<b>{}/{}</b>", escape(&objective.team), escape(&objective.name));
+            // Only the first row of an objective shows its name.
+            let name =
+                format!("<b>{}/{}</b>", escape_html(&objective.team), escape_html(&objective.name));
             let _ = write!(
                 out,
                 "<tr><td>{}<td>{} {}<td>{:.0}<td>{}",
                 if index == 0 { name.as_str() } else { "" },
                 offender.kind,
-                escape(&offender.name),
+                escape_html(&offender.name),
                 offender.bad,
-                text::percent(Some(offender.good_share)),
+                text::format_percent(Some(offender.good_share)),
             );
         }
     }
@@ -149,7 +153,7 @@
     }
     out.push_str("<ul>");
     for missing in &report.missing {
-        let _ = write!(out, "<li>{}", escape(missing));
+        let _ = write!(out, "<li>{}", escape_html(missing));
     }
     out.push_str("</ul>");
 }
--- a/crates/lagoon-burn/src/plot.rs
+++ b/crates/lagoon-burn/src/plot.rs
@@ -6,8 +6,8 @@
 use crate::report;
 
 /// Width and height of a plot, in pixels.
-const SIZE: (u32, u32) = (760, 260);
-/// Colours that stay apart also for those who see few of them (Okabe and Ito's set).
+const SIZE_PIXELS: (u32, u32) = (760, 260);
+/// Colours that people with colour blindness can tell apart (the palette of Okabe and Ito).
 const COLOURS: [RGBColor; 6] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
@@ -21,27 +21,29 @@
     COLOURS[index % COLOURS.len()]
 }
 
-/// Names of the lines, each in its colour, as HTML: within the plot a legend hides lines.
+/// Returns the names of the lines as HTML, each in its colour. The legend is outside the plot
+/// because inside it would cover lines.
 fn legend(lines: &[Line]) -> String {
     let entry = |(index, line): (usize, &Line)| {
         let RGBColor(red, green, blue) = colour(index);
-        let name = page::escape(&line.name);
+        let name = page::escape_html(&line.name);
         format!("<span style=\"color:rgb({red},{green},{blue})\">&#9473; {name}</span> ")
     };
     lines.iter().enumerate().map(entry).collect()
 }
 
-/// One line of a plot.
+/// A line of a plot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// What the legend calls it.
+    /// Name in the legend.
     pub name: String,
-    /// Seconds before the end of the report as negative numbers, and values.
+    /// Pairs of time and value. Times are in seconds relative to the end of the report, so 0 or
+    /// negative.
     pub points: Vec<(f64, f64)>,
 }
 
-/// Plots `lines` over time with a logarithmic value axis, as a legend in HTML and an SVG; `None`
-/// when there is nothing.
+/// Draws `lines` over time with a logarithmic value axis and an optional horizontal `reference`
+/// line. Returns a legend in HTML followed by an SVG, or `None` without points.
 ///
 /// ```
 /// use lagoon_burn::plot;
@@ -49,53 +51,59 @@
 /// assert!(plot::draw(&[line], "seconds", None).unwrap().contains("<svg"));
 /// assert!(plot::draw(&[], "seconds", None).is_none());
 /// ```
-pub fn draw(lines: &[Line], unit: &str, mark: Option<f64>) -> Option<String> {
+pub fn draw(lines: &[Line], unit: &str, reference: Option<f64>) -> Option<String> {
     let points = || lines.iter().flat_map(|line| line.points.iter());
-    let values = || points().map(|point| point.1).filter(|value| *value > 0.0).chain(mark);
-    let lowest = values().min_by(f64::total_cmp)? * 0.8;
-    let highest = values().max_by(f64::total_cmp)? * 1.25;
+    let values = || points().map(|point| point.1).filter(|value| *value > 0.0).chain(reference);
+    // The factors leave a margin below the lowest and above the highest value.
+    let min = values().min_by(f64::total_cmp)? * 0.8;
+    let max = values().max_by(f64::total_cmp)? * 1.25;
     let begin = points().map(|point| point.0).min_by(f64::total_cmp)?;
     let mut svg = String::new();
-    draw_on(&mut svg, lines, unit, mark, (begin, lowest, highest)).ok()?;
+    draw_chart(&mut svg, lines, unit, reference, (begin, min, max)).ok()?;
     Some(format!("<p>{}</p>{svg}", legend(lines)))
 }
 
-type Failure<'a> = DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>;
+/// Error of the SVG backend.
+type DrawError<'a> = DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>;
 
-fn draw_on<'a>(
+/// Draws axes, lines and the reference line. The tuple holds the start of the time axis and the
+/// range of the value axis.
+fn draw_chart<'a>(
     svg: &'a mut String,
     lines: &[Line],
     unit: &str,
-    mark: Option<f64>,
-    (begin, lowest, highest): (f64, f64, f64),
-) -> Result<(), Failure<'a>> {
-    let area = SVGBackend::with_string(svg, SIZE).into_drawing_area();
+    reference: Option<f64>,
+    (begin, min, max): (f64, f64, f64),
+) -> Result<(), DrawError<'a>> {
+    let area = SVGBackend::with_string(svg, SIZE_PIXELS).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .margin(8)
         .x_label_area_size(34)
         .y_label_area_size(62)
-        .build_cartesian_2d(begin..0.0, (lowest..highest).log_scale())?;
+        .build_cartesian_2d(begin..0.0, (min..max).log_scale())?;
     chart
         .configure_mesh()
         .light_line_style(WHITE)
         .x_desc("before the end of the report")
         .y_desc(unit)
-        .x_label_formatter(&|second| ago(second.abs()))
-        .y_label_formatter(&|value| plain(*value))
+        .x_label_formatter(&|offset| format_age(offset.abs()))
+        .y_label_formatter(&|value| format_value(*value))
         .draw()?;
     for (index, line) in lines.iter().enumerate() {
+        // A logarithmic axis cannot show 0.
         let points = line.points.iter().filter(|point| point.1 > 0.0).copied();
         chart.draw_series(LineSeries::new(points, colour(index).stroke_width(2)))?;
     }
-    if let Some(mark) = mark {
-        let ends = [(begin, mark), (0.0, mark)];
+    if let Some(reference) = reference {
+        let ends = [(begin, reference), (0.0, reference)];
         chart.draw_series(LineSeries::new(ends, BLACK.mix(0.5).stroke_width(1)))?;
     }
     area.present()
 }
 
-fn ago(seconds: f64) -> String {
+/// Formats a duration in the largest fitting unit.
+fn format_age(seconds: f64) -> String {
     match seconds {
         s if s < 120.0 => format!("{s:.0} s"),
         s if s < 7_200.0 => format!("{:.0} min", s / 60.0),
@@ -104,36 +112,38 @@
     }
 }
 
-fn plain(value: f64) -> String {
+fn format_value(value: f64) -> String {
     if value >= 10.0 { format!("{value:.0}") } else { format!("{value:.2}") }
 }
 
-fn before_end(at: u64, second: u64) -> f64 {
-    second as f64 - at as f64
+/// Returns `timestamp` relative to the end of the report, in seconds.
+fn offset_from_end(at: u64, timestamp: u64) -> f64 {
+    timestamp as f64 - at as f64
 }
 
-/// Burn of each objective over time; the mark is the burn that uses up exactly the budget.
-pub fn burns(report: &report::Report) -> Option<String> {
+/// Draws the burn rate of each objective over time, with a reference line at 1, which uses up
+/// exactly the budget.
+pub fn draw_burns(report: &report::Report) -> Option<String> {
     let line = |objective: &report::Objective| Line {
         name: format!("{}/{}", objective.team, objective.name),
         points: objective
             .course
             .iter()
-            .filter_map(|&(second, burn)| Some((before_end(report.at, second), burn?)))
+            .filter_map(|&(timestamp, burn)| Some((offset_from_end(report.at, timestamp), burn?)))
             .collect(),
     };
     let lines: Vec<Line> = report.objectives.iter().map(line).collect();
     draw(&lines, "burn", Some(1.0))
 }
 
-/// 95th percentile of the time to first token of each length class over time.
-pub fn first_tokens(report: &report::Report) -> Option<String> {
-    let line = |class: &report::ClassLine| Line {
+/// Draws the 95th percentile of the time to first token of each length class over time.
+pub fn draw_first_tokens(report: &report::Report) -> Option<String> {
+    let line = |class: &report::ClassLatency| Line {
         name: class.class.to_owned(),
         points: class
             .points
             .iter()
-            .map(|&(second, _, high)| (before_end(report.at, second), high))
+            .map(|&(timestamp, _, p95)| (offset_from_end(report.at, timestamp), p95))
             .collect(),
     };
     let lines: Vec<Line> = report.first_token.iter().map(line).collect();
--- a/crates/lagoon-burn/src/report.rs
+++ b/crates/lagoon-burn/src/report.rs
@@ -1,4 +1,5 @@
-//! The report as data: objectives, burn by window, budget left, alerts, worst offenders, gaps.
+//! Data of a report: for each objective its burn rates, remaining budget, alerts and worst
+//! offenders, and the gaps in the scrapes.
 
 use std::collections;
 
@@ -11,206 +12,220 @@
 use crate::store;
 use crate::window;
 
-/// Scrapes further apart than this many usual intervals leave a gap.
+/// Consecutive scrapes of a host that are more than this many median intervals apart have a gap
+/// between them.
 const GAP_INTERVALS: u64 = 3;
-/// Points of a plot over the span that was scraped.
+/// Maximum number of points of a plot. A point covers at least one median interval between scrapes.
 const PLOT_POINTS: u64 = 48;
-/// Worst offenders listed for each objective.
-const OFFENDERS: usize = 5;
+/// Maximum number of offenders listed for an objective.
+const MAX_OFFENDERS: usize = 5;
 
-/// Growth of each counter over one span of time, summed over all entry hosts.
+/// Growth of each counter within one time span, summed over all entry hosts.
 type Growth = collections::BTreeMap<series::Key, f64>;
 
-/// The whole report.
+/// A report on all objectives.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// End of the time reported on, in seconds since the Unix epoch.
+    /// End of the reported time, in seconds since the Unix epoch.
     pub at: u64,
     /// Seconds from the first scrape to `at`.
     pub span: u64,
-    /// One for each objective of each team.
+    /// Results of all objectives of all teams.
     pub objectives: Vec<Objective>,
     /// Time to first token of each length class over time.
-    pub first_token: Vec<ClassLine>,
-    /// What the report does not know.
+    pub first_token: Vec<ClassLatency>,
+    /// Skipped files, hosts without scrapes, and gaps between scrapes, as texts for people.
     pub missing: Vec<String>,
 }
 
-/// How one objective stands.
+/// Results of one objective.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Objective {
-    /// The team whose section promises it.
+    /// Team whose section defines the objective.
     pub team: String,
-    /// Its name.
+    /// Name of the objective.
     pub name: String,
-    /// What is measured, in words.
+    /// Description of the indicator and its bound, for people.
     pub indicator: String,
-    /// Bound of a good event: milliseconds, or a multiple for the slowdown.
+    /// Upper bound of a good event: milliseconds, or a factor for the slowdown of short prompts.
     pub bound: f64,
-    /// Share of good events promised.
+    /// Share of events that must be good.
     pub target: f64,
-    /// Events over the whole span.
+    /// Number of events in the reported time.
     pub events: f64,
-    /// Share of good events over the whole span.
+    /// Share of good events in the reported time. `None` without events.
     pub good_share: Option<f64>,
-    /// Share of the four weeks' error budget that is left, below 0 when overdrawn.
+    /// Share of the four weeks' error budget that is left. Negative if more than the budget was
+    /// used, `None` without events.
     pub budget_left: Option<f64>,
-    /// Burn in each window.
+    /// Burn rate in each of [`window::WINDOWS`].
     pub burns: Vec<Burn>,
     /// Alerts that fire.
     pub alerts: Vec<Alert>,
-    /// Parts of the traffic with most bad events, worst first.
+    /// Models, zones and customers with the most bad events, worst first.
     pub offenders: Vec<Offender>,
-    /// Burn over time: seconds since the Unix epoch, and burn in the step that ends there.
+    /// Burn rate over time: end of a step in seconds since the Unix epoch, and burn rate within the
+    /// step.
     pub course: Vec<(u64, Option<f64>)>,
 }
 
-/// Burn in one window.
+/// Burn rate in one window.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Burn {
     /// Name of the window.
     pub window: &'static str,
-    /// Times faster than allowed that the budget is used; absent without events.
+    /// How many times faster than allowed the budget is used up. `None` without events.
     pub burn: Option<f64>,
-    /// Share of the window that the scrapes cover, averaged over hosts.
+    /// Share of the window that scrapes cover, averaged over hosts.
     pub covered: f64,
 }
 
-/// An alert that fires.
+/// A firing alert.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Alert {
-    /// How urgent it is.
+    /// Urgency of the alert.
     pub urgency: window::Urgency,
-    /// Its long window.
+    /// Name of its long window.
     pub long: &'static str,
-    /// Its short window.
+    /// Name of its short window.
     pub short: &'static str,
-    /// Burn at which it fires.
+    /// Burn rate at or above which it fires.
     pub rate: f64,
 }
 
-/// A part of the traffic that used up budget.
+/// A model, zone or customer with bad events.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Offender {
-    /// `model`, `zone` or `customer`.
+    /// Label that selects the traffic: `model`, `zone` or `customer`.
     pub kind: &'static str,
-    /// Which.
+    /// Value of the label.
     pub name: String,
-    /// Bad events.
+    /// Number of bad events.
     pub bad: f64,
-    /// Its share of good events.
+    /// Share of good events within this traffic.
     pub good_share: f64,
 }
 
 /// Time to first token of one length class over time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct ClassLine {
-    /// The class.
+pub struct ClassLatency {
+    /// Name of the length class.
     pub class: &'static str,
-    /// Seconds since the Unix epoch, median and 95th percentile in seconds.
+    /// End of a step in seconds since the Unix epoch, median, and 95th percentile, both in seconds.
     pub points: Vec<(u64, f64, f64)>,
 }
 
 impl Report {
-    /// Reports on the time up to `at`, in seconds since the Unix epoch.
+    /// Computes the report on the objectives of `sections` from the first scrape up to `at`, in
+    /// seconds since the Unix epoch.
     pub fn new(sections: &[document::Section], store: &store::Store, at: u64) -> Report {
         let first = store.hosts.values().filter_map(|scrapes| scrapes.first());
-        let begin = first.map(|scrape| scrape.second).min().unwrap_or(at).min(at);
-        let source = Source::new(store, begin, at);
+        let begin = first.map(|scrape| scrape.timestamp).min().unwrap_or(at).min(at);
+        let builder = Builder::new(store, begin, at);
         let mut objectives = Vec::new();
         for section in sections {
-            for promised in &section.body.policy.objectives {
-                objectives.push(source.objective(section, promised));
+            for definition in &section.body.policy.objectives {
+                objectives.push(builder.objective(section, definition));
             }
         }
-        let first_token = document::Class::ALL.map(|class| source.class_line(class)).to_vec();
-        Report { at, span: at - begin, objectives, first_token, missing: source.missing() }
+        let first_token = document::Class::ALL.map(|class| builder.class_latency(class)).to_vec();
+        Report { at, span: at - begin, objectives, first_token, missing: builder.missing() }
     }
 
-    /// The most urgent alert that fires.
+    /// Returns the highest urgency of the firing alerts.
     pub fn worst_alert(&self) -> Option<window::Urgency> {
         let alerts = self.objectives.iter().flat_map(|objective| &objective.alerts);
         alerts.map(|alert| alert.urgency).max()
     }
 }
 
-/// What the scrapes hold, summed once for all objectives.
-struct Source<'a> {
+/// Builds the parts of a report from counter growth that is computed once for all objectives.
+struct Builder<'a> {
     store: &'a store::Store,
+    /// Time of the first scrape of any host.
     begin: u64,
+    /// End of the reported time.
     at: u64,
-    whole: Growth,
-    /// Growth in each of [`window::WINDOWS`].
+    /// Growth within the reported time.
+    total: Growth,
+    /// Growth within each of [`window::WINDOWS`], in the same order.
     windows: Vec<Growth>,
-    /// End of each step of the plots, and growth in it.
+    /// Steps of the plots: end in seconds since the Unix epoch, and growth within the step.
     steps: Vec<(u64, Growth)>,
 }
 
-fn sum(store: &store::Store, from: u64, to: u64) -> Growth {
-    let mut sum = Growth::new();
+/// Sums the growth of all hosts between the timestamps `from` (exclusive) and `to` (inclusive).
+fn total_growth(store: &store::Store, from: u64, to: u64) -> Growth {
+    let mut total = Growth::new();
     for scrapes in store.hosts.values() {
         for (key, grown) in series::growth(scrapes, from, to) {
-            *sum.entry(key).or_insert(0.0) += grown;
+            *total.entry(key).or_insert(0.0) += grown;
         }
     }
-    sum
+    total
 }
 
-fn steps(store: &store::Store, begin: u64, at: u64) -> Vec<(u64, Growth)> {
+fn plot_steps(store: &store::Store, begin: u64, at: u64) -> Vec<(u64, Growth)> {
     let step = ((at - begin) / PLOT_POINTS).max(store.interval());
     let ends = (1..=PLOT_POINTS).map(|index| begin + index * step).filter(|&end| end <= at);
-    ends.map(|end| (end, sum(store, end - step, end))).collect()
+    ends.map(|end| (end, total_growth(store, end - step, end))).collect()
 }
 
-impl<'a> Source<'a> {
+impl<'a> Builder<'a> {
     fn new(store: &'a store::Store, begin: u64, at: u64) -> Self {
-        let in_window = |&(_, span): &(&str, u64)| sum(store, at.saturating_sub(span), at);
-        Source {
+        let in_window = |&(_, span): &(&str, u64)| total_growth(store, at.saturating_sub(span), at);
+        Builder {
             store,
             begin,
             at,
-            whole: sum(store, begin, at),
+            total: total_growth(store, begin, at),
             windows: window::WINDOWS.iter().map(in_window).collect(),
-            steps: steps(store, begin, at),
+            steps: plot_steps(store, begin, at),
         }
     }
 
-    fn objective(&self, section: &document::Section, promised: &document::Objective) -> Objective {
+    fn objective(
+        &self,
+        section: &document::Section,
+        definition: &document::Objective,
+    ) -> Objective {
         let scope = scope::Scope::of(section);
-        let whole = scope.cut(&self.whole);
-        let count = indicator::count(promised, &whole, indicator::Part::All);
-        let windows: Vec<Growth> = self.windows.iter().map(|window| scope.cut(window)).collect();
-        let named = window::WINDOWS.iter().zip(&windows);
-        let burns: Vec<Burn> =
-            named.map(|(&(name, span), growth)| self.burn(promised, name, span, growth)).collect();
+        let in_scope = scope.filter(&self.total);
+        let count = indicator::count(definition, &in_scope, indicator::Filter::All);
+        let windows: Vec<Growth> = self.windows.iter().map(|window| scope.filter(window)).collect();
+        let named_windows = window::WINDOWS.iter().zip(&windows);
+        let burns: Vec<Burn> = named_windows
+            .map(|(&(name, span), growth)| self.burn(definition, name, span, growth))
+            .collect();
         Objective {
             team: section.team.to_string(),
-            name: promised.name.to_string(),
-            indicator: words(promised),
-            bound: promised.bound,
-            target: promised.target,
-            events: count.all,
+            name: definition.name.to_string(),
+            indicator: describe_indicator(definition),
+            bound: definition.bound,
+            target: definition.target,
+            events: count.total,
             good_share: count.share(),
-            budget_left: self.budget_left(promised, windows.last()),
-            alerts: alerts(&burns),
-            offenders: offenders(promised, &whole),
-            course: self.course(promised, &scope),
+            budget_left: self.budget_left(definition, windows.last()),
+            alerts: firing_alerts(&burns),
+            offenders: worst_offenders(definition, &in_scope),
+            course: self.burn_over_time(definition, &scope),
             burns,
         }
     }
 
     fn burn(
         &self,
-        promised: &document::Objective,
+        definition: &document::Objective,
         window: &'static str,
         span: u64,
         growth: &Growth,
     ) -> Burn {
-        let count = indicator::count(promised, growth, indicator::Part::All);
+        let count = indicator::count(definition, growth, indicator::Filter::All);
         let covered = self.coverage(self.at.saturating_sub(span));
-        Burn { window, burn: count.burn(promised.target), covered }
+        Burn { window, burn: count.burn(definition.target), covered }
     }
 
+    /// Returns the share of the time since `from` that scrapes cover, averaged over hosts.
     fn coverage(&self, from: u64) -> f64 {
         let gap = self.store.interval() * GAP_INTERVALS;
         let hosts = self.store.hosts.values();
@@ -218,42 +233,43 @@
         sum / self.store.hosts.len().max(1) as f64
     }
 
-    /// Bad events so far, against those allowed in four weeks at the rate of events seen.
+    /// Returns the share of the error budget that is left: 1 minus the bad events so far, divided
+    /// by those allowed in four weeks at the observed rate of events.
     fn budget_left(
         &self,
-        promised: &document::Objective,
+        definition: &document::Objective,
         budget_window: Option<&Growth>,
     ) -> Option<f64> {
-        let from = self.at.saturating_sub(window::BUDGET_SPAN).max(self.begin);
-        let count = indicator::count(promised, budget_window?, indicator::Part::All);
-        let share_of_span = (self.at - from) as f64 / window::BUDGET_SPAN as f64;
-        count.burn(promised.target).map(|burn| 1.0 - burn * share_of_span)
+        let from = self.at.saturating_sub(window::BUDGET_SECONDS).max(self.begin);
+        let count = indicator::count(definition, budget_window?, indicator::Filter::All);
+        let share_of_span = (self.at - from) as f64 / window::BUDGET_SECONDS as f64;
+        count.burn(definition.target).map(|burn| 1.0 - burn * share_of_span)
     }
 
-    fn course(
+    fn burn_over_time(
         &self,
-        promised: &document::Objective,
+        definition: &document::Objective,
         scope: &scope::Scope<'_>,
     ) -> Vec<(u64, Option<f64>)> {
         let burn = |growth| {
-            let growth = scope.cut(growth);
-            indicator::count(promised, &growth, indicator::Part::All).burn(promised.target)
+            let growth = scope.filter(growth);
+            indicator::count(definition, &growth, indicator::Filter::All).burn(definition.target)
         };
         self.steps.iter().map(|(end, growth)| (*end, burn(growth))).collect()
     }
 
-    fn class_line(&self, class: document::Class) -> ClassLine {
+    fn class_latency(&self, class: document::Class) -> ClassLatency {
         let mut points = Vec::new();
         for (end, growth) in &self.steps {
             let of_class = |key: &series::Key| key.label("class") == class.as_str();
             let buckets = indicator::buckets(growth, indicator::FIRST_TOKEN, of_class);
             let median = indicator::quantile(&buckets, 0.5);
-            let high = indicator::quantile(&buckets, 0.95);
-            if let (Some(median), Some(high)) = (median, high) {
-                points.push((*end, median, high));
+            let p95 = indicator::quantile(&buckets, 0.95);
+            if let (Some(median), Some(p95)) = (median, p95) {
+                points.push((*end, median, p95));
             }
         }
-        ClassLine { class: class.as_str(), points }
+        ClassLatency { class: class.as_str(), points }
     }
 
     fn missing(&self) -> Vec<String> {
@@ -269,26 +285,27 @@
     }
 }
 
+/// Describes the gaps of more than `gap` seconds between the scrapes of a host, and before `at`.
 fn gaps(host: &str, scrapes: &[series::Scrape], gap: u64, at: u64) -> Vec<String> {
     let Some(last) = scrapes.last() else {
         return vec![format!("{host}: no scrape")];
     };
     let mut found = Vec::new();
     for pair in scrapes.windows(2) {
-        let span = pair[1].second - pair[0].second;
+        let span = pair[1].timestamp - pair[0].timestamp;
         if span > gap {
-            found.push(format!("{host}: nothing for {span} s up to {}", pair[1].second));
+            found.push(format!("{host}: nothing for {span} s up to {}", pair[1].timestamp));
         }
     }
-    if at.saturating_sub(last.second) > gap {
-        found.push(format!("{host}: nothing since {}", last.second));
+    if at.saturating_sub(last.timestamp) > gap {
+        found.push(format!("{host}: nothing since {}", last.timestamp));
     }
     found
 }
 
-fn words(promised: &document::Objective) -> String {
-    let bound = promised.bound;
-    match promised.indicator {
+fn describe_indicator(definition: &document::Objective) -> String {
+    let bound = definition.bound;
+    match definition.indicator {
         document::Indicator::FirstToken(class) => {
             format!("first token of {} prompts within {bound} ms", class.as_str())
         }
@@ -301,7 +318,9 @@
     }
 }
 
-fn alerts(burns: &[Burn]) -> Vec<Alert> {
+/// Returns the alerts whose burn rate is reached in both windows. A window without events counts as
+/// a burn rate of 0.
+fn firing_alerts(burns: &[Burn]) -> Vec<Alert> {
     let burn_in = |name: &str| {
         let burn = burns.iter().find(|burn| burn.window == name);
         burn.and_then(|burn| burn.burn).unwrap_or(0.0)
@@ -318,25 +337,26 @@
     window::ALERTS.iter().filter(fires).map(to_alert).collect()
 }
 
-fn offenders(promised: &document::Objective, growth: &Growth) -> Vec<Offender> {
+/// Returns the models, zones and customers with the most bad events, worst first.
+fn worst_offenders(definition: &document::Objective, growth: &Growth) -> Vec<Offender> {
     let mut found = Vec::new();
     for kind in ["model", "zone", "customer"] {
         let labels = growth.keys().map(|key| key.label(kind)).filter(|label| !label.is_empty());
         let names: collections::BTreeSet<&str> = labels.collect();
         for name in names {
-            let part = match kind {
-                "model" => indicator::Part::Model(name),
-                "zone" => indicator::Part::Zone(name),
-                _ => indicator::Part::Customer(name),
+            let filter = match kind {
+                "model" => indicator::Filter::Model(name),
+                "zone" => indicator::Filter::Zone(name),
+                _ => indicator::Filter::Customer(name),
             };
-            let count = indicator::count(promised, growth, part);
-            let bad = count.all - count.good;
+            let count = indicator::count(definition, growth, filter);
+            let bad = count.total - count.good;
             if let Some(good_share) = count.share().filter(|_| bad > 0.0) {
                 found.push(Offender { kind, name: name.to_owned(), bad, good_share });
             }
         }
     }
     found.sort_by(|a, b| b.bad.total_cmp(&a.bad));
-    found.truncate(OFFENDERS);
+    found.truncate(MAX_OFFENDERS);
     found
 }
--- a/crates/lagoon-burn/src/scope.rs
+++ b/crates/lagoon-burn/src/scope.rs
@@ -1,4 +1,4 @@
-//! What a team's objectives speak of: its own models and services, and its own customers.
+//! Counters that a team's objectives cover: those of its own models, services and customers.
 
 use std::collections;
 
@@ -6,15 +6,15 @@
 
 use crate::series;
 
-/// Part of all counters that is a team's business.
+/// Selects the counters that a team's objectives cover.
 #[derive(Clone, Copy, Debug)]
 pub struct Scope<'a> {
     body: &'a document::Body,
 }
 
 impl<'a> Scope<'a> {
-    /// The scope of a team's section. A team without models and services, such as one that only
-    /// has customers, looks at all of them.
+    /// Returns the scope of a team's section. For a team without models and services, such as one
+    /// that only has customers, the scope covers all models and services.
     ///
     /// ```
     /// use lagoon_burn::{scope::Scope, series::Key};
@@ -26,22 +26,22 @@
     ///     labels: [("model".into(), model.into())].into(),
     /// };
     /// let growth = [(key("tin-label"), 3.0), (key("other"), 4.0)].into();
-    /// assert_eq!(Scope::of(&section).cut(&growth), [(key("tin-label"), 3.0)].into());
+    /// assert_eq!(Scope::of(&section).filter(&growth), [(key("tin-label"), 3.0)].into());
     /// ```
     pub fn of(section: &'a document::Section) -> Self {
         Scope { body: &section.body }
     }
 
-    /// The counters within the scope.
-    pub fn cut(
+    /// Returns the counters within the scope.
+    pub fn filter(
         &self,
         growth: &collections::BTreeMap<series::Key, f64>,
     ) -> collections::BTreeMap<series::Key, f64> {
-        let kept = growth.iter().filter(|(key, _)| self.holds(key));
+        let kept = growth.iter().filter(|(key, _)| self.contains(key));
         kept.map(|(key, grown)| (key.clone(), *grown)).collect()
     }
 
-    fn holds(&self, key: &series::Key) -> bool {
+    fn contains(&self, key: &series::Key) -> bool {
         let customer = key.label("customer");
         if !customer.is_empty() && !self.body.customers.is_empty() {
             return self.body.customers.contains_key(customer);
@@ -49,7 +49,8 @@
         let label = |name: &str| !key.label(name).is_empty();
         let named = ["model", "name"].into_iter().find(|name| label(name));
         let owns_none = self.body.models.is_empty() && self.body.services.is_empty();
-        // A request for a name that does not exist has none; it is nobody's.
+        // Counters without a model or service name, such as those of requests for a name that does
+        // not exist, belong to no team. Every scope includes them.
         let Some(name) = named.map(|name| key.label(name)) else { return true };
         owns_none || self.body.models.contains_key(name) || self.body.services.contains_key(name)
     }
--- a/crates/lagoon-burn/src/store.rs
+++ b/crates/lagoon-burn/src/store.rs
@@ -1,4 +1,5 @@
-//! Saved scrapes: `DIR/HOST/SECOND.prom`, where SECOND counts from the Unix epoch.
+//! Reads saved scrapes from `DIR/HOST/SECOND.prom`, where SECOND is the time of the scrape in
+//! seconds since the Unix epoch.
 
 use std::collections;
 use std::fs;
@@ -13,47 +14,48 @@
     /// A file or folder could not be read.
     #[error("reading {}: {error}", path.display())]
     Read {
-        /// Which.
+        /// The file or folder.
         path: path::PathBuf,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
-    /// A text is no exposition of metrics.
-    #[error("metrics of {host} at {second}: {error}")]
+    /// A scrape is not in the Prometheus text format.
+    #[error("metrics of {host} at {timestamp}: {error}")]
     Parse {
         /// The entry host.
         host: String,
-        /// When it was scraped.
-        second: u64,
-        /// Why.
+        /// Time of the scrape, in seconds since the Unix epoch.
+        timestamp: u64,
+        /// The cause.
         error: io::Error,
     },
 }
 
-/// Scrapes of all hosts, in order of time.
+/// Scrapes of all hosts.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
-    /// Each entry host's scrapes.
+    /// Scrapes of each entry host by its name, in order of time.
     pub hosts: collections::BTreeMap<String, Vec<series::Scrape>>,
-    /// Files passed over, with the reason: a cut file of a host that died must not stop a report.
+    /// Files that were skipped, with the reason. A file that was truncated because its host crashed
+    /// must not prevent a report.
     pub skipped: Vec<String>,
 }
 
 impl Store {
-    /// Reads all scrapes below `dir`; files that cannot be understood are listed in `skipped`.
+    /// Reads all scrapes below `dir`. Files that cannot be read or parsed are listed in `skipped`.
     ///
     /// # Errors
     ///
-    /// The folder cannot be read.
+    /// `dir` or a host's folder cannot be listed.
     pub fn read(dir: &path::Path) -> Result<Store, Error> {
         let mut store = Store::default();
-        for host in list(dir)? {
+        for host in list_dir(dir)? {
             if !host.is_dir() {
                 continue;
             }
             let name = host.file_name().unwrap_or_default().to_string_lossy().into_owned();
             store.hosts.entry(name.clone()).or_default();
-            for file in list(&host)? {
+            for file in list_dir(&host)? {
                 store.read_file(&name, &file);
             }
         }
@@ -62,23 +64,23 @@
 
     fn read_file(&mut self, host: &str, file: &path::Path) {
         let stem = file.file_stem().unwrap_or_default().to_string_lossy();
-        let Ok(second) = stem.parse() else {
+        let Ok(timestamp) = stem.parse() else {
             self.skipped.push(format!("{}: its name is no time", file.display()));
             return;
         };
         let read = fs::read_to_string(file)
             .map_err(|error| Error::Read { path: file.to_owned(), error })
-            .and_then(|text| self.add(host, second, &text));
+            .and_then(|text| self.add(host, timestamp, &text));
         if let Err(error) = read {
             self.skipped.push(error.to_string());
         }
     }
 
-    /// Adds one scrape of `host`, as OpenMetrics or Prometheus text.
+    /// Adds one scrape of `host`, in OpenMetrics or Prometheus text format.
     ///
     /// # Errors
     ///
-    /// The text is no exposition of metrics.
+    /// `text` cannot be parsed.
     ///
     /// ```
     /// use lagoon_burn::store::Store;
@@ -87,38 +89,45 @@
     /// let counters = &store.hosts["suva-1"][0].counters;
     /// assert_eq!(counters.first_key_value().unwrap().0.metric, "lagoon_retries");
     /// ```
-    pub fn add(&mut self, host: &str, second: u64, text: &str) -> Result<(), Error> {
+    pub fn add(&mut self, host: &str, timestamp: u64, text: &str) -> Result<(), Error> {
         let lines = text.lines().map(|line| Ok(line.to_owned()));
         let parsed = prometheus_parse::Scrape::parse(lines).map_err(|error| Error::Parse {
             host: host.to_owned(),
-            second,
+            timestamp,
             error,
         })?;
-        let mut scrape = series::Scrape { second, ..series::Scrape::default() };
+        let mut scrape = series::Scrape { timestamp, ..series::Scrape::default() };
         for sample in parsed.samples {
             add_sample(&mut scrape, sample);
         }
         let scrapes = self.hosts.entry(host.to_owned()).or_default();
-        let place = scrapes.partition_point(|other| other.second < second);
-        scrapes.insert(place, scrape);
+        let index = scrapes.partition_point(|other| other.timestamp < timestamp);
+        scrapes.insert(index, scrape);
         Ok(())
     }
 
-    /// Time of the last scrape of any host.
-    pub fn last_second(&self) -> Option<u64> {
-        self.hosts.values().filter_map(|scrapes| scrapes.last()).map(|scrape| scrape.second).max()
+    /// Returns the time of the last scrape of any host, in seconds since the Unix epoch.
+    pub fn last_timestamp(&self) -> Option<u64> {
+        self.hosts
+            .values()
+            .filter_map(|scrapes| scrapes.last())
+            .map(|scrape| scrape.timestamp)
+            .max()
     }
 
-    /// Median time between two scrapes of one host, in seconds; 60 when there are none.
+    /// Returns the median time between two consecutive scrapes of a host, in seconds. 60 if no host
+    /// has two scrapes.
     pub fn interval(&self) -> u64 {
         let pairs = self.hosts.values().flat_map(|scrapes| scrapes.windows(2));
-        let mut steps: Vec<u64> = pairs.map(|pair| pair[1].second - pair[0].second).collect();
-        steps.sort_unstable();
-        steps.get(steps.len() / 2).copied().unwrap_or(60).max(1)
+        let mut intervals: Vec<u64> =
+            pairs.map(|pair| pair[1].timestamp - pair[0].timestamp).collect();
+        intervals.sort_unstable();
+        intervals.get(intervals.len() / 2).copied().unwrap_or(60).max(1)
     }
 }
 
-fn list(dir: &path::Path) -> Result<Vec<path::PathBuf>, Error> {
+/// Returns the paths of the entries of `dir`, sorted.
+fn list_dir(dir: &path::Path) -> Result<Vec<path::PathBuf>, Error> {
     let fail = |error| Error::Read { path: dir.to_owned(), error };
     let entries = fs::read_dir(dir).map_err(fail)?;
     let mut paths = Vec::new();
@@ -129,6 +138,7 @@
     Ok(paths)
 }
 
+/// Adds the values of a counter or of the buckets of a histogram to `scrape`.
 fn add_sample(scrape: &mut series::Scrape, sample: prometheus_parse::Sample) {
     let labels: collections::BTreeMap<String, String> =
         sample.labels.iter().map(|(name, value)| (name.clone(), value.clone())).collect();
@@ -145,7 +155,7 @@
                 scrape.counters.insert(series::Key { metric, labels }, bucket.count);
             }
         }
-        // Gauges and summaries are no counters: nothing to burn in them.
+        // No indicator is computed from gauges or summaries.
         prometheus_parse::Value::Gauge(_) | prometheus_parse::Value::Summary(_) => {}
     }
 }
--- a/crates/lagoon-burn/src/text.rs
+++ b/crates/lagoon-burn/src/text.rs
@@ -5,25 +5,25 @@
 use crate::report;
 use crate::window;
 
-/// Writes a share as a percentage, or a dash.
-pub(crate) fn percent(share: Option<f64>) -> String {
+/// Formats a share as a percentage, or as a dash if there is none.
+pub(crate) fn format_percent(share: Option<f64>) -> String {
     share.map_or_else(|| "-".to_owned(), |share| format!("{:.2}%", share * 100.0))
 }
 
-/// Writes a burn, or a dash.
-pub(crate) fn burn(burn: Option<f64>) -> String {
+/// Formats a burn rate, or a dash if there is none.
+pub(crate) fn format_burn(burn: Option<f64>) -> String {
     burn.map_or_else(|| "-".to_owned(), |burn| format!("{burn:.1}"))
 }
 
-/// The word for how urgent an alert is.
-pub(crate) fn urgency(urgency: window::Urgency) -> &'static str {
+/// Returns the label that the report prints for an urgency.
+pub(crate) fn urgency_label(urgency: window::Urgency) -> &'static str {
     match urgency {
         window::Urgency::Page => "PAGE",
         window::Urgency::Ticket => "ticket",
     }
 }
 
-/// The report for a terminal: one block for each objective, alerts first.
+/// Formats the report for a terminal, with one block for each objective.
 ///
 /// ```
 /// use lagoon_burn::{report, store, text};
@@ -48,20 +48,21 @@
     let _ = writeln!(
         out,
         "  good {} of {:.0} (promised {}), budget left {}",
-        percent(objective.good_share),
+        format_percent(objective.good_share),
         objective.events,
-        percent(Some(objective.target)),
-        percent(objective.budget_left),
+        format_percent(Some(objective.target)),
+        format_percent(objective.budget_left),
     );
-    let burns = objective.burns.iter().map(|line| format!("{} {}", line.window, burn(line.burn)));
+    let burns =
+        objective.burns.iter().map(|burn| format!("{} {}", burn.window, format_burn(burn.burn)));
     let _ = writeln!(out, "  burn {}", burns.collect::<Vec<_>>().join(", "));
     for alert in &objective.alerts {
-        let word = urgency(alert.urgency);
+        let label = urgency_label(alert.urgency);
         let (long, short, rate) = (alert.long, alert.short, alert.rate);
-        let _ = writeln!(out, "  {word}: burn at or above {rate} over {long} and {short}");
+        let _ = writeln!(out, "  {label}: burn at or above {rate} over {long} and {short}");
     }
     for offender in &objective.offenders {
-        let share = percent(Some(offender.good_share));
+        let share = format_percent(Some(offender.good_share));
         let (kind, name, bad) = (offender.kind, &offender.name, offender.bad);
         let _ = writeln!(out, "  {kind} {name}: {bad:.0} bad, good {share}");
     }
--- a/crates/lagoon-burn/src/window.rs
+++ b/crates/lagoon-burn/src/window.rs
@@ -1,51 +1,52 @@
-//! Windows over which burn is looked at, and the alerts on pairs of them.
+//! Windows over which burn rates are computed, and the multi-window alerts on them.
 
 use serde::Serialize;
 
-/// Seconds of an hour.
-const HOUR: u64 = 3_600;
-/// Seconds of a day.
-pub const DAY: u64 = 24 * HOUR;
+/// One hour, in seconds.
+const HOUR_SECONDS: u64 = 3_600;
+/// One day, in seconds.
+pub const DAY_SECONDS: u64 = 24 * HOUR_SECONDS;
 
-/// Time over which an error budget is meant to last, in seconds: four weeks.
-pub const BUDGET_SPAN: u64 = 28 * DAY;
+/// Time that an error budget covers, in seconds: four weeks.
+pub const BUDGET_SECONDS: u64 = 28 * DAY_SECONDS;
 
-/// Windows for which a report gives the burn: name and seconds.
+/// Windows for which a report gives the burn rate: name and length in seconds.
 pub const WINDOWS: [(&str, u64); 6] = [
     ("5m", 300),
     ("30m", 1_800),
-    ("1h", HOUR),
-    ("6h", 6 * HOUR),
-    ("3d", 3 * DAY),
-    ("28d", BUDGET_SPAN),
+    ("1h", HOUR_SECONDS),
+    ("6h", 6 * HOUR_SECONDS),
+    ("3d", 3 * DAY_SECONDS),
+    ("28d", BUDGET_SECONDS),
 ];
 
 /// How urgent an alert is.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Urgency {
-    /// Look at it on a working day.
+    /// To be handled on a working day.
     Ticket,
-    /// Wake somebody.
+    /// Pages the person on call.
     Page,
 }
 
-/// An alert fires when burn is at or above `rate` over both windows: the long one shows that it
-/// matters, the short one that it still goes on.
+/// Fires when the burn rate is at or above `rate` over both windows. The long window shows that the
+/// loss is significant, the short one that it is still going on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Alert {
-    /// How urgent it is.
+    /// Urgency of the alert.
     pub urgency: Urgency,
-    /// Long window.
+    /// Name of the long window.
     pub long: &'static str,
-    /// Short window, a twelfth of the long one.
+    /// Name of the short window, a twelfth of the long one.
     pub short: &'static str,
-    /// Burn: 1 uses up exactly the budget in its span.
+    /// Burn rate. 1 uses up exactly the whole budget within [`BUDGET_SECONDS`].
     pub rate: f64,
 }
 
-/// The alerts. A burn of 14.4 over an hour uses 2% of four weeks' budget, 6 over six hours 5%,
-/// 1 over three days 10%: below that a person's sleep is worth more.
+/// All alerts. A burn rate of 14.4 over one hour uses 2% of the four weeks' budget, 6 over six
+/// hours 5%, 1 over three days 10%. A smaller loss does not justify waking or interrupting a
+/// person.
 pub const ALERTS: [Alert; 3] = [
     Alert { urgency: Urgency::Page, long: "1h", short: "5m", rate: 14.4 },
     Alert { urgency: Urgency::Page, long: "6h", short: "30m", rate: 6.0 },
--- a/crates/lagoon-burn/tests/cli.rs
+++ b/crates/lagoon-burn/tests/cli.rs
@@ -1,4 +1,4 @@
-//! Exit codes of the program, which scripts go by.
+//! Exit codes of `lagoon-burn`, which scripts rely on.
 
 use std::fs;
 use std::path;
@@ -13,19 +13,20 @@
     (output.status.code(), String::from_utf8(text).unwrap())
 }
 
-/// A folder with one host's scrapes, of which `lost` in 100 requests ended as unknown.
-fn scrapes(name: &str, lost: u64) -> path::PathBuf {
+/// Writes two scrapes of one host, between which `unknown` of 100 requests ended as unknown, and a
+/// section with one objective. Returns the folder.
+fn write_scrapes(name: &str, unknown: u64) -> path::PathBuf {
     let folder = path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let host = folder.join("suva-1");
     fs::create_dir_all(&host).unwrap();
-    for (second, times) in [(1_000, 0), (1_060, 1)] {
-        let (done, lost) = ((100 - lost) * times, lost * times);
+    for (timestamp, times) in [(1_000, 0), (1_060, 1)] {
+        let (done, unknown) = ((100 - unknown) * times, unknown * times);
         let text = format!(
             "# TYPE lagoon_requests counter\n\
              lagoon_requests_total{{outcome=\"done\",reason=\"\"}} {done}\n\
-             lagoon_requests_total{{outcome=\"unknown\",reason=\"upstream_failed\"}} {lost}\n"
+             lagoon_requests_total{{outcome=\"unknown\",reason=\"upstream_failed\"}} {unknown}\n"
         );
-        fs::write(host.join(format!("{second}.prom")), text).unwrap();
+        fs::write(host.join(format!("{timestamp}.prom")), text).unwrap();
     }
     let section = r#"{"policy": {"objectives": [
         {"name": "known", "indicator": "known_outcome", "target": 0.999}]}}"#;
@@ -36,8 +37,8 @@
 #[rstest]
 #[case::quiet(0, 0)]
 #[case::alert(50, 1)]
-fn tells_by_its_exit_code_whether_an_alert_fires(#[case] lost: u64, #[case] expected: i32) {
-    let folder = scrapes(&format!("lost-{lost}"), lost);
+fn exit_code_shows_whether_an_alert_fires(#[case] unknown: u64, #[case] expected: i32) {
+    let folder = write_scrapes(&format!("unknown-{unknown}"), unknown);
     let section = format!("labels={}", folder.join("section.json").display());
     let scrapes = folder.display().to_string();
     let (code, text) = run(&["report", "--scrapes", &scrapes, "--section", &section]);
@@ -49,7 +50,7 @@
 #[case(&["report", "--scrapes", ".", "--section", "no-pair"])]
 #[case(&["report", "--no-such-option"])]
 #[case(&["collect", "--scrapes", ".", "no-pair"])]
-fn bad_usage_has_a_code_of_its_own(#[case] args: &[&str]) {
+fn bad_usage_has_its_own_exit_code(#[case] args: &[&str]) {
     let (code, text) = run(args);
     assert_eq!(code, Some(2), "{text}");
 }
--- a/crates/lagoon-burn/tests/report.rs
+++ b/crates/lagoon-burn/tests/report.rs
@@ -1,4 +1,4 @@
-//! Burn, budget and alerts from scrapes with restarts, gaps and missing hosts.
+//! Burn rates, budgets and alerts from scrapes with restarts, gaps and missing hosts.
 
 use std::ops;
 
@@ -7,14 +7,14 @@
 use lagoonline::id;
 use rstest::rstest;
 
-const STEP: u64 = 60;
+const SCRAPE_SECONDS: u64 = 60;
 
 fn section(objectives: &str) -> document::Section {
     let text = format!(r#"{{"policy": {{"objectives": [{objectives}]}}}}"#);
     document::Section::parse(id::Team::from("labels"), id::Version(1), &text).unwrap()
 }
 
-fn answers(target: f64) -> document::Section {
+fn answers_section(target: f64) -> document::Section {
     section(&format!(
         r#"{{"name": "answers", "indicator": "within_deadline", "target": {target}}}"#
     ))
@@ -28,12 +28,13 @@
     )
 }
 
-/// Scrapes of one host each minute for `minutes`; `bad` in a hundred requests fail in `failing`.
+/// Returns one scrape of a host for each minute up to `minutes`. Each minute has 100 requests, of
+/// which `bad` end as unknown in the minutes of `failing`.
 fn store(minutes: u64, failing: ops::Range<u64>, bad: u64) -> store::Store {
     let mut store = store::Store::default();
     let (mut done, mut unknown) = (0, 0);
     for minute in 0..=minutes {
-        store.add("suva-1", minute * STEP, &requests(done, unknown)).unwrap();
+        store.add("suva-1", minute * SCRAPE_SECONDS, &requests(done, unknown)).unwrap();
         let failed = if failing.contains(&minute) { bad } else { 0 };
         done += 100 - failed;
         unknown += failed;
@@ -49,58 +50,63 @@
 #[rstest]
 #[case::quiet(0..0, 0, None)]
 #[case::slow_leak(0..1_440, 2, Some(window::Urgency::Ticket))]
-#[case::an_hour_of_failures(1_380..1_440, 20, Some(window::Urgency::Page))]
-#[case::over_for_an_hour(1_370..1_380, 5, None)]
-fn alerts_fire_for_what_matters_and_goes_on(
+#[case::failing_for_an_hour(1_380..1_440, 20, Some(window::Urgency::Page))]
+#[case::ended_an_hour_ago(1_370..1_380, 5, None)]
+fn alerts_fire_for_significant_ongoing_burn(
     #[case] failing: ops::Range<u64>,
     #[case] bad: u64,
     #[case] expected: Option<window::Urgency>,
 ) {
-    let report = report::Report::new(&[answers(0.99)], &store(1_440, failing, bad), 1_440 * STEP);
+    let report = report::Report::new(
+        &[answers_section(0.99)],
+        &store(1_440, failing, bad),
+        1_440 * SCRAPE_SECONDS,
+    );
     assert_eq!(report.worst_alert(), expected);
 }
 
-/// A host is restarted in the middle of an hour and counts from 0 again. The operator must still
-/// see all failures of that hour: those before the restart and those after it.
+/// A host restarts and its counters start from 0 again. The failures before and after the restart
+/// must both be counted.
 #[test]
-fn a_restart_loses_no_failures() {
+fn failures_are_counted_across_a_restart() {
     let mut store = store::Store::default();
     for (minute, done, unknown) in [(0, 0, 0), (1, 90, 10), (2, 45, 5), (3, 135, 15)] {
-        store.add("suva-1", minute * STEP, &requests(done, unknown)).unwrap();
+        store.add("suva-1", minute * SCRAPE_SECONDS, &requests(done, unknown)).unwrap();
     }
-    let report = report::Report::new(&[answers(0.9)], &store, 3 * STEP);
+    let report = report::Report::new(&[answers_section(0.9)], &store, 3 * SCRAPE_SECONDS);
     let objective = &report.objectives[0];
     assert_eq!(objective.events, 250.0);
     assert!((objective.good_share.unwrap() - 0.9).abs() < 1e-9);
     assert!((burn(&report, "5m") - 1.0).abs() < 1e-9);
 }
 
-/// One of two hosts stops answering scrapes. Its share of the traffic is not known from then on:
-/// the report says so instead of showing the other host's figures as the whole.
+/// One of two hosts no longer answers scrapes, so its traffic is unknown from then on. The report
+/// must list the missing host and lower the coverage, so that the other host's numbers are not
+/// taken for all traffic.
 #[test]
-fn a_missing_host_is_named() {
+fn a_host_without_scrapes_is_reported() {
     let mut store = store(60, 0..60, 1);
     store.add("suva-2", 0, &requests(0, 0)).unwrap();
-    store.add("suva-2", STEP, &requests(10, 0)).unwrap();
-    let report = report::Report::new(&[answers(0.9)], &store, 60 * STEP);
+    store.add("suva-2", SCRAPE_SECONDS, &requests(10, 0)).unwrap();
+    let report = report::Report::new(&[answers_section(0.9)], &store, 60 * SCRAPE_SECONDS);
     assert_eq!(report.missing, ["suva-2: nothing since 60"]);
     let hour = report.objectives[0].burns.iter().find(|burn| burn.window == "1h").unwrap();
     assert!((hour.covered - 61.0 / 120.0).abs() < 1e-9, "{hour:?}");
 }
 
 #[test]
-fn refusals_that_the_caller_caused_use_no_budget() {
+fn rejections_caused_by_the_caller_use_no_budget() {
     let mut store = store::Store::default();
-    let scrape = |refused| {
+    let scrape = |requests| {
         format!(
             "# TYPE lagoon_requests counter\n\
-             lagoon_requests_total{{outcome=\"not-run\",reason=\"over_limit\"}} {refused}\n\
-             lagoon_requests_total{{outcome=\"done\",reason=\"none\"}} {refused}\n"
+             lagoon_requests_total{{outcome=\"not-run\",reason=\"over_limit\"}} {requests}\n\
+             lagoon_requests_total{{outcome=\"done\",reason=\"none\"}} {requests}\n"
         )
     };
     store.add("a", 0, &scrape(0)).unwrap();
-    store.add("a", STEP, &scrape(10)).unwrap();
-    let report = report::Report::new(&[answers(0.9)], &store, STEP);
+    store.add("a", SCRAPE_SECONDS, &scrape(10)).unwrap();
+    let report = report::Report::new(&[answers_section(0.9)], &store, SCRAPE_SECONDS);
     assert_eq!((report.objectives[0].events, report.objectives[0].good_share), (10.0, Some(1.0)));
 }
 
@@ -117,55 +123,61 @@
         )
     };
     store.add("a", 0, &scrape(0, 0)).unwrap();
-    store.add("a", STEP, &scrape(80, 100)).unwrap();
-    let promised = r#"{"name": "quick", "indicator": "first_token", "class": "short",
+    store.add("a", SCRAPE_SECONDS, &scrape(80, 100)).unwrap();
+    let objective = r#"{"name": "quick", "indicator": "first_token", "class": "short",
                        "bound": 375, "target": 0.95}"#;
-    let report = report::Report::new(&[section(promised)], &store, STEP);
-    // Of the 20 between 0.25 s and 0.5 s, half are taken to lie below 0.375 s.
+    let report = report::Report::new(&[section(objective)], &store, SCRAPE_SECONDS);
+    // Half of the 20 events between 0.25 s and 0.5 s are assumed to lie below 0.375 s.
     assert!((report.objectives[0].good_share.unwrap() - 0.9).abs() < 1e-9);
 }
 
 #[test]
-fn the_worst_part_of_the_traffic_comes_first() {
-    let report = report::Report::new(&[answers(0.99)], &store(60, 0..60, 10), 60 * STEP);
+fn the_worst_offender_comes_first() {
+    let report =
+        report::Report::new(&[answers_section(0.99)], &store(60, 0..60, 10), 60 * SCRAPE_SECONDS);
     let offender = &report.objectives[0].offenders[0];
     assert_eq!((offender.bad, offender.kind), (600.0, "model"));
     assert_eq!(report.objectives[0].offenders[1].name, "nausori");
 }
 
 #[test]
-fn text_and_page_say_the_same() {
-    let report =
-        report::Report::new(&[answers(0.99)], &store(1_440, 1_380..1_440, 20), 1_440 * STEP);
+fn text_and_page_show_the_same_alert() {
+    let report = report::Report::new(
+        &[answers_section(0.99)],
+        &store(1_440, 1_380..1_440, 20),
+        1_440 * SCRAPE_SECONDS,
+    );
     let (text, page) = (text::write(&report), page::write(&report));
     assert!(text.contains("PAGE: burn at or above 14.4 over 1h and 5m"), "{text}");
     assert!(page.contains("burn at or above 14.4 over both 1h and 5m"));
     assert!(page.contains("<svg"));
 }
 
-/// A team names an objective `<script>`. An operator who opens the page must see the name, and no
-/// script may run: the name stands in the table, the alerts, and the legend of the plot.
+/// A team names an objective `<script>`. The page must show the name as text in the table, the
+/// alerts and the legend of the plot, and the operator's browser must not run it as a script.
 #[test]
-fn a_name_is_shown_and_not_run() {
-    let promised = r#"{"name": "<script>", "indicator": "within_deadline", "target": 0.99}"#;
+fn names_are_escaped_in_html() {
+    let objective = r#"{"name": "<script>", "indicator": "within_deadline", "target": 0.99}"#;
     let store = store(1_440, 1_380..1_440, 20);
-    let page = page::write(&report::Report::new(&[section(promised)], &store, 1_440 * STEP));
+    let page =
+        page::write(&report::Report::new(&[section(objective)], &store, 1_440 * SCRAPE_SECONDS));
     assert!(!page.contains("<script"), "{page}");
     assert!(page.matches("labels/&lt;script&gt;").count() >= 3, "{page}");
 }
 
-/// Two teams promise whole answers, and only one team's model fails. The other team is not paged
-/// for it: each objective counts the models and services of its own section.
+/// Two teams have the same objective, and the model of one team fails. The other team must not be
+/// paged: an objective counts only the models and services of its own section.
 #[test]
-fn a_team_answers_for_its_own_models() {
-    let promised = r#"[{"name": "answers", "indicator": "within_deadline", "target": 0.99}]"#;
+fn objectives_count_only_the_models_of_their_team() {
+    let objective = r#"[{"name": "answers", "indicator": "within_deadline", "target": 0.99}]"#;
     let team = |name: &str, model: &str| {
-        let text =
-            format!(r#"{{"models": {{"{model}": {{}}}}, "policy": {{"objectives": {promised}}}}}"#);
+        let text = format!(
+            r#"{{"models": {{"{model}": {{}}}}, "policy": {{"objectives": {objective}}}}}"#
+        );
         document::Section::parse(id::Team::from(name), id::Version(1), &text).unwrap()
     };
     let sections = [team("labels", "m"), team("audits", "other")];
-    let report = report::Report::new(&sections, &store(60, 0..60, 50), 60 * STEP);
+    let report = report::Report::new(&sections, &store(60, 0..60, 50), 60 * SCRAPE_SECONDS);
     let shares: Vec<_> = report.objectives.iter().map(|objective| objective.good_share).collect();
     assert_eq!(shares, [Some(0.5), None]);
 }
--- a/crates/lagoon-entry/src/main.rs
+++ b/crates/lagoon-entry/src/main.rs
@@ -1,6 +1,6 @@
-//! An entry host: `lagoon-entry --settings FILE [--check]`.
+//! `lagoon-entry`: the program of an entry host's data path, which schedules and forwards requests.
 //!
-//! Exit codes: 0 good, 1 failed, 2 bad usage or settings.
+//! Exit codes: 0 success, 1 failure or a drain that was cut short, 2 invalid arguments or settings.
 
 use std::io;
 use std::path;
@@ -46,10 +46,13 @@
     }
 }
 
+/// Runs the entry host until it has drained. A thread waits for termination signals: the first
+/// starts the drain, the second aborts it.
 fn run(settings: entry::Settings) -> io::Result<entry::Ending> {
     logs::start(&settings.logs, PROGRAM)?;
     let (host, zone) = (settings.host.clone(), settings.zone.clone());
-    // Before anything can be asked to end: a signal that comes early drains too.
+    // Registered before the server starts, so that an early signal also starts a drain instead of
+    // ending the process.
     let mut terminations = signals::TerminationSignals::new()?;
     let running = entry::start(settings)?;
     log::info!("{host} in {zone} listens on {}", running.address());
--- a/crates/lagoon-entry/tests/cli.rs
+++ b/crates/lagoon-entry/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The program's exit codes and signals.
+//! Exit codes and signal handling of `lagoon-entry`.
 
 use std::env;
 use std::fs;
@@ -7,13 +7,13 @@
 use std::path;
 use std::process;
 
-fn write(name: &str, text: &str) -> path::PathBuf {
+fn write_file(name: &str, text: &str) -> path::PathBuf {
     let path = env::temp_dir().join(format!("lagoon-entry-{}-{name}", process::id()));
     fs::write(&path, text).unwrap();
     path
 }
 
-fn run(settings: &path::Path, check: bool) -> process::Command {
+fn command(settings: &path::Path, check: bool) -> process::Command {
     let mut command = process::Command::new(env!("CARGO_BIN_EXE_lagoon-entry"));
     command.arg("--settings").arg(settings);
     if check {
@@ -22,14 +22,15 @@
     command
 }
 
-const GOOD: &str = r#"{"listen": "127.0.0.1:0", "host": "a", "zone": "b", "unready_ms": 0}"#;
+const VALID_SETTINGS: &str =
+    r#"{"listen": "127.0.0.1:0", "host": "a", "zone": "b", "unready_ms": 0}"#;
 
 #[test]
-fn checks_settings() {
-    let good = write("good.json", GOOD);
-    assert_eq!(run(&good, true).output().unwrap().status.code(), Some(0));
-    let bad = write("bad.json", r#"{"listen": 7, "host": "a", "zone": "b", "grace": 1}"#);
-    let output = run(&bad, true).output().unwrap();
+fn check_reports_invalid_settings() {
+    let good = write_file("good.json", VALID_SETTINGS);
+    assert_eq!(command(&good, true).output().unwrap().status.code(), Some(0));
+    let bad = write_file("bad.json", r#"{"listen": 7, "host": "a", "zone": "b", "grace": 1}"#);
+    let output = command(&bad, true).output().unwrap();
     assert_eq!(output.status.code(), Some(2));
     let text = String::from_utf8(output.stderr).unwrap();
     assert!(text.contains("bad.json") && text.contains("/grace: unknown field"), "{text}");
@@ -37,18 +38,18 @@
 }
 
 #[test]
-fn refuses_bad_usage() {
+fn bad_usage_exits_with_2() {
     let output = process::Command::new(env!("CARGO_BIN_EXE_lagoon-entry")).output().unwrap();
     assert_eq!(output.status.code(), Some(2));
-    let missing = run(path::Path::new("/no/such/file"), true).output().unwrap();
+    let missing = command(path::Path::new("/no/such/file"), true).output().unwrap();
     assert_eq!(missing.status.code(), Some(2));
 }
 
-/// SIGTERM drains an idle host, which then exits with 0.
+/// SIGTERM starts a drain. An idle host ends it at once and exits with 0.
 #[test]
-fn a_signal_drains() {
-    let good = write("signal.json", GOOD);
-    let mut child = run(&good, false).stderr(process::Stdio::piped()).spawn().unwrap();
+fn sigterm_drains_an_idle_host() {
+    let good = write_file("signal.json", VALID_SETTINGS);
+    let mut child = command(&good, false).stderr(process::Stdio::piped()).spawn().unwrap();
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
     let listens =
         |line: &Result<String, _>| line.as_ref().is_ok_and(|line| line.contains("listens"));
--- a/crates/lagoon-steward/src/main.rs
+++ b/crates/lagoon-steward/src/main.rs
@@ -1,4 +1,6 @@
-//! Control process of an entry host.
+//! `lagoon-steward`: the control process that runs beside `lagoon-entry` on an entry host.
+//!
+//! Exit codes: 0 success, 1 failure, 2 invalid arguments or settings.
 
 use std::io;
 use std::path;
@@ -41,6 +43,7 @@
     }
 }
 
+/// Runs the steward. Returns only when it fails to start or its thread ends.
 fn run(settings: steward::Settings) -> io::Result<()> {
     logs::start(&settings.logs, PROGRAM)?;
     let running = steward::start(settings)?;
--- a/crates/lagoonctl/src/arguments.rs
+++ b/crates/lagoonctl/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line arguments. The doc comments are the help texts that `--help` prints.
 
 use std::path;
 
--- a/crates/lagoonctl/src/main.rs
+++ b/crates/lagoonctl/src/main.rs
@@ -1,6 +1,6 @@
-//! Command line of the operators.
+//! `lagoonctl`: the command line client for operators of a fleet.
 //!
-//! Exit codes: 0 good, 1 failed, 2 bad usage or settings.
+//! Exit codes: 0 success, 1 failure, 2 invalid arguments or settings.
 
 mod arguments;
 mod date;
--- a/crates/lagoonctl/src/print.rs
+++ b/crates/lagoonctl/src/print.rs
@@ -1,11 +1,11 @@
-//! What operators see.
+//! Prints results and errors, as JSON or for people.
 
 use lagoon_net::operator;
 use serde_json::json;
 
 use super::date;
 
-/// Prints a value: JSON on one line, or indented for people.
+/// Prints a value as JSON: on one line, or indented for people.
 pub(crate) fn value(value: &serde_json::Value, json: bool) {
     if json {
         println!("{value}");
@@ -14,7 +14,7 @@
     }
 }
 
-/// Prints the lines of a diff.
+/// Prints the changes that a section would make, one line for each.
 pub(crate) fn changes(value: &serde_json::Value, json: bool) {
     if json {
         return println!("{value}");
@@ -25,9 +25,9 @@
     }
 }
 
-/// Says where a version is in force and what is missing.
-pub(crate) fn standing(team: &str, standing: &operator::SectionStatus, json: bool) {
-    let operator::SectionStatus { version, accepted, missing } = standing;
+/// Prints whether a section's version is in force in every zone, and what is missing if not.
+pub(crate) fn section_status(team: &str, status: &operator::SectionStatus, json: bool) {
+    let operator::SectionStatus { version, accepted, missing } = status;
     if json {
         let value = json!({ "version": version, "accepted": accepted, "missing": missing });
         return println!("{value}");
@@ -41,7 +41,8 @@
     }
 }
 
-/// Says why a call failed, with faults or with what another operator changed.
+/// Prints why a call failed. A rejected call shows its code and message, and after a conflict the
+/// changes that another operator stored in the meantime.
 pub(crate) fn error(error: &operator::Error, json: bool) {
     if let operator::Error::Refused { code, message, details } = error {
         if json {
@@ -49,12 +50,12 @@
             return println!("{value}");
         }
         eprintln!("{code}: {message}");
-        return changes_of(details);
+        return print_conflict(details);
     }
     eprintln!("{error}");
 }
 
-fn changes_of(details: &serde_json::Value) {
+fn print_conflict(details: &serde_json::Value) {
     if details["changes"].is_array() {
         eprintln!("changed since the version that was edited:");
         for line in details["changes"].as_array().into_iter().flatten() {
@@ -63,10 +64,10 @@
     }
 }
 
-/// Milliseconds of an hour.
+/// One hour, in milliseconds.
 const HOUR_MS: f64 = 3_600_000.0;
 
-/// Prints sums of the idle ledger as a table, in accelerator-hours.
+/// Prints the work and idle time of accelerators as a table, in accelerator-hours.
 pub(crate) fn usage(value: &serde_json::Value, json: bool) {
     if json {
         return println!("{value}");
@@ -77,7 +78,7 @@
         "work", "claimed idle", "unclaimed idle", "unobserved"
     );
     for (name, sum) in value["accelerator_ms"].as_object().into_iter().flatten() {
-        let day = name.parse().ok().filter(|_| by == "day").map(date::print);
+        let day = name.parse().ok().filter(|_| by == "day").map(date::format);
         let name = day.as_ref().unwrap_or(name);
         let hours = |field: &str| sum[field].as_f64().unwrap_or_default() / HOUR_MS;
         let (work, claimed) = (hours("work_ms"), hours("claimed_idle_ms"));
@@ -86,7 +87,7 @@
     }
 }
 
-/// Prints orders as one line for each engine.
+/// Prints one line for each engine: its model, the decision on it, and the commands it was sent.
 pub(crate) fn orders(value: &serde_json::Value, json: bool) {
     if json {
         return println!("{value}");
--- a/crates/lagoonctl/src/run.rs
+++ b/crates/lagoonctl/src/run.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Runs the commands against the stewards.
 
 use std::fs;
 use std::process;
@@ -14,9 +14,9 @@
 use super::date;
 use super::print;
 
-const GOOD: u8 = 0;
+const SUCCESS: u8 = 0;
 
-/// Carries out a command; its exit code.
+/// Runs a command and returns its exit code.
 pub(crate) async fn run(
     settings: operator::Settings,
     arguments: arguments::Arguments,
@@ -29,21 +29,21 @@
             arguments::SectionCommand::Check(check) => section_check(&client, check, json).await,
             arguments::SectionCommand::Put(put) => section_put(&client, put, json).await,
             arguments::SectionCommand::Status(status) => {
-                let standing = client.section_status(&status.team, status.version).await;
-                standing.map(|standing| finish(&status.team, &standing, json))
+                let result = client.section_status(&status.team, status.version).await;
+                result.map(|found| print_status(&status.team, &found, json))
             }
         },
         arguments::Command::Status(_) => {
-            show(&client, wire::Verb::Status, String::new(), json).await
+            call_and_print(&client, wire::Verb::Status, String::new(), json).await
         }
         arguments::Command::Drain(drain) => {
-            show(&client, wire::Verb::Drain, drain.name, json).await
+            call_and_print(&client, wire::Verb::Drain, drain.name, json).await
         }
         arguments::Command::Orders(_) => {
-            show(&client, wire::Verb::Orders, String::new(), json).await
+            call_and_print(&client, wire::Verb::Orders, String::new(), json).await
         }
-        arguments::Command::Usage(usage) => match usage_text(&usage) {
-            Ok(text) => show(&client, wire::Verb::Usage, text, json).await,
+        arguments::Command::Usage(usage) => match usage_query(&usage) {
+            Ok(text) => call_and_print(&client, wire::Verb::Usage, text, json).await,
             Err(message) => {
                 eprintln!("{message}");
                 return process::ExitCode::from(program::BAD_USAGE);
@@ -57,13 +57,14 @@
     process::ExitCode::from(code)
 }
 
-/// The arguments of a report on usage, as the steward takes them.
-fn usage_text(usage: &arguments::Usage) -> Result<String, String> {
+/// Validates the arguments of `usage` and returns the query in the format that stewards parse. Days
+/// default to today in UTC.
+fn usage_query(usage: &arguments::Usage) -> Result<String, String> {
     usage.by.parse::<ledger::Grouping>().map_err(|error| error.to_string())?;
-    let today = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
-    let today = today.map_or(0, |since| since.as_secs()) / DAY_SECONDS;
-    let day = |text: &Option<String>, usual: u64| match text {
-        None => Ok(usual),
+    let since_epoch = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
+    let today = since_epoch.map_or(0, |since| since.as_secs()) / SECONDS_PER_DAY;
+    let day = |text: &Option<String>, default: u64| match text {
+        None => Ok(default),
         Some(text) => date::parse(text).ok_or_else(|| format!("{text} is not a day, YYYY-MM-DD")),
     };
     let from = day(&usage.from, today)?;
@@ -71,13 +72,14 @@
     if to < from {
         return Err("the last day is before the first".to_owned());
     }
-    let days = operator::UsageQuery { by: usage.by.clone(), from_day: from, to_day: to };
-    Ok(days.text())
+    let query = operator::UsageQuery { by: usage.by.clone(), from_day: from, to_day: to };
+    Ok(query.text())
 }
 
-const DAY_SECONDS: u64 = 86_400;
+const SECONDS_PER_DAY: u64 = 86_400;
 
-async fn show(
+/// Sends a request with one text argument and prints the response.
+async fn call_and_print(
     client: &operator::Client,
     verb: wire::Verb,
     text: String,
@@ -90,9 +92,10 @@
         wire::Verb::Orders => print::orders(&value, json),
         _ => print::value(&value, json),
     }
-    Ok(GOOD)
+    Ok(SUCCESS)
 }
 
+/// Reads a file, or prints the error and returns the exit code.
 fn read_file(path: &str) -> Result<String, u8> {
     fs::read_to_string(path).map_err(|error| {
         eprintln!("{path}: {error}");
@@ -114,7 +117,7 @@
         println!("{}", value["text"].as_str().unwrap_or_default());
         eprintln!("version {}", value["version"]);
     }
-    Ok(GOOD)
+    Ok(SUCCESS)
 }
 
 async fn section_check(
@@ -130,7 +133,7 @@
     let request = operator::Request { verb, team: check.team, version: check.from, text };
     let value = client.call(&request).await?;
     print::changes(&value, json);
-    Ok(GOOD)
+    Ok(SUCCESS)
 }
 
 async fn section_put(
@@ -148,11 +151,13 @@
     let version = value["version"].as_u64().unwrap_or_default();
     eprintln!("stored as version {version}");
     let limit = clock::Span::from_millis(put.wait_ms);
-    let standing = client.wait_accepted(&put.team, version, limit).await?;
-    Ok(finish(&put.team, &standing, json))
+    let status = client.wait_accepted(&put.team, version, limit).await?;
+    Ok(print_status(&put.team, &status, json))
 }
 
-fn finish(team: &str, standing: &operator::SectionStatus, json: bool) -> u8 {
-    print::standing(team, standing, json);
-    if standing.accepted { GOOD } else { program::FAILED }
+/// Prints where a section's version is in force. Returns a failure if it is not accepted
+/// everywhere.
+fn print_status(team: &str, status: &operator::SectionStatus, json: bool) -> u8 {
+    print::section_status(team, status, json);
+    if status.accepted { SUCCESS } else { program::FAILED }
 }
--- a/crates/lagoonctl/tests/exit_codes.rs
+++ b/crates/lagoonctl/tests/exit_codes.rs
@@ -1,4 +1,4 @@
-//! The program against one steward and the platform's stand-in: what it prints and how it ends.
+//! Output and exit codes of `lagoonctl` against one steward and the stand-in of the platform.
 
 use std::env;
 use std::fs;
@@ -41,10 +41,10 @@
         path.to_str().unwrap().to_owned()
     }
 
-    fn run(&self, key: &str, words: &[&str]) -> (Option<i32>, String) {
+    fn run(&self, key: &str, args: &[&str]) -> (Option<i32>, String) {
         let settings = settings(self.steward.address(), key);
         let settings = self.file("settings.json", &settings);
-        run(&[&["--settings", &settings], words].concat())
+        run(&[&["--settings", &settings], args].concat())
     }
 }
 
@@ -61,9 +61,9 @@
     )
 }
 
-/// The program's exit code, and what it printed on both of its outputs.
-fn run(words: &[&str]) -> (Option<i32>, String) {
-    let output = process::Command::new(env!("CARGO_BIN_EXE_lagoonctl")).args(words).output();
+/// Runs the program. Returns its exit code and what it wrote to standard output and standard error.
+fn run(args: &[&str]) -> (Option<i32>, String) {
+    let output = process::Command::new(env!("CARGO_BIN_EXE_lagoonctl")).args(args).output();
     let output = output.unwrap();
     let text = [output.stdout, output.stderr].concat();
     (output.status.code(), String::from_utf8(text).unwrap())
@@ -73,12 +73,12 @@
 #[case::no_command(&[])]
 #[case::unknown_command(&["sections"])]
 #[case::no_settings(&["--settings", "/nonexistent.json", "status"])]
-fn bad_usage_ends_with_two(#[case] words: &[&str]) {
-    assert_eq!(run(words).0, Some(2));
+fn bad_usage_exits_with_2(#[case] args: &[&str]) {
+    assert_eq!(run(args).0, Some(2));
 }
 
 #[test]
-fn bad_settings_are_named_by_file_and_place() {
+fn errors_in_settings_name_the_file_and_the_path() {
     let path = env::temp_dir().join(format!("lagoonctl-{}-bad.json", process::id()));
     fs::write(&path, r#"{"stewards": ["nowhere"], "fleet": "f"}"#).unwrap();
     let (code, text) = run(&["--settings", path.to_str().unwrap(), "status"]);
@@ -88,10 +88,10 @@
 }
 
 #[test]
-fn sections_are_put_read_and_refused() {
-    // A section with a fault is refused with its place; a good one is stored, but not in force in
-    // any entry process, of which there is none yet: the wait ends with 1, and says what is missing.
-    // A second put from the same version is refused and shows what changed.
+fn sections_are_stored_read_and_rejected() {
+    // An invalid section is rejected with the path of the fault. A valid one is stored, but since
+    // no entry process runs, it is in force nowhere: the wait ends with exit code 1. A second put
+    // from the same version is rejected and prints what changed.
     let fleet = Fleet::start("sections");
     let bad = fleet.file("bad.json", r#"{"model": {}}"#);
     let (code, text) = fleet.run("operators", &["section", "put", "labels", &bad, "--from", "0"]);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn status_names_hosts_and_needs_the_operators_key() {
+fn status_lists_hosts_and_requires_the_operator_key() {
     let fleet = Fleet::start("status");
     let (code, text) = fleet.run("operators", &["--json", "status"]);
     assert_eq!(code, Some(0), "{text}");
@@ -123,13 +123,14 @@
     assert_eq!(value["zones"][0]["hosts"][0]["steward"], "live", "{text}");
     let (code, text) = fleet.run("somebody", &["status"]);
     assert_eq!(code, Some(1), "{text}");
-    // The steward is gone: every try fails, and the program ends within its patience.
+    // No steward is reachable: every attempt fails, and the program must give up after its
+    // total timeout instead of retrying forever.
     let settings = settings("127.0.0.1:1".parse().unwrap(), "operators");
     let settings = fleet.file("silent.json", &settings);
     assert_eq!(run(&["--settings", &settings, "status"]).0, Some(1));
 }
 
-fn seed(fleet: &Fleet, upstream: &str, interval: u64, work_ms: u64) {
+fn store_interval(fleet: &Fleet, upstream: &str, interval: u64, work_ms: u64) {
     let row = serde_json::json!({
         "interval": interval, "owner": "owners", "model": "m", "accelerators": 2,
         "claimant": "claimants", "idle_ms": 60_000 - work_ms, "unobserved_ms": 0,
@@ -140,18 +141,19 @@
 }
 
 #[test]
-fn usage_is_of_the_days_asked_for() {
-    // Two engines with an interval on 1, 2 and 3 March 2024. Asked for the 2nd, or up to the 3rd,
-    // the sums are of those days only. Days that are none are bad usage.
+fn usage_covers_only_the_requested_days() {
+    // Two engines have an interval on each of 1, 2 and 3 March 2024. A query for the 2nd, or for
+    // the 2nd and 3rd, sums those days only. Days that do not exist, unknown groupings and days in
+    // the wrong order are bad usage.
     let fleet = Fleet::start("usage");
     let day = 19_783 * 1_440;
     for (index, upstream) in ["e1", "e2"].into_iter().enumerate() {
         for days in 0..3 {
-            seed(&fleet, upstream, day + days * 1_440 + 5, 10_000 * (index as u64 + 1));
+            store_interval(&fleet, upstream, day + days * 1_440 + 5, 10_000 * (index as u64 + 1));
         }
     }
-    let json = |words: &[&str]| -> serde_json::Value {
-        let (code, text) = fleet.run("operators", &[&["--json", "usage"], words].concat());
+    let json = |args: &[&str]| -> serde_json::Value {
+        let (code, text) = fleet.run("operators", &[&["--json", "usage"], args].concat());
         assert_eq!(code, Some(0), "{text}");
         serde_json::from_str(&text).unwrap()
     };
@@ -168,8 +170,8 @@
     for date in ["2024-03-01", "2024-03-02", "2024-03-03"] {
         assert!(text.contains(date), "{text}");
     }
-    for words in [["--from", "2024-02-30"], ["--by", "moon"], ["--to", "1999-01-01"]] {
-        let (code, text) = fleet.run("operators", &[&["usage"], &words[..]].concat());
+    for args in [["--from", "2024-02-30"], ["--by", "moon"], ["--to", "1999-01-01"]] {
+        let (code, text) = fleet.run("operators", &[&["usage"], &args[..]].concat());
         assert_eq!(code, Some(2), "{text}");
     }
 }
