--- a/crates/lagoon-burn/src/report.rs
+++ b/crates/lagoon-burn/src/report.rs
@@ -165,6 +165,8 @@
     total
 }
 
+/// Divides the time from `begin` to `at` into equal steps and returns the end of each step and the
+/// growth within it.
 fn plot_steps(store: &store::Store, begin: u64, at: u64) -> Vec<(u64, Growth)> {
     let step = ((at - begin) / PLOT_POINTS).max(store.interval());
     let ends = (1..=PLOT_POINTS).map(|index| begin + index * step).filter(|&end| end <= at);
@@ -184,6 +186,7 @@
         }
     }
 
+    /// Returns the results of one objective of `section`.
     fn objective(
         &self,
         section: &document::Section,
@@ -213,6 +216,7 @@
         }
     }
 
+    /// Returns the burn rate in one window, from the growth within it.
     fn burn(
         &self,
         definition: &document::Objective,
@@ -246,6 +250,7 @@
         count.burn(definition.target).map(|burn| 1.0 - burn * share_of_span)
     }
 
+    /// Returns the end of each plot step and the burn rate within it.
     fn burn_over_time(
         &self,
         definition: &document::Objective,
@@ -258,6 +263,7 @@
         self.steps.iter().map(|(end, growth)| (*end, burn(growth))).collect()
     }
 
+    /// Returns the time to first token of `class` in each plot step that has events.
     fn class_latency(&self, class: document::Class) -> ClassLatency {
         let mut points = Vec::new();
         for (end, growth) in &self.steps {
@@ -272,6 +278,7 @@
         ClassLatency { class: class.as_str(), points }
     }
 
+    /// Lists skipped files, hosts without scrapes, and gaps between scrapes.
     fn missing(&self) -> Vec<String> {
         let mut missing = self.store.skipped.clone();
         if self.store.hosts.is_empty() {
@@ -303,6 +310,7 @@
     found
 }
 
+/// Describes the indicator and its bound for people.
 fn describe_indicator(definition: &document::Objective) -> String {
     let bound = definition.bound;
     match definition.indicator {
--- a/crates/lagoon-burn/src/scope.rs
+++ b/crates/lagoon-burn/src/scope.rs
@@ -14,7 +14,8 @@
 
 impl<'a> Scope<'a> {
     /// Returns the scope of a team's section. For a team without models and services, such as one
-    /// that only has customers, the scope covers all models and services.
+    /// that only has customers, the scope covers all models and services. For a team without
+    /// customers, it covers the counters of all customers.
     ///
     /// ```
     /// use lagoon_burn::{scope::Scope, series::Key};
--- a/crates/lagoon-burn/src/series.rs
+++ b/crates/lagoon-burn/src/series.rs
@@ -53,6 +53,7 @@
 /// ```
 pub fn growth(scrapes: &[Scrape], from: u64, to: u64) -> collections::BTreeMap<Key, f64> {
     let mut grown = collections::BTreeMap::new();
+    // The first scrape of a host is only a baseline: when its counters started to grow is unknown.
     let first = scrapes.partition_point(|scrape| scrape.timestamp <= from).max(1);
     let last = scrapes.partition_point(|scrape| scrape.timestamp <= to);
     for index in first..last {
--- a/crates/lagoonctl/src/run.rs
+++ b/crates/lagoonctl/src/run.rs
@@ -14,6 +14,7 @@
 use super::date;
 use super::print;
 
+/// Exit code of success.
 const SUCCESS: u8 = 0;
 
 /// Runs a command and returns its exit code.
--- a/crates/lagoonctl/tests/exit_codes.rs
+++ b/crates/lagoonctl/tests/exit_codes.rs
@@ -130,6 +130,8 @@
     assert_eq!(run(&["--settings", &settings, "status"]).0, Some(1));
 }
 
+/// Stores the usage record of one interval of an upstream. Intervals are numbered in minutes since
+/// the Unix epoch.
 fn store_interval(fleet: &Fleet, upstream: &str, interval: u64, work_ms: u64) {
     let row = serde_json::json!({
         "interval": interval, "owner": "owners", "model": "m", "accelerators": 2,
@@ -146,6 +148,7 @@
     // the 2nd and 3rd, sums those days only. Days that do not exist, unknown groupings and days in
     // the wrong order are bad usage.
     let fleet = Fleet::start("usage");
+    // 1 March 2024 is day 19 783 since the Unix epoch.
     let day = 19_783 * 1_440;
     for (index, upstream) in ["e1", "e2"].into_iter().enumerate() {
         for days in 0..3 {
