--- a/crates/lagoon-load/src/bench/arrival.rs
+++ b/crates/lagoon-load/src/bench/arrival.rs
@@ -1,4 +1,4 @@
-//! Arrivals of a scenario, drawn from the seed before the run.
+//! Open-loop request arrivals of a scenario, drawn from the seed before the run.
 
 use lagoonline::clock;
 use lagoonline::control::document;
@@ -8,33 +8,33 @@
 
 use super::scenario;
 
-/// Customers, of which the first may be heavy.
+/// Number of customers; the first one sends more in scenarios with a `heavy_factor`.
 pub const CUSTOMERS: u32 = 10;
-/// Tokens of a shared prefix.
-const PREFIX: u64 = 1_536;
-/// Prefixes that are shared.
-const PREFIXES: u64 = 8;
+/// Length of a shared prefix, in tokens.
+const PREFIX_TOKENS: u64 = 1_536;
+/// Number of distinct shared prefixes.
+const PREFIX_COUNT: u64 = 8;
 
-/// One request to come.
+/// One request of the run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When.
+    /// Time of arrival.
     pub at: clock::Moment,
-    /// At which entry host.
+    /// Index of the entry host that receives it.
     pub host: usize,
-    /// Whose.
+    /// Index of the customer that sends it.
     pub customer: u32,
-    /// Prompt tokens.
-    pub tokens: u64,
-    /// Answer tokens that will come.
-    pub answer: u64,
-    /// Time to answer it in.
+    /// Prompt length, in tokens.
+    pub prompt_tokens: u64,
+    /// Number of answer tokens that the engine generates.
+    pub answer_tokens: u64,
+    /// Time from arrival within which it must be answered.
     pub deadline: clock::Span,
-    /// Its cacheable prefix.
+    /// Hash and length in tokens of each cacheable prefix; empty without a shared prefix.
     pub prefixes: Vec<(u64, u64)>,
 }
 
-/// A kind of prompt: bounds of its length, the answer's length and its deadline.
+/// A kind of prompt: bounds of the prompt and answer lengths in tokens, and the deadline.
 struct Kind {
     tokens: (f64, f64),
     answer: (u64, u64),
@@ -52,48 +52,49 @@
 };
 
 impl Kind {
-    /// Mean of the lengths, which are uniform in their logarithm.
-    fn mean(&self) -> f64 {
+    /// Returns the mean prompt length; lengths are log-uniform between the bounds.
+    fn mean_tokens(&self) -> f64 {
         let (low, high) = self.tokens;
         (high - low) / (high / low).ln()
     }
 }
 
-/// Tokens a second that one customer's even share of the short prompts comes to.
-pub fn share(scenario: &scenario::Scenario) -> f64 {
-    let capacity = f64::from(scenario.zones * scenario.engines) * scenario::RATE;
+/// Returns the token rate per second, prompts and answers, of one customer's equal share of the
+/// short load.
+pub fn customer_token_rate(scenario: &scenario::Scenario) -> f64 {
+    let capacity = f64::from(scenario.zones * scenario.engines) * scenario::PREFILL_RATE;
     let answer = (SHORT.answer.0 + SHORT.answer.1) as f64 / 2.0;
-    let tokens = scenario.short * capacity * (1.0 + answer / SHORT.mean());
+    let tokens = scenario.short * capacity * (1.0 + answer / SHORT.mean_tokens());
     tokens / f64::from(CUSTOMERS)
 }
 
-/// All arrivals of `seconds`, in order. Each kind has a random stream of its own, so that the same
-/// short prompts come whatever comes beside them.
+/// Draws all arrivals within `seconds`, in order of time. Each kind of prompt has its own random
+/// stream, so that the short prompts are the same whatever the load of the other kinds.
 pub fn draw(scenario: &scenario::Scenario, seed: u64, seconds: f64) -> Vec<Arrival> {
     let engines = f64::from(scenario.zones * scenario.engines);
-    let capacity = engines * scenario::RATE;
-    let long = Kind { tokens: (LONG.tokens.0, scenario.longest), ..LONG };
+    let capacity = engines * scenario::PREFILL_RATE;
+    let long = Kind { tokens: (LONG.tokens.0, scenario.longest_prompt), ..LONG };
     let loads = [(SHORT, scenario.short), (MEDIUM, scenario.medium), (long, scenario.long)];
     let mut arrivals = Vec::new();
     for (stream, (kind, load)) in (0..).zip(loads) {
         let mut random = rngs::SmallRng::seed_from_u64(seed * 16 + stream);
-        let rate = load * capacity / kind.mean();
-        let burst = if stream == 0 { scenario.burst } else { 1.0 };
-        one_kind(scenario, &kind, (rate, burst), seconds, &mut random, &mut arrivals);
+        let rate = load * capacity / kind.mean_tokens();
+        let burst = if stream == 0 { scenario.burst_factor } else { 1.0 };
+        draw_kind(scenario, &kind, (rate, burst), seconds, &mut random, &mut arrivals);
     }
-    if scenario.heavy > 1.0 {
+    if scenario.heavy_factor > 1.0 {
         let mut random = rngs::SmallRng::seed_from_u64(seed * 16 + 8);
-        let share = scenario.short * capacity / SHORT.mean() / f64::from(CUSTOMERS);
-        let extra = share * (scenario.heavy - 1.0);
+        let share = scenario.short * capacity / SHORT.mean_tokens() / f64::from(CUSTOMERS);
+        let extra = share * (scenario.heavy_factor - 1.0);
         let start = arrivals.len();
-        one_kind(scenario, &SHORT, (extra, 1.0), seconds, &mut random, &mut arrivals);
+        draw_kind(scenario, &SHORT, (extra, 1.0), seconds, &mut random, &mut arrivals);
         arrivals[start..].iter_mut().for_each(|arrival| arrival.customer = 0);
     }
     arrivals.sort_by_key(|arrival| arrival.at);
     arrivals
 }
 
-fn one_kind(
+fn draw_kind(
     scenario: &scenario::Scenario,
     kind: &Kind,
     (rate, burst): (f64, f64),
@@ -114,18 +115,18 @@
         }
         let (low, high) = kind.tokens;
         let tokens = (low * (high / low).powf(random.random::<f64>())) as u64;
-        let shares = random.random::<f64>() < scenario.shared;
-        let prefix = random.random_range(0..PREFIXES);
+        let shares = random.random::<f64>() < scenario.shared_prefixes;
+        let prefix = random.random_range(0..PREFIX_COUNT);
         let is_short = document::Class::of(tokens) == document::Class::Short;
-        let prefixed = shares && is_short && tokens > PREFIX;
+        let prefixed = shares && is_short && tokens > PREFIX_TOKENS;
         arrivals.push(Arrival {
             at: clock::Moment::from_micros((at * 1e6) as u64),
             host: random.random_range(0..hosts),
             customer: random.random_range(0..CUSTOMERS),
-            tokens,
-            answer: random.random_range(kind.answer.0..kind.answer.1),
+            prompt_tokens: tokens,
+            answer_tokens: random.random_range(kind.answer.0..kind.answer.1),
             deadline: kind.deadline,
-            prefixes: if prefixed { vec![(prefix, PREFIX)] } else { Vec::new() },
+            prefixes: if prefixed { vec![(prefix, PREFIX_TOKENS)] } else { Vec::new() },
         });
     }
 }
--- a/crates/lagoon-load/src/bench/engine.rs
+++ b/crates/lagoon-load/src/bench/engine.rs
@@ -1,4 +1,4 @@
-//! A fake engine: a prefill rate, a number of slots, a KV memory.
+//! Simulated engine: a prefill rate, a number of slots and a KV cache.
 
 use std::cmp;
 use std::collections;
@@ -6,27 +6,27 @@
 use lagoonline::clock;
 use lagoonline::port::engine;
 
-/// Prefill tokens of one step.
-pub const CHUNK: u64 = 1_024;
-/// Requests that may wait inside an engine before it answers that it is full.
-const WAITING: usize = 64;
-/// Prefixes that an engine keeps.
-const CACHED: usize = 2_000;
+/// Maximum number of tokens prefilled in one step.
+pub const MAX_STEP_TOKENS: u64 = 1_024;
+/// Maximum length of an engine's queue; beyond it the engine rejects requests as full.
+const MAX_WAITING: usize = 64;
+/// Maximum number of prefixes in an engine's prefix cache; the oldest are evicted first.
+const MAX_CACHED_PREFIXES: usize = 2_000;
 
-/// A request inside an engine.
+/// An attempt of a request inside an engine. Ordered by priority, then first come, first served.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Index of the request.
     pub request: usize,
-    /// Which of its attempts.
+    /// Attempt number of the request, counted from 1.
     pub attempt: u32,
-    /// Higher goes first.
+    /// Priority; higher values are served first.
     pub priority: u8,
-    /// Order of coming.
+    /// Order of arrival in the run; lower values are served first within a priority.
     pub sequence: u64,
-    /// Prompt tokens still to prefill.
-    pub left: u64,
-    /// KV memory that it takes here.
+    /// Prompt tokens not yet prefilled.
+    pub prefill_left: u64,
+    /// KV memory that it reserves on this engine, in tokens.
     pub kv: u64,
 }
 
@@ -56,41 +56,41 @@
     }
 }
 
-/// One engine.
+/// A simulated engine.
 #[derive(Debug)]
 pub struct Engine {
-    /// Prefill tokens a second.
+    /// Prefill rate, in tokens per second.
     pub rate: f64,
-    /// Factor by which everything takes longer; its reports do not say so.
-    pub slow: f64,
-    /// Requests in its batch at most.
+    /// Factor on all step times; load reports still state the nominal rate.
+    pub slowdown: f64,
+    /// Maximum batch size.
     pub slots: u32,
-    /// KV memory in tokens.
-    pub kv: u64,
-    /// Whether it lives.
+    /// KV cache size, in tokens.
+    pub kv_tokens: u64,
+    /// Whether the engine is up.
     pub alive: bool,
-    /// Its life, counted from 1.
+    /// Number of the engine's current incarnation, counted from 1.
     pub incarnation: u64,
-    /// KV memory in use.
+    /// KV memory in use, in tokens.
     pub kv_used: u64,
-    /// Requests in its batch.
+    /// Current batch size.
     pub running: u32,
     waiting: collections::BinaryHeap<Job>,
     prefill: collections::BinaryHeap<Job>,
     step: Option<(Job, u64)>,
-    cached: collections::VecDeque<u64>,
-    known: collections::HashSet<u64>,
-    reports: u64,
+    cache_order: collections::VecDeque<u64>,
+    cached_hashes: collections::HashSet<u64>,
+    report_sequence: u64,
 }
 
 impl Engine {
-    /// An idle engine.
-    pub fn new(rate: f64, slots: u32, kv: u64) -> Self {
+    /// Returns an idle engine.
+    pub fn new(rate: f64, slots: u32, kv_tokens: u64) -> Self {
         Engine {
             rate,
-            slow: 1.0,
+            slowdown: 1.0,
             slots,
-            kv,
+            kv_tokens,
             alive: true,
             incarnation: 1,
             kv_used: 0,
@@ -98,124 +98,127 @@
             waiting: collections::BinaryHeap::new(),
             prefill: collections::BinaryHeap::new(),
             step: None,
-            cached: collections::VecDeque::new(),
-            known: collections::HashSet::new(),
-            reports: 0,
+            cache_order: collections::VecDeque::new(),
+            cached_hashes: collections::HashSet::new(),
+            report_sequence: 0,
         }
     }
 
-    /// Takes a job in, or says that it is full.
+    /// Queues a job; returns whether the queue had room.
     pub fn accept(&mut self, job: Job) -> bool {
-        if self.waiting.len() >= WAITING {
+        if self.waiting.len() >= MAX_WAITING {
             return false;
         }
         self.waiting.push(job);
-        self.fill();
+        self.admit_waiting();
         true
     }
 
-    /// Starts a step if there is work and none is under way: when it ends.
-    pub fn start(&mut self, now: clock::Moment) -> Option<clock::Moment> {
+    /// Starts a prefill step if there is work and no step is in progress; returns when it ends.
+    pub fn start_step(&mut self, now: clock::Moment) -> Option<clock::Moment> {
         if self.step.is_some() {
             return None;
         }
         let job = self.prefill.pop()?;
-        let tokens = job.left.min(CHUNK);
-        let seconds = tokens as f64 / self.rate * self.slow;
+        let tokens = job.prefill_left.min(MAX_STEP_TOKENS);
+        let seconds = tokens as f64 / self.rate * self.slowdown;
         self.step = Some((job, tokens));
         Some(now + clock::Span::from_secs_f64(seconds))
     }
 
-    /// Ends the step: the job whose prefill is complete, if one is.
+    /// Completes the current step; returns its job if the prefill is finished.
     pub fn end_step(&mut self) -> Option<Job> {
         let (mut job, tokens) = self.step.take()?;
-        job.left -= tokens;
-        if job.left == 0 {
+        job.prefill_left -= tokens;
+        if job.prefill_left == 0 {
             return Some(job);
         }
         self.prefill.push(job);
         None
     }
 
-    /// A job of the batch ended.
+    /// Removes a finished job from the batch and frees its KV memory.
     pub fn release(&mut self, kv: u64) {
         self.running -= 1;
         self.kv_used -= kv;
-        self.fill();
+        self.admit_waiting();
     }
 
-    /// Takes memory for a span of a prompt that another engine answers.
+    /// Reserves KV memory for a part of a prompt that another engine answers; returns whether it
+    /// fits.
     pub fn reserve(&mut self, kv: u64) -> bool {
-        let fits = self.kv_used + kv <= self.kv;
+        let fits = self.kv_used + kv <= self.kv_tokens;
         if fits {
             self.kv_used += kv;
         }
         fits
     }
 
-    /// Gives it back.
+    /// Frees memory taken by [`Engine::reserve`].
     pub fn unreserve(&mut self, kv: u64) {
         self.kv_used -= kv;
-        self.fill();
+        self.admit_waiting();
     }
 
-    /// Dies: all that it held is gone. Names those that had not ended their prefill.
-    pub fn die(&mut self) -> Vec<Job> {
+    /// Crashes the engine and clears its state; returns the jobs that had not finished prefill.
+    pub fn crash(&mut self) -> Vec<Job> {
         let mut lost: Vec<Job> = self.waiting.drain().chain(self.prefill.drain()).collect();
         lost.extend(self.step.take().map(|(job, _)| job));
         (self.alive, self.kv_used, self.running) = (false, 0, 0);
-        self.cached.clear();
-        self.known.clear();
+        self.cache_order.clear();
+        self.cached_hashes.clear();
         lost
     }
 
-    /// Comes back empty, in a new life.
-    pub fn revive(&mut self) {
+    /// Restarts a crashed engine with empty memory, in a new incarnation.
+    pub fn restart(&mut self) {
         self.alive = true;
         self.incarnation += 1;
     }
 
-    /// Tokens of the longest cached prefix.
+    /// Returns the length in tokens of the longest cached prefix among `prefixes`.
     pub fn cached_tokens(&self, prefixes: &[(u64, u64)]) -> u64 {
-        let cached = prefixes.iter().filter(|(hash, _)| self.known.contains(hash));
+        let cached = prefixes.iter().filter(|(hash, _)| self.cached_hashes.contains(hash));
         cached.map(|(_, tokens)| *tokens).max().unwrap_or(0)
     }
 
-    /// Keeps the prompt's prefixes.
+    /// Adds the prefixes of a prompt to the prefix cache.
     pub fn cache(&mut self, prefixes: &[(u64, u64)]) {
         for (hash, _) in prefixes {
-            if self.known.insert(*hash) {
-                self.cached.push_back(*hash);
+            if self.cached_hashes.insert(*hash) {
+                self.cache_order.push_back(*hash);
             }
         }
-        while self.cached.len() > CACHED {
-            let oldest = self.cached.pop_front();
-            oldest.map(|hash| self.known.remove(&hash));
+        while self.cache_order.len() > MAX_CACHED_PREFIXES {
+            let oldest = self.cache_order.pop_front();
+            oldest.map(|hash| self.cached_hashes.remove(&hash));
         }
     }
 
-    /// What it reports.
-    pub fn load(&mut self) -> engine::LoadReport {
-        self.reports += 1;
-        let step = self.step.iter().map(|(job, _)| job.left).sum::<u64>();
-        let left =
-            |jobs: &collections::BinaryHeap<Job>| jobs.iter().map(|job| job.left).sum::<u64>();
+    /// Returns a load report and advances its sequence number.
+    pub fn load_report(&mut self) -> engine::LoadReport {
+        self.report_sequence += 1;
+        let step = self.step.iter().map(|(job, _)| job.prefill_left).sum::<u64>();
+        let prefill_left = |jobs: &collections::BinaryHeap<Job>| {
+            jobs.iter().map(|job| job.prefill_left).sum::<u64>()
+        };
         engine::LoadReport {
             running: self.running,
             waiting: self.waiting.len() as u32,
-            prefill_tokens: step + left(&self.prefill) + left(&self.waiting),
-            kv_free_tokens: self.kv - self.kv_used,
-            kv_tokens: self.kv,
+            prefill_tokens: step + prefill_left(&self.prefill) + prefill_left(&self.waiting),
+            kv_free_tokens: self.kv_tokens - self.kv_used,
+            kv_tokens: self.kv_tokens,
             prefill_rate: self.rate,
-            sequence: self.reports,
+            sequence: self.report_sequence,
             incarnation: self.incarnation,
         }
     }
 
-    fn fill(&mut self) {
+    /// Moves queued jobs into the batch while slots and KV memory last.
+    fn admit_waiting(&mut self) {
         while let Some(job) = self.waiting.peek()
             && self.running < self.slots
-            && self.kv_used + job.kv <= self.kv
+            && self.kv_used + job.kv <= self.kv_tokens
         {
             self.running += 1;
             self.kv_used += job.kv;
--- a/crates/lagoon-load/src/bench/mod.rs
+++ b/crates/lagoon-load/src/bench/mod.rs
@@ -1,12 +1,13 @@
-//! The decisions of `lagoonline::load` before fake engines, in virtual time.
+//! Discrete-event simulation of `lagoonline::load` with simulated engines, in virtual time.
 //!
-//! One loop over arrivals and engine steps; a fake engine is a rate, a memory and a lag. Arrivals
-//! are open-loop: they are drawn beforehand from the seed and come whatever became of earlier ones,
-//! the same for every policy.
+//! One event loop processes arrivals, engine steps and load reports. A simulated engine has a
+//! prefill rate, a KV memory and delayed load reports. Arrivals are open-loop: they are drawn from
+//! the seed before the run, do not depend on the fate of earlier requests, and are the same for
+//! every policy.
 
 pub mod arrival;
 pub mod engine;
 pub mod plot;
 pub mod report;
 pub mod scenario;
-pub mod world;
+pub mod simulation;
--- a/crates/lagoon-load/src/bench/plot.rs
+++ b/crates/lagoon-load/src/bench/plot.rs
@@ -1,4 +1,4 @@
-//! A plot of short prompts' p95 time to first token by scenario and policy.
+//! Bar chart of one figure by scenario and policy.
 
 use std::path;
 
@@ -6,8 +6,12 @@
 
 use super::report;
 
-/// Bars of one figure, one group for each scenario and one bar for each policy.
-pub fn bars(
+/// Draws one figure to an SVG file, with a group of bars per scenario and a bar per policy.
+///
+/// # Errors
+///
+/// The file cannot be drawn or written.
+pub fn draw_bars(
     file: &path::Path,
     figure: &str,
     rows: &[report::Row],
@@ -29,16 +33,17 @@
         .build_cartesian_2d(0.0..scenarios.len() as f64, (1.0..highest * 1.2).log_scale())?;
     let label = |x: &f64| scenarios.get(*x as usize).map_or(String::new(), |&name| name.to_owned());
     chart.configure_mesh().x_labels(scenarios.len()).x_label_formatter(&label).draw()?;
-    for (place, policy) in policies.iter().enumerate() {
-        let colour = Palette99::pick(place).to_rgba();
+    for (index, policy) in policies.iter().enumerate() {
+        let colour = Palette99::pick(index).to_rgba();
         let width = 0.8 / policies.len() as f64;
-        let mine = rows.iter().filter(|row| row.policy == *policy);
+        let policy_rows = rows.iter().filter(|row| row.policy == *policy);
         let bar = |row: &report::Row| {
-            let group = scenarios.iter().position(|name| *name == row.scenario).unwrap_or(0);
-            let left = group as f64 + 0.1 + place as f64 * width;
+            let scenario_index =
+                scenarios.iter().position(|name| *name == row.scenario).unwrap_or(0);
+            let left = scenario_index as f64 + 0.1 + index as f64 * width;
             Rectangle::new([(left, 1.0), (left + width, value(row))], colour.filled())
         };
-        let series = chart.draw_series(mine.map(bar))?.label(*policy);
+        let series = chart.draw_series(policy_rows.map(bar))?.label(*policy);
         series.legend(move |(x, y)| Rectangle::new([(x, y - 5), (x + 10, y + 5)], colour.filled()));
     }
     chart.configure_series_labels().background_style(WHITE).border_style(BLACK).draw()?;
--- a/crates/lagoon-load/src/bench/report.rs
+++ b/crates/lagoon-load/src/bench/report.rs
@@ -1,4 +1,4 @@
-//! What callers got in one run, and medians over seeds.
+//! Results of a run as callers see them, and their summary over seeds.
 
 use std::collections;
 
@@ -9,79 +9,82 @@
 use serde::Serialize;
 
 use super::arrival;
-use super::world;
+use super::simulation;
 
-/// Longest time a histogram tells apart, in microseconds.
-const LONGEST: u64 = 3_600_000_000;
-/// Time after a fault in which its load may still go to a slow engine.
-const SHED: clock::Span = clock::Span::from_secs(2);
+/// Largest time recorded by a histogram, in microseconds; longer times are clamped to it.
+const MAX_TIME_US: u64 = 3_600_000_000;
+/// Time allowed to detect a slow engine; requests that arrive earlier may still be placed on it.
+const DETECTION_TIME: clock::Span = clock::Span::from_secs(2);
 
-/// Counts of one run.
+/// Counts and time histograms of one run.
+///
+/// Arrays are indexed by [`document::Class`].
 #[derive(Clone, Debug)]
 pub struct Tally {
     /// Time to first token by length class, in microseconds.
     pub first_token: [hdr::Histogram<u64>; 4],
-    /// The same of short prompts of all customers but the first.
-    pub others: hdr::Histogram<u64>,
-    /// Sum of the ideal times to first token by class, in microseconds.
-    pub ideal: [f64; 4],
-    /// Time to first token over the ideal one of short prompts, in hundredths.
+    /// Time to first token of short prompts of all customers but the first, in microseconds.
+    pub others_first_token: hdr::Histogram<u64>,
+    /// Sum of the ideal times to first token by class, in microseconds: prefill on an idle engine.
+    pub ideal_first_token: [f64; 4],
+    /// Ratio of the actual to the ideal time to first token of short prompts, in hundredths.
     pub slowdown: hdr::Histogram<u64>,
-    /// Time to a refusal, in microseconds.
-    pub refusal: hdr::Histogram<u64>,
-    /// Requests by class.
+    /// Time from arrival to a refusal, in microseconds.
+    pub refusal_time: hdr::Histogram<u64>,
+    /// Ended requests by class.
     pub offered: [u64; 4],
-    /// Answers within the deadline by class.
+    /// Requests answered within the deadline, by class.
     pub good: [u64; 4],
-    /// Answers after the deadline.
+    /// Requests answered after the deadline.
     pub late: u64,
     /// Refusals by reason.
-    pub reasons: collections::BTreeMap<&'static str, u64>,
+    pub refusal_reasons: collections::BTreeMap<&'static str, u64>,
     /// Refusals by class.
     pub refusals: [u64; 4],
-    /// Dispatches.
+    /// Dispatches, retries included.
     pub attempts: u64,
-    /// Prompt tokens of long and huge answers that ended within the time of arrivals.
+    /// Prompt tokens of the long and huge requests whose answers ended before the arrivals did.
     pub long_tokens: u64,
-    /// Prompt tokens of all good answers.
+    /// Prompt tokens of the requests answered within the deadline.
     pub good_tokens: u64,
-    /// Prompt tokens prefilled, and found in caches.
+    /// Prompt tokens prefilled, without those found in prefix caches.
     pub prefilled: u64,
-    /// Prompt tokens found in caches.
+    /// Prompt tokens found in prefix caches.
     pub cached: u64,
-    /// Requests answered by the faulty engine that arrived later than two seconds after the fault.
+    /// Requests that arrived more than two seconds after the fault began and were answered by the
+    /// faulty engine.
     pub on_faulty: u64,
-    /// Requests that arrived later than two seconds after the fault.
+    /// Requests that arrived more than two seconds after the fault began and were answered.
     pub after_fault: u64,
-    /// KV memory still held at the end.
+    /// KV memory still reserved at the end of the run; nonzero means a leak.
     pub kv_held: u64,
-    /// Tickets still held at the end.
+    /// Scheduler tickets still open at the end of the run; nonzero means a leak.
     pub tickets_held: usize,
     seconds: f64,
 }
 
 fn histogram() -> hdr::Histogram<u64> {
-    // Bounds are constants that the library accepts.
-    hdr::Histogram::new_with_bounds(1, LONGEST, 3).expect("constant bounds")
+    // The bounds are valid constants.
+    hdr::Histogram::new_with_bounds(1, MAX_TIME_US, 3).expect("constant bounds")
 }
 
 fn micros(span: clock::Span) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(LONGEST).clamp(1, LONGEST)
+    u64::try_from(span.as_micros()).unwrap_or(MAX_TIME_US).clamp(1, MAX_TIME_US)
 }
 
 impl Tally {
-    /// Nothing yet.
+    /// Returns an empty tally for a run with `seconds` of arrivals.
     pub fn new(seconds: f64) -> Self {
         Tally {
             first_token: [(); 4].map(|()| histogram()),
-            ideal: [0.0; 4],
-            others: histogram(),
+            ideal_first_token: [0.0; 4],
+            others_first_token: histogram(),
             slowdown: histogram(),
-            refusal: histogram(),
+            refusal_time: histogram(),
             offered: [0; 4],
             good: [0; 4],
             late: 0,
-            reasons: collections::BTreeMap::new(),
+            refusal_reasons: collections::BTreeMap::new(),
             refusals: [0; 4],
             attempts: 0,
             long_tokens: 0,
@@ -96,94 +99,95 @@
         }
     }
 
-    /// An answer came whole.
-    pub fn done(
+    /// Records a complete answer, its first token at `first` and its last at `end`.
+    pub fn record_answer(
         &mut self,
         arrival: &arrival::Arrival,
         first: clock::Moment,
         end: clock::Moment,
         on_faulty: bool,
     ) {
-        let class = document::Class::of(arrival.tokens) as usize;
+        let class = document::Class::of(arrival.prompt_tokens) as usize;
         self.offered[class] += 1;
-        let took = micros(first.since(arrival.at));
-        self.first_token[class].saturating_record(took);
-        let ideal = arrival.tokens as f64 / super::scenario::RATE * 1e6;
-        self.ideal[class] += ideal;
+        let elapsed = micros(first.since(arrival.at));
+        self.first_token[class].saturating_record(elapsed);
+        let ideal = arrival.prompt_tokens as f64 / super::scenario::PREFILL_RATE * 1e6;
+        self.ideal_first_token[class] += ideal;
         if class == 0 {
-            self.slowdown.saturating_record((took as f64 / ideal * 100.0).max(1.0) as u64);
+            self.slowdown.saturating_record((elapsed as f64 / ideal * 100.0).max(1.0) as u64);
             if arrival.customer != 0 {
-                self.others.saturating_record(took);
+                self.others_first_token.saturating_record(elapsed);
             }
         }
         if end.since(arrival.at) <= arrival.deadline {
             self.good[class] += 1;
-            self.good_tokens += arrival.tokens;
+            self.good_tokens += arrival.prompt_tokens;
         } else {
             self.late += 1;
         }
         if class >= 2 && end.as_micros() as f64 <= self.seconds * 1e6 {
-            self.long_tokens += arrival.tokens;
+            self.long_tokens += arrival.prompt_tokens;
         }
-        if world::in_fault(arrival.at, self.seconds) {
-            let third = clock::Moment::from_micros((self.seconds / 3.0 * 1e6) as u64);
-            if arrival.at.since(third) > SHED {
+        if simulation::is_after_fault_start(arrival.at, self.seconds) {
+            let fault_start = clock::Moment::from_micros((self.seconds / 3.0 * 1e6) as u64);
+            if arrival.at.since(fault_start) > DETECTION_TIME {
                 self.after_fault += 1;
                 self.on_faulty += u64::from(on_faulty);
             }
         }
     }
 
-    /// The caller was told that there will be no answer.
-    pub fn refused(
+    /// Records a request that ended without a complete answer.
+    pub fn record_refusal(
         &mut self,
         arrival: &arrival::Arrival,
         at: clock::Moment,
         reason: outcome::Reason,
     ) {
-        let class = document::Class::of(arrival.tokens) as usize;
+        let class = document::Class::of(arrival.prompt_tokens) as usize;
         self.offered[class] += 1;
         self.refusals[class] += 1;
-        *self.reasons.entry(reason.as_str()).or_default() += 1;
-        self.refusal.saturating_record(micros(at.since(arrival.at)));
+        *self.refusal_reasons.entry(reason.as_str()).or_default() += 1;
+        self.refusal_time.saturating_record(micros(at.since(arrival.at)));
     }
 
-    /// Mean time to first token over the ideal one, each length class counted alike.
+    /// Returns the ratio of the mean actual to the mean ideal time to first token, averaged over the
+    /// length classes with equal weight.
     fn first_token_by_length(&self) -> f64 {
-        let classes = self.first_token.iter().zip(self.ideal);
-        let stretch = |(histogram, ideal): (&hdr::Histogram<u64>, f64)| {
+        let classes = self.first_token.iter().zip(self.ideal_first_token);
+        let slowdown_of = |(histogram, ideal): (&hdr::Histogram<u64>, f64)| {
             (ideal > 0.0).then(|| histogram.mean() * histogram.len() as f64 / ideal)
         };
-        let stretches: Vec<f64> = classes.filter_map(stretch).collect();
-        stretches.iter().sum::<f64>() / stretches.len().max(1) as f64
+        let slowdowns: Vec<f64> = classes.filter_map(slowdown_of).collect();
+        slowdowns.iter().sum::<f64>() / slowdowns.len().max(1) as f64
     }
 
-    /// The figures by name; times in milliseconds.
+    /// Returns the figures by name; times are in milliseconds.
     pub fn figures(&self) -> collections::BTreeMap<String, f64> {
         let mut figures = collections::BTreeMap::new();
         let mut put = |name: &str, value: f64| figures.insert(name.to_owned(), value);
         for class in document::Class::ALL {
             let index = class as usize;
-            let word = class.as_str();
+            let class_name = class.as_str();
             let histogram = &self.first_token[index];
-            put(&format!("{word}_p50_ms"), histogram.value_at_quantile(0.5) as f64 / 1e3);
-            put(&format!("{word}_p95_ms"), histogram.value_at_quantile(0.95) as f64 / 1e3);
-            put(&format!("{word}_p99_ms"), histogram.value_at_quantile(0.99) as f64 / 1e3);
-            put(&format!("{word}_mean_ms"), histogram.mean() / 1e3);
-            put(&format!("{word}_offered"), self.offered[index] as f64);
-            put(&format!("{word}_good"), self.good[index] as f64);
-            put(&format!("{word}_refused"), self.refusals[index] as f64);
+            put(&format!("{class_name}_p50_ms"), histogram.value_at_quantile(0.5) as f64 / 1e3);
+            put(&format!("{class_name}_p95_ms"), histogram.value_at_quantile(0.95) as f64 / 1e3);
+            put(&format!("{class_name}_p99_ms"), histogram.value_at_quantile(0.99) as f64 / 1e3);
+            put(&format!("{class_name}_mean_ms"), histogram.mean() / 1e3);
+            put(&format!("{class_name}_offered"), self.offered[index] as f64);
+            put(&format!("{class_name}_good"), self.good[index] as f64);
+            put(&format!("{class_name}_refused"), self.refusals[index] as f64);
             let late = self.offered[index] - self.good[index] - self.refusals[index];
-            put(&format!("{word}_late"), late as f64);
+            put(&format!("{class_name}_late"), late as f64);
         }
         let offered: u64 = self.offered.iter().sum();
         put("first_token_by_length", self.first_token_by_length());
-        put("others_p95_ms", self.others.value_at_quantile(0.95) as f64 / 1e3);
+        put("others_p95_ms", self.others_first_token.value_at_quantile(0.95) as f64 / 1e3);
         put("slowdown_mean", self.slowdown.mean() / 100.0);
         put("slowdown_p95", self.slowdown.value_at_quantile(0.95) as f64 / 100.0);
-        put("refusal_p50_ms", self.refusal.value_at_quantile(0.5) as f64 / 1e3);
-        put("refusal_p95_ms", self.refusal.value_at_quantile(0.95) as f64 / 1e3);
-        put("refusal_p99_ms", self.refusal.value_at_quantile(0.99) as f64 / 1e3);
+        put("refusal_p50_ms", self.refusal_time.value_at_quantile(0.5) as f64 / 1e3);
+        put("refusal_p95_ms", self.refusal_time.value_at_quantile(0.95) as f64 / 1e3);
+        put("refusal_p99_ms", self.refusal_time.value_at_quantile(0.99) as f64 / 1e3);
         put("offered", offered as f64);
         put("good", self.good.iter().sum::<u64>() as f64);
         put("good_tokens", self.good_tokens as f64);
@@ -195,44 +199,44 @@
         put("on_faulty_part", self.on_faulty as f64 / self.after_fault.max(1) as f64);
         put("kv_held", self.kv_held as f64);
         put("tickets_held", self.tickets_held as f64);
-        for (reason, count) in &self.reasons {
+        for (reason, count) in &self.refusal_reasons {
             put(&format!("refused_{reason}"), *count as f64);
         }
-        figures.values_mut().for_each(|value| *value = rounded(*value));
+        figures.values_mut().for_each(|value| *value = round_figure(*value));
         figures
     }
 }
 
-/// Four decimal places, more than the runs' spread tells apart.
-fn rounded(value: f64) -> f64 {
+/// Rounds to four decimal places, finer than the spread between runs.
+fn round_figure(value: f64) -> f64 {
     (value * 1e4).round() / 1e4
 }
 
-/// All runs of one scenario under one policy.
+/// Summary of all runs of one scenario under one policy.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The policy, with what was turned off.
+    /// Name of the policy, with the safeguards that were turned off.
     pub policy: String,
-    /// Seeds run.
+    /// Number of seeds, one run each.
     pub seeds: u64,
     /// Median of each figure over the seeds.
     pub median: collections::BTreeMap<String, f64>,
-    /// Lowest of each figure.
+    /// Minimum of each figure over the seeds.
     pub lowest: collections::BTreeMap<String, f64>,
-    /// Highest of each figure.
+    /// Maximum of each figure over the seeds.
     pub highest: collections::BTreeMap<String, f64>,
 }
 
-/// Puts the runs of all seeds together.
-pub fn row(scenario: &str, policy: &str, runs: &[Tally]) -> Row {
+/// Summarizes the runs of all seeds.
+pub fn summarize(scenario: &str, policy: &str, runs: &[Tally]) -> Row {
     let mut values: collections::BTreeMap<String, Vec<f64>> = collections::BTreeMap::new();
     for (name, value) in runs.iter().flat_map(Tally::figures) {
         values.entry(name).or_default().push(value);
     }
     for list in values.values_mut() {
-        // A figure that a run lacks is a count of nothing.
+        // Refusal reasons that did not occur in a run are absent from its figures and count as 0.
         list.resize(runs.len(), 0.0);
         list.sort_by(f64::total_cmp);
     }
--- a/crates/lagoon-load/src/bench/scenario.rs
+++ b/crates/lagoon-load/src/bench/scenario.rs
@@ -1,49 +1,50 @@
-//! Named loads and faults.
+//! Named scenarios: a load, a fleet and a fault.
 
 use lagoonline::clock;
 
-/// What goes wrong, from a third of the run on.
+/// The fault injected during a run; it begins after one third of the run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// One engine takes this many times as long, to the end.
+    /// The first engine slows down by this factor until the end of the run.
     Slow(f64),
-    /// One engine dies and comes back empty at two thirds.
-    Death,
-    /// The last zone is cut off from the others until two thirds.
-    Cut,
+    /// The first engine crashes and restarts with empty memory after two thirds of the run.
+    Crash,
+    /// The last zone is partitioned from the others until two thirds of the run.
+    Partition,
 }
 
-/// One load before one fleet.
+/// A load on a fleet, with an optional fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its name.
+    /// Name on the command line and in the results.
     pub name: &'static str,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: u32,
-    /// Engines in each.
+    /// Number of engines in each zone.
     pub engines: u32,
-    /// Entry hosts in each.
+    /// Number of entry hosts in each zone.
     pub hosts: u32,
-    /// Work of prompts up to 4k tokens, as a part of prefill capacity.
+    /// Load of prompts up to 4k tokens, as a fraction of the fleet's prefill capacity.
     pub short: f64,
-    /// Work of prompts of 8k to 32k tokens.
+    /// Load of prompts of 8k to 32k tokens, as a fraction of the capacity.
     pub medium: f64,
-    /// Work of prompts of 100k tokens to a million.
+    /// Load of prompts of 100k tokens to `longest_prompt`, as a fraction of the capacity.
     pub long: f64,
-    /// Longest of these, in tokens.
-    pub longest: f64,
-    /// Every 30 s, short prompts come this many times as often for 3 s.
-    pub burst: f64,
-    /// The first of ten customers sends this many times its share.
-    pub heavy: f64,
-    /// Every customer's limit, as a multiple of its share of the short load; 0 for none.
-    pub limit: f64,
-    /// Share of short prompts that start with one of eight prefixes of 1,536 tokens.
-    pub shared: f64,
-    /// What goes wrong.
+    /// Maximum length of a prompt, in tokens.
+    pub longest_prompt: f64,
+    /// Factor on the arrival rate of short prompts during the last 3 s of every 30 s.
+    pub burst_factor: f64,
+    /// Factor on the short load of the first customer; 1 gives all ten customers equal shares.
+    pub heavy_factor: f64,
+    /// Token rate limit of every customer, as a multiple of its equal share of the short load; 0
+    /// disables limits.
+    pub limit_factor: f64,
+    /// Fraction of short prompts that start with one of eight shared prefixes of 1,536 tokens.
+    pub shared_prefixes: f64,
+    /// The injected fault.
     pub fault: Fault,
 }
 
@@ -57,33 +58,33 @@
             short: 0.7,
             medium: 0.0,
             long: 0.0,
-            longest: 1_000_000.0,
-            burst: 1.0,
-            heavy: 1.0,
-            limit: 0.0,
-            shared: 0.0,
+            longest_prompt: 1_000_000.0,
+            burst_factor: 1.0,
+            heavy_factor: 1.0,
+            limit_factor: 0.0,
+            shared_prefixes: 0.0,
             fault: Fault::None,
         }
     }
 }
 
-/// Prefill rate of an engine, in tokens a second.
-pub const RATE: f64 = 20_000.0;
-/// Slots of an engine.
+/// Prefill rate of an engine, in tokens per second.
+pub const PREFILL_RATE: f64 = 20_000.0;
+/// Number of slots of an engine: the maximum batch size.
 pub const SLOTS: u32 = 32;
-/// KV memory of an engine, in tokens.
-pub const KV: u64 = 400_000;
-/// Time between two answer tokens.
-pub const TOKEN: clock::Span = clock::Span::from_millis(20);
-/// Time between two load reports, and their lag.
-pub const REPORT: (clock::Span, clock::Span) =
+/// KV cache size of an engine, in tokens.
+pub const KV_TOKENS: u64 = 400_000;
+/// Time between two answer tokens of a request.
+pub const TOKEN_INTERVAL: clock::Span = clock::Span::from_millis(20);
+/// Interval between two load reports of an engine, and their delivery delay.
+pub const LOAD_REPORT_TIMING: (clock::Span, clock::Span) =
     (clock::Span::from_millis(500), clock::Span::from_millis(250));
 
-/// Time between two exchanges of spending, and their lag.
-pub const SPENDING: (clock::Span, clock::Span) =
+/// Interval between two usage reports of a host, and their delivery delay.
+pub const USAGE_REPORT_TIMING: (clock::Span, clock::Span) =
     (clock::Span::from_millis(250), clock::Span::from_millis(50));
 
-/// Every scenario.
+/// Returns every scenario.
 pub fn all() -> Vec<Scenario> {
     let base = Scenario::default();
     let mixed = Scenario { medium: 0.05, long: 0.05, ..base };
@@ -94,22 +95,28 @@
     vec![
         base,
         Scenario { name: "long-among-short", long: 0.1, ..base },
-        Scenario { name: "burst", short: 0.4, burst: 5.0, ..mixed },
+        Scenario { name: "burst", short: 0.4, burst_factor: 5.0, ..mixed },
         Scenario { name: "even-customers", short: 0.5, ..base },
-        Scenario { name: "few-customers", short: 0.5, heavy: 10.0, ..base },
-        Scenario { name: "even-customers-limited", short: 0.5, limit: 2.0, ..base },
-        Scenario { name: "few-customers-limited", short: 0.5, heavy: 10.0, limit: 2.0, ..base },
-        Scenario { name: "few-prefixes", short: 0.9, shared: 0.8, ..base },
+        Scenario { name: "few-customers", short: 0.5, heavy_factor: 10.0, ..base },
+        Scenario { name: "even-customers-limited", short: 0.5, limit_factor: 2.0, ..base },
+        Scenario {
+            name: "few-customers-limited",
+            short: 0.5,
+            heavy_factor: 10.0,
+            limit_factor: 2.0,
+            ..base
+        },
+        Scenario { name: "few-prefixes", short: 0.9, shared_prefixes: 0.8, ..base },
         Scenario { name: "slow-upstream", short: 0.55, fault: Fault::Slow(5.0), ..base },
         Scenario { name: "no-slow-upstream", short: 0.55, ..base },
-        Scenario { name: "engine-death", short: 0.6, fault: Fault::Death, ..mixed },
+        Scenario { name: "engine-death", short: 0.6, fault: Fault::Crash, ..mixed },
         Scenario {
             name: "zone-cut",
             zones: 3,
             engines: 4,
             hosts: 2,
             short: 0.6,
-            fault: Fault::Cut,
+            fault: Fault::Partition,
             ..mixed
         },
         saturated("saturation-0.8", 0.8),
--- a/crates/lagoon-load/src/bin/lagoon-load.rs
+++ b/crates/lagoon-load/src/bin/lagoon-load.rs
@@ -10,7 +10,7 @@
 use lagoon_load::bench::plot;
 use lagoon_load::bench::report;
 use lagoon_load::bench::scenario;
-use lagoon_load::bench::world;
+use lagoon_load::bench::simulation;
 use lagoon_load::direct;
 use lagoon_load::http;
 use lagoon_load::soak;
@@ -238,7 +238,7 @@
             let runs: Vec<_> = runs.collect();
             let off: String = bench.off.iter().map(|name| format!(" -{name}")).collect();
             let name = format!("{}{off}", policy.as_str());
-            rows.push(report::row(scenario.name, &name, &runs));
+            rows.push(report::summarize(scenario.name, &name, &runs));
         }
     }
     write(&rows, bench.json.as_deref(), bench.svg.as_deref(), &bench.figure)
@@ -258,7 +258,7 @@
             let runs = (1..=options.seeds)
                 .map(|seed| http::run(&http::Settings { seed, ..settings.clone() }));
             let runs: Vec<_> = runs.collect::<Result<_, _>>()?;
-            rows.push(report::row(scenario.name, policy.as_str(), &runs));
+            rows.push(report::summarize(scenario.name, policy.as_str(), &runs));
             eprintln!("{} {} done", scenario.name, policy.as_str());
         }
     }
@@ -278,7 +278,7 @@
         None => println!("{text}"),
     }
     if let Some(file) = svg {
-        plot::bars(file, figure, rows)?;
+        plot::draw_bars(file, figure, rows)?;
     }
     Ok(())
 }
@@ -291,7 +291,7 @@
 ) -> report::Tally {
     let arrivals = arrival::draw(scenario, seed, bench.seconds);
     let settings = load::Settings { seed: seed * 1_000, ..settings.clone() };
-    world::World::new(scenario, &arrivals, &settings, bench.seconds).run()
+    simulation::Simulation::new(scenario, &arrivals, &settings, bench.seconds).run()
 }
 
 fn scenarios(names: &[String]) -> Result<Vec<scenario::Scenario>, Unknown> {
--- a/crates/lagoon-load/src/http/calls.rs
+++ b/crates/lagoon-load/src/http/calls.rs
@@ -43,7 +43,11 @@
     plan::Call {
         number: number as u64,
         at: time::Duration::from_micros(arrival.at.as_micros()),
-        ask: plan::Ask::Model { tokens: arrival.tokens, answer: arrival.answer, stream: true },
+        ask: plan::Ask::Model {
+            tokens: arrival.prompt_tokens,
+            answer: arrival.answer_tokens,
+            stream: true,
+        },
         deadline: arrival.deadline,
         phase: plan::Phase::Mixed,
         draw: host * arrival::CUSTOMERS + arrival.customer,
@@ -67,9 +71,9 @@
         match told.first_token {
             Some(first) if told.content == caller::Content::Whole => {
                 let hash = prompt::Prompt::new(&told.call.prompt()).hash;
-                tally.done(arrival, made + first, end, faulty.contains(&hash));
+                tally.record_answer(arrival, made + first, end, faulty.contains(&hash));
             }
-            _ => tally.refused(arrival, end, reason(&told.code)),
+            _ => tally.record_refusal(arrival, end, reason(&told.code)),
         }
     }
     tally
--- a/crates/lagoon-load/src/http/mod.rs
+++ b/crates/lagoon-load/src/http/mod.rs
@@ -69,7 +69,7 @@
         "saturation-2.0",
     ];
     let all = scenario::all().into_iter().filter(|scenario| names.contains(&scenario.name));
-    all.map(|scenario| scenario::Scenario { longest: LONGEST, ..scenario }).collect()
+    all.map(|scenario| scenario::Scenario { longest_prompt: LONGEST, ..scenario }).collect()
 }
 
 /// Plays one run and tells what callers got.
@@ -85,8 +85,8 @@
         hosts: count(scenario.hosts),
         engines: count(scenario.engines),
         engine: engine::Settings {
-            prefill_rate: scenario::RATE,
-            kv_tokens: scenario::KV,
+            prefill_rate: scenario::PREFILL_RATE,
+            kv_tokens: scenario::KV_TOKENS,
             slots: count(scenario::SLOTS),
             decode_ms: DECODE_MS.0,
             decode_stream_ms: DECODE_MS.1,
--- a/crates/lagoon-load/tests/patterns.rs
+++ b/crates/lagoon-load/tests/patterns.rs
@@ -1,6 +1,6 @@
 //! The load patterns that the decisions answer, played in virtual time: what callers get.
 
-use lagoon_load::bench::{arrival, report, scenario, world};
+use lagoon_load::bench::{arrival, report, scenario, simulation};
 use lagoonline::load;
 use rstest::rstest;
 
@@ -11,7 +11,7 @@
     let scenario = all.iter().find(|scenario| scenario.name == name).unwrap();
     let arrivals = arrival::draw(scenario, 7, SECONDS);
     let offered = arrivals.len() as u64;
-    let tally = world::World::new(scenario, &arrivals, settings, SECONDS).run();
+    let tally = simulation::Simulation::new(scenario, &arrivals, settings, SECONDS).run();
     assert_eq!(tally.offered.iter().sum::<u64>(), offered, "a request without an end");
     assert_eq!((tally.kv_held, tally.tickets_held), (0, 0), "memory or tickets lost");
     tally
@@ -51,7 +51,7 @@
 fn burst() {
     let tally = full("burst");
     assert_eq!(tally.late, 0);
-    assert!(tally.refusal.value_at_quantile(0.95) <= 50_000);
+    assert!(tally.refusal_time.value_at_quantile(0.95) <= 50_000);
     assert!(good(&tally) * 100 >= tally.offered.iter().sum::<u64>() * 90);
 }
 
@@ -60,7 +60,7 @@
 #[test]
 fn few_customers() {
     let (even, few) = (full("even-customers-limited"), full("few-customers-limited"));
-    let p95 = |tally: &report::Tally| tally.others.value_at_quantile(0.95);
+    let p95 = |tally: &report::Tally| tally.others_first_token.value_at_quantile(0.95);
     assert!(p95(&few) * 100 <= p95(&even) * 115);
     let unlimited = full("few-customers");
     assert!(p95(&unlimited) * 2 <= short_p95(&unlimited));
@@ -90,7 +90,7 @@
 fn saturation() {
     let (at, twice) = (full("saturation-1.0"), full("saturation-2.0"));
     assert!(good(&twice) * 10 >= good(&at) * 9);
-    assert!(twice.refusal.value_at_quantile(0.95) <= 50_000);
+    assert!(twice.refusal_time.value_at_quantile(0.95) <= 50_000);
     assert!(twice.attempts * 10 <= twice.offered.iter().sum::<u64>() * 11);
     assert!(twice.late * 500 <= good(&twice), "{} late", twice.late);
 }
