--- a/crates/lagoon-load/src/bench/report.rs
+++ b/crates/lagoon-load/src/bench/report.rs
@@ -151,8 +151,8 @@
         self.refusal_time.saturating_record(micros(at.since(arrival.at)));
     }
 
-    /// Returns the ratio of the mean actual to the mean ideal time to first token, averaged over the
-    /// length classes with equal weight.
+    /// Returns the ratio of the mean actual to the mean ideal time to first token, averaged over
+    /// the length classes with equal weight.
     fn first_token_by_length(&self) -> f64 {
         let classes = self.first_token.iter().zip(self.ideal_first_token);
         let slowdown_of = |(histogram, ideal): (&hdr::Histogram<u64>, f64)| {
--- a/crates/lagoon-load/src/bench/simulation/dispatch.rs
+++ b/crates/lagoon-load/src/bench/simulation/dispatch.rs
@@ -33,8 +33,8 @@
         self.start_step(engine);
     }
 
-    /// Returns the KV tokens to reserve on each engine of the placement: each engine in turn takes as
-    /// much of the remaining need as is free on it.
+    /// Returns the KV tokens to reserve on each engine of the placement: each engine in turn takes
+    /// as much of the remaining need as is free on it.
     pub(super) fn split_reservation(
         &self,
         engine: usize,
--- a/crates/lagoon-load/src/bench/simulation/usage.rs
+++ b/crates/lagoon-load/src/bench/simulation/usage.rs
@@ -8,7 +8,8 @@
 use crate::bench::scenario;
 
 impl Simulation<'_> {
-    /// Checks the customer's rate limit at a host, if the scenario sets one, and counts the request.
+    /// Checks the customer's rate limit at a host, if the scenario sets one, and counts the
+    /// request.
     pub(super) fn admit(
         &mut self,
         host: usize,
@@ -23,8 +24,8 @@
         self.limits[host].admit(self.now, &load_request.customer, rate, cost)
     }
 
-    /// Sends each host's usage since its last report to the other hosts of its zone, and schedules the
-    /// next reports.
+    /// Sends each host's usage since its last report to the other hosts of its zone, and schedules
+    /// the next reports.
     pub(super) fn send_usage_reports(&mut self) {
         let at = self.now + scenario::USAGE_REPORT_TIMING.1;
         for from in 0..self.limits.len() {
--- a/crates/lagoon-load/src/bin/lagoon-load.rs
+++ b/crates/lagoon-load/src/bin/lagoon-load.rs
@@ -1,4 +1,4 @@
-//! Load and experiment tool.
+//! Command-line tool for benchmarks, load tests and soak tests.
 
 use std::error;
 use std::fs;
@@ -154,13 +154,14 @@
     figure: String,
 }
 
-/// Longest arrivals of a run by HTTP, in seconds; with its deadlines it ends within two minutes.
-const HTTP_SECONDS: f64 = 60.0;
+/// Maximum duration of the arrivals of an `http` run, in seconds. With the deadlines of its last
+/// calls, the run ends within two minutes.
+const MAX_HTTP_SECONDS: f64 = 60.0;
 
-/// The command line names something that there is not.
+/// A name on the command line that does not exist.
 #[derive(Debug, thiserror::Error)]
 #[error("unknown {kind} {name:?}")]
-struct Unknown {
+struct UnknownName {
     kind: &'static str,
     name: String,
 }
@@ -173,7 +174,7 @@
         Err(code) => return code,
     };
     let result = match args.command {
-        Command::Bench(bench) => run(&bench).map(|()| true),
+        Command::Bench(bench) => run_bench(&bench).map(|()| true),
         Command::Http(http) => run_http(&http).map(|()| true),
         Command::Direct(direct) => run_direct(direct).map(|()| true),
         Command::Soak(soak) => run_soak(&soak),
@@ -182,13 +183,13 @@
         Ok(true) => process::ExitCode::SUCCESS,
         Ok(false) => process::ExitCode::FAILURE,
         Err(error) => {
-            let usage = error.is::<Unknown>() || error.is::<check::Faults>();
+            let usage = error.is::<UnknownName>() || error.is::<check::Faults>();
             if usage { program::bad_usage(&error) } else { program::failed(PROGRAM, &error) }
         }
     }
 }
 
-/// Whether every check held.
+/// Runs a soak, prints its report, and returns whether every check passed.
 fn run_soak(soak: &Soak) -> Result<bool, Box<dyn error::Error>> {
     let settings = check::parse(&fs::read_to_string(&soak.settings)?, soak::Settings::read)?;
     logs::start(&logs::Settings::default(), PROGRAM)?;
@@ -221,7 +222,7 @@
     Ok(())
 }
 
-fn run(bench: &Bench) -> Result<(), Box<dyn error::Error>> {
+fn run_bench(bench: &Bench) -> Result<(), Box<dyn error::Error>> {
     let scenarios = scenarios(&bench.scenario)?;
     let policies = policies(&bench.policy)?;
     let safeguards = safeguards(&bench.off)?;
@@ -234,7 +235,7 @@
             let ahead = clock::Span::from_millis(bench.ahead_ms);
             let settings =
                 load::Settings { policy, choice, safeguards, weights, ahead, ..Default::default() };
-            let runs = (1..=bench.seeds).map(|seed| one(scenario, &settings, seed, bench));
+            let runs = (1..=bench.seeds).map(|seed| run_once(scenario, &settings, seed, bench));
             let runs: Vec<_> = runs.collect();
             let off: String = bench.off.iter().map(|name| format!(" -{name}")).collect();
             let name = format!("{}{off}", policy.as_str());
@@ -247,9 +248,9 @@
 fn run_http(options: &Http) -> Result<(), Box<dyn error::Error>> {
     let all = http::scenarios();
     let policies = policies(&options.policy)?;
-    let seconds = options.seconds.clamp(1.0, HTTP_SECONDS);
+    let seconds = options.seconds.clamp(1.0, MAX_HTTP_SECONDS);
     let mut rows = Vec::new();
-    for scenario in named(&all, &options.scenario)? {
+    for scenario in select_scenarios(&all, &options.scenario)? {
         let (engines, hosts) = (options.engines.max(1), options.hosts.max(1));
         let scenario = scenario::Scenario { engines, hosts, ..scenario };
         for &policy in &policies {
@@ -283,7 +284,7 @@
     Ok(())
 }
 
-fn one(
+fn run_once(
     scenario: &scenario::Scenario,
     settings: &load::Settings,
     seed: u64,
@@ -294,33 +295,36 @@
     simulation::Simulation::new(scenario, &arrivals, &settings, bench.seconds).run()
 }
 
-fn scenarios(names: &[String]) -> Result<Vec<scenario::Scenario>, Unknown> {
-    named(&scenario::all(), names)
+fn scenarios(names: &[String]) -> Result<Vec<scenario::Scenario>, UnknownName> {
+    select_scenarios(&scenario::all(), names)
 }
 
-fn named(all: &[scenario::Scenario], names: &[String]) -> Result<Vec<scenario::Scenario>, Unknown> {
+fn select_scenarios(
+    all: &[scenario::Scenario],
+    names: &[String],
+) -> Result<Vec<scenario::Scenario>, UnknownName> {
     if names.is_empty() {
         return Ok(all.to_vec());
     }
     let find = |name: &String| {
         let found = all.iter().find(|scenario| scenario.name == name);
-        found.copied().ok_or_else(|| Unknown { kind: "scenario", name: name.clone() })
+        found.copied().ok_or_else(|| UnknownName { kind: "scenario", name: name.clone() })
     };
     names.iter().map(find).collect()
 }
 
-fn policies(names: &[String]) -> Result<Vec<load::Policy>, Unknown> {
+fn policies(names: &[String]) -> Result<Vec<load::Policy>, UnknownName> {
     if names.is_empty() {
         return Ok(load::Policy::ALL.to_vec());
     }
     let find = |name: &String| {
         let found = load::Policy::ALL.into_iter().find(|policy| policy.as_str() == name);
-        found.ok_or_else(|| Unknown { kind: "policy", name: name.clone() })
+        found.ok_or_else(|| UnknownName { kind: "policy", name: name.clone() })
     };
     names.iter().map(find).collect()
 }
 
-fn safeguards(off: &[String]) -> Result<load::Safeguards, Unknown> {
+fn safeguards(off: &[String]) -> Result<load::Safeguards, UnknownName> {
     let mut safeguards = load::Safeguards::default();
     for name in off {
         let flag = match name.as_str() {
@@ -334,26 +338,26 @@
             "outlier" => &mut safeguards.outlier,
             "ramp" => &mut safeguards.ramp,
             "retry-budget" => &mut safeguards.retry_budget,
-            _ => return Err(Unknown { kind: "safeguard", name: name.clone() }),
+            _ => return Err(UnknownName { kind: "safeguard", name: name.clone() }),
         };
         *flag = false;
     }
     Ok(safeguards)
 }
 
-fn weights(name: &str) -> Result<load::Weights, Unknown> {
+fn weights(name: &str) -> Result<load::Weights, UnknownName> {
     match name {
         "even" => Ok(load::Weights::default()),
         "lakeshore" => Ok(load::Weights { first_token: [4.0; 4], short_slowdown: 1.0 }),
         "vatuwaqa" => Ok(load::Weights { first_token: [1.0; 4], short_slowdown: 4.0 }),
-        _ => Err(Unknown { kind: "weights", name: name.to_owned() }),
+        _ => Err(UnknownName { kind: "weights", name: name.to_owned() }),
     }
 }
 
-fn choice(name: &str) -> Result<load::Choice, Unknown> {
+fn choice(name: &str) -> Result<load::Choice, UnknownName> {
     match name {
         "shortest" => Ok(load::Choice::Shortest),
         "two" => Ok(load::Choice::Two),
-        _ => Err(Unknown { kind: "choice", name: name.to_owned() }),
+        _ => Err(UnknownName { kind: "choice", name: name.to_owned() }),
     }
 }
--- a/crates/lagoon-load/src/bin/lagoon-try.rs
+++ b/crates/lagoon-load/src/bin/lagoon-try.rs
@@ -1,4 +1,4 @@
-//! The main job on embedded stand-ins, in one process.
+//! End-to-end trial on embedded stand-ins, in one process.
 
 use std::process;
 
@@ -24,8 +24,8 @@
     seed: u64,
 }
 
-/// Shortest and longest run, in seconds of arrivals.
-const SECONDS: std::ops::RangeInclusive<f64> = 4.0..=45.0;
+/// Allowed duration of the arrivals, in seconds.
+const ALLOWED_SECONDS: std::ops::RangeInclusive<f64> = 4.0..=45.0;
 const PROGRAM: &str = "lagoon-try";
 
 fn main() -> process::ExitCode {
@@ -33,9 +33,9 @@
         Ok(args) => args,
         Err(code) => return code,
     };
-    if !SECONDS.contains(&args.seconds) {
-        let (least, most) = (SECONDS.start(), SECONDS.end());
-        return program::bad_usage(&format!("{PROGRAM}: --seconds must be from {least} to {most}"));
+    if !ALLOWED_SECONDS.contains(&args.seconds) {
+        let (min, max) = (ALLOWED_SECONDS.start(), ALLOWED_SECONDS.end());
+        return program::bad_usage(&format!("{PROGRAM}: --seconds must be from {min} to {max}"));
     }
     let logs = logs::Settings { level: args.log, ..logs::Settings::default() };
     if let Err(error) = logs::start(&logs, PROGRAM) {
--- a/crates/lagoon-load/src/direct/call.rs
+++ b/crates/lagoon-load/src/direct/call.rs
@@ -1,4 +1,4 @@
-//! One call, to an engine itself or to an entry host.
+//! A single call, directly to an engine or through an entry host.
 
 use std::net;
 use std::sync;
@@ -8,61 +8,62 @@
 use ntex::http;
 use ntex::util;
 
-/// Where a call goes.
+/// Path of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Path {
-    /// To the engine itself.
+    /// Directly to the engine at this address.
     Engine(net::SocketAddr),
-    /// Through an entry host.
+    /// Through the entry host at this address.
     Entry(net::SocketAddr),
 }
 
-/// What every call has in common.
+/// HTTP client with the key and model of its calls.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// Its connections.
+    /// The HTTP client and its connections.
     pub client: client::Client,
-    /// The caller key.
+    /// API key of the customer.
     pub key: sync::Arc<str>,
-    /// The model asked for.
+    /// Model of the calls.
     pub model: sync::Arc<str>,
 }
 
-/// Why a call has no whole answer.
+/// Reason why a call has no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No answer began.
-    #[error("no answer: {0}")]
-    None(String),
-    /// Its status is not 200.
+    /// There was no response.
+    #[error("no response: {0}")]
+    NoResponse(String),
+    /// The status is not 200.
     #[error("status {status}: {text}")]
     Status {
-        /// The status.
+        /// Status of the response.
         status: http::StatusCode,
-        /// The body.
+        /// Body of the response.
         text: String,
     },
-    /// It broke off.
-    #[error("broke off after {0} bytes")]
-    Broken(usize),
+    /// The connection failed after this many bytes of the body.
+    #[error("response truncated after {0} bytes")]
+    Truncated(usize),
 }
 
 impl Caller {
-    /// A caller without time limits of its own.
+    /// Creates a caller that sets no timeouts.
     pub async fn new(key: &str, model: &str) -> Caller {
-        let connector = client::Connector::new().limit(CONNECTIONS);
+        let connector = client::Connector::new().limit(MAX_CONNECTIONS);
         let builder = client::Client::builder().connector::<()>(connector).disable_timeout();
         let client = match builder.build(ntex::SharedCfg::default()).await {
             Ok(client) => client,
             Err(error) => {
-                log::error!("client settings were refused, usual ones are used: {error}");
+                log::error!("client settings were rejected; using the defaults: {error}");
                 client::Client::new().await
             }
         };
         Caller { client, key: key.into(), model: model.into() }
     }
 
-    /// A body whose prompt has `bytes` bytes and begins like no other.
+    /// Returns a request body with a prompt of about `bytes` bytes. The prompt starts with a random
+    /// id, so that no prefix is cached.
     pub fn body(&self, bytes: usize, tokens: u64, stream: bool) -> util::Bytes {
         let start = id::Attempt(rand::random()).to_string();
         let rest = "tin ".repeat(bytes.saturating_sub(start.len()).div_ceil(4));
@@ -72,22 +73,22 @@
         ))
     }
 
-    /// Sends a body and reads its answer to the end; calls `seen` for each piece.
+    /// Sends a body and reads the response to the end; calls `on_chunk` for each received chunk.
     ///
     /// # Errors
     ///
-    /// There is no whole answer.
-    pub async fn send<Seen>(
+    /// There is no complete response with status 200.
+    pub async fn send<OnChunk>(
         &self,
         path: Path,
         body: util::Bytes,
         tokens: u64,
-        mut seen: Seen,
+        mut on_chunk: OnChunk,
     ) -> Result<(), Error>
     where
-        Seen: FnMut(&[u8]),
+        OnChunk: FnMut(&[u8]),
     {
-        let answer = match path {
+        let response = match path {
             Path::Entry(address) => {
                 let request = self.client.post(format!("http://{address}/v1/completions"));
                 let request = request.header("Authorization", format!("Bearer {}", self.key));
@@ -106,24 +107,25 @@
                 request.header("Lagoon-Answer-Tokens", tokens).send_body(body).await
             }
         };
-        let answer = answer.map_err(|error| Error::None(error.to_string()))?;
-        if answer.status() != http::StatusCode::OK {
-            let status = answer.status();
-            let body = answer.body().await.unwrap_or_default();
+        let response = response.map_err(|error| Error::NoResponse(error.to_string()))?;
+        if response.status() != http::StatusCode::OK {
+            let status = response.status();
+            let body = response.body().await.unwrap_or_default();
             return Err(Error::Status { status, text: String::from_utf8_lossy(&body).into() });
         }
-        let mut payload = answer.take_payload();
+        let mut payload = response.take_payload();
         let mut bytes = 0;
-        while let Some(piece) = payload.recv().await {
-            let piece = piece.map_err(|_| Error::Broken(bytes))?;
-            bytes += piece.len();
-            seen(&piece);
+        while let Some(chunk) = payload.recv().await {
+            let chunk = chunk.map_err(|_| Error::Truncated(bytes))?;
+            bytes += chunk.len();
+            on_chunk(&chunk);
         }
         Ok(())
     }
 }
 
-/// Most connections; 0 would mean no limit, with which calls can wait for ever.
-const CONNECTIONS: usize = 4_096;
-/// Deadline told to the engine.
+/// Maximum number of connections. It must not be 0, the value for no limit: without a limit, calls
+/// can wait for a connection forever.
+const MAX_CONNECTIONS: usize = 4_096;
+/// Deadline sent to the engine, in milliseconds.
 const DEADLINE_MS: u64 = 60_000;
--- a/crates/lagoon-load/src/direct/mod.rs
+++ b/crates/lagoon-load/src/direct/mod.rs
@@ -1,8 +1,8 @@
-//! What an entry host adds to a call, beside the same call to the engine itself.
+//! Overhead of an entry host: calls through it compared with the same calls directly to the engine.
 //!
-//! Both go over loopback in the same run and in turns, so that what else the machine does strikes
-//! both. The entry host and the stand-ins are processes started beforehand; the entry's processor
-//! time and memory are read from the kernel.
+//! Both paths use loopback and alternate in the same run, so that other load on the machine affects
+//! both alike. The entry host and the stand-ins are processes that already run; the CPU time and
+//! memory of the entry host are read from the kernel.
 
 pub mod call;
 pub mod process;
@@ -16,67 +16,69 @@
 use hdrhistogram::Histogram;
 use serde_json::json;
 
-/// What is compared.
+/// Settings of a comparison.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The entry host.
+    /// Address of the entry host.
     pub entry: net::SocketAddr,
-    /// Its process.
+    /// Process id of the entry host.
     pub entry_id: u32,
-    /// The only engine of `model`.
+    /// Address of the only engine of `model`.
     pub engine: net::SocketAddr,
-    /// The caller key.
+    /// API key of the customer.
     pub key: String,
-    /// The model of the single calls.
+    /// Model of the single calls.
     pub model: String,
-    /// The model of the streams, by other engines with the target's time between tokens.
+    /// Model of the streams, served by other engines at the target time between tokens.
     pub stream_model: String,
-    /// Streams at once.
+    /// Number of concurrent streams.
     pub streams: usize,
-    /// Seconds of streaming.
+    /// Duration of the stream measurement, in seconds.
     pub seconds: u64,
-    /// Rounds of single calls; in each, both paths are taken.
+    /// Number of rounds of single calls; each round uses both paths.
     pub rounds: usize,
 }
 
-/// A row of single calls: prompt bytes, callers at once, calls of each caller in a round.
-const ROWS: [(usize, usize, usize); 3] = [(4 << 10, 1, 50), (4 << 10, 16, 50), (8 << 20, 2, 2)];
-/// Tokens of a stream: more than it gets in a minute, few enough for the engines to hold all.
-const ENDLESS: u64 = 2_000;
-/// Time before the streams are measured, for all to begin.
-const WARM: time::Duration = time::Duration::from_secs(3);
+/// Rows of single calls: prompt bytes, concurrent callers, calls of each caller per round.
+const CALL_ROWS: [(usize, usize, usize); 3] =
+    [(4 << 10, 1, 50), (4 << 10, 16, 50), (8 << 20, 2, 2)];
+/// Answer tokens of a stream: more than it receives in a minute, but few enough that all streams
+/// fit in the engines' memory.
+const STREAM_TOKENS: u64 = 2_000;
+/// Time for all streams to start before the measurement.
+const STREAM_WARM_UP: time::Duration = time::Duration::from_secs(3);
 
-/// Why there are no figures.
+/// Reason why a comparison failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A call failed.
     #[error("call to {0:?}: {1}")]
     Call(call::Path, call::Error),
-    /// The process cannot be read.
+    /// The usage of the entry host's process cannot be read.
     #[error("entry process: {0}")]
     Process(#[from] io::Error),
 }
 
-/// Calls of one path.
+/// Results of the calls on one path.
 struct Tally {
     latencies: Histogram<u64>,
     seconds: f64,
 }
 
-/// Makes all calls and streams; the figures as JSON.
+/// Makes all calls and streams, and returns the figures as JSON.
 ///
 /// # Errors
 ///
-/// A call failed, or the entry's process cannot be read.
+/// A call failed, or the usage of the entry host's process cannot be read.
 pub async fn run(settings: &Settings) -> Result<serde_json::Value, Error> {
     let caller = call::Caller::new(&settings.key, &settings.model).await;
     let before = process::read(settings.entry_id)?;
     let mut rows = Vec::new();
-    for (bytes, callers, calls) in ROWS {
-        rows.push(compare(settings, &caller, bytes, callers, calls).await?);
+    for (bytes, callers, calls) in CALL_ROWS {
+        rows.push(compare_paths(settings, &caller, bytes, callers, calls).await?);
     }
     let calls = process::read(settings.entry_id)?;
-    let streams = stream(settings).await?;
+    let streams = measure_streams(settings).await?;
     let after = process::read(settings.entry_id)?;
     Ok(json!({
         "calls": rows,
@@ -85,12 +87,13 @@
             "before": before.resident_kb,
             "after_calls": calls.resident_kb,
             "after_streams": after.resident_kb,
-            "highest": after.highest_kb,
+            "highest": after.peak_resident_kb,
         },
     }))
 }
 
-async fn compare(
+/// Measures one row of single calls on both paths.
+async fn compare_paths(
     settings: &Settings,
     caller: &call::Caller,
     bytes: usize,
@@ -98,21 +101,22 @@
     calls: usize,
 ) -> Result<serde_json::Value, Error> {
     let paths = [call::Path::Engine(settings.engine), call::Path::Entry(settings.entry)];
-    // One untimed call each: connections are opened, and what is learned has a first sample.
+    // One untimed call per path opens the connections and gives the entry host's learned estimates
+    // a first sample.
     for path in paths {
-        single(caller, path, bytes).await?;
+        make_call(caller, path, bytes).await?;
     }
     let mut tallies = paths.map(|_| Tally { latencies: histogram(), seconds: 0.0 });
     for _ in 0..settings.rounds {
         for (path, tally) in paths.into_iter().zip(&mut tallies) {
-            let began = time::Instant::now();
-            let each = (0..callers).map(|_| many(caller, path, bytes, calls));
+            let start_time = time::Instant::now();
+            let each = (0..callers).map(|_| make_calls(caller, path, bytes, calls));
             for latencies in futures_util::future::join_all(each).await {
                 latencies?
                     .into_iter()
                     .for_each(|latency| tally.latencies.saturating_record(latency));
             }
-            tally.seconds += began.elapsed().as_secs_f64();
+            tally.seconds += start_time.elapsed().as_secs_f64();
         }
     }
     let [direct, entry] = tallies.map(|tally| figures(&tally));
@@ -131,14 +135,14 @@
     }))
 }
 
-/// Microseconds up to an hour, longer than any deadline.
+/// Returns a histogram of microseconds up to one hour, longer than any deadline.
 fn histogram() -> Histogram<u64> {
     let histogram = Histogram::new_with_bounds(1, 3_600_000_000, 3);
     histogram.unwrap_or_else(|_| unreachable!("these bounds are allowed"))
 }
 
 fn figures(tally: &Tally) -> serde_json::Value {
-    let at = |part| tally.latencies.value_at_quantile(part);
+    let at = |quantile| tally.latencies.value_at_quantile(quantile);
     json!({
         "calls": tally.latencies.len(),
         "per_second": (tally.latencies.len() as f64 / tally.seconds * 10.0).round() / 10.0,
@@ -149,7 +153,8 @@
     })
 }
 
-async fn many(
+/// Makes `calls` calls one after another and returns their latencies in microseconds.
+async fn make_calls(
     caller: &call::Caller,
     path: call::Path,
     bytes: usize,
@@ -157,22 +162,22 @@
 ) -> Result<Vec<u64>, Error> {
     let mut latencies = Vec::with_capacity(calls);
     for _ in 0..calls {
-        latencies.push(single(caller, path, bytes).await?);
+        latencies.push(make_call(caller, path, bytes).await?);
     }
     Ok(latencies)
 }
 
-/// Microseconds from sending to the end of the answer.
-async fn single(caller: &call::Caller, path: call::Path, bytes: usize) -> Result<u64, Error> {
+/// Makes one call and returns the microseconds from sending to the end of the response.
+async fn make_call(caller: &call::Caller, path: call::Path, bytes: usize) -> Result<u64, Error> {
     let body = caller.body(bytes, 1, false);
-    let began = time::Instant::now();
+    let start_time = time::Instant::now();
     let sent = caller.send(path, body, 1, |_| ()).await;
     sent.map_err(|error| Error::Call(path, error))?;
-    Ok(u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX))
+    Ok(u64::try_from(start_time.elapsed().as_micros()).unwrap_or(u64::MAX))
 }
 
-/// Streams through the entry host, and what they cost it.
-async fn stream(settings: &Settings) -> Result<serde_json::Value, Error> {
+/// Streams through the entry host and measures its chunk rate and CPU time.
+async fn measure_streams(settings: &Settings) -> Result<serde_json::Value, Error> {
     let caller = call::Caller::new(&settings.key, &settings.stream_model).await;
     let path = call::Path::Entry(settings.entry);
     let chunks = rc::Rc::new(cell::Cell::new(0_u64));
@@ -181,40 +186,43 @@
         .map(|_| {
             let (caller, chunks, failed) = (caller.clone(), chunks.clone(), failed.clone());
             ntex::rt::spawn(async move {
-                let body = caller.body(1 << 10, ENDLESS, true);
-                let count = |piece: &[u8]| {
-                    let events = piece.windows(EVENT.len()).filter(|text| *text == EVENT).count();
+                let body = caller.body(1 << 10, STREAM_TOKENS, true);
+                let count = |chunk: &[u8]| {
+                    let events = chunk
+                        .windows(EVENT_START.len())
+                        .filter(|text| *text == EVENT_START)
+                        .count();
                     chunks.set(chunks.get() + events as u64);
                 };
-                let ended = caller.send(path, body, ENDLESS, count).await;
+                let ended = caller.send(path, body, STREAM_TOKENS, count).await;
                 failed.replace(ended.err());
             })
         })
         .collect();
-    tokio::time::sleep(WARM).await;
-    let (before, first, began) =
+    tokio::time::sleep(STREAM_WARM_UP).await;
+    let (before, first, start_time) =
         (process::read(settings.entry_id)?, chunks.get(), time::Instant::now());
     tokio::time::sleep(time::Duration::from_secs(settings.seconds)).await;
-    let (after, last, took) =
-        (process::read(settings.entry_id)?, chunks.get(), began.elapsed().as_secs_f64());
+    let (after, last, elapsed) =
+        (process::read(settings.entry_id)?, chunks.get(), start_time.elapsed().as_secs_f64());
     for task in tasks {
         task.cancel();
     }
     if let Some(error) = failed.take() {
         return Err(Error::Call(path, error));
     }
-    let (count, spent) =
-        ((last - first) as f64, (after.processor - before.processor).as_secs_f64());
+    let (count, cpu_seconds) =
+        ((last - first) as f64, (after.cpu_time - before.cpu_time).as_secs_f64());
     let round = |value: f64| (value * 100.0).round() / 100.0;
     Ok(json!({
         "streams": settings.streams,
-        "seconds": round(took),
+        "seconds": round(elapsed),
         "chunks": last - first,
-        "chunks_per_second": round(count / took),
-        "processor_ms_per_1000_chunks": round(spent * 1e6 / count),
-        "processor_percent_of_a_core": round(spent / took * 100.0),
+        "chunks_per_second": round(count / elapsed),
+        "processor_ms_per_1000_chunks": round(cpu_seconds * 1e6 / count),
+        "processor_percent_of_a_core": round(cpu_seconds / elapsed * 100.0),
     }))
 }
 
-/// Begins each event of a streamed answer.
-const EVENT: &[u8] = b"data: {";
+/// Start of each event of a streamed answer that carries tokens.
+const EVENT_START: &[u8] = b"data: {";
--- a/crates/lagoon-load/src/http/mod.rs
+++ b/crates/lagoon-load/src/http/mod.rs
@@ -1,8 +1,8 @@
-//! Named scenarios by HTTP against entry hosts before stand-in engines, all on loopback.
+//! Named scenarios over HTTP against entry hosts with stand-in engines, all on loopback.
 //!
-//! Arrivals are those of [`crate::bench`], drawn from the seed beforehand and made at their times
-//! whatever became of earlier ones; latency counts from the time at which a call was meant to be
-//! made. Parts are started by [`crate::trial`], with a steward beside each entry host.
+//! Arrivals are those of [`crate::bench`]: drawn from the seed before the run and open-loop.
+//! Latency counts from the time at which a call was scheduled. The fleet is started by
+//! [`crate::trial`], with a steward for each entry host.
 
 mod calls;
 
@@ -20,34 +20,34 @@
 use crate::trial::caller;
 use crate::trial::fleet;
 
-/// The one zone.
+/// The only zone.
 const ZONES: [&str; 1] = ["suva"];
-/// Threads of callers.
-const CALLERS: usize = 2;
-/// Time after the last answer within which every engine must have returned all memory.
-const SETTLE: time::Duration = time::Duration::from_secs(15);
-/// Engine time of a decode step, and what each further stream adds, in milliseconds. Steps of the
-/// prefill take 26 ms, so that decoding costs about a tenth of the capacity for prefill.
+/// Number of caller threads.
+const CALLER_THREADS: usize = 2;
+/// Time after the last response within which every engine must have freed all KV memory.
+const SETTLE_TIMEOUT: time::Duration = time::Duration::from_secs(15);
+/// Engine time of a decode step and the addition per stream, in milliseconds. Prefill steps take
+/// 26 ms, so that decoding costs about a tenth of the prefill capacity.
 const DECODE_MS: (f64, f64) = (2.0, 0.05);
 
-/// Longest prompt, in tokens: so that a run of a minute has several over 100,000, each of which
-/// takes an engine some 7 s alone.
-const LONGEST: f64 = 150_000.0;
+/// Maximum prompt length, in tokens. It is low enough that a run of one minute has several prompts
+/// over 100,000 tokens, each of which takes an idle engine about 7 s.
+const MAX_PROMPT_TOKENS: f64 = 150_000.0;
 
-/// One run.
+/// Settings of one run.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// What comes and what goes wrong.
+    /// Load, fleet and fault.
     pub scenario: scenario::Scenario,
-    /// The decisions of every entry host.
+    /// Scheduler settings of every entry host.
     pub load: load::Settings,
     /// Seed of the arrivals.
     pub seed: u64,
-    /// Seconds of arrivals.
+    /// Duration of the arrivals, in seconds.
     pub seconds: f64,
 }
 
-/// The scenarios that one zone on one machine can play.
+/// Returns the scenarios that run in one zone on one machine.
 ///
 /// ```
 /// let names = lagoon_load::http::scenarios();
@@ -69,25 +69,26 @@
         "saturation-2.0",
     ];
     let all = scenario::all().into_iter().filter(|scenario| names.contains(&scenario.name));
-    all.map(|scenario| scenario::Scenario { longest_prompt: LONGEST, ..scenario }).collect()
+    all.map(|scenario| scenario::Scenario { longest_prompt: MAX_PROMPT_TOKENS, ..scenario })
+        .collect()
 }
 
-/// Plays one run and tells what callers got.
+/// Runs a scenario and returns its tally.
 ///
 /// # Errors
 ///
-/// A part could not be started, or a thread failed.
+/// A part of the fleet cannot be started or stopped, or a caller thread panicked.
 pub fn run(settings: &Settings) -> io::Result<report::Tally> {
     let scenario = &settings.scenario;
     let hosts_in_zone = scenario.hosts;
-    let fleet = fleet::start(&fleet::Shape {
+    let fleet = fleet::start(&fleet::Layout {
         zones: &ZONES,
-        hosts: count(scenario.hosts),
-        engines: count(scenario.engines),
+        hosts: to_usize(scenario.hosts),
+        engines: to_usize(scenario.engines),
         engine: engine::Settings {
             prefill_rate: scenario::PREFILL_RATE,
             kv_tokens: scenario::KV_TOKENS,
-            slots: count(scenario::SLOTS),
+            slots: to_usize(scenario::SLOTS),
             decode_ms: DECODE_MS.0,
             decode_stream_ms: DECODE_MS.1,
             ..engine::Settings::default()
@@ -96,52 +97,53 @@
     })?;
     let arrivals = calls::draw(scenario, settings.seed, settings.seconds);
     let balancer = sync::Arc::new(caller::Balancer::new(fleet.entry_hosts(), fleet::target()));
-    let began = (time::Instant::now(), time::SystemTime::now());
-    let told = thread::scope(|scope| {
+    let start_time = (time::Instant::now(), time::SystemTime::now());
+    let results = thread::scope(|scope| {
         let start = |share| {
             let balancer = balancer.clone();
-            scope.spawn(move || caller::run(began.0, &balancer, share))
+            scope.spawn(move || caller::run(start_time.0, &balancer, share))
         };
-        let callers: Vec<_> = calls::split(&arrivals, CALLERS).into_iter().map(start).collect();
-        slow_down(&fleet, settings, began.0);
-        let mut told = Vec::new();
+        let callers: Vec<_> =
+            calls::split(&arrivals, CALLER_THREADS).into_iter().map(start).collect();
+        slow_down(&fleet, settings, start_time.0);
+        let mut results = Vec::new();
         for caller in callers {
             let share = caller.join();
-            told.extend(share.map_err(|_| io::Error::other("a caller's thread panicked"))?);
+            results.extend(share.map_err(|_| io::Error::other("a caller thread panicked"))?);
         }
-        Ok::<_, io::Error>(told)
+        Ok::<_, io::Error>(results)
     })?;
-    let (left, _) = fleet.wait_for_memory(SETTLE);
+    let (unfreed, _) = fleet.wait_for_memory(SETTLE_TIMEOUT);
     let is_faulty = scenario.fault != scenario::Fault::None;
-    let faulty = if is_faulty { on_faulty(&fleet) } else { collections::HashSet::new() };
-    let mut tally = calls::tally(&arrivals, &told, began.1, settings.seconds, &faulty);
-    tally.kv_held = left;
-    tally.attempts = attempts(&fleet);
+    let faulty = if is_faulty { prompts_on_faulty(&fleet) } else { collections::HashSet::new() };
+    let mut tally = calls::tally(&arrivals, &results, start_time.1, settings.seconds, &faulty);
+    tally.kv_held = unfreed;
+    tally.attempts = count_attempts(&fleet);
     fleet.stop()?;
     Ok(tally)
 }
 
-fn count(number: u32) -> usize {
+fn to_usize(number: u32) -> usize {
     usize::try_from(number).unwrap_or(1)
 }
 
-/// At a third of the run the first engine becomes slow, if that is what goes wrong.
-fn slow_down(fleet: &fleet::Fleet, settings: &Settings, began: time::Instant) {
+/// Slows down the first engine after one third of the run, if the scenario has this fault.
+fn slow_down(fleet: &fleet::Fleet, settings: &Settings, start_time: time::Instant) {
     let scenario::Fault::Slow(slow) = settings.scenario.fault else { return };
-    let at = began + time::Duration::from_secs_f64(settings.seconds / 3.0);
+    let at = start_time + time::Duration::from_secs_f64(settings.seconds / 3.0);
     thread::sleep(at.saturating_duration_since(time::Instant::now()));
     let node = fleet.stand_ins.engines[0].node();
     node.set_faults(engine::Faults { slow, ..node.faults() });
 }
 
-/// Hashes of the prompts that the first engine accepted.
-fn on_faulty(fleet: &fleet::Fleet) -> collections::HashSet<u64> {
+/// Returns the hashes of the prompts that the first engine, the faulty one, accepted.
+fn prompts_on_faulty(fleet: &fleet::Fleet) -> collections::HashSet<u64> {
     let record = fleet.stand_ins.engines[0].node().record();
     record.attempts.iter().map(|attempt| attempt.prompt_hash).collect()
 }
 
-/// Attempts that all engines accepted.
-fn attempts(fleet: &fleet::Fleet) -> u64 {
+/// Returns the number of attempts that the engines accepted.
+fn count_attempts(fleet: &fleet::Fleet) -> u64 {
     let records = fleet.stand_ins.engines.iter().map(|engine| engine.node().record());
     records.map(|record| record.attempts.len() as u64).sum()
 }
--- a/crates/lagoon-load/src/lib.rs
+++ b/crates/lagoon-load/src/lib.rs
@@ -1,4 +1,4 @@
-//! lagoon-load: load and experiment tools.
+//! lagoon-load: load generators, fault tests and benchmarks.
 
 pub mod bench;
 pub mod direct;
--- a/crates/lagoon-load/src/soak/fault.rs
+++ b/crates/lagoon-load/src/soak/fault.rs
@@ -1,4 +1,4 @@
-//! The fault switches that a soak sets, by HTTP, and when.
+//! Schedule of the fault switches that a soak sets on the stand-ins over HTTP.
 
 use std::thread;
 use std::time;
@@ -9,7 +9,7 @@
 use super::settings;
 use crate::trial::caller;
 
-/// When, as a part of the run, a switch is set, and which.
+/// Fault events with their times as fractions of the run.
 const EVENTS: [(f64, Event); 27] = [
     (0.04, Event::Engine(1, "down", Switch::On)),
     (0.09, Event::Engine(1, "down", Switch::Off)),
@@ -32,7 +32,7 @@
     (0.58, Event::Service(1, "loss", Switch::Share(0.05))),
     (0.64, Event::Service(1, "loss", Switch::Share(0.0))),
     (0.66, Event::Engine(8, "lose_cancel", Switch::Off)),
-    // Two at once: no platform, and engines die.
+    // Two faults at once: the platform is down and an engine fails.
     (0.68, Event::Platform("down", Switch::On)),
     (0.69, Event::Engine(2, "down", Switch::On)),
     (0.72, Event::Platform("down", Switch::Off)),
@@ -41,6 +41,7 @@
     (0.84, Event::Engine(9, "delay_ms", Switch::Number(0))),
 ];
 
+/// Value of a fault switch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Switch {
     On,
@@ -64,18 +65,21 @@
     }
 }
 
+/// A change of a fault switch: index of the stand-in, name of the switch, new value.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Engine(usize, &'static str, Switch),
     Service(usize, &'static str, Switch),
     Platform(&'static str, Switch),
-    /// The last zone is cut off from the other zones' upstreams and from the platform.
+    /// Partitions the last zone from the upstreams of the other zones and from the platform.
     Cut,
+    /// Ends the partition.
     Heal,
 }
 
 impl Event {
-    /// What is changed, in words; the same for the event that ends it.
+    /// Returns the name of the fault; the event that starts it and the one that ends it share the
+    /// name.
     fn label(self) -> String {
         match self {
             Event::Engine(index, name, _) => format!("engine {index} {name}"),
@@ -96,81 +100,85 @@
     }
 }
 
-/// How long a fault may still show after its end, in seconds.
-const AFTER: f64 = 1.0;
+/// Time after the end of a fault in which calls may still be affected, in seconds.
+const AFTER_EFFECT_SECONDS: f64 = 1.0;
 
-/// The faults that were on at some time from `from` to `to`, in seconds.
+/// Returns the names of the faults that were active at some time from `from` to `to`, in seconds.
 pub(super) fn active(seconds: f64, (from, to): (f64, f64)) -> Vec<String> {
     let mut labels = Vec::new();
-    for (index, (part, event)) in EVENTS.iter().enumerate().filter(|(_, event)| !event.1.is_end()) {
+    for (index, (fraction, event)) in
+        EVENTS.iter().enumerate().filter(|(_, event)| !event.1.is_end())
+    {
         let label = event.label();
         let end = EVENTS[index..].iter().find(|(_, end)| end.is_end() && end.label() == label);
-        let until = end.map_or(1.0, |(part, _)| *part);
-        if part * seconds <= to && from <= until * seconds + AFTER {
+        let until = end.map_or(1.0, |(fraction, _)| *fraction);
+        if fraction * seconds <= to && from <= until * seconds + AFTER_EFFECT_SECONDS {
             labels.push(label);
         }
     }
     labels
 }
 
-/// Sets each switch at its time; looks for ready hosts between.
+/// Sets each switch at its time; keeps the balancer's readiness view up to date in between.
 pub(super) fn run(
     fleet: &settings::Fleet,
     balancer: &caller::Balancer,
     began: time::Instant,
     seconds: f64,
 ) {
-    for (part, event) in EVENTS {
-        look_until(balancer, began + time::Duration::from_secs_f64(seconds * part));
+    for (fraction, event) in EVENTS {
+        check_readiness_until(balancer, began + time::Duration::from_secs_f64(seconds * fraction));
         log::info!("{:.1} s: {event:?}", began.elapsed().as_secs_f64());
         apply(fleet, event);
     }
-    look_until(balancer, began + time::Duration::from_secs_f64(seconds));
+    check_readiness_until(balancer, began + time::Duration::from_secs_f64(seconds));
 }
 
-/// Time between two looks at the readiness of the entry hosts.
-const LOOK: time::Duration = time::Duration::from_millis(100);
+/// Interval between two readiness checks of the entry hosts.
+const READINESS_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-fn look_until(balancer: &caller::Balancer, at: time::Instant) {
+fn check_readiness_until(balancer: &caller::Balancer, at: time::Instant) {
     while time::Instant::now() < at {
-        balancer.look();
-        thread::sleep(LOOK);
+        balancer.check_readiness();
+        thread::sleep(READINESS_INTERVAL);
     }
 }
 
-/// Name of the platform at the control address.
+/// Name of the platform stand-in at the control address.
 const PLATFORM: &str = "platform";
 
 fn apply(fleet: &settings::Fleet, event: Event) {
     match event {
         Event::Engine(index, name, switch) => {
-            set(fleet, &fleet.engines[index].name, name, &switch.json());
+            set_switch(fleet, &fleet.engines[index].name, name, &switch.json());
         }
         Event::Service(index, name, switch) => {
-            set(fleet, &fleet.services[index].name, name, &switch.json());
+            set_switch(fleet, &fleet.services[index].name, name, &switch.json());
         }
-        Event::Platform(name, switch) => set(fleet, PLATFORM, name, &switch.json()),
-        Event::Cut => cut(fleet, true),
-        Event::Heal => cut(fleet, false),
+        Event::Platform(name, switch) => set_switch(fleet, PLATFORM, name, &switch.json()),
+        Event::Cut => set_partition(fleet, true),
+        Event::Heal => set_partition(fleet, false),
     }
 }
 
-fn cut(fleet: &settings::Fleet, on: bool) {
+/// Starts or ends the partition of the last zone: each stand-in gets the list of zones that it
+/// does not answer.
+fn set_partition(fleet: &settings::Fleet, on: bool) {
     let Some((last, others)) = fleet.zones.split_last() else { return };
-    let unheard = |zone: &str| match (on, zone == last) {
+    let blocked_zones = |zone: &str| match (on, zone == last) {
         (false, _) => json!([]),
         (true, true) => json!(others),
         (true, false) => json!([last]),
     };
     for upstream in fleet.engines.iter().chain(&fleet.services) {
-        set(fleet, &upstream.name, "cut", &unheard(&upstream.zone));
+        set_switch(fleet, &upstream.name, "cut", &blocked_zones(&upstream.zone));
     }
-    set(fleet, PLATFORM, "cut", &unheard(""));
+    set_switch(fleet, PLATFORM, "cut", &blocked_zones(""));
 }
 
-fn set(fleet: &settings::Fleet, of: &str, name: &str, value: &Value) {
-    let path = format!("/{of}/faults");
-    if let Err(error) = remote::post(fleet.control, &path, &json!({name: value})) {
-        log::error!("switch {name} of {of} was not set: {error}");
+fn set_switch(fleet: &settings::Fleet, stand_in: &str, name: &str, value: &Value) {
+    let path = format!("/{stand_in}/faults");
+    if let Err(error) = remote::post_json(fleet.control, &path, &json!({name: value})) {
+        log::error!("cannot set switch {name} of {stand_in}: {error}");
     }
 }
--- a/crates/lagoon-load/src/soak/mod.rs
+++ b/crates/lagoon-load/src/soak/mod.rs
@@ -1,8 +1,9 @@
-//! A long run against a fleet of real processes that somebody else starts, ends and pauses.
+//! Soak test: a long run against a fleet of processes that an external script starts, kills and
+//! pauses.
 //!
-//! `plan` says what callers ask, `fault` sets the stand-ins' switches by HTTP, `notes` says which
-//! entry hosts were ended or paused meanwhile, `remote` reads the stand-ins' records. Callers and
-//! checks are those of [`crate::trial`]. No check reads a counter of lagoonline.
+//! `plan` draws the calls, `fault` sets the stand-ins' fault switches over HTTP, `notes` reads
+//! which entry hosts were killed or paused meanwhile, and `remote` reads the stand-ins' records.
+//! Callers and checks are those of [`crate::trial`]. No check relies on a counter of lagoonline.
 
 mod fault;
 pub mod notes;
@@ -23,46 +24,48 @@
 use crate::trial::caller;
 use crate::trial::verdict;
 
-/// Time after the last answer within which every engine must have returned all memory.
-const SETTLE: time::Duration = time::Duration::from_secs(20);
-/// Threads of callers.
-const CALLERS: usize = 2;
+/// Time after the last response within which every engine must have freed all KV memory.
+const SETTLE_TIMEOUT: time::Duration = time::Duration::from_secs(20);
+/// Number of caller threads.
+const CALLER_THREADS: usize = 2;
 
 /// Runs a soak.
 ///
 /// # Errors
 ///
-/// The fleet's settings or the stand-ins' records could not be read, or a thread failed.
+/// The fleet's settings, the notes or the stand-ins' records cannot be read, or a caller thread
+/// panicked.
 pub fn run(settings: &Settings) -> io::Result<Report> {
     let fleet = settings::Fleet::read(&settings.fleet)?;
     let target = caller::Target {
         keys: settings.keys.clone(),
         model: settings.model.clone(),
-        booking: format!("services/{}/bookings", settings.service),
-        again: true,
+        booking_path: format!("services/{}/bookings", settings.service),
+        retry_elsewhere: true,
     };
     let balancer = sync::Arc::new(caller::Balancer::new(fleet.hosts.clone(), target));
-    let mut shares = vec![Vec::new(); CALLERS];
+    let mut shares = vec![Vec::new(); CALLER_THREADS];
     for (index, call) in plan::draw(settings).into_iter().enumerate() {
-        shares[index % CALLERS].push(call);
+        shares[index % CALLER_THREADS].push(call);
     }
-    let began = time::Instant::now();
+    let start_time = time::Instant::now();
     let mut results = Vec::new();
     thread::scope(|scope| {
         let start = |share| {
             let balancer = balancer.clone();
-            scope.spawn(move || caller::run(began, &balancer, share))
+            scope.spawn(move || caller::run(start_time, &balancer, share))
         };
         let callers: Vec<_> = shares.into_iter().map(start).collect();
-        fault::run(&fleet, &balancer, began, settings.seconds);
+        fault::run(&fleet, &balancer, start_time, settings.seconds);
         for caller in callers {
             let share = caller.join();
-            results.extend(share.map_err(|_| io::Error::other("a caller's thread panicked"))?);
+            results.extend(share.map_err(|_| io::Error::other("a caller thread panicked"))?);
         }
         Ok::<_, io::Error>(())
     })?;
-    let record = remote::record(&fleet, SETTLE)?;
-    let noted = notes::parse(&fs::read_to_string(&settings.notes)?).map_err(io::Error::other)?;
-    let verdict = verdict::judge(&results, &record);
-    Ok(Report::new(settings, &results, verdict, &record, &noted))
+    let record = remote::wait_for_record(&fleet, SETTLE_TIMEOUT)?;
+    let host_notes =
+        notes::parse(&fs::read_to_string(&settings.notes)?).map_err(io::Error::other)?;
+    let verdict = verdict::evaluate(&results, &record);
+    Ok(Report::new(settings, &results, verdict, &record, &host_notes))
 }
--- a/crates/lagoon-load/src/soak/report.rs
+++ b/crates/lagoon-load/src/soak/report.rs
@@ -1,4 +1,4 @@
-//! What a soak showed, case by case.
+//! Report of a soak: counts, causes of failed calls, and single cases.
 
 use std::collections;
 use std::fmt;
@@ -12,65 +12,65 @@
 use crate::trial::plan;
 use crate::trial::verdict;
 
-/// A kill or pause of an entry host, and the calls that it left without an answer in time.
+/// A kill or pause of an entry host, and the calls that got no timely response because of it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Loss {
     /// Address of the entry host.
     pub host: String,
-    /// What was done to it.
+    /// The action and its time.
     pub word: String,
-    /// Calls there that were told nothing.
+    /// Calls at the host that got no response.
     pub told_nothing: u64,
-    /// Calls there that ended after their deadline.
+    /// Calls at the host that ended after their deadline.
     pub late: u64,
-    /// What callers saw, with counts.
+    /// Ends of these calls as the callers saw them, with counts.
     pub seen: collections::BTreeMap<String, u64>,
 }
 
-/// What a soak showed.
+/// Report of a soak.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
     /// Seed of the arrivals.
     pub seed: u64,
-    /// Seconds of arrivals.
+    /// Duration of the arrivals, in seconds.
     pub seconds: f64,
-    /// All counts.
+    /// Counts of outcomes and of violated checks.
     pub verdict: verdict::Verdict,
-    /// Calls told nothing, with no kill or pause of their entry host.
+    /// Calls that got no response without a kill or pause of their entry host.
     pub unexplained_nothing: u64,
-    /// Calls past their deadline, with no pause of their entry host.
+    /// Calls past their deadline without a kill or pause of their entry host.
     pub unexplained_late: u64,
-    /// Calls told `unknown`, by code, kind of call, whether an upstream ran it, and the faults that
-    /// were on meanwhile.
+    /// Calls with the outcome `unknown`, by code, kind of call, whether an upstream ran it, and the
+    /// faults active meanwhile.
     pub unknown: collections::BTreeMap<String, u64>,
-    /// Calls that did not end with `done`, by end, in each twentieth of the run.
-    pub timeline: collections::BTreeMap<String, [u64; PARTS]>,
-    /// Calls told `unknown` while no fault was on.
+    /// Calls that did not end with `done`, by end, counted in each twentieth of the run.
+    pub timeline: collections::BTreeMap<String, [u64; TIMELINE_PARTS]>,
+    /// Calls with the outcome `unknown` while no fault was active.
     pub unexplained_unknown: u64,
-    /// Calls with an idempotency key that were told nothing, and were told an end at another host.
+    /// Calls with an idempotency key that got no response and were retried at another host.
     pub asked_again: u64,
-    /// What they were told there.
+    /// Ends of these retries, with counts.
     pub told_again: collections::BTreeMap<String, u64>,
-    /// Each kill and pause with the calls that it left.
+    /// Each kill and pause with the calls that it affected.
     pub losses: Vec<Loss>,
-    /// A few of the calls that broke a check or are unexplained.
+    /// The first calls that violated a check or are unexplained, at most 40.
     pub cases: Vec<String>,
-    /// Whether everything that must hold held.
+    /// Whether every check passed.
     pub holds: bool,
 }
 
-/// Parts of the run in the timeline.
-pub const PARTS: usize = 20;
-/// Most cases that are listed.
-const CASES: usize = 40;
+/// Number of equal parts of the run in the timeline.
+pub const TIMELINE_PARTS: usize = 20;
+/// Maximum number of listed cases.
+const MAX_CASES: usize = 40;
 
 impl Report {
     pub(super) fn new(
         settings: &super::Settings,
-        results: &[caller::Told],
+        results: &[caller::CallResult],
         verdict: verdict::Verdict,
         record: &crate::trial::fleet::Record,
-        noted: &[notes::Note],
+        host_notes: &[notes::Note],
     ) -> Report {
         let mut report = Report {
             seed: settings.seed,
@@ -87,95 +87,102 @@
             cases: Vec::new(),
             holds: false,
         };
-        for told in results {
-            report.add(told, noted);
-            report.place(told);
-            if let Some(first) = &told.first {
+        for result in results {
+            report.add_lost(result, host_notes);
+            report.add_to_timeline(result);
+            if let Some(first_attempt) = &result.first_attempt {
                 report.asked_again += 1;
-                *report.told_again.entry(end(told)).or_insert(0) += 1;
-                report.add(first, noted);
+                *report.told_again.entry(end_label(result)).or_insert(0) += 1;
+                report.add_lost(first_attempt, host_notes);
             }
-            if told.outcome.as_deref() == Some("unknown") {
-                report.add_unknown(told, verdict::ran(&told.call, record), noted);
+            if result.outcome.as_deref() == Some("unknown") {
+                report.add_unknown(result, verdict::count_runs(&result.call, record), host_notes);
             }
-            if let Some(fault) = verdict::fault(told, record) {
-                report.case(fault, told);
+            if let Some(fault) = verdict::violated_check(result, record) {
+                report.add_case(fault, result);
             }
         }
-        report.holds = report.judge();
+        report.holds = report.all_checks_pass();
         report
     }
 
-    fn add(&mut self, told: &caller::Told, noted: &[notes::Note]) {
-        let nothing = told.outcome.is_none();
-        let late = verdict::is_late(told);
-        if !nothing && !late {
+    /// Counts a call that got no response or a late one, under the kill or pause that explains it
+    /// or as unexplained.
+    fn add_lost(&mut self, result: &caller::CallResult, host_notes: &[notes::Note]) {
+        let no_response = result.outcome.is_none();
+        let late = verdict::is_late(result);
+        if !no_response && !late {
             return;
         }
-        let made = told.made.duration_since(time::UNIX_EPOCH).unwrap_or_default();
-        match notes::explains(noted, told.host, (made, made + told.took)) {
+        let started = result.started.duration_since(time::UNIX_EPOCH).unwrap_or_default();
+        match notes::find_cause(host_notes, result.host, (started, started + result.elapsed)) {
             Some(note) => {
-                let loss = self.loss(&note);
-                loss.told_nothing += u64::from(nothing);
+                let loss = self.loss_entry(&note);
+                loss.told_nothing += u64::from(no_response);
                 loss.late += u64::from(late);
-                *loss.seen.entry(end(told)).or_insert(0) += 1;
+                *loss.seen.entry(end_label(result)).or_insert(0) += 1;
             }
             None => {
-                self.unexplained_nothing += u64::from(nothing);
+                self.unexplained_nothing += u64::from(no_response);
                 self.unexplained_late += u64::from(late);
-                self.case(if nothing { "told nothing" } else { "late" }, told);
+                self.add_case(if no_response { "told nothing" } else { "late" }, result);
             }
         }
     }
 
-    fn place(&mut self, told: &caller::Told) {
-        if told.outcome.as_deref() == Some("done") {
+    /// Counts a call that did not end with `done` in the timeline.
+    fn add_to_timeline(&mut self, result: &caller::CallResult) {
+        if result.outcome.as_deref() == Some("done") {
             return;
         }
-        let part = told.call.at.as_secs_f64() / self.seconds * PARTS as f64;
-        let row = self.timeline.entry(end(told)).or_insert([0; PARTS]);
-        row[(part as usize).min(PARTS - 1)] += 1;
+        let part = result.call.at.as_secs_f64() / self.seconds * TIMELINE_PARTS as f64;
+        let row = self.timeline.entry(end_label(result)).or_insert([0; TIMELINE_PARTS]);
+        row[(part as usize).min(TIMELINE_PARTS - 1)] += 1;
     }
 
-    fn add_unknown(&mut self, told: &caller::Told, ran: u64, noted: &[notes::Note]) {
-        let at = told.call.at.as_secs_f64();
-        let mut faults = fault::active(self.seconds, (at, at + told.took.as_secs_f64()));
-        let made = told.made.duration_since(time::UNIX_EPOCH).unwrap_or_default();
-        if notes::explains(noted, told.host, (made, made + told.took)).is_some() {
+    /// Counts a call with the outcome `unknown`; `ran` is the number of runs at upstreams.
+    fn add_unknown(&mut self, result: &caller::CallResult, ran: u64, host_notes: &[notes::Note]) {
+        let at = result.call.at.as_secs_f64();
+        let mut faults = fault::active(self.seconds, (at, at + result.elapsed.as_secs_f64()));
+        let started = result.started.duration_since(time::UNIX_EPOCH).unwrap_or_default();
+        if notes::find_cause(host_notes, result.host, (started, started + result.elapsed)).is_some()
+        {
             faults.push("entry host paused".to_owned());
         }
         if faults.is_empty() {
             self.unexplained_unknown += 1;
-            self.case("unknown without a fault", told);
+            self.add_case("unknown without a fault", result);
         }
-        let kind = match told.call.ask {
-            plan::Ask::Model { stream: true, .. } => "streamed completion",
-            plan::Ask::Model { .. } => "completion",
-            plan::Ask::Booking { keyed: true } => "booking with a key",
-            plan::Ask::Booking { keyed: false } => "booking",
+        let kind = match result.call.request {
+            plan::Request::Model { stream: true, .. } => "streamed completion",
+            plan::Request::Model { .. } => "completion",
+            plan::Request::Booking { keyed: true } => "booking with a key",
+            plan::Request::Booking { keyed: false } => "booking",
         };
         let ran = if ran > 0 { "an upstream had it" } else { "no upstream had it" };
-        let line = format!("{}: {kind}, {ran}; on: {}", told.code, faults.join(", "));
+        let line = format!("{}: {kind}, {ran}; on: {}", result.code, faults.join(", "));
         *self.unknown.entry(line).or_insert(0) += 1;
     }
 
-    fn case(&mut self, fault: &str, told: &caller::Told) {
-        if self.cases.len() < CASES {
-            let caller::Told { call, host, took, content, .. } = told;
-            let at = call.at + *took;
+    /// Lists a call as a case, unless the list is full.
+    fn add_case(&mut self, fault: &str, result: &caller::CallResult) {
+        if self.cases.len() < MAX_CASES {
+            let caller::CallResult { call, host, elapsed, content, .. } = result;
+            let at = call.at + *elapsed;
             self.cases.push(format!(
                 "{fault}: call {} at {host}, from {:.2} s to {:.2} s: {:?}, {}, {content:?}",
                 call.number,
                 call.at.as_secs_f64(),
                 at.as_secs_f64(),
-                call.ask,
-                end(told)
+                call.request,
+                end_label(result)
             ));
         }
     }
 
-    fn loss(&mut self, note: &notes::Note) -> &mut Loss {
-        let (host, word) = (note.host.to_string(), format!("{:?} at {:?}", note.word, note.at));
+    /// Returns the entry of a kill or pause, created on first use.
+    fn loss_entry(&mut self, note: &notes::Note) -> &mut Loss {
+        let (host, word) = (note.host.to_string(), format!("{:?} at {:?}", note.action, note.at));
         let found = self.losses.iter().position(|loss| loss.host == host && loss.word == word);
         let index = found.unwrap_or_else(|| {
             let seen = collections::BTreeMap::new();
@@ -185,8 +192,9 @@
         &mut self.losses[index]
     }
 
-    /// A kill may leave calls without an answer, and a pause beyond their deadline; nothing else.
-    fn judge(&self) -> bool {
+    /// Returns whether every check passed. Missing and late responses are allowed only where a kill
+    /// or pause of the entry host explains them.
+    fn all_checks_pass(&self) -> bool {
         let verdict =
             verdict::Verdict { no_clear_end: 0, past_deadline: 0, ..self.verdict.clone() };
         verdict.holds()
@@ -196,8 +204,9 @@
     }
 }
 
-fn end(told: &caller::Told) -> String {
-    format!("{}: {}", told.outcome.as_deref().unwrap_or("nothing"), told.code)
+/// Returns outcome and code of a call, as listed in the report.
+fn end_label(result: &caller::CallResult) -> String {
+    format!("{}: {}", result.outcome.as_deref().unwrap_or("nothing"), result.code)
 }
 
 impl fmt::Display for Report {
--- a/crates/lagoon-load/src/soak/settings.rs
+++ b/crates/lagoon-load/src/soak/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a soak: one JSON file, checked whole.
+//! Settings of a soak, one JSON file, and the fleet that they refer to.
 
 use std::collections;
 use std::fs;
@@ -12,31 +12,31 @@
 use lagoonline::control::document;
 use lagoonline::id;
 
-/// What a soak asks, and of which fleet.
+/// Settings of a soak.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Folder of the fleet's settings, as under `examples/`.
+    /// Folder with the fleet's settings, laid out as under `examples/`.
     pub fleet: path::PathBuf,
-    /// File in which whoever ends and pauses processes notes it; see [`super::notes`].
+    /// File that logs the kills and pauses of entry hosts; see [`super::notes`].
     pub notes: path::PathBuf,
-    /// Keys of the customers.
+    /// API keys of the customers.
     pub keys: Vec<String>,
-    /// The model.
+    /// Model of the model calls.
     pub model: String,
-    /// The plain service whose calls may not run twice.
+    /// Plain service of the service calls, which must not run twice.
     pub service: String,
-    /// Seconds of arrivals.
+    /// Duration of the arrivals, in seconds.
     pub seconds: f64,
-    /// Model calls a second.
+    /// Model calls per second.
     pub rate: f64,
-    /// Service calls a second; half of them carry an idempotency key.
+    /// Service calls per second; half of them carry an idempotency key.
     pub bookings: f64,
     /// Seed of the arrivals.
     pub seed: u64,
 }
 
 impl Settings {
-    /// Reads a soak's settings.
+    /// Reads the settings of a soak; faults are reported to the reader.
     ///
     /// ```
     /// use lagoon_load::soak::Settings;
@@ -67,37 +67,37 @@
     }
 }
 
-/// One stand-in: its name there, and its zone.
+/// A stand-in upstream: its name at the control address, and its zone.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct Upstream {
     pub(super) name: String,
     pub(super) zone: String,
 }
 
-/// Addresses and zones of a fleet, as its settings have them.
+/// Addresses and zones of a fleet, as given by its settings.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct Fleet {
     pub(super) hosts: Vec<net::SocketAddr>,
     pub(super) zones: Vec<String>,
-    /// Where the stand-ins' switches and records are.
+    /// Control address of the stand-ins, which serves their fault switches and records.
     pub(super) control: net::SocketAddr,
     pub(super) engines: Vec<Upstream>,
     pub(super) services: Vec<Upstream>,
 }
 
 impl Fleet {
-    /// Reads the fleet's folder.
+    /// Reads the fleet's settings from its folder.
     ///
     /// # Errors
     ///
-    /// A file cannot be read, or is refused.
+    /// A file cannot be read or is invalid, or the stand-ins have no control address.
     pub(super) fn read(folder: &path::Path) -> io::Result<Fleet> {
         let text = fs::read_to_string(folder.join("standin.json"))?;
         let stand_ins = fleet::Settings::parse(&text).map_err(io::Error::other)?;
         let control = stand_ins.control.ok_or_else(|| io::Error::other("no control address"))?;
         let mut hosts = Vec::new();
         let mut zones = collections::BTreeSet::new();
-        for host in sorted(&folder.join("hosts"))? {
+        for host in sorted_paths(&folder.join("hosts"))? {
             let settings = entry::Settings::load(&host.join("entry.json"));
             let settings = settings.map_err(io::Error::other)?;
             hosts.push(settings.listen);
@@ -109,7 +109,8 @@
             zone: zone_of.get(&address).cloned().unwrap_or_default(),
         };
         let engines = stand_ins.engines.iter().map(|engine| upstream(&engine.name, engine.address));
-        let services = stand_ins.services.iter().map(|one| upstream(&one.name, one.address));
+        let services =
+            stand_ins.services.iter().map(|service| upstream(&service.name, service.address));
         Ok(Fleet {
             hosts,
             zones: zones.into_iter().collect(),
@@ -120,19 +121,20 @@
     }
 }
 
-fn sorted(folder: &path::Path) -> io::Result<Vec<path::PathBuf>> {
+/// Returns the paths in a folder in order of name.
+fn sorted_paths(folder: &path::Path) -> io::Result<Vec<path::PathBuf>> {
     let paths: io::Result<Vec<_>> = fs::read_dir(folder)?.map(|entry| Ok(entry?.path())).collect();
     let mut paths = paths?;
     paths.sort();
     Ok(paths)
 }
 
-/// The zone of each upstream, from the teams' sections.
+/// Returns the zone of each upstream, read from the teams' sections.
 fn zones_of_upstreams(
     folder: &path::Path,
 ) -> io::Result<collections::HashMap<net::SocketAddr, String>> {
     let mut zones = collections::HashMap::new();
-    for file in sorted(folder)? {
+    for file in sorted_paths(folder)? {
         let name = file.file_name().and_then(|name| name.to_str()).unwrap_or_default();
         let Some(team) = name.strip_prefix("section-").and_then(|name| name.strip_suffix(".json"))
         else {
--- a/crates/lagoon-load/src/trial/caller.rs
+++ b/crates/lagoon-load/src/trial/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: make each call at its time, read the answer, and note what they were told.
+//! Callers: make each call at its time, read the response, and record its result.
 
 use std::io::{Read, Write};
 use std::net;
@@ -12,27 +12,28 @@
 
 use super::plan;
 
-/// Longest wait beyond a call's deadline: a call that has not ended by then has no clear end.
-const PATIENCE: time::Duration = time::Duration::from_secs(5);
-/// Longest wait for a readiness check.
-const CHECK: time::Duration = time::Duration::from_millis(500);
-/// Longest answer that is read whole.
-const ANSWER_LIMIT: usize = 1 << 20;
+/// Time beyond a call's deadline after which the caller gives up; the call then counts as having no
+/// clear end.
+const DEADLINE_GRACE: time::Duration = time::Duration::from_secs(5);
+/// Timeout of a readiness check.
+const READINESS_TIMEOUT: time::Duration = time::Duration::from_millis(500);
+/// Maximum size of a response that is not streamed, in bytes.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// What callers ask for, and as whom.
+/// Model and service that callers use, and their API keys.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Target {
-    /// Keys of the customers.
+    /// API keys of the customers.
     pub(crate) keys: Vec<String>,
-    /// The model.
+    /// Model of the model calls.
     pub(crate) model: String,
-    /// Path of the service call that may not run twice.
-    pub(crate) booking: String,
-    /// Whether a caller with an idempotency key that was told nothing asks once more elsewhere.
-    pub(crate) again: bool,
+    /// Path of the bookings, which must not run twice.
+    pub(crate) booking_path: String,
+    /// Whether a call with an idempotency key that got no outcome is retried once at another host.
+    pub(crate) retry_elsewhere: bool,
 }
 
-/// Stands for the platform's balancer: sends calls to the entry hosts that say they are ready.
+/// Simulates the platform's load balancer: chooses among the entry hosts that report ready.
 #[derive(Debug)]
 pub(crate) struct Balancer {
     hosts: Vec<(net::SocketAddr, atomic::AtomicBool)>,
@@ -45,84 +46,89 @@
         Balancer { hosts: hosts.into_iter().map(ready).collect(), target: sync::Arc::new(target) }
     }
 
-    /// Checks each host's readiness.
-    pub(crate) fn look(&self) {
+    /// Checks the readiness of each host and stores the result.
+    pub(crate) fn check_readiness(&self) {
         for (address, ready) in &self.hosts {
             ready.store(is_ready(*address), atomic::Ordering::Relaxed);
         }
     }
 
-    fn pick(&self, draw: u32) -> net::SocketAddr {
+    /// Returns one of the ready hosts, or the first host if none is ready.
+    fn pick(&self, selector: u32) -> net::SocketAddr {
         let ready =
             |host: &&(net::SocketAddr, atomic::AtomicBool)| host.1.load(atomic::Ordering::Relaxed);
         let count = self.hosts.iter().filter(ready).count().max(1);
         let mut chosen = self.hosts.iter().filter(ready).map(|host| host.0);
-        chosen.nth(draw as usize % count).unwrap_or(self.hosts[0].0)
+        chosen.nth(selector as usize % count).unwrap_or(self.hosts[0].0)
     }
 }
 
-/// Whether the entry host at `address` says that it is ready.
+/// Returns whether the entry host at `address` reports ready.
 pub(crate) fn is_ready(address: net::SocketAddr) -> bool {
-    let ask = || {
-        let mut stream = net::TcpStream::connect_timeout(&address, CHECK)?;
-        stream.set_read_timeout(Some(CHECK))?;
+    let check = || {
+        let mut stream = net::TcpStream::connect_timeout(&address, READINESS_TIMEOUT)?;
+        stream.set_read_timeout(Some(READINESS_TIMEOUT))?;
         stream.write_all(b"GET /readyz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")?;
         let mut head = [0; 12];
         stream.read_exact(&mut head)?;
         Ok::<_, std::io::Error>(head.ends_with(b"200"))
     };
-    ask().unwrap_or(false)
+    check().unwrap_or(false)
 }
 
-/// How what came compares with the answer that belongs to the call.
+/// How the received answer compares with the expected one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Content {
-    /// All of it.
+    /// The complete answer.
     Whole,
-    /// Its beginning, or nothing.
+    /// A prefix of the answer, possibly empty.
     Part,
-    /// Something else.
+    /// Text of another answer.
     Foreign,
 }
 
-/// What a caller saw of one call.
+/// Result of one call as its caller saw it.
 #[derive(Clone, Debug)]
-pub(crate) struct Told {
+pub(crate) struct CallResult {
     pub(crate) call: plan::Call,
-    /// Entry host that it was asked at last.
+    /// Entry host of the last attempt.
     pub(crate) host: net::SocketAddr,
-    /// When the call was made.
-    pub(crate) made: time::SystemTime,
-    /// What was seen of a first try that told nothing, where the caller asked again.
-    pub(crate) first: Option<Box<Told>>,
-    /// The outcome, when the caller was told one.
+    /// Time at which the last attempt was sent.
+    pub(crate) started: time::SystemTime,
+    /// Result of the first attempt, if it got no outcome and the call was retried.
+    pub(crate) first_attempt: Option<Box<CallResult>>,
+    /// The outcome, if the caller received one.
     pub(crate) outcome: Option<String>,
-    /// The error's code, or what the caller saw instead.
+    /// The code of the error, `none` for a success, or a description of a transport failure.
     pub(crate) code: String,
     pub(crate) content: Content,
-    /// Time to first token, of streamed answers.
+    /// Time to first token of a streamed answer.
     pub(crate) first_token: Option<time::Duration>,
-    /// Times between tokens, of streamed answers.
-    pub(crate) gaps: Vec<time::Duration>,
-    pub(crate) took: time::Duration,
+    /// Times between the tokens of a streamed answer.
+    pub(crate) token_intervals: Vec<time::Duration>,
+    pub(crate) elapsed: time::Duration,
 }
 
-/// Makes `calls`, each at its time after `began`; returns when all have ended.
-pub(crate) fn run(began: time::Instant, balancer: &Balancer, calls: Vec<plan::Call>) -> Vec<Told> {
+/// Makes `calls`, each at its time after `start_time`; returns when all have ended.
+pub(crate) fn run(
+    start_time: time::Instant,
+    balancer: &Balancer,
+    calls: Vec<plan::Call>,
+) -> Vec<CallResult> {
     let hosts: Vec<_> = balancer.hosts.iter().map(|host| host.0).collect();
     let system = ntex::rt::System::new("callers", ntex::rt::DefaultRuntime);
-    // What runs on the system must own what it uses; the balancer's view is read when a call is
-    // made, on this thread, and only the address chosen then moves into the call's task.
+    // Tasks on the runtime must own their data. The balancer's view is therefore read on another
+    // thread when a call is due, and only the chosen addresses are sent to the call's task.
     let (sender, receiver) = std::sync::mpsc::channel::<(plan::Call, [net::SocketAddr; 2])>();
     let target = balancer.target.clone();
     std::thread::scope(|scope| {
         scope.spawn(move || {
             for call in calls {
-                let wait = (began + call.at).saturating_duration_since(time::Instant::now());
+                let wait = (start_time + call.at).saturating_duration_since(time::Instant::now());
                 std::thread::sleep(wait);
                 let customers = u32::try_from(balancer.target.keys.len()).unwrap_or(1);
-                let draw = call.draw / customers.max(1);
-                let hosts = [balancer.pick(draw), balancer.pick(draw.wrapping_add(1))];
+                let selector = call.selector / customers.max(1);
+                let hosts = [balancer.pick(selector), balancer.pick(selector.wrapping_add(1))];
                 if sender.send((call, hosts)).is_err() {
                     return;
                 }
@@ -132,167 +138,174 @@
     })
 }
 
-/// Time between two looks for calls that are due.
-const TICK: time::Duration = time::Duration::from_millis(1);
+/// Interval at which the runtime polls for calls that are due.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(1);
 
+/// Starts each due call as a task, and collects the results.
 async fn serve(
     due: std::sync::mpsc::Receiver<(plan::Call, [net::SocketAddr; 2])>,
     target: sync::Arc<Target>,
     hosts: usize,
-) -> Vec<Told> {
+) -> Vec<CallResult> {
     let client = new_client(hosts).await;
     let mut tasks = Vec::new();
     loop {
         match due.try_recv() {
             Ok((call, hosts)) => {
                 let (client, target) = (client.clone(), target.clone());
-                tasks.push(ntex::rt::spawn(async move { ask(client, target, hosts, call).await }));
+                tasks.push(ntex::rt::spawn(
+                    async move { perform(client, target, hosts, call).await },
+                ));
             }
-            Err(std::sync::mpsc::TryRecvError::Empty) => ntex::time::sleep(TICK).await,
+            Err(std::sync::mpsc::TryRecvError::Empty) => ntex::time::sleep(POLL_INTERVAL).await,
             Err(std::sync::mpsc::TryRecvError::Disconnected) => break,
         }
     }
-    let mut told = Vec::with_capacity(tasks.len());
+    let mut results = Vec::with_capacity(tasks.len());
     for task in tasks {
-        told.extend(task.await.ok());
+        results.extend(task.await.ok());
     }
-    told
+    results
 }
 
-/// Connections to each entry host: more than a run ever has open.
-const CONNECTIONS: usize = 4_096;
+/// Maximum number of connections per entry host, more than a run ever has open.
+const CONNECTIONS_PER_HOST: usize = 4_096;
 
 async fn new_client(hosts: usize) -> client::Client {
-    let connector = client::Connector::new().limit(CONNECTIONS * hosts);
+    let connector = client::Connector::new().limit(CONNECTIONS_PER_HOST * hosts);
     let builder = client::Client::builder().connector::<()>(connector).disable_timeout();
     match builder.build(ntex::SharedCfg::default()).await {
         Ok(client) => client,
         Err(error) => {
-            log::error!("client settings were refused, usual ones are used: {error}");
+            log::error!("client settings were rejected; using the defaults: {error}");
             client::Client::new().await
         }
     }
 }
 
-async fn ask(
+/// Makes a call, with a retry at the other host if it may be retried and got no outcome.
+async fn perform(
     client: client::Client,
     target: sync::Arc<Target>,
     [host, other]: [net::SocketAddr; 2],
     call: plan::Call,
-) -> Told {
-    let keyed = matches!(call.ask, plan::Ask::Booking { keyed: true });
-    let told = make(&client, &target, host, call).await;
-    if told.outcome.is_some() || !keyed || !target.again {
-        return told;
+) -> CallResult {
+    let keyed = matches!(call.request, plan::Request::Booking { keyed: true });
+    let result = attempt(&client, &target, host, call).await;
+    if result.outcome.is_some() || !keyed || !target.retry_elsewhere {
+        return result;
     }
-    let again = make(&client, &target, other, told.call.clone()).await;
-    Told { first: Some(Box::new(told)), ..again }
+    let retry = attempt(&client, &target, other, result.call.clone()).await;
+    CallResult { first_attempt: Some(Box::new(result)), ..retry }
 }
 
-async fn make(
+/// Makes one attempt of a call at one entry host.
+async fn attempt(
     client: &client::Client,
     target: &Target,
     address: net::SocketAddr,
     call: plan::Call,
-) -> Told {
-    let began = time::Instant::now();
-    let mut told = Told {
+) -> CallResult {
+    let start_time = time::Instant::now();
+    let mut result = CallResult {
         host: address,
-        made: time::SystemTime::now(),
-        first: None,
+        started: time::SystemTime::now(),
+        first_attempt: None,
         outcome: None,
         code: "no_end".to_owned(),
         content: Content::Part,
         first_token: None,
-        gaps: Vec::new(),
-        took: time::Duration::ZERO,
+        token_intervals: Vec::new(),
+        elapsed: time::Duration::ZERO,
         call,
     };
-    let patience = told.call.deadline + PATIENCE;
-    let ended = tokio::time::timeout(patience, exchange(client, target, &mut told, began)).await;
-    if let Ok(Err(seen)) = ended {
-        told.code = seen;
+    let timeout = result.call.deadline + DEADLINE_GRACE;
+    let ended =
+        tokio::time::timeout(timeout, exchange(client, target, &mut result, start_time)).await;
+    if let Ok(Err(failure)) = ended {
+        result.code = failure;
     }
-    told.took = began.elapsed();
-    told
+    result.elapsed = start_time.elapsed();
+    result
 }
 
-fn request(
+fn build_request(
     client: &client::Client,
     target: &Target,
     address: net::SocketAddr,
     call: &plan::Call,
 ) -> client::ClientRequest {
-    let path = match call.ask {
-        plan::Ask::Model { .. } => "v1/completions",
-        plan::Ask::Booking { .. } => &target.booking,
+    let path = match call.request {
+        plan::Request::Model { .. } => "v1/completions",
+        plan::Request::Booking { .. } => &target.booking_path,
     };
-    let key = &target.keys[call.draw as usize % target.keys.len()];
+    let key = &target.keys[call.selector as usize % target.keys.len()];
     let request = client
         .post(format!("http://{address}/{path}"))
         .header("Content-Type", "application/json")
         .header("Authorization", format!("Bearer {key}"))
         .header("Lagoon-Deadline-Ms", call.deadline.as_millis().to_string());
-    match call.ask {
-        plan::Ask::Booking { keyed: true } => {
+    match call.request {
+        plan::Request::Booking { keyed: true } => {
             request.header("Idempotency-Key", format!("booking-{}", call.number))
         }
-        plan::Ask::Model { .. } | plan::Ask::Booking { .. } => request,
+        plan::Request::Model { .. } | plan::Request::Booking { .. } => request,
     }
 }
 
-fn body(target: &Target, call: &plan::Call, prompt: &str) -> String {
-    match call.ask {
-        plan::Ask::Model { answer, stream, .. } => format!(
+fn build_body(target: &Target, call: &plan::Call, prompt: &str) -> String {
+    match call.request {
+        plan::Request::Model { answer, stream, .. } => format!(
             "{{\"model\":\"{}\",\"max_tokens\":{answer},\"stream\":{stream},\"prompt\":\"{prompt}\"}}",
             target.model
         ),
-        plan::Ask::Booking { .. } => call.booking(),
+        plan::Request::Booking { .. } => call.booking(),
     }
 }
 
-/// Makes the call and fills in `told`.
+/// Sends the call and fills in `result`.
 ///
 /// # Errors
 ///
-/// What the caller saw in place of an HTTP answer.
+/// A description of the failure if there is no complete HTTP response.
 async fn exchange(
     client: &client::Client,
     target: &Target,
-    told: &mut Told,
-    began: time::Instant,
+    result: &mut CallResult,
+    start_time: time::Instant,
 ) -> Result<(), String> {
-    let prompt = told.call.prompt();
+    let prompt = result.call.prompt();
     let expected = prompt::Prompt::new(&prompt).hash;
-    let request = request(client, target, told.host, &told.call);
-    let answer = request.send_body(body(target, &told.call, &prompt)).await;
+    let request = build_request(client, target, result.host, &result.call);
+    let response = request.send_body(build_body(target, &result.call, &prompt)).await;
     drop(prompt);
-    let answer = answer.map_err(|error| format!("no_answer: {error}"))?;
-    let header = answer.headers().get("lagoon-outcome").and_then(|value| value.to_str().ok());
+    let response = response.map_err(|error| format!("no_answer: {error}"))?;
+    let header = response.headers().get("lagoon-outcome").and_then(|value| value.to_str().ok());
     let header = header.map(str::to_owned);
-    let good = answer.status().is_success();
-    let stream = matches!(told.call.ask, plan::Ask::Model { stream: true, .. });
-    if good && stream {
-        return read_stream(answer, told, expected, began).await;
+    let is_success = response.status().is_success();
+    let stream = matches!(result.call.request, plan::Request::Model { stream: true, .. });
+    if is_success && stream {
+        return read_stream(response, result, expected, start_time).await;
     }
-    let body = answer.body().limit(ANSWER_LIMIT).await;
+    let body = response.body().limit(MAX_RESPONSE_BYTES).await;
     let body = body.map_err(|error| format!("broken_answer: {error}"))?;
-    told.outcome = header;
+    result.outcome = header;
     let json: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
-    if !good {
-        told.code = json["error"]["code"].as_str().unwrap_or("no_code").to_owned();
+    if !is_success {
+        result.code = json["error"]["code"].as_str().unwrap_or("no_code").to_owned();
         return Ok(());
     }
-    told.code = "none".to_owned();
-    told.content = match told.call.ask {
-        plan::Ask::Model { answer, .. } => {
+    result.code = "none".to_owned();
+    result.content = match result.call.request {
+        plan::Request::Model { answer, .. } => {
             compare(json["choices"][0]["text"].as_str().unwrap_or(""), expected, answer)
         }
-        plan::Ask::Booking { .. } => Content::Whole,
+        plan::Request::Booking { .. } => Content::Whole,
     };
     Ok(())
 }
 
+/// Compares received text with the answer that the stand-ins generate for a prompt.
 fn compare(text: &str, expected: u64, count: u64) -> Content {
     let whole = answer::text(expected, 0, count);
     match whole.strip_prefix(text) {
@@ -302,7 +315,7 @@
     }
 }
 
-/// What is read of a streamed answer.
+/// Parser of a streamed answer, server-sent events.
 #[derive(Debug, Default)]
 struct Stream {
     pending: Vec<u8>,
@@ -313,18 +326,18 @@
 }
 
 impl Stream {
-    /// Takes in what came; returns the tokens in it.
-    fn read(&mut self, bytes: &[u8]) -> u32 {
+    /// Parses received bytes; returns the number of tokens completed by them.
+    fn push(&mut self, bytes: &[u8]) -> u32 {
         self.pending.extend_from_slice(bytes);
         let before = self.tokens;
         while let Some(end) = self.pending.windows(2).position(|pair| pair == b"\n\n") {
             let event: Vec<u8> = self.pending.drain(..end + 2).collect();
-            self.event(&String::from_utf8_lossy(&event));
+            self.handle_event(&String::from_utf8_lossy(&event));
         }
         self.tokens - before
     }
 
-    fn event(&mut self, event: &str) {
+    fn handle_event(&mut self, event: &str) {
         let is_error = event.lines().any(|line| line == "event: error");
         let Some(data) = event.lines().find_map(|line| line.strip_prefix("data: ")) else { return };
         if data == "[DONE]" {
@@ -342,39 +355,39 @@
 }
 
 async fn read_stream(
-    mut answer: client::ClientResponse,
-    told: &mut Told,
+    mut response: client::ClientResponse,
+    result: &mut CallResult,
     expected: u64,
-    began: time::Instant,
+    start_time: time::Instant,
 ) -> Result<(), String> {
     use futures_util::StreamExt as _;
     let mut stream = Stream::default();
-    let mut last = None;
-    while let Some(chunk) = answer.next().await {
+    let mut last_token = None;
+    while let Some(chunk) = response.next().await {
         let chunk = chunk.map_err(|error| format!("broken_stream: {error}"))?;
-        let came = stream.read(&chunk);
-        if came == 0 {
+        let tokens = stream.push(&chunk);
+        if tokens == 0 {
             continue;
         }
         let now = time::Instant::now();
-        match last.replace(now) {
-            None => told.first_token = Some(now - began),
-            Some(last) => {
-                let each = (now - last) / came;
-                told.gaps.extend(std::iter::repeat_n(each, came as usize));
+        match last_token.replace(now) {
+            None => result.first_token = Some(now - start_time),
+            Some(last_token) => {
+                let each = (now - last_token) / tokens;
+                result.token_intervals.extend(std::iter::repeat_n(each, tokens as usize));
             }
         }
     }
-    let plan::Ask::Model { answer: count, .. } = told.call.ask else { return Ok(()) };
-    told.content = compare(&stream.text, expected, count);
+    let plan::Request::Model { answer: count, .. } = result.call.request else { return Ok(()) };
+    result.content = compare(&stream.text, expected, count);
     match (stream.done, &stream.error) {
         (true, _) => {
-            told.outcome = Some("done".to_owned());
-            told.code = "none".to_owned();
+            result.outcome = Some("done".to_owned());
+            result.code = "none".to_owned();
         }
         (false, Some(error)) => {
-            told.outcome = error["error"]["outcome"].as_str().map(str::to_owned);
-            told.code = error["error"]["code"].as_str().unwrap_or("no_code").to_owned();
+            result.outcome = error["error"]["outcome"].as_str().map(str::to_owned);
+            result.code = error["error"]["code"].as_str().unwrap_or("no_code").to_owned();
         }
         (false, None) => return Err("stream_without_end".to_owned()),
     }
--- a/crates/lagoon-load/src/trial/fault.rs
+++ b/crates/lagoon-load/src/trial/fault.rs
@@ -1,4 +1,5 @@
-//! The damage of a run: an engine dies and comes back, an entry host drains, a zone is cut off.
+//! Fault injection of a trial: an engine fails and recovers, an entry host drains, and a zone is
+//! partitioned.
 
 use std::thread;
 use std::time;
@@ -8,7 +9,7 @@
 use super::caller;
 use super::fleet;
 
-/// What happens, and at which part of the time with faults.
+/// Events with their times as fractions of the phase with faults.
 const EVENTS: [(f64, Event); 6] = [
     (0.00, Event::Kill),
     (0.25, Event::Drain),
@@ -18,13 +19,14 @@
     (1.00, Event::End),
 ];
 
-/// Engine that dies.
-const VICTIM: usize = 1;
-/// Entry host that drains.
-const DRAINED: usize = 3;
-/// Zone that is cut off from the other zones and from the platform.
-const CUT: &str = "lautoka";
+/// Index of the engine that fails.
+const FAILING_ENGINE: usize = 1;
+/// Index of the entry host that drains.
+const DRAINING_HOST: usize = 3;
+/// Zone that is partitioned from the other zones and from the platform.
+const PARTITIONED_ZONE: &str = "lautoka";
 
+/// A step of the schedule.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Kill,
@@ -35,17 +37,18 @@
     End,
 }
 
-/// Does all of it, at its time; returns when arrivals end.
+/// Applies each event at its time; returns when the arrivals end. Keeps the balancer's readiness
+/// view up to date in between.
 pub(super) fn run(
     fleet: &fleet::Fleet,
     balancer: &caller::Balancer,
-    began: time::Instant,
+    start_time: time::Instant,
     (from, to): (f64, f64),
 ) {
-    for (part, event) in EVENTS {
-        let at = began + time::Duration::from_secs_f64(from + (to - from) * part);
+    for (fraction, event) in EVENTS {
+        let at = start_time + time::Duration::from_secs_f64(from + (to - from) * fraction);
         while time::Instant::now() < at {
-            balancer.look();
+            balancer.check_readiness();
             thread::sleep(time::Duration::from_millis(100));
         }
         log::info!("{event:?}");
@@ -57,30 +60,31 @@
     match event {
         Event::Kill => set_down(fleet, true),
         Event::Revive => set_down(fleet, false),
-        Event::Drain => fleet.entries[DRAINED].drain(),
-        Event::Cut => set_cut(fleet, true),
-        Event::Heal => set_cut(fleet, false),
+        Event::Drain => fleet.entries[DRAINING_HOST].drain(),
+        Event::Cut => set_partition(fleet, true),
+        Event::Heal => set_partition(fleet, false),
         Event::End => {}
     }
 }
 
 fn set_down(fleet: &fleet::Fleet, down: bool) {
-    let node = fleet.stand_ins.engines[VICTIM].node();
+    let node = fleet.stand_ins.engines[FAILING_ENGINE].node();
     node.set_faults(engine::Faults { down, ..node.faults() });
 }
 
-/// Zones that get no answer from something in `zone`, while [`CUT`] is cut off.
-fn unheard(zone: &str) -> Vec<String> {
-    if zone == CUT {
-        let others = fleet::ZONES.iter().filter(|other| **other != CUT);
+/// Returns the zones to which a stand-in in `zone` does not respond while [`PARTITIONED_ZONE`] is
+/// partitioned.
+fn blocked_zones(zone: &str) -> Vec<String> {
+    if zone == PARTITIONED_ZONE {
+        let others = fleet::ZONES.iter().filter(|other| **other != PARTITIONED_ZONE);
         others.map(|other| (*other).to_owned()).collect()
     } else {
-        vec![CUT.to_owned()]
+        vec![PARTITIONED_ZONE.to_owned()]
     }
 }
 
-fn set_cut(fleet: &fleet::Fleet, on: bool) {
-    let cut = |name: &str| if on { unheard(fleet::zone_of(name)) } else { Vec::new() };
+fn set_partition(fleet: &fleet::Fleet, on: bool) {
+    let cut = |name: &str| if on { blocked_zones(fleet::zone_of(name)) } else { Vec::new() };
     for running in &fleet.stand_ins.engines {
         let node = running.node();
         node.set_faults(engine::Faults { cut: cut(&node.settings.name), ..node.faults() });
--- a/crates/lagoon-load/src/trial/fleet.rs
+++ b/crates/lagoon-load/src/trial/fleet.rs
@@ -1,4 +1,4 @@
-//! Everything that a run needs, started on loopback: stand-ins, stewards, entry hosts.
+//! Embedded fleet on loopback: stand-ins, stewards and entry hosts.
 
 use std::collections;
 use std::io;
@@ -18,44 +18,47 @@
 
 /// Availability zones.
 pub(crate) const ZONES: [&str; 3] = ["suva", "nausori", "lautoka"];
-/// Entry hosts of each zone.
-pub(crate) const HOSTS: usize = 2;
-/// Engines of each zone.
-pub(crate) const ENGINES: usize = 4;
-/// Replicas of the booking service in each zone.
-const REPLICAS: usize = 1;
-/// Customers; each one's key is its name.
+/// Number of entry hosts per zone.
+pub(crate) const HOSTS_PER_ZONE: usize = 2;
+/// Number of engines per zone.
+pub(crate) const ENGINES_PER_ZONE: usize = 4;
+/// Number of replicas of the booking service per zone.
+const SERVICE_REPLICAS_PER_ZONE: usize = 1;
+/// Number of customers. The API key of a customer is its name.
 pub(crate) const CUSTOMERS: u32 = 10;
-/// Engine seconds that pass in a real one, so that a million tokens fit a short run.
+/// Simulated engine seconds per real second, so that prompts of a million tokens fit in a short
+/// run.
 pub(crate) const TIME_SCALE: f64 = 8.0;
-/// Tokens that an engine prefills in an engine second.
+/// Prefill rate of an engine, in tokens per engine second.
 const PREFILL_RATE: f64 = 50_000.0;
-/// KV memory of one engine, in tokens: the longest prompts are more than twice that.
+/// KV cache size of one engine, in tokens. The longest prompts need more than twice as much and so
+/// several engines.
 const KV_TOKENS: u64 = 400_000;
-/// Writes a second that each entry host may make for idempotency keys.
-const WRITES: f64 = 50.0;
-/// The one team, and the key that may change every section.
+/// Maximum platform writes per second of each entry host, for idempotency keys.
+const WRITES_PER_SECOND: f64 = 50.0;
+/// The only team.
 const TEAM: &str = "crews";
-const OPERATORS_KEY: &str = "operators' key of the trial";
-/// Longest time until all entry hosts are ready.
-const READY: time::Duration = time::Duration::from_secs(10);
+/// Operator key, which may change every section.
+const OPERATOR_KEY: &str = "operators' key of the trial";
+/// Time within which all entry hosts must be ready, and within which the section must be accepted.
+const READY_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// How many of each part, and how they are set.
+/// Numbers of parts in a fleet, and their settings.
 #[derive(Clone, Debug)]
-pub(crate) struct Shape {
+pub(crate) struct Layout {
     /// Availability zones.
     pub(crate) zones: &'static [&'static str],
-    /// Entry hosts of each zone.
+    /// Number of entry hosts per zone.
     pub(crate) hosts: usize,
-    /// Engines of each zone.
+    /// Number of engines per zone.
     pub(crate) engines: usize,
-    /// Every engine but for its name.
+    /// Settings of every engine, without the name and the model.
     pub(crate) engine: engine::Settings,
-    /// Decisions of every entry host but for its zone.
+    /// Scheduler settings of every entry host, without the zone.
     pub(crate) load: load::Settings,
 }
 
-impl Default for Shape {
+impl Default for Layout {
     fn default() -> Self {
         let engine = engine::Settings {
             time_scale: TIME_SCALE,
@@ -64,63 +67,64 @@
             ..engine::Settings::default()
         };
         let load = load::Settings::default();
-        Shape { zones: &ZONES, hosts: HOSTS, engines: ENGINES, engine, load }
+        Layout { zones: &ZONES, hosts: HOSTS_PER_ZONE, engines: ENGINES_PER_ZONE, engine, load }
     }
 }
 
-/// Running parts.
+/// A running fleet.
 pub(crate) struct Fleet {
     pub(crate) stand_ins: fleet::Fleet,
     pub(crate) entries: Vec<entry::Running>,
     stewards: Vec<steward::Running>,
 }
 
-/// What the stand-ins say they did.
+/// What the stand-ins recorded during a run.
 #[derive(Debug, Default)]
 pub(crate) struct Record {
     /// Hashes of prompts that an engine accepted.
     pub(crate) prompts: collections::BTreeSet<u64>,
-    /// How often each body ran at the booking service.
+    /// Number of runs at the booking service by hash of the body.
     pub(crate) bookings: collections::BTreeMap<String, u64>,
-    /// KV memory not returned, in bytes.
+    /// KV memory that the engines have not freed, in bytes.
     pub(crate) bytes_left: u64,
 }
 
-fn hex(text: &str) -> String {
+/// Returns the SHA-256 hash of a text in hexadecimal.
+fn sha256_hex(text: &str) -> String {
     sha2::Sha256::digest(text.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Name of a customer; also its caller key.
-pub(crate) fn customer(draw: u32) -> String {
-    format!("crew-{}", draw % CUSTOMERS)
+/// Returns the name of a customer, which is also its API key.
+pub(crate) fn customer(index: u32) -> String {
+    format!("crew-{}", index % CUSTOMERS)
 }
 
-/// What callers of the trial ask for.
+/// Returns the model, service path and keys that callers of the embedded fleet use.
 pub(crate) fn target() -> caller::Target {
     caller::Target {
         keys: (0..CUSTOMERS).map(customer).collect(),
         model: "label".to_owned(),
-        booking: "services/pickup/bookings".to_owned(),
-        again: false,
+        booking_path: "services/pickup/bookings".to_owned(),
+        retry_elsewhere: false,
     }
 }
 
-/// Hash under which a service's record has a body.
+/// Returns the hash of a body in a service's record.
 pub(crate) fn request_hash(body: &str) -> String {
-    hex(body)
+    sha256_hex(body)
 }
 
-fn stand_ins(shape: &Shape) -> io::Result<fleet::Fleet> {
+fn stand_ins(layout: &Layout) -> io::Result<fleet::Fleet> {
     let mut settings = fleet::Settings { platform: Some(Default::default()), ..Default::default() };
-    for zone in shape.zones {
-        for number in 0..shape.engines {
+    for zone in layout.zones {
+        for number in 0..layout.engines {
             settings.engines.push(engine::Settings {
                 name: format!("{zone}-engine-{number}"),
                 model: "label".to_owned(),
-                ..shape.engine.clone()
+                ..layout.engine.clone()
             });
         }
-        for number in 0..REPLICAS {
+        for number in 0..SERVICE_REPLICAS_PER_ZONE {
             let name = format!("{zone}-pickup-{number}");
             settings.services.push(service::Settings { name, ..service::Settings::default() });
         }
@@ -128,7 +132,7 @@
     fleet::start(settings)
 }
 
-/// The one team's section.
+/// Returns the section of the only team as JSON text.
 fn section(stand_ins: &fleet::Fleet) -> String {
     let mut upstreams = serde_json::Map::new();
     for running in &stand_ins.engines {
@@ -151,7 +155,9 @@
     }
     let customers: serde_json::Map<_, _> = (0..CUSTOMERS)
         .map(customer)
-        .map(|name| (name.clone(), json!({"keys": [hex(&name)], "requests_per_second": 1_000})))
+        .map(|name| {
+            (name.clone(), json!({"keys": [sha256_hex(&name)], "requests_per_second": 1_000}))
+        })
         .collect();
     json!({
         "customers": customers,
@@ -162,25 +168,25 @@
     .to_string()
 }
 
-/// Zone of a name such as `suva-engine-1`.
+/// Returns the zone of an upstream from its name, such as `suva-engine-1`.
 pub(crate) fn zone_of(name: &str) -> &str {
     name.split('-').next().unwrap_or_default()
 }
 
-/// Starts everything and waits until every entry host is ready.
+/// Starts the fleet, waits until every entry host is ready, and puts the section in force.
 ///
 /// # Errors
 ///
-/// A part could not be started, or a host is not ready in time.
-pub(crate) fn start(shape: &Shape) -> io::Result<Fleet> {
-    let stand_ins = stand_ins(shape)?;
+/// A part cannot be started, a host is not ready in time, or the section is not accepted in time.
+pub(crate) fn start(layout: &Layout) -> io::Result<Fleet> {
+    let stand_ins = stand_ins(layout)?;
     let running = stand_ins.platform.as_ref().ok_or_else(|| io::Error::other("no platform"))?;
     let address = running.address();
     let key = wire::Key::new(b"key of the trial");
     let mut fleet = Fleet { stand_ins, entries: Vec::new(), stewards: Vec::new() };
-    for zone in shape.zones {
-        for number in 0..shape.hosts {
-            fleet.start_host(zone, number, address, &key, shape)?;
+    for zone in layout.zones {
+        for number in 0..layout.hosts {
+            fleet.start_host(zone, number, address, &key, layout)?;
         }
     }
     fleet.wait_until_ready()?;
@@ -195,30 +201,34 @@
         number: usize,
         platform: net::SocketAddr,
         key: &wire::Key,
-        shape: &Shape,
+        layout: &Layout,
     ) -> io::Result<()> {
         let host = id::Host::from(format!("{zone}-{number}"));
         let zone = id::Zone::from(zone);
         let zone_name = zone.clone();
-        let reach = platform::Settings { address: platform, ..platform::Settings::default() };
+        let platform_settings =
+            platform::Settings { address: platform, ..platform::Settings::default() };
         let peers = self.stewards.iter().map(steward::Running::address).collect();
         let steward = steward::start(steward::Settings {
             host: host.clone(),
             zone: zone.clone(),
             key: key.clone(),
-            platform: Some(reach.clone()),
-            operator_keys: document::parse_key_hash(&hex(OPERATORS_KEY)).into_iter().collect(),
+            platform: Some(platform_settings.clone()),
+            operator_keys: document::parse_key_hash(&sha256_hex(OPERATOR_KEY))
+                .into_iter()
+                .collect(),
             peers,
             ..steward::Settings::default()
         })?;
-        let reach = platform::Settings { writes_per_second: WRITES, ..reach };
+        let platform_settings =
+            platform::Settings { writes_per_second: WRITES_PER_SECOND, ..platform_settings };
         let entry = entry::start(entry::Settings {
             host,
             zone,
             steward: Some(steward.address()),
             key: key.clone(),
-            platform: Some(reach),
-            load: load::Settings { zone: zone_name, ..shape.load.clone() },
+            platform: Some(platform_settings),
+            load: load::Settings { zone: zone_name, ..layout.load.clone() },
             ..entry::Settings::default()
         })?;
         self.stewards.push(steward);
@@ -226,12 +236,12 @@
         Ok(())
     }
 
-    /// Puts the team's section as an operator does, and waits until it is in force everywhere.
+    /// Puts the team's section as an operator does, and waits until every host has accepted it.
     fn put_section(&self, fleet_key: wire::Key) -> io::Result<()> {
         let client = operator::Client::new(operator::Settings {
             stewards: self.stewards.iter().map(steward::Running::address).collect(),
             fleet_key,
-            key: OPERATORS_KEY.to_owned(),
+            key: OPERATOR_KEY.to_owned(),
             ..operator::Settings::default()
         });
         let request = operator::Request {
@@ -241,23 +251,23 @@
             ..operator::Request::default()
         };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let standing = runtime.block_on(async {
+        let status = runtime.block_on(async {
             client.call(&request).await?;
-            client.wait_accepted(TEAM, 1, READY).await
+            client.wait_accepted(TEAM, 1, READY_TIMEOUT).await
         });
-        match standing {
-            Ok(standing) if standing.accepted => Ok(()),
-            Ok(standing) => Err(io::Error::other(format!("not accepted: {:?}", standing.missing))),
+        match status {
+            Ok(status) if status.accepted => Ok(()),
+            Ok(status) => Err(io::Error::other(format!("not accepted: {:?}", status.missing))),
             Err(error) => Err(io::Error::other(error.to_string())),
         }
     }
 
     fn wait_until_ready(&self) -> io::Result<()> {
-        let deadline = time::Instant::now() + READY;
+        let deadline = time::Instant::now() + READY_TIMEOUT;
         for entry in &self.entries {
             while !super::caller::is_ready(entry.address()) {
                 if time::Instant::now() > deadline {
-                    return Err(io::Error::other("an entry host is not ready in time"));
+                    return Err(io::Error::other("an entry host was not ready in time"));
                 }
                 thread::sleep(time::Duration::from_millis(50));
             }
@@ -265,19 +275,19 @@
         Ok(())
     }
 
-    /// Addresses of the entry hosts.
+    /// Returns the addresses of the entry hosts.
     pub(crate) fn entry_hosts(&self) -> Vec<net::SocketAddr> {
         self.entries.iter().map(entry::Running::address).collect()
     }
 
-    /// Waits until the engines have returned all memory; what is left after `most`, in bytes, and
-    /// how long it took.
-    pub(crate) fn wait_for_memory(&self, most: time::Duration) -> (u64, time::Duration) {
-        let began = time::Instant::now();
+    /// Waits at most `timeout` until the engines have freed all KV memory; returns the bytes not
+    /// freed and the time waited.
+    pub(crate) fn wait_for_memory(&self, timeout: time::Duration) -> (u64, time::Duration) {
+        let start_time = time::Instant::now();
         loop {
-            let left = self.bytes_left();
-            if left == 0 || began.elapsed() > most {
-                return (left, began.elapsed());
+            let unfreed = self.bytes_left();
+            if unfreed == 0 || start_time.elapsed() > timeout {
+                return (unfreed, start_time.elapsed());
             }
             thread::sleep(time::Duration::from_millis(100));
         }
@@ -288,7 +298,7 @@
         records.map(|record| record.bytes_reserved - record.bytes_returned).sum()
     }
 
-    /// What the stand-ins did.
+    /// Reads the records of the stand-ins.
     pub(crate) fn record(&self, bytes_left: u64) -> Record {
         let mut record = Record { bytes_left, ..Record::default() };
         for engine in &self.stand_ins.engines {
@@ -303,7 +313,7 @@
         record
     }
 
-    /// Drains the entry hosts, then ends the rest.
+    /// Drains the entry hosts, then stops the stewards.
     pub(crate) fn stop(self) -> io::Result<()> {
         self.entries.iter().for_each(entry::Running::drain);
         for entry in self.entries {
--- a/crates/lagoon-load/src/trial/mod.rs
+++ b/crates/lagoon-load/src/trial/mod.rs
@@ -1,8 +1,10 @@
-//! The main job on embedded stand-ins: three zones, mixed lengths, a few faults, in one process.
+//! End-to-end trial on embedded stand-ins in one process: three zones, mixed prompt lengths and a
+//! few faults.
 //!
-//! `plan` says what callers ask and when, `fleet` starts everything on loopback, `fault` does the
-//! damage, `caller` asks and checks each answer, `verdict` compares what callers were told with the
-//! stand-ins' own records, `report` prints it. No check reads a counter of lagoonline.
+//! `plan` draws the calls, `fleet` starts all parts on loopback, `fault` injects the faults,
+//! `caller` makes the calls and checks each response, `verdict` compares the outcomes that callers
+//! received with the stand-ins' own records, and `report` prints the result. No check relies on a
+//! counter of lagoonline.
 
 pub(crate) mod caller;
 mod fault;
@@ -18,16 +20,17 @@
 
 pub use report::Report;
 
-/// How long a trial takes and what it asks.
+/// Duration and load of a trial.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Seconds of arrivals: short requests alone, then all lengths, then with faults.
+    /// Duration of the arrivals in seconds: short prompts alone, then all lengths, then all lengths
+    /// with faults.
     pub seconds: f64,
     /// Seed of the arrivals.
     pub seed: u64,
-    /// Model calls a second.
+    /// Model calls per second.
     pub rate: f64,
-    /// Bookings a second.
+    /// Bookings per second.
     pub bookings: f64,
 }
 
@@ -37,46 +40,45 @@
     }
 }
 
-/// Time after the last arrival within which every engine must have returned all memory.
-const SETTLE: time::Duration = time::Duration::from_secs(15);
-/// Threads of callers.
-const CALLERS: usize = 3;
+/// Time after the last response within which every engine must have freed all KV memory.
+const SETTLE_TIMEOUT: time::Duration = time::Duration::from_secs(15);
+/// Number of caller threads.
+const CALLER_THREADS: usize = 3;
 
 /// Runs a trial.
 ///
 /// # Errors
 ///
-/// A process part could not be started, or a thread failed.
+/// A part of the fleet cannot be started or stopped, or a caller thread panicked.
 pub fn run(settings: &Settings) -> io::Result<Report> {
-    let fleet = fleet::start(&fleet::Shape::default())?;
-    let plan = plan::new(settings);
-    let began = time::Instant::now();
+    let fleet = fleet::start(&fleet::Layout::default())?;
+    let plan = plan::draw(settings);
+    let start_time = time::Instant::now();
     let balancer = sync::Arc::new(caller::Balancer::new(fleet.entry_hosts(), fleet::target()));
-    let faults = (settings.seconds * plan::CALM, settings.seconds);
+    let faults = (settings.seconds * plan::FAULTS_START, settings.seconds);
     let mut results = Vec::new();
     thread::scope(|scope| {
         let callers: Vec<_> = plan
-            .split(CALLERS)
+            .split(CALLER_THREADS)
             .into_iter()
             .map(|share| {
                 let balancer = balancer.clone();
-                scope.spawn(move || caller::run(began, &balancer, share))
+                scope.spawn(move || caller::run(start_time, &balancer, share))
             })
             .collect();
-        fault::run(&fleet, &balancer, began, faults);
+        fault::run(&fleet, &balancer, start_time, faults);
         for caller in callers {
-            let share =
-                caller.join().map_err(|_| io::Error::other("a caller's thread panicked"))?;
+            let share = caller.join().map_err(|_| io::Error::other("a caller thread panicked"))?;
             results.extend(share);
         }
         Ok::<_, io::Error>(())
     })?;
-    let (bytes_left, settled) = fleet.wait_for_memory(SETTLE);
+    let (bytes_left, settled) = fleet.wait_for_memory(SETTLE_TIMEOUT);
     log::info!("memory settled in {} ms", settled.as_millis());
-    for told in results.iter().filter(|told| told.outcome.as_deref() != Some("done")) {
-        log::info!("{told:?}");
+    for result in results.iter().filter(|result| result.outcome.as_deref() != Some("done")) {
+        log::info!("{result:?}");
     }
     let record = fleet.record(bytes_left);
     fleet.stop()?;
-    Ok(report::Report::new(settings, &results, &verdict::judge(&results, &record), settled))
+    Ok(report::Report::new(settings, &results, &verdict::evaluate(&results, &record), settled))
 }
--- a/crates/lagoon-load/src/trial/plan.rs
+++ b/crates/lagoon-load/src/trial/plan.rs
@@ -1,4 +1,5 @@
-//! What callers ask and when, drawn from a seed before the run: arrivals never wait for answers.
+//! Calls of a run, drawn from a seed before the run. Arrivals are open-loop: they never wait for
+//! responses.
 
 use std::time;
 
@@ -9,50 +10,51 @@
 
 use super::Settings;
 
-/// Part of the run at whose end connections are open and rates learned.
-const WARM: f64 = 0.07;
-/// Part of the run at whose end short requests are no longer alone.
-const ALONE: f64 = 0.25;
-/// Part of the run at whose end faults begin.
-pub(crate) const CALM: f64 = 0.55;
-/// Prompt tokens, and the share of calls that have them: one in fifty is over 100,000.
-const LENGTHS: [(u64, f64); 4] =
+/// End of the warm-up, as a fraction of the run: connections are open and engine rates learned.
+const WARM_UP_END: f64 = 0.07;
+/// End of the phase with short prompts alone, as a fraction of the run.
+const ALONE_END: f64 = 0.25;
+/// Start of the phase with faults, as a fraction of the run.
+pub(crate) const FAULTS_START: f64 = 0.55;
+/// Prompt lengths in tokens, and the fraction of model calls with each; 2 % are over 100,000.
+const PROMPT_LENGTHS: [(u64, f64); 4] =
     [(1_000, 0.80), (10_000, 0.14), (100_000, 0.04), (1_000_000, 0.02)];
-/// Bytes of prompt text for each token, as in the document.
+/// Bytes of prompt text per token, the ratio that the document assumes by default.
 const BYTES_PER_TOKEN: usize = 4;
-/// Share of model calls that are streamed.
-const STREAMED: f64 = 0.7;
-/// Share of bookings with an idempotency key.
-const KEYED: f64 = 0.5;
-/// Answer tokens.
-const ANSWER: std::ops::Range<u64> = 16..64;
-/// Deadlines of short and of other calls.
-const DEADLINE_SHORT: time::Duration = time::Duration::from_secs(10);
-const DEADLINE_LONG: time::Duration = time::Duration::from_secs(22);
-
-/// What is asked.
+/// Fraction of model calls that are streamed.
+const STREAMED_FRACTION: f64 = 0.7;
+/// Fraction of bookings with an idempotency key.
+const KEYED_FRACTION: f64 = 0.5;
+/// Number of answer tokens of a model call.
+const ANSWER_TOKENS: std::ops::Range<u64> = 16..64;
+/// Deadline of bookings and of model calls with short prompts.
+const SHORT_DEADLINE: time::Duration = time::Duration::from_secs(10);
+/// Deadline of model calls with longer prompts.
+const LONG_DEADLINE: time::Duration = time::Duration::from_secs(22);
+
+/// Kind and size of a call.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Ask {
+pub(crate) enum Request {
     /// A completion.
     Model {
         /// Prompt tokens.
         tokens: u64,
-        /// Answer tokens.
+        /// Number of answer tokens of a model call.
         answer: u64,
         /// Whether the answer is streamed.
         stream: bool,
     },
-    /// A call of a plain service that may not run twice.
+    /// A call to a plain service, which must not run twice.
     Booking {
         /// Whether it carries an idempotency key.
         keyed: bool,
     },
 }
 
-/// Part of a run.
+/// Phase of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Phase {
-    /// Short prompts alone, on connections just opened.
+    /// Short prompts alone, while connections are opened; excluded from times to first token.
     WarmUp,
     /// Short prompts alone.
     Alone,
@@ -63,7 +65,7 @@
 }
 
 impl Phase {
-    /// Whether prompts of all lengths come.
+    /// Returns whether the phase has prompts of all lengths.
     pub(crate) fn is_mixed(self) -> bool {
         match self {
             Phase::WarmUp | Phase::Alone => false,
@@ -71,11 +73,11 @@
         }
     }
 
-    fn at(part: f64) -> Phase {
-        match part {
-            part if part < WARM => Phase::WarmUp,
-            part if part < ALONE => Phase::Alone,
-            part if part < CALM => Phase::Mixed,
+    fn at(fraction: f64) -> Phase {
+        match fraction {
+            fraction if fraction < WARM_UP_END => Phase::WarmUp,
+            fraction if fraction < ALONE_END => Phase::Alone,
+            fraction if fraction < FAULTS_START => Phase::Mixed,
             _ => Phase::Faults,
         }
     }
@@ -84,32 +86,33 @@
 /// One call.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Call {
-    /// Its number: makes its text and its key unlike any other's.
+    /// Number in order of time; makes the prompt, the body and the idempotency key unique.
     pub(crate) number: u64,
-    /// When it is made, from the start.
+    /// Time of the call, from the start of the run.
     pub(crate) at: time::Duration,
-    /// What it asks.
-    pub(crate) ask: Ask,
-    /// Time it has.
+    /// Kind and size of the call.
+    pub(crate) request: Request,
+    /// Time allowed for the call.
     pub(crate) deadline: time::Duration,
-    /// Part of the run in which it is made.
+    /// Phase of the run in which it is made.
     pub(crate) phase: Phase,
-    /// Number that picks its customer and entry host.
-    pub(crate) draw: u32,
+    /// Random number that selects the customer and the entry host.
+    pub(crate) selector: u32,
 }
 
 impl Call {
-    /// Its length class, for model calls.
+    /// Returns the length class of a model call; `None` for a booking.
     pub(crate) fn class(&self) -> Option<document::Class> {
-        match self.ask {
-            Ask::Model { tokens, .. } => Some(document::Class::of(tokens)),
-            Ask::Booking { .. } => None,
+        match self.request {
+            Request::Model { tokens, .. } => Some(document::Class::of(tokens)),
+            Request::Booking { .. } => None,
         }
     }
 
-    /// Its prompt: of its full length, and unlike any other from the first bytes on.
+    /// Returns the prompt in its full length; empty for a booking. It differs from all others from
+    /// the first bytes on, so that no two calls share a prefix.
     pub(crate) fn prompt(&self) -> String {
-        let Ask::Model { tokens, .. } = self.ask else { return String::new() };
+        let Request::Model { tokens, .. } = self.request else { return String::new() };
         let length = usize::try_from(tokens).unwrap_or(0) * BYTES_PER_TOKEN;
         let line = format!("{} tin label and lease filing of the season. ", self.number);
         let mut text = line.repeat(length / line.len() + 1);
@@ -117,7 +120,7 @@
         text
     }
 
-    /// Body of a booking.
+    /// Returns the body of a booking.
     pub(crate) fn booking(&self) -> String {
         format!("{{\"booking\":{}}}", self.number)
     }
@@ -130,7 +133,7 @@
 }
 
 impl Plan {
-    /// Deals the calls out to `threads` callers.
+    /// Distributes the calls round-robin over `threads` callers.
     pub(crate) fn split(&self, threads: usize) -> Vec<Vec<Call>> {
         let mut shares = vec![Vec::new(); threads];
         for (index, call) in self.calls.iter().enumerate() {
@@ -140,22 +143,22 @@
     }
 }
 
-/// Draws the calls of a run.
-pub(crate) fn new(settings: &Settings) -> Plan {
+/// Draws the calls of a run from the seed.
+pub(crate) fn draw(settings: &Settings) -> Plan {
     let mut random = rngs::SmallRng::seed_from_u64(settings.seed);
     let phase = |at: f64| Phase::at(at / settings.seconds);
     let mut calls = Vec::new();
-    for at in arrivals(settings.rate, settings.seconds, &mut random) {
-        let drawn = length(&LENGTHS, &mut random);
-        let is_short = document::Class::of(drawn) == document::Class::Short;
-        // The same short load alone: the longer calls of the first part are left out.
+    for at in draw_arrivals(settings.rate, settings.seconds, &mut random) {
+        let tokens = draw_length(&PROMPT_LENGTHS, &mut random);
+        let is_short = document::Class::of(tokens) == document::Class::Short;
+        // The first phases omit the longer calls, so that the short load is the same in all phases.
         if is_short || phase(at).is_mixed() {
-            calls.push(model(at, phase(at), drawn, &mut random));
+            calls.push(model_call(at, phase(at), tokens, &mut random));
         }
     }
-    for at in arrivals(settings.bookings, settings.seconds, &mut random) {
-        let ask = Ask::Booking { keyed: random.random_bool(KEYED) };
-        calls.push(call(at, phase(at), ask, DEADLINE_SHORT, random.random()));
+    for at in draw_arrivals(settings.bookings, settings.seconds, &mut random) {
+        let request = Request::Booking { keyed: random.random_bool(KEYED_FRACTION) };
+        calls.push(new_call(at, phase(at), request, SHORT_DEADLINE, random.random()));
     }
     calls.sort_by_key(|call| call.at);
     for (number, call) in (0..).zip(&mut calls) {
@@ -164,8 +167,8 @@
     Plan { calls }
 }
 
-/// Times of arrivals at `rate` a second, in seconds: a Poisson process.
-pub(crate) fn arrivals(rate: f64, seconds: f64, random: &mut rngs::SmallRng) -> Vec<f64> {
+/// Draws arrival times in seconds from a Poisson process with `rate` arrivals per second.
+pub(crate) fn draw_arrivals(rate: f64, seconds: f64, random: &mut rngs::SmallRng) -> Vec<f64> {
     let mut times = Vec::new();
     let mut at = 0.0;
     while rate > 0.0 && at < seconds {
@@ -176,8 +179,8 @@
     times
 }
 
-/// Draws one of `lengths`, in tokens, by the share of calls that each has.
-pub(crate) fn length(lengths: &[(u64, f64); 4], random: &mut rngs::SmallRng) -> u64 {
+/// Draws one of `lengths`, pairs of a length in tokens and the fraction of calls with it.
+pub(crate) fn draw_length(lengths: &[(u64, f64); 4], random: &mut rngs::SmallRng) -> u64 {
     let mut draw: f64 = random.random();
     for (tokens, share) in lengths {
         if draw < *share {
@@ -188,15 +191,21 @@
     lengths[0].0
 }
 
-fn model(at: f64, phase: Phase, tokens: u64, random: &mut rngs::SmallRng) -> Call {
-    let answer = random.random_range(ANSWER);
-    let ask = Ask::Model { tokens, answer, stream: random.random_bool(STREAMED) };
+fn model_call(at: f64, phase: Phase, tokens: u64, random: &mut rngs::SmallRng) -> Call {
+    let answer = random.random_range(ANSWER_TOKENS);
+    let request = Request::Model { tokens, answer, stream: random.random_bool(STREAMED_FRACTION) };
     let is_short = document::Class::of(tokens) == document::Class::Short;
-    let deadline = if is_short { DEADLINE_SHORT } else { DEADLINE_LONG };
-    call(at, phase, ask, deadline, random.random())
+    let deadline = if is_short { SHORT_DEADLINE } else { LONG_DEADLINE };
+    new_call(at, phase, request, deadline, random.random())
 }
 
-fn call(at: f64, phase: Phase, ask: Ask, deadline: time::Duration, draw: u32) -> Call {
+fn new_call(
+    at: f64,
+    phase: Phase,
+    request: Request,
+    deadline: time::Duration,
+    selector: u32,
+) -> Call {
     let at = time::Duration::from_secs_f64(at);
-    Call { number: 0, at, ask, deadline, phase, draw }
+    Call { number: 0, at, request, deadline, phase, selector }
 }
--- a/crates/lagoon-load/src/trial/report.rs
+++ b/crates/lagoon-load/src/trial/report.rs
@@ -1,4 +1,4 @@
-//! The measures of the brief, printed or as one JSON object.
+//! Report of a trial, as text or as one JSON object.
 
 use std::fmt;
 use std::time;
@@ -13,10 +13,10 @@
 use super::plan;
 use super::verdict;
 
-/// Median and 95th percentile of a time.
+/// Median and 95th percentile of a set of times.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Times {
-    /// How many there were.
+    /// Number of times.
     pub count: u64,
     /// Median, in milliseconds.
     pub p50_ms: f64,
@@ -32,9 +32,9 @@
         let Ok(mut histogram) = Histogram::<u64>::new(3) else { return Times::default() };
         for time in times {
             let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
-            // Not the saturating way: that does not grow the histogram, and all times read as 0.
+            // `saturating_record` does not resize the histogram, so that all times would read as 0.
             if histogram.record(micros).is_err() {
-                log::error!("a time of {micros} us is not counted");
+                log::error!("a time of {micros} us could not be recorded");
             }
         }
         let at = |share| histogram.value_at_quantile(share) as f64 / 1_000.0;
@@ -45,58 +45,60 @@
 /// Time to first token of one length class.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Class {
-    /// The class.
+    /// Name of the length class.
     pub class: &'static str,
-    /// Time to first token, faults included.
+    /// Time to first token in the phases with all lengths, faults included.
     pub first_token: Times,
 }
 
-/// What a run showed.
+/// Report of a trial.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
     /// Seed of the arrivals.
     pub seed: u64,
-    /// Engine seconds that passed in a real one.
+    /// Simulated engine seconds per real second.
     pub time_scale: f64,
     /// Time to first token by length class.
     pub classes: Vec<Class>,
-    /// Time between tokens.
+    /// Time between tokens of streamed answers.
     pub between_tokens: Times,
-    /// Time to first token of short prompts alone.
+    /// Time to first token of short prompts in the phase with short prompts alone.
     pub short_alone: Times,
-    /// The same beside all lengths, before the faults.
+    /// Time to first token of short prompts in the phase with all lengths, before the faults.
     pub short_mixed: Times,
-    /// 95th percentile beside all lengths as a multiple of that alone.
+    /// Ratio of the 95th percentiles of `short_mixed` and `short_alone`.
     pub short_slowdown: f64,
-    /// Time from the last answer until the engines had returned all memory, in milliseconds.
+    /// Time from the last response until the engines had freed all KV memory, in milliseconds.
     pub memory_settled_ms: f64,
-    /// The counts.
+    /// Counts of outcomes and of violated checks.
     pub verdict: verdict::Verdict,
-    /// Whether every check held.
+    /// Whether every check passed.
     pub holds: bool,
 }
 
 impl Report {
     pub(super) fn new(
         settings: &Settings,
-        results: &[caller::Told],
+        results: &[caller::CallResult],
         verdict: &verdict::Verdict,
-        settled: time::Duration,
+        settle_time: time::Duration,
     ) -> Report {
         let of_class = |class| {
-            results.iter().filter(move |told: &&caller::Told| told.call.class() == Some(class))
+            results
+                .iter()
+                .filter(move |result: &&caller::CallResult| result.call.class() == Some(class))
         };
         let classes = document::Class::ALL.map(|class| {
-            let mixed = of_class(class).filter(|told| told.call.phase.is_mixed());
-            let first_token = Times::new(mixed.filter_map(|told| told.first_token));
+            let mixed = of_class(class).filter(|result| result.call.phase.is_mixed());
+            let first_token = Times::new(mixed.filter_map(|result| result.first_token));
             Class { class: class.as_str(), first_token }
         });
         let short_in = |phase| {
             let short = of_class(document::Class::Short);
             Times::new(
                 short
-                    .filter(move |told| told.call.phase == phase)
-                    .filter_map(|told| told.first_token),
+                    .filter(move |result| result.call.phase == phase)
+                    .filter_map(|result| result.first_token),
             )
         };
         let (alone, mixed) = (short_in(plan::Phase::Alone), short_in(plan::Phase::Mixed));
@@ -104,12 +106,14 @@
             seed: settings.seed,
             time_scale: fleet::TIME_SCALE,
             classes: classes.to_vec(),
-            between_tokens: Times::new(results.iter().flat_map(|told| told.gaps.iter().copied())),
+            between_tokens: Times::new(
+                results.iter().flat_map(|result| result.token_intervals.iter().copied()),
+            ),
             short_alone: alone,
             short_mixed: mixed,
             short_slowdown: mixed.p95_ms / alone.p95_ms.max(f64::MIN_POSITIVE),
             verdict: verdict.clone(),
-            memory_settled_ms: settled.as_secs_f64() * 1_000.0,
+            memory_settled_ms: settle_time.as_secs_f64() * 1_000.0,
             holds: verdict.holds(),
         }
     }
@@ -156,7 +160,7 @@
         for (failure, count) in &verdict.failures {
             writeln!(f, "  {count:>6} {failure}")?;
         }
-        let word = if self.holds { "every check held" } else { "A CHECK FAILED" };
-        write!(f, "engine time runs {} times faster than real time; {word}", self.time_scale)
+        let conclusion = if self.holds { "every check held" } else { "A CHECK FAILED" };
+        write!(f, "engine time runs {} times faster than real time; {conclusion}", self.time_scale)
     }
 }
--- a/crates/lagoon-load/src/trial/verdict.rs
+++ b/crates/lagoon-load/src/trial/verdict.rs
@@ -1,4 +1,4 @@
-//! Compares what callers were told with what the stand-ins say they did.
+//! Checks the outcomes that callers received against the stand-ins' own records.
 
 use std::collections;
 use std::time;
@@ -10,44 +10,45 @@
 use super::fleet;
 use super::plan;
 
-/// How late an end may be seen by a caller on a busy machine and still count as in time.
-const SLACK: time::Duration = time::Duration::from_millis(500);
+/// Tolerance for the delay between the end of a call and its detection by a caller, on a busy
+/// machine.
+const DETECTION_TOLERANCE: time::Duration = time::Duration::from_millis(500);
 
-/// Counts of a run. What must be zero is checked by [`Verdict::holds`].
+/// Counts of a run. [`Verdict::holds`] checks those that must be zero.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Verdict {
     /// Calls made.
     pub calls: u64,
-    /// Told `done`.
+    /// Calls with the outcome `done`.
     pub done: u64,
-    /// Told `not-run`.
+    /// Calls with the outcome `not-run`.
     pub not_run: u64,
-    /// Told `unknown`.
+    /// Calls with the outcome `unknown`.
     pub unknown: u64,
-    /// Ended after their deadline.
+    /// Calls that ended after their deadline.
     pub past_deadline: u64,
-    /// Told `done`, with less than the whole answer.
+    /// Calls with the outcome `done` and an incomplete answer.
     pub cut: u64,
-    /// Received something of another answer.
+    /// Calls that received text of another call's answer.
     pub crossed: u64,
     /// Bookings that ran more than once.
     pub doubled: u64,
-    /// Told `not-run`, though an upstream ran it.
+    /// Calls with the outcome `not-run` that an upstream ran.
     pub false_not_run: u64,
-    /// Told `done`, though no upstream ran it.
+    /// Calls with the outcome `done` that no upstream ran.
     pub false_done: u64,
-    /// Told nothing.
+    /// Calls that got no outcome.
     pub no_clear_end: u64,
-    /// Engine memory not returned, in bytes.
+    /// KV memory that the engines did not free, in bytes.
     pub bytes_left: u64,
-    /// Why calls did not end with `done`: outcome and code, with their count.
+    /// Calls that did not end with `done`, by outcome and code.
     pub failures: collections::BTreeMap<String, u64>,
 }
 
 impl Verdict {
-    /// Whether everything that must hold held.
+    /// Returns whether all counts that must be zero are zero, and at least one call succeeded.
     pub fn holds(&self) -> bool {
-        let broken = [
+        let violations = [
             self.past_deadline,
             self.cut,
             self.crossed,
@@ -57,38 +58,39 @@
             self.no_clear_end,
             self.bytes_left,
         ];
-        self.done > 0 && broken.iter().all(|&count| count == 0)
+        self.done > 0 && violations.iter().all(|&count| count == 0)
     }
 }
 
-/// How often upstreams ran the call.
-pub(crate) fn ran(call: &plan::Call, record: &fleet::Record) -> u64 {
-    match call.ask {
-        plan::Ask::Model { .. } => {
+/// Returns how often upstreams ran the call; for a model call, 1 if any engine accepted it.
+pub(crate) fn count_runs(call: &plan::Call, record: &fleet::Record) -> u64 {
+    match call.request {
+        plan::Request::Model { .. } => {
             let hash = prompt::Prompt::new(&call.prompt()).hash;
             u64::from(record.prompts.contains(&hash))
         }
-        plan::Ask::Booking { .. } => {
+        plan::Request::Booking { .. } => {
             record.bookings.get(&fleet::request_hash(&call.booking())).copied().unwrap_or(0)
         }
     }
 }
 
-/// Judges a run.
-pub(crate) fn judge(results: &[caller::Told], record: &fleet::Record) -> Verdict {
+/// Evaluates all results of a run against the stand-ins' records.
+pub(crate) fn evaluate(results: &[caller::CallResult], record: &fleet::Record) -> Verdict {
     let mut verdict = Verdict { bytes_left: record.bytes_left, ..Verdict::default() };
-    for told in results {
-        add(&mut verdict, told, ran(&told.call, record));
+    for result in results {
+        add(&mut verdict, result, count_runs(&result.call, record));
     }
     verdict
 }
 
-fn add(verdict: &mut Verdict, told: &caller::Told, ran: u64) {
+/// Adds one call, which upstreams ran `ran` times, to the counts.
+fn add(verdict: &mut Verdict, result: &caller::CallResult, ran: u64) {
     verdict.calls += 1;
-    match told.outcome.as_deref() {
+    match result.outcome.as_deref() {
         Some("done") => {
             verdict.done += 1;
-            verdict.cut += u64::from(told.content == caller::Content::Part);
+            verdict.cut += u64::from(result.content == caller::Content::Part);
             verdict.false_done += u64::from(ran == 0);
         }
         Some("not-run") => {
@@ -98,30 +100,33 @@
         Some("unknown") => verdict.unknown += 1,
         _ => verdict.no_clear_end += 1,
     }
-    verdict.crossed += u64::from(told.content == caller::Content::Foreign);
-    verdict.past_deadline += u64::from(is_late(told));
-    verdict.doubled += u64::from(told.call.class().is_none() && ran > 1);
-    if told.outcome.as_deref() != Some("done") {
-        let outcome = told.outcome.as_deref().unwrap_or("nothing");
-        *verdict.failures.entry(format!("{outcome}: {}", told.code)).or_insert(0) += 1;
+    verdict.crossed += u64::from(result.content == caller::Content::Foreign);
+    verdict.past_deadline += u64::from(is_late(result));
+    verdict.doubled += u64::from(result.call.class().is_none() && ran > 1);
+    if result.outcome.as_deref() != Some("done") {
+        let outcome = result.outcome.as_deref().unwrap_or("nothing");
+        *verdict.failures.entry(format!("{outcome}: {}", result.code)).or_insert(0) += 1;
     }
 }
 
-/// Whether the caller had its end after the deadline.
-pub(crate) fn is_late(told: &caller::Told) -> bool {
-    told.took > told.call.deadline + SLACK
+/// Returns whether the call ended after its deadline, beyond the tolerance.
+pub(crate) fn is_late(result: &caller::CallResult) -> bool {
+    result.elapsed > result.call.deadline + DETECTION_TOLERANCE
 }
 
-/// The first check that this call breaks, for a report of single cases.
-pub(crate) fn fault(told: &caller::Told, record: &fleet::Record) -> Option<&'static str> {
-    let mut alone = Verdict::default();
-    add(&mut alone, told, ran(&told.call, record));
+/// Returns the name of the first check that the call violates, for the report of single cases.
+pub(crate) fn violated_check(
+    result: &caller::CallResult,
+    record: &fleet::Record,
+) -> Option<&'static str> {
+    let mut verdict = Verdict::default();
+    add(&mut verdict, result, count_runs(&result.call, record));
     let checks = [
-        (alone.doubled, "doubled"),
-        (alone.crossed, "crossed"),
-        (alone.cut, "cut"),
-        (alone.false_not_run, "false not-run"),
-        (alone.false_done, "false done"),
+        (verdict.doubled, "doubled"),
+        (verdict.crossed, "crossed"),
+        (verdict.cut, "cut"),
+        (verdict.false_not_run, "false not-run"),
+        (verdict.false_done, "false done"),
     ];
     checks.into_iter().find(|(count, _)| *count > 0).map(|(_, name)| name)
 }
--- a/crates/lagoon-load/tests/examples.rs
+++ b/crates/lagoon-load/tests/examples.rs
@@ -1,5 +1,5 @@
-//! The example settings parse by the parsers of their programs, fit together, and have the sizes
-//! that they stand for.
+//! Checks of the example settings: each file passes the parser of its program, the files are
+//! consistent with each other, and the fleets have the documented sizes.
 
 use std::collections;
 use std::fs;
@@ -13,6 +13,7 @@
 use lagoonline::{check, id};
 use rstest::rstest;
 
+/// The settings of one example fleet.
 struct Example {
     folder: path::PathBuf,
     stand_ins: fleet::Settings,
@@ -42,7 +43,7 @@
         document::Section::parse(id::Team::from(team), id::Version(1), &text).unwrap()
     }
 
-    /// Every address that something listens at.
+    /// Returns every listening address of the fleet.
     fn addresses(&self) -> Vec<net::SocketAddr> {
         let stand_ins = &self.stand_ins;
         let mut addresses = vec![stand_ins.platform.as_ref().unwrap().address];
@@ -58,7 +59,7 @@
 #[rstest]
 #[case("lakeshore", 9, 25)]
 #[case("vatuwaqa", 8, 20)]
-fn an_example_fleet_fits_together(
+fn example_fleet_settings_are_consistent(
     #[case] name: &str,
     #[case] hosts: usize,
     #[case] engines: usize,
@@ -85,10 +86,7 @@
 #[rstest]
 #[case("lakeshore", &["assessment", "register", "planning"])]
 #[case("vatuwaqa", &["labels", "pickup", "audits"])]
-fn example_sections_pass_the_whole_check_one_after_the_other(
-    #[case] name: &str,
-    #[case] teams: &[&str],
-) {
+fn example_sections_pass_the_document_check_in_order(#[case] name: &str, #[case] teams: &[&str]) {
     let example = Example::read(name);
     let mut stored: Vec<document::Section> = Vec::new();
     for team in teams {
@@ -111,7 +109,7 @@
 #[rstest]
 #[case("lakeshore")]
 #[case("vatuwaqa")]
-fn an_example_operator_reaches_the_fleet(#[case] name: &str) {
+fn example_operator_settings_name_stewards_of_the_fleet(#[case] name: &str) {
     let example = Example::read(name);
     let text = fs::read_to_string(example.folder.join("lagoonctl.json")).unwrap();
     let settings = check::parse(&text, operator::Settings::read).unwrap();
@@ -123,7 +121,7 @@
 }
 
 #[test]
-fn the_soaks_settings_name_customers_of_their_fleet() {
+fn soak_settings_name_customers_models_and_services_of_the_fleet() {
     let root = path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let text = fs::read_to_string(root.join("examples/soak.json")).unwrap();
     let settings = check::parse(&text, soak::Settings::read).unwrap();
--- a/crates/lagoon-load/tests/http.rs
+++ b/crates/lagoon-load/tests/http.rs
@@ -1,15 +1,15 @@
-//! Entry hosts before stand-in engines, called by HTTP: every call gets an end, memory comes back.
+//! Calls over HTTP to entry hosts with stand-in engines: every call ends and all memory is freed.
 
 use lagoon_load::http;
 use lagoonline::load;
 use rstest::rstest;
 
-// Few calls of one second, under the full policy and under a baseline. Each ends once, whole or
-// refused, and the engines hold nothing afterwards.
+// Guards against calls that never end or are counted twice, and against KV memory leaks, under the
+// full policy and under a baseline. Each call of one second must end once, answered or refused.
 #[rstest]
 #[case::full(load::Policy::Full)]
 #[case::baseline(load::Policy::LeastOutstanding)]
-fn every_call_ends(#[case] policy: load::Policy) {
+fn every_call_ends_once_and_frees_its_memory(#[case] policy: load::Policy) {
     let all = http::scenarios();
     let mixed = *all.iter().find(|scenario| scenario.name == "saturation-0.8").unwrap();
     let scenario = lagoon_load::bench::scenario::Scenario { engines: 2, hosts: 2, ..mixed };
--- a/crates/lagoon-load/tests/patterns.rs
+++ b/crates/lagoon-load/tests/patterns.rs
@@ -1,29 +1,31 @@
-//! The load patterns that the decisions answer, played in virtual time: what callers get.
+//! Load patterns that the scheduler must handle, simulated in virtual time and judged by what
+//! callers get.
 
 use lagoon_load::bench::{arrival, report, scenario, simulation};
 use lagoonline::load;
 use rstest::rstest;
 
+/// Duration of the arrivals, in seconds.
 const SECONDS: f64 = 90.0;
 
-fn play(name: &str, settings: &load::Settings) -> report::Tally {
+fn simulate(name: &str, settings: &load::Settings) -> report::Tally {
     let all = scenario::all();
     let scenario = all.iter().find(|scenario| scenario.name == name).unwrap();
     let arrivals = arrival::draw(scenario, 7, SECONDS);
     let offered = arrivals.len() as u64;
     let tally = simulation::Simulation::new(scenario, &arrivals, settings, SECONDS).run();
-    assert_eq!(tally.offered.iter().sum::<u64>(), offered, "a request without an end");
-    assert_eq!((tally.kv_held, tally.tickets_held), (0, 0), "memory or tickets lost");
+    assert_eq!(tally.offered.iter().sum::<u64>(), offered, "a request did not end");
+    assert_eq!((tally.kv_held, tally.tickets_held), (0, 0), "KV memory or tickets leaked");
     tally
 }
 
 fn full(name: &str) -> report::Tally {
-    play(name, &load::Settings::default())
+    simulate(name, &load::Settings::default())
 }
 
 fn baseline(name: &str) -> report::Tally {
     let policy = load::Policy::LeastOutstanding;
-    play(name, &load::Settings { policy, ..load::Settings::default() })
+    simulate(name, &load::Settings { policy, ..load::Settings::default() })
 }
 
 fn short_p95(tally: &report::Tally) -> u64 {
@@ -34,10 +36,11 @@
     tally.good.iter().sum()
 }
 
-// Prompts of up to a million tokens come beside many short ones. Short callers get their first
-// token nearly as if alone; with first-come queues they wait behind whole long prompts.
+// Guards against head-of-line blocking: with first-come queues, short prompts wait behind the whole
+// prefill of prompts of up to a million tokens. Their time to first token must stay close to that
+// without long prompts.
 #[test]
-fn long_among_short() {
+fn long_prompts_do_not_delay_short_ones() {
     let (alone, mixed, first_come) =
         (full("alone"), full("long-among-short"), baseline("long-among-short"));
     assert!(short_p95(&mixed) * 10 <= short_p95(&alone) * 14);
@@ -45,20 +48,21 @@
     assert_eq!(mixed.late, 0, "an admitted request missed its deadline");
 }
 
-// Every thirty seconds five times the load comes for three seconds. What cannot be answered in
-// time is refused at once; nobody who was let in is answered too late.
+// Every 30 s, the load rises fivefold for 3 s. Guards against admitting requests that cannot meet
+// their deadline: they must be refused at once, and no admitted request may be late.
 #[test]
-fn burst() {
+fn burst_is_refused_early_and_never_late() {
     let tally = full("burst");
     assert_eq!(tally.late, 0);
     assert!(tally.refusal_time.value_at_quantile(0.95) <= 50_000);
     assert!(good(&tally) * 100 >= tally.offered.iter().sum::<u64>() * 90);
 }
 
-// One customer sends ten times its share. The others' first tokens come as before, because it is
-// held to its limit over all hosts; without limits it waits behind them.
+// One customer sends ten times its share. Guards against a customer that slows down the others: its
+// limit holds over all hosts, so that their times to first token hardly change. Without limits,
+// fair queueing must make its requests wait behind those of the others.
 #[test]
-fn few_customers() {
+fn heavy_customer_does_not_delay_others() {
     let (even, few) = (full("even-customers-limited"), full("few-customers-limited"));
     let p95 = |tally: &report::Tally| tally.others_first_token.value_at_quantile(0.95);
     assert!(p95(&few) * 100 <= p95(&even) * 115);
@@ -66,28 +70,29 @@
     assert!(p95(&unlimited) * 2 <= short_p95(&unlimited));
 }
 
-// Most short prompts begin with one of eight prefixes. They go where it is cached, but not all
-// to one engine.
+// Most short prompts start with one of eight prefixes. Guards against placement that ignores the
+// prefix caches, and against overloading the engines that hold a popular prefix.
 #[test]
-fn few_prefixes() {
+fn shared_prefixes_use_the_caches() {
     let tally = full("few-prefixes");
     assert!(tally.cached * 4 >= tally.prefilled, "prefixes were prefilled again");
     assert_eq!(tally.late, 0);
 }
 
-// One engine takes five times as long and does not say so. Two seconds later it gets next to
-// nothing, and callers notice little.
+// One engine slows down fivefold while its load reports look normal. Guards against missing this:
+// after two seconds it must get at most 1 % of the requests, with little effect on callers.
 #[test]
-fn slow_upstream() {
+fn slow_upstream_is_avoided() {
     let (slow, none) = (full("slow-upstream"), full("no-slow-upstream"));
     assert!(slow.on_faulty * 100 <= slow.after_fault, "{} of {}", slow.on_faulty, slow.after_fault);
     assert!(short_p95(&slow) * 100 <= short_p95(&none) * 125);
 }
 
-// Twice the load that the engines can carry. As many are answered in time as at capacity, the
-// rest are told at once, and no attempts are wasted.
+// The load is twice the capacity. Guards against a collapse of throughput under overload: nearly as
+// many requests must be answered in time as at capacity, and the rest refused at once, without
+// retries that waste capacity.
 #[test]
-fn saturation() {
+fn overload_keeps_throughput() {
     let (at, twice) = (full("saturation-1.0"), full("saturation-2.0"));
     assert!(good(&twice) * 10 >= good(&at) * 9);
     assert!(twice.refusal_time.value_at_quantile(0.95) <= 50_000);
@@ -95,21 +100,22 @@
     assert!(twice.late * 500 <= good(&twice), "{} late", twice.late);
 }
 
-// An engine dies with all its work, or a zone is cut off. Its requests are tried elsewhere within
-// the retry budget; the rest notice nothing.
+// An engine crashes with all its requests, or a zone is partitioned. Guards against lost requests
+// and retry storms: affected requests must be retried elsewhere within the retry budget, and the
+// others must not be affected.
 #[rstest]
 #[case::engine("engine-death")]
 #[case::zone("zone-cut")]
-fn faults(#[case] name: &str) {
+fn faults_are_retried_within_the_budget(#[case] name: &str) {
     let tally = full(name);
     let offered = tally.offered.iter().sum::<u64>();
     assert!(good(&tally) * 100 >= offered * 99, "{} of {offered}", good(&tally));
     assert!(tally.attempts * 10 <= offered * 11);
 }
 
-// The same seed gives the same run.
+// Guards against sources of randomness other than the seed.
 #[test]
-fn runs_repeat() {
+fn same_seed_gives_the_same_run() {
     let (one, two) = (full("burst"), full("burst"));
     assert_eq!(one.figures(), two.figures());
 }
