--- a/crates/lagoon-load/src/bench/engine.rs
+++ b/crates/lagoon-load/src/bench/engine.rs
@@ -75,9 +75,13 @@
     pub kv_used: u64,
     /// Current batch size.
     pub running: u32,
+    /// Queue of jobs outside the batch.
     waiting: collections::BinaryHeap<Job>,
+    /// Jobs of the batch with unfinished prefill.
     prefill: collections::BinaryHeap<Job>,
+    /// Job of the current prefill step, and the number of tokens of the step.
     step: Option<(Job, u64)>,
+    /// Hashes of the cached prefixes, oldest first.
     cache_order: collections::VecDeque<u64>,
     cached_hashes: collections::HashSet<u64>,
     report_sequence: u64,
--- a/crates/lagoon-load/src/bench/simulation/mod.rs
+++ b/crates/lagoon-load/src/bench/simulation/mod.rs
@@ -75,16 +75,24 @@
     arrivals: &'a [arrival::Arrival],
     now: clock::Moment,
     events: collections::BTreeMap<(clock::Moment, u64), Event>,
+    /// Last sequence number; orders events at the same moment and jobs by arrival.
     sequence: u64,
     engines: Vec<engine::Engine>,
     engine_indices: collections::HashMap<id::Upstream, usize>,
+    /// Scheduler of each entry host.
     hosts: Vec<load::Scheduler>,
+    /// Rate limits of each entry host.
     limits: Vec<load::limit::Limits>,
+    /// Next scheduled [`Event::Wake`] of each host.
     next_wakes: Vec<clock::Moment>,
+    /// Request of each queued waiter, by host and waiter.
     waiters: collections::HashMap<(usize, load::Waiter), usize>,
     requests: Vec<Request>,
+    /// Whether the last zone is currently partitioned.
     partitioned: bool,
+    /// Requests that have not ended.
     open_requests: usize,
+    /// Duration of the arrivals, in seconds.
     seconds: f64,
     tally: report::Tally,
 }
@@ -232,6 +240,7 @@
         }
     }
 
+    /// Polls a host's scheduler, applies the decisions, and schedules the next poll.
     fn poll_host(&mut self, host: usize) {
         for wake in self.hosts[host].poll(self.now) {
             match wake {
@@ -271,6 +280,8 @@
         self.start_step(engine);
     }
 
+    /// Handles the end of a prefill: caches the prefixes, reports the first token, and schedules the
+    /// end of the answer. A job that its host has given up ends at once.
     fn complete_prefill(&mut self, engine: usize, incarnation: u64, job: engine::Job) {
         let arrival = &self.arrivals[job.request];
         self.engines[engine].cache(&arrival.prefixes);
@@ -293,6 +304,7 @@
         self.poll_host(host);
     }
 
+    /// Handles the end of an answer; ignored if the engine has restarted meanwhile.
     fn complete_answer(&mut self, engine: usize, incarnation: u64, job: &engine::Job) {
         if !self.is_incarnation(engine, incarnation) {
             return;
@@ -334,6 +346,7 @@
         }
     }
 
+    /// Retries a failed attempt, or refuses the request after the last attempt or its deadline.
     fn handle_failure(&mut self, index: usize, attempt: u32, ending: load::Ending) {
         let request = &mut self.requests[index];
         if request.ended || request.attempts != attempt {
--- a/crates/lagoon-load/src/soak/fault.rs
+++ b/crates/lagoon-load/src/soak/fault.rs
@@ -60,16 +60,20 @@
         }
     }
 
+    /// Returns whether the value turns the fault off.
     fn is_off(self) -> bool {
         matches!(self, Switch::Off | Switch::Number(0) | Switch::Share(0.0))
     }
 }
 
-/// A change of a fault switch: index of the stand-in, name of the switch, new value.
+/// A change of fault switches.
 #[derive(Clone, Copy, Debug)]
 enum Event {
+    /// Index of the engine, name of the switch, new value.
     Engine(usize, &'static str, Switch),
+    /// As for an engine, of a service.
     Service(usize, &'static str, Switch),
+    /// As for an engine, of the only platform stand-in.
     Platform(&'static str, Switch),
     /// Partitions the last zone from the upstreams of the other zones and from the platform.
     Cut,
@@ -123,15 +127,18 @@
 pub(super) fn run(
     fleet: &settings::Fleet,
     balancer: &caller::Balancer,
-    began: time::Instant,
+    start_time: time::Instant,
     seconds: f64,
 ) {
     for (fraction, event) in EVENTS {
-        check_readiness_until(balancer, began + time::Duration::from_secs_f64(seconds * fraction));
-        log::info!("{:.1} s: {event:?}", began.elapsed().as_secs_f64());
+        check_readiness_until(
+            balancer,
+            start_time + time::Duration::from_secs_f64(seconds * fraction),
+        );
+        log::info!("{:.1} s: {event:?}", start_time.elapsed().as_secs_f64());
         apply(fleet, event);
     }
-    check_readiness_until(balancer, began + time::Duration::from_secs_f64(seconds));
+    check_readiness_until(balancer, start_time + time::Duration::from_secs_f64(seconds));
 }
 
 /// Interval between two readiness checks of the entry hosts.
@@ -147,6 +154,7 @@
 /// Name of the platform stand-in at the control address.
 const PLATFORM: &str = "platform";
 
+/// Sets the switches of an event on the stand-ins.
 fn apply(fleet: &settings::Fleet, event: Event) {
     match event {
         Event::Engine(index, name, switch) => {
--- a/crates/lagoon-load/src/soak/remote.rs
+++ b/crates/lagoon-load/src/soak/remote.rs
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 ///
-/// There is no response, or its status is not a success.
+/// There is no response, or its status is not a success such as 200.
 pub(super) fn post_json(address: net::SocketAddr, path: &str, body: &Value) -> io::Result<()> {
     let (uri, body) = (format!("http://{address}{path}"), body.clone());
     run_blocking(async move {
--- a/crates/lagoon-load/src/trial/caller.rs
+++ b/crates/lagoon-load/src/trial/caller.rs
@@ -90,6 +90,7 @@
 /// Result of one call as its caller saw it.
 #[derive(Clone, Debug)]
 pub(crate) struct CallResult {
+    /// The call.
     pub(crate) call: plan::Call,
     /// Entry host of the last attempt.
     pub(crate) host: net::SocketAddr,
@@ -99,13 +100,16 @@
     pub(crate) first_attempt: Option<Box<CallResult>>,
     /// The outcome, if the caller received one.
     pub(crate) outcome: Option<String>,
-    /// The code of the error, `none` for a success, or a description of a transport failure.
+    /// The code of the error, `none` for a success, `no_end` if the caller gave up, or a description
+    /// of a transport failure.
     pub(crate) code: String,
+    /// Comparison of the received answer with the expected one.
     pub(crate) content: Content,
     /// Time to first token of a streamed answer.
     pub(crate) first_token: Option<time::Duration>,
     /// Times between the tokens of a streamed answer.
     pub(crate) token_intervals: Vec<time::Duration>,
+    /// Duration of the last attempt.
     pub(crate) elapsed: time::Duration,
 }
 
@@ -318,10 +322,13 @@
 /// Parser of a streamed answer, server-sent events.
 #[derive(Debug, Default)]
 struct Stream {
+    /// Received bytes of an incomplete event.
     pending: Vec<u8>,
     text: String,
     tokens: u32,
+    /// Whether the final `[DONE]` event was received.
     done: bool,
+    /// Data of the last error event.
     error: Option<Value>,
 }
 
@@ -354,6 +361,12 @@
     }
 }
 
+/// Reads a streamed answer to its end and fills in `result`. Tokens received in one chunk share the
+/// time since the previous token equally.
+///
+/// # Errors
+///
+/// A description of the failure if the stream breaks or has no final event.
 async fn read_stream(
     mut response: client::ClientResponse,
     result: &mut CallResult,
--- a/crates/lagoon-load/src/trial/fault.rs
+++ b/crates/lagoon-load/src/trial/fault.rs
@@ -29,11 +29,17 @@
 /// A step of the schedule.
 #[derive(Clone, Copy, Debug)]
 enum Event {
+    /// The engine fails.
     Kill,
+    /// The engine recovers.
     Revive,
+    /// The entry host drains.
     Drain,
+    /// The partition begins.
     Cut,
+    /// The partition ends.
     Heal,
+    /// The arrivals end.
     End,
 }
 
--- a/crates/lagoon-load/src/trial/plan.rs
+++ b/crates/lagoon-load/src/trial/plan.rs
@@ -39,7 +39,7 @@
     Model {
         /// Prompt tokens.
         tokens: u64,
-        /// Number of answer tokens of a model call.
+        /// Answer tokens.
         answer: u64,
         /// Whether the answer is streamed.
         stream: bool,
