--- a/crates/lagoon-load/src/bench/report.rs
+++ b/crates/lagoon-load/src/bench/report.rs
@@ -60,6 +60,7 @@
     pub kv_held: u64,
     /// Scheduler tickets still open at the end of the run; nonzero means a leak.
     pub tickets_held: usize,
+    /// Duration of the arrivals, in seconds.
     seconds: f64,
 }
 
--- a/crates/lagoon-load/src/bench/simulation/mod.rs
+++ b/crates/lagoon-load/src/bench/simulation/mod.rs
@@ -280,8 +280,8 @@
         self.start_step(engine);
     }
 
-    /// Handles the end of a prefill: caches the prefixes, reports the first token, and schedules the
-    /// end of the answer. A job that its host has given up ends at once.
+    /// Handles the end of a prefill: caches the prefixes, reports the first token, and schedules
+    /// the end of the answer. A job that its host has given up ends at once.
     fn complete_prefill(&mut self, engine: usize, incarnation: u64, job: engine::Job) {
         let arrival = &self.arrivals[job.request];
         self.engines[engine].cache(&arrival.prefixes);
@@ -304,7 +304,7 @@
         self.poll_host(host);
     }
 
-    /// Handles the end of an answer; ignored if the engine has restarted meanwhile.
+    /// Handles the end of an answer; ignored if the engine has crashed meanwhile.
     fn complete_answer(&mut self, engine: usize, incarnation: u64, job: &engine::Job) {
         if !self.is_incarnation(engine, incarnation) {
             return;
--- a/crates/lagoon-load/src/trial/caller.rs
+++ b/crates/lagoon-load/src/trial/caller.rs
@@ -100,8 +100,8 @@
     pub(crate) first_attempt: Option<Box<CallResult>>,
     /// The outcome, if the caller received one.
     pub(crate) outcome: Option<String>,
-    /// The code of the error, `none` for a success, `no_end` if the caller gave up, or a description
-    /// of a transport failure.
+    /// The code of the error, `none` for a success, `no_end` if the caller gave up, or a
+    /// description of a transport failure.
     pub(crate) code: String,
     /// Comparison of the received answer with the expected one.
     pub(crate) content: Content,
