--- a/crates/lagoon-burn/src/collect.rs
+++ b/crates/lagoon-burn/src/collect.rs
@@ -10,12 +10,12 @@
 /// Why a scrape failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The host could not be reached, or its response was not successful.
+    /// The host could not be reached, or its response was not successful, incomplete or too large.
     #[error("scraping {host}: {reason}")]
     Scrape {
         /// The entry host.
         host: String,
-        /// Transport error or HTTP status.
+        /// The error of the HTTP client, or the HTTP status.
         reason: String,
     },
     /// The metrics could not be written to a file.
--- a/crates/lagoon-burn/src/indicator.rs
+++ b/crates/lagoon-burn/src/indicator.rs
@@ -15,16 +15,17 @@
 const SHORT_SLOWDOWN: &str = "lagoon_short_slowdown_ratios";
 /// Requests by outcome and reason.
 const REQUESTS: &str = "lagoon_requests";
-/// Requests of the customers with the most requests, by outcome and reason.
+/// Requests by customer, outcome and reason. Entry hosts give only a fixed number of customers a
+/// label value of their own and count the others as `other`.
 const CUSTOMER_REQUESTS: &str = "lagoon_customer_requests";
 
-/// Objectives have bounds in milliseconds, histograms in seconds.
+/// Bounds of latency objectives are in milliseconds, histograms in seconds.
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
 /// Number of events of one indicator.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Count {
-    /// Events within the bound of the objective.
+    /// Good events: within the bound of the objective, or with the required outcome.
     pub good: f64,
     /// All events.
     pub total: f64,
@@ -73,50 +74,58 @@
     fn matches(self, key: &series::Key) -> bool {
         match self {
             Filter::All => true,
-            Filter::Model(name) => key.label("model") == name || key.is_request_for_model(name),
+            Filter::Model(name) => key.label("model") == name || key.names_model(name),
             Filter::Zone(name) => key.label("zone") == name,
             Filter::Customer(name) => key.label("customer") == name,
         }
     }
 }
 
-/// Counts the events of `objective` in the counters of `growth` that `filter` selects.
+/// Counts the events of the objective `definition` in the counters of `growth` that `filter`
+/// selects.
 pub fn count(
-    objective: &document::Objective,
+    definition: &document::Objective,
     growth: &collections::BTreeMap<series::Key, f64>,
     filter: Filter<'_>,
 ) -> Count {
-    let seconds = objective.bound / MILLIS_PER_SECOND;
-    match objective.indicator {
+    let bound_seconds = definition.bound / MILLIS_PER_SECOND;
+    match definition.indicator {
         document::Indicator::FirstToken(class) => {
             let of_class = |key: &series::Key| key.label("class") == class.as_str();
-            count_within(growth, FIRST_TOKEN, seconds, |key| filter.matches(key) && of_class(key))
+            count_within(growth, FIRST_TOKEN, bound_seconds, |key| {
+                filter.matches(key) && of_class(key)
+            })
         }
         document::Indicator::BetweenTokens => {
-            count_within(growth, BETWEEN_TOKENS, seconds, |key| filter.matches(key))
+            count_within(growth, BETWEEN_TOKENS, bound_seconds, |key| filter.matches(key))
         }
         document::Indicator::ShortSlowdown => {
-            count_within(growth, SHORT_SLOWDOWN, objective.bound, |key| filter.matches(key))
+            count_within(growth, SHORT_SLOWDOWN, definition.bound, |key| filter.matches(key))
         }
         document::Indicator::WithinDeadline => count_requests(growth, filter, is_done),
         document::Indicator::KnownOutcome => count_requests(growth, filter, is_known),
     }
 }
 
+/// Whether the whole answer was delivered within its deadline. Entry hosts end a request at its
+/// deadline, so a late answer does not end as `done`.
 fn is_done(outcome: &str) -> bool {
     outcome == outcome::Outcome::Done.as_str()
 }
 
+/// Whether it is known if the request ran.
 fn is_known(outcome: &str) -> bool {
     outcome != outcome::Outcome::Unknown.as_str()
 }
 
-/// Whether the caller caused the failure. Such requests do not count against the service.
+/// Whether `reason` is one that the sender of the request caused. Such requests are not counted as
+/// events, neither good nor bad.
 fn is_caller_fault_reason(reason: &str) -> bool {
     let reasons = outcome::Reason::ALL.into_iter();
     reasons.filter(|reason| reason.is_caller_fault()).any(|known| known.as_str() == reason)
 }
 
+/// Counts requests by their outcome.
 fn count_requests<IsGood>(
     growth: &collections::BTreeMap<series::Key, f64>,
     filter: Filter<'_>,
@@ -146,7 +155,7 @@
 }
 
 /// Counts the events of a histogram at or below `bound`. Events are assumed to be spread evenly
-/// within a bucket.
+/// within a bucket; those in the last, unbounded bucket count as above the bound.
 fn count_within<Matches>(
     growth: &collections::BTreeMap<series::Key, f64>,
     metric: &str,
@@ -161,8 +170,8 @@
     let (mut lower, mut events_at_lower) = (0.0, 0.0);
     for &(upper, events) in &buckets {
         if upper >= bound {
-            let share = if upper.is_finite() { (bound - lower) / (upper - lower) } else { 0.0 };
-            let good = events_at_lower + (events - events_at_lower) * share;
+            let position = if upper.is_finite() { (bound - lower) / (upper - lower) } else { 0.0 };
+            let good = events_at_lower + (events - events_at_lower) * position;
             return Count { good, total };
         }
         (lower, events_at_lower) = (upper, events);
@@ -195,20 +204,21 @@
     sums
 }
 
-/// Returns the value below which `share` of a histogram's events lie, or `None` without events. A
-/// quantile above the highest finite bound is reported as that bound.
+/// Returns the value below which the share `fraction` of a histogram's events lie, or `None`
+/// without events. A quantile above the highest finite bound is reported as that bound.
 ///
 /// ```
 /// use lagoon_burn::indicator;
 /// let buckets = [(1.0, 50.0), (2.0, 100.0), (f64::INFINITY, 100.0)];
 /// assert_eq!(indicator::quantile(&buckets, 0.75), Some(1.5));
 /// ```
-pub fn quantile(buckets: &[(f64, f64)], share: f64) -> Option<f64> {
+pub fn quantile(buckets: &[(f64, f64)], fraction: f64) -> Option<f64> {
     let total = buckets.last().map(|&(_, events)| events).filter(|&events| events > 0.0)?;
-    let rank = total * share;
+    let rank = total * fraction;
     let (mut lower, mut events_at_lower) = (0.0, 0.0);
     for &(upper, events) in buckets {
         if events >= rank && upper.is_finite() {
+            // The lower limit avoids a division by 0 for an empty bucket.
             let position =
                 (rank - events_at_lower) / (events - events_at_lower).max(f64::MIN_POSITIVE);
             return Some(lower + (upper - lower) * position);
--- a/crates/lagoon-burn/src/main.rs
+++ b/crates/lagoon-burn/src/main.rs
@@ -14,7 +14,7 @@
 /// Report on service-level burn, from saved scrapes of the entry hosts' metrics.
 /// Exit code: 0 no alert, 1 an alert fires or the report failed, 2 bad usage.
 #[derive(argh::FromArgs)]
-struct Args {
+struct Arguments {
     #[argh(subcommand)]
     command: Command,
 }
@@ -67,8 +67,9 @@
 
 const PROGRAM: &str = "lagoon-burn";
 
-/// Exit code when an alert fires. Equals that of a failure because scripts must react to both.
-const ALERT_FIRES: u8 = program::FAILED;
+/// Exit code when an alert fires or the command fails. Both have the same code because scripts must
+/// react to both.
+const ALERT_OR_FAILURE: u8 = program::FAILED;
 
 #[derive(Debug, thiserror::Error)]
 enum Error {
@@ -88,13 +89,13 @@
     fn code(&self) -> u8 {
         match self {
             Error::BadPair(_) | Error::Section { .. } => program::BAD_USAGE,
-            Error::Store(_) | Error::Io(_) | Error::Json(_) => ALERT_FIRES,
+            Error::Store(_) | Error::Io(_) | Error::Json(_) => ALERT_OR_FAILURE,
         }
     }
 }
 
 fn main() -> process::ExitCode {
-    let args: Args = match program::arguments(PROGRAM) {
+    let args: Arguments = match program::arguments(PROGRAM) {
         Ok(args) => args,
         Err(code) => return code,
     };
@@ -123,7 +124,11 @@
         hosts.map(|pair| pair.map(to_owned_pair)).collect::<Result<_, _>>()?;
     let system = ntex::rt::System::new(PROGRAM, ntex::rt::DefaultRuntime);
     let complete = system.block_on(collect_all(args, hosts));
-    Ok(if complete { process::ExitCode::SUCCESS } else { process::ExitCode::from(ALERT_FIRES) })
+    Ok(if complete {
+        process::ExitCode::SUCCESS
+    } else {
+        process::ExitCode::from(ALERT_OR_FAILURE)
+    })
 }
 
 fn to_owned_pair((name, value): (&str, &str)) -> (String, String) {
@@ -152,15 +157,17 @@
     let (team, file) = parse_pair(text)?;
     let fail = |reason: String| Error::Section { file: file.to_owned(), reason };
     let text = fs::read_to_string(file).map_err(|error| fail(error.to_string()))?;
+    // The report does not use the version, which a file does not contain.
     let section = document::Section::parse(id::Team::from(team), id::Version::default(), &text);
     section.map_err(|faults| fail(faults.to_string()))
 }
 
-/// Prints the report and returns the exit code: [`ALERT_FIRES`] if any alert fires.
+/// Prints the report and returns the exit code: [`ALERT_OR_FAILURE`] if any alert fires.
 fn run_report(args: &Report) -> Result<process::ExitCode, Error> {
     let sections = args.section.iter().map(|text| read_section(text));
     let sections: Vec<_> = sections.collect::<Result<_, _>>()?;
     let store = store::Store::read(&args.scrapes)?;
+    // Without scrapes, the report only lists what is missing, so its end does not matter.
     let at = args.at.or(store.last_timestamp()).unwrap_or(0);
     let report = report::Report::new(&sections, &store, at);
     if args.json {
@@ -172,5 +179,5 @@
         fs::write(file, page::write(&report))?;
     }
     let alert = report.worst_alert().is_some();
-    Ok(if alert { process::ExitCode::from(ALERT_FIRES) } else { process::ExitCode::SUCCESS })
+    Ok(if alert { process::ExitCode::from(ALERT_OR_FAILURE) } else { process::ExitCode::SUCCESS })
 }
--- a/crates/lagoon-burn/src/page.rs
+++ b/crates/lagoon-burn/src/page.rs
@@ -91,6 +91,7 @@
 
 fn write_table(out: &mut String, report: &report::Report) {
     out.push_str("<h2>Objectives</h2><table><tr><th>objective<th>good<th>promised<th>budget left");
+    // The long windows of the alerts.
     for window in ["1h", "6h", "3d"] {
         let _ = write!(out, "<th>burn {window}");
     }
--- a/crates/lagoon-burn/src/plot.rs
+++ b/crates/lagoon-burn/src/plot.rs
@@ -43,7 +43,8 @@
 }
 
 /// Draws `lines` over time with a logarithmic value axis and an optional horizontal `reference`
-/// line. Returns a legend in HTML followed by an SVG, or `None` without points.
+/// line. `axis_title` is that of the value axis. Returns a legend in HTML followed by an SVG, or
+/// `None` if there is nothing to draw or drawing fails.
 ///
 /// ```
 /// use lagoon_burn::plot;
@@ -51,7 +52,7 @@
 /// assert!(plot::draw(&[line], "seconds", None).unwrap().contains("<svg"));
 /// assert!(plot::draw(&[], "seconds", None).is_none());
 /// ```
-pub fn draw(lines: &[Line], unit: &str, reference: Option<f64>) -> Option<String> {
+pub fn draw(lines: &[Line], axis_title: &str, reference: Option<f64>) -> Option<String> {
     let points = || lines.iter().flat_map(|line| line.points.iter());
     let values = || points().map(|point| point.1).filter(|value| *value > 0.0).chain(reference);
     // The factors leave a margin below the lowest and above the highest value.
@@ -59,7 +60,7 @@
     let max = values().max_by(f64::total_cmp)? * 1.25;
     let begin = points().map(|point| point.0).min_by(f64::total_cmp)?;
     let mut svg = String::new();
-    draw_chart(&mut svg, lines, unit, reference, (begin, min, max)).ok()?;
+    draw_chart(&mut svg, lines, axis_title, reference, (begin, min, max)).ok()?;
     Some(format!("<p>{}</p>{svg}", legend(lines)))
 }
 
@@ -71,7 +72,7 @@
 fn draw_chart<'a>(
     svg: &'a mut String,
     lines: &[Line],
-    unit: &str,
+    axis_title: &str,
     reference: Option<f64>,
     (begin, min, max): (f64, f64, f64),
 ) -> Result<(), DrawError<'a>> {
@@ -86,7 +87,7 @@
         .configure_mesh()
         .light_line_style(WHITE)
         .x_desc("before the end of the report")
-        .y_desc(unit)
+        .y_desc(axis_title)
         .x_label_formatter(&|offset| format_age(offset.abs()))
         .y_label_formatter(&|value| format_value(*value))
         .draw()?;
@@ -102,7 +103,8 @@
     area.present()
 }
 
-/// Formats a duration in the largest fitting unit.
+/// Formats a duration in seconds, minutes, hours or days. A unit is used for durations of at least
+/// two of it.
 fn format_age(seconds: f64) -> String {
     match seconds {
         s if s < 120.0 => format!("{s:.0} s"),
@@ -138,9 +140,9 @@
 
 /// Draws the 95th percentile of the time to first token of each length class over time.
 pub fn draw_first_tokens(report: &report::Report) -> Option<String> {
-    let line = |class: &report::ClassLatency| Line {
-        name: class.class.to_owned(),
-        points: class
+    let line = |latency: &report::ClassLatency| Line {
+        name: latency.class.to_owned(),
+        points: latency
             .points
             .iter()
             .map(|&(timestamp, _, p95)| (offset_from_end(report.at, timestamp), p95))
--- a/crates/lagoon-burn/src/report.rs
+++ b/crates/lagoon-burn/src/report.rs
@@ -32,7 +32,7 @@
     pub span: u64,
     /// Results of all objectives of all teams.
     pub objectives: Vec<Objective>,
-    /// Time to first token of each length class over time.
+    /// Time to first token over time, for each length class of prompts.
     pub first_token: Vec<ClassLatency>,
     /// Skipped files, hosts without scrapes, and gaps between scrapes, as texts for people.
     pub missing: Vec<String>,
@@ -48,6 +48,7 @@
     /// Description of the indicator and its bound, for people.
     pub indicator: String,
     /// Upper bound of a good event: milliseconds, or a factor for the slowdown of short prompts.
+    /// Not used by indicators of outcomes.
     pub bound: f64,
     /// Share of events that must be good.
     pub target: f64,
@@ -64,8 +65,8 @@
     pub alerts: Vec<Alert>,
     /// Models, zones and customers with the most bad events, worst first.
     pub offenders: Vec<Offender>,
-    /// Burn rate over time: end of a step in seconds since the Unix epoch, and burn rate within the
-    /// step.
+    /// Burn rate over time, as plotted: end of a step in seconds since the Unix epoch, and burn
+    /// rate within the step.
     pub course: Vec<(u64, Option<f64>)>,
 }
 
@@ -106,7 +107,7 @@
     pub good_share: f64,
 }
 
-/// Time to first token of one length class over time.
+/// Time to first token over time, for the prompts of one length class ([`document::Class`]).
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClassLatency {
     /// Name of the length class.
@@ -147,7 +148,7 @@
     /// End of the reported time.
     at: u64,
     /// Growth within the reported time.
-    total: Growth,
+    reported: Growth,
     /// Growth within each of [`window::WINDOWS`], in the same order.
     windows: Vec<Growth>,
     /// Steps of the plots: end in seconds since the Unix epoch, and growth within the step.
@@ -155,7 +156,7 @@
 }
 
 /// Sums the growth of all hosts between the timestamps `from` (exclusive) and `to` (inclusive).
-fn total_growth(store: &store::Store, from: u64, to: u64) -> Growth {
+fn sum_growth(store: &store::Store, from: u64, to: u64) -> Growth {
     let mut total = Growth::new();
     for scrapes in store.hosts.values() {
         for (key, grown) in series::growth(scrapes, from, to) {
@@ -166,21 +167,21 @@
 }
 
 /// Divides the time from `begin` to `at` into equal steps and returns the end of each step and the
-/// growth within it.
+/// growth within it. The rest after the last whole step is left out.
 fn plot_steps(store: &store::Store, begin: u64, at: u64) -> Vec<(u64, Growth)> {
     let step = ((at - begin) / PLOT_POINTS).max(store.interval());
     let ends = (1..=PLOT_POINTS).map(|index| begin + index * step).filter(|&end| end <= at);
-    ends.map(|end| (end, total_growth(store, end - step, end))).collect()
+    ends.map(|end| (end, sum_growth(store, end - step, end))).collect()
 }
 
 impl<'a> Builder<'a> {
     fn new(store: &'a store::Store, begin: u64, at: u64) -> Self {
-        let in_window = |&(_, span): &(&str, u64)| total_growth(store, at.saturating_sub(span), at);
+        let in_window = |&(_, span): &(&str, u64)| sum_growth(store, at.saturating_sub(span), at);
         Builder {
             store,
             begin,
             at,
-            total: total_growth(store, begin, at),
+            reported: sum_growth(store, begin, at),
             windows: window::WINDOWS.iter().map(in_window).collect(),
             steps: plot_steps(store, begin, at),
         }
@@ -193,9 +194,9 @@
         definition: &document::Objective,
     ) -> Objective {
         let scope = scope::Scope::of(section);
-        let in_scope = scope.filter(&self.total);
+        let in_scope = scope.filter(&self.reported);
         let count = indicator::count(definition, &in_scope, indicator::Filter::All);
-        let windows: Vec<Growth> = self.windows.iter().map(|window| scope.filter(window)).collect();
+        let windows: Vec<Growth> = self.windows.iter().map(|growth| scope.filter(growth)).collect();
         let named_windows = window::WINDOWS.iter().zip(&windows);
         let burns: Vec<Burn> = named_windows
             .map(|(&(name, span), growth)| self.burn(definition, name, span, growth))
@@ -208,6 +209,7 @@
             target: definition.target,
             events: count.total,
             good_share: count.share(),
+            // The last window is that of the budget.
             budget_left: self.budget_left(definition, windows.last()),
             alerts: firing_alerts(&burns),
             offenders: worst_offenders(definition, &in_scope),
@@ -231,14 +233,16 @@
 
     /// Returns the share of the time since `from` that scrapes cover, averaged over hosts.
     fn coverage(&self, from: u64) -> f64 {
-        let gap = self.store.interval() * GAP_INTERVALS;
+        let max_interval = self.store.interval() * GAP_INTERVALS;
         let hosts = self.store.hosts.values();
-        let sum: f64 = hosts.map(|scrapes| series::coverage(scrapes, from, self.at, gap)).sum();
+        let sum: f64 =
+            hosts.map(|scrapes| series::coverage(scrapes, from, self.at, max_interval)).sum();
         sum / self.store.hosts.len().max(1) as f64
     }
 
-    /// Returns the share of the error budget that is left: 1 minus the bad events so far, divided
-    /// by those allowed in four weeks at the observed rate of events.
+    /// Returns the share of the error budget that is left. The used share is the number of bad
+    /// events so far, divided by the number allowed in four weeks at the observed rate of events.
+    /// It equals the burn rate times the part of the four weeks that has been observed.
     fn budget_left(
         &self,
         definition: &document::Objective,
@@ -246,8 +250,8 @@
     ) -> Option<f64> {
         let from = self.at.saturating_sub(window::BUDGET_SECONDS).max(self.begin);
         let count = indicator::count(definition, budget_window?, indicator::Filter::All);
-        let share_of_span = (self.at - from) as f64 / window::BUDGET_SECONDS as f64;
-        count.burn(definition.target).map(|burn| 1.0 - burn * share_of_span)
+        let observed_part = (self.at - from) as f64 / window::BUDGET_SECONDS as f64;
+        count.burn(definition.target).map(|burn| 1.0 - burn * observed_part)
     }
 
     /// Returns the end of each plot step and the burn rate within it.
@@ -284,27 +288,28 @@
         if self.store.hosts.is_empty() {
             missing.push("no entry host was scraped".to_owned());
         }
-        let gap = self.store.interval() * GAP_INTERVALS;
+        let max_interval = self.store.interval() * GAP_INTERVALS;
         for (host, scrapes) in &self.store.hosts {
-            missing.extend(gaps(host, scrapes, gap, self.at));
+            missing.extend(gaps(host, scrapes, max_interval, self.at));
         }
         missing
     }
 }
 
-/// Describes the gaps of more than `gap` seconds between the scrapes of a host, and before `at`.
-fn gaps(host: &str, scrapes: &[series::Scrape], gap: u64, at: u64) -> Vec<String> {
+/// Describes the gaps between the scrapes of a host, and between the last one and `at`: times of
+/// more than `max_interval` seconds without a scrape.
+fn gaps(host: &str, scrapes: &[series::Scrape], max_interval: u64, at: u64) -> Vec<String> {
     let Some(last) = scrapes.last() else {
         return vec![format!("{host}: no scrape")];
     };
     let mut found = Vec::new();
     for pair in scrapes.windows(2) {
         let span = pair[1].timestamp - pair[0].timestamp;
-        if span > gap {
+        if span > max_interval {
             found.push(format!("{host}: nothing for {span} s up to {}", pair[1].timestamp));
         }
     }
-    if at.saturating_sub(last.timestamp) > gap {
+    if at.saturating_sub(last.timestamp) > max_interval {
         found.push(format!("{host}: nothing since {}", last.timestamp));
     }
     found
@@ -333,16 +338,16 @@
         let burn = burns.iter().find(|burn| burn.window == name);
         burn.and_then(|burn| burn.burn).unwrap_or(0.0)
     };
-    let fires = |alert: &&window::Alert| {
-        burn_in(alert.long) >= alert.rate && burn_in(alert.short) >= alert.rate
+    let fires = |rule: &&window::AlertRule| {
+        burn_in(rule.long) >= rule.rate && burn_in(rule.short) >= rule.rate
     };
-    let to_alert = |alert: &window::Alert| Alert {
-        urgency: alert.urgency,
-        long: alert.long,
-        short: alert.short,
-        rate: alert.rate,
+    let to_alert = |rule: &window::AlertRule| Alert {
+        urgency: rule.urgency,
+        long: rule.long,
+        short: rule.short,
+        rate: rule.rate,
     };
-    window::ALERTS.iter().filter(fires).map(to_alert).collect()
+    window::ALERT_RULES.iter().filter(fires).map(to_alert).collect()
 }
 
 /// Returns the models, zones and customers with the most bad events, worst first.
--- a/crates/lagoon-burn/src/scope.rs
+++ b/crates/lagoon-burn/src/scope.rs
@@ -47,12 +47,14 @@
         if !customer.is_empty() && !self.body.customers.is_empty() {
             return self.body.customers.contains_key(customer);
         }
-        let label = |name: &str| !key.label(name).is_empty();
-        let named = ["model", "name"].into_iter().find(|name| label(name));
+        let is_set = |label: &str| !key.label(label).is_empty();
+        let label = ["model", "name"].into_iter().find(|label| is_set(label));
         let owns_none = self.body.models.is_empty() && self.body.services.is_empty();
+        // Latency metrics name a model in the label `model`. Request counters name a model or a
+        // service in the label `name`.
         // Counters without a model or service name, such as those of requests for a name that does
         // not exist, belong to no team. Every scope includes them.
-        let Some(name) = named.map(|name| key.label(name)) else { return true };
+        let Some(name) = label.map(|label| key.label(label)) else { return true };
         owns_none || self.body.models.contains_key(name) || self.body.services.contains_key(name)
     }
 }
--- a/crates/lagoon-burn/src/series.rs
+++ b/crates/lagoon-burn/src/series.rs
@@ -12,8 +12,9 @@
 }
 
 impl Key {
-    /// Whether this counter counts requests for `model`.
-    pub(crate) fn is_request_for_model(&self, model: &str) -> bool {
+    /// Whether the labels `kind` and `name` select `model`. Request counters have these labels,
+    /// which also name services; other metrics name the model in the label `model`.
+    pub(crate) fn names_model(&self, model: &str) -> bool {
         self.label("kind") == "model" && self.label("name") == model
     }
 
@@ -35,10 +36,11 @@
 /// Returns the growth of each counter of one host between the timestamps `from` (exclusive) and
 /// `to` (inclusive).
 ///
-/// Failure mode: a host restarts and its counters start again at 0. Symptom: the difference of two
-/// scrapes is negative, and the report shows fewer errors than there were. A counter that decreased
-/// is assumed to have restarted from 0, which loses only the events between the last scrape before
-/// the restart and the restart.
+/// Failure mode: a host restarts and its counters start again at 0. Symptom of a plain difference:
+/// it is negative, and the report shows fewer errors than there were. A counter that decreased is
+/// therefore assumed to have restarted from 0. This loses only the events between the last scrape
+/// before the restart and the restart itself, unless the counter has reached its old value again by
+/// the next scrape: such a restart is not noticed.
 ///
 /// ```
 /// use lagoon_burn::series;
@@ -70,7 +72,7 @@
 }
 
 /// Returns the share of the time from `from` to `to` that lies between two consecutive scrapes at
-/// most `gap` seconds apart.
+/// most `max_interval` seconds apart.
 ///
 /// ```
 /// use lagoon_burn::series;
@@ -78,11 +80,11 @@
 /// let scrapes = [scrape(0), scrape(10), scrape(50)];
 /// assert_eq!(series::coverage(&scrapes, 0, 50, 20), 0.2);
 /// ```
-pub fn coverage(scrapes: &[Scrape], from: u64, to: u64, gap: u64) -> f64 {
+pub fn coverage(scrapes: &[Scrape], from: u64, to: u64, max_interval: u64) -> f64 {
     let mut covered = 0;
     for pair in scrapes.windows(2) {
         let (begin, end) = (pair[0].timestamp.max(from), pair[1].timestamp.min(to));
-        if end > begin && pair[1].timestamp - pair[0].timestamp <= gap {
+        if end > begin && pair[1].timestamp - pair[0].timestamp <= max_interval {
             covered += end - begin;
         }
     }
--- a/crates/lagoon-burn/src/store.rs
+++ b/crates/lagoon-burn/src/store.rs
@@ -19,7 +19,7 @@
         /// The cause.
         error: io::Error,
     },
-    /// A scrape is not in the Prometheus text format.
+    /// A scrape is neither in OpenMetrics nor in Prometheus text format.
     #[error("metrics of {host} at {timestamp}: {error}")]
     Parse {
         /// The entry host.
@@ -54,6 +54,7 @@
                 continue;
             }
             let name = host.file_name().unwrap_or_default().to_string_lossy().into_owned();
+            // A host without scrapes is kept, so that the report lists it as missing.
             store.hosts.entry(name.clone()).or_default();
             for file in list_dir(&host)? {
                 store.read_file(&name, &file);
@@ -116,7 +117,7 @@
     }
 
     /// Returns the median time between two consecutive scrapes of a host, in seconds. 60 if no host
-    /// has two scrapes.
+    /// has two scrapes, and at least 1, since plots use it as a step.
     pub fn interval(&self) -> u64 {
         let pairs = self.hosts.values().flat_map(|scrapes| scrapes.windows(2));
         let mut intervals: Vec<u64> =
@@ -142,6 +143,7 @@
 fn add_sample(scrape: &mut series::Scrape, sample: prometheus_parse::Sample) {
     let labels: collections::BTreeMap<String, String> =
         sample.labels.iter().map(|(name, value)| (name.clone(), value.clone())).collect();
+    // Samples without a TYPE line are untyped. They are taken as counters.
     match sample.value {
         prometheus_parse::Value::Counter(value) | prometheus_parse::Value::Untyped(value) => {
             let metric = sample.metric.strip_suffix("_total").unwrap_or(&sample.metric).to_owned();
--- a/crates/lagoon-burn/tests/cli.rs
+++ b/crates/lagoon-burn/tests/cli.rs
@@ -15,7 +15,7 @@
 
 /// Writes two scrapes of one host, between which `unknown` of 100 requests ended as unknown, and a
 /// section with one objective. Returns the folder.
-fn write_scrapes(name: &str, unknown: u64) -> path::PathBuf {
+fn write_scrapes_and_section(name: &str, unknown: u64) -> path::PathBuf {
     let folder = path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let host = folder.join("suva-1");
     fs::create_dir_all(&host).unwrap();
@@ -38,7 +38,7 @@
 #[case::quiet(0, 0)]
 #[case::alert(50, 1)]
 fn exit_code_shows_whether_an_alert_fires(#[case] unknown: u64, #[case] expected: i32) {
-    let folder = write_scrapes(&format!("unknown-{unknown}"), unknown);
+    let folder = write_scrapes_and_section(&format!("unknown-{unknown}"), unknown);
     let section = format!("labels={}", folder.join("section.json").display());
     let scrapes = folder.display().to_string();
     let (code, text) = run(&["report", "--scrapes", &scrapes, "--section", &section]);
--- a/crates/lagoon-burn/tests/report.rs
+++ b/crates/lagoon-burn/tests/report.rs
@@ -20,6 +20,8 @@
     ))
 }
 
+/// Counters of requests. Entry hosts label them with `kind` and `name`; the label `model` in their
+/// place selects the model as well.
 fn requests(done: u64, unknown: u64) -> String {
     format!(
         "# TYPE lagoon_requests counter\n\
@@ -47,11 +49,12 @@
     burns.iter().find(|burn| burn.window == window).unwrap().burn.unwrap()
 }
 
+/// Each case has one day of scrapes, and the report ends with the last one.
 #[rstest]
 #[case::quiet(0..0, 0, None)]
-#[case::slow_leak(0..1_440, 2, Some(window::Urgency::Ticket))]
+#[case::steady_low_loss(0..1_440, 2, Some(window::Urgency::Ticket))]
 #[case::failing_for_an_hour(1_380..1_440, 20, Some(window::Urgency::Page))]
-#[case::ended_an_hour_ago(1_370..1_380, 5, None)]
+#[case::minor_failures_an_hour_ago(1_370..1_380, 5, None)]
 fn alerts_fire_for_significant_ongoing_burn(
     #[case] failing: ops::Range<u64>,
     #[case] bad: u64,
@@ -91,6 +94,7 @@
     let report = report::Report::new(&[answers_section(0.9)], &store, 60 * SCRAPE_SECONDS);
     assert_eq!(report.missing, ["suva-2: nothing since 60"]);
     let hour = report.objectives[0].burns.iter().find(|burn| burn.window == "1h").unwrap();
+    // suva-1 has scrapes of all 60 minutes, suva-2 of one.
     assert!((hour.covered - 61.0 / 120.0).abs() < 1e-9, "{hour:?}");
 }
 
@@ -131,6 +135,8 @@
     assert!((report.objectives[0].good_share.unwrap() - 0.9).abs() < 1e-9);
 }
 
+/// The model and its zone have the same number of bad events. Offenders are sorted by that number,
+/// and equal ones stay in the order model, zone, customer.
 #[test]
 fn the_worst_offender_comes_first() {
     let report =
--- a/crates/lagoon-entry/src/main.rs
+++ b/crates/lagoon-entry/src/main.rs
@@ -14,7 +14,7 @@
 
 /// Data path of an entry host.
 #[derive(argh::FromArgs)]
-struct Args {
+struct Arguments {
     /// settings file (JSON)
     #[argh(option)]
     settings: path::PathBuf,
@@ -26,7 +26,7 @@
 const PROGRAM: &str = "lagoon-entry";
 
 fn main() -> process::ExitCode {
-    let args: Args = match program::arguments(PROGRAM) {
+    let args: Arguments = match program::arguments(PROGRAM) {
         Ok(args) => args,
         Err(code) => return code,
     };
@@ -46,8 +46,8 @@
     }
 }
 
-/// Runs the entry host until it has drained. A thread waits for termination signals: the first
-/// starts the drain, the second aborts it.
+/// Runs the entry host until its drain has ended. A thread waits for termination signals: the first
+/// starts the drain, the second cuts it short, as does the time limit of the drain.
 fn run(settings: entry::Settings) -> io::Result<entry::Ending> {
     logs::start(&settings.logs, PROGRAM)?;
     let (host, zone) = (settings.host.clone(), settings.zone.clone());
--- a/crates/lagoon-steward/src/main.rs
+++ b/crates/lagoon-steward/src/main.rs
@@ -43,7 +43,8 @@
     }
 }
 
-/// Runs the steward. Returns only when it fails to start or its thread ends.
+/// Runs the steward. Returns an error if it cannot start, otherwise blocks until its thread ends,
+/// which only happens when the steward fails.
 fn run(settings: steward::Settings) -> io::Result<()> {
     logs::start(&settings.logs, PROGRAM)?;
     let running = steward::start(settings)?;
--- a/crates/lagoonctl/src/print.rs
+++ b/crates/lagoonctl/src/print.rs
@@ -25,7 +25,8 @@
     }
 }
 
-/// Prints whether a section's version is in force in every zone, and what is missing if not.
+/// Prints whether a section's version is accepted, which means that every live entry host of every
+/// zone reports it in force, and what is missing if not.
 pub(crate) fn section_status(team: &str, status: &operator::SectionStatus, json: bool) {
     let operator::SectionStatus { version, accepted, missing } = status;
     if json {
@@ -41,8 +42,8 @@
     }
 }
 
-/// Prints why a call failed. A rejected call shows its code and message, and after a conflict the
-/// changes that another operator stored in the meantime.
+/// Prints why a call failed. If a steward refused it, that is the code and message, and for code
+/// `raced` also the changes that another operator stored in the meantime.
 pub(crate) fn error(error: &operator::Error, json: bool) {
     if let operator::Error::Refused { code, message, details } = error {
         if json {
@@ -67,7 +68,9 @@
 /// One hour, in milliseconds.
 const HOUR_MS: f64 = 3_600_000.0;
 
-/// Prints the work and idle time of accelerators as a table, in accelerator-hours.
+/// Prints the usage of accelerators as a table, in accelerator-hours: working time, idle time of
+/// engines with and without a team that claims them, and time in which no steward observed the
+/// engine.
 pub(crate) fn usage(value: &serde_json::Value, json: bool) {
     if json {
         return println!("{value}");
@@ -87,7 +90,8 @@
     }
 }
 
-/// Prints one line for each engine: its model, the decision on it, and the commands it was sent.
+/// Prints one line for each engine, which is an upstream: its model, the decision on it, the number
+/// of commands it was sent, and how many of them undid a late command of another lease holder.
 pub(crate) fn orders(value: &serde_json::Value, json: bool) {
     if json {
         return println!("{value}");
--- a/crates/lagoonctl/src/run.rs
+++ b/crates/lagoonctl/src/run.rs
@@ -31,7 +31,7 @@
             arguments::SectionCommand::Put(put) => section_put(&client, put, json).await,
             arguments::SectionCommand::Status(status) => {
                 let result = client.section_status(&status.team, status.version).await;
-                result.map(|found| print_status(&status.team, &found, json))
+                result.map(|found| print_section_status(&status.team, &found, json))
             }
         },
         arguments::Command::Status(_) => {
@@ -131,6 +131,7 @@
         Err(code) => return Ok(code),
     };
     let verb = Some(wire::Verb::SectionCheck);
+    // `version` is the one that the file was edited from.
     let request = operator::Request { verb, team: check.team, version: check.from, text };
     let value = client.call(&request).await?;
     print::changes(&value, json);
@@ -147,18 +148,19 @@
         Err(code) => return Ok(code),
     };
     let (verb, team) = (Some(wire::Verb::SectionPut), put.team.clone());
+    // `version` is the one that the file was edited from, 0 for a new section.
     let request = operator::Request { verb, team, version: put.from, text };
     let value = client.call(&request).await?;
     let version = value["version"].as_u64().unwrap_or_default();
     eprintln!("stored as version {version}");
     let limit = clock::Span::from_millis(put.wait_ms);
     let status = client.wait_accepted(&put.team, version, limit).await?;
-    Ok(print_status(&put.team, &status, json))
+    Ok(print_section_status(&put.team, &status, json))
 }
 
-/// Prints where a section's version is in force. Returns a failure if it is not accepted
-/// everywhere.
-fn print_status(team: &str, status: &operator::SectionStatus, json: bool) -> u8 {
+/// Prints where a section's version is in force. Returns the exit code: a failure unless every live
+/// entry host reports it in force.
+fn print_section_status(team: &str, status: &operator::SectionStatus, json: bool) -> u8 {
     print::section_status(team, status, json);
     if status.accepted { SUCCESS } else { program::FAILED }
 }
--- a/crates/lagoonctl/tests/exit_codes.rs
+++ b/crates/lagoonctl/tests/exit_codes.rs
@@ -6,7 +6,7 @@
 use std::path;
 use std::process;
 
-use lagoon_net::platform as client;
+use lagoon_net::platform as platform_client;
 use lagoon_net::steward;
 use lagoon_net::wire;
 use lagoon_standin::platform;
@@ -23,7 +23,8 @@
 impl Fleet {
     fn start(name: &str) -> Fleet {
         let platform = platform::start(platform::Settings::default()).unwrap();
-        let settings = client::Settings { address: platform.address(), ..Default::default() };
+        let settings =
+            platform_client::Settings { address: platform.address(), ..Default::default() };
         let steward = steward::start(steward::Settings {
             key: wire::Key::new(b"fleet"),
             platform: Some(settings),
@@ -41,8 +42,8 @@
         path.to_str().unwrap().to_owned()
     }
 
-    fn run(&self, key: &str, args: &[&str]) -> (Option<i32>, String) {
-        let settings = settings(self.steward.address(), key);
+    fn run(&self, operator_key: &str, args: &[&str]) -> (Option<i32>, String) {
+        let settings = settings(self.steward.address(), operator_key);
         let settings = self.file("settings.json", &settings);
         run(&[&["--settings", &settings], args].concat())
     }
@@ -54,6 +55,7 @@
     }
 }
 
+/// Settings of the program. `key` is the secret of operators, which the steward knows by its hash.
 fn settings(steward: net::SocketAddr, key: &str) -> String {
     format!(
         r#"{{"stewards": ["{steward}"], "fleet_key": "fleet", "key": "{key}", "timeout_ms": 3000,
@@ -78,7 +80,7 @@
 }
 
 #[test]
-fn errors_in_settings_name_the_file_and_the_path() {
+fn errors_in_settings_name_the_file_and_the_field() {
     let path = env::temp_dir().join(format!("lagoonctl-{}-bad.json", process::id()));
     fs::write(&path, r#"{"stewards": ["nowhere"], "fleet": "f"}"#).unwrap();
     let (code, text) = run(&["--settings", path.to_str().unwrap(), "status"]);
@@ -89,9 +91,9 @@
 
 #[test]
 fn sections_are_stored_read_and_rejected() {
-    // An invalid section is rejected with the path of the fault. A valid one is stored, but since
-    // no entry process runs, it is in force nowhere: the wait ends with exit code 1. A second put
-    // from the same version is rejected and prints what changed.
+    // An invalid section is rejected with the JSON path of the fault. A valid one is stored, but
+    // since no `lagoon-entry` runs, it is in force nowhere: the wait ends with exit code 1. A
+    // second put from the same version is rejected and prints what changed.
     let fleet = Fleet::start("sections");
     let bad = fleet.file("bad.json", r#"{"model": {}}"#);
     let (code, text) = fleet.run("operators", &["section", "put", "labels", &bad, "--from", "0"]);
@@ -110,6 +112,7 @@
     let (code, text) = fleet.run("somebody", &["section", "get", "labels"]);
     assert_eq!(code, Some(1), "{text}");
     assert!(text.contains("denied"), "{text}");
+    // Only the first of the two puts stored a version.
     assert_eq!(fleet.platform.node().rows("history/labels/").len(), 1);
 }
 
@@ -119,12 +122,13 @@
     let (code, text) = fleet.run("operators", &["--json", "status"]);
     assert_eq!(code, Some(0), "{text}");
     let value: serde_json::Value = serde_json::from_str(&text).unwrap();
+    // `zone` is the default name of a zone.
     assert_eq!(value["zones"][0]["zone"], "zone", "{text}");
     assert_eq!(value["zones"][0]["hosts"][0]["steward"], "live", "{text}");
     let (code, text) = fleet.run("somebody", &["status"]);
     assert_eq!(code, Some(1), "{text}");
     // No steward is reachable: every attempt fails, and the program must give up after its
-    // total timeout instead of retrying forever.
+    // total timeout (`patience_ms`) instead of retrying forever.
     let settings = settings("127.0.0.1:1".parse().unwrap(), "operators");
     let settings = fleet.file("silent.json", &settings);
     assert_eq!(run(&["--settings", &settings, "status"]).0, Some(1));
@@ -138,8 +142,8 @@
         "claimant": "claimants", "idle_ms": 60_000 - work_ms, "unobserved_ms": 0,
         "work": [{ "customer": "clerk", "team": "callers", "millis": work_ms }],
     });
-    let key = format!("usage/{upstream}/{interval:012}");
-    fleet.platform.node().put(&key, &row.to_string());
+    let row_key = format!("usage/{upstream}/{interval:012}");
+    fleet.platform.node().put(&row_key, &row.to_string());
 }
 
 #[test]
@@ -160,6 +164,7 @@
         assert_eq!(code, Some(0), "{text}");
         serde_json::from_str(&text).unwrap()
     };
+    // Times of an interval are multiplied by the 2 accelerators of its engine.
     let one = json(&["--by", "upstream", "--from", "2024-03-02"]);
     assert_eq!(one["rows"], 2);
     assert_eq!(one["accelerator_ms"]["e1"]["work_ms"], 20_000);
