--- a/crates/lagoon-net/examples/control_bench/main.rs
+++ b/crates/lagoon-net/examples/control_bench/main.rs
@@ -17,7 +17,7 @@
 
 use lagoon_net::link;
 use lagoon_net::operator;
-use lagoon_net::platform as client;
+use lagoon_net::platform as platform_client;
 use lagoon_net::steward;
 use lagoon_net::wire;
 use lagoon_standin::engine;
@@ -148,9 +148,9 @@
                 host: id::Host::from(host.as_str()),
                 zone: id::Zone::from(zone),
                 key: wire::Key::new(KEY),
-                platform: Some(client::Settings {
+                platform: Some(platform_client::Settings {
                     address: platform.address(),
-                    ..client::Settings::default()
+                    ..platform_client::Settings::default()
                 }),
                 peers,
                 operator_keys: vec![sha2::Sha256::digest(OPERATOR_KEY).into()],
@@ -300,6 +300,8 @@
         detected.push(began.elapsed().as_secs_f64());
         thread::sleep(time::Duration::from_secs(2));
     }
+    // `asked` is the time of the call to put, `stored` that of its reply. The resident memory is
+    // that of all parts in this process, divided by the number of hosts.
     let report = serde_json::json!({
         "hosts": total, "engines": names.len(), "busy": busy, "outage": outage, "puts": puts,
         "false_deaths": false_deaths, "reverts": versions.lock().unwrap().reverts,
--- a/crates/lagoon-net/examples/control_bench/probe.rs
+++ b/crates/lagoon-net/examples/control_bench/probe.rs
@@ -81,7 +81,8 @@
         Costs { nodes, ticks: thread_ticks("steward-") }
     }
 
-    /// Returns the costs per second and node since `before`.
+    /// Returns the costs per second and steward since `before`; `core_share` is the share of one
+    /// CPU core.
     pub fn since(&self, before: &Costs, seconds: f64) -> serde_json::Value {
         let count = self.nodes.len() as f64;
         let mean = |pick: fn(&Node) -> u64| {
--- a/crates/lagoon-net/src/link/client.rs
+++ b/crates/lagoon-net/src/link/client.rs
@@ -17,7 +17,8 @@
 use super::settings;
 use crate::wire;
 
-/// Outgoing messages that are queued. More are dropped, because later messages replace them.
+/// Outgoing messages that are queued. More are dropped: later reports and loads replace them, while
+/// marks and spending are lost.
 const MAX_QUEUED: usize = 256;
 
 /// Maximum delay between two attempts to connect to the steward.
@@ -40,7 +41,7 @@
     Marks(Vec<wire::Mark>),
     /// This entry host has to drain.
     Drain,
-    /// Usage of customers at another entry host. An empty one only shows that other hosts are
+    /// Spending of customers at another entry host. An empty one only shows that other hosts are
     /// reachable.
     Spending(wire::Spending),
 }
@@ -75,11 +76,13 @@
 #[derive(Clone, Debug)]
 pub struct Handle {
     shared: sync::Arc<Shared>,
+    /// Messages to send; `None` stands for a report of the current state.
     outgoing: mpsc::Sender<Option<wire::Body>>,
 }
 
 impl Handle {
-    /// Returns the time since the last frame of the steward; `None` if there was none.
+    /// Returns the age of this host's view of the fleet: the time since the last frame of the
+    /// steward, or `None` if there was none.
     pub fn view_age(&self) -> Option<clock::Span> {
         match self.shared.last_frame_micros.load(atomic::Ordering::Relaxed) {
             0 => None,
@@ -111,7 +114,7 @@
         let _ = self.outgoing.try_send(Some(wire::Body::Marks(marks)));
     }
 
-    /// Sends the usage of customers at this host.
+    /// Sends the spending of customers at this host.
     pub fn spending(&self, spending: wire::Spending) {
         let _ = self.outgoing.try_send(Some(wire::Body::Spending(spending)));
     }
@@ -279,8 +282,8 @@
         Some(wire::Body::Sections(wire::Sections { sections, complete: false }))
     }
 
-    /// Applies marks. A leaving mark on this incarnation of this entry host is an operator's
-    /// request to drain.
+    /// Applies marks. A leaving mark on this or a later incarnation of this entry host is an
+    /// operator's request to drain.
     fn apply_marks<S>(&self, marks: Vec<wire::Mark>, sink: &mut S)
     where
         S: Sink,
--- a/crates/lagoon-net/src/operator/client.rs
+++ b/crates/lagoon-net/src/operator/client.rs
@@ -208,9 +208,9 @@
 
 /// Maximum delay between two attempts.
 ///
-/// Failure mode: the platform is unavailable for 3 s during a put. Symptom: with delays that grow
-/// to 5 s, one put in thirty was in force only after 7.4 s. There are few operators, so one attempt
-/// per second overloads no steward.
+/// Prevents this failure: the platform is unavailable for 3 s during a put. Symptom: with delays
+/// that grow to 5 s, one put in thirty was in force only after 7.4 s. There are few operators, so
+/// one attempt per second overloads no steward.
 const MAX_RETRY_DELAY: clock::Span = clock::Span::from_secs(1);
 
 /// Time between two polls of a section status.
--- a/crates/lagoon-net/src/operator/settings.rs
+++ b/crates/lagoon-net/src/operator/settings.rs
@@ -35,7 +35,8 @@
 }
 
 impl Settings {
-    /// Reads `{"stewards": ["IP:PORT"], "fleet_key", "key", "timeout_ms", "patience_ms"}`.
+    /// Reads `{"stewards": ["IP:PORT"], "fleet_key", "key", "timeout_ms", "patience_ms"}`, where
+    /// `patience_ms` is the timeout of a call over all attempts.
     ///
     /// ```
     /// use lagoon_net::operator;
--- a/crates/lagoon-net/src/platform/client.rs
+++ b/crates/lagoon-net/src/platform/client.rs
@@ -101,7 +101,7 @@
     http: client::Client,
     limits: sync::Arc<Limits>,
     /// Address of the platform, for URLs and errors.
-    peer: String,
+    address: String,
     zone: String,
 }
 
@@ -127,8 +127,8 @@
     /// system.
     pub async fn new(limits: sync::Arc<Limits>, zone: &str) -> Self {
         let http = client::Client::new().await;
-        let peer = limits.settings.address.to_string();
-        Client { http, limits, peer, zone: zone.to_owned() }
+        let address = limits.settings.address.to_string();
+        Client { http, limits, address, zone: zone.to_owned() }
     }
 
     /// Returns the limits that its calls are subject to.
@@ -140,14 +140,14 @@
     where
         W: ToString,
     {
-        table::Error::Refused { step, peer: self.peer.clone(), why: why.to_string() }
+        table::Error::Refused { step, peer: self.address.clone(), why: why.to_string() }
     }
 
     fn unknown<W>(&self, step: &'static str, why: W) -> table::Error
     where
         W: ToString,
     {
-        table::Error::Unknown { step, peer: self.peer.clone(), why: why.to_string() }
+        table::Error::Unknown { step, peer: self.address.clone(), why: why.to_string() }
     }
 
     /// Makes a call. Returns responses with status 200 or 404. 409 is a conflict; with 429, 503 and
@@ -173,7 +173,7 @@
 
     async fn send(&self, call: Call<'_>) -> Result<Response, table::Error> {
         let step = call.step;
-        let url = format!("http://{}{}", self.peer, call.path);
+        let url = format!("http://{}{}", self.address, call.path);
         let request = self.http.request(call.method, url);
         let request = request.set_header("Lagoon-Zone", self.zone.as_str());
         let request = request.timeout(time::Millis::ZERO);
--- a/crates/lagoon-net/src/platform/settings.rs
+++ b/crates/lagoon-net/src/platform/settings.rs
@@ -34,7 +34,7 @@
 
 impl Settings {
     /// Reads `{"address": "IP:PORT", "timeout_ms", "reads_per_second", "writes_per_second",
-    /// "rest_ms"}`.
+    /// "rest_ms"}`, where `rest_ms` is the time for which the breaker blocks calls.
     ///
     /// ```
     /// use lagoon_net::platform;
--- a/crates/lagoon-net/src/steward/calls.rs
+++ b/crates/lagoon-net/src/steward/calls.rs
@@ -67,7 +67,7 @@
         wire::Verb::Drain => drain(context, call).await,
         wire::Verb::Orders => orders(context, call).await,
         wire::Verb::Usage => usage_report(context, call).await,
-        wire::Verb::Owners => Ok(json!(memory_sweep::statuses_of(context, &call.text).await)),
+        wire::Verb::Owners => Ok(json!(memory_sweep::owner_statuses(context, &call.text).await)),
         wire::Verb::Unspecified => {
             Err(Failure::new("unknown_call", "this steward does not know the call"))
         }
@@ -237,7 +237,7 @@
         key: String::new(),
         ..call.clone()
     };
-    for reply in zones::call_all(context, &forwarded).await {
+    for reply in zones::call_other_zones(context, &forwarded).await {
         let parsed = reply.text.and_then(|text| serde_json::from_str::<ZoneStatus>(&text).ok());
         zones.push(match parsed {
             Some(status) => json!(status),
@@ -257,7 +257,7 @@
     authorize_operator(context, call)?;
     let forwarded = wire::Call { text: ZONE_ONLY.to_owned(), key: String::new(), ..call.clone() };
     let mut zones = vec![zone_state(context)];
-    for reply in zones::call_all(context, &forwarded).await {
+    for reply in zones::call_other_zones(context, &forwarded).await {
         let parsed = reply.text.and_then(|text| serde_json::from_str(&text).ok());
         let silent = || json!({ "zone": reply.zone.as_str(), "silent": true });
         zones.push(parsed.unwrap_or_else(silent));
@@ -364,17 +364,17 @@
 async fn usage_report(context: &Context, call: &wire::Call) -> Outcome {
     authorize_operator(context, call)?;
     let bad = |message: String| Failure::new("bad_call", message);
-    let days: operator::UsageQuery =
+    let query: operator::UsageQuery =
         serde_json::from_str(&call.text).map_err(|error| bad(error.to_string()))?;
-    let grouping = days.by.parse::<ledger::Grouping>().map_err(|error| bad(error.to_string()))?;
-    let found = usage::report(platform(context)?, grouping, &days).await;
+    let grouping = query.by.parse::<ledger::Grouping>().map_err(|error| bad(error.to_string()))?;
+    let found = usage::report(platform(context)?, grouping, &query).await;
     let found = found.map_err(|error| store_failure(error.into()))?;
     let usage::Report { sums, rows } = found.ok_or_else(|| {
         let message = format!("more than {} rows: ask for fewer days", usage::MAX_REPORT_ROWS);
         Failure::new("too_much", message)
     })?;
     Ok(json!({
-        "by": days.by, "from_day": days.from_day, "to_day": days.to_day, "rows": rows,
+        "by": query.by, "from_day": query.from_day, "to_day": query.to_day, "rows": rows,
         "accelerator_ms": sums,
     }))
 }
--- a/crates/lagoon-net/src/steward/claim_sweep.rs
+++ b/crates/lagoon-net/src/steward/claim_sweep.rs
@@ -1,5 +1,5 @@
-//! Removes claims whose retention has ended. Each shard of claims is swept by one steward of the
-//! fleet, chosen by rendezvous hashing.
+//! Removes claims whose retention has ended; a claim is the table row of one idempotency key. Each
+//! shard of claims is swept by one steward of the fleet, chosen by rendezvous hashing.
 //!
 //! Without this every idempotency key ever used stays in the table. Two stewards that both consider
 //! themselves chosen only cost extra reads: rows are deleted at the version that was read.
@@ -16,11 +16,11 @@
     let Some(platform) = context.platform.clone() else { return };
     let settings = &context.settings.claims;
     let mut sweepers = collections::BTreeMap::new();
-    let mut done = None;
+    let mut last_shard = None;
     loop {
         let now = context.clock.wall_millis();
         let (shard, wait) = claim::scheduled_shard(now, settings.interval);
-        if done.replace(shard) == Some(shard) {
+        if last_shard.replace(shard) == Some(shard) {
             tokio::time::sleep(wait).await;
             continue;
         }
--- a/crates/lagoon-net/src/steward/core/document.rs
+++ b/crates/lagoon-net/src/steward/core/document.rs
@@ -18,7 +18,8 @@
 /// Time after which missing sections are requested from another peer.
 const PULL_TIMEOUT: clock::Span = clock::Span::from_secs(1);
 
-/// Time that a new steward waits for the platform before the versions of its peers are enough.
+/// Time that a new steward waits for the platform. After it, having the versions of all its peers
+/// is enough for a complete document.
 const PLATFORM_GRACE: clock::Span = clock::Span::from_millis(1_500);
 
 impl Core {
@@ -192,9 +193,9 @@
     /// Marks the document complete once the steward has the highest versions of the platform or,
     /// while the platform is unreachable, of every peer that it reached.
     ///
-    /// Failure mode: all hosts of a zone are replaced during a platform outage, and one serves
-    /// before it has the last change. Symptom: an accepted section reverts. A host that reaches
-    /// neither the platform nor a peer stays unready.
+    /// Prevents this failure: all hosts of a zone are replaced during a platform outage, and one
+    /// serves before it has the last change. Symptom: an accepted section reverts. A host that
+    /// reaches neither the platform nor a peer stays unready.
     pub(super) fn check_complete(&mut self) {
         if self.complete {
             return;
--- a/crates/lagoon-net/src/steward/core/mod.rs
+++ b/crates/lagoon-net/src/steward/core/mod.rs
@@ -35,7 +35,8 @@
 pub(in crate::steward) const LINK_QUEUE: usize = 1_024;
 
 /// Minimum age of a dialed link before it is closed because the mesh does not need it. Links to
-/// first peers and to dead members are outside the mesh, and need time to exchange the membership.
+/// configured peers and to dead members may be outside the mesh; they need time to exchange the
+/// membership.
 const LINK_GRACE: clock::Span = clock::Span::from_secs(10);
 
 /// Counters of a steward.
@@ -131,7 +132,7 @@
 
 /// Result of the last reads of the platform.
 #[derive(Default)]
-struct Platform {
+struct PlatformReads {
     /// Versions in the head that was read last.
     head: Option<replication::Versions>,
     /// Whether any read has failed.
@@ -150,7 +151,9 @@
     pub(in crate::steward) counters: sync::Arc<Counters>,
     /// Whether the document is complete: see [`Core::check_complete`].
     pub(in crate::steward) complete: bool,
+    /// Last known load of each upstream of the zone.
     pub(in crate::steward) loads: collections::BTreeMap<id::Upstream, Observed>,
+    /// Leaving marks, by the name of an upstream or of an entry host.
     pub(in crate::steward) marks: collections::BTreeMap<id::Upstream, wire::Mark>,
     /// Who the time of each engine is attributed to, by the sections in force.
     pub(in crate::steward) attributions: collections::BTreeMap<id::Upstream, ledger::Attribution>,
@@ -161,18 +164,19 @@
     pending_loads: collections::BTreeMap<id::Upstream, collections::BTreeSet<id::Host>>,
     /// Upstream whose load was sent last; the next heartbeat continues after it.
     last_sent_load: id::Upstream,
-    /// Upstreams in a new incarnation, whose full load is to be sent, and the link each came from.
-    new_incarnations: collections::BTreeMap<id::Upstream, Option<LinkId>>,
+    /// Upstreams whose full load is to be sent, because their incarnation is new or their name code
+    /// is not unique, and the link that each load came from.
+    pending_full_loads: collections::BTreeMap<id::Upstream, Option<LinkId>>,
     /// Upstreams by the hash codes of their names; `None` where two names collide.
     name_codes: collections::HashMap<u32, Option<id::Upstream>>,
-    spending: spending::Spending,
+    spending: spending::State,
     report_outbox: report::Outbox,
     /// Dead stewards whose rows are already removed from the table.
     pub(in crate::steward) removed_rows: collections::BTreeSet<id::Host>,
-    /// Hosts to which a connection is being opened.
+    /// Hosts to which a connection is being opened; for a configured peer the text of its address.
     pub(in crate::steward) dialing: collections::BTreeSet<id::Host>,
     links: collections::BTreeMap<LinkId, Link>,
-    platform: Platform,
+    platform: PlatformReads,
     /// Time of the last request for missing sections.
     pull_started: Option<clock::Moment>,
     next_link: u64,
@@ -198,7 +202,7 @@
     ) -> Self {
         let now = clock.now();
         Core {
-            spending: spending::Spending::new(own.incarnation),
+            spending: spending::State::new(own.incarnation),
             group: membership::Group::new(own, settings.membership, now),
             replica: replication::Replica::default(),
             delta_log: delta_log::DeltaLog::default(),
@@ -212,13 +216,13 @@
             engine_status: collections::BTreeMap::new(),
             pending_loads: collections::BTreeMap::new(),
             last_sent_load: id::Upstream::default(),
-            new_incarnations: collections::BTreeMap::new(),
+            pending_full_loads: collections::BTreeMap::new(),
             name_codes: collections::HashMap::new(),
             report_outbox: report::Outbox::default(),
             removed_rows: collections::BTreeSet::new(),
             dialing: collections::BTreeSet::new(),
             links: collections::BTreeMap::new(),
-            platform: Platform::default(),
+            platform: PlatformReads::default(),
             pull_started: None,
             next_link: 0,
             started_at: now,
@@ -230,10 +234,10 @@
         &self.group.own().zone
     }
 
-    /// Whether rendezvous hashing assigns `thing` to this steward among the live ones of its zone.
-    pub(in crate::steward) fn owns(&self, thing: &str) -> bool {
+    /// Whether rendezvous hashing assigns `name` to this steward among the live ones of its zone.
+    pub(in crate::steward) fn is_assigned(&self, name: &str) -> bool {
         let own = &self.group.own();
-        rendezvous::choose(self.group.live_in(&own.zone), thing) == Some(own.host.as_str())
+        rendezvous::choose(self.group.live_in(&own.zone), name) == Some(own.host.as_str())
     }
 
     /// Registers a new link and sends the peer the state that it needs.
@@ -263,7 +267,7 @@
         let members = wire::members(&self.group.roster().updates());
         self.send(link_id, wire::Body::Members(members));
         self.send(link_id, self.digest());
-        self.send(link_id, self.statuses());
+        self.send(link_id, self.zone_reports());
         let marks = self.marks.values().cloned().collect();
         self.send(link_id, wire::Body::Marks(wire::Marks { marks }));
         self.send_loads(link_id);
--- a/crates/lagoon-net/src/steward/core/payload.rs
+++ b/crates/lagoon-net/src/steward/core/payload.rs
@@ -1,9 +1,10 @@
-//! Payload of heartbeats: compact loads, and usage of customers near their limits.
+//! Payload of heartbeats: compact loads, and spending of customers near their limits.
 //!
 //! Load pattern: at the target size a zone has 39 hosts and 133 engines, and under load every
 //! engine's load changes between two reads. Unbounded messages, or separate frames on every link,
-//! exceed a node's whole budget of 3 KB/s. Heartbeats go to the same peers anyway, so data in them
-//! costs no extra headers. When all loads change at once, they are sent later, at the same cost.
+//! exceed a host's whole budget of 3 KB/s for control traffic. Heartbeats go to the same peers
+//! anyway, so data in them costs no extra headers. When all loads change at once, they are sent
+//! later, at the same cost.
 
 use std::collections;
 use std::ops;
@@ -17,10 +18,10 @@
 use crate::wire;
 
 /// Payload bytes of one heartbeat. With four peers, two heartbeats a second, 94 bytes of datagram
-/// and headers besides, and the same volume received, a node stays below 3 KB/s.
+/// and headers besides, and the same volume received, a host stays below 3 KB/s.
 const PAYLOAD_BYTES: usize = 80;
 
-/// Share of [`PAYLOAD_BYTES`] for customer usage, which is sent before loads.
+/// Share of [`PAYLOAD_BYTES`] for customer spending, which is sent before loads.
 pub(super) const SPENDING_BYTES: usize = 40;
 
 /// Payload of one round of heartbeats, with the hosts that know each item already.
@@ -31,7 +32,7 @@
 }
 
 impl Payload {
-    /// Builds the heartbeat for one peer, without the items that the peer known_by already.
+    /// Builds the heartbeat for one peer, without the items that the peer knows already.
     pub(in crate::steward) fn heartbeat_for(&self, to: &id::Host) -> wire::Heartbeat {
         let unknown = self.loads.iter().filter(|(_, known_by)| !known_by.contains(to));
         let lines: Vec<_> = unknown.map(|(line, _)| *line).collect();
--- a/crates/lagoon-net/src/steward/core/report.rs
+++ b/crates/lagoon-net/src/steward/core/report.rs
@@ -53,7 +53,7 @@
     }
 
     /// Builds the message with all reports of the zone, for a newly linked steward.
-    pub(super) fn statuses(&self) -> wire::Body {
+    pub(super) fn zone_reports(&self) -> wire::Body {
         let reports = self.entry_reports.iter().filter(|(_, report)| report.zone == *self.zone());
         let statuses = reports.map(|(host, report)| wire::status(host, report)).collect();
         wire::Body::Statuses(wire::Statuses { statuses })
@@ -99,8 +99,8 @@
 
     /// Reports the own entry process as down when it has not been linked for [`ENTRY_TIMEOUT`].
     ///
-    /// Failure mode: an entry process dies while its steward keeps running. Symptom: no section is
-    /// accepted any more, because that host never reports the new version.
+    /// Prevents this failure: an entry process dies while its steward keeps running. Symptom: no
+    /// section is accepted any more, because that host never reports the new version.
     pub(in crate::steward) fn check_entry(&mut self) {
         let now = self.clock.now();
         let is_entry = |link: &super::Link| link.peer.role == wire::Role::Entry;
--- a/crates/lagoon-net/src/steward/core/spending.rs
+++ b/crates/lagoon-net/src/steward/core/spending.rs
@@ -1,11 +1,12 @@
-//! Usage of customers: counted for the ledger, and sent to the other hosts of the zone only for
-//! customers that may be near their rate limits.
+//! Spending of customers: the requests and tokens that entry processes admit for them. It is
+//! counted for the ledger, and sent to the other hosts of the zone only for customers that may be
+//! near their rate limits.
 //!
 //! Load pattern: 26,000 customers, 100 requests a second in a zone. Sending every request to every
-//! host exceeds a node's whole budget, and nearly all of it concerns customers far below their
-//! limits, for whom no decision depends on it. A customer is reported once it uses more than half
-//! of this host's equal share of its limit. While no host reports it, it uses less than half of its
-//! limit in the whole zone, however its requests are spread over hosts.
+//! host exceeds a host's whole budget for control traffic, and nearly all of it concerns customers
+//! far below their limits, for whom no decision depends on it. A customer is reported once it uses
+//! more than half of this host's equal share of its limit. While no host reports it, it uses less
+//! than half of its limit in the whole zone, however its requests are spread over hosts.
 
 use std::collections;
 
@@ -18,7 +19,7 @@
 use super::{Core, LinkId};
 use crate::wire;
 
-/// Time over which usage is summed before it is compared with limits.
+/// Time over which spending is summed before it is compared with limits.
 const WINDOW: clock::Span = clock::Span::from_millis(WINDOW_MS);
 const WINDOW_MS: u64 = 2_000;
 
@@ -32,35 +33,36 @@
 /// equal share of the customers' limits.
 const MAX_PENDING: usize = 64;
 
-/// Age at which usage no longer counts when engine time is attributed to customers.
+/// Age at which spending no longer counts when engine time is attributed to customers.
 const RECENT_FOR: clock::Span = clock::Span::from_secs(10);
 
-/// Usage of customers, as one steward knows it.
+/// Spending of customers, as one steward knows it.
 #[derive(Default)]
-pub(super) struct Spending {
-    /// Tokens used recently in this zone, for the ledger.
+pub(super) struct State {
+    /// Tokens spent recently in this zone, for the ledger: a sum that is halved before each
+    /// addition, and the time of the last one.
     recent_tokens: collections::HashMap<id::Customer, (u64, clock::Moment)>,
     /// Requests and tokens admitted by the own entry process in this window.
     own_window: collections::BTreeMap<id::Customer, (u64, u64)>,
     window_started: clock::Moment,
     /// Sequence number of the last message sent. It starts from the steward's incarnation, a time
-    /// in microseconds, so that it also grows across restarts.
+    /// in microseconds, so that it also grows across restarts, and receivers need only compare it
+    /// with the last one.
     ///
-    /// Failure mode: a steward that restarted at 1 would have to have its messages told apart from
-    /// delayed copies of its old ones. Symptom: when that is done by the distance of sequence
-    /// numbers, two copies far apart keep circulating between hosts and are counted as usage each
-    /// time, and customers below their limits are refused. With numbers that only grow, a plain
-    /// comparison is enough.
+    /// Prevents this failure: if a restarted steward began at 1, receivers would have to tell its
+    /// messages from delayed old ones by the distance of their numbers. Symptom: of two copies far
+    /// apart each looks newer than the other, so both circulate between hosts and are counted each
+    /// time, and customers below their limits are refused.
     sequence: u64,
     /// Sequence number of each host's last message.
     last_sequences: collections::HashMap<String, u64>,
     pending: collections::VecDeque<(wire::Spending, id::Host)>,
 }
 
-impl Spending {
+impl State {
     /// Creates an empty record for this incarnation of the steward.
     pub(super) fn new(incarnation: id::Incarnation) -> Self {
-        Spending { sequence: incarnation.0, ..Spending::default() }
+        State { sequence: incarnation.0, ..State::default() }
     }
 
     /// Takes the next message to be relayed and its sender, if it fits in `room` bytes. A message
@@ -108,7 +110,7 @@
         sections.find_map(|section| Some((&section.team, section.body.customers.get(name)?)))
     }
 
-    /// Records the usage that the own entry process admitted.
+    /// Records the spending that the own entry process admitted.
     pub(super) fn handle_own_spending(&mut self, spending: &wire::Spending, from: LinkId) {
         if self.links.get(&from).is_none_or(|link| link.peer.role != wire::Role::Entry) {
             return;
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Records and relays the usage admitted by another host, received from `from`.
+    /// Records and relays the spending admitted by another host, received from `from`.
     pub(in crate::steward) fn handle_spending(
         &mut self,
         from: &id::Host,
@@ -138,15 +140,16 @@
         self.spending.relay(spending, from.clone());
     }
 
-    /// Closes the window, and sends the entry process an empty message while other hosts of the
-    /// zone are reachable.
+    /// Closes the window. Sends the entry process an empty message unless this host is cut off from
+    /// its zone.
     ///
-    /// Failure mode: an entry host that receives no usage of others limits customers to its equal
-    /// share. Symptom: when no customer is near a limit no usage is sent, and all customers are
-    /// limited that way. The empty message shows that usage would arrive if there were any.
+    /// Prevents this failure: an entry host that receives no spending of others limits customers to
+    /// its equal share. Symptom: when no customer is near a limit no spending is sent, and all
+    /// customers are limited that way. The empty message shows that spending would arrive if there
+    /// were any.
     pub(in crate::steward) fn flush_spending(&mut self) {
         let (now, host) = (self.clock.now(), self.group.own().host.to_string());
-        if self.has_zone_peer() {
+        if self.is_connected_to_zone() {
             let empty = wire::Spending { host: host.clone(), ..wire::Spending::default() };
             let body = wire::Body::Spending(empty);
             self.send_all(&body, |_, link| link.peer.role == wire::Role::Entry);
@@ -167,8 +170,8 @@
         self.spending.relay(spending, own);
     }
 
-    /// Whether a link to another steward of the zone is open, or there is no other live one.
-    fn has_zone_peer(&self) -> bool {
+    /// Whether a link to another steward of the zone is open, or this is the only live one.
+    fn is_connected_to_zone(&self) -> bool {
         !self.zone_links().is_empty() || self.group.live_in(self.zone()).count() <= 1
     }
 
--- a/crates/lagoon-net/src/steward/core/upstream.rs
+++ b/crates/lagoon-net/src/steward/core/upstream.rs
@@ -14,8 +14,8 @@
 /// Time after which the load of an upstream is sent to other hosts though it changed little.
 const LOAD_REFRESH_INTERVAL: clock::Span = clock::Span::from_secs(30);
 
-/// Upstreams in a new incarnation announced in one flush, once a second.
-const MAX_NEW_PER_FLUSH: usize = 64;
+/// Full loads sent in one flush, once a second.
+const MAX_FULL_LOADS_PER_FLUSH: usize = 64;
 
 impl Core {
     /// Records the load of an upstream that this steward polls and sends it to the entry process.
@@ -49,19 +49,20 @@
         }
         (known.announced, known.announced_at) = (known.load, now);
         if is_new_incarnation || !self.has_unique_code(upstream) {
-            self.new_incarnations.insert(upstream.clone(), from);
+            self.pending_full_loads.insert(upstream.clone(), from);
         } else {
             self.pending_loads.insert(upstream.clone(), collections::BTreeSet::new());
         }
     }
 
-    /// Sends the full loads of upstreams in a new incarnation to the other hosts of the zone. Later
-    /// loads of the incarnation go with heartbeats in compact form: see [`super::payload`].
-    pub(in crate::steward) fn flush_new_incarnations(&mut self) {
+    /// Sends pending full loads to the other hosts of the zone: those of upstreams in a new
+    /// incarnation, and of upstreams without a unique name code. All other loads go with heartbeats
+    /// in compact form: see [`super::payload`].
+    pub(in crate::steward) fn flush_full_loads(&mut self) {
         let now = self.clock.now();
         let mut lines = Vec::new();
-        while lines.len() < MAX_NEW_PER_FLUSH {
-            let Some((name, from)) = self.new_incarnations.pop_first() else { break };
+        while lines.len() < MAX_FULL_LOADS_PER_FLUSH {
+            let Some((name, from)) = self.pending_full_loads.pop_first() else { break };
             if let Some(seen) = self.loads.get(&name) {
                 lines.push((wire::load(&name, &seen.load, super::age_ms(now, seen.read_at)), from));
             }
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Returns the links to stewards of this zone.
+    /// Returns the links to stewards of this zone, and to those whose zone is not known yet.
     pub(super) fn zone_links(&self) -> Vec<LinkId> {
         let near =
             |link: &Link| link.peer.zone == *self.zone() || link.peer.zone.as_str().is_empty();
@@ -113,9 +114,9 @@
             return;
         }
         let body = wire::Body::Loads(wire::Loads { loads: fresh });
-        let is_own = role == Some(wire::Role::Entry);
+        let is_from_entry = role == Some(wire::Role::Entry);
         self.send_all(&body, |link_id, link| {
-            link.peer.role == wire::Role::Entry && (!is_own || link_id != from)
+            link.peer.role == wire::Role::Entry && (!is_from_entry || link_id != from)
         });
     }
 
@@ -144,32 +145,34 @@
         });
     }
 
-    /// Applies the platform's list of hosts: leaving hosts become marks, and reports of hosts that
-    /// the membership declared dead and that are off the list are removed. The list lags, so that
-    /// a missing host alone is not treated as dead.
-    pub(in crate::steward) fn apply_host_list(&mut self, lines: &[hosts::Entry]) {
-        let mark = |line: &hosts::Entry| wire::Mark {
-            upstream: line.name.clone(),
-            incarnation: line.incarnation.0,
-            leaving: line.state == hosts::State::Leaving,
+    /// Applies the platform's list of hosts. Entries that name an upstream of the document become
+    /// marks, which state whether it is leaving or in service. Reports of entry hosts that the
+    /// membership declared dead and that are off the list are removed. The list lags, so that a
+    /// missing host alone is not treated as dead.
+    pub(in crate::steward) fn apply_host_list(&mut self, list: &[hosts::Entry]) {
+        let mark = |entry: &hosts::Entry| wire::Mark {
+            upstream: entry.name.clone(),
+            incarnation: entry.incarnation.0,
+            leaving: entry.state == hosts::State::Leaving,
         };
-        let upstreams = lines
-            .iter()
-            .filter(|line| self.fleet.upstream(&id::Upstream::from(line.name.as_str())).is_some());
+        let upstreams = list.iter().filter(|entry| {
+            self.fleet.upstream(&id::Upstream::from(entry.name.as_str())).is_some()
+        });
         let marks: Vec<_> = upstreams.map(mark).collect();
         self.apply_marks(&marks, None);
-        let listed = |host: &id::Host| lines.iter().any(|line| line.name == host.as_str());
+        let listed = |host: &id::Host| list.iter().any(|entry| entry.name == host.as_str());
         let reports = self.entry_reports.iter().map(|(host, _)| host);
-        let gone = reports.filter(|host| !self.group.is_live(host) && !listed(host));
-        for host in gone.cloned().collect::<Vec<_>>() {
+        let unlisted = reports.filter(|host| !self.group.is_live(host) && !listed(host));
+        for host in unlisted.cloned().collect::<Vec<_>>() {
             self.entry_reports.remove(&host);
         }
     }
 }
 
-/// Whether a load differs enough from the announced one to be sent to every host of the zone: by
-/// two requests and a quarter of them, or by an eighth of the memory or of the prefill work. A busy
-/// engine's load changes by a few requests between reads, which affects no placement decision.
+/// Whether a load differs enough from the announced one to be sent to every host of the zone: by at
+/// least two requests and a quarter of the announced number, by more than an eighth of the memory,
+/// or by more than an eighth of the prefill work and 4,096 tokens. A new incarnation always does. A
+/// busy engine's load changes by a few requests between reads, which affects no placement decision.
 fn is_significant(announced: &engine::LoadReport, load: &engine::LoadReport) -> bool {
     let requests = (announced.running + announced.waiting).abs_diff(load.running + load.waiting);
     let memory = announced.kv_free_tokens.abs_diff(load.kv_free_tokens);
--- a/crates/lagoon-net/src/steward/dial.rs
+++ b/crates/lagoon-net/src/steward/dial.rs
@@ -1,4 +1,4 @@
-//! Dials the links of the mesh and the first peers.
+//! Dials the links of the mesh, dead members and the configured peers.
 
 use std::collections;
 use std::net;
--- a/crates/lagoon-net/src/steward/fetch.rs
+++ b/crates/lagoon-net/src/steward/fetch.rs
@@ -48,7 +48,7 @@
         }
         let should_fetch = {
             let core = context.core.borrow();
-            !core.complete || core.owns(FETCHER)
+            !core.complete || core.is_assigned(FETCHER)
         };
         let result =
             if should_fetch { fetch(&context, &platform, &mut pending).await } else { Ok(()) };
@@ -75,8 +75,8 @@
 ///
 /// The steward that stored the version sends it as a delta of a few hundred bytes, while the table
 /// holds full texts only. Without the wait each zone's fetcher reads a section of 260 KB at each
-/// edit, which exceeds a node's budget. Where no peer has the version, it is in force later by this
-/// time.
+/// edit, which exceeds a host's budget for control traffic. Where no peer has the version, it comes
+/// into force that much later.
 const PEER_GRACE: clock::Span = clock::Span::from_millis(800);
 
 /// Versions listed by the head and not yet in force, and the time at which each was first seen.
@@ -150,7 +150,7 @@
 pub(super) async fn run_hosts(context: Context) {
     let Some(platform) = context.platform.clone() else { return };
     loop {
-        let is_fetcher = context.core.borrow().owns(FETCHER);
+        let is_fetcher = context.core.borrow().is_assigned(FETCHER);
         if is_fetcher && let Ok(lines) = platform.list().await {
             context.core.borrow_mut().apply_host_list(&lines);
             // Rows that cannot be removed now are retried after the next read.
--- a/crates/lagoon-net/src/steward/heartbeat.rs
+++ b/crates/lagoon-net/src/steward/heartbeat.rs
@@ -15,7 +15,7 @@
 /// Time between two checks of heartbeat timeouts.
 const TICK_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// Time between two flushes of new upstream incarnations and of customer usage.
+/// Time between two flushes of full loads and of customer spending.
 const FLUSH_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// Receives and sends heartbeats, and runs the timers, until the task is cancelled.
@@ -42,7 +42,7 @@
             _ = ticks.tick() => tick(&context),
             _ = flushes.tick() => {
                 let mut core = context.core.borrow_mut();
-                core.flush_new_incarnations();
+                core.flush_full_loads();
                 core.flush_spending();
             }
         }
--- a/crates/lagoon-net/src/steward/memory_sweep.rs
+++ b/crates/lagoon-net/src/steward/memory_sweep.rs
@@ -1,5 +1,6 @@
 //! Releases engine memory that dead entry processes still hold. Each engine is swept by the steward
-//! that observes it.
+//! that observes it. A holding is a stream, a reservation or an export that the engine keeps in
+//! memory for an owner, an incarnation of an entry process.
 //!
 //! Two stewards that both consider themselves the observer only cost extra calls: both apply the
 //! same rules, and releasing a holding twice has no further effect.
@@ -34,11 +35,11 @@
         let wait = context.settings.sweep_interval.mul_f64(rand::random_range(0.9..1.1));
         tokio::time::sleep(wait).await;
         let now = context.clock.now();
-        for (host, status) in own_statuses(&context).await {
+        for (host, status) in zone_owner_statuses(&context).await {
             zone_hosts.insert(host);
             reaper.apply_status(&status, true, now);
         }
-        for (upstream, address) in observe::owned(&context) {
+        for (upstream, address) in observe::assigned_engines(&context) {
             let listed = engine::holdings(&client, address, &context.settings.zone);
             let Ok(Some(holdings)) = tokio::time::timeout(TIMEOUT, listed).await else { continue };
             let mut remote_owners = reaper.owners_to_query(&holdings, context.clock.now());
@@ -51,7 +52,7 @@
 }
 
 /// Returns the status of this zone's entry processes.
-async fn own_statuses(context: &Context) -> Vec<(id::Host, owner::Status)> {
+async fn zone_owner_statuses(context: &Context) -> Vec<(id::Host, owner::Status)> {
     let listed = listed(context).await;
     let core = context.core.borrow();
     let known = |host: &id::Host| match core.group.is_live(host) {
@@ -90,7 +91,7 @@
     let hosts: collections::BTreeSet<_> = remote_owners.iter().map(|owner| &owner.host).collect();
     let text = serde_json::to_string(&hosts).unwrap_or_default();
     let call = wire::Call { verb: wire::Verb::Owners.into(), text, ..wire::Call::default() };
-    let replies = zones::call_all(context, &call).await;
+    let replies = zones::call_other_zones(context, &call).await;
     let now = context.clock.now();
     let mut answered = collections::BTreeSet::new();
     let mut known = collections::BTreeSet::new();
@@ -118,9 +119,9 @@
 }
 
 /// Returns the status of the hosts in the JSON list `text`, for a steward of another zone.
-pub(super) async fn statuses_of(context: &Context, text: &str) -> Vec<owner::Status> {
+pub(super) async fn owner_statuses(context: &Context, text: &str) -> Vec<owner::Status> {
     let hosts: Vec<id::Host> = serde_json::from_str(text).unwrap_or_default();
-    let statuses = own_statuses(context).await.into_iter();
+    let statuses = zone_owner_statuses(context).await.into_iter();
     statuses.filter(|(host, _)| hosts.contains(host)).map(|(_, status)| status).collect()
 }
 
--- a/crates/lagoon-net/src/steward/mod.rs
+++ b/crates/lagoon-net/src/steward/mod.rs
@@ -112,7 +112,7 @@
             break;
         }
     }
-    Err(last.unwrap_or_else(|| io::Error::other("no port")))
+    Err(last.unwrap_or_else(|| io::Error::other("no port is free for both TCP and UDP")))
 }
 
 /// Starts a steward. It is listening when this returns.
@@ -144,6 +144,8 @@
     Ok(Running { address, counters, stop, thread: Some(thread) })
 }
 
+/// Returns the incarnation of this process: the wall clock in microseconds, so that a restarted
+/// process has a higher one.
 fn wall_incarnation() -> id::Incarnation {
     let since = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
     let micros = since.map_or(1, |span| span.as_micros());
--- a/crates/lagoon-net/src/steward/observe.rs
+++ b/crates/lagoon-net/src/steward/observe.rs
@@ -16,7 +16,7 @@
 pub(super) async fn run(context: Context) {
     let http = client::Client::new().await;
     loop {
-        for (upstream, address) in owned(&context) {
+        for (upstream, address) in assigned_engines(&context) {
             rt::spawn(observe(context.clone(), http.clone(), upstream, address));
         }
         let wait = context.settings.observe_interval.mul_f64(rand::random_range(0.9..1.1));
@@ -25,11 +25,11 @@
 }
 
 /// Returns the engines of this zone that rendezvous hashing assigns to this steward.
-pub(super) fn owned(context: &Context) -> Vec<(id::Upstream, std::net::SocketAddr)> {
+pub(super) fn assigned_engines(context: &Context) -> Vec<(id::Upstream, std::net::SocketAddr)> {
     let core = context.core.borrow();
     let here = |upstream: &&lagoonline::view::Upstream| {
         let is_engine = matches!(upstream.entry.serves, document::Serves::Models(_));
-        is_engine && upstream.entry.zone == *core.zone() && core.owns(upstream.name.as_str())
+        is_engine && upstream.entry.zone == *core.zone() && core.is_assigned(upstream.name.as_str())
     };
     let found = core.fleet.upstreams.iter().filter(here);
     found.map(|upstream| (upstream.name.clone(), upstream.entry.address)).collect()
--- a/crates/lagoon-net/src/steward/reconcile.rs
+++ b/crates/lagoon-net/src/steward/reconcile.rs
@@ -28,11 +28,14 @@
 const READ_TIMEOUT: time::Millis = time::Millis(1_000);
 
 /// Engines of a zone that load weights at the same time. All zones share the rate of the weight
-/// store. With a limit some engines serve again soon after a change of many; without it all of them
-/// load for as long as the sum of the loads takes. The lease makes this the limit of a whole zone.
-const MAX_CONCURRENT_LOADS: usize = 2;
+/// store. With this limit, the first engines serve again soon after a change of many; without it,
+/// all of them would become ready only when the last one does. Only the holder of the zone's lease
+/// sends commands, so this limits the whole zone.
+const MAX_LOADING_ENGINES: usize = 2;
 
-/// Role of the one steward of a zone that sends commands. The name is hashed to choose it.
+/// Role of the one steward of a zone that sends commands. The value is an input of the rendezvous
+/// hashing that chooses it, so it must be the same in all versions. Outside of this process a
+/// command is called an order.
 pub(super) const RECONCILER: &str = "orderer";
 
 /// Last observed state and decision for one engine, as operators see it.
@@ -53,11 +56,13 @@
     name: id::Upstream,
     address: net::SocketAddr,
     desired: reconcile::Desired,
+    /// Whether the engine rejects commands with an old fencing number.
     checks_fence: bool,
 }
 
+/// Body of `POST /orders`.
 #[derive(Serialize)]
-struct Envelope<'a> {
+struct CommandBody<'a> {
     fence: id::Fence,
     order: &'a engine::Command,
 }
@@ -80,7 +85,7 @@
     let mut reconciler = Reconciler { context, http, platform, lease, loading: 0 };
     loop {
         tokio::time::sleep(RECONCILE_INTERVAL.mul_f64(rand::random_range(0.9..1.1))).await;
-        if reconciler.context.core.borrow().owns(RECONCILER) {
+        if reconciler.context.core.borrow().is_assigned(RECONCILER) {
             reconciler.reconcile_all().await;
         }
     }
@@ -131,7 +136,7 @@
         };
         // Checks whether the engine needs a command at all before a lease is acquired. The fencing
         // number that the engine reports is used in place of a lease's.
-        let probe = reconcile::Context { fence: actual.fence, ..self.context(target) };
+        let probe = reconcile::Context { fence: actual.fence, ..self.decision_context(target) };
         if reconcile::decide(&target.desired, &actual, &probe) == reconcile::Decision::Nothing {
             self.record(target, Some(actual), "as wanted", 0, 0);
             return false;
@@ -141,7 +146,7 @@
             self.record(target, Some(actual), "waits for the lease", 0, 0);
             return true;
         };
-        let context = reconcile::Context { fence, ..self.context(target) };
+        let context = reconcile::Context { fence, ..self.decision_context(target) };
         match reconcile::decide(&target.desired, &actual, &context) {
             reconcile::Decision::Nothing => self.record(target, Some(actual), "as wanted", 0, 0),
             reconcile::Decision::Wait => {
@@ -150,13 +155,13 @@
             reconcile::Decision::Superseded => {
                 self.record(target, Some(actual), "a later lease was there", 0, 0);
             }
-            reconcile::Decision::Send(order) => {
-                let outcome = self.send(target, &order).await;
+            reconcile::Decision::Send(command) => {
+                let outcome = self.send(target, &command).await;
                 self.record(target, Some(actual), outcome.as_str(), outcome.count(), 0);
             }
-            reconcile::Decision::Repair(order) => {
+            reconcile::Decision::Repair(command) => {
                 log::warn!("{} executed a late command; sending a command to undo it", target.name);
-                let outcome = self.send(target, &order).await;
+                let outcome = self.send(target, &command).await;
                 self.record(
                     target,
                     Some(actual),
@@ -170,7 +175,7 @@
     }
 
     /// Returns the context of a decision, without a fencing number.
-    fn context(&self, target: &Target) -> reconcile::Context {
+    fn decision_context(&self, target: &Target) -> reconcile::Context {
         let core = self.context.core.borrow();
         let load = core.loads.get(&target.name).map(|observed| observed.load);
         let in_flight = load.map_or(0, |load| load.running + load.waiting);
@@ -191,15 +196,15 @@
     }
 
     /// Sends a command under the lease.
-    async fn send(&mut self, target: &Target, order: &engine::Command) -> SendOutcome {
-        let is_load = matches!(order, engine::Command::Load { .. });
-        if is_load && self.loading >= MAX_CONCURRENT_LOADS {
-            return SendOutcome::LoadLimit;
+    async fn send(&mut self, target: &Target, command: &engine::Command) -> SendOutcome {
+        let is_load_command = matches!(command, engine::Command::Load { .. });
+        if is_load_command && self.loading >= MAX_LOADING_ENGINES {
+            return SendOutcome::LoadingLimit;
         }
         let Some(permit) = self.lease.permit() else { return SendOutcome::NoLease };
         let request = self.http.post(format!("http://{}/orders", target.address));
         let request = request.set_header("Lagoon-Zone", self.context.settings.zone.as_str());
-        let body = Envelope { fence: permit.fence, order };
+        let body = CommandBody { fence: permit.fence, order: command };
         let sent = request.send_json(&body);
         let max_delay = self.context.settings.lease.max_command_delay.as_millis();
         let max_delay = time::Millis(u32::try_from(max_delay).unwrap_or(u32::MAX));
@@ -210,7 +215,7 @@
         }
         match answer {
             Ok(Ok(response)) if response.status() == http::StatusCode::OK => {
-                self.loading += usize::from(is_load);
+                self.loading += usize::from(is_load_command);
                 SendOutcome::Accepted
             }
             Ok(Ok(_)) => SendOutcome::Refused,
@@ -243,8 +248,8 @@
 /// Outcome of sending a command; [`SendOutcome::as_str`] is the text that operators see.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum SendOutcome {
-    /// Not sent: [`MAX_CONCURRENT_LOADS`] engines are loading.
-    LoadLimit,
+    /// Not sent: [`MAX_LOADING_ENGINES`] engines are loading.
+    LoadingLimit,
     /// Not sent: the lease does not permit it.
     NoLease,
     Accepted,
@@ -256,7 +261,7 @@
 impl SendOutcome {
     const fn as_str(self) -> &'static str {
         match self {
-            SendOutcome::LoadLimit => "others load first",
+            SendOutcome::LoadingLimit => "others load first",
             SendOutcome::NoLease => "the lease ended",
             SendOutcome::Accepted => "ordered",
             SendOutcome::Refused => "the engine refused",
@@ -266,7 +271,7 @@
 
     const fn count(self) -> u64 {
         match self {
-            SendOutcome::LoadLimit | SendOutcome::NoLease => 0,
+            SendOutcome::LoadingLimit | SendOutcome::NoLease => 0,
             SendOutcome::Accepted | SendOutcome::Refused | SendOutcome::Unknown => 1,
         }
     }
--- a/crates/lagoon-net/src/steward/session.rs
+++ b/crates/lagoon-net/src/steward/session.rs
@@ -16,8 +16,8 @@
 /// process and some operators.
 const MAX_CONNECTIONS: usize = 256;
 
-/// Bytes of a frame besides its message, for the counters: length, tag, sender, incarnation,
-/// sequence number and nonce.
+/// Approximate bytes of a frame besides its message, for the counters: length, tag, sender,
+/// incarnation, sequence number and nonce.
 const FRAME_OVERHEAD: usize = 69;
 
 /// Delay after a failed accept, for example when no file descriptor is free.
@@ -74,9 +74,9 @@
     is_dialed: bool,
 ) {
     let sender = peer.sender.clone();
-    let is_peer = peer.role == wire::Role::Steward;
+    let is_steward = peer.role == wire::Role::Steward;
     let (link_id, receiver) = context.core.borrow_mut().add_link(peer, is_dialed);
-    let ended = exchange(context, channel, (link_id, is_peer), receiver).await;
+    let ended = exchange(context, channel, (link_id, is_steward), receiver).await;
     context.core.borrow_mut().remove_link(link_id);
     if let Err(error) = ended {
         log::debug!("link to {sender} closed: {error}");
@@ -87,7 +87,7 @@
 async fn exchange(
     context: &Context,
     mut channel: link::Channel,
-    (link_id, is_peer): (core::LinkId, bool),
+    (link_id, is_steward): (core::LinkId, bool),
     mut receiver: mpsc::Receiver<wire::Body>,
 ) -> Result<(), link::Error> {
     let counters = context.core.borrow().counters.clone();
@@ -95,7 +95,7 @@
         tokio::select! {
             frame = channel.receive() => {
                 let Some(body) = frame?.body else { continue };
-                if is_peer {
+                if is_steward {
                     let bytes = (body.encoded_len() + FRAME_OVERHEAD) as u64;
                     core::Counters::add(&counters.peer_frames_received, 1);
                     core::Counters::add(&counters.peer_bytes_received, bytes);
@@ -112,7 +112,7 @@
                 let bytes = (body.encoded_len() + FRAME_OVERHEAD) as u64;
                 core::Counters::add(&counters.frames_sent, 1);
                 core::Counters::add(&counters.frame_bytes_sent, bytes);
-                if is_peer {
+                if is_steward {
                     core::Counters::add(&counters.peer_frames_sent, 1);
                     core::Counters::add(&counters.peer_bytes_sent, bytes);
                     if let Some(kind) = core::kind(&body) {
--- a/crates/lagoon-net/src/steward/settings.rs
+++ b/crates/lagoon-net/src/steward/settings.rs
@@ -15,7 +15,7 @@
 use crate::platform;
 use crate::wire;
 
-/// Default time between two reads of an engine's load. Each read costs a node 560 B. Reads every
+/// Default time between two reads of an engine's load. Each read costs a host 560 B. Reads every
 /// 500 ms do not shorten the time to first token (docs/measurements/load.md), because an entry host
 /// places requests by its own dispatches and by the loads in responses, which are newer.
 const OBSERVE_MS: u64 = 2_500;
@@ -85,7 +85,10 @@
 }
 
 impl Settings {
-    /// Reads a steward's settings; `key`, `host`, `zone` and `listen` must be given.
+    /// Reads a steward's settings. `key`, `host`, `zone` and `listen` are required. Optional are
+    /// `advertise`, `platform`, `peers`, `operator_keys`, `membership` with `interval_ms` and
+    /// `silence_ms` (the heartbeat timeout), `poll_ms`, `observe_ms`, `sweep_ms`,
+    /// `claim_retention_hours` and `logs`.
     ///
     /// ```
     /// use lagoon_net::steward;
@@ -154,13 +157,13 @@
 fn read_membership(reader: &check::Reader<'_>) -> membership::Settings {
     let defaults = membership::Settings::default();
     let interval = reader.number("interval_ms", 500, 10..=60_000);
-    let silence = reader.number("silence_ms", 2_200, 20..=600_000);
-    if silence < 2 * interval {
+    let heartbeat_timeout = reader.number("silence_ms", 2_200, 20..=600_000);
+    if heartbeat_timeout < 2 * interval {
         reader.fault("silence_ms", "is below two intervals");
     }
     membership::Settings {
         interval: clock::Span::from_millis(interval),
-        heartbeat_timeout: clock::Span::from_millis(silence),
+        heartbeat_timeout: clock::Span::from_millis(heartbeat_timeout),
         ..defaults
     }
 }
--- a/crates/lagoon-net/src/steward/usage.rs
+++ b/crates/lagoon-net/src/steward/usage.rs
@@ -22,8 +22,9 @@
 /// Reads of an engine's load that are missed before its time counts as unobserved.
 const MAX_MISSED_READS: u32 = 3;
 
-/// Finished rows queued while the table is unavailable: an hour of every engine that one steward
-/// observes. Beyond it the oldest are dropped, and the report shows their time as unobserved.
+/// Finished rows queued while the table is unavailable: at least an hour of every engine that one
+/// steward observes. Beyond it the oldest are dropped, and the report shows their time as
+/// unobserved.
 const MAX_PENDING_ROWS: usize = 1_024;
 
 /// Rows read by one scan of a report.
@@ -62,9 +63,9 @@
     let in_zone = |name: &id::Upstream| {
         core.fleet.upstream(name).is_some_and(|upstream| upstream.entry.zone == *core.zone())
     };
-    meters.retain(|name, _| attributions.contains_key(name) && core.owns(name.as_str()));
+    meters.retain(|name, _| attributions.contains_key(name) && core.is_assigned(name.as_str()));
     for (name, attribution) in attributions.iter() {
-        if !in_zone(name) || !core.owns(name.as_str()) {
+        if !in_zone(name) || !core.is_assigned(name.as_str()) {
             continue;
         }
         let meter = meters.entry(name.clone()).or_insert_with(|| ledger::Meter::new(wall_ms));
@@ -113,14 +114,14 @@
 pub(super) async fn report<T>(
     table: &T,
     grouping: ledger::Grouping,
-    days: &operator::UsageQuery,
+    query: &operator::UsageQuery,
 ) -> Result<Option<Report>, table::Error>
 where
     T: table::Table,
 {
     let per_day = DAY_MS / ledger::INTERVAL_MS;
-    let first = days.from_day.saturating_mul(per_day);
-    let end = days.to_day.saturating_add(1).saturating_mul(per_day);
+    let first = query.from_day.saturating_mul(per_day);
+    let end = query.to_day.saturating_add(1).saturating_mul(per_day);
     let mut rows = Vec::new();
     let mut after = String::new();
     loop {
--- a/crates/lagoon-net/src/steward/zones.rs
+++ b/crates/lagoon-net/src/steward/zones.rs
@@ -14,7 +14,8 @@
 use crate::link;
 use crate::wire;
 
-/// Timeout of one steward's reply.
+/// Timeout of one steward's reply. [`MAX_TRIES`] of them take less than the 5 s that an operator
+/// waits for a steward by default.
 const REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(800);
 
 /// Maximum number of stewards of a zone that are tried.
@@ -27,7 +28,7 @@
 }
 
 /// Sends `call` to one steward of every other known zone.
-pub(super) async fn call_all(context: &Context, call: &wire::Call) -> Vec<ZoneReply> {
+pub(super) async fn call_other_zones(context: &Context, call: &wire::Call) -> Vec<ZoneReply> {
     let zones = addresses(context);
     let calls = zones.into_iter().map(|(zone, addresses)| call_any(context, zone, addresses, call));
     future::join_all(calls).await
@@ -100,6 +101,7 @@
     address: net::SocketAddr,
     call: &wire::Call,
 ) -> Option<String> {
+    // As an operator, so that the receiver does not start to replicate its state over this link.
     let identity = link::Identity { role: wire::Role::Operator, ..session::identity(context) };
     let (mut channel, _) = link::Channel::connect(address, &identity).await.ok()?;
     channel.send(wire::Body::Call(call.clone())).await.ok()?;
--- a/crates/lagoon-net/src/wire/auth.rs
+++ b/crates/lagoon-net/src/wire/auth.rs
@@ -54,7 +54,8 @@
     }
 }
 
-/// Maximum difference between a datagram's wall clock and the receiver's.
+/// Maximum difference between a datagram's wall clock and the receiver's. The heartbeats of a host
+/// whose clock differs by more are rejected, so that it looks dead.
 pub const CLOCK_SKEW_MS: u64 = 30_000;
 
 /// Number of sequence numbers tracked behind the newest one of each sender.
@@ -62,10 +63,10 @@
 
 /// Rejects replayed datagrams.
 ///
-/// Failure mode: a third party records a heartbeat and sends it again later. Symptom: a dead host
-/// looks live. The window tracks the sequence numbers of each sender's incarnation. A receiver that
-/// has just restarted has tracked none; there the wall clock limits the age of a datagram to
-/// [`CLOCK_SKEW_MS`].
+/// Prevents this failure: a third party records a heartbeat and sends it again later. Symptom: a
+/// dead host looks live. The window tracks the sequence numbers of each sender's incarnation. A
+/// receiver that has just restarted has tracked none; there the wall clock limits the age of a
+/// datagram to [`CLOCK_SKEW_MS`].
 ///
 /// ```
 /// use lagoon_net::wire;
--- a/crates/lagoon-net/src/wire/codec.rs
+++ b/crates/lagoon-net/src/wire/codec.rs
@@ -10,7 +10,7 @@
 /// Maximum frame size in bytes. The largest messages contain the text of a section.
 pub const FRAME_LIMIT: usize = 8 << 20;
 
-/// Maximum datagram size in bytes.
+/// Maximum datagram size in bytes, below the usual MTU of 1,500.
 pub const DATAGRAM_LIMIT: usize = 1_400;
 
 /// Size of the length prefix of a frame. The length covers the tag and the message.
@@ -59,10 +59,10 @@
 
 /// Encodes and decodes the frames of one connection.
 ///
-/// Failure mode: a recorded frame is sent again, on this connection or another. Symptom: an old
-/// mark or call takes effect twice. Every frame carries the nonce that the receiving side chose for
-/// this connection and a sequence number one higher than the last. The tag covers both, so that a
-/// recorded frame is valid in no other position.
+/// Prevents this failure: a recorded frame is sent again, on this connection or another. Symptom:
+/// an old mark or call takes effect twice. Every frame carries the nonce that the receiving side
+/// chose for this connection and a sequence number one higher than the last. The tag covers both,
+/// so that a recorded frame is valid in no other position.
 #[derive(Debug)]
 pub struct Codec {
     key: auth::Key,
@@ -196,7 +196,7 @@
     }
     let frame = message::Frame::decode(text)?;
     // Newer senders are accepted, because fields are only ever added. Versions below the oldest
-    // supported one are rejected; the operators' page says to upgrade in steps.
+    // supported one are rejected; the documentation for operators says to upgrade in steps.
     if frame.version < message::OLDEST_VERSION {
         return Err(Error::Version(frame.version));
     }
--- a/crates/lagoon-net/src/wire/message.rs
+++ b/crates/lagoon-net/src/wire/message.rs
@@ -60,7 +60,7 @@
     /// Report of an entry process.
     #[prost(message, tag = "23")]
     Status(Status),
-    /// Recent usage of customers at one entry host.
+    /// Recent spending of customers at one entry host.
     #[prost(message, tag = "24")]
     Spending(Spending),
     /// Call of an operator, or of a steward of another zone.
@@ -119,7 +119,7 @@
     /// Loads that changed.
     #[prost(message, optional, tag = "5")]
     pub loads: Option<CompactLoads>,
-    /// Usage of customers that are near their limits.
+    /// Spending of customers that are near their limits.
     #[prost(message, repeated, tag = "6")]
     pub spendings: Vec<Spending>,
 }
@@ -217,7 +217,8 @@
     pub votes: Vec<Vote>,
 }
 
-/// Versions in force at the sender.
+/// Versions in force at the sender. The receiver replies with the sections that the sender lacks. A
+/// sender leaves out a team to request the full text of its section.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Digest {
     /// One line for each team.
@@ -320,7 +321,7 @@
     pub age_ms: u64,
 }
 
-/// Loads that changed since the last message.
+/// Loads: all on a new link, and then those that changed.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Loads {
     /// The loads.
@@ -342,7 +343,7 @@
     pub leaving: bool,
 }
 
-/// Marks that changed.
+/// Marks: all on a new link, and then those that changed.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Marks {
     /// The marks.
@@ -350,7 +351,7 @@
     pub marks: Vec<Mark>,
 }
 
-/// Report of an entry process, sent to its steward and between stewards.
+/// Report of an entry process (`replication::Report`), sent to its steward and between stewards.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Status {
     /// The entry host.
@@ -393,7 +394,7 @@
     pub statuses: Vec<Status>,
 }
 
-/// Usage of one customer at one entry host within the time of the message.
+/// Spending of one customer at one entry host within the time of the message.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Spend {
     /// The customer.
@@ -407,7 +408,7 @@
     pub tokens: u64,
 }
 
-/// Usage of customers at one entry host.
+/// Spending of customers at one entry host.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Spending {
     /// The entry host.
@@ -442,7 +443,7 @@
     Status = 5,
     /// Drains an entry host or an upstream.
     Drain = 6,
-    /// Returns the desired and actual state of engines and the commands sent to them.
+    /// Returns the desired and actual state of engines and the commands (orders) sent to them.
     Orders = 7,
     /// Returns sums of the idle ledger.
     Usage = 8,
@@ -465,7 +466,7 @@
     /// A key of the team or of the operators.
     #[prost(string, tag = "4")]
     pub key: String,
-    /// Version that a put is based on.
+    /// Version that a put is based on, or whose status is requested.
     #[prost(uint64, tag = "5")]
     pub version: u64,
     /// A section's text, a name, or further arguments as JSON.
--- a/crates/lagoon-net/tests/claim_sweep.rs
+++ b/crates/lagoon-net/tests/claim_sweep.rs
@@ -23,16 +23,16 @@
 /// nothing else: a claim from now and rows of other kinds stay.
 #[test]
 fn expired_keys_are_removed_and_others_kept() {
-    let table = standin::start(standin::Settings::default()).expect("a platform");
+    let platform = standin::start(standin::Settings::default()).expect("a platform");
     let now = time::SystemTime::now().duration_since(time::UNIX_EPOCH).expect("after 1970");
     let now = u64::try_from(now.as_millis()).expect("in range");
     let row = |key: &str| claim::row_key(&id::Customer::from("crew"), key);
-    table.node().put(&row("old"), &record(now - 48 * 3_600_000));
-    table.node().put(&row("recent"), &record(now));
-    table.node().put("section/tin", "{}");
+    platform.node().put(&row("old"), &record(now - 48 * 3_600_000));
+    platform.node().put(&row("recent"), &record(now));
+    platform.node().put("section/tin", "{}");
     let quick = Span::from_millis(5);
     // One round over all shards takes about two seconds, and needs this rate of reads.
-    let (address, reads_per_second) = (table.address(), 1_000.0);
+    let (address, reads_per_second) = (platform.address(), 1_000.0);
     let steward = steward::start(steward::Settings {
         host: id::Host::from("suva-1"),
         platform: Some(platform::Settings {
@@ -45,11 +45,11 @@
     });
     let steward = steward.expect("a steward");
     let began = time::Instant::now();
-    while table.node().rows(&row("old")).len() == 1 {
+    while platform.node().rows(&row("old")).len() == 1 {
         assert!(began.elapsed() < TIMEOUT, "the old key was not removed");
         thread::sleep(quick);
     }
     steward.stop();
-    assert_eq!(table.node().rows("claim/").len(), 1);
-    assert_eq!(table.node().rows("section/tin").len(), 1);
+    assert_eq!(platform.node().rows("claim/").len(), 1);
+    assert_eq!(platform.node().rows("section/tin").len(), 1);
 }
--- a/crates/lagoon-net/tests/control.rs
+++ b/crates/lagoon-net/tests/control.rs
@@ -8,7 +8,7 @@
 
 use lagoon_net::link;
 use lagoon_net::operator;
-use lagoon_net::platform as client;
+use lagoon_net::platform as platform_client;
 use lagoon_net::steward;
 use lagoon_net::wire;
 use lagoon_standin::engine;
@@ -128,12 +128,12 @@
 
     fn add(&mut self, zone: &str, host: &str) {
         let peers = self.hosts.values().map(|host| host.steward.address()).collect();
-        let platform = client::Settings {
+        let platform = platform_client::Settings {
             address: self.platform.address(),
             reads_per_second: 100.0,
             writes_per_second: 50.0,
             timeout: time::Duration::from_millis(500),
-            ..client::Settings::default()
+            ..platform_client::Settings::default()
         };
         let settings = steward::Settings {
             host: id::Host::from(host),
@@ -343,6 +343,7 @@
     wait(|| has_loads("suva-0") && has_loads("suva-1"));
     fleet.hosts.remove("suva-0");
     let entry = &fleet.hosts["suva-1"].entry;
+    // Long enough for the stopped steward to be declared dead.
     thread::sleep(time::Duration::from_secs(4));
     entry.loads.lock().unwrap().clear();
     wait(|| entry.loads.lock().unwrap().len() == 2);
--- a/crates/lagoon-net/tests/engine_events.rs
+++ b/crates/lagoon-net/tests/engine_events.rs
@@ -51,8 +51,8 @@
         prop_assert_eq!(read(batch.as_bytes()).unwrap(), texts);
     }
 
-    /// One byte of a response is corrupted in transit. Reading stops with an error or yields a text
-    /// that differs by that byte, but never yields more chunks than were sent.
+    /// One byte of a response is corrupted in transit. Whether reading stops with an error or not,
+    /// it never yields more chunks than were sent.
     #[test]
     fn a_corrupted_byte_adds_no_chunk(count in 1_usize..10, position in any::<prop::sample::Index>(), byte in any::<u8>()) {
         let batch: String = (0..count).map(|number| chunk(number as u64, "tin")).collect();
--- a/crates/lagoon-net/tests/memory_sweep.rs
+++ b/crates/lagoon-net/tests/memory_sweep.rs
@@ -7,7 +7,7 @@
 use std::time;
 
 use lagoon_net::link;
-use lagoon_net::platform as client;
+use lagoon_net::platform as platform_client;
 use lagoon_net::steward;
 use lagoon_net::wire;
 use lagoon_standin::engine;
@@ -98,18 +98,21 @@
 
     fn add(&mut self, host: &str, zone: &str) {
         let address = self.platform.address();
-        let silence = Span::from_millis(1_000);
+        let timeout = Span::from_millis(1_000);
         let started = steward::start(steward::Settings {
             host: id::Host::from(host),
             zone: id::Zone::from(zone),
             key: wire::Key::new(b"fleet"),
-            platform: Some(client::Settings { address, ..client::Settings::default() }),
+            platform: Some(platform_client::Settings {
+                address,
+                ..platform_client::Settings::default()
+            }),
             peers: self.stewards.iter().map(steward::Running::address).collect(),
             operator_keys: vec![<sha2::Sha256 as sha2::Digest>::digest("operators").into()],
             sweep_interval: Span::from_millis(100),
             reap: reap::Settings {
-                owner_timeout: silence,
-                takeover_window: silence,
+                owner_timeout: timeout,
+                takeover_window: timeout,
                 ..reap::Settings::default()
             },
             ..steward::Settings::default()
--- a/crates/lagoon-net/tests/wire.rs
+++ b/crates/lagoon-net/tests/wire.rs
@@ -51,8 +51,8 @@
     assert_eq!(frame.sender, "b");
 }
 
-/// An operator's put is recorded on the network and sent again on the same connection. Without
-/// sequence numbers it would take effect twice. The second frame is rejected.
+/// A frame is recorded on the network and sent again on the same connection. Without sequence
+/// numbers an operator's put would take effect twice. The second frame is rejected.
 #[test]
 fn a_frame_replayed_on_its_connection_is_rejected() {
     let (mut accepting, mut connecting) = connected();
@@ -62,8 +62,8 @@
     assert!(matches!(again, Err(wire::Error::Replayed)), "{again:?}");
 }
 
-/// The same recording is sent on a new connection, where its sequence number would be valid. The
-/// accepting side has chosen another nonce there, so the frame is rejected.
+/// The same recording is sent on a new connection, whose accepting side has chosen another nonce.
+/// The frame is rejected.
 #[test]
 fn a_frame_replayed_on_another_connection_is_rejected() {
     let (_, mut connecting) = connected();
@@ -132,6 +132,7 @@
     fn a_flipped_bit_is_always_detected(bit in 0_usize..400, name in "[a-z]{1,30}") {
         let (mut accepting, mut connecting) = connected();
         let mut bytes = encode(&mut connecting, marks(&name));
+        // Skips the 32 bits of the length prefix.
         let bit = 32 + bit % ((bytes.len() - 4) * 8);
         bytes[bit / 8] ^= 1 << (bit % 8);
         prop_assert!(accepting.decode(&mut bytes).is_err());
@@ -151,6 +152,7 @@
         for sequence in order {
             let frame = wire::Frame { sequence, ..Default::default() };
             let newest = admitted.last().copied().unwrap_or(0);
+            // The replay window covers 64 sequence numbers.
             let expected = !admitted.contains(&sequence) && sequence + 64 > newest;
             prop_assert_eq!(window.admit(&frame, 0), expected);
             if expected {
