--- a/crates/lagoon-standin/src/answer.rs
+++ b/crates/lagoon-standin/src/answer.rs
@@ -10,6 +10,7 @@
 /// assert_ne!(answer::chunk(7, 0), answer::chunk(8, 0));
 /// ```
 pub fn chunk(prompt_hash: u64, number: u64) -> String {
+    // Multipliers known from SplitMix64 and the MurmurHash3 finalizer spread the bits.
     let mixed = (prompt_hash ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15)).rotate_left(23);
     format!("{number}:{:08x} ", (mixed.wrapping_mul(0xff51_afd7_ed55_8ccd)) >> 32)
 }
--- a/crates/lagoon-standin/src/control.rs
+++ b/crates/lagoon-standin/src/control.rs
@@ -9,8 +9,8 @@
 
 use ntex::http;
 
-use crate::port;
 use crate::server;
+use crate::transport;
 
 /// Stand-ins by name.
 #[derive(Clone, Debug, Default)]
@@ -37,8 +37,8 @@
     pub(crate) async fn handle(&self, mut request: http::Request) -> http::Response {
         let path = request.path().trim_start_matches('/').to_owned();
         let Some((node, uri)) = self.resolve(&path) else {
-            port::discard(&mut request).await;
-            return port::refuse(404, "unknown_call");
+            transport::discard(&mut request).await;
+            return transport::refuse(404, "unknown_call");
         };
         request.head_mut().uri = uri;
         // Boxed because `Node::handle` may call this function: an async recursion.
--- a/crates/lagoon-standin/src/engine/batch.rs
+++ b/crates/lagoon-standin/src/engine/batch.rs
@@ -14,8 +14,8 @@
 }
 
 /// Plans a step. `prefill_left` holds the tokens that each running stream still has to prefill, 0
-/// for a stream that decodes. Streams take their share of the prefill chunk in order, so a long
-/// prompt delays decoding streams by at most one chunk.
+/// for a stream that decodes. Streams share the tokens of `prefill_chunk` in order, so a long
+/// prompt delays a decode step by the time for at most `prefill_chunk` tokens.
 ///
 /// ```
 /// use lagoon_standin::engine::{self, batch};
--- a/crates/lagoon-standin/src/engine/cache.rs
+++ b/crates/lagoon-standin/src/engine/cache.rs
@@ -13,7 +13,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Block {
     tokens: u64,
+    /// Index of the block in its prompt.
     depth: usize,
+    /// Hash of the block before it; `None` for the first one.
     parent: Option<u64>,
     last_use: u64,
 }
@@ -22,6 +24,7 @@
 #[derive(Debug)]
 pub(crate) struct Cache {
     block_tokens: u64,
+    /// Probability that an event is lost, from the setting `cache_loss`.
     event_loss: f64,
     blocks: collections::HashMap<u64, Block>,
     /// Eviction order by (last use, depth, hash): the oldest use first, and the deepest block first
--- a/crates/lagoon-standin/src/engine/commands.rs
+++ b/crates/lagoon-standin/src/engine/commands.rs
@@ -1,4 +1,5 @@
-//! Commands to an engine: load a model at the weight store's rate, or change the role.
+//! Commands to an engine: load a model at the weight store's rate, or change the role. The HTTP
+//! interface calls them orders.
 
 use std::net;
 use std::sync;
@@ -10,7 +11,8 @@
 
 use super::settings;
 
-/// Bytes requested from the weight store in one call.
+/// Bytes requested from the weight store in one call. The store grants bytes of its rate limit; no
+/// weights are transferred.
 const WEIGHT_REQUEST_BYTES: u64 = 256 << 20;
 /// Delay before the next request after the weight store refused one or did not respond.
 const WEIGHT_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
@@ -29,7 +31,7 @@
     /// Number of commands with a fencing number below the highest one seen.
     pub(crate) stale: u64,
     /// Number of loads started so far, which is also the number of the latest load.
-    pub(crate) loads: u64,
+    pub(crate) load_count: u64,
 }
 
 /// Request body of a command.
@@ -53,7 +55,7 @@
             fence: 0,
             loading: false,
             stale: 0,
-            loads: 0,
+            load_count: 0,
         }
     }
 
@@ -85,15 +87,15 @@
                 model.as_str().clone_into(&mut self.model);
                 (self.adapter, self.version) = (adapter, version);
                 self.loading = true;
-                self.loads += 1;
-                Ok(Some(self.loads))
+                self.load_count += 1;
+                Ok(Some(self.load_count))
             }
         }
     }
 
     /// Marks the load of this number as finished, unless a later load has replaced it.
     fn finish_load(&mut self, number: u64) {
-        if self.loads == number {
+        if self.load_count == number {
             self.loading = false;
         }
     }
@@ -110,11 +112,11 @@
 /// Fetches the weights at the rate that the weight store allows, then marks the model as loaded.
 ///
 /// Stops early when a later load has started.
-pub(crate) async fn load(engine: sync::Arc<super::Engine>, number: u64) {
+pub(crate) async fn load_model(engine: sync::Arc<super::Engine>, number: u64) {
     if let Some(store) = engine.settings.weight_store {
         let client = ntex::client::Client::new().await;
         let mut remaining = engine.settings.weight_bytes;
-        while remaining > 0 && engine.lock().commands.loads == number {
+        while remaining > 0 && engine.lock().commands.load_count == number {
             let bytes = remaining.min(WEIGHT_REQUEST_BYTES);
             if request_weights(&client, store, bytes, &engine.settings.name).await {
                 remaining -= bytes;
@@ -134,6 +136,6 @@
     holder: &str,
 ) -> bool {
     let request = client.post(format!("http://{store}/weights/take"));
-    let answer = request.send_json(&json!({"bytes": bytes, "holder": holder})).await;
-    answer.is_ok_and(|answer| answer.status().is_success())
+    let response = request.send_json(&json!({"bytes": bytes, "holder": holder})).await;
+    response.is_ok_and(|response| response.status().is_success())
 }
--- a/crates/lagoon-standin/src/engine/delivery.rs
+++ b/crates/lagoon-standin/src/engine/delivery.rs
@@ -11,10 +11,10 @@
 
 use super::state;
 use crate::answer;
-use crate::port;
+use crate::transport;
 
 /// Maximum number of chunks in one part of the body.
-const MAX_CHUNKS_PER_WRITE: u64 = 64;
+const MAX_CHUNKS_PER_PART: u64 = 64;
 
 /// One reader of a stream and its position in it.
 #[derive(Debug)]
@@ -25,9 +25,12 @@
     progress: watch::Receiver<state::Progress>,
     prompt_hash: u64,
     prompt_tokens: u64,
+    /// Number of the next chunk to send.
     next: u64,
+    /// Number of chunks sent to this reader.
     sent: u64,
     end_sent: bool,
+    /// After the error event, the connection is closed instead of ending the body normally.
     error_sent: bool,
 }
 
@@ -63,7 +66,7 @@
     /// Returns the next part of the response body, or `None` after the end event.
     ///
     /// Waits while the reader's zone is cut off. An error closes the connection.
-    pub(crate) async fn next_part(&mut self) -> Option<Result<util::Bytes, port::Closed>> {
+    pub(crate) async fn next_part(&mut self) -> Option<Result<util::Bytes, transport::Closed>> {
         loop {
             if self.end_sent {
                 self.engine.lock().record_delivered(self.attempt, time::Instant::now());
@@ -72,10 +75,10 @@
             let faults = self.engine.faults();
             if faults.down || (faults.cut_after_chunks > 0 && self.sent >= faults.cut_after_chunks)
             {
-                return Some(Err(port::Closed));
+                return Some(Err(transport::Closed));
             }
             if faults.cut.contains(&self.zone) {
-                tokio::time::sleep(port::CUT_POLL_INTERVAL).await;
+                tokio::time::sleep(transport::CUT_POLL_INTERVAL).await;
                 continue;
             }
             let progress = *self.progress.borrow_and_update();
@@ -86,19 +89,20 @@
                 return Some(self.end_event(end));
             }
             if self.progress.changed().await.is_err() {
-                return Some(Err(port::Closed));
+                return Some(Err(transport::Closed));
             }
         }
     }
 
     fn next_chunks(&mut self, to: u64, faults: &super::Faults) -> util::Bytes {
-        let mut to = to.min(self.next + MAX_CHUNKS_PER_WRITE);
+        let mut to = to.min(self.next + MAX_CHUNKS_PER_PART);
         if faults.cut_after_chunks > 0 {
             to = to.min(self.next + faults.cut_after_chunks - self.sent);
         }
         let mut text = String::new();
         for number in self.next..to {
             let is_crossed = faults.cross_chunks > 0 && number == faults.cross_chunks;
+            // The inverted id is certainly that of another attempt.
             let attempt = if is_crossed { id::Attempt(!self.attempt.0) } else { self.attempt };
             let is_repeated = faults.repeat_chunks > 0 && number == faults.repeat_chunks;
             for _ in 0..=u8::from(is_repeated) {
@@ -116,7 +120,7 @@
         let _ = write!(text, "data: {{\"a\":\"{attempt}\",\"n\":{number},\"t\":\"{chunk}\"}}\n\n");
     }
 
-    fn end_event(&mut self, end: state::End) -> Result<util::Bytes, port::Closed> {
+    fn end_event(&mut self, end: state::End) -> Result<util::Bytes, transport::Closed> {
         let attempt = self.attempt.to_string();
         let event = match end {
             state::End::Done => {
@@ -125,12 +129,12 @@
                 let cached = state.streams.get(&self.attempt).map_or(0, |s| s.cached_tokens);
                 json!({
                     "a": attempt, "end": true, "count": self.next, "cached_tokens": cached,
-                    "prompt_tokens": self.prompt_tokens, "load": state.load(),
+                    "prompt_tokens": self.prompt_tokens, "load": state.load_report(),
                 })
             }
             state::End::Cancelled | state::End::Expired | state::End::Lost => {
                 if self.error_sent {
-                    return Err(port::Closed);
+                    return Err(transport::Closed);
                 }
                 self.error_sent = true;
                 json!({"a": attempt, "error": end.as_str()})
--- a/crates/lagoon-standin/src/engine/faults.rs
+++ b/crates/lagoon-standin/src/engine/faults.rs
@@ -10,15 +10,16 @@
 pub struct Faults {
     /// The process is down: connections are refused, and streams, KV memory and cache are lost.
     pub down: bool,
-    /// Milliseconds for which the engine makes no progress, from the time the switch is set.
+    /// Milliseconds for which the engine makes no progress, from the time this value changes.
     pub freeze_ms: u64,
-    /// Factor by which steps take longer; 1 for none.
+    /// Factor by which steps take longer; 1 for none. Values below 0.001 count as 0.001.
     pub slow: f64,
     /// Number of chunks after which each response's connection is closed; 0 for no limit.
     pub cut_after_chunks: u64,
-    /// Number of the chunk that carries the id of another attempt; 0 for none.
+    /// Index of the chunk that carries the id of another attempt; 0 for none, so the first chunk
+    /// cannot be selected.
     pub cross_chunks: u64,
-    /// Number of the chunk that is sent twice; 0 for none.
+    /// Index of the chunk that is sent twice; 0 for none, so the first chunk cannot be selected.
     pub repeat_chunks: u64,
     /// Refuses attempts and reservations with the code `full`.
     pub refuse_full: bool,
@@ -28,7 +29,7 @@
     pub delay_ms: u64,
     /// Probability that a request is dropped before it is handled, 0 to 1.
     pub loss: f64,
-    /// Zones that are cut off: their entry hosts get no response.
+    /// Zones that are cut off: requests whose `Lagoon-Zone` header names one get no response.
     pub cut: Vec<String>,
 }
 
@@ -52,8 +53,8 @@
 
 impl Faults {
     /// Returns the faults that are applied before a request reaches the engine.
-    pub(crate) fn port(&self) -> fault::Port {
+    pub(crate) fn transport(&self) -> fault::Transport {
         let Faults { down, delay_ms, loss, .. } = *self;
-        fault::Port { down, delay_ms, loss, cut: self.cut.clone() }
+        fault::Transport { down, delay_ms, loss, cut: self.cut.clone() }
     }
 }
--- a/crates/lagoon-standin/src/engine/kv.rs
+++ b/crates/lagoon-standin/src/engine/kv.rs
@@ -1,13 +1,14 @@
-//! KV memory allocations with owner and expiry, and the totals of tokens reserved and returned.
+//! KV memory holdings with owner and expiry, and the totals of tokens reserved and returned.
 
 use std::collections;
 use std::time;
 
 use lagoonline::port::engine;
 
-/// Memory held for one stream, reservation or export.
+/// Memory held for one stream, reservation or export. `lagoonline::port::engine::Holding` is its
+/// form in responses.
 #[derive(Clone, Debug)]
-pub(crate) struct Allocation {
+pub(crate) struct Holding {
     pub(crate) owner: String,
     pub(crate) kind: engine::Kind,
     pub(crate) tokens: u64,
@@ -16,10 +17,10 @@
     pub(crate) prefixes: Vec<u64>,
 }
 
-/// All current allocations, by attempt, reservation or export id.
+/// All current holdings, by attempt, reservation or export id.
 #[derive(Debug, Default)]
 pub(crate) struct Kv {
-    allocations: collections::BTreeMap<String, Allocation>,
+    holdings: collections::BTreeMap<String, Holding>,
     tokens: u64,
     reserved_total: u64,
     returned_total: u64,
@@ -36,58 +37,58 @@
         (self.reserved_total, self.returned_total)
     }
 
-    pub(crate) fn get(&self, id: &str) -> Option<&Allocation> {
-        self.allocations.get(id)
+    pub(crate) fn get(&self, id: &str) -> Option<&Holding> {
+        self.holdings.get(id)
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (&String, &Allocation)> {
-        self.allocations.iter()
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&String, &Holding)> {
+        self.holdings.iter()
     }
 
-    /// Adds an allocation; the caller has made room for it with `State::make_room`. The caller also
-    /// releases an allocation of the same id first; a replaced one counts as returned.
-    pub(crate) fn allocate(&mut self, id: String, allocation: Allocation) {
-        self.tokens += allocation.tokens;
-        self.reserved_total += allocation.tokens;
-        if let Some(replaced) = self.allocations.insert(id, allocation) {
+    /// Adds a holding; the caller has made room for it with `State::make_room`. The caller also
+    /// releases a holding of the same id first; a replaced one counts as returned.
+    pub(crate) fn add(&mut self, id: String, holding: Holding) {
+        self.tokens += holding.tokens;
+        self.reserved_total += holding.tokens;
+        if let Some(replaced) = self.holdings.insert(id, holding) {
             self.record_returned(&replaced);
         }
     }
 
-    /// Releases an allocation; does nothing when it does not exist.
+    /// Releases a holding; does nothing when it does not exist.
     pub(crate) fn release(&mut self, id: &str) {
-        if let Some(allocation) = self.allocations.remove(id) {
-            self.record_returned(&allocation);
+        if let Some(holding) = self.holdings.remove(id) {
+            self.record_returned(&holding);
         }
     }
 
-    fn record_returned(&mut self, allocation: &Allocation) {
-        self.tokens -= allocation.tokens;
-        self.returned_total += allocation.tokens;
+    fn record_returned(&mut self, holding: &Holding) {
+        self.tokens -= holding.tokens;
+        self.returned_total += holding.tokens;
     }
 
     pub(crate) fn set_expiry(&mut self, id: &str, expires: time::Instant) {
-        if let Some(allocation) = self.allocations.get_mut(id) {
-            allocation.expires = expires;
+        if let Some(holding) = self.holdings.get_mut(id) {
+            holding.expires = expires;
         }
     }
 
     pub(crate) fn set_owner(&mut self, id: &str, owner: &str) {
-        if let Some(allocation) = self.allocations.get_mut(id) {
-            owner.clone_into(&mut allocation.owner);
+        if let Some(holding) = self.holdings.get_mut(id) {
+            owner.clone_into(&mut holding.owner);
         }
     }
 
-    /// Returns the ids of the expired allocations.
+    /// Returns the ids of the expired holdings.
     pub(crate) fn expired(&self, now: time::Instant) -> Vec<String> {
-        let due = self.allocations.iter().filter(|(_, allocation)| allocation.expires <= now);
+        let due = self.holdings.iter().filter(|(_, holding)| holding.expires <= now);
         due.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Drops all allocations and counts them as returned, as when the process crashes.
+    /// Drops all holdings and counts them as returned, as when the process crashes.
     pub(crate) fn clear(&mut self) {
-        for allocation in std::mem::take(&mut self.allocations).values() {
-            self.record_returned(allocation);
+        for holding in std::mem::take(&mut self.holdings).values() {
+            self.record_returned(holding);
         }
     }
 }
--- a/crates/lagoon-standin/src/engine/mod.rs
+++ b/crates/lagoon-standin/src/engine/mod.rs
@@ -21,8 +21,8 @@
 
 use crate::fault;
 use crate::listener;
-use crate::port;
 use crate::server;
+use crate::transport;
 
 /// One engine: its settings, and its state behind one lock.
 #[derive(Debug)]
@@ -49,8 +49,8 @@
         self.lock().advance(now);
     }
 
-    pub(crate) fn port_faults(&self) -> fault::Port {
-        self.lock().faults.port()
+    pub(crate) fn transport_faults(&self) -> fault::Transport {
+        self.lock().faults.transport()
     }
 
     /// Returns the current fault switches.
@@ -116,7 +116,7 @@
 
 /// Creates an engine and binds its address, without serving it yet.
 pub(crate) fn bind(settings: Settings) -> io::Result<Bound> {
-    let listener = port::bind(settings.address)?;
+    let listener = transport::bind(settings.address)?;
     let address = listener.local_addr()?;
     let engine = sync::Arc::new(Engine::new(Settings { address, ..settings }));
     engine.listener.attach(&listener)?;
--- a/crates/lagoon-standin/src/engine/settings.rs
+++ b/crates/lagoon-standin/src/engine/settings.rs
@@ -7,7 +7,7 @@
 /// Settings of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Name of the engine, as in the configuration document.
+    /// Name of the engine, as in the configuration document. The control address uses it too.
     pub name: String,
     /// Listen address; port 0 selects a free port.
     pub address: net::SocketAddr,
@@ -39,7 +39,8 @@
     pub cache_lag_ms: u64,
     /// Probability that a cache event is lost, 0 to 1.
     pub cache_loss: f64,
-    /// Time for which a finished stream is kept, and one past its deadline, in real milliseconds.
+    /// Time for which a finished stream can be resumed, and by which an unfinished stream may
+    /// exceed its deadline, in real milliseconds.
     pub resume_ms: u64,
     /// Whether commands with an old fencing number are refused.
     pub checks_fence: bool,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Returns the number of tokens in a text of `bytes` bytes, at min 1.
+    /// Returns the number of tokens in a text of `bytes` bytes, at least 1.
     pub(crate) fn tokens(&self, bytes: usize) -> u64 {
         ((bytes as f64 / self.bytes_per_token).ceil() as u64).max(1)
     }
--- a/crates/lagoon-standin/src/engine/state.rs
+++ b/crates/lagoon-standin/src/engine/state.rs
@@ -18,7 +18,7 @@
 use super::settings;
 use crate::prompt;
 
-/// Maximum real time that one late tick makes up for, in seconds.
+/// Maximum real time that one late tick makes up for, in seconds. Engine time beyond it is lost.
 const MAX_CATCH_UP_SECONDS: f64 = 0.25;
 /// Time for which a cancelled attempt is refused, as its request may arrive after the cancel.
 const TOMBSTONE_TTL: time::Duration = time::Duration::from_secs(600);
@@ -28,11 +28,11 @@
 pub struct AttemptRecord {
     /// The attempt, as 32 hex digits.
     pub attempt: String,
-    /// Entry host that owns it, and its incarnation.
+    /// Owner as given by the caller: the entry host and its incarnation.
     pub owner: String,
     /// `waiting`, `running`, `done`, `cancelled`, `expired` or `lost`.
     pub state: String,
-    /// Number of the next chunk, which counts skipped chunks too.
+    /// Number of chunks so far, including skipped ones.
     pub chunks: u64,
     /// Length of its prompt, in tokens.
     pub prompt_tokens: u64,
@@ -43,7 +43,7 @@
 /// Record of an engine's activity, for test assertions.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// Current incarnation of the engine.
+    /// Current incarnation of the engine, a number that grows with each crash.
     pub incarnation: u64,
     /// All accepted attempts, also of earlier incarnations.
     pub attempts: Vec<AttemptRecord>,
@@ -95,23 +95,27 @@
     pub(crate) prompt: prompt::Prompt,
     /// Tokens of the answer that the caller has already.
     pub(crate) skip_tokens: u64,
+    /// Tokens of the whole answer, including those that are skipped.
     pub(crate) answer_tokens: u64,
     /// This engine's reservation in a group of engines that together hold the whole prompt.
-    pub(crate) group: Option<String>,
+    pub(crate) reservation: Option<String>,
 }
 
-/// One accepted attempt. Each chunk is one token.
+/// State of an accepted attempt, kept until it is cancelled or expires. Each chunk of the answer is
+/// one token.
 #[derive(Debug)]
 pub(crate) struct Stream {
     priority: u8,
     arrival: u64,
     owner: String,
     /// Id of this engine's reservation, for a stream that runs on a group of engines.
-    group: Option<String>,
+    reservation: Option<String>,
     /// Time at which the stream is dropped: its deadline plus `resume_ms`, or `resume_ms` after it
     /// is done.
     expires: time::Instant,
+    /// Hashes of the prompt's prefixes, until they are cached.
     prefixes: Vec<u64>,
+    /// Tokens that are still to be prefilled.
     prefill_left: u64,
     pub(crate) prompt_hash: u64,
     pub(crate) prompt_tokens: u64,
@@ -129,19 +133,23 @@
         (cmp::Reverse(self.priority), self.arrival)
     }
 
-    /// Returns the KV memory to allocate, in tokens. A stream of a group uses its reservation.
+    /// Returns the KV memory that the stream itself holds, in tokens. A stream of a group uses its
+    /// reservation.
     fn needed_tokens(&self) -> u64 {
-        if self.group.is_some() { 0 } else { self.prompt_tokens + self.total_chunks }
+        if self.reservation.is_some() { 0 } else { self.prompt_tokens + self.total_chunks }
     }
 }
 
-/// Reason why an attempt was refused. A refused attempt has not run and never will.
+/// Reason why a request for an attempt was refused. The refused request starts no work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Refusal {
     Full,
     Leaving,
+    /// The engine serves another model, or is still loading this one.
     UnknownModel,
+    /// The prompt and answer need more KV memory than the engine has.
     TooLong,
+    /// An earlier request for the attempt was accepted, or the attempt was cancelled.
     AttemptExists,
 }
 
@@ -163,6 +171,7 @@
     pub(crate) settings: sync::Arc<settings::Settings>,
     pub(crate) faults: faults::Faults,
     pub(crate) leaving: bool,
+    /// Starts as the wall clock time in microseconds; each crash adds one.
     pub(crate) incarnation: u64,
     pub(crate) kv: kv::Kv,
     pub(crate) cache: cache::Cache,
@@ -182,8 +191,9 @@
     unspent_seconds: f64,
     last_advance: time::Instant,
     frozen_until: Option<time::Instant>,
-    /// Load report that `GET /load` returns; it is up to `load_lag_ms` old.
-    published: engine::LoadReport,
+    /// Load report that `GET /load` returns, up to `load_lag_ms` old. Its sequence number restarts
+    /// with each incarnation.
+    published_report: engine::LoadReport,
     published_at: time::Instant,
 }
 
@@ -208,11 +218,11 @@
             unspent_seconds: 0.0,
             last_advance: now,
             frozen_until: None,
-            published: engine::LoadReport::default(),
+            published_report: engine::LoadReport::default(),
             published_at: now,
             settings,
         };
-        state.published = state.load();
+        state.published_report = state.load_report();
         state
     }
 
@@ -241,7 +251,7 @@
             commands::State { stale: self.commands.stale, ..commands::State::new(&self.settings) };
         self.leaving = false;
         self.incarnation += 1;
-        self.published = engine::LoadReport { sequence: 0, ..self.load() };
+        self.published_report = engine::LoadReport { sequence: 0, ..self.load_report() };
     }
 
     /// Accepts and queues an attempt, or refuses it.
@@ -260,12 +270,12 @@
         if request.model != self.commands.model || self.commands.loading {
             return Err(Refusal::UnknownModel);
         }
-        if request.group.is_none() && prompt_tokens + total_chunks > settings.kv_tokens {
+        if request.reservation.is_none() && prompt_tokens + total_chunks > settings.kv_tokens {
             return Err(Refusal::TooLong);
         }
         let free_slot = self.running.len() + self.waiting.len() < settings.slots;
         let must_queue =
-            !free_slot || !self.fits(prompt_tokens + total_chunks, request.group.is_some());
+            !free_slot || !self.fits(prompt_tokens + total_chunks, request.reservation.is_some());
         if self.faults.refuse_full || (must_queue && self.waiting.len() >= settings.waiting_limit) {
             return Err(Refusal::Full);
         }
@@ -273,9 +283,9 @@
         Ok(())
     }
 
-    /// Returns whether a stream of this many tokens fits beside the current allocations.
-    fn fits(&self, tokens: u64, group: bool) -> bool {
-        group || self.kv.tokens() + tokens <= self.settings.kv_tokens
+    /// Returns whether a stream of this many tokens fits beside the current holdings.
+    fn fits(&self, tokens: u64, is_reserved: bool) -> bool {
+        is_reserved || self.kv.tokens() + tokens <= self.settings.kv_tokens
     }
 
     fn enqueue(
@@ -291,7 +301,7 @@
             priority: request.priority,
             arrival: self.arrivals,
             owner: request.owner.clone(),
-            group: request.group,
+            reservation: request.reservation,
             expires: now + request.deadline + time::Duration::from_millis(self.settings.resume_ms),
             prefixes: request.prompt.prefixes,
             prefill_left: prompt_tokens,
@@ -337,23 +347,24 @@
     /// prefill, skipped chunks do.
     fn start(&mut self, attempt: id::Attempt, tokens: u64) {
         let Some(stream) = self.streams.get_mut(&attempt) else { return };
+        // At least one prompt token is always prefilled.
         stream.cached_tokens = self.cache.lookup(&stream.prefixes).min(stream.prompt_tokens - 1);
         stream.prefill_left = stream.prompt_tokens + stream.first_chunk - stream.cached_tokens;
-        let allocation = kv::Allocation {
+        let holding = kv::Holding {
             owner: stream.owner.clone(),
             kind: engine::Kind::Stream,
             tokens,
             expires: stream.expires,
             prefixes: Vec::new(),
         };
-        self.kv.allocate(attempt.to_string(), allocation);
+        self.kv.add(attempt.to_string(), holding);
         self.running.push(attempt);
         let streams = &self.streams;
         self.running.sort_by_key(|attempt| streams.get(attempt).map(Stream::rank));
         self.record_state(attempt, "running");
     }
 
-    /// Evicts cached blocks until `tokens` are free. Returns false when allocations leave less than
+    /// Evicts cached blocks until `tokens` are free. Returns false when holdings leave less than
     /// that.
     pub(crate) fn make_room(&mut self, tokens: u64, now: time::Instant) -> bool {
         if self.kv.tokens() + tokens > self.settings.kv_tokens {
@@ -364,7 +375,7 @@
         true
     }
 
-    /// Inserts blocks into the prefix cache, within the memory that allocations leave free.
+    /// Inserts blocks into the prefix cache, within the memory that holdings leave free.
     pub(crate) fn cache_prefixes(&mut self, prefixes: &[u64], now: time::Instant) {
         let room = self.settings.kv_tokens - self.kv.tokens();
         self.cache.insert(prefixes, room, now);
@@ -484,8 +495,8 @@
     /// Decodes one token. A stream of a group ends as lost when its reservation is gone.
     fn decode(&mut self, attempt: id::Attempt) {
         let Some(stream) = self.streams.get(&attempt) else { return };
-        if let Some(group) = &stream.group
-            && self.kv.get(group).is_none()
+        if let Some(reservation) = &stream.reservation
+            && self.kv.get(reservation).is_none()
         {
             self.finish(attempt, End::Lost);
             return;
@@ -504,7 +515,7 @@
         }
     }
 
-    /// Drops tombstones, streams and allocations whose time has passed.
+    /// Drops tombstones, streams and holdings whose time has passed.
     fn expire(&mut self, now: time::Instant) {
         self.tombstones.retain(|_, until| *until > now);
         let expired = self.streams.iter().filter(|(_, stream)| stream.expires <= now);
@@ -529,18 +540,18 @@
         if now.saturating_duration_since(self.published_at) < lag {
             return;
         }
-        let sequence = self.published.sequence + 1;
-        self.published = engine::LoadReport { sequence, ..self.load() };
+        let sequence = self.published_report.sequence + 1;
+        self.published_report = engine::LoadReport { sequence, ..self.load_report() };
         self.published_at = now;
     }
 
     /// Returns the load report as last published.
-    pub(crate) fn published(&self) -> engine::LoadReport {
-        self.published
+    pub(crate) fn published_report(&self) -> engine::LoadReport {
+        self.published_report
     }
 
     /// Returns the current load, which stream responses carry.
-    pub(crate) fn load(&self) -> engine::LoadReport {
+    pub(crate) fn load_report(&self) -> engine::LoadReport {
         let active = self.streams.values().filter(|s| s.progress.borrow().end.is_none());
         engine::LoadReport {
             running: u32::try_from(self.running.len()).unwrap_or(u32::MAX),
@@ -549,7 +560,7 @@
             kv_free_tokens: self.settings.kv_tokens.saturating_sub(self.kv.tokens()),
             kv_tokens: self.settings.kv_tokens,
             prefill_rate: self.settings.prefill_rate * self.settings.time_scale,
-            sequence: self.published.sequence,
+            sequence: self.published_report.sequence,
             incarnation: self.incarnation,
         }
     }
--- a/crates/lagoon-standin/src/fault.rs
+++ b/crates/lagoon-standin/src/fault.rs
@@ -3,16 +3,16 @@
 use serde::{Serialize, de};
 use serde_json::Value;
 
-/// Faults that are applied to a request before the stand-in handles it.
+/// Faults of the transport, which are applied to a request before the stand-in handles it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Port {
-    /// Connections are closed without a response.
+pub struct Transport {
+    /// Connections are closed without a response. Never set by the platform, which answers 503.
     pub down: bool,
     /// Delay before a request is handled, in milliseconds.
     pub delay_ms: u64,
     /// Probability that a request is dropped before it is handled, 0 to 1.
     pub loss: f64,
-    /// Zones that are cut off: their hosts get no response.
+    /// Zones that are cut off: requests whose `Lagoon-Zone` header names one get no response.
     pub cut: Vec<String>,
 }
 
--- a/crates/lagoon-standin/src/fleet.rs
+++ b/crates/lagoon-standin/src/fleet.rs
@@ -9,9 +9,9 @@
 use crate::control;
 use crate::engine;
 use crate::platform;
-use crate::port;
 use crate::server;
 use crate::service;
+use crate::transport;
 
 /// Settings of all stand-ins of a fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     ///
-    /// Returns all faults of the text, with their JSON pointers.
+    /// Returns all mistakes in the text, with their JSON pointers.
     ///
     /// ```
     /// use lagoon_standin::fleet::Settings;
@@ -56,6 +56,7 @@
     let name = |node: &server::Node| match node {
         server::Node::Engine(engine) => engine.settings.name.clone(),
         server::Node::Service(service) => service.settings.name.clone(),
+        // The control address is created from these names, so it is not among the nodes yet.
         server::Node::Platform(_) | server::Node::Control(_) => "platform".to_owned(),
     };
     nodes.iter().map(|(_, node)| (name(node), node.clone())).collect()
@@ -112,7 +113,7 @@
     if let Some(address) = settings.control {
         let control =
             server::Node::Control(sync::Arc::new(control::Control::new(nodes_by_name(&nodes))));
-        nodes.push((port::bind(address)?, control));
+        nodes.push((transport::bind(address)?, control));
     }
     if nodes.is_empty() {
         return Err(io::Error::other("the settings name no stand-in"));
--- a/crates/lagoon-standin/src/lib.rs
+++ b/crates/lagoon-standin/src/lib.rs
@@ -1,7 +1,8 @@
 //! Stand-ins for the platform, engines and services in tests, with fault switches.
 //!
-//! Small servers that implement the external side of the protocols in `docs/PROTOCOLS.md`. Many of
-//! them share one set of worker threads, so a whole fleet fits in one process.
+//! Small servers that take the place of the platform, the engines and the services in the protocols
+//! of `docs/PROTOCOLS.md`. Many of them share one set of worker threads, so a whole fleet fits in
+//! one process.
 //!
 //! ```
 //! use lagoon_standin::engine;
@@ -18,7 +19,7 @@
 pub mod fleet;
 mod listener;
 pub mod platform;
-pub mod port;
 pub mod prompt;
 pub mod server;
 pub mod service;
+pub mod transport;
--- a/crates/lagoon-standin/src/listener.rs
+++ b/crates/lagoon-standin/src/listener.rs
@@ -9,7 +9,7 @@
 use std::sync;
 use std::time;
 
-use ntex::io as wire;
+use ntex::io as ntex_io;
 use tokio::runtime;
 use tokio::sync::watch;
 
@@ -36,7 +36,7 @@
 }
 
 impl Listener {
-    /// Attaches the bound socket that is closed and reopened from now on.
+    /// Attaches the bound socket that `set_open` closes and reopens.
     ///
     /// # Errors
     ///
@@ -68,7 +68,7 @@
     }
 
     /// Closes `connection` when the port closes. Returns when the connection has ended.
-    pub(crate) async fn watch_connection(&self, connection: wire::IoRef) {
+    pub(crate) async fn watch_connection(&self, connection: ntex_io::IoRef) {
         let mut open = self.open.subscribe();
         // `wait_for` returns a guard that locks the state of the port, so it is dropped at once.
         // Held over the sleep below, it would block the next change of the state and then every
--- a/crates/lagoon-standin/src/platform/http.rs
+++ b/crates/lagoon-standin/src/platform/http.rs
@@ -10,7 +10,7 @@
 
 use super::table;
 use crate::fault;
-use crate::port;
+use crate::transport;
 
 /// Maximum number of rows in a response to a request without the parameter `limit`.
 const DEFAULT_ROW_LIMIT: usize = 1_000;
@@ -21,62 +21,62 @@
     let path = request.path().to_owned();
     let method = request.method().clone();
     match (method.as_str(), path.as_str()) {
-        ("GET", "/faults") => return port::json(200, &platform.faults()),
+        ("GET", "/faults") => return transport::json(200, &platform.faults()),
         ("POST", "/faults") => return set_faults(&platform, &mut request).await,
-        ("GET", "/record") => return port::json(200, &platform.record()),
+        ("GET", "/record") => return transport::json(200, &platform.record()),
         ("POST", "/hosts") => return set_hosts(&platform, &mut request).await,
         _ => {}
     }
-    if port::apply_faults(&request, || port_faults(&platform)).await.is_err() {
-        return port::drop_connection(&request);
+    if transport::apply_faults(&request, || transport_faults(&platform)).await.is_err() {
+        return transport::drop_connection(&request);
     }
     if platform.faults().down {
-        port::discard(&mut request).await;
+        transport::discard(&mut request).await;
         return record_refusal(&platform, 503, "out");
     }
     match (method.as_str(), path.as_str()) {
         ("GET", "/table/row") => read(&platform, |state| {
-            let row = state.table.row(&port::query(&request, "key"));
-            row.map_or_else(|| port::refuse(404, "no_row"), |row| port::json(200, &row))
+            let row = state.table.row(&transport::query(&request, "key"));
+            row.map_or_else(|| transport::refuse(404, "no_row"), |row| transport::json(200, &row))
         }),
         ("GET", "/table/rows") => read(&platform, |state| rows(state, &request)),
         ("POST", "/table/commit") => commit(&platform, &mut request).await,
         ("GET", "/hosts") => read(&platform, |state| {
             let lag = time::Duration::from_millis(state.faults.hosts_lag_ms);
-            port::json(200, &json!({"hosts": visible_hosts(state, lag)}))
+            transport::json(200, &json!({"hosts": visible_hosts(state, lag)}))
         }),
         ("POST", "/weights/take") => take_weights(&platform, &mut request).await,
         (method, path) => match path.strip_prefix("/objects/") {
-            Some(key) => object(&platform, &mut request, method, &port::decode(key)).await,
+            Some(key) => object(&platform, &mut request, method, &transport::decode(key)).await,
             None => {
-                port::discard(&mut request).await;
-                port::refuse(404, "unknown_call")
+                transport::discard(&mut request).await;
+                transport::refuse(404, "unknown_call")
             }
         },
     }
 }
 
-fn port_faults(platform: &Shared) -> fault::Port {
+fn transport_faults(platform: &Shared) -> fault::Transport {
     let super::Faults { delay_ms, cut, .. } = platform.faults();
-    fault::Port { down: false, delay_ms, loss: 0.0, cut }
+    fault::Transport { down: false, delay_ms, loss: 0.0, cut }
 }
 
 fn record_refusal(platform: &Shared, status: u16, code: &str) -> http::Response {
     platform.lock().record.refused += 1;
-    port::refuse(status, code)
+    transport::refuse(status, code)
 }
 
 async fn set_faults(platform: &Shared, request: &mut http::Request) -> http::Response {
-    let change: Value = match port::read_json(request).await {
+    let change: Value = match transport::read_json(request).await {
         Ok(change) => change,
-        Err(error) => return port::malformed(&error),
+        Err(error) => return transport::malformed(&error),
     };
     match fault::merge(&platform.faults(), &change) {
         Ok(faults) => {
             platform.set_faults(faults);
-            port::json(200, &platform.faults())
+            transport::json(200, &platform.faults())
         }
-        Err(error) => port::refuse(400, &error.to_string()),
+        Err(error) => transport::refuse(400, &error.to_string()),
     }
 }
 
@@ -85,12 +85,12 @@
     struct Hosts {
         hosts: Vec<super::HostEntry>,
     }
-    match port::read_json::<Hosts>(request).await {
+    match transport::read_json::<Hosts>(request).await {
         Ok(list) => {
             platform.set_hosts(list.hosts);
-            port::json(200, &json!({}))
+            transport::json(200, &json!({}))
         }
-        Err(error) => port::malformed(&error),
+        Err(error) => transport::malformed(&error),
     }
 }
 
@@ -103,7 +103,7 @@
     let rate = state.faults.reads_per_second;
     if state.reads.take(1.0, rate, time::Instant::now()).is_err() {
         state.record.refused += 1;
-        return port::refuse(429, "over_limit");
+        return transport::refuse(429, "over_limit");
     }
     state.record.reads += 1;
     respond(&state)
@@ -124,36 +124,36 @@
     let rate = state.faults.writes_per_second;
     if state.writes.take(count as f64, rate, time::Instant::now()).is_err() {
         state.record.refused += 1;
-        return port::refuse(429, "over_limit");
+        return transport::refuse(429, "over_limit");
     }
     match apply(&mut state) {
-        Ok(answer) => {
+        Ok(response) => {
             state.record.writes += count as u64;
-            if state.faults.lose_answer { port::drop_connection(request) } else { answer }
+            if state.faults.lose_answer { transport::drop_connection(request) } else { response }
         }
         Err(table::Conflict) => {
             state.record.refused += 1;
-            port::refuse(409, "conflict")
+            transport::refuse(409, "conflict")
         }
     }
 }
 
 fn rows(state: &super::State, request: &http::Request) -> http::Response {
-    let limit = port::query(request, "limit").parse().unwrap_or(DEFAULT_ROW_LIMIT);
-    let prefix = port::query(request, "prefix");
-    let rows = state.table.rows(&prefix, &port::query(request, "after"), limit);
-    port::json(200, &json!({"rows": rows}))
+    let limit = transport::query(request, "limit").parse().unwrap_or(DEFAULT_ROW_LIMIT);
+    let prefix = transport::query(request, "prefix");
+    let rows = state.table.rows(&prefix, &transport::query(request, "after"), limit);
+    transport::json(200, &json!({"rows": rows}))
 }
 
 async fn commit(platform: &Shared, request: &mut http::Request) -> http::Response {
-    let commit: super::Commit = match port::read_json(request).await {
+    let commit: super::Commit = match transport::read_json(request).await {
         Ok(commit) => commit,
-        Err(error) => return port::malformed(&error),
+        Err(error) => return transport::malformed(&error),
     };
     let count = (commit.puts.len() + commit.deletes.len()).max(1);
     write(platform, request, count, |state| {
         let versions = state.table.commit(&commit)?;
-        Ok(port::json(200, &json!({"versions": versions})))
+        Ok(transport::json(200, &json!({"versions": versions})))
     })
 }
 
@@ -166,19 +166,19 @@
     match method {
         "GET" => read(platform, |state| match state.objects.get(key) {
             Some(object) => object_response(object),
-            None => port::refuse(404, "no_object"),
+            None => transport::refuse(404, "no_object"),
         }),
         "PUT" => {
-            let object = match port::read(request).await {
+            let object = match transport::read(request).await {
                 Ok(object) => object,
-                Err(error) => return port::malformed(&error),
+                Err(error) => return transport::malformed(&error),
             };
             write(platform, request, 1, |state| {
                 state.objects.insert(key.to_owned(), object);
-                Ok(port::json(200, &json!({})))
+                Ok(transport::json(200, &json!({})))
             })
         }
-        _ => port::refuse(405, "method"),
+        _ => transport::refuse(405, "method"),
     }
 }
 
@@ -195,20 +195,21 @@
     visible.map_or(&[], |(_, hosts)| hosts)
 }
 
+/// Request for bytes of the weight store's rate limit. No weights are transferred.
 #[derive(Debug, Deserialize)]
 struct TakeWeights {
     bytes: u64,
 }
 
 async fn take_weights(platform: &Shared, request: &mut http::Request) -> http::Response {
-    let body: TakeWeights = match port::read_json(request).await {
+    let body: TakeWeights = match transport::read_json(request).await {
         Ok(body) => body,
-        Err(error) => return port::malformed(&error),
+        Err(error) => return transport::malformed(&error),
     };
     let rate = platform.settings.weight_rate;
     let mut state = platform.lock();
     match state.weights.take(body.bytes as f64, rate, time::Instant::now()) {
-        Ok(()) => port::json(200, &json!({})),
+        Ok(()) => transport::json(200, &json!({})),
         Err(seconds) => {
             state.record.refused += 1;
             http::Response::build(http::StatusCode::TOO_MANY_REQUESTS)
--- a/crates/lagoon-standin/src/platform/limit.rs
+++ b/crates/lagoon-standin/src/platform/limit.rs
@@ -2,11 +2,12 @@
 
 use std::time;
 
-/// A token bucket. The rate is elapsed to each call, because fault switches can change it.
+/// A token bucket. Each call gives the rate, because fault switches can change it.
 #[derive(Debug)]
 pub(crate) struct Bucket {
     /// `None` until the first call, which finds the bucket full.
     level: Option<f64>,
+    /// Time of the last call.
     at: time::Instant,
 }
 
@@ -16,8 +17,9 @@
         Bucket { level: None, at: now }
     }
 
-    /// Takes `amount` tokens; the bucket refills with `rate` tokens per second. An amount above one
-    /// second's worth is granted when the bucket is full, and leaves the level negative.
+    /// Takes `amount` units (reads, rows or bytes); the bucket refills with `rate` units per
+    /// second. An amount above one second's worth is granted when the bucket is full, and leaves
+    /// the level negative.
     ///
     /// # Errors
     ///
--- a/crates/lagoon-standin/src/platform/mod.rs
+++ b/crates/lagoon-standin/src/platform/mod.rs
@@ -18,8 +18,8 @@
 pub use settings::Settings;
 pub use table::{Commit, Row, Table};
 
-use crate::port;
 use crate::server;
+use crate::transport;
 
 /// Number of host list snapshots kept, from which an outdated list is served.
 const MAX_HOST_SNAPSHOTS: usize = 1_024;
@@ -40,7 +40,7 @@
     pub writes_per_second: f64,
     /// Delay after which a change of the host list becomes visible, in milliseconds.
     pub hosts_lag_ms: u64,
-    /// Zones that are cut off: their hosts get no response.
+    /// Zones that are cut off: requests whose `Lagoon-Zone` header names one get no response.
     pub cut: Vec<String>,
 }
 
@@ -65,7 +65,7 @@
     pub name: String,
     /// Its availability zone.
     pub zone: String,
-    /// Incarnation of the host that the entry describes.
+    /// Incarnation of the host, a number that grows with each of its restarts.
     pub incarnation: u64,
     /// `live` or `leaving`.
     pub state: String,
@@ -89,7 +89,7 @@
     objects: collections::HashMap<String, Bytes>,
     /// Host list snapshots with the time of each change, the oldest first.
     hosts: collections::VecDeque<(time::Instant, Vec<HostEntry>)>,
-    /// Rate limit of reads; the other two limit writes and weight downloads.
+    /// Rate limit of reads; the other two limit writes and weight requests.
     reads: limit::Bucket,
     writes: limit::Bucket,
     weights: limit::Bucket,
@@ -187,7 +187,7 @@
 
 /// Creates a platform and binds its address, without serving it yet.
 pub(crate) fn bind(settings: Settings) -> io::Result<Bound> {
-    let listener = port::bind(settings.address)?;
+    let listener = transport::bind(settings.address)?;
     let address = listener.local_addr()?;
     let platform = sync::Arc::new(Platform::new(Settings { address, ..settings }));
     Ok(((listener, server::Node::Platform(platform.clone())), address, platform))
--- a/crates/lagoon-standin/src/prompt.rs
+++ b/crates/lagoon-standin/src/prompt.rs
@@ -2,7 +2,8 @@
 
 use serde_json::Value;
 
-/// Length of a prompt block, in bytes. Each complete block ends a hashed prefix.
+/// Length of a prompt block, in bytes. Each complete block ends a hashed prefix. Entry hosts
+/// compute the same hashes at the same interval, see `entry::prompt` in lagoon-net.
 pub const BLOCK_BYTES: usize = 4_096;
 
 const FNV_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
--- a/crates/lagoon-standin/src/server.rs
+++ b/crates/lagoon-standin/src/server.rs
@@ -25,7 +25,7 @@
 /// Time after which an idle connection is closed, in seconds.
 const KEEP_ALIVE_SECONDS: u16 = 75;
 
-/// One stand-in of any kind.
+/// One stand-in of any kind, or the control address.
 #[derive(Clone, Debug)]
 pub enum Node {
     /// A model engine.
@@ -79,7 +79,7 @@
 pub struct Server {
     stop: sync::Arc<atomic::AtomicBool>,
     /// In a mutex only because the handle is not `Sync`.
-    control: sync::Mutex<ntex::server::Server>,
+    handle: sync::Mutex<ntex::server::Server>,
     /// Thread that advances engine time.
     clock: Option<thread::JoinHandle<()>>,
 }
@@ -87,8 +87,8 @@
 impl Drop for Server {
     fn drop(&mut self) {
         self.stop.store(true, atomic::Ordering::Release);
-        let control = self.control.get_mut().unwrap_or_else(sync::PoisonError::into_inner);
-        drop(control.stop(false));
+        let handle = self.handle.get_mut().unwrap_or_else(sync::PoisonError::into_inner);
+        drop(handle.stop(false));
         // The HTTP threads end on their own and are not joined: a server that is stopped while its
         // workers are starting may never report that it has stopped, and a join would hang.
         if self.clock.take().is_some_and(|clock| clock.join().is_err()) {
@@ -109,7 +109,7 @@
     thread::Builder::new().name("standin-http".to_owned()).spawn(move || {
         ntex::rt::System::new("standin", ntex::rt::DefaultRuntime).block_on(run(nodes, sender));
     })?;
-    let control = receiver.recv().map_err(io::Error::other)??;
+    let handle = receiver.recv().map_err(io::Error::other)??;
     let stopped = stop.clone();
     let clock = thread::Builder::new().name("standin-clock".to_owned()).spawn(move || {
         while !stopped.load(atomic::Ordering::Acquire) {
@@ -118,8 +118,8 @@
             thread::sleep(TICK_INTERVAL);
         }
     })?;
-    let control = sync::Mutex::new(control);
-    Ok(Server { stop, control, clock: Some(clock) })
+    let handle = sync::Mutex::new(handle);
+    Ok(Server { stop, handle, clock: Some(clock) })
 }
 
 async fn run(
@@ -133,7 +133,7 @@
             // `serve` waits for this message, so the receiver exists.
             let _ = sender.send(Ok(server.clone()));
             if let Err(error) = server.await {
-                log::error!("stand-in server: {error}");
+                log::error!("the stand-ins' HTTP server failed: {error}");
             }
         }
         Err(error) => drop(sender.send(Err(error))),
--- a/crates/lagoon-standin/src/service/http.rs
+++ b/crates/lagoon-standin/src/service/http.rs
@@ -11,36 +11,36 @@
 use sha2::Digest;
 
 use crate::fault;
-use crate::port;
+use crate::transport;
 
 type Shared = sync::Arc<super::Service>;
 
 pub(crate) async fn handle(service: Shared, mut request: http::Request) -> http::Response {
     match (request.method().as_str(), request.path()) {
-        ("GET", "/faults") => return port::json(200, &service.faults()),
+        ("GET", "/faults") => return transport::json(200, &service.faults()),
         ("POST", "/faults") => return set_faults(&service, &mut request).await,
-        ("GET", "/record") => return port::json(200, &service.record()),
+        ("GET", "/record") => return transport::json(200, &service.record()),
         ("POST", "/leave") => {
-            port::discard(&mut request).await;
+            transport::discard(&mut request).await;
             service.leave();
-            return port::json(200, &json!({}));
+            return transport::json(200, &json!({}));
         }
         _ => {}
     }
-    if port::apply_faults(&request, || service.port_faults()).await.is_err() {
-        return port::drop_connection(&request);
+    if transport::apply_faults(&request, || service.transport_faults()).await.is_err() {
+        return transport::drop_connection(&request);
     }
     let slot = Slot::new(&service);
     if slot.in_use > service.settings.slots || service.leaving.load(atomic::Ordering::Acquire) {
-        port::discard(&mut request).await;
+        transport::discard(&mut request).await;
         return refuse_not_run(&request);
     }
-    let answer = run_call(&service, &mut request).await;
-    let heal = port::wait_for_heal(&request, || service.port_faults()).await;
-    if heal.is_err() || service.faults().lose_answer || service.faults().down {
-        return port::drop_connection(&request);
+    let response = run_call(&service, &mut request).await;
+    let cut_ended = transport::wait_while_cut(&request, || service.transport_faults()).await;
+    if cut_ended.is_err() || service.faults().lose_answer || service.faults().down {
+        return transport::drop_connection(&request);
     }
-    answer
+    response
 }
 
 /// Counts one call in flight until it is dropped.
@@ -64,30 +64,31 @@
 }
 
 async fn set_faults(service: &Shared, request: &mut http::Request) -> http::Response {
-    let change: Value = match port::read_json(request).await {
+    let change: Value = match transport::read_json(request).await {
         Ok(change) => change,
-        Err(error) => return port::malformed(&error),
+        Err(error) => return transport::malformed(&error),
     };
     match fault::merge(&service.faults(), &change) {
         Ok(faults) => {
             service.set_faults(faults);
-            port::json(200, &service.faults())
+            transport::json(200, &service.faults())
         }
-        Err(error) => port::refuse(400, &error.to_string()),
+        Err(error) => transport::refuse(400, &error.to_string()),
     }
 }
 
-/// Refuses a call with the header that tells the caller that it did not run.
+/// Refuses a call with the header that tells the caller that it did not run. The code is `full`
+/// also while the replica is leaving.
 fn refuse_not_run(request: &http::Request) -> http::Response {
     http::Response::build(http::StatusCode::SERVICE_UNAVAILABLE)
         .header("Lagoon-Not-Run", "1")
-        .header("Lagoon-Attempt", port::header(request, "Lagoon-Attempt"))
+        .header("Lagoon-Attempt", transport::header(request, "Lagoon-Attempt"))
         .json(&json!({"error": {"code": "full"}}))
 }
 
 async fn run_call(service: &Shared, request: &mut http::Request) -> http::Response {
     let mut call = super::CallRecord {
-        attempt: port::header(request, "Lagoon-Attempt").to_owned(),
+        attempt: transport::header(request, "Lagoon-Attempt").to_owned(),
         method: request.method().as_str().to_owned(),
         path: request.path().to_owned(),
         body_sha256: String::new(),
@@ -95,10 +96,11 @@
     };
     let Some(hash) = hash_body(request).await else {
         service.record_call(call);
-        return port::refuse(400, "half_a_body");
+        return transport::refuse(400, "half_a_body");
     };
     (call.body_sha256, call.ran) = (hash, true);
-    // The call is recorded before the delay, so that a call whose response is lost did run.
+    // The call takes effect when it is recorded. A response that is lost during the delay is thus
+    // that of a call that ran.
     service.record_call(call.clone());
     tokio::time::sleep(time::Duration::from_millis(service.settings.work_ms)).await;
     http::Response::build(http::StatusCode::OK).header("Lagoon-Attempt", call.attempt.clone()).json(
--- a/crates/lagoon-standin/src/service/mod.rs
+++ b/crates/lagoon-standin/src/service/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-in of a plain service's replica: answers any call and records the calls that ran.
+//! Stand-in for a replica of a plain service, one that is not a model engine: answers any call and
+//! records the calls that ran.
 
 mod http;
 mod settings;
@@ -15,8 +16,8 @@
 
 use crate::fault;
 use crate::listener;
-use crate::port;
 use crate::server;
+use crate::transport;
 
 /// Fault switches of a service; all off by default.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
@@ -30,11 +31,11 @@
     pub lose_answer: bool,
     /// Probability that a request is dropped before it runs, 0 to 1.
     pub loss: f64,
-    /// Zones that are cut off: their entry hosts get no response.
+    /// Zones that are cut off: requests whose `Lagoon-Zone` header names one get no response.
     pub cut: Vec<String>,
 }
 
-/// One call that reached the service.
+/// One call that was accepted, so neither refused as not run nor dropped by a fault.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CallRecord {
     /// Value of the header `Lagoon-Attempt`.
@@ -52,7 +53,8 @@
 /// Record of a service's activity, for test assertions.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// All calls, in the order in which they were recorded.
+    /// Calls in the order of recording. Refused and dropped calls and administrative ones are not
+    /// recorded.
     pub calls: Vec<CallRecord>,
 }
 
@@ -108,9 +110,9 @@
         self.calls.lock().unwrap_or_else(sync::PoisonError::into_inner).push(call);
     }
 
-    fn port_faults(&self) -> fault::Port {
+    fn transport_faults(&self) -> fault::Transport {
         let Faults { down, delay_ms, loss, cut, .. } = self.faults();
-        fault::Port { down, delay_ms, loss, cut }
+        fault::Transport { down, delay_ms, loss, cut }
     }
 }
 
@@ -135,7 +137,7 @@
 
 /// Creates a replica and binds its address, without serving it yet.
 pub(crate) fn bind(settings: Settings) -> io::Result<Bound> {
-    let listener = port::bind(settings.address)?;
+    let listener = transport::bind(settings.address)?;
     let address = listener.local_addr()?;
     let service = sync::Arc::new(Service::new(Settings { address, ..settings }));
     service.listener.attach(&listener)?;
--- a/crates/lagoon-standin/src/service/settings.rs
+++ b/crates/lagoon-standin/src/service/settings.rs
@@ -7,7 +7,8 @@
 /// Settings of a plain service's replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Name of the service, as in the configuration document.
+    /// Name of the service, as in the configuration document. Responses and the control address use
+    /// it too.
     pub name: String,
     /// Listen address; port 0 selects a free port.
     pub address: net::SocketAddr,
--- a/crates/lagoon-standin/src/port.rs
+++ b/crates/lagoon-standin/src/transport.rs
@@ -1,4 +1,4 @@
-//! HTTP helpers that all stand-ins share: request bodies, responses, and faults of the port.
+//! HTTP helpers that all stand-ins share: request bodies, responses, and transport faults.
 
 use std::io;
 use std::time;
@@ -14,7 +14,7 @@
 
 /// Time for which a request from a cut zone is held before its connection is closed.
 const CUT_TIMEOUT: time::Duration = time::Duration::from_secs(30);
-/// Interval at which a held request checks whether the cut has healed.
+/// Interval at which a held request checks whether the cut has ended.
 pub(crate) const CUT_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 /// The connection is closed without a complete response.
@@ -55,10 +55,11 @@
 
 /// Reads and discards the body of a call that does not use it.
 ///
-/// Failure mode: a refusal is sent and the connection closed while the body is still arriving.
-/// Symptom: the sender sees a broken connection and cannot tell that nothing was done.
+/// Failure mode: a handler responds without reading the body, and the connection is closed while
+/// the body is still arriving. Symptom: the sender sees a broken connection instead of the
+/// response, and cannot tell that nothing was done.
 pub(crate) async fn discard(request: &mut http::Request) {
-    // An incomplete body makes no difference to the refusal.
+    // An incomplete body is no error, because the call does not use it.
     let _incomplete = read(request).await;
 }
 
@@ -110,7 +111,7 @@
     http::Response::build(status).json(value)
 }
 
-/// Returns a refusal: `{"error":{"code":CODE}}`.
+/// Returns a refusal: `{"error":{"code":CODE}}`. For invalid fault switches, CODE is an error text.
 pub(crate) fn refuse(status: u16, code: &str) -> http::Response {
     json(status, &json!({"error": {"code": code}}))
 }
@@ -125,12 +126,14 @@
     if let Some(io) = request.io() {
         io.terminate();
     }
+    // Nobody receives this response. Its body fails, which also breaks a connection that could not
+    // be terminated above.
     let aborted = futures_util::stream::iter([Err::<util::Bytes, Closed>(Closed)]);
     http::Response::build(http::StatusCode::SERVICE_UNAVAILABLE).force_close().streaming(aborted)
 }
 
-/// Applies the port's faults to a request: loss, delay and zone cuts. `current` returns the present
-/// switches, because they may change while the request is held.
+/// Applies the transport faults to a request: loss, delay and zone cuts. `current` returns the
+/// present switches, because they may change while the request is held.
 ///
 /// # Errors
 ///
@@ -140,7 +143,7 @@
     current: Current,
 ) -> Result<(), Closed>
 where
-    Current: Fn() -> fault::Port,
+    Current: Fn() -> fault::Transport,
 {
     let faults = current();
     if faults.down || (faults.loss > 0.0 && rand::rng().random_bool(faults.loss.clamp(0.0, 1.0))) {
@@ -149,7 +152,7 @@
     if faults.delay_ms > 0 {
         tokio::time::sleep(time::Duration::from_millis(faults.delay_ms)).await;
     }
-    wait_for_heal(request, &current).await?;
+    wait_while_cut(request, &current).await?;
     if current().down { Err(Closed) } else { Ok(()) }
 }
 
@@ -158,12 +161,12 @@
 /// # Errors
 ///
 /// Returns [`Closed`] if the cut lasts longer than `CUT_TIMEOUT`.
-pub(crate) async fn wait_for_heal<Current>(
+pub(crate) async fn wait_while_cut<Current>(
     request: &http::Request,
     current: Current,
 ) -> Result<(), Closed>
 where
-    Current: Fn() -> fault::Port,
+    Current: Fn() -> fault::Transport,
 {
     let zone = header(request, "Lagoon-Zone").to_owned();
     let arrived = time::Instant::now();
--- a/crates/lagoon-standin/tests/engine.rs
+++ b/crates/lagoon-standin/tests/engine.rs
@@ -29,6 +29,7 @@
         assert_eq!(answer.end.unwrap()["count"], 20);
         let record = engine.node().record();
         assert_eq!(record.attempts[0].state, "done");
+        // One prompt token and 20 answer tokens.
         assert_eq!(record.bytes_reserved, 21 * 1_024);
         assert_eq!(record.bytes_returned, record.bytes_reserved);
     });
--- a/crates/lagoon-standin/tests/platform.rs
+++ b/crates/lagoon-standin/tests/platform.rs
@@ -99,13 +99,13 @@
 fn host_list_is_served_with_lag() {
     run(async {
         let platform = platform::start(platform::Settings::default()).unwrap();
-        let line = platform::HostEntry {
+        let entry = platform::HostEntry {
             name: "suva-1".to_owned(),
             zone: "suva".to_owned(),
             incarnation: 1,
             state: "live".to_owned(),
         };
-        platform.node().set_hosts(vec![line]);
+        platform.node().set_hosts(vec![entry]);
         post(platform.address(), "/faults", json!({"hosts_lag_ms": 3_600_000})).await;
         assert_eq!(get(platform.address(), "/hosts").await.1["hosts"], json!([]));
         post(platform.address(), "/faults", json!({"hosts_lag_ms": 0})).await;
@@ -124,10 +124,10 @@
     });
 }
 
-// A cut applies to the requests of one zone: they get no response until the cut heals, while other
+// A cut applies to the requests of one zone: they get no response until the cut ends, while other
 // zones are served.
 #[test]
-fn cut_zone_gets_no_response_until_the_cut_heals() {
+fn cut_zone_gets_no_response_until_the_cut_ends() {
     run(async {
         let platform = platform::start(platform::Settings::default()).unwrap();
         post(platform.address(), "/faults", json!({"cut": ["suva"]})).await;
--- a/crates/lagoon-standin/tests/service.rs
+++ b/crates/lagoon-standin/tests/service.rs
@@ -78,7 +78,7 @@
 }
 
 // The zone of the caller's entry host is cut off while its call runs. The call completes, but its
-// response is held until the cut heals.
+// response is held until the cut ends.
 #[test]
 fn cut_holds_the_response_of_a_call_in_flight() {
     run(async {
@@ -129,6 +129,7 @@
         for _ in 0..8 {
             let stop = stop.clone();
             thread::spawn(move || {
+                // The newest connections stay open for a while, so that closing the port ends some.
                 let mut open = std::collections::VecDeque::new();
                 while !stop.load(atomic::Ordering::Relaxed) {
                     open.extend(net::TcpStream::connect(address));
