--- a/crates/lagoon-steward/src/main.rs
+++ b/crates/lagoon-steward/src/main.rs
@@ -1,4 +1,6 @@
-//! Control process of an entry host.
+//! `lagoon-steward`: the control process that runs beside `lagoon-entry` on an entry host.
+//!
+//! Exit codes: 0 success, 1 failure, 2 invalid arguments or settings.
 
 use std::io;
 use std::path;
@@ -41,6 +43,8 @@
     }
 }
 
+/// Runs the steward. Returns an error if it cannot start, otherwise blocks until its thread ends,
+/// which only happens when the steward fails.
 fn run(settings: steward::Settings) -> io::Result<()> {
     logs::start(&settings.logs, PROGRAM)?;
     let running = steward::start(settings)?;
