--- a/crates/lagoon-gateway/src/forward.rs
+++ b/crates/lagoon-gateway/src/forward.rs
@@ -71,10 +71,10 @@
 pub(crate) const RETRY_AFTER: clock::Span = clock::Span::from_millis(400);
 /// Retry time given to a caller that only this host rejects: at once, at another host.
 pub(crate) const RETRY_ELSEWHERE_AFTER: clock::Span = clock::Span::from_millis(20);
-/// Prompt length in tokens from which a prompt ranks behind short ones in an engine. The length
-/// classes of the metrics are others.
+/// Prompt length in tokens from which a prompt is queued behind short ones in an engine. The
+/// metrics classify prompts by other lengths, see [`crate::metrics::Metrics::record_first_event`].
 const MEDIUM_PROMPT_TOKENS: u64 = 25_000;
-/// Prompt length in tokens from which a prompt ranks behind medium ones.
+/// Prompt length in tokens from which a prompt is queued behind medium ones.
 const LONG_PROMPT_TOKENS: u64 = 110_000;
 /// Attempts beyond the route's limit that are allowed because upstreams refused the request or
 /// could not be reached.
@@ -139,8 +139,9 @@
     caller: Caller,
     may_have_run: &mut bool,
 ) -> Result<web::HttpResponse, answer::Fault> {
-    let mut pending = request::Pending::new(admitted.retry_rule());
+    let mut pending = request::Pending::new(admitted.repeat_rule());
     let mut avoid = Vec::new();
+    // The same count as `pending.attempts()`, which cannot be read while an attempt is in flight.
     let mut attempts = 0;
     let mut refusals = 0;
     let mut lost = false;
@@ -201,7 +202,8 @@
         match self {
             CheckedAnswer::Complete { status, headers, body } => {
                 let span = admitted.state.clock.now().since(admitted.request.arrived);
-                admitted.state.metrics.first_event(0, span);
+                // Answers that are not streamed are recorded without a prompt length.
+                admitted.state.metrics.record_first_event(0, span);
                 admitted.state.metrics.count_answer(admitted.service.as_str(), None);
                 admitted.log_end("whole", status);
                 let mut builder = answer::forward_head(status, &headers, closing);
@@ -217,8 +219,9 @@
 }
 
 impl Admitted {
-    /// Whether the request may run more than once.
-    fn retry_rule(&self) -> request::Repeat {
+    /// Returns whether the request may run more than once. If not, it is retried only after
+    /// attempts that certainly did not run it.
+    fn repeat_rule(&self) -> request::Repeat {
         if self.route.kind.may_repeat() { request::Repeat::Allowed } else { request::Repeat::Never }
     }
 
@@ -235,8 +238,10 @@
         }
     }
 
-    /// Whether another attempt is allowed and worthwhile; `attempts` and `refusals` are those so
-    /// far. Takes it from the retry budget unless the last one was not sent.
+    /// Whether another attempt is allowed and worthwhile. `refusals` is the number of refused
+    /// attempts so far, and `attempts` the number of attempts so far, as passed to
+    /// [`Admitted::attempt`]. Takes the attempt from the retry budget unless the last one was not
+    /// sent.
     pub(crate) fn take_retry(
         &self,
         attempts: u32,
@@ -258,12 +263,15 @@
                 .is_some_and(|service_state| state::lock(&service_state).budget.take_retry())
     }
 
-    /// Records activity of an upstream: bytes of an answer arrived.
+    /// Records for placement that bytes of an answer arrived from `upstream`, which shows that it
+    /// is alive.
     pub(crate) fn record_activity(&self, upstream: &id::Upstream) {
         self.state.with_placer(&self.service, |placer, now| placer.record_activity(upstream, now));
     }
 
-    /// Sends the request to an upstream and waits for the head of its answer.
+    /// Sends the request to an upstream and waits for the head of its answer. `attempts` is the
+    /// number of attempts including this one; the resumption of a stream does not count those that
+    /// were refused or not sent.
     pub(crate) async fn attempt(
         &self,
         allocation: place::Allocation,
@@ -275,12 +283,13 @@
         let connect = CONNECT_TIMEOUT.min(self.time_left());
         let opened = exchange::Exchange::open(primary.address, connect).await;
         let mut exchange = opened.map_err(|failure| {
-            self.record_unreachable(&primary.upstream);
+            self.record_failure(&primary.upstream);
             attempt::Failure::Unsent(format!("{}: {failure}", primary.upstream))
         })?;
         let request = self.encode(&placement, in_flight.reservations(), last_event);
         let request = request.map_err(|error| attempt::Failure::Unsent(error.to_string()))?;
         self.log_dispatch(&placement, dispatch_id.number);
+        // Every attempt is recorded here, retries and resumptions included.
         if let Some(service_state) = self.state.service_state(&self.service) {
             state::lock(&service_state).budget.record_first_attempt();
         }
@@ -291,7 +300,7 @@
                 match tokio::time::timeout(silence::CHECK_INTERVAL, &mut send).await {
                     Ok(Ok(answer)) => break answer,
                     Ok(Err(failure)) => {
-                        self.record_unreachable(&primary.upstream);
+                        self.record_failure(&primary.upstream);
                         self.record_broken_connection(
                             &primary.upstream,
                             self.progress_before_answer(),
@@ -306,7 +315,7 @@
                     Err(_) => {
                         let silent = self.state.clock.now().since(sent);
                         if let Some(why) = self.abandon_reason(&placement, dispatch_id, silent) {
-                            self.record_unreachable(&primary.upstream);
+                            self.record_failure(&primary.upstream);
                             let detail = format!("{}: {why}, for {silent:?}", primary.upstream);
                             return Err(attempt::Failure::Lost(detail));
                         }
@@ -339,7 +348,7 @@
             upstream: placement.primary.upstream.clone(),
             customer: self.customer.clone(),
             time_left: self.time_left(),
-            rank: self.rank(),
+            priority: self.queue_priority(),
             helpers: own.into_iter().chain(placement.helpers.iter().map(helper)).collect(),
             last_event,
         };
@@ -369,8 +378,9 @@
         }
     }
 
-    /// Returns the request's rank in an engine's queue, from 0 to 9: short prompts come first.
-    fn rank(&self) -> Option<u8> {
+    /// Returns the request's priority in an engine's queue, from 0, first, to 9, last: short
+    /// prompts come first.
+    fn queue_priority(&self) -> Option<u8> {
         let prompt = self.request.head.prompt_tokens?;
         Some(match prompt {
             0..MEDIUM_PROMPT_TOKENS => 1,
@@ -379,8 +389,9 @@
         })
     }
 
-    /// Records that an upstream was unreachable or stopped responding.
-    pub(crate) fn record_unreachable(&self, upstream: &id::Upstream) {
+    /// Records that an upstream failed: it was unreachable or stopped responding, its answer is not
+    /// a valid answer to the request, or the stream of its answer ended early.
+    pub(crate) fn record_failure(&self, upstream: &id::Upstream) {
         self.record_outcome(upstream, message::UpstreamOutcome::Failed);
     }
 
@@ -418,7 +429,7 @@
             read.request_id.as_deref().is_some_and(|id| id != self.request.head.request_id);
         let success = (200..300).contains(&status);
         if wrong_request || success && (!read.signed || read.encoded) {
-            self.record_unreachable(peer);
+            self.record_failure(peer);
             return Err(attempt::Failure::Lost(format!("{peer}: not the answer to this request")));
         }
         let streams = matches!(self.route.kind, routing::Kind::Stream { .. });
--- a/crates/lagoon-gateway/src/hosts.rs
+++ b/crates/lagoon-gateway/src/hosts.rs
@@ -1,8 +1,8 @@
 //! The table of entry hosts at the platform.
 //!
 //! Each host keeps one row with the addresses at which other hosts reach it. The leader of a zone,
-//! its first live host by rank, removes the rows of hosts in its zone that have been silent for
-//! long. A host whose row was removed while it is running writes it again.
+//! its first live host by rank (see [`crate::mesh`]), removes the rows of hosts in its zone that
+//! have been silent for long. A host whose row was removed while it is running writes it again.
 
 use std::net;
 use std::sync;
@@ -53,14 +53,15 @@
 }
 
 /// Registers this host and follows the table of the others. This host receives datagrams at
-/// `address` and answers relay requests of its zone at `reader`.
+/// `address` and answers relay requests of its zone at `relay_address`.
 pub(crate) fn run(
     state: &sync::Arc<state::State>,
     address: net::SocketAddr,
-    reader: net::SocketAddr,
+    relay_address: net::SocketAddr,
 ) {
     let node = &state.settings.node;
-    let row = Row { address, reader, zone: node.zone.clone(), cores: node.cpu_share };
+    let row =
+        Row { address, reader: relay_address, zone: node.zone.clone(), cores: node.cpu_share };
     drop(ntex::rt::spawn(register(state.clone(), row)));
     drop(ntex::rt::spawn(follow(state.clone())));
     drop(ntex::rt::spawn(remove_gone(state.clone())));
--- a/crates/lagoon-gateway/src/in_flight.rs
+++ b/crates/lagoon-gateway/src/in_flight.rs
@@ -85,8 +85,8 @@
         self.publish(message::Kind::First(message::Empty {}));
     }
 
-    /// Records activity of the upstream: bytes of the answer arrived.
-    pub(crate) fn record_activity(&self) {
+    /// Records for the reservations that bytes of the answer arrived, so that they are renewed.
+    pub(crate) fn keep_reservations(&self) {
         if let Some(reservations) = &self.reservations {
             reservations.record_activity();
         }
--- a/crates/lagoon-gateway/src/mesh.rs
+++ b/crates/lagoon-gateway/src/mesh.rs
@@ -3,8 +3,12 @@
 //!
 //! In a small zone every host tracks the dispatches of all hosts and places its own requests. In a
 //! larger one the leader, the first live host by rank, is the scheduler and places the requests of
-//! all hosts. Only it and the next hosts by rank, the candidates, track the dispatches in flight,
-//! and it forwards the updates of its zone to the others.
+//! all hosts. Only it and the next live hosts by rank, its possible successors, track the
+//! dispatches in flight, and it forwards the updates of its zone to other zones. Hosts rank by
+//! their share of a processor core, the largest first, then by name.
+//!
+//! A host that tracks the dispatches of its zone is a candidate: in a large zone the leader and its
+//! possible successors, in a small zone every host.
 //!
 //! [`routing::Roster`]: lagoonline::routing::Roster
 
@@ -80,7 +84,7 @@
         if count == 0 {
             return;
         }
-        tokio::time::sleep(state.settings.tuning.batch_pause).await;
+        tokio::time::sleep(state.settings.tuning.batch_window).await;
         while let Ok(more) = updates.try_recv() {
             batch.push(more);
         }
@@ -140,11 +144,11 @@
     let own = collections::HashSet::from([state.incarnation]);
     let datagram = state.encode_heartbeat(state.in_flight_numbers(&own), true);
     let mut peers = state::lock(&state.peers);
-    let own_zone = peers.roster.zone_peers(now);
-    for host in &own_zone {
+    let trackers = peers.roster.zone_peers(now);
+    for host in &trackers {
         peers.roster.record_heartbeat_sent(host, now);
     }
-    let addresses: Vec<_> = own_zone.iter().filter_map(|host| peers.address(host)).collect();
+    let addresses: Vec<_> = trackers.iter().filter_map(|host| peers.address(host)).collect();
     drop(peers);
     for address in addresses {
         state.send(address, std::slice::from_ref(&datagram));
@@ -282,6 +286,10 @@
 }
 
 /// Whether the zone's scheduler forwards `what` to other zones on behalf of its hosts.
+///
+/// Forwarded are the kinds that a host sends only to its own zone and that matter to all zones.
+/// `Sent` and `Verdict` go to all zones from the start, and so does `Reported`, since only leaders
+/// poll engines. `Seen` is meant for the scheduler of the own zone.
 fn is_forwarded(what: &message::Kind) -> bool {
     match what {
         message::Kind::First(_)
@@ -300,12 +308,12 @@
 fn apply_update(state: &state::State, sender: u64, update: message::Update, forwards: bool) {
     let service = id::Service::from(update.service.as_str());
     let id = placement::DispatchId { host: update.host.unwrap_or(sender), number: update.number };
-    let is_senders = update.host.is_none();
+    let concerns_sender = update.host.is_none();
     let Some(what) = update.what else {
         // A kind of update that only a later build knows.
         return;
     };
-    if forwards && is_senders && is_forwarded(&what) {
+    if forwards && concerns_sender && is_forwarded(&what) {
         state
             .queue_update(message::Update::about(id, &service, what.clone()), Audience::OtherZones);
     }
--- a/crates/lagoon-gateway/src/message.rs
+++ b/crates/lagoon-gateway/src/message.rs
@@ -151,7 +151,7 @@
     Answered = 0,
     /// Answered it with a server error.
     Erred = 1,
-    /// Was unreachable or stopped responding.
+    /// Was unreachable, stopped responding, sent no valid answer, or did not complete its stream.
     Failed = 2,
     /// Had no memory to reserve.
     Full = 3,
@@ -265,11 +265,13 @@
     }
 }
 
-/// Maximum size of a datagram in bytes that fits into one packet on usual links.
-pub(crate) const MAX_DATAGRAM_BYTES: usize = 1_350;
+/// Maximum size in bytes of the items in one datagram, updates or lists of dispatches. The other
+/// fields of the batch are added to it; the datagram then still fits into one packet on usual
+/// links.
+pub(crate) const MAX_ITEMS_BYTES: usize = 1_350;
 
-/// Splits `items` into parts that each fit into a datagram; returns at least one part. An item that
-/// is too large gets a part of its own.
+/// Splits `items` into parts of at most [`MAX_ITEMS_BYTES`], one for each datagram; returns at least
+/// one part. An item that is too large gets a part of its own.
 pub(crate) fn pack<Item>(items: Vec<Item>) -> Vec<Vec<Item>>
 where
     Item: Message,
@@ -280,7 +282,7 @@
     for item in items {
         // The item also needs a tag and its length.
         let length = item.encoded_len() + 4;
-        if size + length > MAX_DATAGRAM_BYTES && !part.is_empty() {
+        if size + length > MAX_ITEMS_BYTES && !part.is_empty() {
             parts.push(std::mem::take(&mut part));
             size = 0;
         }
@@ -295,7 +297,7 @@
 
 impl Batch {
     /// Encodes `updates` as datagrams, each with this batch's other fields. The updates of a
-    /// datagram take at most [`MAX_DATAGRAM_BYTES`], unless a single one is larger. Without updates
+    /// datagram take at most [`MAX_ITEMS_BYTES`], unless a single one is larger. Without updates
     /// there is one datagram, which shows that the host is alive.
     pub(crate) fn datagrams(&self, updates: Vec<Update>) -> Vec<Vec<u8>> {
         let batch = |updates| Batch { words: updates, ..self.clone() };
--- a/crates/lagoon-gateway/src/metrics.rs
+++ b/crates/lagoon-gateway/src/metrics.rs
@@ -112,8 +112,9 @@
     }
 
     /// Records that the first event of an answer to a prompt of `tokens` tokens was sent after
-    /// `span`.
-    pub(crate) fn first_event(&self, tokens: u64, span: std::time::Duration) {
+    /// `span`. Zero tokens, the label `none`, stand for an answer that is not streamed or a prompt
+    /// of unknown length.
+    pub(crate) fn record_first_event(&self, tokens: u64, span: std::time::Duration) {
         let length = match tokens {
             0 => "none",
             1..10_000 => "short",
--- a/crates/lagoon-gateway/src/publish.rs
+++ b/crates/lagoon-gateway/src/publish.rs
@@ -17,8 +17,8 @@
 impl state::State {
     /// Returns the dispatches in flight to send to a new incarnation of the host at `address`. In a
     /// zone without a scheduler these are this host's own. Otherwise a candidate sends all that it
-    /// knows to the hosts of its zone that get its heartbeats, and the leader sends the dispatches
-    /// of its zone to other zones.
+    /// knows to the hosts of its zone that get its heartbeats, which are those that track
+    /// dispatches, and the leader sends the dispatches of its zone to other zones.
     pub(crate) fn in_flight_for_new_host(&self, address: net::SocketAddr) -> Vec<message::Update> {
         let now = self.clock.now();
         let zone = &self.settings.node.zone;
--- a/crates/lagoon-gateway/src/quarantine/mod.rs
+++ b/crates/lagoon-gateway/src/quarantine/mod.rs
@@ -23,7 +23,7 @@
 use crate::event;
 use crate::forward;
 use crate::mesh;
-use crate::message as messages;
+use crate::message as datagram;
 use crate::server;
 use crate::state;
 
@@ -92,8 +92,8 @@
                 .text("fingerprint", fingerprint)
                 .info();
             let cleared = Cleared { request: Some(message::Identity::new(&fingerprint)) };
-            let what = messages::Kind::Cleared(cleared);
-            self.state.publish(messages::Update::new(0, &self.service, what));
+            let what = datagram::Kind::Cleared(cleared);
+            self.state.publish(datagram::Update::new(0, &self.service, what));
         }
     }
 }
@@ -126,8 +126,8 @@
         }
         quarantine.record_crash(upstream, &suspects, self.clock.now());
         drop(quarantine);
-        let what = messages::Kind::Crashed(Crashed::new(upstream, &suspects));
-        self.publish(messages::Update::new(0, service, what));
+        let what = datagram::Kind::Crashed(Crashed::new(upstream, &suspects));
+        self.publish(datagram::Update::new(0, service, what));
     }
 
     /// Applies another host's report of a crash.
@@ -275,9 +275,9 @@
     }
 }
 
-fn verdict_update(record: &quarantine::Record, now: clock::Moment) -> messages::Update {
-    let what = messages::Kind::Verdict(Verdict::new(record, now));
-    messages::Update::new(0, &id::Service::default(), what)
+fn verdict_update(record: &quarantine::Record, now: clock::Moment) -> datagram::Update {
+    let what = datagram::Kind::Verdict(Verdict::new(record, now));
+    datagram::Update::new(0, &id::Service::default(), what)
 }
 
 /// Logs a message about a request whose fingerprint cannot be decoded.
--- a/crates/lagoon-gateway/src/question.rs
+++ b/crates/lagoon-gateway/src/question.rs
@@ -1,5 +1,5 @@
 //! Messages between a host and its zone's scheduler, sent as prost datagrams. If a datagram is
-//! lost, the host asks the next scheduler in order or places the request itself.
+//! lost, the host asks the next candidate for scheduler by rank, or places the request itself.
 
 use lagoonline::clock;
 use lagoonline::id;
@@ -194,14 +194,14 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, prost::Enumeration)]
 #[repr(i32)]
 pub(crate) enum Shortage {
-    /// A free slot.
+    /// A free slot: [`placement::Shortage::Slot`].
     Place = 0,
     /// Free memory for the prompt.
     Memory = 1,
-    /// Prefill time.
+    /// Prefill time: [`placement::Shortage::Prefill`].
     Reading = 2,
-    /// Slack in event gaps: a prefill now would delay the events of running answers beyond their
-    /// gap targets.
+    /// Slack in event gaps, [`placement::Shortage::Gap`]: a prefill now would delay the events of
+    /// running answers beyond their gap targets.
     Pause = 3,
 }
 
@@ -235,9 +235,9 @@
     NoUpstream = 0,
     /// The prompt is too long for all engines.
     TooLong = 1,
-    /// No capacity now; the request should wait.
+    /// No capacity now; the request should wait: [`placement::Refusal::Deferred`].
     Busy = 2,
-    /// No capacity in time; the request would be late.
+    /// No capacity in time; the request would be late: [`placement::Refusal::Rejected`].
     Full = 3,
 }
 
--- a/crates/lagoon-gateway/src/relay/follow.rs
+++ b/crates/lagoon-gateway/src/relay/follow.rs
@@ -27,7 +27,8 @@
 const ANSWER_SLACK: clock::Span = clock::Span::from_millis(350);
 /// Interval between searches for a reader while this host reads the platform itself.
 const SEARCH_INTERVAL: clock::Span = clock::Span::from_millis(1_000);
-/// Pause before the hosts ranked before this one are asked again when none of them reads yet.
+/// Pause before the hosts ranked before this one are asked again when none of them reads yet. Hosts
+/// rank by their share of a processor core, as [`crate::mesh`] explains.
 const NOT_READING_PAUSE: clock::Span = clock::Span::from_millis(150);
 
 /// Another host of the zone.
--- a/crates/lagoon-gateway/src/relay/message.rs
+++ b/crates/lagoon-gateway/src/relay/message.rs
@@ -4,16 +4,17 @@
 
 use crate::mirror;
 
-/// A relay request: the versions that the asking host has.
+/// A relay request: the versions that the asking host has. All versions here are the store's
+/// versions of a table, not the number in the document of the desired state.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct Request {
-    /// Version up to which it has the desired state.
+    /// Version up to which it has the table of the desired state.
     #[prost(uint64, optional, tag = "1")]
     pub(crate) desired: Option<u64>,
     /// Version up to which it has the list of upstreams.
     #[prost(uint64, optional, tag = "2")]
     pub(crate) upstreams: Option<u64>,
-    /// Version up to which it has the entry hosts.
+    /// Version up to which it has the table of entry hosts.
     #[prost(uint64, optional, tag = "3")]
     pub(crate) hosts: Option<u64>,
 }
@@ -56,7 +57,8 @@
     /// Version up to which the rows are complete.
     #[prost(uint64, tag = "3")]
     pub(crate) version: u64,
-    /// Milliseconds since the table was last confirmed to be complete up to that version.
+    /// Milliseconds since the table was last confirmed to be complete up to that version. Always 0
+    /// and unused for the entry hosts, which are sent whatever their age.
     #[prost(uint64, tag = "4")]
     pub(crate) age_ms: u64,
 }
--- a/crates/lagoon-gateway/src/relay/mod.rs
+++ b/crates/lagoon-gateway/src/relay/mod.rs
@@ -6,7 +6,8 @@
 //! knowledge, and the asking host counts that age from the time of its request. So even if either
 //! host was suspended in between, the tables never seem more recently confirmed than they were. A
 //! host stops following a reader at once when it does not respond, has lost the platform or is
-//! about to end, and reads the platform itself.
+//! about to end. It then asks other hosts while its tables are recent enough, and otherwise reads
+//! the platform itself.
 
 mod follow;
 mod message;
--- a/crates/lagoon-gateway/src/reserve.rs
+++ b/crates/lagoon-gateway/src/reserve.rs
@@ -34,7 +34,8 @@
 /// Share of the bound on unused memory (`bounds.free`) for which a reservation is held, so that the
 /// memory of a dead host is free again before the bound.
 const HOLD_SHARE: f64 = 0.85;
-/// Renewals within one hold time: two may be lost.
+/// Renewals within one hold time, so that a reservation outlasts a lost renewal. The third is sent
+/// only when the reservation is about to expire.
 const RENEWALS_PER_HOLD: u32 = 3;
 /// Pause before a round of renewals is repeated because the answering engine did not respond.
 const RENEWAL_RETRY_PAUSE: time::Duration = time::Duration::from_millis(150);
--- a/crates/lagoon-gateway/src/schedule.rs
+++ b/crates/lagoon-gateway/src/schedule.rs
@@ -22,8 +22,9 @@
 /// Timeout for a scheduler's answer. Hosts of a zone are well below a millisecond apart, but one
 /// that shares its core may be stalled for some tens of milliseconds.
 const ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(60);
-/// Maximum number of schedulers that are asked for one request before this host places it itself.
-const MAX_SCHEDULERS_ASKED: usize = 2;
+/// Maximum number of hosts that are asked in one try to place a request: the leader, then the next
+/// candidate by rank. After that this host places the request itself.
+const MAX_CANDIDATES_ASKED: usize = 2;
 
 /// Questions of this host that have no answer yet, by dispatch number.
 #[derive(Debug, Default)]
@@ -82,7 +83,7 @@
     request: &placement::Request<'_>,
     time_left: clock::Span,
 ) -> Option<PlacementResult> {
-    for _ in 0..MAX_SCHEDULERS_ASKED {
+    for _ in 0..MAX_CANDIDATES_ASKED {
         let (host, address) = state::lock(&state.peers).scheduler(state.clock.now())?;
         let id = state.next_dispatch_id();
         let question = question::Question::new(id.number, service, request, time_left);
--- a/crates/lagoon-gateway/src/settings.rs
+++ b/crates/lagoon-gateway/src/settings.rs
@@ -19,7 +19,7 @@
 }
 
 /// Tuning of this program; every setting has a default. A wait is how long the platform holds a
-/// call open, a pause is the time between two calls.
+/// call open, a pause is the time between two calls to it.
 #[derive(Clone, Debug)]
 pub struct Tuning {
     /// Minimum level of the lines that are logged.
@@ -46,14 +46,15 @@
     /// for one to place their requests. A smaller zone saves less than a failed reader costs, which
     /// is noticed only after a second.
     pub relay_hosts: u64,
-    /// How long the platform holds a watch of a host that reads for others. It adds to the age of
-    /// what those hosts know.
+    /// How long the platform holds a watch open that was made by a host which reads for others. It
+    /// adds to the age of what the others know.
     pub reader_wait: clock::Span,
     /// Pause after an answer of the upstreams watch at a host that reads for others. Few hosts
     /// read, so changes can arrive sooner at fewer calls.
     pub reader_pause: clock::Span,
-    /// Time for which updates to the other entry hosts are collected into a batch.
-    pub batch_pause: clock::Span,
+    /// Time for which updates to the other entry hosts are collected into a batch. Setting
+    /// `words_pause_ms`.
+    pub batch_window: clock::Span,
     /// Settings of the placement; [`placement::Settings`] explains each.
     pub placement: placement::Settings,
 }
@@ -71,7 +72,7 @@
             reader_pause: clock::Span::from_millis(400),
             hosts_pause: clock::Span::from_millis(5_000),
             hosts_gone: clock::Span::from_secs(600),
-            batch_pause: clock::Span::from_millis(8),
+            batch_window: clock::Span::from_millis(8),
             placement: placement::Settings::default(),
         }
     }
@@ -121,7 +122,7 @@
             reader_pause: millis("reader_pause_ms", default.reader_pause, 1_000),
             hosts_pause: millis("hosts_pause_ms", default.hosts_pause, 30_000),
             hosts_gone: millis("hosts_gone_ms", default.hosts_gone, 86_400_000),
-            batch_pause: millis("words_pause_ms", default.batch_pause, 10_000),
+            batch_window: millis("words_pause_ms", default.batch_window, 10_000),
             placement,
         }
     }
--- a/crates/lagoon-gateway/src/silence.rs
+++ b/crates/lagoon-gateway/src/silence.rs
@@ -46,7 +46,8 @@
 
     /// Returns why to abandon the upstream of `placement`, which has been silent for `silent` since
     /// the dispatch `id`; `None` to keep waiting. An unresponsive upstream is abandoned even if the
-    /// retry budget is empty: the caller learns of it at once and may retry elsewhere.
+    /// retry budget is empty: the caller learns of it at once and may retry elsewhere. An upstream
+    /// that is alive may merely be busy and gets one more target.
     pub(crate) fn abandon_reason(
         &self,
         placement: &placement::Placement,
@@ -71,7 +72,7 @@
     }
 
     /// Returns how long an upstream may take to begin its answer before another is tried, unless it
-    /// is merely busy.
+    /// is alive and may merely be busy.
     fn silence_limit(&self, expected: clock::Span) -> clock::Span {
         expected + self.route.target * MAX_LATE_TARGETS + LOST_PACKET_ALLOWANCE
     }
--- a/crates/lagoon-gateway/src/state.rs
+++ b/crates/lagoon-gateway/src/state.rs
@@ -102,7 +102,7 @@
     started_at: clock::Moment,
     /// When another host last reported that it can trust keys.
     peer_trusted_keys_at: sync::Mutex<Option<clock::Moment>>,
-    /// The dispatchers of the services in the desired state.
+    /// Placement state and retry budget of each service in the desired state.
     pub(crate) service_states: ArcSwap<ServiceStates>,
     phase: watch::Sender<Phase>,
     /// Number of active requests.
@@ -187,7 +187,8 @@
         self.routing_table.load_full()
     }
 
-    /// Puts a version in force unless a newer one is. The version was the newest at `at`.
+    /// Puts `desired` in force unless the version in force is newer. It was the newest at `at`. The
+    /// version is the number in the document, not the store's version of its row.
     pub(crate) fn install(&self, desired: routing::Desired, at: clock::Moment) {
         let version = desired.version;
         let known = self.routing_table.load().as_ref().map_or(0, |table| table.version());
@@ -206,12 +207,12 @@
         }
     }
 
-    /// Records that the version in force was the newest at `at`.
+    /// Records that the desired state in force was the newest at `at`.
     pub(crate) fn confirm(&self, at: clock::Moment) {
         lock(&self.confirmation).confirm(at);
     }
 
-    /// Returns the time since the version in force was known to be the newest.
+    /// Returns the time since the desired state in force was last known to be the newest.
     pub(crate) fn confirmation_age(&self) -> Option<clock::Span> {
         lock(&self.confirmation).age(self.clock.now())
     }
@@ -288,7 +289,7 @@
         engines
     }
 
-    /// Returns the dispatcher of a service.
+    /// Returns the state of a service; `None` if the desired state does not have the service.
     pub(crate) fn service_state(
         &self,
         service: &id::Service,
@@ -330,7 +331,8 @@
         drop(tokio::time::timeout(left, self.wait_for_level(SyncLevel::Dispatches)).await);
     }
 
-    /// Updates the dispatchers to the services of the desired state and the registered upstreams.
+    /// Updates the service states after a change of the desired state or of the registered
+    /// upstreams. A service that is still listed keeps its state.
     fn refresh_service_states(&self) {
         let Some(table) = self.routing_table() else { return };
         let registry = lock(&self.registry);
--- a/crates/lagoon-gateway/src/stream.rs
+++ b/crates/lagoon-gateway/src/stream.rs
@@ -211,7 +211,7 @@
                 .span("after_ms", self.since_arrival())
                 .text("fingerprint", self.admitted.fingerprint())
                 .warn();
-            self.admitted.record_unreachable(&upstream);
+            self.admitted.record_failure(&upstream);
             avoid.push(upstream);
             match self.resume(&mut avoid, failure).await {
                 Some(next) => open = next,
@@ -313,7 +313,7 @@
             };
             last_activity = self.admitted.state.clock.now();
             self.admitted.record_activity(&open.upstream);
-            open.in_flight.record_activity();
+            open.in_flight.keep_reservations();
             let Some(chunk) = chunk else {
                 return self.forward_rest().await;
             };
@@ -322,7 +322,8 @@
         }
     }
 
-    /// Whether to abandon an upstream that has been silent for `silent`.
+    /// Whether to abandon an upstream that has been silent for `silent`. One that may merely be
+    /// busy gets twice the timeout.
     fn should_abandon(&self, upstream: &id::Upstream, silent: clock::Span) -> bool {
         let timeout = self.silence_timeout();
         // The last upstream that may be tried is not abandoned: it may merely be busy.
@@ -336,7 +337,7 @@
         silent >= timeout * 2 || silent >= timeout && !may_be_busy
     }
 
-    /// Returns how long an upstream may be silent before another is tried, unless it is merely
+    /// Returns how long an upstream may be silent before another is tried, unless it may merely be
     /// busy.
     fn silence_timeout(&self) -> clock::Span {
         let routing::Kind::Stream { max_gap, .. } = self.admitted.route.kind else {
@@ -361,7 +362,7 @@
             self.forward(util::Bytes::copy_from_slice(&event)).await?;
             if self.events == 0 {
                 let tokens = self.admitted.request.head.prompt_tokens.unwrap_or(0);
-                self.admitted.state.metrics.first_event(tokens, self.since_arrival());
+                self.admitted.state.metrics.record_first_event(tokens, self.since_arrival());
                 self.log_first();
             }
             self.events += 1;
--- a/crates/lagoon-gateway/src/watch.rs
+++ b/crates/lagoon-gateway/src/watch.rs
@@ -166,7 +166,8 @@
         Changes { rows, at, recovered: self.failures > 0 }
     }
 
-    /// Updates the longest pause between failing calls, which depends on this host's rank.
+    /// Updates the longest pause between failing calls, which depends on this host's rank in its
+    /// zone, as [`crate::mesh`] explains.
     pub(crate) fn update_max_pause(&mut self, state: &state::State) {
         self.max_pause = max_pause(state);
     }
@@ -207,8 +208,9 @@
         watch.update_max_pause(&state);
         let changes = watch.next().await;
         tables::apply_desired(&state, &changes.rows, changes.at);
-        // The desired state is read again soon after the first time: no other host can be asked at
-        // that point, but a moment later another host may be reading.
+        // A pause follows the first read only. No other host can be asked at that point, but during
+        // the pause the relay may find one that reads the platform. This host then stops reading
+        // here and does not begin a long watch.
         tokio::time::sleep(std::mem::take(&mut first_pause)).await;
     }
 }
--- a/crates/lagoon-gateway/tests/path.rs
+++ b/crates/lagoon-gateway/tests/path.rs
@@ -69,8 +69,8 @@
 #[rstest]
 fn the_engine_stops_when_the_caller_leaves() {
     let host = Host::start();
-    host.standin.behavior("e1", Behavior::Slow);
-    host.standin.behavior("e2", Behavior::Slow);
+    host.standin.behavior("e1", Behavior::SlowEvents);
+    host.standin.behavior("e2", Behavior::SlowEvents);
     let mut stream = net::TcpStream::connect(host.callers).unwrap();
     let head = "POST /talk/a HTTP/1.1\r\nhost: x.example\r\nlagoonline-request-id: q1\r\n\
          authorization: Token k1\r\nlagoonline-token-count: 5000,400\r\n\r\n";
@@ -260,8 +260,8 @@
 #[rstest]
 fn a_drain_cuts_no_stream() {
     let mut host = Host::start();
-    host.standin.behavior("e1", Behavior::Slow);
-    host.standin.behavior("e2", Behavior::Slow);
+    host.standin.behavior("e1", Behavior::SlowEvents);
+    host.standin.behavior("e2", Behavior::SlowEvents);
     let running = host.running.take().unwrap();
     let callers = host.callers;
     let stream = std::thread::spawn(move || {
@@ -288,7 +288,7 @@
         })
     };
     host.until("used", || talks_to("e1"));
-    host.standin.behavior("e1", Behavior::Slowed);
+    host.standin.behavior("e1", Behavior::ReportSlowness);
     host.until("left alone", || !talks_to("e1"));
     host.standin.behavior("e1", Behavior::Complete);
     host.until("used again", || talks_to("e1"));
@@ -354,8 +354,8 @@
 #[rstest]
 fn a_drain_ends_within_the_grace_time() {
     let mut host = Host::start();
-    host.standin.behavior("e1", Behavior::Slow);
-    host.standin.behavior("e2", Behavior::Slow);
+    host.standin.behavior("e1", Behavior::SlowEvents);
+    host.standin.behavior("e2", Behavior::SlowEvents);
     host.standin.behavior("r1", Behavior::IgnoreAll);
     host.standin.behavior("r2", Behavior::IgnoreAll);
     let callers = host.callers;
--- a/crates/lagoon-gateway/tests/relay.rs
+++ b/crates/lagoon-gateway/tests/relay.rs
@@ -234,13 +234,13 @@
 
 /// A zone of two hosts in front of two replicas that do not answer, for bookings sent to either
 /// host.
-struct Bookings {
+struct BookingZone {
     standin: Standin,
     hosts: Vec<Host>,
 }
 
-impl Bookings {
-    fn start() -> Bookings {
+impl BookingZone {
+    fn start() -> BookingZone {
         let standin = Standin::start();
         standin.put("op", "config", &booking_state());
         for name in ["r1", "r2"] {
@@ -248,7 +248,7 @@
             standin.upstream(name, "app", 6);
         }
         let hosts = vec![Host::start(&standin, "h1", 0.5), Host::start(&standin, "h2", 0.1)];
-        Bookings { standin, hosts }
+        BookingZone { standin, hosts }
     }
 
     /// Sends a booking to each of `hosts` and returns the replicas that got them.
@@ -270,7 +270,7 @@
 /// would both start with the same idle replica; placed by one scheduler, five go to each replica.
 #[rstest]
 fn one_host_places_requests_for_its_zone() {
-    let zone = Bookings::start();
+    let zone = BookingZone::start();
     let sent = zone.book(&[0, 1, 0, 1, 0, 1, 0, 1, 0, 1]);
     for replica in ["r1", "r2"] {
         assert_eq!(sent.iter().filter(|name| *name == replica).count(), 5, "{sent:?}");
@@ -282,7 +282,7 @@
 /// places requests itself.
 #[rstest]
 fn a_host_places_requests_itself_when_the_scheduler_ends() {
-    let mut zone = Bookings::start();
+    let mut zone = BookingZone::start();
     zone.book(&[1, 1]);
     let mut first = zone.hosts.remove(0);
     let ending = thread::spawn(move || first.drain());
