--- a/crates/lagoonline/src/load/admit.rs
+++ b/crates/lagoonline/src/load/admit.rs
@@ -12,7 +12,7 @@
 use crate::clock;
 use crate::outcome;
 
-/// Shortest and longest Retry-After, in seconds.
+/// Shortest and longest Retry-After before the random extension, in seconds.
 const RETRY_AFTER_SECONDS: (f64, f64) = (1.0, 60.0);
 /// Fraction by which the Retry-After is randomly extended.
 const RETRY_AFTER_SPREAD: f64 = 0.25;
@@ -28,8 +28,8 @@
     pub answer: f64,
 }
 
-/// Refuses a request that would wait longer than `longest_wait` or end after `left`; `random` is a
-/// random number.
+/// Refuses a request whose predicted wait is longer than `longest_wait` or whose predicted end is
+/// after `left`; `random` is a random number.
 ///
 /// ```
 /// use lagoonline::{clock::Span, load::admit, outcome::Reason};
@@ -57,8 +57,8 @@
     Ok(())
 }
 
-/// A refusal of a request that was not sent anywhere, with a Retry-After of about `seconds`, which
-/// is clamped to 1 to 60 s; 1 if nothing is predicted.
+/// A refusal of a request that was not sent anywhere. Its Retry-After is `seconds`, clamped to 1 to
+/// 60 s, then extended at random by up to a quarter and rounded up to whole seconds.
 pub fn refusal(reason: outcome::Reason, seconds: f64, random: u64) -> outcome::Failure {
     let spread = 1.0 + RETRY_AFTER_SPREAD * (random % 1_024) as f64 / 1_024.0;
     let seconds =
--- a/crates/lagoonline/src/load/fair.rs
+++ b/crates/lagoonline/src/load/fair.rs
@@ -15,8 +15,9 @@
 
 /// Tag units per token at weight 1.
 const TAG_UNITS: u64 = 1_024;
-/// Number of idle keys from which on those are dropped whose tag is not above the virtual time:
-/// such a key would start at the virtual time anyway.
+/// Idle keys are kept as long as their number does not exceed this plus the number of active keys.
+/// Beyond it those are dropped whose tag is not above the virtual time: such a key would start at
+/// the virtual time anyway.
 const MAX_IDLE: usize = 256;
 
 /// The order in which active keys are served.
--- a/crates/lagoonline/src/load/floor.rs
+++ b/crates/lagoonline/src/load/floor.rs
@@ -4,9 +4,9 @@
 //! long prompt would make no progress until the short load falls, and would miss its deadline.
 //! While longer prompts arrive, short ones are sent to an engine at no more than the rest of its
 //! rate. The floor is one and a half times the longer prompts' fraction of the work, so that they
-//! catch up, and a quarter at most: with a floor of a fifth, an engine of 20,000 tokens a second
-//! prefills a million tokens in 250 s, which is within the usual longest deadline of 600 s. It
-//! applies to every engine, because a host does not know in time where the other hosts have sent
+//! catch up, and a quarter at most: already with a floor of a fifth, an engine of 20,000 tokens a
+//! second prefills a million tokens in 250 s, which is within the usual longest deadline of 600 s.
+//! It applies to every engine, because a host does not know in time where the other hosts have sent
 //! their long prompts.
 //!
 //! Without the floor 24 medium prompts end late at 1.2 times capacity, with it none.
--- a/crates/lagoonline/src/load/group/arbiter.rs
+++ b/crates/lagoonline/src/load/group/arbiter.rs
@@ -2,11 +2,11 @@
 //!
 //! Load pattern: several prompts that each need more than one engine's memory at the same time,
 //! from several entry hosts, while engines and hosts fail. A grant covers all its engines or does
-//! not exist; members are listed in the fleet's order; requests are granted in order of arrival, so
-//! that a large one is not overtaken forever by smaller ones. Every grant expires unless its holder
-//! renews it, so the memory of a holder that failed at any step is released. The engines' own
-//! reservations, which are made under the grant and expire too, are authoritative: two arbiters at
-//! once, in a partitioned zone, cause refusals by engines but never overcommit memory.
+//! not exist; members are listed in order of their names; requests are granted in order of arrival,
+//! so that a large one is not overtaken forever by smaller ones. Every grant expires unless its
+//! holder renews it, so the memory of a holder that failed at any step is released. The engines'
+//! own reservations, which are made under the grant and expire too, are authoritative: two arbiters
+//! at once, in a partitioned zone, cause refusals by engines but never overcommit memory.
 //!
 //! Steps of one grant: requested, granted (the holder, which is the entry host that requested it,
 //! reserves the members one by one at the engines), running (the engines exchange their parts of
@@ -37,7 +37,7 @@
 /// A notification to a holder.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Notice {
-    /// The request was granted: all members at once, in the fleet's order.
+    /// The request was granted: all members at once, in order of their names.
     Granted(RequestId, Vec<Allocation>),
     /// A member failed or the lease expired: everything held under the grant must be released.
     Ended(RequestId),
--- a/crates/lagoonline/src/load/group/mod.rs
+++ b/crates/lagoonline/src/load/group/mod.rs
@@ -2,16 +2,16 @@
 //!
 //! Load pattern: several prompts of twice an engine's memory at once. If memory were taken engine
 //! by engine, each prompt could hold half of what it needs and none could start. Members are
-//! therefore chosen all or nothing while the caller holds its lock, and are listed in the fixed
-//! order of engines in the fleet.
+//! therefore chosen all or nothing while the caller holds its lock, and are listed in the order in
+//! which the caller numbers the engines.
 
 pub mod arbiter;
 
-/// Most engines in one group. A prompt of over twice one engine's memory needs three; each further
-/// engine adds network links between the members.
+/// Most engines in one group. It is bounded because each further engine adds network links between
+/// the members; a prompt of over twice one engine's memory needs three.
 pub const MAX_ENGINES: usize = 8;
 
-/// Engines of a group and the tokens that each holds, in the fleet's order.
+/// Engines of a group, by their indices in ascending order, and the tokens that each holds.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Plan {
     allocations: [(usize, u64); MAX_ENGINES],
--- a/crates/lagoonline/src/load/limit.rs
+++ b/crates/lagoonline/src/load/limit.rs
@@ -124,6 +124,7 @@
         if bucket.requests < 1.0 || bucket.tokens <= 0.0 {
             let requests = (1.0 - bucket.requests) / (rate.requests * share).max(1e-9);
             let seconds = requests.max(-bucket.tokens / (rate.tokens * share).max(1e-9));
+            // The time serves as the random number by which the Retry-After is extended.
             return Err(admit::refusal(outcome::Reason::OverLimit, seconds, now.as_micros()));
         }
         bucket.requests -= 1.0;
--- a/crates/lagoonline/src/load/placement/mod.rs
+++ b/crates/lagoonline/src/load/placement/mod.rs
@@ -22,17 +22,17 @@
 use crate::id;
 use crate::routing;
 
-mod engine;
 mod partition;
 mod prefill;
 mod prompt;
 mod settings;
+mod upstream;
 mod waitlist;
 
-use engine::Engine;
 pub use partition::Partitions;
 use prefill::PrefillLoad;
 pub use settings::Settings;
+use upstream::UpstreamState;
 use waitlist::Waitlist;
 
 /// Identifies a dispatch: the host that sent it, and its sequence number there.
@@ -64,8 +64,8 @@
 }
 
 impl Dispatch {
-    /// The dispatch of a prompt of `prompt` tokens according to the placement `placement`, with the
-    /// gap limit `max_gap` and the deadline `deadline`.
+    /// The dispatch of a prompt of `prompt_tokens` tokens according to the placement `placement`,
+    /// with the gap limit `max_gap` and the deadline `deadline`.
     pub fn new(
         id: DispatchId,
         placement: &Placement,
@@ -206,7 +206,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Placer {
     settings: Settings,
-    upstreams: collections::BTreeMap<id::Upstream, Engine>,
+    upstreams: collections::BTreeMap<id::Upstream, UpstreamState>,
     dispatches: collections::HashMap<DispatchId, Tracked>,
     zone: id::Zone,
     partitions: Partitions,
@@ -232,13 +232,13 @@
         self.upstreams.retain(|name, _| names.contains(name));
         for entry in entries {
             match self.upstreams.get_mut(&entry.upstream) {
-                Some(engine) => engine.update(entry.clone(), profile),
+                Some(state) => state.update(entry.clone(), profile),
                 None => {
-                    let mut engine = Engine::new(entry.clone(), profile);
+                    let mut state = UpstreamState::new(entry.clone(), profile);
                     for tracked in self.dispatches.values() {
-                        engine.add_if_on(&tracked.dispatch, clock::Moment::START);
+                        state.add_if_on(&tracked.dispatch, clock::Moment::START);
                     }
-                    self.upstreams.insert(entry.upstream.clone(), engine);
+                    self.upstreams.insert(entry.upstream.clone(), state);
                 }
             }
         }
@@ -258,8 +258,8 @@
             return;
         }
         for name in std::iter::once(&dispatch.primary).chain(&dispatch.helpers) {
-            if let Some(engine) = self.upstreams.get_mut(name) {
-                engine.add_if_on(&dispatch, now);
+            if let Some(state) = self.upstreams.get_mut(name) {
+                state.add_if_on(&dispatch, now);
             }
         }
         self.prefill_load.add(self.loose_prefill_ms(&dispatch), now);
@@ -272,7 +272,7 @@
         if dispatch.max_gap <= self.settings.tight_gap {
             return 0.0;
         }
-        let profile = self.upstreams.get(&dispatch.primary).and_then(Engine::profile);
+        let profile = self.upstreams.get(&dispatch.primary).and_then(UpstreamState::profile);
         profile.map_or(0.0, |profile| profile.prefill_ms(dispatch.prompt_tokens))
     }
 
@@ -284,17 +284,17 @@
 
     /// Whether the prompt of `dispatch` has been prefilled.
     fn is_prefilled(&self, dispatch: &Dispatch) -> bool {
-        self.upstreams.get(&dispatch.primary).is_some_and(|engine| engine.is_decoding(dispatch.id))
+        self.upstreams.get(&dispatch.primary).is_some_and(|state| state.is_decoding(dispatch.id))
     }
 
     /// Records the first token of a request, which shows that its prompt has been prefilled.
     pub fn record_first_token(&mut self, id: DispatchId, now: clock::Moment) {
-        self.for_each_engine(id, |engine| engine.record_first_token(id, now));
+        self.for_each_upstream(id, |state| state.record_first_token(id, now));
     }
 
     /// Records the end of a request.
     pub fn record_end(&mut self, id: DispatchId, now: clock::Moment) {
-        self.for_each_engine(id, |engine| engine.record_end(id, now));
+        self.for_each_upstream(id, |state| state.record_end(id, now));
         self.dispatches.remove(&id);
     }
 
@@ -348,10 +348,10 @@
     /// Records that an upstream could not be reached or stopped responding; it is avoided for a
     /// while.
     pub fn record_unreachable(&mut self, upstream: &id::Upstream, now: clock::Moment) {
-        let span = self.settings.suspect_span;
-        if let Some(engine) = self.upstreams.get_mut(upstream) {
-            engine.record_failure(now, span);
-            self.partitions.record_failure(&self.zone, &engine.entry().zone, upstream, now);
+        let span = self.settings.avoid_span;
+        if let Some(state) = self.upstreams.get_mut(upstream) {
+            state.record_unreachable(now, span);
+            self.partitions.record_failure(&self.zone, &state.entry().zone, upstream, now);
         }
     }
 
@@ -363,29 +363,29 @@
         helper: &id::Upstream,
         now: clock::Moment,
     ) {
-        let from = self.upstreams.get(primary).map(|engine| engine.entry().zone.clone());
-        let span = self.settings.suspect_span;
-        if let (Some(from), Some(engine)) = (from, self.upstreams.get_mut(helper)) {
-            engine.record_failure(now, span);
-            self.partitions.record_failure(&from, &engine.entry().zone, helper, now);
+        let from = self.upstreams.get(primary).map(|state| state.entry().zone.clone());
+        let span = self.settings.avoid_span;
+        if let (Some(from), Some(state)) = (from, self.upstreams.get_mut(helper)) {
+            state.record_unreachable(now, span);
+            self.partitions.record_failure(&from, &state.entry().zone, helper, now);
         }
     }
 
     /// The upstream that listens on `address`.
     pub fn upstream_at(&self, address: net::SocketAddr) -> Option<&id::Upstream> {
-        let mut entries = self.upstreams.values().map(Engine::entry);
+        let mut entries = self.upstreams.values().map(UpstreamState::entry);
         entries.find(|entry| entry.address == address).map(|entry| &entry.upstream)
     }
 
     /// The registration of the upstream with this name.
     pub fn entry(&self, name: &str) -> Option<&routing::Registration> {
-        self.upstreams.get(name).map(Engine::entry)
+        self.upstreams.get(name).map(UpstreamState::entry)
     }
 
     /// Records that data arrived from an upstream.
     pub fn record_activity(&mut self, upstream: &id::Upstream, now: clock::Moment) {
-        if let Some(engine) = self.upstreams.get_mut(upstream) {
-            engine.record_activity(now);
+        if let Some(state) = self.upstreams.get_mut(upstream) {
+            state.record_activity(now);
         }
     }
 
@@ -396,22 +396,22 @@
     /// the prompts queued behind it. Slow engines get no new requests as long as another engine is
     /// available.
     pub fn set_slowness(&mut self, upstream: &id::Upstream, factor: f64, now: clock::Moment) {
-        if let Some(engine) = self.upstreams.get_mut(upstream) {
-            engine.set_slowness(factor, now);
+        if let Some(state) = self.upstreams.get_mut(upstream) {
+            state.set_slowness(factor, now);
         }
     }
 
     /// The registrations of the model engines, which are the upstreams with a performance
     /// profile.
     pub fn engines(&self) -> impl Iterator<Item = &routing::Registration> {
-        let engines = self.upstreams.values().filter(|engine| engine.profile().is_some());
-        engines.map(Engine::entry)
+        let engines = self.upstreams.values().filter(|state| state.profile().is_some());
+        engines.map(UpstreamState::entry)
     }
 
     /// Whether anything arrived from an upstream within `span` before `now`. An upstream that is
     /// silent on a single request but active on others is busy, not down.
     pub fn is_alive(&self, upstream: &id::Upstream, span: clock::Span, now: clock::Moment) -> bool {
-        self.upstreams.get(upstream).is_some_and(|engine| now.since(engine.last_activity()) <= span)
+        self.upstreams.get(upstream).is_some_and(|state| now.since(state.last_activity()) <= span)
     }
 
     /// Whether an upstream failed another request and has sent nothing since.
@@ -419,7 +419,7 @@
     /// Failure mode: an upstream stops responding while it has many requests. Without this
     /// check each request would wait for its own gap limit to pass, which can take seconds.
     pub fn is_unresponsive(&self, upstream: &id::Upstream) -> bool {
-        self.upstreams.get(upstream).is_some_and(Engine::is_unresponsive)
+        self.upstreams.get(upstream).is_some_and(UpstreamState::is_unresponsive)
     }
 
     /// Whether the engine that should answer `id` has started a later answer with the same gap
@@ -443,8 +443,8 @@
     /// Records that an engine had no memory for a reservation; it counts as full for a short time.
     pub fn mark_full(&mut self, upstream: &id::Upstream, now: clock::Moment) {
         let until = now + self.settings.full_span;
-        if let Some(engine) = self.upstreams.get_mut(upstream) {
-            engine.mark_full(until);
+        if let Some(state) = self.upstreams.get_mut(upstream) {
+            state.mark_full(until);
         }
     }
 
@@ -454,27 +454,27 @@
     /// would always be the least loaded one and attract all requests, so its failure rate counts as
     /// additional delay.
     pub fn record_error(&mut self, upstream: &id::Upstream, now: clock::Moment) {
-        if let Some(engine) = self.upstreams.get_mut(upstream) {
-            engine.record_error(now);
+        if let Some(state) = self.upstreams.get_mut(upstream) {
+            state.record_failure(now);
         }
     }
 
     /// Records that an upstream answered successfully.
     pub fn record_success(&mut self, upstream: &id::Upstream, now: clock::Moment) {
-        if let Some(engine) = self.upstreams.get_mut(upstream) {
-            engine.record_success(now);
-            self.partitions.record_success(&self.zone, &engine.entry().zone);
+        if let Some(state) = self.upstreams.get_mut(upstream) {
+            state.record_success(now);
+            self.partitions.record_success(&self.zone, &state.entry().zone);
         }
     }
 
-    fn for_each_engine<Act>(&mut self, id: DispatchId, mut act: Act)
+    fn for_each_upstream<Act>(&mut self, id: DispatchId, mut act: Act)
     where
-        Act: FnMut(&mut Engine),
+        Act: FnMut(&mut UpstreamState),
     {
         let Some(Tracked { dispatch, .. }) = self.dispatches.get(&id) else { return };
         for name in std::iter::once(&dispatch.primary).chain(&dispatch.helpers) {
-            if let Some(engine) = self.upstreams.get_mut(name) {
-                act(engine);
+            if let Some(state) = self.upstreams.get_mut(name) {
+                act(state);
             }
         }
     }
@@ -489,14 +489,14 @@
         request: &Request<'_>,
         now: clock::Moment,
     ) -> Result<Placement, Refusal> {
-        for engine in self.upstreams.values_mut() {
-            engine.advance(now);
+        for state in self.upstreams.values_mut() {
+            state.advance(now);
         }
         let usable = self.usable(request, now);
         if usable.is_empty() {
             return Err(Refusal::NoUpstream);
         }
-        let profile = usable.iter().find_map(|engine| engine.profile());
+        let profile = usable.iter().find_map(|state| state.profile());
         match profile {
             Some(profile) if request.prompt_tokens > 0 => {
                 let placed = self.place_prompt(request, &usable, profile, now);
@@ -513,20 +513,21 @@
         }
     }
 
-    /// Upstreams that may be used: those that look healthy, or all if none does.
-    fn usable(&self, request: &Request<'_>, now: clock::Moment) -> Vec<&Engine> {
-        let eligible = |engine: &&Engine| {
-            !engine.entry().leaving && !request.avoid.contains(&engine.entry().upstream)
+    /// Upstreams that may be used, in order of their names: those that look healthy, the failing
+    /// ones last, or all if none does.
+    fn usable(&self, request: &Request<'_>, now: clock::Moment) -> Vec<&UpstreamState> {
+        let eligible = |state: &&UpstreamState| {
+            !state.entry().leaving && !request.avoid.contains(&state.entry().upstream)
         };
-        let all: Vec<&Engine> = self.upstreams.values().filter(eligible).collect();
-        let healthy = |engine: &&Engine| {
-            let partitioned = self.partitions.is_partitioned(&self.zone, &engine.entry().zone, now);
-            !engine.is_avoided(now) && !partitioned && !engine.is_slow(now)
+        let all: Vec<&UpstreamState> = self.upstreams.values().filter(eligible).collect();
+        let healthy = |state: &&UpstreamState| {
+            let partitioned = self.partitions.is_partitioned(&self.zone, &state.entry().zone, now);
+            !state.is_avoided(now) && !partitioned && !state.is_slow(now)
         };
-        let mut found: Vec<&Engine> = all.iter().copied().filter(healthy).collect();
-        // Failing upstreams come last, because the first engines are the ones reserved for tight
+        let mut found: Vec<&UpstreamState> = all.iter().copied().filter(healthy).collect();
+        // Failing upstreams come last, because the first engines are the ones dedicated to tight
         // gap limits.
-        found.sort_by_key(|engine| engine.failure_rate(now) > FAILING_RATE);
+        found.sort_by_key(|state| state.failure_rate(now) > FAILING_RATE);
         if found.is_empty() { all } else { found }
     }
 
@@ -535,17 +536,17 @@
     fn place_call(
         &self,
         request: &Request<'_>,
-        usable: &[&Engine],
+        usable: &[&UpstreamState],
         now: clock::Moment,
     ) -> Placement {
-        let cost = |engine: &&&Engine| {
-            let remote = u64::from(engine.entry().zone != *request.zone);
-            let slots = u64::from(engine.entry().slots.max(1));
-            let used = engine.dispatches() as u64 * 1_000 / slots;
-            let failures = (engine.failure_rate(now) * FAILURE_PENALTY) as u64;
-            (used + remote * REMOTE_PENALTY + failures, tie_break(request.random, engine))
+        let cost = |state: &&&UpstreamState| {
+            let remote = u64::from(state.entry().zone != *request.zone);
+            let slots = u64::from(state.entry().slots.max(1));
+            let used = state.dispatches() as u64 * 1_000 / slots;
+            let failures = (state.failure_rate(now) * FAILURE_PENALTY) as u64;
+            (used + remote * REMOTE_PENALTY + failures, tie_break(request.random, state))
         };
-        let primary = usable.iter().min_by_key(cost).map_or(usable[0], |engine| *engine);
+        let primary = usable.iter().min_by_key(cost).map_or(usable[0], |state| *state);
         Placement {
             primary: primary.entry().clone(),
             reserve: 0,
@@ -567,9 +568,9 @@
 const FAILURE_PENALTY: f64 = 2_000.0;
 
 /// A pseudo-random order of upstreams that differs from request to request.
-fn tie_break(draw: u64, engine: &Engine) -> u64 {
+fn tie_break(draw: u64, state: &UpstreamState) -> u64 {
     use std::hash::{Hash, Hasher};
     let mut hasher = collections::hash_map::DefaultHasher::new();
-    (draw, engine.entry().upstream.as_str()).hash(&mut hasher);
+    (draw, state.entry().upstream.as_str()).hash(&mut hasher);
     hasher.finish()
 }
--- a/crates/lagoonline/src/load/placement/prompt.rs
+++ b/crates/lagoonline/src/load/placement/prompt.rs
@@ -1,7 +1,7 @@
 //! Placement of prompts: enumerates the engines that may be used and the candidate plans, and
 //! weighs the value of each plan against the harm that it does to other requests.
 
-use super::{Engine, Helper, Placement, Placer, Refusal, Request, Shortage, tie_break};
+use super::{Helper, Placement, Placer, Refusal, Request, Shortage, UpstreamState, tie_break};
 use crate::clock;
 use crate::load::profile;
 
@@ -12,20 +12,21 @@
 /// Which engines a plan for a prompt with a loose gap limit may use, the most restrictive first.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Scope {
-    /// Unreserved engines whose answers in decode would all stay in time.
+    /// Engines that are not dedicated to tight gap limits and whose answers in decode would all
+    /// stay in time.
     Harmless,
-    /// All engines that are not reserved for tight gap limits.
-    Unreserved,
+    /// All engines that are not dedicated to tight gap limits.
+    Loose,
     /// All engines.
     All,
 }
 
-/// The usable engines. The first `reserved` are reserved for answers with a tight gap limit; the
+/// The usable engines. The first `dedicated` are dedicated to answers with a tight gap limit; the
 /// rest is for those with a loose one.
 #[derive(Clone, Copy, Debug)]
 struct Division<'a> {
-    usable: &'a [&'a Engine],
-    reserved: usize,
+    usable: &'a [&'a UpstreamState],
+    dedicated: usize,
 }
 
 /// A way to serve a request; engines are given by their indices.
@@ -73,7 +74,8 @@
 }
 
 impl Placer {
-    /// Number of engines, the first by name, that are reserved for answers with a tight gap limit.
+    /// Number of engines at the front of `usable` that are dedicated to answers with a tight gap
+    /// limit. The order is that of [`Placer::usable`].
     ///
     /// A long prefill in a pass delays every answer that its engine is decoding; if long prompts
     /// were spread evenly, all answers to short prompts would be late. With separate engines both
@@ -85,7 +87,7 @@
     /// answers in decode: such an answer occupies a slot but needs little time and has a loose gap
     /// limit. If answers were counted, engines would be set aside for a single long answer each
     /// while short prompts wait for slots on the others.
-    fn reserved_engines(&self, usable: &[&Engine], now: clock::Moment) -> usize {
+    fn dedicated_engines(&self, usable: &[&UpstreamState], now: clock::Moment) -> usize {
         let tight = self.tight_requests(usable);
         let slots: u32 = usable.iter().map(|engine| engine.slots()).sum();
         let engines = usable.len() as f64;
@@ -102,7 +104,7 @@
     }
 
     /// Number of in-flight answers with a tight gap limit.
-    fn tight_requests(&self, usable: &[&Engine]) -> u32 {
+    fn tight_requests(&self, usable: &[&UpstreamState]) -> u32 {
         let max_gap_ms = self.settings.tight_gap.as_secs_f64() * 1e3;
         usable.iter().map(|engine| engine.tight_requests(max_gap_ms)).sum()
     }
@@ -110,11 +112,11 @@
     pub(super) fn place_prompt(
         &self,
         request: &Request<'_>,
-        usable: &[&Engine],
+        usable: &[&UpstreamState],
         profile: profile::Profile,
         now: clock::Moment,
     ) -> Result<Placement, Refusal> {
-        let division = Division { usable, reserved: self.reserved_engines(usable, now) };
+        let division = Division { usable, dedicated: self.dedicated_engines(usable, now) };
         if self.is_tight(request) {
             self.place_tight(request, division, profile, now)
         } else {
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Places a prompt with a tight gap limit wherever a slot is free, preferably on a reserved
+    /// Places a prompt with a tight gap limit wherever a slot is free, preferably on a dedicated
     /// engine.
     fn place_tight(
         &self,
@@ -160,13 +162,13 @@
         profile: profile::Profile,
         now: clock::Moment,
     ) -> Result<Placement, Refusal> {
-        let Division { usable, reserved } = division;
+        let Division { usable, dedicated } = division;
         let total_ms = profile.prefill_ms(request.prompt_tokens);
         let part_ms = self.settings.loose_part_ms;
         let part_count = self.part_count(total_ms, part_ms);
         self.check_backlog(
             request,
-            &usable[reserved.min(usable.len() - 1)..],
+            &usable[dedicated.min(usable.len() - 1)..],
             total_ms,
             part_count,
             now,
@@ -175,7 +177,7 @@
         let mut refusal = Refusal::NoUpstream;
         let free_ms = self.mean_answer_span(profile).as_secs_f64() * 1e3;
         let part_alone_ms = total_ms / part_count as f64;
-        for scope in [Scope::Harmless, Scope::Unreserved, Scope::All] {
+        for scope in [Scope::Harmless, Scope::Loose, Scope::All] {
             let eligible = self.eligible(division, scope, total_ms.min(part_ms));
             match self.plan(request, division, &eligible, (total_ms, part_ms), now) {
                 Ok(mut plan) => {
@@ -234,7 +236,7 @@
     }
 
     /// Checks whether a prompt with a loose gap limit may add to the prefill backlog of the engines
-    /// that are not reserved.
+    /// that are not dedicated to tight gap limits.
     ///
     /// Load pattern: a burst of long prompts brings more prefill than the engines can do. If all
     /// were dispatched at once, they would queue in the engines, where they cannot be reordered:
@@ -246,7 +248,7 @@
     fn check_backlog(
         &self,
         request: &Request<'_>,
-        engines: &[&Engine],
+        engines: &[&UpstreamState],
         total_ms: f64,
         part_count: usize,
         now: clock::Moment,
@@ -264,21 +266,24 @@
         if backlog <= bound {
             return Ok(());
         }
-        let drained_ms = (backlog - bound) / (1.0 + self.settings.backlog_growth);
-        let planned = engines.len() as f64 * self.settings.prefill_share;
-        let prefilling = self.prefill_load.engines(now).max(planned).max(1.0);
-        let free_ms = drained_ms + self.waitlist.ahead_ms(request.waiter, total_ms) / prefilling;
+        // While the prompt waits, the backlog falls at one millisecond of prefill per millisecond
+        // and the bound rises by `backlog_growth` of that, so they approach each other at the sum.
+        let until_bound_ms = (backlog - bound) / (1.0 + self.settings.backlog_growth);
+        let planned_engines = engines.len() as f64 * self.settings.prefill_share;
+        let prefilling_engines = self.prefill_load.engines(now).max(planned_engines).max(1.0);
+        let free_ms =
+            until_bound_ms + self.waitlist.ahead_ms(request.waiter, total_ms) / prefilling_engines;
         let first_token_ms = free_ms + bound + total_ms / part_count as f64;
         Err(self.refuse(request, Outlook { shortage: Shortage::Prefill, free_ms, first_token_ms }))
     }
 
     /// Indices of the engines that a plan for a prompt with a loose gap limit may use.
     fn eligible(&self, division: Division<'_>, scope: Scope, part_ms: f64) -> Vec<usize> {
-        let Division { usable, reserved } = division;
+        let Division { usable, dedicated } = division;
         let harmless = |index: &usize| usable[*index].late_answers(part_ms) == 0;
         match scope {
-            Scope::Harmless => (reserved..usable.len()).filter(harmless).collect(),
-            Scope::Unreserved => (reserved..usable.len()).collect(),
+            Scope::Harmless => (dedicated..usable.len()).filter(harmless).collect(),
+            Scope::Loose => (dedicated..usable.len()).collect(),
             Scope::All => (0..usable.len()).collect(),
         }
     }
@@ -297,7 +302,7 @@
         (total_ms, part_ms): (f64, f64),
         now: clock::Moment,
     ) -> Result<Plan, Refusal> {
-        let Division { usable, reserved } = division;
+        let Division { usable, dedicated } = division;
         let tight = self.is_tight(request);
         if eligible.is_empty() {
             return Err(Refusal::NoUpstream);
@@ -308,13 +313,13 @@
             eligible.iter().copied().filter(|index| usable[*index].has_free_slot()).collect();
         let candidates = if with_slot.is_empty() { eligible } else { &with_slot };
         let spillover = |index: usize| {
-            if tight && index >= reserved { self.settings.spillover_penalty_ms } else { 0.0 }
+            if tight && index >= dedicated { self.settings.spillover_penalty_ms } else { 0.0 }
         };
         let by_cost = self.order_by_cost(request, usable, candidates, |index| {
             let engine = usable[index];
             let failures = engine.failure_rate(now) * FAILURE_PENALTY_MS;
-            let starts_decode = !tight && engine.used_slots() == 0;
-            let idle_penalty = if starts_decode { self.settings.idle_penalty_ms } else { 0.0 };
+            let answers_none = !tight && engine.used_slots() == 0;
+            let idle_penalty = if answers_none { self.settings.idle_penalty_ms } else { 0.0 };
             let placement_cost = engine.occupancy_cost_ms()
                 + self.remote_cost(request, engine)
                 + spillover(index)
@@ -372,7 +377,7 @@
     fn net_value(
         &self,
         request: &Request<'_>,
-        Division { usable, reserved }: Division<'_>,
+        Division { usable, dedicated }: Division<'_>,
         plan: &Plan,
         now: clock::Moment,
     ) -> f64 {
@@ -387,11 +392,11 @@
             |index: usize| usable[index].newly_late_tokens(plan.part_ms).map(value).sum::<f64>();
         let late_value: f64 = parts().map(lost).sum();
         let tight = self.tight_requests(usable);
-        let reserved_share =
-            parts().filter(|index| *index < reserved).count() as f64 / reserved.max(1) as f64;
+        let dedicated_share =
+            parts().filter(|index| *index < dedicated).count() as f64 / dedicated.max(1) as f64;
         let stall = (plan.part_ms - self.settings.tight_slack_ms).max(0.0) / 1e3;
         let arrival_loss = f64::from(tight) / self.settings.tight_answer_span.as_secs_f64()
-            * reserved_share
+            * dedicated_share
             * stall;
         let served = 1.0 - usable[plan.primary].failure_rate(now);
         value(request.prompt_tokens) * in_time * served
@@ -404,7 +409,8 @@
     /// of several engines during a burst of short ones. If it were held until the maximum wait, it
     /// would be refused seconds after it could no longer be in time. It therefore waits only while
     /// it can be in time, and is refused as soon as the prompts ahead of it or the remaining time
-    /// show that it cannot, with the time after which the missing resource is expected to be free.
+    /// show that it cannot, with the time after which the missing resource is expected to be free,
+    /// but at least [`super::Settings::full_span`].
     fn refuse(&self, request: &Request<'_>, outlook: Outlook) -> Refusal {
         let in_time = outlook.first_token_ms <= request.target.as_secs_f64() * 1e3;
         if in_time && request.waited < self.settings.max_wait {
@@ -420,7 +426,7 @@
     fn order_by_cost<Cost>(
         &self,
         request: &Request<'_>,
-        usable: &[&Engine],
+        usable: &[&UpstreamState],
         eligible: &[usize],
         cost: Cost,
     ) -> Vec<usize>
@@ -440,7 +446,7 @@
     /// front.
     fn reachable(
         &self,
-        usable: &[&Engine],
+        usable: &[&UpstreamState],
         eligible: &[usize],
         primary: usize,
         now: clock::Moment,
@@ -453,7 +459,7 @@
         std::iter::once(primary).chain(others).collect()
     }
 
-    fn most_free_memory(&self, usable: &[&Engine], eligible: &[usize]) -> usize {
+    fn most_free_memory(&self, usable: &[&UpstreamState], eligible: &[usize]) -> usize {
         let share = self.settings.memory_share;
         let most = eligible.iter().copied().max_by_key(|index| usable[*index].free_memory(share));
         most.unwrap_or(0)
@@ -463,7 +469,7 @@
     /// first of `eligible`, each with the tokens to reserve on it.
     fn memory_helpers(
         &self,
-        usable: &[&Engine],
+        usable: &[&UpstreamState],
         eligible: &[usize],
         need: u64,
     ) -> Result<Vec<(usize, u64)>, Refusal> {
@@ -490,7 +496,7 @@
 
     /// Cost of prefilling a part on `engine`, in milliseconds of delay: the wait until the part
     /// starts, and the answers that it makes late.
-    fn cost(&self, engine: &Engine, part_ms: f64) -> f64 {
+    fn cost(&self, engine: &UpstreamState, part_ms: f64) -> f64 {
         engine.wait_ms() + self.lateness_cost(engine, part_ms)
     }
 
@@ -501,17 +507,17 @@
     /// answer one prompt and help with others. If an answering engine has many helper parts ahead
     /// of its own part, its own part is the last of its prompt to finish, and all the other engines
     /// have waited for it.
-    fn helper_cost(&self, engine: &Engine, part_ms: f64) -> f64 {
+    fn helper_cost(&self, engine: &UpstreamState, part_ms: f64) -> f64 {
         let lateness_cost = self.lateness_cost(engine, part_ms);
         engine.helper_wait_ms() + lateness_cost + engine.own_prefills() as f64 * part_ms
     }
 
     /// Cost in milliseconds of delay of the answers that a prefill on `engine` would make late.
-    fn lateness_cost(&self, engine: &Engine, part_ms: f64) -> f64 {
+    fn lateness_cost(&self, engine: &UpstreamState, part_ms: f64) -> f64 {
         f64::from(engine.late_answers(part_ms)) * self.settings.lateness_cost_ms
     }
 
-    fn remote_cost(&self, request: &Request<'_>, engine: &Engine) -> f64 {
+    fn remote_cost(&self, request: &Request<'_>, engine: &UpstreamState) -> f64 {
         if engine.entry().zone == *request.zone { 0.0 } else { self.settings.remote_penalty_ms }
     }
 }
@@ -519,7 +525,7 @@
 /// Converts a plan into a placement.
 fn to_placement(
     request: &Request<'_>,
-    usable: &[&Engine],
+    usable: &[&UpstreamState],
     profile: profile::Profile,
     plan: &Plan,
     reserve_threshold: f64,
--- a/crates/lagoonline/src/load/placement/settings.rs
+++ b/crates/lagoonline/src/load/placement/settings.rs
@@ -25,23 +25,24 @@
     /// not fit together, and the second would wait for seconds in the engine until the first has
     /// ended.
     pub reserve_threshold: f64,
-    /// How long an engine that refused a reservation counts as full.
+    /// How long an engine that refused a reservation counts as full; also the shortest retry time
+    /// of a rejected prompt.
     pub full_span: clock::Span,
     /// Milliseconds by which an upstream of another zone must be better to be chosen.
     pub remote_penalty_ms: f64,
     /// Longest gap limit that counts as tight: three passes of decode steps with a part of a prompt
     /// in each.
     pub tight_gap: clock::Span,
-    /// Share of the slots on the engines reserved for tight gap limits that the division plans to
+    /// Share of the slots on the engines dedicated to tight gap limits that the division plans to
     /// fill; the rest is headroom for a burst. Setting `tight_share`.
     pub tight_share: f64,
-    /// Milliseconds by which an engine that is not reserved for tight gap limits must be better to
+    /// Milliseconds by which an engine that is not dedicated to tight gap limits must be better to
     /// get a prompt with a tight one. Setting `stray_ms`.
     pub spillover_penalty_ms: f64,
-    /// Milliseconds by which an engine without an answer in decode must be better to become the
-    /// primary of a prompt with a loose gap limit. An engine runs all decode steps of a pass for
-    /// one answer as for ten, and without them it prefills for others in half the time, so answers
-    /// should share few engines. Setting `reader_ms`.
+    /// Milliseconds by which an engine that answers no request, whether in prefill or decode, must
+    /// be better to become the primary of a prompt with a loose gap limit. An engine runs all
+    /// decode steps of a pass for one answer as for ten, and without them it prefills for others in
+    /// half the time, so answers should share few engines. Setting `reader_ms`.
     pub idle_penalty_ms: f64,
     /// Share of an engine's time planned for the prefill of prompts with a loose gap limit. With
     /// less, short prompts lack slots; with more, the long prompts wait for each other. Setting
@@ -69,12 +70,14 @@
     /// Share of the time left to its first token that a short prompt may wait for a slot. Setting
     /// `hold_share`.
     pub slot_wait_share: f64,
-    /// Longest time that a prompt waits for a smaller prefill backlog.
+    /// Longest time that a prompt with a loose gap limit waits at a host, whatever resource engines
+    /// lack for it.
     pub max_wait: clock::Span,
     /// Milliseconds of delay that count as much as one answer made late. Setting `harm_ms`.
     pub lateness_cost_ms: f64,
-    /// How long an upstream that failed without a response is avoided.
-    pub suspect_span: clock::Span,
+    /// How long an upstream is avoided after a failure without a response. The span is multiplied
+    /// by the number of its consecutive failures of this kind, up to four.
+    pub avoid_span: clock::Span,
 }
 
 impl Default for Settings {
@@ -101,7 +104,7 @@
             slot_wait_share: 0.3,
             max_wait: clock::Span::from_millis(5_000),
             lateness_cost_ms: 60.0,
-            suspect_span: clock::Span::from_secs(1),
+            avoid_span: clock::Span::from_secs(1),
         }
     }
 }
--- a/crates/lagoonline/src/load/placement/engine.rs
+++ b/crates/lagoonline/src/load/placement/upstream.rs
@@ -62,8 +62,9 @@
 /// Cost in milliseconds of each request beyond the number of slots: a tenth of the time of an
 /// answer.
 const EXCESS_COST_MS: f64 = 200.0;
-/// Consecutive failures up to which the time for which an upstream is avoided grows.
-const MAX_FAILURES: u32 = 4;
+/// Consecutive failures without a response up to which the time for which an upstream is avoided
+/// grows.
+const MAX_UNREACHABLE_COUNT: u32 = 4;
 /// How far one failure moves the remembered failure rate towards one.
 const FAILURE_WEIGHT: f64 = 0.35;
 /// Factor by which one answer reduces the remembered failure rate.
@@ -73,7 +74,7 @@
 
 /// An upstream and the dispatches in flight on it.
 #[derive(Clone, Debug)]
-pub struct Engine {
+pub struct UpstreamState {
     entry: routing::Registration,
     profile: Option<profile::Profile>,
     /// In-flight work on it, in order of arrival.
@@ -83,9 +84,9 @@
     /// Until when it is avoided after a failure without a response.
     avoided_until: Option<clock::Moment>,
     /// When it last failed without sending a response.
-    failed_at: Option<clock::Moment>,
-    /// Consecutive failures without a response, up to [`MAX_FAILURES`].
-    failure_count: u32,
+    unreachable_at: Option<clock::Moment>,
+    /// Consecutive failures without a response, up to [`MAX_UNREACHABLE_COUNT`].
+    unreachable_count: u32,
     /// Until when it counts as full after it refused a reservation.
     full_until: Option<clock::Moment>,
     /// When this host last received anything from it.
@@ -97,16 +98,19 @@
     slowness: Option<(clock::Moment, f64)>,
 }
 
-impl Engine {
-    pub(super) fn new(entry: routing::Registration, profile: Option<profile::Profile>) -> Engine {
-        Engine {
+impl UpstreamState {
+    pub(super) fn new(
+        entry: routing::Registration,
+        profile: Option<profile::Profile>,
+    ) -> UpstreamState {
+        UpstreamState {
             entry,
             profile,
             parts: Vec::new(),
             advanced_to: clock::Moment::START,
             avoided_until: None,
-            failed_at: None,
-            failure_count: 0,
+            unreachable_at: None,
+            unreachable_count: 0,
             full_until: None,
             last_activity: clock::Moment::START,
             failure_rate: 0.0,
@@ -187,11 +191,13 @@
         self.parts.retain(|part| part.dispatch != dispatch);
     }
 
-    pub(super) fn record_failure(&mut self, now: clock::Moment, span: clock::Span) {
-        self.record_error(now);
-        self.failure_count = (self.failure_count + 1).min(MAX_FAILURES);
-        self.avoided_until = Some(now + span * self.failure_count);
-        self.failed_at = Some(now);
+    /// Records a failure without a response. It is avoided for `span` times the number of
+    /// consecutive failures of this kind.
+    pub(super) fn record_unreachable(&mut self, now: clock::Moment, span: clock::Span) {
+        self.record_failure(now);
+        self.unreachable_count = (self.unreachable_count + 1).min(MAX_UNREACHABLE_COUNT);
+        self.avoided_until = Some(now + span * self.unreachable_count);
+        self.unreachable_at = Some(now);
     }
 
     pub(super) fn set_slowness(&mut self, factor: f64, now: clock::Moment) {
@@ -216,8 +222,8 @@
         self.full_until = Some(until);
     }
 
-    /// Records that it answered with an error, or not at all.
-    pub(super) fn record_error(&mut self, now: clock::Moment) {
+    /// Records a failed request, whether it answered with an error or not at all.
+    pub(super) fn record_failure(&mut self, now: clock::Moment) {
         let rate = self.failure_rate(now);
         self.failure_rate = rate + (1.0 - rate) * FAILURE_WEIGHT;
         self.failure_rate_at = now;
@@ -232,7 +238,7 @@
     pub(super) fn record_success(&mut self, now: clock::Moment) {
         self.failure_rate = self.failure_rate(now) * SUCCESS_FACTOR;
         self.failure_rate_at = now;
-        self.failure_count = 0;
+        self.unreachable_count = 0;
         self.avoided_until = None;
     }
 
@@ -242,7 +248,7 @@
 
     /// Whether it failed and has sent nothing since.
     pub(super) fn is_unresponsive(&self) -> bool {
-        self.failed_at.is_some_and(|failed_at| failed_at > self.last_activity)
+        self.unreachable_at.is_some_and(|unreachable_at| unreachable_at > self.last_activity)
     }
 
     /// Advances the estimated progress to `now`: prompts are prefilled one after the other, and
--- a/crates/lagoonline/src/load/placement/waitlist.rs
+++ b/crates/lagoonline/src/load/placement/waitlist.rs
@@ -23,15 +23,15 @@
 #[derive(Clone, Debug)]
 pub(super) struct Waitlist {
     prompts: collections::HashMap<DispatchId, Prompt>,
-    /// Number of prompts that have begun to wait.
-    started: u64,
+    /// Number of deferred attempts so far, from which a new waiting prompt gets its `order`.
+    deferrals: u64,
     /// Number of hosts that place requests, including this one.
     placing_hosts: usize,
 }
 
 impl Default for Waitlist {
     fn default() -> Self {
-        Waitlist { prompts: collections::HashMap::new(), started: 0, placing_hosts: 1 }
+        Waitlist { prompts: collections::HashMap::new(), deferrals: 0, placing_hosts: 1 }
     }
 }
 
@@ -54,8 +54,8 @@
             self.prompts.remove(&waiter);
             return;
         }
-        self.started += 1;
-        let prompt = Prompt { prefill_ms, order: self.started, last_attempt: now };
+        self.deferrals += 1;
+        let prompt = Prompt { prefill_ms, order: self.deferrals, last_attempt: now };
         self.prompts.entry(waiter).or_insert(prompt).last_attempt = now;
     }
 
--- a/crates/lagoonline/src/load/prefix.rs
+++ b/crates/lagoonline/src/load/prefix.rs
@@ -4,9 +4,9 @@
 //! same shared prefix again. The map is filled from this host's own placements: engines' cache
 //! events arrive late and with gaps, and distributing them costs more bytes than they save
 //! (docs/design/prefix-hints.md). A new incarnation raises the engine's epoch, which invalidates
-//! everything known about it in one step. The load is bounded by the router's predicted wait: a hit
-//! only removes the cached tokens from it, so a busy engine loses the prefix to another as soon as
-//! its queue costs more than the prefill saved.
+//! everything known about it in one step. The load is bounded by the router's predicted time to the
+//! first token: a hit only removes the cached tokens from it, so a busy engine loses the prefix to
+//! another as soon as its queue costs more than the prefill saved.
 //!
 //! The p95 with few prefixes is 177 ms without affinity and 171 ms with it: a small gain where
 //! every engine soon has all of them cached.
@@ -45,8 +45,8 @@
             |old: &Option<Location>| old.is_some_and(|old| old.engine == location.engine);
         let known = locations.iter().position(same_engine);
         let index = known.or_else(|| locations.iter().position(Option::is_none));
-        // If all are taken, the engine's number selects the one to overwrite, so no use is
-        // recorded.
+        // If all are taken, the engine's number selects the one to overwrite. This needs no record
+        // of when each was last used.
         locations[index.unwrap_or(location.engine as usize % MAX_LOCATIONS)] = Some(location);
     }
 
--- a/crates/lagoonline/src/load/queue.rs
+++ b/crates/lagoonline/src/load/queue.rs
@@ -1,5 +1,5 @@
-//! Queue of waiting requests at this host: by length class, then fair between teams, then between
-//! customers.
+//! Queue of waiting requests at this host: by rank, then fair between teams, then between
+//! customers. The requests of one rank form a band, which has the rank's number.
 //!
 //! Load pattern: a burst, or more load than capacity. The queue is bounded in requests and in bytes
 //! (a small host has little memory), and each waiter in time (its `expiry`); a caller that leaves
--- a/crates/lagoonline/src/load/rebalance.rs
+++ b/crates/lagoonline/src/load/rebalance.rs
@@ -111,7 +111,7 @@
     }
 
     /// Whether the model is short of an engine now: `Some(true)` if its claim is unmet,
-    /// `Some(false)` if its demand has been for long enough.
+    /// `Some(false)` if its demand has exceeded its engines for long enough.
     fn shortage(
         &mut self,
         now: clock::Moment,
--- a/crates/lagoonline/src/load/route.rs
+++ b/crates/lagoonline/src/load/route.rs
@@ -40,7 +40,8 @@
 const MAX_CANDIDATES: usize = 32;
 /// Upstreams of other zones that are examined, whether they are suitable or not.
 const MAX_REMOTE_SCANNED: usize = 64;
-/// Weight of what this host has sent beyond its share.
+/// Penalty in seconds for each second of short prefill that this host has sent to an upstream
+/// beyond the rate that it may use there.
 const IMBALANCE_WEIGHT: f64 = 2.0;
 /// Pairs of random draws. The first two suitable upstreams among all draws are compared; if none is
 /// suitable, all upstreams are examined.
@@ -98,8 +99,8 @@
     pub local_count: usize,
     /// Indices of the upstreams, by number.
     pub index_by_number: &'a collections::HashMap<u32, usize>,
-    /// Smallest delay of another zone, in seconds; other zones are considered if the predicted wait
-    /// in this zone is longer.
+    /// Smallest delay of another zone, in seconds; other zones are considered if the request's own
+    /// prefill would start later than that in this zone.
     pub min_zone_delay: f64,
     /// Number of local upstreams kept clear of long prompts.
     pub clear_count: usize,
@@ -108,7 +109,7 @@
     pub aged: bool,
     /// Share of an engine's rate that short prompts may use; 1 while no longer ones arrive.
     pub short_rate_share: f64,
-    /// Weight of the delay of long prompts relative to that of the request itself.
+    /// Weight of the delay of pending longer prompts relative to that of the request itself.
     pub long_weight: f64,
     /// Outstanding prefill up to which an engine gets more, in seconds of its rate.
     pub ahead_seconds: f64,
@@ -147,9 +148,9 @@
         if wrong_role { seconds + WRONG_ROLE_PENALTY_SECONDS } else { seconds }
     }
 
-    /// Penalty in seconds for short prefill that this host has sent beyond its share. Reports lag
-    /// by longer than a short queue lasts, so even sending balances short prompts better than
-    /// reports do.
+    /// Penalty in seconds for short prefill that this host has sent to the upstream beyond the rate
+    /// that it may use there. Reports lag by longer than a short queue lasts, so even sending
+    /// balances short prompts better than reports do.
     fn imbalance_penalty(&self, upstream: &upstream::Upstream, need: &Need, rate: f64) -> f64 {
         if need.rank != document::Class::Short {
             return 0.0;
@@ -158,9 +159,9 @@
         IMBALANCE_WEIGHT * sent / rate.max(1.0)
     }
 
-    /// Weighted delay that the request would cause for long prompts pending on the upstream.
+    /// Weighted delay that the request would cause for longer prompts pending on the upstream.
     fn long_delay_penalty(&self, upstream: &upstream::Upstream, need: &Need, seconds: f64) -> f64 {
-        let delays_longer = self.long_weight > 0.0 && upstream.has_longer_class(need.rank);
+        let delays_longer = self.long_weight > 0.0 && upstream.has_longer_than(need.rank);
         if delays_longer { self.long_weight * seconds } else { 0.0 }
     }
 
@@ -189,7 +190,7 @@
             return false;
         }
         if need.class >= document::Class::Long && self.safeguards().long_bound {
-            let pending = upstream.long_pending(self.now);
+            let pending = upstream.long_rank_pending(self.now);
             return pending <= 0.0
                 || pending + need.tokens as f64 <= self.settings.long_tokens as f64;
         }
@@ -272,16 +273,18 @@
             }
         }
         self.scan(0..self.local_count, random, need, &mut best);
-        if best.is_none_or(|(index, _)| self.wait(index, need) > self.min_zone_delay) {
+        if best
+            .is_none_or(|(index, _)| self.seconds_before_prefill(index, need) > self.min_zone_delay)
+        {
             self.scan(self.local_count..self.upstreams.len(), random, need, &mut best);
         }
         best
     }
 
-    /// Predicted wait before the request's own prefill, in seconds: what another zone could save.
-    /// Penalties between the zone's upstreams are left out; otherwise requests would cross a
+    /// Predicted seconds on the upstream before the request's own prefill: what another zone could
+    /// save. Penalties between the zone's upstreams are left out; otherwise requests would cross a
     /// partitioned link for no better reason than balance.
-    fn wait(&self, index: usize, need: &Need) -> f64 {
+    fn seconds_before_prefill(&self, index: usize, need: &Need) -> f64 {
         let upstream = &self.upstreams[index];
         let rate = upstream.rate(self.now);
         upstream.first_token_seconds(self.now, self.ahead_rank(need), 0.0, rate)
--- a/crates/lagoonline/src/load/scheduler/admission.rs
+++ b/crates/lagoonline/src/load/scheduler/admission.rs
@@ -17,7 +17,8 @@
 /// Predicted wait of a longer prompt, as a multiple of the time that the first of its band has
 /// waited.
 const HEAD_MULTIPLE: f64 = 2.0;
-/// Fraction of the remaining time that is kept for the engine when a wait is bounded.
+/// Largest fraction of the remaining time that is kept for the engine when a wait is bounded; the
+/// predicted time on the engine is kept if it is less.
 const ENGINE_FRACTION: f64 = 0.5;
 
 /// Fraction of the longest wait up to which a predicted wait is accepted for a request.
@@ -45,7 +46,8 @@
         let random = self.next_random();
         let survey = self.router(now).survey(&need, random);
         if need.kv > self.group_kv {
-            // The longest Retry-After: it takes another fleet to hold this prompt.
+            // The longest Retry-After before its random extension: it takes another fleet to hold
+            // this prompt.
             return Err(admit::refusal(outcome::Reason::TooLong, 60.0, random));
         }
         if !self.settings.safeguards.admit {
--- a/crates/lagoonline/src/load/scheduler/fleet.rs
+++ b/crates/lagoonline/src/load/scheduler/fleet.rs
@@ -22,13 +22,13 @@
         let old = mem::take(&mut self.upstreams);
         let mut old: collections::HashMap<_, _> =
             old.into_iter().map(|upstream| (upstream.name.clone(), upstream)).collect();
-        let mut entries: Vec<_> = fleet.engines(model).collect();
-        let is_remote = |entry: &view::Upstream| entry.entry.zone != self.settings.zone;
-        entries.sort_by(|a, b| (is_remote(a), &a.name).cmp(&(is_remote(b), &b.name)));
+        let mut listed: Vec<_> = fleet.engines(model).collect();
+        let is_remote = |engine: &view::Upstream| engine.entry.zone != self.settings.zone;
+        listed.sort_by(|a, b| (is_remote(a), &a.name).cmp(&(is_remote(b), &b.name)));
         self.local_count = 0;
-        for entry in entries {
-            let known = old.remove(&entry.name);
-            let upstream = self.updated_upstream(now, known, entry);
+        for engine in listed {
+            let known = old.remove(&engine.name);
+            let upstream = self.updated_upstream(now, known, engine);
             self.upstreams.push(upstream);
         }
         let working = old.into_values().filter(|upstream| upstream.requests > 0);
@@ -61,24 +61,24 @@
         &mut self,
         now: clock::Moment,
         known: Option<upstream::Upstream>,
-        entry: &view::Upstream,
+        listed: &view::Upstream,
     ) -> upstream::Upstream {
         let fresh = known.is_none();
         let mut upstream = known.unwrap_or_default();
         if fresh {
             self.last_number += 1;
             upstream.number = self.last_number;
-            upstream.nominal_rate = entry.entry.prefill_rate;
+            upstream.nominal_rate = listed.entry.prefill_rate;
             upstream.joined_at = if self.started { Some(now) } else { None };
         }
-        let is_local = entry.entry.zone == self.settings.zone;
-        upstream.name = entry.name.clone();
+        let is_local = listed.entry.zone == self.settings.zone;
+        upstream.name = listed.name.clone();
         upstream.removed = false;
-        upstream.slots = entry.entry.slots;
-        upstream.kv_tokens = entry.entry.kv_tokens;
-        upstream.role = entry.entry.role;
+        upstream.slots = listed.entry.slots;
+        upstream.kv_tokens = listed.entry.kv_tokens;
+        upstream.role = listed.entry.role;
         upstream.local_index = if is_local { Some(self.local_count) } else { None };
-        upstream.zone_delay = if is_local { 0.0 } else { self.zone_delay(&entry.entry.zone) };
+        upstream.zone_delay = if is_local { 0.0 } else { self.zone_delay(&listed.entry.zone) };
         self.local_count += usize::from(is_local);
         upstream
     }
--- a/crates/lagoonline/src/load/scheduler/place.rs
+++ b/crates/lagoonline/src/load/scheduler/place.rs
@@ -24,8 +24,9 @@
 /// A waiter moves up by one class each time it has waited this fraction of its longest wait.
 const AGEING_DIVISOR: u32 = 4;
 
-/// Weight of a long prompt's delay relative to a short one's, if the teams' weights count nothing
-/// but first tokens.
+/// Weight of the delay that a request causes for pending longer prompts, relative to its own delay,
+/// if the teams' weights do not count the slowdown of short requests. Otherwise the weight is
+/// reduced by the share of that slowdown in all weights.
 const LONG_WEIGHT: f64 = 8.0;
 
 impl scheduler::Scheduler {
@@ -114,7 +115,8 @@
     }
 
     /// Class as which a request is ranked: one class later for customers over their share, and the
-    /// same for all requests if the priority safeguard is off.
+    /// same for all requests if the priority safeguard is off. A request waits in the band with the
+    /// number of its rank.
     fn rank(&self, now: clock::Moment, request: &scheduler::Request) -> document::Class {
         let safeguards = self.settings.safeguards;
         if !self.is_full_policy() || !safeguards.priority {
@@ -161,7 +163,7 @@
         let need = self.need(now, request);
         let random = self.next_random();
         let full_policy = self.is_full_policy();
-        let clear_count = if full_policy { self.clear_engines(now) } else { 0 };
+        let clear_count = if full_policy { self.clear_engine_count(now) } else { 0 };
         let mut router = self.router_with(now, clear_count);
         router.aged = aged;
         let route = if need.kv > self.largest_kv {
@@ -328,7 +330,7 @@
     }
 
     /// Number of local engines to keep clear of long prompts now.
-    fn clear_engines(&mut self, now: clock::Moment) -> usize {
+    fn clear_engine_count(&mut self, now: clock::Moment) -> usize {
         if !self.settings.safeguards.clear {
             return 0;
         }
--- a/crates/lagoonline/src/load/settings.rs
+++ b/crates/lagoonline/src/load/settings.rs
@@ -49,10 +49,11 @@
 /// How the full policy chooses among upstreams that can take a request.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Choice {
-    /// The shortest predicted wait of all.
+    /// The upstream with the soonest predicted first token, penalties included, among those that
+    /// have the prefix cached and a sample of the others.
     #[default]
     Shortest,
-    /// The shorter predicted wait of two random ones.
+    /// The better of two random ones by the same measure.
     Two,
 }
 
@@ -76,21 +77,22 @@
 /// Safeguards of the full policy; each can be turned off to measure its effect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Safeguards {
-    /// Refuse at once what cannot meet its deadline or its longest wait.
+    /// Refuse at once what cannot meet its deadline or has too long a predicted wait.
     pub admit: bool,
-    /// Share the queue between customers and teams by weight.
+    /// Share the queue evenly between teams, and by weight between the customers of a team.
     pub fair: bool,
     /// Let shorter prompts go first, here and in the engine.
     pub priority: bool,
     /// Bound the long prefill on one engine.
     pub long_bound: bool,
-    /// Reserve a share of each engine's rate for longer prompts pending there.
+    /// Reserve a share of each engine's rate for longer prompts while such prompts arrive.
     pub floor: bool,
     /// Keep a share of the engines clear of long prompts.
     pub clear: bool,
     /// Prefer engines that have the prefix cached.
     pub affinity: bool,
-    /// Learn how slow each upstream is, and avoid failing ones.
+    /// Avoid failing upstreams, and send slow ones nothing but probes. Predictions use the learned
+    /// slowness in any case.
     pub outlier: bool,
     /// Increase the load of a new upstream gradually.
     pub ramp: bool,
@@ -166,8 +168,10 @@
     pub safeguards: Safeguards,
     /// Relative importance of the objectives; none for the mean of the fleet's team policies.
     pub weights: Option<Weights>,
-    /// Longest wait at this host, by length class: after it a refusal with a Retry-After serves the
-    /// caller better.
+    /// Bound on the predicted wait at this host, by length class: beyond it a refusal with a
+    /// Retry-After serves the caller better. A request is admitted if its predicted wait is within
+    /// a fraction of this bound; how long it may then wait depends on its deadline instead. A
+    /// waiter moves up by one class for each quarter of this bound that it has waited.
     pub longest_wait: [clock::Span; 4],
     /// Outstanding prefill up to which an engine gets more, as time at its rate: enough to stay
     /// busy for one round trip and one load report, and short enough that a new short prompt waits
@@ -175,7 +179,8 @@
     pub ahead: clock::Span,
     /// Long prefill that an engine may have outstanding, in tokens; one prompt is always allowed.
     pub long_tokens: u64,
-    /// Delay and cost of other zones, as the time by which their wait must be shorter.
+    /// Delay and cost of other zones, as the time by which the first token there must be predicted
+    /// sooner.
     pub remote_zones: Vec<(id::Zone, clock::Span)>,
     /// The same for zones that are not listed.
     pub remote_default: clock::Span,
--- a/crates/lagoonline/src/load/slowness.rs
+++ b/crates/lagoonline/src/load/slowness.rs
@@ -1,12 +1,12 @@
 //! Learned slowness of an upstream relative to the rate that it reports.
 //!
 //! Load pattern: a slow upstream whose report still states its nominal rate. Without this module
-//! its predicted wait looks as short as the others' and it keeps its share of the load. Each first
-//! token of a prompt of short rank gives the ratio of the actual to the predicted time; longer
-//! prompts are left out, because later prompts overtake them. A prompt that is late already counts
-//! before its first token, so that an upstream loses its load before its slow answers arrive. The
-//! ratio decays towards 1; otherwise an upstream that gets no load could never show that it has
-//! recovered.
+//! its predicted time to the first token looks as short as the others' and it keeps its share of
+//! the load. Each first token of a prompt of short rank gives the ratio of the actual to the
+//! predicted time; longer prompts are left out, because later prompts overtake them. A prompt that
+//! is late already counts before its first token, so that an upstream loses its load before its
+//! slow answers arrive. The ratio decays towards 1; otherwise an upstream that gets no load could
+//! never show that it has recovered.
 //!
 //! A late first token of a short prompt says little about the rate: on a fivefold slower engine 200
 //! tokens still take only 50 ms. A first token is therefore weighted by its expected time, and the
--- a/crates/lagoonline/src/load/upstream.rs
+++ b/crates/lagoonline/src/load/upstream.rs
@@ -14,7 +14,9 @@
 use crate::load::slowness;
 use crate::port::engine;
 
-/// Tokens that an engine prefills in one step, for which a new request of any priority waits.
+/// Tokens that any engine is assumed to prefill in one step, for which a new request of any
+/// priority waits. The published chunk size ([`crate::load::profile::Profile::chunk`]) is not used
+/// here.
 const CHUNK_TOKENS: f64 = 1_024.0;
 
 /// Largest prefill of other hosts that may still consist of short prompts only, in seconds of the
@@ -81,8 +83,8 @@
     pub epoch: u32,
     /// Its index among the upstreams of this host's zone; none for those of other zones.
     pub local_index: Option<usize>,
-    /// Delay and cost of its zone, as the seconds by which its wait must be shorter than a local
-    /// one's; 0 for this host's zone.
+    /// Delay and cost of its zone, as the seconds by which its first token must be predicted sooner
+    /// than a local one's; 0 for this host's zone.
     pub zone_delay: f64,
     pub slots: u32,
     pub kv_tokens: u64,
@@ -157,17 +159,18 @@
         (self.ahead(now, rank, rate) + tokens + chunk_rest) / rate.max(1.0) + self.zone_delay
     }
 
-    /// Outstanding long prefill, by this host's count and the last report, in tokens.
-    pub fn long_pending(&self, now: clock::Moment) -> f64 {
-        (self.pending[2] + self.pending[3]) as f64 + self.other_long_prefill(now)
+    /// Outstanding prefill of the ranks long and huge, by this host's count and the last report, in
+    /// tokens. It includes medium prompts of customers over their share, which are ranked as long.
+    pub fn long_rank_pending(&self, now: clock::Moment) -> f64 {
+        (self.pending[2] + self.pending[3]) as f64 + self.other_long_rank_prefill(now)
     }
 
-    /// Long prefill of other hosts that is not done since the report.
+    /// Prefill of other hosts in the ranks long and huge that is not done since the report.
     ///
     /// Failure mode: a report counts work of this host as that of others, because the engine is
     /// slower than predicted. Symptom: while nothing is sent there, nothing removes that work, so a
     /// long prompt waits although the engine is idle, until it is refused.
-    fn other_long_prefill(&self, now: clock::Moment) -> f64 {
+    fn other_long_rank_prefill(&self, now: clock::Moment) -> f64 {
         let others = self.other_prefill[2] + self.other_prefill[3];
         if others <= 0.0 || !self.is_report_valid(now) {
             return 0.0;
@@ -177,7 +180,7 @@
 
     /// Outstanding prefill of all but the first rank, in tokens.
     pub fn later_rank_pending(&self, now: clock::Moment) -> f64 {
-        self.pending[1] as f64 + self.long_pending(now)
+        self.pending[1] as f64 + self.long_rank_pending(now)
     }
 
     /// Slots that are free for this host.
@@ -220,10 +223,11 @@
         (rank as usize + 1..4).any(|rank| self.pending[rank] > 0 || self.other_prefill[rank] > 0.0)
     }
 
-    /// Whether prompts of a longer class are pending here, by this host's count and the last
-    /// report.
-    pub fn has_longer_class(&self, class: document::Class) -> bool {
-        (class as usize + 1..4)
+    /// Whether prompts are pending here that come after `rank` because of their length, by this
+    /// host's count and the last report. Unlike in [`Upstream::has_later_rank`], a prompt of this
+    /// host counts by its length class and not by its rank.
+    pub fn has_longer_than(&self, rank: document::Class) -> bool {
+        (rank as usize + 1..4)
             .any(|class| self.pending_by_length[class] > 0 || self.other_prefill[class] > 0.0)
     }
 
--- a/crates/lagoonline/tests/load_placement.rs
+++ b/crates/lagoonline/tests/load_placement.rs
@@ -192,8 +192,8 @@
 
 /// Guards against engines set aside for a single long answer each. A burst of short prompts follows
 /// one of long prompts, whose prefill is done and whose answers, with a loose gap limit, are in
-/// decode on one engine each. If these engines stayed reserved, eight of sixteen would decode one
-/// answer each while the others have more requests than slots.
+/// decode on one engine each. If short prompts were kept off these engines, eight of sixteen would
+/// decode one answer each while the others have more requests than slots.
 #[rstest]
 fn a_burst_uses_engines_that_only_decode_long_answers() {
     let mut sim = Simulation::new(16);
--- a/crates/lagoonline/tests/load_tokens.rs
+++ b/crates/lagoonline/tests/load_tokens.rs
@@ -18,7 +18,7 @@
 // document says four; after some answers the estimate matches. A new fleet keeps that correction, a
 // new configured estimate resets it.
 #[test]
-fn counts_correct_the_estimate_until_the_owner_gives_another() {
+fn counts_correct_the_estimate_until_another_is_configured() {
     let model = id::Model::from("m");
     let mut scheduler = Scheduler::new(Settings::default());
     scheduler.set_fleet(Moment::START, &fleet(4.0), &model);
