--- a/crates/lagoonline/src/load/admit.rs
+++ b/crates/lagoonline/src/load/admit.rs
@@ -58,7 +58,8 @@
 }
 
 /// A refusal of a request that was not sent anywhere. Its Retry-After is `seconds`, clamped to 1 to
-/// 60 s, then extended at random by up to a quarter and rounded up to whole seconds.
+/// 60 s, then extended at random by up to a quarter and rounded up to whole seconds. Callers that
+/// predict no time pass 1.
 pub fn refusal(reason: outcome::Reason, seconds: f64, random: u64) -> outcome::Failure {
     let spread = 1.0 + RETRY_AFTER_SPREAD * (random % 1_024) as f64 / 1_024.0;
     let seconds =
