--- a/crates/lagoonline/src/control/delta_log.rs
+++ b/crates/lagoonline/src/control/delta_log.rs
@@ -71,8 +71,11 @@
     }
 }
 
-/// Applies `deltas` to the section in force and returns the resulting text. Returns `None` if they
-/// start from another version or are corrupt; the caller then has to request the whole text.
+/// Applies `deltas` to the section in force and returns the resulting text. Leading deltas that
+/// start from other versions are skipped.
+///
+/// Returns `None` if no section is in force, no delta starts from its version, the following deltas
+/// have a gap, or a delta is corrupt; the caller then has to request the whole text.
 pub fn apply(section: Option<&document::Section>, deltas: &[document::Delta]) -> Option<String> {
     let section = section?;
     let (mut version, mut text) = (section.version, section.text.to_string());
--- a/crates/lagoonline/src/control/document/body.rs
+++ b/crates/lagoonline/src/control/document/body.rs
@@ -156,7 +156,8 @@
     }
 }
 
-/// A team's reservation of engines for one model.
+/// A team's reservation of engines for one model. Unrelated to the claim of an idempotency key in
+/// [`lifecycle::claim`](crate::lifecycle::claim).
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Claim {
     /// Number of engines, over all zones.
@@ -212,11 +213,11 @@
 pub struct Policy {
     /// SHA-256 of each key that is authorized to change this section.
     pub team_keys: Vec<KeyHash>,
-    /// Weight of the time to first token, by length class. Teams differ in this; Lakeshore
-    /// sets it higher than others.
+    /// Weight of the time to first token in scheduling, by length class. Set per team, because some
+    /// teams value it more than others.
     pub first_token_weight: [f64; 4],
-    /// Weight of the slowdown of short requests. Teams differ in this; Vatuwaqa
-    /// sets it higher than others.
+    /// Weight of the slowdown of short requests in scheduling. Set per team, because some teams
+    /// value it more than others.
     pub short_slowdown_weight: f64,
     /// Service-level objectives.
     pub objectives: Vec<Objective>,
--- a/crates/lagoonline/src/control/document/consistency.rs
+++ b/crates/lagoonline/src/control/document/consistency.rs
@@ -46,7 +46,7 @@
     checker.finish()
 }
 
-/// EntryKind of entry that a name refers to.
+/// Kind of entry that a name refers to.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum EntryKind {
     Customer,
@@ -229,8 +229,8 @@
         }
     }
 
-    /// Checks that the claims of all teams served be met at the same time: each claimed engine
-    /// needs a different engine of the fleet that serves the model.
+    /// Checks that the claims of all teams can be met at the same time: each claimed engine needs a
+    /// different engine of the fleet that serves the model.
     fn check_claims(&mut self) {
         let candidate = self.candidate;
         let all = || self.others.iter().copied().chain([candidate]);
--- a/crates/lagoonline/src/control/document/delta.rs
+++ b/crates/lagoonline/src/control/document/delta.rs
@@ -107,7 +107,8 @@
     }
     let mut steps = Vec::new();
     for piece in new.split_inclusive(DELIMITER) {
-        // Of several equal pieces, prefer the one that extends the last copy.
+        // Of several equal pieces, prefer the one that follows the last copied bytes in the older
+        // text.
         let contiguous = last_copy_end(&steps).filter(|end| old[*end..].starts_with(piece));
         match contiguous.or_else(|| offsets.get(piece).copied()) {
             Some(start) => copy(&mut steps, start, piece.len()),
--- a/crates/lagoonline/src/control/document/section.rs
+++ b/crates/lagoonline/src/control/document/section.rs
@@ -86,7 +86,8 @@
 }
 
 /// Longest deadline that a section may allow, in milliseconds. A call must not be dispatched under
-/// an idempotency key for longer than the key's record is retained, or it could run twice.
+/// an idempotency key for longer than the key's record is retained, or it could run twice. These
+/// records are the claims of [`lifecycle::claim`](claim), unrelated to [`body::Claim`].
 const MAX_DEADLINE_MS: u64 = claim::MAX_DEADLINE.as_secs() * 1_000;
 
 fn read_customer(reader: &check::Reader<'_>) -> body::Customer {
--- a/crates/lagoonline/src/control/document/store.rs
+++ b/crates/lagoonline/src/control/document/store.rs
@@ -1,8 +1,8 @@
 //! Storage of sections in the platform's table.
 //!
 //! A put is one transaction that writes the section's row, a history row of the new version and the
-//! head row of the stored_head. If the table's answer is lost, the history row tells whether the
-//! put took effect.
+//! head row of the document. If the table's answer is lost, the history row tells whether the put
+//! took effect.
 
 use std::collections;
 
@@ -102,11 +102,12 @@
 pub struct VersionedHead {
     /// Versions of all sections.
     pub head: Head,
-    /// Version of the head row, which is the version of the whole stored_head.
+    /// Version of the head row, which is the version of the whole document.
     pub version: u64,
 }
 
-/// Reports a row that cannot be parsed as `Refused`, since the read has no effect.
+/// Builds the error for a row that cannot be parsed. It is `Refused`, the error of a call that
+/// certainly had no effect, because a read never has one.
 fn malformed(step: &'static str, error: &serde_json::Error) -> table::Error {
     table::Error::Refused { step, peer: "table".to_owned(), why: error.to_string() }
 }
--- a/crates/lagoonline/src/control/lease.rs
+++ b/crates/lagoonline/src/control/lease.rs
@@ -90,11 +90,13 @@
     pub until: clock::Moment,
 }
 
-/// Handle by which one contender acquires and holds a lease.
+/// One contender's handle for a lease, by which it acquires, renews and releases it. The lease
+/// itself is the row in the table, which all contenders share.
 #[derive(Clone, Debug)]
 pub struct Lease<C> {
     name: String,
-    /// Identity of this contender, written to the row when it holds the lease.
+    /// Host and incarnation of this contender, written to the row when it holds the lease. Here
+    /// `Owner` is a process, not the team that owns an upstream or section.
     own: id::Owner,
     settings: Settings,
     clock: C,
@@ -106,7 +108,7 @@
 where
     C: clock::Clock,
 {
-    /// Creates a contender that does not hold the lease.
+    /// Creates the handle of a contender that does not hold the lease yet.
     ///
     /// ```
     /// use lagoonline::{clock, control::lease, id};
--- a/crates/lagoonline/src/control/ledger.rs
+++ b/crates/lagoonline/src/control/ledger.rs
@@ -5,6 +5,9 @@
 //! the upstream. Time in which no steward observed the engine is reported as unobserved. The parts
 //! of a row add up to its wall time to the millisecond, because shares are apportioned by the
 //! largest remainder method.
+//!
+//! The *observer* of an engine is the steward that is responsible for reading its load and
+//! recording its activity in a [`Meter`].
 
 use std::collections;
 
@@ -257,8 +260,9 @@
     assignments
 }
 
-/// Assigns an engine to one engine of a claim, reassigning others if necessary. `seen` marks the
-/// engines already tried in this search. Returns false if no assignment exists.
+/// Finds an engine for one unit of a claim, given by its team and model, and moves earlier
+/// assignments to other engines if necessary. `seen` marks the engines already tried in this search.
+/// Returns false if no assignment exists.
 fn assign_engine(
     claimed: (id::Team, id::Model),
     engines: &[(&view::Upstream, &[id::Model])],
@@ -297,7 +301,7 @@
 ///
 /// A row is only ever inserted and the first one is kept. Otherwise an interval could be counted
 /// twice, when a write is retried after its answer was lost or when two stewards both consider
-/// themselves the observer of the engine.
+/// themselves the observer of the engine (see the [module](self)).
 ///
 /// # Errors
 ///
--- a/crates/lagoonline/src/control/membership/group.rs
+++ b/crates/lagoonline/src/control/membership/group.rs
@@ -60,8 +60,9 @@
     own: roster::Member,
     settings: Settings,
     roster: roster::Roster,
-    /// Time of the last heartbeat of each monitored host.
-    last_heard: collections::HashMap<id::Host, clock::Moment>,
+    /// Time from which the heartbeat timeout of each host is measured: its last heartbeat, or when it
+    /// joined or became a heartbeat peer if that was later; moved forward by pauses of this process.
+    timeout_starts: collections::HashMap<id::Host, clock::Moment>,
     /// Dead members and the time at which they were declared dead.
     dead: collections::HashMap<id::Host, clock::Moment>,
     /// Neighbours of each live member. Cleared to force a recomputation when live members change,
@@ -100,13 +101,13 @@
     pub fn new(own: roster::Member, settings: Settings, now: clock::Moment) -> Self {
         let mut roster = roster::Roster::default();
         roster.apply(&roster::Update::Member(own.clone()));
-        let (last_heard, dead, neighbours) = Default::default();
+        let (timeout_starts, dead, neighbours) = Default::default();
         let (heartbeat_peers, joined, last_vote, last_tick) = (Vec::new(), Vec::new(), 0, now);
         Group {
             own,
             settings,
             roster,
-            last_heard,
+            timeout_starts,
             dead,
             neighbours,
             heartbeat_peers,
@@ -194,7 +195,7 @@
         peers.sort();
         peers.dedup();
         // A host that becomes a peer again starts with a full timeout.
-        self.last_heard.retain(|host, _| peers.binary_search(host).is_ok());
+        self.timeout_starts.retain(|host, _| peers.binary_search(host).is_ok());
         (self.neighbours, self.heartbeat_peers) = (neighbours, peers);
     }
 
@@ -202,20 +203,25 @@
     /// them, and one more for each ring.
     ///
     /// If all neighbours of this host fail at once, it receives no votes but its own. It could not
-    /// declare the failed hosts dead, and would stay isolated, considering them live. Substitute
-    /// peers are added until one of them responds.
+    /// declare the failed hosts dead, and would stay isolated, considering them live. A substitute
+    /// that does not respond is voted against too, which replaces it and adds one more. Substitutes
+    /// are dropped when no vote of this steward against a live host of its zone is left.
     fn substitute_peers(&self) -> Vec<id::Host> {
-        let is_trusted =
+        let is_not_voted_against =
             |name: &&str| !self.roster.has_voted_against(&self.own.host, &id::Host::from(*name));
         let others = self.live_in(&self.own.zone).filter(|name| *name != self.own.host.as_str());
         let others: Vec<&str> = others.collect();
-        let opposed_count = others.len() - others.iter().filter(|name| is_trusted(name)).count();
-        if opposed_count == 0 {
+        let voted_against_count =
+            others.len() - others.iter().filter(|name| is_not_voted_against(name)).count();
+        if voted_against_count == 0 {
             return Vec::new();
         }
-        let trusted = others.into_iter().filter(is_trusted);
-        let ranked =
-            rendezvous::rank(trusted, self.own.host.as_str(), self.settings.rings + opposed_count);
+        let candidates = others.into_iter().filter(is_not_voted_against);
+        let ranked = rendezvous::rank(
+            candidates,
+            self.own.host.as_str(),
+            self.settings.rings + voted_against_count,
+        );
         ranked.into_iter().map(id::Host::from).collect()
     }
 
@@ -233,7 +239,7 @@
         if member.incarnation != incarnation || *host == self.own.host {
             return Vec::new();
         }
-        self.last_heard.insert(host.clone(), now);
+        self.timeout_starts.insert(host.clone(), now);
         if !self.roster.has_voted_against(&self.own.host, host) {
             return Vec::new();
         }
@@ -278,7 +284,7 @@
 
     /// Marks a member that joined or has a new incarnation as live.
     fn add_live(&mut self, member: &roster::Member, now: clock::Moment) {
-        self.last_heard.insert(member.host.clone(), now);
+        self.timeout_starts.insert(member.host.clone(), now);
         self.dead.remove(&member.host);
         self.joined.push(member.host.clone());
         self.neighbours.clear();
@@ -308,8 +314,8 @@
         let gap = now.since(self.last_tick);
         self.last_tick = now;
         let Some(pause) = gap.checked_sub(self.settings.max_tick_gap) else { return };
-        for heard in self.last_heard.values_mut() {
-            *heard = *heard + pause;
+        for start in self.timeout_starts.values_mut() {
+            *start = *start + pause;
         }
     }
 
@@ -317,8 +323,8 @@
     fn vote_on_timeouts(&mut self, now: clock::Moment) -> Vec<roster::Update> {
         let mut timed_out = Vec::new();
         for host in &self.heartbeat_peers {
-            let heard = *self.last_heard.entry(host.clone()).or_insert(now);
-            if now.since(heard) < self.settings.heartbeat_timeout {
+            let start = *self.timeout_starts.entry(host.clone()).or_insert(now);
+            if now.since(start) < self.settings.heartbeat_timeout {
                 continue;
             }
             let member = self.roster.member(host);
@@ -343,22 +349,24 @@
     fn refute(&mut self) -> Vec<roster::Update> {
         let known = self.roster.member(&self.own.host).map(|member| member.incarnation);
         let is_replaced = known.is_some_and(|known| known > self.own.incarnation);
-        if !is_replaced && !self.roster.is_suspected(&self.own.host) {
+        if !is_replaced && !self.roster.has_any_vote_against(&self.own.host) {
             return Vec::new();
         }
         let own = &self.own.host;
         let members = self.roster.members();
-        let opposed = members.filter(|member| self.roster.has_voted_against(own, &member.host));
-        let opposed = opposed.map(|member| (member.host.clone(), member.incarnation));
-        let opposed: Vec<_> = opposed.collect();
+        let voted_against =
+            members.filter(|member| self.roster.has_voted_against(own, &member.host));
+        let voted_against = voted_against.map(|member| (member.host.clone(), member.incarnation));
+        let voted_against: Vec<_> = voted_against.collect();
         let last = known.unwrap_or_default().max(self.own.incarnation);
         self.own.incarnation = id::Incarnation(last.0 + 1);
         let mut updates = vec![roster::Update::Member(self.own.clone())];
         self.roster.apply(&updates[0]);
         // The new incarnation invalidates all votes cast by the earlier one. The votes against
         // other hosts must not be lost, since these hosts may be dead, so they are cast again.
-        updates
-            .extend(opposed.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)));
+        updates.extend(
+            voted_against.iter().map(|(host, incarnation)| self.vote(host, *incarnation, true)),
+        );
         updates
     }
 
@@ -367,11 +375,11 @@
     /// Neighbours that have votes against themselves are not eligible: they may have failed
     /// together with `host` and then cannot vote.
     fn is_voted_dead(&self, host: &id::Host, neighbours: &[id::Host]) -> bool {
-        if !self.roster.is_suspected(host) {
+        if !self.roster.has_any_vote_against(host) {
             return false;
         }
         let is_eligible = |neighbour: &&id::Host| {
-            **neighbour == self.own.host || !self.roster.is_suspected(neighbour)
+            **neighbour == self.own.host || !self.roster.has_any_vote_against(neighbour)
         };
         let eligible: Vec<_> = neighbours.iter().filter(is_eligible).collect();
         let against =
@@ -424,7 +432,7 @@
         let expired: Vec<id::Host> = expired.map(|(host, _)| host.clone()).collect();
         for host in expired {
             self.dead.remove(&host);
-            self.last_heard.remove(&host);
+            self.timeout_starts.remove(&host);
             self.roster.remove(&host);
         }
     }
--- a/crates/lagoonline/src/control/membership/roster.rs
+++ b/crates/lagoonline/src/control/membership/roster.rs
@@ -109,7 +109,7 @@
     }
 
     /// Returns whether any voter has [voted against](Roster::has_voted_against) `host`.
-    pub fn is_suspected(&self, host: &id::Host) -> bool {
+    pub fn has_any_vote_against(&self, host: &id::Host) -> bool {
         let votes = self.votes.get(host).into_iter().flat_map(collections::BTreeMap::keys);
         votes.into_iter().any(|voter| self.has_voted_against(voter, host))
     }
--- a/crates/lagoonline/src/control/replication.rs
+++ b/crates/lagoonline/src/control/replication.rs
@@ -13,8 +13,10 @@
 /// Section versions by team.
 pub type Versions = collections::BTreeMap<id::Team, id::Version>;
 
-/// The sections in force at one host: the newest valid version of each section that it received.
-/// The entry process of the host may still use an older one; see [`Report::in_force`].
+/// The sections in force in one process: the newest valid version of each section that it received.
+///
+/// The steward and the entry process of a host each have a replica, and a version may be in force in
+/// the steward but not yet in the entry process. [`Report`] and [`LaggingHost`] refer to the latter.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     sections: collections::BTreeMap<id::Team, sync::Arc<document::Section>>,
@@ -60,7 +62,7 @@
         self.sections.get(team)
     }
 
-    /// Returns the sections that are newer than `versions`, as needed by a host that has those.
+    /// Returns the sections that are newer than `versions`, as needed by a process that has those.
     pub fn newer_than(&self, versions: &Versions) -> Vec<sync::Arc<document::Section>> {
         let newer = |section: &&sync::Arc<document::Section>| {
             versions.get(&section.team).is_none_or(|version| *version < section.version)
@@ -68,12 +70,12 @@
         self.sections.values().filter(newer).cloned().collect()
     }
 
-    /// Returns whether each of `versions`, or a higher one, is in force here.
+    /// Returns whether each of `versions`, or a higher one, is in force in this process.
     pub fn covers(&self, versions: &Versions) -> bool {
         versions.iter().all(|(team, version)| self.version(team) >= *version)
     }
 
-    /// Returns a hash of the versions in force; hosts with equal hashes need not exchange versions.
+    /// Returns a hash of the versions in force; processes with equal hashes need not exchange them.
     pub fn digest(&self) -> u64 {
         // FNV-1a, with its standard offset basis and prime.
         let mut hash = 0xcbf2_9ce4_8422_2325_u64;
@@ -105,11 +107,11 @@
     pub draining: bool,
     /// Number of requests in flight.
     pub in_flight: u64,
-    /// Versions that the entry process uses to handle requests.
+    /// Versions in force in the entry process, which it uses to handle requests.
     pub in_force: Versions,
 }
 
-/// A host where a version is not yet in force.
+/// A host where a version is not yet in force in the entry process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LaggingHost {
     /// Name of the host.
@@ -148,7 +150,7 @@
             return false;
         }
         let is_behind = |(team, version): (&id::Team, &id::Version)| {
-            report.in_force.get(team).is_none_or(|newer| newer < version)
+            report.in_force.get(team).is_none_or(|reported| reported < version)
         };
         if same_incarnation && known.in_force.iter().any(is_behind) {
             return false;
@@ -181,14 +183,14 @@
         let known = self.reports.get(host);
         let known = known.filter(|known| known.incarnation == report.incarnation);
         for (team, version) in known.into_iter().flat_map(|known| &known.in_force) {
-            let newer = report.in_force.entry(team.clone()).or_default();
-            *newer = version.max(newer).to_owned();
+            let merged = report.in_force.entry(team.clone()).or_default();
+            *merged = version.max(merged).to_owned();
         }
         self.apply(host, report)
     }
 
-    /// Returns the hosts where `version` of the team's section is not yet in force. A version is
-    /// reported to operators as *accepted* when there are none left.
+    /// Returns the hosts where `version` of the team's section is not yet in force in the entry
+    /// process. A version is reported to operators as *accepted* when there are none left.
     ///
     /// `expected` lists live hosts that may not have reported yet. Hosts without an entry process
     /// are left out: they serve no requests, and a new entry process does not become ready before
--- a/crates/lagoonline/tests/control_document_fuzz.rs
+++ b/crates/lagoonline/tests/control_document_fuzz.rs
@@ -117,7 +117,8 @@
     refused: collections::BTreeSet<String>,
     /// Section texts by history key, as first seen in the history.
     history: rc::Rc<cell::RefCell<collections::BTreeMap<String, String>>>,
-    /// Highest version that was ever in force on any host.
+    /// Highest version of each section that was ever in force on any host. Only recorded: no check
+    /// reads it.
     highest: replication::Versions,
     puts: u64,
 }
--- a/crates/lagoonline/tests/control_lease.rs
+++ b/crates/lagoonline/tests/control_lease.rs
@@ -15,12 +15,13 @@
 use proptest::test_runner;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-fn owner(index: usize) -> id::Owner {
+fn contender_id(index: usize) -> id::Owner {
     id::Owner { host: id::Host::from(format!("host-{index}")), incarnation: id::Incarnation(1) }
 }
 
-fn contender(index: usize, clock: &Fake) -> lease::Lease<Fake> {
-    lease::Lease::new("orders/e", owner(index), lease::Settings::default(), clock.clone())
+/// Returns the lease handle of one contender.
+fn contender_lease(index: usize, clock: &Fake) -> lease::Lease<Fake> {
+    lease::Lease::new("orders/e", contender_id(index), lease::Settings::default(), clock.clone())
 }
 
 #[test]
@@ -29,7 +30,7 @@
     // the lease duration and the longest delay of a command have passed since it first saw the
     // last write. Otherwise a command of the old holder could arrive after one of the new holder.
     let (table, clock) = (FakeTable::default(), Fake::default());
-    let (mut first, mut second) = (contender(0, &clock), contender(1, &clock));
+    let (mut first, mut second) = (contender_lease(0, &clock), contender_lease(1, &clock));
     assert_eq!(block_on(first.step(&table)), Ok(lease::Status::Held(id::Fence(1))));
     assert_eq!(block_on(second.step(&table)), Ok(lease::Status::Waiting));
     // One millisecond less than the default duration of 10 s and command delay of 2 s.
@@ -44,7 +45,7 @@
 fn a_renewed_lease_is_not_acquired_by_others() {
     // A contender must restart its wait whenever the holder renews the lease.
     let (table, clock) = (FakeTable::default(), Fake::default());
-    let (mut first, mut second) = (contender(0, &clock), contender(1, &clock));
+    let (mut first, mut second) = (contender_lease(0, &clock), contender_lease(1, &clock));
     for _ in 0..100 {
         assert_eq!(block_on(first.step(&table)), Ok(lease::Status::Held(id::Fence(1))));
         assert_eq!(block_on(second.step(&table)), Ok(lease::Status::Waiting));
@@ -57,7 +58,7 @@
     // The holder is paused for 30 s, past the end of its lease. Afterwards it must get no permit,
     // and a command whose permit was obtained before the pause must be counted as late.
     let (table, clock) = (FakeTable::default(), Fake::default());
-    let mut first = contender(0, &clock);
+    let mut first = contender_lease(0, &clock);
     block_on(first.step(&table)).unwrap();
     let permit = first.permit().unwrap();
     clock.advance(Span::from_secs(30));
@@ -71,7 +72,7 @@
     // The write of the lease took effect but its answer was lost. The holder must find its own row
     // instead of waiting for its own lease to expire.
     let (table, clock) = (FakeTable::default(), Fake::default());
-    let mut first = contender(0, &clock);
+    let mut first = contender_lease(0, &clock);
     table.fail_next(Fault::LoseAnswer);
     assert_eq!(block_on(first.step(&table)), Ok(lease::Status::Held(id::Fence(1))));
 }
@@ -82,7 +83,7 @@
     // lease expires, even though nobody else can acquire it. After the outage it acquires the lease
     // again, with a higher fencing number.
     let (table, clock) = (FakeTable::default(), Fake::default());
-    let mut first = contender(0, &clock);
+    let mut first = contender_lease(0, &clock);
     block_on(first.step(&table)).unwrap();
     table.set_unavailable(true);
     clock.advance(Span::from_secs(9));
@@ -98,7 +99,7 @@
 fn a_released_lease_is_acquired_immediately() {
     // A released lease must be free for the next holder without any wait.
     let (table, clock) = (FakeTable::default(), Fake::default());
-    let (mut first, mut second) = (contender(0, &clock), contender(1, &clock));
+    let (mut first, mut second) = (contender_lease(0, &clock), contender_lease(1, &clock));
     block_on(first.step(&table)).unwrap();
     block_on(first.release(&table)).unwrap();
     assert_eq!(first.permit(), None);
@@ -221,7 +222,7 @@
 
     fn init_test(_: &Reference) -> System {
         let clock = Fake::default();
-        let idle = |index| Some(Contender::Idle(Box::new(contender(index, &clock))));
+        let idle = |index| Some(Contender::Idle(Box::new(contender_lease(index, &clock))));
         let contenders = (0..CONTENDERS).map(idle).collect();
         let (table, commands, fences) = Default::default();
         System { table, clock, contenders, commands, fences }
--- a/crates/lagoonline/tests/control_ledger.rs
+++ b/crates/lagoonline/tests/control_ledger.rs
@@ -74,7 +74,8 @@
     Unobserved(u64),
     /// The wall clock is set back.
     SetClockBack(u64),
-    /// Another steward takes over metering the engine; the open interval of the first one is lost.
+    /// Another steward becomes the observer, which meters the engine; the open interval of the first
+    /// one is lost.
     ChangeObserver,
     /// Finished rows are written; the first answer may be lost.
     Write { loses_answer: bool },
--- a/crates/lagoonline/tests/control_membership.rs
+++ b/crates/lagoonline/tests/control_membership.rs
@@ -260,7 +260,8 @@
     // One host, a rack or most of a zone stop at the same time, including hosts that monitor each
     // other. All remaining hosts must declare exactly these dead within 3 s. The limit is 6 s for a
     // rack and 15 s for most of a zone, since hosts without any live neighbour first select new
-    // heartbeat peers.
+    // heartbeat peers. The repetitions differ in the random seed, in the hosts that stop and in the
+    // time at which they stop.
     for repetition in 0..6 {
         let mut zone = Simulation::new(hosts, 0.05, seed + 100 * repetition);
         zone.run(10_000 + repetition * 37);
@@ -334,8 +335,8 @@
 
 #[test]
 fn only_the_upstreams_of_a_leaving_host_are_reassigned() {
-    // 133 upstreams are assigned to 39 hosts. When one host leaves, only its upstreams, about 3.4,
-    // are reassigned.
+    // 133 upstreams are assigned to 39 hosts, about 3.4 to each and no more than 10 to any of them.
+    // When one host leaves, only its upstreams are reassigned.
     let hosts: Vec<String> = (0..39).map(|index| format!("host-{index}")).collect();
     let upstreams: Vec<String> = (0..133).map(|index| format!("engine-{index}")).collect();
     let owners = |hosts: &[String]| -> Vec<String> {
