--- a/crates/lagoon-load/src/trial/fleet.rs
+++ b/crates/lagoon-load/src/trial/fleet.rs
@@ -228,7 +228,7 @@
             steward: Some(steward.address()),
             key: key.clone(),
             platform: Some(platform_settings),
-            load: load::Settings { zone: zone_name, ..layout.load.clone() },
+            scheduling: load::Settings { zone: zone_name, ..layout.load.clone() },
             ..entry::Settings::default()
         })?;
         self.stewards.push(steward);
--- a/crates/lagoon-load/tests/examples.rs
+++ b/crates/lagoon-load/tests/examples.rs
@@ -75,7 +75,7 @@
         assert_eq!(entry.platform.as_ref().unwrap().address, platform);
         assert_eq!(steward.platform.as_ref().unwrap().address, platform);
         let zone = entries.iter().filter(|other| other.zone == entry.zone).count();
-        assert_eq!(entry.load.hosts_in_zone as usize, zone);
+        assert_eq!(entry.scheduling.hosts_in_zone as usize, zone);
     }
     let addresses = example.addresses();
     let distinct: collections::HashSet<_> = addresses.iter().collect();
--- a/crates/lagoon-net/src/engine/mod.rs
+++ b/crates/lagoon-net/src/engine/mod.rs
@@ -1,5 +1,6 @@
-//! Client for model engines. This module is the only one that knows their interface, which
-//! docs/PROTOCOLS.md describes.
+//! Client for model engines: attempts and their streams, reservations and holdings. Only the
+//! steward's own reads of loads (`steward::observe`) and commands to engines (`steward::reconcile`)
+//! are elsewhere. docs/PROTOCOLS.md describes the interface.
 
 mod event;
 
--- a/crates/lagoon-net/src/entry/admission.rs
+++ b/crates/lagoon-net/src/entry/admission.rs
@@ -200,6 +200,7 @@
     /// Returns the longest accepted silence before the first token and between tokens. A slot that
     /// was released gets the shortest limit for both.
     pub(crate) fn silence(&self) -> (clock::Span, clock::Span) {
+        // 0 stands for an unknown time between tokens and gives the shortest limit.
         let default = load::silence::between_tokens(0.0);
         self.placement.as_ref().map_or((default, default), |placement| {
             (placement.first_token_silence, placement.token_silence)
--- a/crates/lagoon-net/src/entry/cancel.rs
+++ b/crates/lagoon-net/src/entry/cancel.rs
@@ -3,8 +3,9 @@
 //! Guards against leaked engine resources: if a cancel is lost, or its engine is unreachable for a
 //! while, an attempt that nobody reads keeps its slot in the batch and its KV memory. A [`Guard`]
 //! whose attempt did not end submits a cancel when it is dropped, on every path including a panic.
-//! The control thread repeats the cancel at the pace of `lagoonline::lifecycle::reap::CancelQueue`
-//! until the engine acknowledges it or has expired the stream by itself.
+//! The control thread (see `server::serve`) repeats the cancel at the pace of
+//! `lagoonline::lifecycle::reap::CancelQueue` until the engine acknowledges it or has expired the
+//! stream by itself.
 
 use std::cell;
 use std::net;
--- a/crates/lagoon-net/src/entry/claims.rs
+++ b/crates/lagoon-net/src/entry/claims.rs
@@ -5,7 +5,8 @@
 //! entry host, and the call (for example a booking) runs twice. A call is dispatched only with a
 //! ticket of `lagoonline::lifecycle::claim`. It runs in a task of its own, so a caller that
 //! disconnects does not end it and finds the response when it retries. Storing the response and
-//! releasing the key continue after the caller has its response, and a drain waits for them.
+//! releasing the key after a dispatch continue when the caller has its response, and a drain waits
+//! for them.
 
 use std::rc;
 
@@ -219,7 +220,7 @@
         let work = services::read_whole(&mut payload, limit);
         match interrupt::within(&self.worker.state, self.call.deadline, work).await {
             Ok(Some(whole)) => {
-                self.worker.state.metrics.count_done(&job.tags(), answering.complete());
+                self.worker.state.metrics.count_done(&job.labels(), answering.complete());
                 let body = bytes::Bytes::copy_from_slice(&whole);
                 Ok(claim::Answer { status, content_type, body })
             }
@@ -273,8 +274,9 @@
     false
 }
 
-/// Releases a key whose claim was given up but may still be written. A drain does not wait for
-/// this, because the retention period frees the key as well.
+/// Releases a key whose claim was given up but may still be written. A drain waits for this only
+/// where it runs in [`KeyedCall::spawn_tracked`]. Otherwise it need not wait, because the retention
+/// period frees the key as well.
 async fn release_abandoned(claims: &Claims, abandoned: Option<claim::Abandoned>) {
     let Some(abandoned) = abandoned else { return };
     while !claims.settle(&abandoned).await {
--- a/crates/lagoon-net/src/entry/generation/dispatch.rs
+++ b/crates/lagoon-net/src/entry/generation/dispatch.rs
@@ -43,7 +43,7 @@
                 Attempted::Retry(pending, slot, ending, cause) => ((pending, slot), ending, cause),
             };
             let (next, slot) = retry;
-            if round >= self.worker.state.settings.limits.attempts {
+            if round >= self.worker.state.settings.limits.max_attempts {
                 let peer = slot.upstream().to_string();
                 slot.finish(ending);
                 let reason = exhausted_reason(ending);
--- a/crates/lagoon-net/src/entry/generation/idempotency.rs
+++ b/crates/lagoon-net/src/entry/generation/idempotency.rs
@@ -41,8 +41,8 @@
 pub(crate) struct Deferred {
     pub(crate) claims: claims::Claims,
     pub(crate) key: String,
-    /// Fingerprint of the request body, from `claim::request_hash`.
-    pub(crate) body: String,
+    /// Hash of the method, path and body, from `claim::request_hash`.
+    pub(crate) request_hash: String,
 }
 
 /// What is already recorded under a key.
@@ -76,7 +76,7 @@
         claim::Request {
             customer: self.input.request.customer.clone(),
             key: deferred.key.clone(),
-            request_hash: deferred.body.clone(),
+            request_hash: deferred.request_hash.clone(),
             repeat: request::Repeat::Allowed,
             token: attempt,
             upstream: upstream.clone(),
@@ -115,8 +115,9 @@
                 };
             }
             ClaimState::Ticket(claims, ticket) => (claims, ticket),
-            // A call that may be repeated is dispatched again under the same claim: `refused` turns
-            // the claim back into a ticket, also when the earlier attempt was lost.
+            // A call that may be repeated is dispatched again under the same claim. `refused` turns
+            // the claim back into a ticket; here also after an attempt that was lost and may have
+            // run, which does no harm because the call may run more than once.
             ClaimState::Sent(claims, sent) => (claims, sent.refused()),
         };
         let work = claims.retarget(&mut ticket, upstream.clone(), attempt);
--- a/crates/lagoon-net/src/entry/generation/mod.rs
+++ b/crates/lagoon-net/src/entry/generation/mod.rs
@@ -47,8 +47,8 @@
 }
 
 impl Input {
-    pub(crate) fn tags(&self) -> metrics::Tags {
-        metrics::Tags::of("model", self.request.model.as_str(), &self.call.customer().name)
+    pub(crate) fn labels(&self) -> metrics::CallLabels {
+        metrics::CallLabels::of("model", self.request.model.as_str(), &self.call.customer().name)
     }
 }
 
--- a/crates/lagoon-net/src/entry/generation/recovery.rs
+++ b/crates/lagoon-net/src/entry/generation/recovery.rs
@@ -28,14 +28,17 @@
     Resumed,
     /// The engine did not respond in time.
     Silent,
-    /// The engine no longer has the stream.
-    Gone,
+    /// The stream cannot be resumed: the engine no longer has it or refused the call, no connection
+    /// was established, or all [`MAX_RESUMES`] tries at this chunk are used up.
+    Unavailable,
 }
 
 impl Stream {
-    /// Returns whether to resume a silent stream: not after exactly [`MAX_SILENT_RESUMES`] tries at
-    /// the current chunk. One try is enough to find out whether only the connection is dead while
-    /// the engine still works.
+    /// Returns whether to resume a silent stream, which must have delivered a token. After
+    /// [`MAX_SILENT_RESUMES`] tries at the current chunk it is not resumed: one try is enough to
+    /// find out whether only the connection is dead while the engine still works. The comparison is
+    /// for equality, so more tries at this chunk, made because the stream broke, do not prevent a
+    /// resumption here.
     fn may_resume_silent(&self) -> bool {
         self.has_tokens && self.resumes != (self.checker.next(), MAX_SILENT_RESUMES)
     }
@@ -86,7 +89,7 @@
                     return Ok(());
                 }
                 Ok(Resumption::Silent) => metrics.count_resume("failed"),
-                Ok(Resumption::Gone) => {
+                Ok(Resumption::Unavailable) => {
                     metrics.count_resume("failed");
                     // Without the stream there is nothing to wait for: the call moves as after a
                     // broken stream.
@@ -120,7 +123,7 @@
         let pending = lost.retry().map_err(|outcome| {
             fault::new(Reason::UpstreamFailed, Step::Stream, outcome).at(peer.as_str())
         })?;
-        if pending.attempts() >= self.worker.state.settings.limits.attempts {
+        if pending.attempts() >= self.worker.state.settings.limits.max_attempts {
             slot.finish(ending);
             let fault = fault::new(Reason::UpstreamFailed, Step::Stream, pending.end());
             return Err(fault.at(peer).with_detail(error.to_string()));
@@ -173,10 +176,10 @@
                     engine::Failure::NoStream
                     | engine::Failure::Refused(_)
                     | engine::Failure::Unsent(_),
-                ) => return Ok(Resumption::Gone),
+                ) => return Ok(Resumption::Unavailable),
             }
         }
-        Ok(Resumption::Gone)
+        Ok(Resumption::Unavailable)
     }
 }
 
--- a/crates/lagoon-net/src/entry/link/mod.rs
+++ b/crates/lagoon-net/src/entry/link/mod.rs
@@ -21,8 +21,8 @@
 
 /// Interval of the reports to the steward.
 const REPORT_INTERVAL: clock::Span = clock::Span::from_millis(250);
-/// Ticks between usage reports of a host that admits no requests. Other hosts learn from them that
-/// this host can be reached.
+/// Ticks between spending reports of a host that admits no requests. Such a report has no lines,
+/// and the steward does not pass it on.
 const IDLE_REPORT_TICKS: u64 = 4;
 
 /// The data path's side of the link.
@@ -132,7 +132,8 @@
         let loads = std::mem::take(&mut self.observed().loads);
         if !loads.is_empty() {
             // The age of 0 ignores the wait for this report, which is at most one interval.
-            handle.loads(loads.iter().map(|(name, load)| wire::load(name, load, 0)).collect());
+            handle
+                .loads(loads.iter().map(|(name, load)| wire::encode_load(name, load, 0)).collect());
         }
     }
 }
@@ -154,15 +155,16 @@
         let usages = state.rate_limits().take_report();
         if !usages.is_empty() || ticks % IDLE_REPORT_TICKS == 0 {
             sequence += 1;
-            handle.spending(usage_report(&state, &usages, sequence));
+            handle.spending(spending_report(&state, &usages, sequence));
         }
         ticks += 1;
         tokio::time::sleep(REPORT_INTERVAL).await;
     }
 }
 
-/// Builds the report of the requests and tokens that were admitted since the last one.
-fn usage_report(state: &state::State, usages: &[limit::Usage], sequence: u64) -> wire::Spending {
+/// Builds the report of the requests and tokens that were admitted since the last one. On the wire,
+/// the usage of customers' rate limits is called spending.
+fn spending_report(state: &state::State, usages: &[limit::Usage], sequence: u64) -> wire::Spending {
     let line = |usage: &limit::Usage| wire::Spend {
         customer: usage.customer.to_string(),
         requests: usage.requests,
@@ -198,7 +200,7 @@
                 let view = state.view();
                 for load in &loads {
                     let upstream = id::Upstream::from(load.upstream.as_str());
-                    let load = wire::engine_load(load);
+                    let load = wire::decode_load(load);
                     view.queues.values().for_each(|queue| queue.observe(&upstream, &load));
                     let incarnation = id::Incarnation(load.incarnation);
                     mark(state, &upstream, leaving::Mark { incarnation, leaving: false });
--- a/crates/lagoon-net/src/entry/metrics.rs
+++ b/crates/lagoon-net/src/entry/metrics.rs
@@ -76,24 +76,25 @@
     reason: &'static str,
 }
 
-/// What a request is counted by when it ends.
+/// Labels under which a request is counted when it ends, for [`RequestLabels`] and
+/// [`CustomerLabels`].
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Tags {
+pub(crate) struct CallLabels {
     kind: &'static str,
     /// Name of the model or service; empty until it is known to exist.
     name: String,
     customer: Option<id::Customer>,
 }
 
-impl Tags {
-    /// Tags of a request of which only the path is known.
-    pub(crate) fn new(kind: &'static str) -> Tags {
-        Tags { kind, ..Tags::default() }
+impl CallLabels {
+    /// Labels of a request of which only the path is known.
+    pub(crate) fn new(kind: &'static str) -> CallLabels {
+        CallLabels { kind, ..CallLabels::default() }
     }
 
-    /// Tags of a request for an existing model or service from a known customer.
-    pub(crate) fn of(kind: &'static str, name: &str, customer: &id::Customer) -> Tags {
-        Tags { kind, name: name.to_owned(), customer: Some(customer.clone()) }
+    /// Labels of a request for an existing model or service from a known customer.
+    pub(crate) fn of(kind: &'static str, name: &str, customer: &id::Customer) -> CallLabels {
+        CallLabels { kind, name: name.to_owned(), customer: Some(customer.clone()) }
     }
 }
 
@@ -267,22 +268,22 @@
     }
 
     /// Counts a request that ended with a response.
-    pub(crate) fn count_done(&self, tags: &Tags, outcome: outcome::Outcome) {
-        self.count_request(tags, outcome.as_str(), "");
+    pub(crate) fn count_done(&self, call: &CallLabels, outcome: outcome::Outcome) {
+        self.count_request(call, outcome.as_str(), "");
     }
 
     /// Counts a request that ended with a failure.
-    pub(crate) fn count_failed(&self, tags: &Tags, failure: &outcome::Failure) {
+    pub(crate) fn count_failed(&self, call: &CallLabels, failure: &outcome::Failure) {
         let cause = failure.reason.as_str();
-        self.count_request(tags, failure.outcome.as_str(), cause);
+        self.count_request(call, failure.outcome.as_str(), cause);
         self.refusals.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    fn count_request(&self, tags: &Tags, outcome: &'static str, reason: &'static str) {
-        let (kind, name) = (tags.kind, tags.name.clone());
+    fn count_request(&self, call: &CallLabels, outcome: &'static str, reason: &'static str) {
+        let (kind, name) = (call.kind, call.name.clone());
         let labels = RequestLabels { kind, name, outcome, reason };
         self.requests.get_or_create(&labels).inc();
-        if let Some(customer) = &tags.customer {
+        if let Some(customer) = &call.customer {
             let customer = self.customer_label(customer);
             let labels = CustomerLabels { customer, outcome, reason };
             self.customers.get_or_create(&labels).inc();
--- a/crates/lagoon-net/src/entry/model.rs
+++ b/crates/lagoon-net/src/entry/model.rs
@@ -38,8 +38,8 @@
     let body = body.map_err(|interrupt| interrupt.fault(Step::Read, Outcome::NotRun))??;
     let parameters = prompt::parse(endpoint, &body).map_err(call::malformed)?;
     let input = new_input(call, &parameters, body)?;
-    let tags = input.tags();
-    request.extensions_mut().insert(tags.clone());
+    let labels = input.labels();
+    request.extensions_mut().insert(labels.clone());
     let metadata = render::Metadata {
         endpoint,
         id: call::random_id(),
@@ -67,7 +67,7 @@
         if let Some(stored) = replay {
             let usage = replay_usage(&generation, generation::replay(&stored, from, &mut writer))?;
             state.metrics.count_claim("replayed");
-            state.metrics.count_done(&tags, Outcome::Done);
+            state.metrics.count_done(&labels, Outcome::Done);
             writer.finish(usage, outcome_event);
             response.set_header("Lagoon-Outcome", Outcome::Done.as_str());
             return Ok(response.body(writer.take()));
@@ -81,7 +81,7 @@
     if let Some(stored) = replay {
         let usage = replay_usage(&generation, generation::replay(&stored, from, &mut text))?;
         state.metrics.count_claim("replayed");
-        state.metrics.count_done(&tags, Outcome::Done);
+        state.metrics.count_done(&labels, Outcome::Done);
         response.set_header("Lagoon-Outcome", Outcome::Done.as_str());
         return Ok(response.content_type("application/json").body(text.finish(&metadata, usage)));
     }
@@ -90,7 +90,7 @@
             break summary;
         }
     };
-    state.metrics.count_done(&tags, summary.outcome);
+    state.metrics.count_done(&labels, summary.outcome);
     response.set_header("Lagoon-Outcome", summary.outcome.as_str());
     let json = text.finish(&metadata, relay::usage(&generation, summary));
     Ok(response.content_type("application/json").body(json))
@@ -107,7 +107,7 @@
             generation::ClaimState::Deferred(Box::new(generation::Deferred {
                 claims: claims.clone(),
                 key: key.clone(),
-                body: claim::request_hash("POST", request.path(), &input.body),
+                request_hash: claim::request_hash("POST", request.path(), &input.body),
             }))
         }
         _ => generation::ClaimState::None,
--- a/crates/lagoon-net/src/entry/queue_settings.rs
+++ b/crates/lagoon-net/src/entry/queue_settings.rs
@@ -18,9 +18,12 @@
 /// Reads the `queue` object. Fields that are absent get the default of [`load::Settings`], which
 /// documents them.
 ///
-/// `policy` is the scheduling policy, and `choice` how the full policy chooses among upstreams.
-/// `ahead_ms` is the outstanding prefill, as time at an engine's rate, up to which the engine gets
-/// more work. `long_tokens` is the long prefill that an engine may have outstanding, in tokens.
+/// `policy` is the scheduling policy, and `choice` how the policy `full` chooses among upstreams.
+/// `ahead_ms` limits the prefill that is dispatched to an engine and not yet done, as the time that
+/// the engine needs for it: below the limit the engine gets more work. `long_tokens` limits the
+/// prefill of long prompts that an engine may have outstanding, in tokens. `remote_zones` and
+/// `remote_default` say how much sooner a first token must be predicted in another zone for a
+/// request to go there; the default is for zones that are not listed.
 pub(crate) fn read(reader: &check::Reader<'_>, zone: &id::Zone) -> load::Settings {
     let default = load::Settings { zone: zone.clone(), ..load::Settings::default() };
     let hosts = reader.number("hosts_in_zone", u64::from(default.hosts_in_zone), 1..=10_000);
--- a/crates/lagoon-net/src/entry/relay.rs
+++ b/crates/lagoon-net/src/entry/relay.rs
@@ -117,20 +117,20 @@
             () = sender.closed() => None,
             ended = self.forward() => Some(ended),
         };
-        let (metrics, tags) = (&self.state.metrics, self.generation.input().tags());
+        let (metrics, labels) = (&self.state.metrics, self.generation.input().labels());
         match ended {
             Some(Ok(outcome)) => {
-                metrics.count_done(&tags, outcome);
+                metrics.count_done(&labels, outcome);
                 self.ending.replace(StreamEnd::Complete);
             }
             Some(Err(fault)) => {
-                metrics.count_failed(&tags, &fault.failure);
+                metrics.count_failed(&labels, &fault.failure);
                 self.writer.fail(&fault.to_json());
                 self.ending.replace(StreamEnd::Failed(self.writer.take()));
             }
             None => {
                 let fault = fault::new(Reason::CallerLeft, Step::Stream, self.generation.abandon());
-                metrics.count_failed(&tags, &fault.failure);
+                metrics.count_failed(&labels, &fault.failure);
             }
         }
         self.generation.input().call.time_left(&self.state) + self.state.settings.limits.linger
--- a/crates/lagoon-net/src/entry/replica.rs
+++ b/crates/lagoon-net/src/entry/replica.rs
@@ -9,8 +9,9 @@
 //! Guards against a replica that fails every call at once: it would always have the fewest calls in
 //! progress and attract all of them. Without a circuit breaker, 745 calls ended as unknown within
 //! 15 s while the other replicas were idle. Three failed calls in a row open the replica's circuit,
-//! as for an engine (`lagoonline::load::outlier`); a single call probes it later. At most a third
-//! of a service's replicas, and at least one, may have an open circuit.
+//! as for an engine (`lagoonline::load::outlier`): the replica is ejected and gets no calls, except
+//! for single calls that probe it later. At most a third of a service's replicas, and at least one,
+//! may be ejected.
 
 use std::collections;
 use std::net;
@@ -100,7 +101,7 @@
     remote: bool,
     /// Number of replicas of the service.
     total: usize,
-    /// Number of those replicas whose circuit is not closed.
+    /// Number of those replicas that are ejected: their circuit is open or being probed.
     ejected: usize,
 }
 
--- a/crates/lagoon-net/src/entry/server.rs
+++ b/crates/lagoon-net/src/entry/server.rs
@@ -185,7 +185,8 @@
     Ok(Running { handle, thread })
 }
 
-/// Runs the server on the control thread until it is drained.
+/// Runs the server until it is drained. The thread that this runs on is called the control thread:
+/// it also runs the queues, the cancels and the link to the steward.
 async fn serve(
     state: sync::Arc<state::State>,
     listener: net::TcpListener,
@@ -316,7 +317,7 @@
     let kind = if path.starts_with("/services/") { "service" } else { "model" };
     if state.phase() >= state::Phase::Draining {
         let fault = fault::new(Reason::Draining, Step::Admit, Outcome::NotRun);
-        state.metrics.count_failed(&metrics::Tags::new(kind), &fault.failure);
+        state.metrics.count_failed(&metrics::CallLabels::new(kind), &fault.failure);
         unread.discard(request.headers(), max_bytes).await;
         return fault.response(&request_id, true);
     }
@@ -338,9 +339,9 @@
         None => work.await,
     };
     result.unwrap_or_else(|fault| {
-        let tags = request.extensions().get::<metrics::Tags>().cloned();
-        let tags = tags.unwrap_or_else(|| metrics::Tags::new(kind));
-        state.metrics.count_failed(&tags, &fault.failure);
+        let labels = request.extensions().get::<metrics::CallLabels>().cloned();
+        let labels = labels.unwrap_or_else(|| metrics::CallLabels::new(kind));
+        state.metrics.count_failed(&labels, &fault.failure);
         fault.response(&request_id, state.phase() >= state::Phase::Draining)
     })
 }
--- a/crates/lagoon-net/src/entry/services.rs
+++ b/crates/lagoon-net/src/entry/services.rs
@@ -67,8 +67,8 @@
     if !allowed.is_empty() && !allowed.contains(&service) {
         return refuse(Reason::Forbidden);
     }
-    let tags = metrics::Tags::of(KIND, service.as_str(), &call.customer().name);
-    request.extensions_mut().insert(tags);
+    let labels = metrics::CallLabels::of(KIND, service.as_str(), &call.customer().name);
+    request.extensions_mut().insert(labels);
     state.rate_limits().admit(state.clock.now(), &call.customer().name, call.rate(), 0)?;
     let method = request.method().as_str();
     let is_idempotent = entry.idempotent_methods.iter().any(|idempotent| idempotent == method);
@@ -109,8 +109,8 @@
 
 impl Job {
     /// Returns the labels under which the call is counted.
-    pub(crate) fn tags(&self) -> metrics::Tags {
-        metrics::Tags::of(KIND, self.service.as_str(), &self.call.customer().name)
+    pub(crate) fn labels(&self) -> metrics::CallLabels {
+        metrics::CallLabels::of(KIND, self.service.as_str(), &self.call.customer().name)
     }
 
     /// Dispatches the call, and retries it on other replicas while that is safe and possible.
@@ -275,7 +275,7 @@
                 }
             };
             let outcome = answering.complete();
-            state.metrics.count_done(&self.tags(), outcome);
+            state.metrics.count_done(&self.labels(), outcome);
             head.set_header("Lagoon-Outcome", outcome.as_str());
             return Ok(match length {
                 // A response to HEAD announces the length of the body that GET would return.
@@ -310,10 +310,10 @@
         let (guard, watch) = linger::pair(self.request.io());
         let left = self.call.time_left(&state) + state.settings.limits.linger;
         drop(ntex::rt::spawn(watch.close_after(left)));
-        let tags = self.tags();
-        // `owned.0` and `owned.4` are used at the end of the response; the rest is released with
-        // it.
-        let owned = (answering, slot, active, guard, tags);
+        let labels = self.labels();
+        // At the end of the response, `owned.0` (the answering state) gives the outcome, which is
+        // counted under `owned.4` (the labels). The rest is only kept until then and dropped.
+        let owned = (answering, slot, active, guard, labels);
         let first = Some((payload, owned));
         stream::unfold((state, first), move |(state, owned)| async move {
             let (mut payload, owned) = owned?;
@@ -333,8 +333,8 @@
                 }
                 Err(interrupt) => (owned.4, interrupt.fault(Step::Stream, owned.0.broken().end())),
             };
-            let (tags, fault) = failed;
-            state.metrics.count_failed(&tags, &fault.failure);
+            let (labels, fault) = failed;
+            state.metrics.count_failed(&labels, &fault.failure);
             let error = io::Error::other(fault.failure.to_string());
             let error: rc::Rc<dyn std::error::Error> = rc::Rc::new(error);
             Some((Err(error), (state, None)))
--- a/crates/lagoon-net/src/entry/settings.rs
+++ b/crates/lagoon-net/src/entry/settings.rs
@@ -39,9 +39,10 @@
     pub service_wait: clock::Span,
     /// Most calls of one service that may wait for a slot.
     pub service_waiting: usize,
-    /// Most rounds of finding a slot and dispatching until a response starts. A broken stream is
-    /// not moved to another engine after as many dispatches.
-    pub attempts: u32,
+    /// Limit on repeating a model call. Until a response starts it bounds the rounds of finding a
+    /// slot and dispatching, which include rounds that fail before the dispatch. A stream that
+    /// breaks off moves to another engine only if the call was dispatched fewer times than this.
+    pub max_attempts: u32,
     /// Batches of a streamed response that are buffered for a slow caller before reading from the
     /// engine pauses.
     pub stream_batches: usize,
@@ -60,7 +61,7 @@
             linger: clock::Span::from_secs(10),
             service_wait: clock::Span::from_secs(5),
             service_waiting: 1_024,
-            attempts: 6,
+            max_attempts: 6,
             stream_batches: 16,
         }
     }
@@ -77,7 +78,7 @@
     pub host: id::Host,
     /// Availability zone of this host.
     pub zone: id::Zone,
-    /// Region of this host.
+    /// Region of this host, from the settings file; no other code reads it.
     pub region: id::Region,
     /// Address of the steward that provides sections. Without a steward, only `sections` below are
     /// used.
@@ -95,8 +96,8 @@
     pub unready: clock::Span,
     /// Longest drain; requests still in progress after it fail.
     pub grace: clock::Span,
-    /// Scheduling policy and queue limits.
-    pub load: load::Settings,
+    /// Scheduling policy and queue limits, from the object `queue` of the settings file.
+    pub scheduling: load::Settings,
     /// Log settings.
     pub logs: logs::Settings,
 }
@@ -116,7 +117,7 @@
             limits: Limits::default(),
             unready: clock::Span::from_millis(500),
             grace: clock::Span::from_secs(600),
-            load: load::Settings::default(),
+            scheduling: load::Settings::default(),
             logs: logs::Settings::default(),
         }
     }
@@ -282,7 +283,7 @@
 fn read_settings(reader: &check::Reader<'_>) -> (Settings, Option<path::PathBuf>) {
     let default = Settings::default();
     let zone = id::Zone::from(reader.required("zone"));
-    let load = reader.child("queue", |reader| queue_settings::read(reader, &zone));
+    let scheduling = reader.child("queue", |reader| queue_settings::read(reader, &zone));
     let settings = Settings {
         listen: reader.required_parsed("listen", "IP:PORT", default.listen),
         workers: read_size(reader, "workers", default.workers, 1, 256),
@@ -295,7 +296,8 @@
         limits: reader.child("limits", read_limits).unwrap_or_default(),
         unready: read_span(reader, "unready_ms", default.unready, 0, 60_000),
         grace: read_span(reader, "grace_ms", default.grace, 0, 86_400_000),
-        load: load.unwrap_or_else(|| load::Settings { zone: zone.clone(), ..default.load }),
+        scheduling: scheduling
+            .unwrap_or_else(|| load::Settings { zone: zone.clone(), ..default.scheduling }),
         logs: reader.child("logs", logs::Settings::read).unwrap_or_default(),
         zone,
     };
@@ -310,7 +312,7 @@
 
 fn read_limits(reader: &check::Reader<'_>) -> Limits {
     let default = Limits::default();
-    let attempts = reader.number("attempts", u64::from(default.attempts), 1..=100);
+    let attempts = reader.number("attempts", u64::from(default.max_attempts), 1..=100);
     Limits {
         head_bytes: read_size(reader, "head_bytes", default.head_bytes, 1_024, 1 << 20),
         headers: read_size(reader, "headers", default.headers, 8, 1_024),
@@ -332,7 +334,7 @@
             0,
             1_000_000,
         ),
-        attempts: u32::try_from(attempts).unwrap_or(default.attempts),
+        max_attempts: u32::try_from(attempts).unwrap_or(default.max_attempts),
         stream_batches: read_size(reader, "stream_batches", default.stream_batches, 1, 4_096),
     }
 }
--- a/crates/lagoon-net/src/entry/state.rs
+++ b/crates/lagoon-net/src/entry/state.rs
@@ -34,7 +34,8 @@
     Aborting,
 }
 
-/// Snapshot of the fleet (all sections in force, merged) with the queues and replicas for it.
+/// Snapshot of the fleet's configuration (all sections in force, merged) with the queues and
+/// replicas for it.
 #[derive(Debug, Default)]
 pub(crate) struct View {
     pub(crate) fleet: view::Shared,
@@ -62,7 +63,8 @@
     sections: sync::Mutex<collections::BTreeMap<id::Team, document::Section>>,
     /// When the fleet last changed: the age of the view when there is no steward.
     fleet_changed_at: sync::Mutex<clock::Moment>,
-    /// Sends new queues to the control thread, which wakes their requests.
+    /// Sends new queues to the control thread, which wakes their requests: the thread of the entry
+    /// host that runs `server::serve`, besides the worker threads.
     new_queues: async_sync::mpsc::UnboundedSender<sync::Weak<admission::Queue>>,
     phase: async_sync::watch::Sender<Phase>,
     /// Number of requests in progress.
@@ -81,17 +83,17 @@
 
 impl State {
     pub(crate) fn new(mut settings: settings::Settings) -> (sync::Arc<State>, Receivers) {
-        settings.load.zone = settings.zone.clone();
+        settings.scheduling.zone = settings.zone.clone();
         // With the same seed everywhere, the hosts of a zone would pick the same upstreams at the
         // same time.
-        settings.load.seed = rand::random();
+        settings.scheduling.seed = rand::random();
         let clock = clock::System::default();
         let incarnation = id::Incarnation(clock.wall_millis());
         let (new_queues, queues_in) = async_sync::mpsc::unbounded_channel();
         let (cancels, cancels_in) = cancel::channel();
         let (link, task) = link::Link::open(&settings, incarnation);
         let platform_limits = settings.platform.clone().map(platform::Limits::new);
-        let rate_limits = limit::Limits::new(settings.load.hosts_in_zone);
+        let rate_limits = limit::Limits::new(settings.scheduling.hosts_in_zone);
         let sections = settings.sections.clone();
         let state = sync::Arc::new(State {
             owner: id::Owner { host: settings.host.clone(), incarnation },
@@ -143,7 +145,7 @@
         }
         let old = self.view();
         let now = self.clock.now();
-        let schedulers = old.schedulers.with_fleet(now, &fleet, &self.settings.load);
+        let schedulers = old.schedulers.with_fleet(now, &fleet, &self.settings.scheduling);
         let queues = self.build_queues(&old, &schedulers);
         let replicas = old.replicas.with_fleet(&fleet);
         for queue in queues.values() {
--- a/crates/lagoon-net/src/lib.rs
+++ b/crates/lagoon-net/src/lib.rs
@@ -1,12 +1,13 @@
 //! Network adapters of lagoonline: the data path of entry hosts, the steward, and the clients of
 //! engines, services and the platform.
 //!
-//! The interface of each external system is implemented in one module, so that a wrong assumption
-//! about it has to be corrected in one place: `engine` for model engines, `service` for plain
-//! services, `platform` for the table service, the object store and the list of hosts. `entry` is
-//! the data path, `steward` the control process beside it, `link` the connection between the two
-//! and `wire` its messages. `operator` is the client of the operators' program. `program`,
-//! `signals` and `logs` are shared by the binaries.
+//! Each external system has a client module, so that a wrong assumption about its interface can be
+//! corrected in one place: `engine` for model engines, `service` for plain services, `platform` for
+//! the table service, the object store and the list of hosts. The exception is the control
+//! interface of engines: the steward reads loads (`steward::observe`) and sends commands
+//! (`steward::reconcile`) by itself. `entry` is the data path, `steward` the control process beside
+//! it, `link` the connection between the two and `wire` its messages. `operator` is the client of
+//! the operators' program. `program`, `signals` and `logs` are shared by the binaries.
 //!
 //! ```
 //! use lagoon_net::wire;
--- a/crates/lagoon-net/src/link/channel.rs
+++ b/crates/lagoon-net/src/link/channel.rs
@@ -69,7 +69,7 @@
         /// The other side's address.
         peer: net::SocketAddr,
     },
-    /// The other side closed the connection, or violated the handshake.
+    /// The other side closed the connection, or sent another message than the handshake requires.
     #[error("{step} with {peer}: closed")]
     Closed {
         /// The operation: `connect`, `accept`, `receive` or `send`.
@@ -91,7 +91,8 @@
     ///
     /// # Errors
     ///
-    /// See [`Error`]; the step is `connect`.
+    /// See [`Error`]. The step is `connect`, or `receive` or `send` if a frame of the handshake
+    /// failed.
     pub async fn connect(
         address: net::SocketAddr,
         identity: &Identity,
@@ -105,7 +106,8 @@
     ///
     /// # Errors
     ///
-    /// See [`Error`]; the step is `accept`.
+    /// See [`Error`]. The step is `accept`, or `receive` or `send` if a frame of the handshake
+    /// failed.
     pub async fn accept(
         stream: tokio_net::TcpStream,
         address: net::SocketAddr,
--- a/crates/lagoon-net/src/link/client.rs
+++ b/crates/lagoon-net/src/link/client.rs
@@ -27,7 +27,7 @@
 /// Update received from the steward.
 #[derive(Clone, Debug)]
 pub enum Update {
-    /// The sections in force, merged.
+    /// The sections in force, merged: the configuration of the whole fleet.
     Fleet {
         /// The merged sections.
         fleet: view::Shared,
@@ -52,10 +52,11 @@
     fn apply(&mut self, update: Update);
 }
 
-/// State of the entry process, as reported to the steward.
+/// State of the entry process, as reported to the steward in a [`wire::Status`]. The steward keeps
+/// it as a `replication::Report`.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct State {
-    /// Whether it accepts requests.
+    /// Whether load balancers may send requests to it.
     pub ready: bool,
     /// Whether it is shutting down.
     pub draining: bool,
@@ -226,7 +227,7 @@
             ready: state.ready,
             draining: state.draining,
             in_flight: state.in_flight,
-            in_force: wire::team_versions(&state.in_force),
+            in_force: wire::encode_versions(&state.in_force),
             ..wire::Status::default()
         })
     }
@@ -274,11 +275,11 @@
     /// Returns the sections that the steward lacks. A steward that restarted during a platform
     /// outage may find no other process that has them.
     fn missing_sections(&self, digest: &wire::Digest) -> Option<wire::Body> {
-        let lacking = self.replica.newer_than(&wire::versions(&digest.versions));
+        let lacking = self.replica.newer_than(&wire::decode_versions(&digest.versions));
         if lacking.is_empty() {
             return None;
         }
-        let sections = lacking.iter().map(|section| wire::section(section)).collect();
+        let sections = lacking.iter().map(|section| wire::encode_section(section)).collect();
         Some(wire::Body::Sections(wire::Sections { sections, complete: false }))
     }
 
--- a/crates/lagoon-net/src/operator/client.rs
+++ b/crates/lagoon-net/src/operator/client.rs
@@ -64,7 +64,7 @@
     pub missing: Vec<String>,
 }
 
-/// Query of the idle ledger: days and grouping.
+/// Query of the idle ledger, which records how the time of engines is used: days and grouping.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageQuery {
     /// The grouping of the sums: a `ledger::Grouping`.
--- a/crates/lagoon-net/src/platform/client.rs
+++ b/crates/lagoon-net/src/platform/client.rs
@@ -33,7 +33,8 @@
     breaker: platform::Breaker,
 }
 
-/// Budgets and circuit breaker, shared by all threads of a process.
+/// Limits on the calls to the platform: the budgets and the circuit breaker, with the settings and
+/// the clock that they need. Shared by all threads of a process.
 #[derive(Debug)]
 pub struct Limits {
     settings: settings::Settings,
--- a/crates/lagoon-net/src/steward/calls.rs
+++ b/crates/lagoon-net/src/steward/calls.rs
@@ -116,8 +116,8 @@
     let message = error.to_string();
     let (code, details) = match error {
         document::StoreError::Invalid(check::Faults(faults)) => {
-            let line = |fault: &check::Fault| json!([fault.pointer, fault.reason]);
-            ("faulty", json!({ "faults": faults.iter().map(line).collect::<Vec<_>>() }))
+            let fault = |fault: &check::Fault| json!([fault.pointer, fault.reason]);
+            ("faulty", json!({ "faults": faults.iter().map(fault).collect::<Vec<_>>() }))
         }
         document::StoreError::Conflict { version, changes } => {
             let changes: Vec<_> = changes.iter().map(ToString::to_string).collect();
@@ -214,8 +214,8 @@
     let reported = core.entry_reports.iter().filter(|(host, _)| !expected.contains_key(*host));
     let hosts = expected.len() + reported.count();
     let missing = core.entry_reports.lagging_hosts(team, version, expected);
-    let line = |line: &replication::LaggingHost| (line.host.to_string(), line.version.0);
-    ZoneStatus { zone: zone.to_string(), hosts, missing: missing.iter().map(line).collect() }
+    let lagging = |host: &replication::LaggingHost| (host.host.to_string(), host.version.0);
+    ZoneStatus { zone: zone.to_string(), hosts, missing: missing.iter().map(lagging).collect() }
 }
 
 /// Returns where a version of the team's section is in force, zone by zone. Version 0 stands for
--- a/crates/lagoon-net/src/steward/core/document.rs
+++ b/crates/lagoon-net/src/steward/core/document.rs
@@ -16,7 +16,7 @@
 use crate::wire;
 
 /// Time after which missing sections are requested from another peer.
-const PULL_TIMEOUT: clock::Span = clock::Span::from_secs(1);
+const SECTIONS_TIMEOUT: clock::Span = clock::Span::from_secs(1);
 
 /// Time that a new steward waits for the platform. After it, having the versions of all its peers
 /// is enough for a complete document.
@@ -25,7 +25,7 @@
 impl Core {
     /// Builds the digest of the versions in force.
     pub(super) fn digest(&self) -> wire::Body {
-        let versions = wire::team_versions(&self.replica.versions());
+        let versions = wire::encode_versions(&self.replica.versions());
         wire::Body::Digest(wire::Digest { versions })
     }
 
@@ -51,14 +51,14 @@
         if applied.is_empty() {
             return;
         }
-        self.pull_started = None;
+        self.sections_requested_at = None;
         Counters::add(&self.counters.sections_applied, applied.len() as u64);
         let merged = view::Fleet::merge(self.replica.sections().map(sync::Arc::as_ref));
         self.attributions = ledger::attributions(&merged);
         self.fleet = sync::Arc::new(merged);
         self.index_name_codes();
         let sections = applied.iter().filter_map(|team| self.replica.section(team));
-        let sections = sections.map(|section| wire::section(section)).collect();
+        let sections = sections.map(|section| wire::encode_section(section)).collect();
         let complete = self.complete;
         let body = wire::Body::Sections(wire::Sections { sections, complete });
         self.send_all(&body, |_, link| link.peer.role == wire::Role::Entry);
@@ -103,7 +103,7 @@
             return Some(borrow::Cow::Borrowed(&section.text));
         }
         let known = self.replica.section(&id::Team::from(section.team.as_str()));
-        let text = delta_log::apply(known.map(sync::Arc::as_ref), &wire::deltas(section));
+        let text = delta_log::apply(known.map(sync::Arc::as_ref), &wire::decode_deltas(section));
         text.map(borrow::Cow::Owned)
     }
 
@@ -112,7 +112,7 @@
         Counters::add(&self.counters.deltas_refused, 1);
         let mut versions = self.replica.versions();
         versions.retain(|team, _| !sections.sections.iter().any(|s| s.team == team.as_str()));
-        let versions = wire::team_versions(&versions);
+        let versions = wire::encode_versions(&versions);
         self.send(from, wire::Body::Digest(wire::Digest { versions }));
     }
 
@@ -126,16 +126,16 @@
             let known = versions.get(&section.team).copied().unwrap_or_default();
             let deltas = self.delta_log.since(known, section);
             if deltas.is_empty() {
-                return wire::section(section);
+                return wire::encode_section(section);
             }
-            wire::section_with_deltas(section, &deltas)
+            wire::encode_section_deltas(section, &deltas)
         };
         sections.iter().map(encode).collect()
     }
 
     /// Records a peer's versions, sends the sections it lacks, and requests those it is ahead in.
     pub(super) fn handle_digest(&mut self, digest: &wire::Digest, from: LinkId) {
-        let versions = wire::versions(&digest.versions);
+        let versions = wire::decode_versions(&digest.versions);
         let lacking = self.replica.newer_than(&versions);
         if let Some(link) = self.links.get_mut(&from) {
             link.versions.clone_from(&versions);
@@ -150,34 +150,36 @@
             self.send(from, wire::Body::Sections(wire::Sections { sections, complete }));
         }
         if !self.replica.covers(&versions) {
-            self.request_missing(from);
+            self.request_missing_from(from);
         }
         self.check_complete();
     }
 
-    /// Requests missing sections from one peer at a time, so that a host receives each only once.
-    fn request_missing(&mut self, peer: LinkId) {
+    /// Requests missing sections from `peer`, unless a request to any peer is younger than
+    /// [`SECTIONS_TIMEOUT`]: with one request at a time, a host receives each section only once.
+    fn request_missing_from(&mut self, peer: LinkId) {
         let now = self.clock.now();
-        if self.pull_started.is_some_and(|since| now.since(since) < PULL_TIMEOUT) {
+        if self.sections_requested_at.is_some_and(|since| now.since(since) < SECTIONS_TIMEOUT) {
             return;
         }
-        self.pull_started = Some(now);
+        self.sections_requested_at = Some(now);
         self.send(peer, self.digest());
     }
 
-    /// Requests sections from a peer that is ahead, in case a link or a response was lost.
-    pub(in crate::steward) fn pull_missing(&mut self) {
+    /// Requests missing sections from any peer that is ahead, in case a link or a response was
+    /// lost.
+    pub(in crate::steward) fn request_missing(&mut self) {
         let ahead = |link: &Link| {
             link.peer.role == wire::Role::Steward && !self.replica.covers(&link.versions)
         };
         let found = self.links.iter().find(|(_, link)| ahead(link)).map(|(link_id, _)| *link_id);
         if let Some(link_id) = found {
-            self.request_missing(link_id);
+            self.request_missing_from(link_id);
         }
         self.check_complete();
     }
 
-    /// Records the versions of a head read from the platform.
+    /// Records the versions of a head row read from the platform.
     pub(in crate::steward) fn record_platform_head(&mut self, versions: replication::Versions) {
         self.platform.head = Some(versions);
         self.check_complete();
--- a/crates/lagoon-net/src/steward/core/message.rs
+++ b/crates/lagoon-net/src/steward/core/message.rs
@@ -16,7 +16,7 @@
             wire::Body::Members(members) => self.handle_members(&members, from),
             wire::Body::Status(status) => {
                 let host = id::Host::from(status.host.as_str());
-                self.apply_own_report(&host, wire::report(&status));
+                self.apply_own_report(&host, wire::decode_report(&status));
             }
             wire::Body::Statuses(statuses) => self.handle_statuses(&statuses, from),
             wire::Body::Loads(loads) => self.handle_loads(&loads, from),
@@ -29,7 +29,7 @@
 
     fn handle_members(&mut self, members: &wire::Members, from: LinkId) {
         let now = self.clock.now();
-        let fresh = self.group.apply(&wire::membership_updates(members), now);
+        let fresh = self.group.apply(&wire::decode_members(members), now);
         self.removed_rows.retain(|host| !self.group.is_live(host));
         self.broadcast_members(&fresh, Some(from));
     }
@@ -43,7 +43,7 @@
         if updates.is_empty() {
             return;
         }
-        let body = wire::Body::Members(wire::members(updates));
+        let body = wire::Body::Members(wire::encode_members(updates));
         self.send_all(&body, |link_id, link| {
             link.peer.role == wire::Role::Steward && Some(link_id) != from
         });
--- a/crates/lagoon-net/src/steward/core/mod.rs
+++ b/crates/lagoon-net/src/steward/core/mod.rs
@@ -133,7 +133,7 @@
 /// Result of the last reads of the platform.
 #[derive(Default)]
 struct PlatformReads {
-    /// Versions in the head that was read last.
+    /// Versions in the document's head row that was read last: the newest version of each section.
     head: Option<replication::Versions>,
     /// Whether any read has failed.
     failed: bool,
@@ -177,8 +177,8 @@
     pub(in crate::steward) dialing: collections::BTreeSet<id::Host>,
     links: collections::BTreeMap<LinkId, Link>,
     platform: PlatformReads,
-    /// Time of the last request for missing sections.
-    pull_started: Option<clock::Moment>,
+    /// Time of the last request for missing sections; `None` after sections were applied.
+    sections_requested_at: Option<clock::Moment>,
     next_link: u64,
     started_at: clock::Moment,
     clock: clock::System,
@@ -223,7 +223,7 @@
             dialing: collections::BTreeSet::new(),
             links: collections::BTreeMap::new(),
             platform: PlatformReads::default(),
-            pull_started: None,
+            sections_requested_at: None,
             next_link: 0,
             started_at: now,
             clock,
@@ -264,7 +264,7 @@
 
     /// Sends the state that a newly linked steward needs.
     fn init_steward_link(&mut self, link_id: LinkId) {
-        let members = wire::members(&self.group.roster().updates());
+        let members = wire::encode_members(&self.group.roster().updates());
         self.send(link_id, wire::Body::Members(members));
         self.send(link_id, self.digest());
         self.send(link_id, self.zone_reports());
@@ -276,7 +276,7 @@
     fn send_loads(&mut self, link_id: LinkId) {
         let now = self.clock.now();
         let load = |(upstream, observed): (&id::Upstream, &Observed)| {
-            wire::load(upstream, &observed.load, age_ms(now, observed.read_at))
+            wire::encode_load(upstream, &observed.load, age_ms(now, observed.read_at))
         };
         let loads = self.loads.iter().map(load).collect();
         self.send(link_id, wire::Body::Loads(wire::Loads { loads }));
@@ -285,7 +285,8 @@
     /// Sends the state that a newly linked entry process needs.
     fn init_entry_link(&mut self, link_id: LinkId) {
         self.send(link_id, self.digest());
-        let sections = self.replica.sections().map(|section| wire::section(section)).collect();
+        let sections =
+            self.replica.sections().map(|section| wire::encode_section(section)).collect();
         let sections = wire::Sections { sections, complete: self.complete };
         self.send(link_id, wire::Body::Sections(sections));
         self.send_loads(link_id);
--- a/crates/lagoon-net/src/steward/core/payload.rs
+++ b/crates/lagoon-net/src/steward/core/payload.rs
@@ -38,7 +38,7 @@
         let lines: Vec<_> = unknown.map(|(line, _)| *line).collect();
         let spendings = self.spendings.iter().filter(|(_, from)| from != to);
         wire::Heartbeat {
-            loads: (!lines.is_empty()).then(|| wire::compact_loads(&lines)),
+            loads: (!lines.is_empty()).then(|| wire::encode_compact_loads(&lines)),
             spendings: spendings.map(|(spending, _)| spending.clone()).collect(),
         }
     }
@@ -69,6 +69,7 @@
         let mut left = PAYLOAD_BYTES;
         let mut spending_left = SPENDING_BYTES;
         while let Some((spending, from)) = self.spending.pop(spending_left) {
+            // Two more bytes for the field's tag and the length of the message.
             let bytes = spending.encoded_len() + 2;
             left -= bytes.min(left);
             spending_left -= bytes.min(spending_left);
@@ -104,7 +105,7 @@
     ) {
         let now = self.clock.now();
         let mut fresh = Vec::new();
-        for line in wire::parse_compact_loads(compact) {
+        for line in wire::decode_compact_loads(compact) {
             let Some(Some(upstream)) = self.name_codes.get(&line.upstream) else { continue };
             let Some(known) = self.loads.get_mut(upstream) else { continue };
             let Some(load) = line.load(&known.load) else { continue };
@@ -120,7 +121,7 @@
             let read_at = clock::Moment::from_micros(micros);
             *known = Observed { load, read_at, announced: load, announced_at: now };
             self.pending_loads.insert(upstream.clone(), [from.clone()].into());
-            fresh.push(wire::load(upstream, &load, line.age_ms));
+            fresh.push(wire::encode_load(upstream, &load, line.age_ms));
         }
         if fresh.is_empty() {
             return;
--- a/crates/lagoon-net/src/steward/core/report.rs
+++ b/crates/lagoon-net/src/steward/core/report.rs
@@ -48,14 +48,14 @@
     pub(super) fn handle_statuses(&mut self, statuses: &wire::Statuses, from: LinkId) {
         for status in &statuses.statuses {
             let host = id::Host::from(status.host.as_str());
-            self.apply_report(&host, wire::report(status), Some(from));
+            self.apply_report(&host, wire::decode_report(status), Some(from));
         }
     }
 
     /// Builds the message with all reports of the zone, for a newly linked steward.
     pub(super) fn zone_reports(&self) -> wire::Body {
         let reports = self.entry_reports.iter().filter(|(_, report)| report.zone == *self.zone());
-        let statuses = reports.map(|(host, report)| wire::status(host, report)).collect();
+        let statuses = reports.map(|(host, report)| wire::encode_status(host, report)).collect();
         wire::Body::Statuses(wire::Statuses { statuses })
     }
 
@@ -63,7 +63,7 @@
     pub(in crate::steward) fn flush_reports(&mut self) {
         let mut lines = Vec::new();
         for (host, from) in std::mem::take(&mut self.report_outbox.pending) {
-            lines.extend(self.status_delta(&host).map(|status| (status, from)));
+            lines.extend(self.report_delta(&host).map(|status| (status, from)));
         }
         if lines.is_empty() {
             return;
@@ -80,9 +80,9 @@
     /// Returns a host's status with only the versions not yet sent for its incarnation. A new link
     /// starts with the full reports, which are never older than what was sent to all, so leaving
     /// versions out is safe.
-    fn status_delta(&mut self, host: &id::Host) -> Option<wire::Status> {
+    fn report_delta(&mut self, host: &id::Host) -> Option<wire::Status> {
         let report = self.entry_reports.report(host)?;
-        let mut status = wire::status(host, report);
+        let mut status = wire::encode_status(host, report);
         let known = self.report_outbox.sent.get(host);
         if let Some((_, sent)) = known.filter(|(incarnation, _)| *incarnation == report.incarnation)
         {
--- a/crates/lagoon-net/src/steward/core/spending.rs
+++ b/crates/lagoon-net/src/steward/core/spending.rs
@@ -39,8 +39,9 @@
 /// Spending of customers, as one steward knows it.
 #[derive(Default)]
 pub(super) struct State {
-    /// Tokens spent recently in this zone, for the ledger: a sum that is halved before each
-    /// addition, and the time of the last one.
+    /// Tokens spent recently in this zone, for the ledger, and the time of the last addition. The
+    /// sum is halved before each addition, so that older reports count less; it decays with each
+    /// report and not with time.
     recent_tokens: collections::HashMap<id::Customer, (u64, clock::Moment)>,
     /// Requests and tokens admitted by the own entry process in this window.
     own_window: collections::BTreeMap<id::Customer, (u64, u64)>,
--- a/crates/lagoon-net/src/steward/core/upstream.rs
+++ b/crates/lagoon-net/src/steward/core/upstream.rs
@@ -25,7 +25,8 @@
         load: engine::LoadReport,
     ) {
         let now = self.clock.now();
-        let body = wire::Body::Loads(wire::Loads { loads: vec![wire::load(upstream, &load, 0)] });
+        let body =
+            wire::Body::Loads(wire::Loads { loads: vec![wire::encode_load(upstream, &load, 0)] });
         self.send_all(&body, |_, link| link.peer.role == wire::Role::Entry);
         let fresh = Observed {
             load,
@@ -64,7 +65,10 @@
         while lines.len() < MAX_FULL_LOADS_PER_FLUSH {
             let Some((name, from)) = self.pending_full_loads.pop_first() else { break };
             if let Some(seen) = self.loads.get(&name) {
-                lines.push((wire::load(&name, &seen.load, super::age_ms(now, seen.read_at)), from));
+                lines.push((
+                    wire::encode_load(&name, &seen.load, super::age_ms(now, seen.read_at)),
+                    from,
+                ));
             }
         }
         for link_id in self.zone_links() {
@@ -92,7 +96,7 @@
         let mut fresh = Vec::new();
         for line in &loads.loads {
             let upstream = id::Upstream::from(line.upstream.as_str());
-            let load = wire::engine_load(line);
+            let load = wire::decode_load(line);
             let known = self.loads.get(&upstream);
             let order = |load: &engine::LoadReport| (load.incarnation, load.sequence);
             if known.is_some_and(|known| order(&known.load) >= order(&load)) {
--- a/crates/lagoon-net/src/steward/dial.rs
+++ b/crates/lagoon-net/src/steward/dial.rs
@@ -1,4 +1,5 @@
-//! Dials the links of the mesh, dead members and the configured peers.
+//! Opens connections to other stewards: to those that this steward keeps links to (the mesh, see
+//! `lagoonline::control::mesh`), to dead members, and to the configured peers.
 
 use std::collections;
 use std::net;
@@ -39,7 +40,7 @@
         first = false;
         tokio::time::sleep(CHECK_INTERVAL).await;
         let mut core = context.core.borrow_mut();
-        core.pull_missing();
+        core.request_missing();
         core.close_unneeded_links();
     }
 }
--- a/crates/lagoon-net/src/steward/fetch.rs
+++ b/crates/lagoon-net/src/steward/fetch.rs
@@ -28,6 +28,7 @@
 /// Role of the one steward of a zone that reads the platform. The name is hashed to choose it.
 const FETCHER: &str = "fetcher";
 
+/// Value of the row that registers a steward, as JSON.
 #[derive(Deserialize, Serialize)]
 struct StewardRow {
     zone: String,
@@ -82,7 +83,8 @@
 /// Versions listed by the head and not yet in force, and the time at which each was first seen.
 type PendingVersions = collections::BTreeMap<id::Team, (id::Version, clock::Moment)>;
 
-/// Reads the head, then the sections that are newer there and that no peer sent in time.
+/// Reads the head row, which lists the newest version of each section, and then the sections that
+/// are newer there and that no peer sent in time.
 async fn fetch<T>(
     context: &Context,
     table: &T,
@@ -134,12 +136,12 @@
     let rows = table.scan(STEWARD_PREFIX, "", SCAN_LIMIT).await?;
     let member = |row: &table::Row| {
         let host = row.key.strip_prefix(STEWARD_PREFIX)?;
-        let line: StewardRow = serde_json::from_str(&row.value).ok()?;
+        let steward: StewardRow = serde_json::from_str(&row.value).ok()?;
         Some(membership::Member {
             host: id::Host::from(host),
-            zone: id::Zone::from(line.zone),
-            address: line.address,
-            incarnation: id::Incarnation(line.incarnation),
+            zone: id::Zone::from(steward.zone),
+            address: steward.address,
+            incarnation: id::Incarnation(steward.incarnation),
         })
     };
     dial::add_members(context, rows.iter().filter_map(member).collect());
@@ -151,8 +153,8 @@
     let Some(platform) = context.platform.clone() else { return };
     loop {
         let is_fetcher = context.core.borrow().is_assigned(FETCHER);
-        if is_fetcher && let Ok(lines) = platform.list().await {
-            context.core.borrow_mut().apply_host_list(&lines);
+        if is_fetcher && let Ok(hosts) = platform.list().await {
+            context.core.borrow_mut().apply_host_list(&hosts);
             // Rows that cannot be removed now are retried after the next read.
             let _ = remove_dead(&context, &platform).await;
         }
@@ -173,9 +175,11 @@
     for member in dead {
         let key = format!("{STEWARD_PREFIX}{}", member.host);
         let row = table.read(&key).await?;
-        let line = row.as_ref().and_then(|row| serde_json::from_str::<StewardRow>(&row.value).ok());
+        let steward =
+            row.as_ref().and_then(|row| serde_json::from_str::<StewardRow>(&row.value).ok());
         // A row of a later incarnation belongs to a steward that has restarted.
-        let is_outdated = line.is_some_and(|line| line.incarnation <= member.incarnation.0);
+        let is_outdated =
+            steward.is_some_and(|steward| steward.incarnation <= member.incarnation.0);
         if let Some(row) = row.filter(|_| is_outdated) {
             let checks = vec![table::Check { key: key.clone(), version: row.version }];
             let changes = vec![table::Change::Delete { key }];
--- a/crates/lagoon-net/src/steward/memory_sweep.rs
+++ b/crates/lagoon-net/src/steward/memory_sweep.rs
@@ -1,6 +1,7 @@
 //! Releases engine memory that dead entry processes still hold. Each engine is swept by the steward
-//! that observes it. A holding is a stream, a reservation or an export that the engine keeps in
-//! memory for an owner, an incarnation of an entry process.
+//! that observes it. A holding is a stream, a reservation or an export (KV cache kept until
+//! another engine imports it) that the engine keeps in memory for an owner, an incarnation of an
+//! entry process.
 //!
 //! Two stewards that both consider themselves the observer only cost extra calls: both apply the
 //! same rules, and releasing a holding twice has no further effect.
@@ -74,8 +75,8 @@
         core.entry_reports.iter().all(|(host, _)| core.group.is_live(host))
     };
     let platform = context.platform.as_ref().filter(|_| !all_live)?;
-    let lines = platform.list().await.ok()?;
-    Some(lines.iter().map(|line| id::Host::from(line.name.as_str())).collect())
+    let hosts = platform.list().await.ok()?;
+    Some(hosts.iter().map(|host| id::Host::from(host.name.as_str())).collect())
 }
 
 /// Queries the other zones about owners that are not hosts of this one. An owner that no zone knows
--- a/crates/lagoon-net/src/steward/session.rs
+++ b/crates/lagoon-net/src/steward/session.rs
@@ -12,8 +12,8 @@
 use crate::link;
 use crate::wire;
 
-/// Maximum number of incoming connections: hosts of a zone, gateways of other zones, an entry
-/// process and some operators.
+/// Maximum number of incoming connections: stewards of the zone, the gateways of other zones (the
+/// stewards that keep links between zones), an entry process and some operators.
 const MAX_CONNECTIONS: usize = 256;
 
 /// Approximate bytes of a frame besides its message, for the counters: length, tag, sender,
--- a/crates/lagoon-net/src/steward/settings.rs
+++ b/crates/lagoon-net/src/steward/settings.rs
@@ -43,7 +43,8 @@
     pub membership: membership::Settings,
     /// The lease under which commands are sent to engines.
     pub lease: lease::Settings,
-    /// Time between two reads of the document's head by the zone's fetcher.
+    /// Time between two reads of the document's head row, which lists the newest version of each
+    /// section, by the zone's fetcher.
     pub poll_interval: clock::Span,
     /// Time between two reads of the load of an upstream that this steward observes.
     pub observe_interval: clock::Span,
--- a/crates/lagoon-net/src/steward/usage.rs
+++ b/crates/lagoon-net/src/steward/usage.rs
@@ -1,4 +1,6 @@
-//! The idle ledger: meters the engines that this steward observes, and sums rows for reports.
+//! The idle ledger: records how the time of each engine is used, as work for customers, idle time
+//! or unobserved time (`lagoonline::control::ledger`). This steward meters the engines that it
+//! observes, writes the rows to the table, and sums rows for reports.
 
 use std::collections;
 
--- a/crates/lagoon-net/src/steward/zones.rs
+++ b/crates/lagoon-net/src/steward/zones.rs
@@ -64,7 +64,8 @@
     call_any(context, zone.clone(), addresses, call).await.text
 }
 
-/// Returns the addresses of the stewards of the other zones, gateways first.
+/// Returns the addresses of the stewards of the other zones. The gateways of a zone, which are its
+/// stewards that keep links to other zones, come first.
 fn addresses(context: &Context) -> collections::BTreeMap<id::Zone, Vec<net::SocketAddr>> {
     let core = context.core.borrow();
     let mut zones = collections::BTreeMap::<_, Vec<_>>::new();
--- a/crates/lagoon-net/src/wire/compact.rs
+++ b/crates/lagoon-net/src/wire/compact.rs
@@ -113,9 +113,9 @@
 /// use lagoon_net::wire;
 /// use lagoonline::port::engine;
 /// let line = wire::CompactLoad::new(&"e".into(), &engine::LoadReport::default(), 200);
-/// assert_eq!(wire::parse_compact_loads(&wire::compact_loads(&[line])), [line]);
+/// assert_eq!(wire::decode_compact_loads(&wire::encode_compact_loads(&[line])), [line]);
 /// ```
-pub fn compact_loads(lines: &[CompactLoad]) -> message::CompactLoads {
+pub fn encode_compact_loads(lines: &[CompactLoad]) -> message::CompactLoads {
     let mut message = message::CompactLoads::default();
     for line in lines {
         message.upstreams.push(line.upstream);
@@ -131,7 +131,7 @@
 }
 
 /// Decodes the compact loads of a message; returns none if its columns differ in length.
-pub fn parse_compact_loads(message: &message::CompactLoads) -> Vec<CompactLoad> {
+pub fn decode_compact_loads(message: &message::CompactLoads) -> Vec<CompactLoad> {
     let count = message.upstreams.len();
     let numbers = [&message.lives, &message.running, &message.waiting, &message.prefill_thousands];
     let more = [&message.kv_free_parts, &message.ages];
--- a/crates/lagoon-net/src/wire/convert.rs
+++ b/crates/lagoon-net/src/wire/convert.rs
@@ -13,9 +13,9 @@
 /// ```
 /// use lagoon_net::wire;
 /// let versions = [("a".into(), lagoonline::id::Version(3))].into();
-/// assert_eq!(wire::versions(&wire::team_versions(&versions)), versions);
+/// assert_eq!(wire::decode_versions(&wire::encode_versions(&versions)), versions);
 /// ```
-pub fn team_versions(versions: &replication::Versions) -> Vec<message::TeamVersion> {
+pub fn encode_versions(versions: &replication::Versions) -> Vec<message::TeamVersion> {
     let line = |(team, version): (&id::Team, &id::Version)| message::TeamVersion {
         team: team.to_string(),
         version: version.0,
@@ -24,7 +24,7 @@
 }
 
 /// Decodes versions.
-pub fn versions(lines: &[message::TeamVersion]) -> replication::Versions {
+pub fn decode_versions(lines: &[message::TeamVersion]) -> replication::Versions {
     let pair = |line: &message::TeamVersion| {
         (id::Team::from(line.team.as_str()), id::Version(line.version))
     };
@@ -32,7 +32,7 @@
 }
 
 /// Encodes a section with its full text.
-pub fn section(section: &document::Section) -> message::Section {
+pub fn encode_section(section: &document::Section) -> message::Section {
     message::Section {
         team: section.team.to_string(),
         version: section.version.0,
@@ -42,7 +42,7 @@
 }
 
 /// Encodes a section as deltas from a version that the receiver has.
-pub fn section_with_deltas(
+pub fn encode_section_deltas(
     section: &document::Section,
     deltas: &[document::Delta],
 ) -> message::Section {
@@ -50,11 +50,11 @@
         team: section.team.to_string(),
         version: section.version.0,
         text: String::new(),
-        deltas: deltas.iter().map(delta).collect(),
+        deltas: deltas.iter().map(encode_delta).collect(),
     }
 }
 
-fn delta(delta: &document::Delta) -> message::Delta {
+fn encode_delta(delta: &document::Delta) -> message::Delta {
     let offset = |number: usize| u32::try_from(number).unwrap_or(u32::MAX);
     let step = |step: &document::Step| match step {
         document::Step::Copy { start, length } => message::DeltaStep {
@@ -75,7 +75,7 @@
 }
 
 /// Decodes the deltas of a section. A malformed hash becomes one that matches no text.
-pub fn deltas(section: &message::Section) -> Vec<document::Delta> {
+pub fn decode_deltas(section: &message::Section) -> Vec<document::Delta> {
     let step = |step: &message::DeltaStep| {
         if step.text.is_empty() {
             let (start, length) = (step.start as usize, step.length as usize);
@@ -93,7 +93,7 @@
 }
 
 /// Decodes a report of an entry process.
-pub fn report(status: &message::Status) -> replication::Report {
+pub fn decode_report(status: &message::Status) -> replication::Report {
     replication::Report {
         zone: id::Zone::from(status.zone.as_str()),
         incarnation: id::Incarnation(status.incarnation),
@@ -102,12 +102,12 @@
         ready: status.ready,
         draining: status.draining,
         in_flight: status.in_flight,
-        in_force: versions(&status.in_force),
+        in_force: decode_versions(&status.in_force),
     }
 }
 
 /// Encodes a report of an entry process.
-pub fn status(host: &id::Host, report: &replication::Report) -> message::Status {
+pub fn encode_status(host: &id::Host, report: &replication::Report) -> message::Status {
     message::Status {
         host: host.to_string(),
         zone: report.zone.to_string(),
@@ -115,7 +115,7 @@
         ready: report.ready,
         draining: report.draining,
         in_flight: report.in_flight,
-        in_force: team_versions(&report.in_force),
+        in_force: encode_versions(&report.in_force),
         number: report.sequence,
         gone: report.entry_down,
         changes: false,
@@ -123,7 +123,7 @@
 }
 
 /// Decodes membership updates; members with a malformed address are left out.
-pub fn membership_updates(members: &message::Members) -> Vec<membership::Update> {
+pub fn decode_members(members: &message::Members) -> Vec<membership::Update> {
     let member = |line: &message::Member| {
         Some(membership::Update::Member(membership::Member {
             host: id::Host::from(line.host.as_str()),
@@ -147,7 +147,7 @@
 }
 
 /// Encodes membership updates.
-pub fn members(updates: &[membership::Update]) -> message::Members {
+pub fn encode_members(updates: &[membership::Update]) -> message::Members {
     let mut message = message::Members::default();
     for item in updates {
         match item {
@@ -171,7 +171,11 @@
 }
 
 /// Encodes a load that was read `age_ms` milliseconds ago.
-pub fn load(upstream: &id::Upstream, load: &engine::LoadReport, age_ms: u64) -> message::Load {
+pub fn encode_load(
+    upstream: &id::Upstream,
+    load: &engine::LoadReport,
+    age_ms: u64,
+) -> message::Load {
     message::Load {
         upstream: upstream.to_string(),
         running: load.running,
@@ -187,7 +191,7 @@
 }
 
 /// Decodes a load.
-pub fn engine_load(load: &message::Load) -> engine::LoadReport {
+pub fn decode_load(load: &message::Load) -> engine::LoadReport {
     engine::LoadReport {
         running: load.running,
         waiting: load.waiting,
--- a/crates/lagoon-net/src/wire/message.rs
+++ b/crates/lagoon-net/src/wire/message.rs
@@ -22,7 +22,7 @@
     /// Sequence number of the frame on its connection, or of the sender's datagrams, from 1.
     #[prost(uint64, tag = "4")]
     pub sequence: u64,
-    /// The sender's wall clock in milliseconds since the Unix epoch.
+    /// The sender's wall clock in milliseconds since the Unix epoch; 0 on connections.
     #[prost(uint64, tag = "5")]
     pub wall_ms: u64,
     /// Nonce that the receiving side chose for this connection; empty in datagrams.
@@ -60,7 +60,7 @@
     /// Report of an entry process.
     #[prost(message, tag = "23")]
     Status(Status),
-    /// Recent spending of customers at one entry host.
+    /// Recent spending of customers at one entry host: requests and tokens admitted.
     #[prost(message, tag = "24")]
     Spending(Spending),
     /// Call of an operator, or of a steward of another zone.
@@ -183,16 +183,16 @@
     pub incarnation: u64,
 }
 
-/// A watcher's vote on whether a steward is dead.
+/// A vote on whether a steward is dead, by a steward that exchanges heartbeats with it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Vote {
-    /// The watcher.
+    /// The host of the voter.
     #[prost(string, tag = "1")]
     pub by: String,
-    /// The watcher's incarnation.
+    /// The voter's incarnation.
     #[prost(uint64, tag = "2")]
     pub by_incarnation: u64,
-    /// Sequence number of the watcher's votes.
+    /// Sequence number of the voter's votes.
     #[prost(uint64, tag = "3")]
     pub number: u64,
     /// The steward voted on.
@@ -363,7 +363,7 @@
     /// Incarnation of its entry process.
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
-    /// Whether it accepts requests.
+    /// Whether load balancers may send requests to it.
     #[prost(bool, tag = "4")]
     pub ready: bool,
     /// Whether it is shutting down.
@@ -394,7 +394,8 @@
     pub statuses: Vec<Status>,
 }
 
-/// Spending of one customer at one entry host within the time of the message.
+/// Spending of one customer at one entry host within the time of the message: what was admitted
+/// under its rate limits (`limit::Usage`).
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Spend {
     /// The customer.
@@ -445,7 +446,8 @@
     Drain = 6,
     /// Returns the desired and actual state of engines and the commands (orders) sent to them.
     Orders = 7,
-    /// Returns sums of the idle ledger.
+    /// Returns sums of the idle ledger: how long engines worked for each customer or team, were
+    /// idle, or were not observed.
     Usage = 8,
     /// Returns the status of entry processes of the zone, for stewards of other zones.
     Owners = 9,
--- a/crates/lagoon-net/tests/entry/claims.rs
+++ b/crates/lagoon-net/tests/entry/claims.rs
@@ -162,7 +162,8 @@
 }
 
 // The engine is down during the first call, which fails and leaves a claim that names a stream the
-// engine does not have. The next call with the key gets a new response.
+// engine does not have. The next call with the key gets a new response. `cut_after_chunks` has no
+// effect while the engine refuses connections.
 #[test]
 fn a_stream_that_is_gone_runs_again() {
     let (first, second, _table) = start_two(host::quick());
--- a/crates/lagoon-net/tests/entry/settings.rs
+++ b/crates/lagoon-net/tests/entry/settings.rs
@@ -10,7 +10,7 @@
     let text =
         format!(r#"{{"listen": "127.0.0.1:0", "host": "a", "zone": "suva", "queue": {queue}}}"#);
     let parsed = entry::Settings::parse(&text);
-    parsed.map(|(settings, _)| settings.load).map_err(|faults| faults.to_string())
+    parsed.map(|(settings, _)| settings.scheduling).map_err(|faults| faults.to_string())
 }
 
 #[test]
