--- a/crates/lagoon-gateway/src/mesh.rs
+++ b/crates/lagoon-gateway/src/mesh.rs
@@ -7,9 +7,6 @@
 //! dispatches in flight, and it forwards the updates of its zone to other zones. Hosts rank by
 //! their share of a processor core, the largest first, then by name.
 //!
-//! A host that tracks the dispatches of its zone is a candidate: in a large zone the leader and its
-//! possible successors, in a small zone every host.
-//!
 //! [`routing::Roster`]: lagoonline::routing::Roster
 
 use std::collections;
@@ -132,7 +129,7 @@
 /// Announces this host to those that track dispatches in flight; they answer with theirs.
 pub(crate) fn announce(state: &state::State) {
     send_zone_heartbeat(state);
-    if state::lock(&state.peers).roster.is_candidate(state.clock.now()) {
+    if state::lock(&state.peers).roster.tracks_in_flight(state.clock.now()) {
         send_remote_heartbeat(state);
     }
 }
--- a/crates/lagoon-gateway/src/publish.rs
+++ b/crates/lagoon-gateway/src/publish.rs
@@ -30,7 +30,7 @@
         }
         let is_target = peers.is_among(address, &roster.heartbeat_targets(now));
         let in_own_zone = peers.is_in_zone(address, zone);
-        if !roster.is_candidate(now)
+        if !roster.tracks_in_flight(now)
             || in_own_zone && !is_target
             || !in_own_zone && !roster.is_leader(now)
         {
--- a/crates/lagoon-gateway/src/quarantine/mod.rs
+++ b/crates/lagoon-gateway/src/quarantine/mod.rs
@@ -209,7 +209,7 @@
     /// evidence against every request that ran beside a lethal one.
     pub(crate) fn update_quarantine(&self) {
         let now = self.clock.now();
-        let evaluates = state::lock(&self.peers).roster.is_candidate(now);
+        let evaluates = state::lock(&self.peers).roster.tracks_in_flight(now);
         let mut quarantine = state::lock(&self.quarantine.inner);
         quarantine.expire(now);
         let verdicts = if evaluates { quarantine.evaluate(now) } else { Vec::new() };
--- a/crates/lagoonline/src/id.rs
+++ b/crates/lagoonline/src/id.rs
@@ -70,7 +70,7 @@
     Service
 }
 name! {
-    /// A route: requests to one host under one path prefix.
+    /// A route: requests with one `Host` header under one path prefix.
     Route
 }
 name! {
@@ -112,8 +112,9 @@
 #[serde(transparent)]
 pub struct Fence(pub u64);
 
-/// Random id of 128 bits, written as 32 hex digits: of one dispatch of a request to an upstream, of
-/// an idempotency claim, or of a reservation on an engine.
+/// Random id of 128 bits, written as 32 hex digits. It identifies an attempt, which is one dispatch
+/// of a request to an upstream. Idempotency claims and reservations on engines have ids of the same
+/// type.
 ///
 /// ```
 /// use lagoonline::id::Attempt;
--- a/crates/lagoonline/src/lifecycle/claim/decision.rs
+++ b/crates/lagoonline/src/lifecycle/claim/decision.rs
@@ -58,7 +58,7 @@
     if record.token == request.token.to_string() {
         return Decision::Own(row.version);
     }
-    if record.body != request.request_hash && safeguards.has(safeguard::Safeguard::BodyMatch) {
+    if record.body != request.request_hash && safeguards.has(safeguard::Safeguard::RequestMatch) {
         return Decision::RequestMismatch;
     }
     match record.state {
--- a/crates/lagoonline/src/lifecycle/claim/driver.rs
+++ b/crates/lagoonline/src/lifecycle/claim/driver.rs
@@ -33,7 +33,7 @@
 /// [`Claims::settle`] until it returns `true`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Abandoned {
-    row: String,
+    row_key: String,
     record: record::Record,
     deadline: clock::Moment,
     /// The highest row version that one of its pending commits may still match.
@@ -71,7 +71,7 @@
     Superseded,
     /// The row must no longer be written.
     TooLate,
-    /// No attempt got a definite reply.
+    /// No commit was confirmed; one that got no reply may still be applied.
     Unknown {
         last_version: u64,
     },
@@ -117,54 +117,57 @@
         request: record::Request,
         running: &ticket::Running,
     ) -> Result<Begin, Box<Refusal>> {
-        let replaceable = match request.repeat {
+        let replaceable_version = match request.repeat {
             request::Repeat::Allowed => running.version,
             request::Repeat::Never => 0,
         };
-        self.claim(request, replaceable, replaceable).await
+        self.claim(request, replaceable_version, replaceable_version).await
     }
 
-    /// `base_version` is the row version to overwrite. A running claim at version `replaceable` may
-    /// be replaced.
+    /// Claims the key of `request` by a commit over the row version `base_version`, where 0 means
+    /// that the row does not exist yet. A running claim is replaced only at the row version
+    /// `replaceable_version`; 0 matches none.
     async fn claim(
         &self,
         request: record::Request,
         mut base_version: u64,
-        replaceable: u64,
+        replaceable_version: u64,
     ) -> Result<Begin, Box<Refusal>> {
-        let row = self.row_key(&request);
+        let row_key = self.row_key(&request);
         let record = self.record(&request, claimed(&request, request.token));
         let mut unconfirmed = None;
         let mut refused = false;
         for _ in 0..self.settings.max_commits {
-            match self.commit(&row, &record, base_version).await {
-                Ok(version) => return Ok(Begin::Run(self.ticket(request, row, version))),
+            match self.commit(&row_key, &record, base_version).await {
+                Ok(version) => return Ok(Begin::Run(self.ticket(request, row_key, version))),
                 // Reads may still work, and the row may hold the answer.
                 Err(table::Error::Refused { .. }) => refused = true,
                 Err(table::Error::Conflict { .. }) => {}
                 Err(table::Error::Unknown { .. }) => {
                     unconfirmed = Some(base_version.max(unconfirmed.unwrap_or(0)));
                     if !self.settings.safeguards.has(safeguard::Safeguard::ReadBack) {
-                        return Ok(Begin::Run(self.ticket(request, row, base_version + 1)));
+                        return Ok(Begin::Run(self.ticket(request, row_key, base_version + 1)));
                     }
                 }
             }
-            let Ok(found) = self.table.read(&row).await else {
+            let Ok(found) = self.table.read(&row_key).await else {
                 continue;
             };
             match decision::decide(found.as_ref(), &request, self.settings.safeguards) {
+                // After a commit was refused, in this round or before, the row is read only to find
+                // the claim of an earlier request, and there is none.
                 decision::Decision::Free(_) if refused => break,
                 decision::Decision::Free(version) => base_version = version,
                 decision::Decision::Own(version) => {
-                    return Ok(Begin::Run(self.ticket(request, row, version)));
+                    return Ok(Begin::Run(self.ticket(request, row_key, version)));
                 }
-                decision::Decision::Running(running) if running.version == replaceable => {
-                    base_version = replaceable
+                decision::Decision::Running(running) if running.version == replaceable_version => {
+                    base_version = replaceable_version
                 }
                 decision => return self.resolve_held_key(decision).await,
             }
         }
-        self.give_up(&request, row, record, unconfirmed)
+        self.give_up(&request, row_key, record, unconfirmed)
     }
 
     /// Handles a key that is held by another request.
@@ -187,7 +190,7 @@
     fn give_up(
         &self,
         request: &record::Request,
-        row: String,
+        row_key: String,
         record: record::Record,
         unconfirmed: Option<u64>,
     ) -> Result<Begin, Box<Refusal>> {
@@ -197,7 +200,7 @@
         let failure = failure(outcome::Reason::PlatformDown, outcome::Outcome::NotRun)
             .retry_after(self.settings.retry_after);
         let abandoned = unconfirmed.map(|last_version| Abandoned {
-            row,
+            row_key,
             record,
             deadline: request.deadline,
             last_version,
@@ -219,7 +222,8 @@
                 }
             },
         };
-        // The object may have been deleted or replaced by retention since the row was read.
+        // The object may be gone because its retention ended after the row was read. The hash also
+        // detects an object with another body.
         let is_complete = body.len() as u64 == bytes && record::sha256(&body) == sha256;
         if !is_complete && self.settings.safeguards.has(safeguard::Safeguard::AnswerCheck) {
             return Err(failure(outcome::Reason::EarlierUnknown, outcome::Outcome::Unknown).into());
@@ -245,13 +249,15 @@
     /// Frees the key of a request that did not run and never will.
     ///
     /// The caller may be told `not-run` before this completes, because the ticket is consumed.
+    /// Returns a claim to settle in the background if the key could not be freed for certain, or
+    /// `None` if nothing is left to do.
     pub async fn release(&self, ticket: ticket::Ticket) -> Option<Abandoned> {
         match self.rewrite(&ticket, record::State::Released).await {
             RewriteResult::Written | RewriteResult::Superseded | RewriteResult::TooLate => None,
             RewriteResult::Unknown { last_version } => {
                 let record = self.record(&ticket.request, record::State::Released);
                 Some(Abandoned {
-                    row: ticket.row,
+                    row_key: ticket.row_key,
                     record,
                     deadline: ticket.request.deadline,
                     last_version,
@@ -305,13 +311,13 @@
         if let (true, Ok(text)) = (is_short, std::str::from_utf8(&answer.body)) {
             return Some(record::BodyLocation::Inline(text.to_owned()));
         }
-        let key = format!("answer/{}/{}", sent.0.row, sent.0.request.token);
+        let key = format!("answer/{}/{}", sent.0.row_key, sent.0.request.token);
         self.objects.put(&key, answer.body.clone()).await.ok()?;
         Some(record::BodyLocation::Object(key))
     }
 
-    /// Makes one attempt to free the key of an abandoned claim; returns `true` when nothing is left
-    /// to do. Call it about once a second.
+    /// Tries once to free the key of an abandoned claim; returns `true` when nothing is left to do.
+    /// Call it about once a second.
     ///
     /// Without this, a delayed commit could still be applied and the key would answer 409 until its
     /// retention ends. A `released` row with a version above every version that the commit can
@@ -323,7 +329,7 @@
         if self.is_too_late(abandoned.deadline) {
             return true;
         }
-        let Ok(found) = self.table.read(&abandoned.row).await else {
+        let Ok(found) = self.table.read(&abandoned.row_key).await else {
             return false;
         };
         let version = found.as_ref().map_or(0, |row| row.version);
@@ -340,10 +346,10 @@
         }
         let tombstone =
             record::Record { state: record::State::Released, ..abandoned.record.clone() };
-        self.commit(&abandoned.row, &tombstone, version).await.is_ok()
+        self.commit(&abandoned.row_key, &tombstone, version).await.is_ok()
     }
 
-    /// Overwrites this claim's own row; returns `Unknown` if no attempt got a definite reply.
+    /// Overwrites this claim's own row; returns `Unknown` if no commit was confirmed.
     async fn rewrite(&self, ticket: &ticket::Ticket, state: record::State) -> RewriteResult {
         let record = self.record(&ticket.request, state);
         let mut base_version = ticket.version;
@@ -351,12 +357,12 @@
             if self.is_too_late(ticket.request.deadline) {
                 return RewriteResult::TooLate;
             }
-            match self.commit(&ticket.row, &record, base_version).await {
+            match self.commit(&ticket.row_key, &record, base_version).await {
                 Ok(_) => return RewriteResult::Written,
                 Err(table::Error::Refused { .. }) => continue,
                 Err(table::Error::Conflict { .. } | table::Error::Unknown { .. }) => {}
             }
-            let Ok(found) = self.table.read(&ticket.row).await else {
+            let Ok(found) = self.table.read(&ticket.row_key).await else {
                 continue;
             };
             let Some(found) = found else {
@@ -383,16 +389,16 @@
 
     async fn commit(
         &self,
-        row: &str,
+        row_key: &str,
         record: &record::Record,
         base_version: u64,
     ) -> Result<u64, table::Error> {
         let value = serde_json::to_string(record).unwrap_or_default();
-        let check = table::Check { key: row.to_owned(), version: base_version };
+        let check = table::Check { key: row_key.to_owned(), version: base_version };
         let has_check = self.settings.safeguards.has(safeguard::Safeguard::VersionCheck);
         let transaction = table::Transaction {
             checks: has_check.then_some(check).into_iter().collect(),
-            changes: vec![table::Change::Put { key: row.to_owned(), value }],
+            changes: vec![table::Change::Put { key: row_key.to_owned(), value }],
         };
         let versions = self.table.commit(transaction).await?;
         Ok(versions.first().copied().unwrap_or(base_version + 1))
@@ -416,8 +422,8 @@
         }
     }
 
-    fn ticket(&self, request: record::Request, row: String, version: u64) -> ticket::Ticket {
-        ticket::Ticket { request, row, version, safeguards: self.settings.safeguards }
+    fn ticket(&self, request: record::Request, row_key: String, version: u64) -> ticket::Ticket {
+        ticket::Ticket { request, row_key, version, safeguards: self.settings.safeguards }
     }
 }
 
--- a/crates/lagoonline/src/lifecycle/claim/settings.rs
+++ b/crates/lagoonline/src/lifecycle/claim/settings.rs
@@ -29,8 +29,8 @@
 pub const MIN_RETENTION: clock::Span = clock::Span::from_secs(24 * 3_600);
 /// Longest deadline that a document may configure. A row is written until `WRITE_GRACE` after the
 /// deadline, and the same time again is left for a suspended host or a delayed commit before the
-/// retention can end. Otherwise a host could dispatch, or free, a key whose row has been deleted,
-/// and the call would run twice.
+/// retention can end. Otherwise a host could still dispatch a request, or free its key, after the
+/// row was deleted, and the call would run twice.
 pub const MAX_DEADLINE: clock::Span = MIN_RETENTION.saturating_sub(WRITE_GRACE.saturating_mul(2));
 /// A platform outage may last this long before an answer is left unstored.
 const WRITE_GRACE: clock::Span = clock::Span::from_secs(3_600);
--- a/crates/lagoonline/src/lifecycle/claim/sweep.rs
+++ b/crates/lagoonline/src/lifecycle/claim/sweep.rs
@@ -2,10 +2,10 @@
 //!
 //! The table holds millions of rows and one sweep reads them all; a single steward doing so would
 //! carry a constant load of 80 KB per second. Rows are therefore divided into [`SHARDS`] shards,
-//! each swept by one steward, and the shards are scheduled by the wall clock, so that the whole
-//! fleet makes one read per [`SweepSettings::interval`] without coordination. Two stewards sweeping
-//! the same shard cost extra reads but never delete a row that is in use: each row is deleted only
-//! at the version that was read.
+//! each swept by one steward, which the caller of [`Sweeper`] chooses. The shards are scheduled by
+//! the wall clock, so that the whole fleet makes one read per [`SweepSettings::interval`] without
+//! coordination. Two stewards sweeping the same shard cost extra reads but never delete a row that
+//! is in use: each row is deleted only at the version that was read.
 
 use super::record;
 use super::settings;
@@ -29,8 +29,8 @@
 
 /// Rows per read and commit.
 const BATCH: usize = 200;
-/// Scans rows at twice the rate at which 90 keyed requests per second add them, at the cost of one
-/// read in 2,000.
+/// With [`BATCH`] rows per step, scans rows at twice the rate at which 90 keyed requests per second
+/// add them. One read in 2,000 is then made by the sweep.
 const INTERVAL: clock::Span = clock::Span::from_secs(1);
 
 impl Default for SweepSettings {
--- a/crates/lagoonline/src/lifecycle/claim/ticket.rs
+++ b/crates/lagoonline/src/lifecycle/claim/ticket.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub struct Ticket {
     pub(super) request: record::Request,
-    pub(super) row: String,
+    pub(super) row_key: String,
     pub(super) version: u64,
     pub(super) safeguards: safeguard::Set,
 }
--- a/crates/lagoonline/src/lifecycle/drain.rs
+++ b/crates/lagoonline/src/lifecycle/drain.rs
@@ -20,7 +20,8 @@
 
 /// Two probes of a load balancer that probes readiness once a second, and one to spare.
 const UNREADY: clock::Span = clock::Span::from_secs(3);
-/// Answering a million-token prompt takes minutes.
+/// Covers a million-token prompt, which takes minutes to answer. With longer deadlines
+/// [`Settings::grace`] must be longer.
 const GRACE: clock::Span = clock::Span::from_secs(3_600);
 
 impl Default for Settings {
--- a/crates/lagoonline/src/lifecycle/leaving.rs
+++ b/crates/lagoonline/src/lifecycle/leaving.rs
@@ -64,7 +64,8 @@
         Some(mark)
     }
 
-    /// Merges the platform's host list; returns the marks that changed.
+    /// Merges the platform's host list; returns the marks that changed. Every entry is taken for an
+    /// upstream; marks made for entry hosts are dropped by [`Marks::retain`].
     pub fn apply_list(&mut self, entries: &[hosts::Entry]) -> Vec<(id::Upstream, Mark)> {
         let merge = |entry: &hosts::Entry| {
             let upstream = id::Upstream::from(entry.name.as_str());
--- a/crates/lagoonline/src/lifecycle/reap.rs
+++ b/crates/lagoonline/src/lifecycle/reap.rs
@@ -157,8 +157,8 @@
 /// cut, which removes all hosts but the reaper's own.
 const MIN_HEARD_SHARE: f64 = 0.5;
 
-/// Covers a client's first few retries. A host that restarts right away has a new incarnation,
-/// which proves its old streams dead without waiting for the owner timeout.
+/// Covers a client's first few retries. The earlier incarnation of a host that restarts right away
+/// counts as dead without waiting for the owner timeout, so only this window keeps its streams.
 const TAKEOVER_WINDOW: clock::Span = clock::Span::from_secs(15);
 
 impl Default for Settings {
@@ -232,11 +232,11 @@
     }
 
     /// Records that the owner's liveness cannot be determined, for example because its availability
-    /// zone is cut off. What it holds is left to the engine's own expiry.
+    /// zone is cut off. It counts as alive, so what it holds is left to the engine's own expiry.
     ///
     /// Without this, a zone cut off from the reaper's zone would be taken for dead, and streams
     /// that engines still deliver to it over another path would be interrupted. Such owners do not
-    /// count as silent.
+    /// count in the share of heard hosts either.
     pub fn record_unsure(&mut self, owner: &id::Owner, now: clock::Moment) {
         if self.settings.safeguards.has(safeguard::Safeguard::UnsureOwner) {
             self.record_remote_alive(owner, now);
@@ -342,9 +342,10 @@
         due.map(|(holding, _)| holding.id.clone()).collect()
     }
 
-    /// Returns whether a dead owner's holding may be released now. A host that restarts right away
-    /// proves its old streams dead without a timeout; if they were released without this delay, a
-    /// caller that resumes one a second later would have its million tokens prefilled again.
+    /// Returns whether a dead owner's holding may be released now. The earlier incarnation of a host
+    /// that restarts right away is dead without a timeout; if its streams were released without
+    /// this delay, a caller that resumes one a second later would have its million tokens prefilled
+    /// again.
     fn is_releasable(
         &self,
         holding: &engine::Holding,
--- a/crates/lagoonline/src/lifecycle/safeguard.rs
+++ b/crates/lagoonline/src/lifecycle/safeguard.rs
@@ -11,8 +11,8 @@
     VersionCheck,
     /// A claim whose commit got no reply is read back before it is dispatched.
     ReadBack,
-    /// A key that is reused with a different body is refused.
-    BodyMatch,
+    /// A key that is reused with a different method, path or body is refused.
+    RequestMatch,
     /// A non-idempotent call never takes over a claim that may have been dispatched.
     NoTakeover,
     /// A non-idempotent call whose answer was lost keeps its key.
@@ -29,7 +29,8 @@
     Settle,
     /// A cancel is repeated until it is acknowledged.
     CancelRepeat,
-    /// An owner counts as dead only if it was not seen for a certain time.
+    /// An owner without a later incarnation counts as dead only if it was not seen for a certain
+    /// time.
     OwnerSilence,
     /// A reaper that receives few heartbeats releases nothing on account of missing ones.
     CutOffReaper,
@@ -44,7 +45,7 @@
     pub const ALL: [Safeguard; 15] = [
         Safeguard::VersionCheck,
         Safeguard::ReadBack,
-        Safeguard::BodyMatch,
+        Safeguard::RequestMatch,
         Safeguard::NoTakeover,
         Safeguard::UnknownKept,
         Safeguard::CustomerScope,
--- a/crates/lagoonline/src/lifecycle/stream.rs
+++ b/crates/lagoonline/src/lifecycle/stream.rs
@@ -52,6 +52,8 @@
 /// let mut checker = Checker::new(Attempt(1));
 /// assert_eq!(checker.chunk(Attempt(1), 0), Ok(()));
 /// assert_eq!(checker.chunk(Attempt(2), 1), Err(Violation::WrongAttempt));
+/// // The connection is closed and the stream is resumed over another one, at the next chunk.
+/// assert_eq!(checker.next(), 1);
 /// assert_eq!(checker.end(Attempt(1), 1), Ok(()));
 /// assert!(checker.is_complete());
 /// ```
--- a/crates/lagoonline/src/outcome.rs
+++ b/crates/lagoonline/src/outcome.rs
@@ -85,7 +85,7 @@
     UnknownName,
     /// The caller took too long to send its request.
     SlowCaller,
-    /// The idempotency key was used before with a different body.
+    /// The idempotency key was used before with a different method, path or body.
     KeyReused,
     /// An earlier request with this idempotency key may have run.
     EarlierUnknown,
--- a/crates/lagoonline/src/port/hosts.rs
+++ b/crates/lagoonline/src/port/hosts.rs
@@ -1,5 +1,6 @@
 //! The platform's list of entry hosts and upstreams, live and leaving. It lags and is used only as
-//! a hint.
+//! a hint: of upstreams that get no new work (see [`crate::lifecycle::leaving`]), and of entry
+//! hosts that are gone (see [`crate::lifecycle::owner`]).
 
 use std::future;
 
--- a/crates/lagoonline/src/routing/mod.rs
+++ b/crates/lagoonline/src/routing/mod.rs
@@ -66,7 +66,7 @@
     pub weight: u32,
 }
 
-/// A route: requests to one host under one path prefix.
+/// A route: requests with one `Host` header under one path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Name, used in logs and metrics.
@@ -157,7 +157,7 @@
 /// An upstream, as it registered itself at the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Registration {
-    /// Name of the upstream; here a restarted process usually registers under a new name.
+    /// Name of the upstream. A restarted process usually registers under a new name.
     pub upstream: id::Upstream,
     /// The service it belongs to.
     pub service: id::Service,
--- a/crates/lagoonline/src/routing/roster.rs
+++ b/crates/lagoonline/src/routing/roster.rs
@@ -1,14 +1,15 @@
 //! Determines, without coordination, the leader of each zone: the host that acts for the others. It
-//! polls the zone's engines for load reports and, in a large zone, schedules the requests of the
-//! other hosts and tells other zones what is in flight.
+//! polls the zone's engines for load reports and, in a large zone, is the scheduler: it schedules
+//! the requests of the other hosts, which is to choose the upstream for each, and tells other zones
+//! what is in flight. The candidates are the leader and its possible successors.
 //!
 //! There are hundreds of entry hosts with one or two requests per second each. If every host told
 //! every other of each dispatch, each would receive as many messages as all hosts send together; if
 //! every host detected failing engines on its own, a crash would affect hundreds of requests. The
 //! leader is the first live host of a zone, ordered by size and name; in a zone of at least
 //! [`Settings::min_hosts`] it schedules for the others. There is no agreement protocol: two hosts
-//! that both schedule only cost efficiency, and a host that gets no answer asks the next one and
-//! finally decides on its own.
+//! that both schedule only cost efficiency, and a host that gets no answer asks the next candidate
+//! and finally schedules its request itself.
 
 use std::cmp;
 use std::collections;
@@ -20,11 +21,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// Minimum number of hosts in a zone for one of them to schedule for the others. In a smaller
-    /// zone each host receives enough information about the others to decide equally well on its
-    /// own.
+    /// zone each host receives enough information about the others to schedule its own requests
+    /// equally well.
     pub min_hosts: u64,
-    /// Number of live hosts of a zone that know everything in flight: the leader and its possible
-    /// successors.
+    /// Number of candidates of a zone: live hosts that know everything in flight, which are the
+    /// leader and its possible successors.
     pub candidates: usize,
     /// Maximum number of hosts that heartbeats are sent to, so that a zone that lost most of its
     /// hosts does not make the remaining ones contact all of them.
@@ -32,16 +33,17 @@
     /// Time without an answer to a heartbeat between entry hosts after which a host counts as dead.
     /// It covers two heartbeats of `lagoon-gateway`, so that a single lost one has no effect.
     pub heartbeat_timeout: clock::Span,
-    /// How long a host that did not answer, or declined, the question where to send a request is
-    /// not asked again.
+    /// How long a host that did not answer a question to the scheduler, or declined it, is not
+    /// asked again.
     pub skip_duration: clock::Span,
     /// Maximum pause between two calls to a failing platform, for a host of a small zone. Short
     /// enough to notice the end of an outage well within the bounds on its effects.
     pub max_pause_small_zone: clock::Span,
-    /// Maximum pause for a possible scheduler of a large zone, which the other hosts ask.
+    /// Maximum pause for a candidate of a large zone, which the other hosts ask for the platform's
+    /// state.
     pub max_pause_candidate: clock::Span,
     /// Maximum pause for the other hosts of a large zone.
-    pub max_pause_follower: clock::Span,
+    pub max_pause_others: clock::Span,
     /// How long a host of another zone counts as alive after it was last heard.
     pub remote_timeout: clock::Span,
 }
@@ -56,7 +58,7 @@
             skip_duration: clock::Span::from_secs(1),
             max_pause_small_zone: clock::Span::from_millis(400),
             max_pause_candidate: clock::Span::from_millis(800),
-            max_pause_follower: clock::Span::from_millis(2_500),
+            max_pause_others: clock::Span::from_millis(2_500),
             remote_timeout: clock::Span::from_secs(3),
         }
     }
@@ -87,7 +89,7 @@
     last_contact: Option<clock::Moment>,
     /// When the first heartbeat that it has not answered was sent.
     unanswered_since: Option<clock::Moment>,
-    /// Until when it is not asked where to send a request, because it did not answer or declined.
+    /// Until when it is not asked as the scheduler, because it did not answer or declined.
     skipped_until: Option<clock::Moment>,
 }
 
@@ -120,7 +122,7 @@
     }
 }
 
-/// All known hosts, ranked within each zone by the order in which they become its scheduler.
+/// All known hosts, ranked within each zone by the order in which they become its leader.
 ///
 /// ```
 /// use lagoonline::{clock::Moment, id::{Host, Zone}, routing::{HostInfo, Roster, RosterSettings}};
@@ -194,8 +196,8 @@
         self.hosts.len() + 1
     }
 
-    /// Returns the number of hosts that decide where requests are placed: one for each zone with a
-    /// scheduler, and all hosts of the other zones.
+    /// Returns the number of hosts that schedule requests: one for each zone with a scheduler, and
+    /// all hosts of the other zones.
     pub fn placing_hosts(&self) -> usize {
         let placing = |(zone, hosts): (&id::Zone, &Vec<id::Host>)| {
             if self.has_scheduler(zone) { 1 } else { hosts.len() }
@@ -218,8 +220,8 @@
         }
     }
 
-    /// Records that a host did not answer, or declined, the question where to send a request, so
-    /// that it is skipped for a while.
+    /// Records that a host did not answer a question to the scheduler, or declined it, so that it
+    /// is skipped for a while.
     pub fn skip(&mut self, host: &id::Host, now: clock::Moment) {
         if let Some(known) = self.hosts.get_mut(host) {
             known.skipped_until = Some(now + self.settings.skip_duration);
@@ -242,7 +244,7 @@
         self.has_scheduler(&self.info.zone)
     }
 
-    /// Returns the host to ask where to send a request, or `None` if this host decides on its own.
+    /// Returns the host to ask to schedule a request, or `None` if this host schedules it itself.
     pub fn scheduler(&self, now: clock::Moment) -> Option<id::Host> {
         if !self.own_zone_has_scheduler() {
             return None;
@@ -259,23 +261,23 @@
         self.candidates(now).next().is_none_or(|host| *host == self.own)
     }
 
-    /// Returns whether this host must know everything in flight in its zone: as the leader or a
-    /// possible successor, or as any host of a small zone, where each decides on its own.
-    pub fn is_candidate(&self, now: clock::Moment) -> bool {
+    /// Returns whether this host must know everything in flight in its zone: as a candidate of a
+    /// large zone, or as any host of a small zone, where each schedules its own requests.
+    pub fn tracks_in_flight(&self, now: clock::Moment) -> bool {
         !self.own_zone_has_scheduler() || self.candidates(now).any(|host| *host == self.own)
     }
 
     /// Returns the maximum pause between two calls to a failing platform.
     ///
     /// During a platform outage of several seconds, two hundred hosts would call it repeatedly
-    /// until it is back. The first hosts of each zone are enough to detect its recovery. The others
-    /// ask them every second and call the platform only rarely, in case it refuses only those
-    /// hosts.
+    /// until it is back. The candidates of each zone are enough to detect its recovery. The others
+    /// ask them for the platform's state every second and call the platform only rarely, in case it
+    /// refuses only those hosts.
     pub fn max_retry_pause(&self, now: clock::Moment) -> clock::Span {
-        match (self.own_zone_has_scheduler(), self.is_candidate(now)) {
+        match (self.own_zone_has_scheduler(), self.tracks_in_flight(now)) {
             (false, _) => self.settings.max_pause_small_zone,
             (true, true) => self.settings.max_pause_candidate,
-            (true, false) => self.settings.max_pause_follower,
+            (true, false) => self.settings.max_pause_others,
         }
     }
 
@@ -347,12 +349,13 @@
         }
         let heard = |zone: &id::Zone| self.ranked(zone).any(|host| self.is_heard(host, now));
         let first = self.ranks.keys().find(|zone| **zone == self.info.zone || heard(zone));
-        // Before this time no host of another zone can have been heard.
+        // Until then, not having heard from a zone does not show that all its hosts are dead: this
+        // host may have started too recently to have heard from any.
         let has_listened = now.since(self.started) > self.settings.remote_timeout;
         has_listened && !heard(zone) && first == Some(&self.info.zone)
     }
 
-    /// Returns the leader of this zone and its possible successors, which may include this host.
+    /// Returns the candidates of this zone, the leader first; this host may be one of them.
     fn candidates(&self, now: clock::Moment) -> impl Iterator<Item = &id::Host> {
         let ranked = self.ranked(&self.info.zone);
         ranked.filter(move |host| self.is_live(host, now)).take(self.settings.candidates)
--- a/crates/lagoonline/src/routing/source.rs
+++ b/crates/lagoonline/src/routing/source.rs
@@ -31,10 +31,10 @@
     /// propagation time old. The rest is needed for the last question asked and for reading the
     /// platform itself.
     pub search_share: f64,
-    /// Number of hosts skipped at a time after which one more is asked and then the platform itself
-    /// is read. During a platform outage no host can answer, and asking every host of a large zone
+    /// Number of hosts that are tried after the first one in order, before the platform itself is
+    /// read. During a platform outage no host can answer, and asking every host of a large zone
     /// would only add load.
-    pub max_skipped: usize,
+    pub max_fallbacks: usize,
 }
 
 impl Default for Settings {
@@ -44,7 +44,7 @@
             skip_failed: clock::Span::from_secs(3),
             skip_idle: clock::Span::from_millis(250),
             search_share: 0.3,
-            max_skipped: 4,
+            max_fallbacks: 4,
         }
     }
 }
@@ -162,7 +162,7 @@
         if self.is_small() {
             return Source::Platform;
         }
-        let mut candidates = self.ranked_hosts().take(self.settings.max_skipped + 1);
+        let mut candidates = self.ranked_hosts().take(self.settings.max_fallbacks + 1);
         let first = candidates.find(|(host, _)| self.is_available(host, now));
         match first {
             Some((host, _)) if *host != self.own => Source::Peer(host.clone()),
--- a/crates/lagoonline/src/view.rs
+++ b/crates/lagoonline/src/view.rs
@@ -1,5 +1,6 @@
-//! The merged configuration document that an entry host of `lagoon-net` works with: all sections in
-//! force. The configuration of `lagoon-gateway` is [`crate::routing::Table`].
+//! View of the configuration document that the entry hosts and stewards of `lagoon-net` work with:
+//! a [`Fleet`] merges all sections in force. The configuration of `lagoon-gateway` is
+//! [`crate::routing::Table`].
 
 use std::collections;
 use std::sync;
@@ -37,7 +38,8 @@
     pub entry: document::Upstream,
 }
 
-/// All sections in force at one time, merged and indexed. Immutable and shared.
+/// The merged configuration document: all sections in force at one time, indexed for lookups. It
+/// names upstreams but no entry hosts. Immutable and shared.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     /// The version in force of each team's section.
--- a/crates/lagoonline/tests/life_fuzz/machine.rs
+++ b/crates/lagoonline/tests/life_fuzz/machine.rs
@@ -198,6 +198,6 @@
 
 fn end_retention(world: &mut World) {
     world.environment.platform.drop_delayed();
-    world.exempt_unfinished();
+    world.let_unfinished_hold_keys();
     world.advance(clock::Span::from_secs(25 * 3_600));
 }
--- a/crates/lagoonline/tests/life_fuzz/main.rs
+++ b/crates/lagoonline/tests/life_fuzz/main.rs
@@ -141,7 +141,7 @@
     #[values(
         Safeguard::VersionCheck,
         Safeguard::ReadBack,
-        Safeguard::BodyMatch,
+        Safeguard::RequestMatch,
         Safeguard::NoTakeover,
         Safeguard::UnknownKept,
         Safeguard::CustomerScope,
@@ -172,7 +172,7 @@
 }
 
 /// The checks of the stream checker are safeguards, too. The consumer ignores one of them at a time,
-/// and the oracle must detect it; only `AfterEnd` is never ignored.
+/// and the oracle must detect it. There is no case for `Violation::AfterEnd`.
 #[rstest]
 fn oracle_notices_ignored_check(
     #[values(
--- a/crates/lagoonline/tests/life_fuzz/oracle.rs
+++ b/crates/lagoonline/tests/life_fuzz/oracle.rs
@@ -94,7 +94,7 @@
     let task = &world.tasks[world.tokens[&record.token]];
     let dispatched = world.environment.dispatched.borrow().contains(&task.token);
     assert!(
-        !task.exchange.call.at_most_once || dispatched || task.crashed || task.is_exempt,
+        !task.exchange.call.at_most_once || dispatched || task.crashed || task.may_hold_key,
         "a key is blocked: {:?}",
         task.exchange.call
     );
--- a/crates/lagoonline/tests/life_fuzz/scenarios.rs
+++ b/crates/lagoonline/tests/life_fuzz/scenarios.rs
@@ -108,6 +108,7 @@
     let (platform, clock) = (Platform::default(), clock::Fake::default());
     let claims = claims(&platform, &clock);
     let never = request::Repeat::Never;
+    // In each of the three rounds of `begin` the commit is delayed and the read after it is lost.
     for fault in [Fault::Delay, Fault::LoseRequest].repeat(3) {
         platform.inject(fault);
     }
--- a/crates/lagoonline/tests/life_fuzz/world.rs
+++ b/crates/lagoonline/tests/life_fuzz/world.rs
@@ -71,9 +71,9 @@
     pub token: id::Attempt,
     future: Option<Pin<Box<dyn Future<Output = ()>>>>,
     pub crashed: bool,
-    /// Whether its write grace passed before it ended, or the retention passed before its delayed
-    /// commit was applied.
-    pub is_exempt: bool,
+    /// Whether its claim may hold the key although its call was never dispatched, because its write
+    /// grace passed before it ended, or a sweep deleted the row that blocked its delayed commit.
+    pub may_hold_key: bool,
 }
 
 pub struct World {
@@ -129,7 +129,7 @@
             token,
             future: Some(future),
             crashed: false,
-            is_exempt: false,
+            may_hold_key: false,
         });
     }
 
@@ -192,14 +192,17 @@
         self.tasks.iter_mut().filter(due).for_each(Task::step);
     }
 
-    pub fn exempt_unfinished(&mut self) {
+    /// Allows the claims of all unfinished tasks to hold their keys, as their write grace is about
+    /// to pass.
+    pub fn let_unfinished_hold_keys(&mut self) {
         for task in &mut self.tasks {
-            task.is_exempt |= task.future.is_some();
+            task.may_hold_key |= task.future.is_some();
         }
     }
 
     /// A sweep may delete the row that blocks a delayed commit of a claim, so that the commit holds
-    /// the key for one more retention. This is a known limit; only the affected calls are exempt.
+    /// the key for one more retention. This is a known limit; only the claims of the affected
+    /// calls may hold their keys.
     pub fn sweep(&mut self) {
         let before = self.environment.platform.delayed_with_row();
         let now = self.environment.clock.wall_millis();
@@ -211,7 +214,7 @@
         }
         let after = platform.delayed_with_row();
         for token in before.difference(&after) {
-            self.tasks[self.tokens[token]].is_exempt = true;
+            self.tasks[self.tokens[token]].may_hold_key = true;
         }
     }
 }
--- a/crates/lagoonline/tests/routing.rs
+++ b/crates/lagoonline/tests/routing.rs
@@ -96,8 +96,8 @@
 }
 
 /// The platform recovered three seconds ago. A registration that vanishes now did not expire in the
-/// outage: its upstream left without notice, and a request sent to it would arrive too late after
-/// that.
+/// outage: its upstream left without notice, and if it were kept, requests would be sent to it for
+/// longer than the bound on leaving upstreams allows.
 #[rstest]
 fn a_registration_that_vanishes_after_the_recovery_is_dropped_at_once() {
     let mut registry = routing::Registry::default();
@@ -195,11 +195,11 @@
 #[rstest]
 #[case(2_000)]
 #[case(4_000)]
-fn the_search_for_a_reader_ends_within_the_bound(#[case] apply: u64) {
+fn the_search_for_a_reader_ends_within_the_bound(#[case] max_propagation: u64) {
     const MAX_ANSWER_TIME: Span = Span::from_millis(1_300);
-    let apply = Span::from_millis(apply);
-    let search = routing::SourceSettings::default().search_span(apply);
-    assert!(search + MAX_ANSWER_TIME < apply, "{search:?} of {apply:?}");
+    let max_propagation = Span::from_millis(max_propagation);
+    let search = routing::SourceSettings::default().search_span(max_propagation);
+    assert!(search + MAX_ANSWER_TIME < max_propagation, "{search:?} of {max_propagation:?}");
 }
 
 /// In a small zone every host reads the platform itself, even the smallest.
--- a/crates/lagoonline/tests/routing_roster.rs
+++ b/crates/lagoonline/tests/routing_roster.rs
@@ -161,7 +161,8 @@
 }
 
 /// With 3, 40 and 200 hosts and no failures, each zone's engines must be polled once per second by
-/// a single host, and the number of heartbeats per host must not grow with the fleet.
+/// a single host, and the number of heartbeats and answers per host must stay below a bound that
+/// does not grow with the fleet.
 #[rstest]
 #[case(3, 3)]
 #[case(40, 5)]
@@ -265,7 +266,7 @@
 }
 
 /// The scheduler does not answer a question. The next question goes to the second host at once,
-/// then to the third, and then this host decides on its own, so that no request waits for a dead
+/// then to the third, and then this host schedules by itself, so that no request waits for a dead
 /// host twice. After a second the first host is asked again, unless it does not answer heartbeats
 /// either.
 #[rstest]
@@ -286,8 +287,8 @@
     assert_eq!(first(&roster, now).as_deref(), Some("h00"));
 }
 
-/// In a zone of few hosts each decides on its own and tells all others; the first host of a large
-/// zone asks no other.
+/// In a zone of few hosts each schedules its own requests and tells all others what is in flight;
+/// the leader of a large zone asks no other.
 #[rstest]
 #[case(9, 5)]
 #[case(0, 20)]
