--- a/crates/lagoon-gateway/src/message.rs
+++ b/crates/lagoon-gateway/src/message.rs
@@ -270,8 +270,8 @@
 /// links.
 pub(crate) const MAX_ITEMS_BYTES: usize = 1_350;
 
-/// Splits `items` into parts of at most [`MAX_ITEMS_BYTES`], one for each datagram; returns at least
-/// one part. An item that is too large gets a part of its own.
+/// Splits `items` into parts of at most [`MAX_ITEMS_BYTES`], one for each datagram; returns at
+/// least one part. An item that is too large gets a part of its own.
 pub(crate) fn pack<Item>(items: Vec<Item>) -> Vec<Vec<Item>>
 where
     Item: Message,
