--- a/crates/lagoon-gateway/src/metrics.rs
+++ b/crates/lagoon-gateway/src/metrics.rs
@@ -22,7 +22,7 @@
 /// Labels of the histogram of first events.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct FirstEventLabels {
-    /// Length class of the prompt, one of those in [`Metrics::first_event`].
+    /// Length class of the prompt, one of those in [`Metrics::record_first_event`].
     pub(crate) length: &'static str,
 }
 
