--- a/crates/lagoon-gateway/src/metrics.rs
+++ b/crates/lagoon-gateway/src/metrics.rs
@@ -22,7 +22,7 @@
 /// Labels of the histogram of first events.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub(crate) struct FirstEventLabels {
-    /// Length class of the prompt, one of those in [`Metrics::first_event`].
+    /// Length class of the prompt, one of those in [`Metrics::record_first_event`].
     pub(crate) length: &'static str,
 }
 
@@ -112,8 +112,9 @@
     }
 
     /// Records that the first event of an answer to a prompt of `tokens` tokens was sent after
-    /// `span`.
-    pub(crate) fn first_event(&self, tokens: u64, span: std::time::Duration) {
+    /// `span`. Zero tokens, the label `none`, stand for an answer that is not streamed or a prompt
+    /// of unknown length.
+    pub(crate) fn record_first_event(&self, tokens: u64, span: std::time::Duration) {
         let length = match tokens {
             0 => "none",
             1..10_000 => "short",
