--- a/crates/lagoon-net/src/entry/state.rs
+++ b/crates/lagoon-net/src/entry/state.rs
@@ -54,14 +54,14 @@
     pub(crate) metrics: metrics::Metrics,
     pub(crate) cancels: cancel::Sender,
     pub(crate) link: link::Link,
-    /// Request limits of the platform's clients; `None` without a platform.
+    /// Limits on this host's calls to the platform; `None` without a platform.
     pub(crate) platform_limits: Option<sync::Arc<platform::Limits>>,
     /// Rate limits of the customers.
     rate_limits: sync::Mutex<limit::Limits>,
     view: ArcSwap<View>,
     /// The newest known section of each team.
     sections: sync::Mutex<collections::BTreeMap<id::Team, document::Section>>,
-    /// When the fleet last changed: the age of the view when there is no steward.
+    /// When the fleet's configuration last changed: the age of the view when there is no steward.
     fleet_changed_at: sync::Mutex<clock::Moment>,
     /// Sends new queues to the control thread, which wakes their requests: the thread of the entry
     /// host that runs `server::serve`, besides the worker threads.
@@ -134,7 +134,7 @@
         self.install_fleet(sync::Arc::new(view::Fleet::merge(current.values())));
     }
 
-    /// Replaces the fleet of the current view.
+    /// Replaces the fleet's configuration in the current view.
     pub(crate) fn install_fleet(&self, fleet: view::Shared) {
         // Held until the new view is stored: of two concurrent changes, the later one must keep the
         // queues that the earlier one created.
--- a/crates/lagoon-net/src/operator/client.rs
+++ b/crates/lagoon-net/src/operator/client.rs
@@ -60,7 +60,7 @@
     pub version: u64,
     /// Whether every live entry host of every zone reports it in force.
     pub accepted: bool,
-    /// Where the version is missing: one line for each entry host, or for a zone without a reply.
+    /// Where the version is missing: one string for each entry host, or for a zone without a reply.
     pub missing: Vec<String>,
 }
 
--- a/crates/lagoon-net/src/steward/calls.rs
+++ b/crates/lagoon-net/src/steward/calls.rs
@@ -343,21 +343,21 @@
 async fn orders(context: &Context, call: &wire::Call) -> Outcome {
     if call.text == ZONE_ONLY {
         let core = context.core.borrow();
-        let lines: Vec<_> = core.engine_status.values().cloned().collect();
-        return Ok(json!(lines));
+        let engines: Vec<_> = core.engine_status.values().cloned().collect();
+        return Ok(json!(engines));
     }
     authorize_operator(context, call)?;
     let forwarded = wire::Call { text: ZONE_ONLY.to_owned(), key: String::new(), ..call.clone() };
-    let mut lines = Vec::new();
+    let mut engines = Vec::new();
     let mut silent = Vec::new();
     for reply in zones::call_reconcilers(context, &forwarded).await {
         let parsed = reply.text.and_then(|text| serde_json::from_str(&text).ok());
         match parsed {
-            Some(serde_json::Value::Array(found)) => lines.extend(found),
+            Some(serde_json::Value::Array(found)) => engines.extend(found),
             _ => silent.push(reply.zone.to_string()),
         }
     }
-    Ok(json!({ "engines": lines, "silent_zones": silent }))
+    Ok(json!({ "engines": engines, "silent_zones": silent }))
 }
 
 /// Sums the idle ledger; `text` is a JSON [`operator::UsageQuery`].
--- a/crates/lagoon-net/src/wire/convert.rs
+++ b/crates/lagoon-net/src/wire/convert.rs
@@ -16,19 +16,19 @@
 /// assert_eq!(wire::decode_versions(&wire::encode_versions(&versions)), versions);
 /// ```
 pub fn encode_versions(versions: &replication::Versions) -> Vec<message::TeamVersion> {
-    let line = |(team, version): (&id::Team, &id::Version)| message::TeamVersion {
+    let encode = |(team, version): (&id::Team, &id::Version)| message::TeamVersion {
         team: team.to_string(),
         version: version.0,
     };
-    versions.iter().map(line).collect()
+    versions.iter().map(encode).collect()
 }
 
 /// Decodes versions.
-pub fn decode_versions(lines: &[message::TeamVersion]) -> replication::Versions {
-    let pair = |line: &message::TeamVersion| {
-        (id::Team::from(line.team.as_str()), id::Version(line.version))
+pub fn decode_versions(versions: &[message::TeamVersion]) -> replication::Versions {
+    let decode = |entry: &message::TeamVersion| {
+        (id::Team::from(entry.team.as_str()), id::Version(entry.version))
     };
-    lines.iter().map(pair).collect()
+    versions.iter().map(decode).collect()
 }
 
 /// Encodes a section with its full text.
@@ -124,22 +124,22 @@
 
 /// Decodes membership updates; members with a malformed address are left out.
 pub fn decode_members(members: &message::Members) -> Vec<membership::Update> {
-    let member = |line: &message::Member| {
+    let member = |member: &message::Member| {
         Some(membership::Update::Member(membership::Member {
-            host: id::Host::from(line.host.as_str()),
-            zone: id::Zone::from(line.zone.as_str()),
-            address: line.address.parse().ok()?,
-            incarnation: id::Incarnation(line.incarnation),
+            host: id::Host::from(member.host.as_str()),
+            zone: id::Zone::from(member.zone.as_str()),
+            address: member.address.parse().ok()?,
+            incarnation: id::Incarnation(member.incarnation),
         }))
     };
-    let vote = |line: &message::Vote| {
+    let vote = |vote: &message::Vote| {
         membership::Update::Vote(membership::Vote {
-            voter: id::Host::from(line.by.as_str()),
-            voter_incarnation: id::Incarnation(line.by_incarnation),
-            sequence: line.number,
-            host: id::Host::from(line.host.as_str()),
-            incarnation: id::Incarnation(line.incarnation),
-            against: line.against,
+            voter: id::Host::from(vote.by.as_str()),
+            voter_incarnation: id::Incarnation(vote.by_incarnation),
+            sequence: vote.number,
+            host: id::Host::from(vote.host.as_str()),
+            incarnation: id::Incarnation(vote.incarnation),
+            against: vote.against,
         })
     };
     let all = members.members.iter().filter_map(member);
--- a/crates/lagoon-net/src/wire/message.rs
+++ b/crates/lagoon-net/src/wire/message.rs
@@ -221,7 +221,7 @@
 /// sender leaves out a team to request the full text of its section.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Digest {
-    /// One line for each team.
+    /// One entry for each team.
     #[prost(message, repeated, tag = "1")]
     pub versions: Vec<TeamVersion>,
 }
@@ -418,7 +418,7 @@
     /// Time covered, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub span_ms: u64,
-    /// One line for each customer.
+    /// One entry for each customer.
     #[prost(message, repeated, tag = "3")]
     pub lines: Vec<Spend>,
     /// Sequence number of the host's messages, so that one that arrives by two routes counts once.
