--- a/crates/lagoon-burn/src/collect.rs
+++ b/crates/lagoon-burn/src/collect.rs
@@ -10,7 +10,8 @@
 /// Why a scrape failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The host could not be reached, or its response was not successful, incomplete or too large.
+    /// The host could not be reached, or its response had an error status, was incomplete or was
+    /// too large.
     #[error("scraping {host}: {reason}")]
     Scrape {
         /// The entry host.
--- a/crates/lagoon-burn/src/indicator.rs
+++ b/crates/lagoon-burn/src/indicator.rs
@@ -218,7 +218,8 @@
     let (mut lower, mut events_at_lower) = (0.0, 0.0);
     for &(upper, events) in buckets {
         if events >= rank && upper.is_finite() {
-            // The lower limit avoids a division by 0 for an empty bucket.
+            // An empty bucket would cause a division by 0, so the divisor is at least
+            // `f64::MIN_POSITIVE`.
             let position =
                 (rank - events_at_lower) / (events - events_at_lower).max(f64::MIN_POSITIVE);
             return Some(lower + (upper - lower) * position);
--- a/crates/lagoon-burn/src/lib.rs
+++ b/crates/lagoon-burn/src/lib.rs
@@ -6,6 +6,7 @@
 //! use lagoonline::{control::document, id};
 //! let text = r#"{"policy": {"objectives": [
 //!     {"name": "answers", "indicator": "within_deadline", "target": 0.99}]}}"#;
+//! // A team that is called `labels`, unrelated to the labels of metrics.
 //! let team = id::Team::from("labels");
 //! let section = document::Section::parse(team, id::Version(1), text).unwrap();
 //! let mut store = store::Store::default();
--- a/crates/lagoon-burn/src/main.rs
+++ b/crates/lagoon-burn/src/main.rs
@@ -67,8 +67,8 @@
 
 const PROGRAM: &str = "lagoon-burn";
 
-/// Exit code when an alert fires or the command fails. Both have the same code because scripts must
-/// react to both.
+/// Exit code when an alert fires, the command fails, or any scrape of `collect` fails. All have the
+/// same code because scripts must react to each of them.
 const ALERT_OR_FAILURE: u8 = program::FAILED;
 
 #[derive(Debug, thiserror::Error)]
@@ -173,10 +173,10 @@
     if args.json {
         println!("{}", serde_json::to_string_pretty(&report)?);
     } else {
-        print!("{}", text::write(&report));
+        print!("{}", text::render(&report));
     }
     if let Some(file) = &args.html {
-        fs::write(file, page::write(&report))?;
+        fs::write(file, page::render(&report))?;
     }
     let alert = report.worst_alert().is_some();
     Ok(if alert { process::ExitCode::from(ALERT_OR_FAILURE) } else { process::ExitCode::SUCCESS })
--- a/crates/lagoon-burn/src/page.rs
+++ b/crates/lagoon-burn/src/page.rs
@@ -6,7 +6,8 @@
 use crate::report;
 use crate::text;
 
-/// Style sheet of the page.
+/// Style sheet of the HTML page. The classes `page` and `ticket` style the urgency of an alert:
+/// the class is the label of the urgency in lower case.
 const STYLE: &str = "body{font:15px/1.45 system-ui,sans-serif;max-width:800px;margin:24px auto;\
 color:#222;padding:0 12px}h1{font-size:22px;margin-bottom:0}h2{font-size:17px;margin:28px 0 4px}\
 table{border-collapse:collapse;width:100%}td,th{text-align:right;padding:4px 8px;\
@@ -22,9 +23,9 @@
 /// ```
 /// use lagoon_burn::{page, report, store};
 /// let report = report::Report::new(&[], &store::Store::default(), 0);
-/// assert!(page::write(&report).starts_with("<!doctype html>"));
+/// assert!(page::render(&report).starts_with("<!doctype html>"));
 /// ```
-pub fn write(report: &report::Report) -> String {
+pub fn render(report: &report::Report) -> String {
     let mut out = String::new();
     let _ = write!(
         out,
--- a/crates/lagoon-burn/src/plot.rs
+++ b/crates/lagoon-burn/src/plot.rs
@@ -103,8 +103,8 @@
     area.present()
 }
 
-/// Formats a duration in seconds, minutes, hours or days. A unit is used for durations of at least
-/// two of it.
+/// Formats a duration: in minutes from 2 minutes on, in hours from 2 hours on, in days from 2 days
+/// on, and in seconds below that.
 fn format_age(seconds: f64) -> String {
     match seconds {
         s if s < 120.0 => format!("{s:.0} s"),
--- a/crates/lagoon-burn/src/series.rs
+++ b/crates/lagoon-burn/src/series.rs
@@ -36,11 +36,11 @@
 /// Returns the growth of each counter of one host between the timestamps `from` (exclusive) and
 /// `to` (inclusive).
 ///
-/// Failure mode: a host restarts and its counters start again at 0. Symptom of a plain difference:
-/// it is negative, and the report shows fewer errors than there were. A counter that decreased is
-/// therefore assumed to have restarted from 0. This loses only the events between the last scrape
-/// before the restart and the restart itself, unless the counter has reached its old value again by
-/// the next scrape: such a restart is not noticed.
+/// Failure mode: a host restarts and its counters start again at 0. Subtracting the old value from
+/// the new one would then give a negative growth, and the report would show fewer errors than there
+/// were. A counter that decreased is therefore assumed to have restarted from 0. This loses only
+/// the events between the last scrape before the restart and the restart itself, unless the counter
+/// has reached its old value again by the next scrape: such a restart is not noticed.
 ///
 /// ```
 /// use lagoon_burn::series;
--- a/crates/lagoon-burn/src/text.rs
+++ b/crates/lagoon-burn/src/text.rs
@@ -28,9 +28,9 @@
 /// ```
 /// use lagoon_burn::{report, store, text};
 /// let report = report::Report::new(&[], &store::Store::default(), 0);
-/// assert!(text::write(&report).contains("no entry host was scraped"));
+/// assert!(text::render(&report).contains("no entry host was scraped"));
 /// ```
-pub fn write(report: &report::Report) -> String {
+pub fn render(report: &report::Report) -> String {
     let mut out = String::new();
     let _ = writeln!(out, "service-level burn at {} over {} s", report.at, report.span);
     for objective in &report.objectives {
--- a/crates/lagoon-burn/tests/cli.rs
+++ b/crates/lagoon-burn/tests/cli.rs
@@ -14,13 +14,14 @@
 }
 
 /// Writes two scrapes of one host, between which `unknown` of 100 requests ended as unknown, and a
-/// section with one objective. Returns the folder.
+/// section of the team `labels` with one objective. Returns the folder.
 fn write_scrapes_and_section(name: &str, unknown: u64) -> path::PathBuf {
     let folder = path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let host = folder.join("suva-1");
     fs::create_dir_all(&host).unwrap();
-    for (timestamp, times) in [(1_000, 0), (1_060, 1)] {
-        let (done, unknown) = ((100 - unknown) * times, unknown * times);
+    // All counters are 0 in the first scrape.
+    for (timestamp, factor) in [(1_000, 0), (1_060, 1)] {
+        let (done, unknown) = ((100 - unknown) * factor, unknown * factor);
         let text = format!(
             "# TYPE lagoon_requests counter\n\
              lagoon_requests_total{{outcome=\"done\",reason=\"\"}} {done}\n\
--- a/crates/lagoon-burn/tests/report.rs
+++ b/crates/lagoon-burn/tests/report.rs
@@ -7,8 +7,9 @@
 use lagoonline::id;
 use rstest::rstest;
 
-const SCRAPE_SECONDS: u64 = 60;
+const SECONDS_PER_MINUTE: u64 = 60;
 
+/// Returns a section of the team `labels`, whose name is unrelated to the labels of metrics.
 fn section(objectives: &str) -> document::Section {
     let text = format!(r#"{{"policy": {{"objectives": [{objectives}]}}}}"#);
     document::Section::parse(id::Team::from("labels"), id::Version(1), &text).unwrap()
@@ -20,8 +21,8 @@
     ))
 }
 
-/// Counters of requests. Entry hosts label them with `kind` and `name`; the label `model` in their
-/// place selects the model as well.
+/// Returns counters of requests for one model, which the label `model` names. Entry hosts name the
+/// model of such counters in the labels `kind` and `name` instead; the report accepts both.
 fn requests(done: u64, unknown: u64) -> String {
     format!(
         "# TYPE lagoon_requests counter\n\
@@ -36,7 +37,7 @@
     let mut store = store::Store::default();
     let (mut done, mut unknown) = (0, 0);
     for minute in 0..=minutes {
-        store.add("suva-1", minute * SCRAPE_SECONDS, &requests(done, unknown)).unwrap();
+        store.add("suva-1", minute * SECONDS_PER_MINUTE, &requests(done, unknown)).unwrap();
         let failed = if failing.contains(&minute) { bad } else { 0 };
         done += 100 - failed;
         unknown += failed;
@@ -63,7 +64,7 @@
     let report = report::Report::new(
         &[answers_section(0.99)],
         &store(1_440, failing, bad),
-        1_440 * SCRAPE_SECONDS,
+        1_440 * SECONDS_PER_MINUTE,
     );
     assert_eq!(report.worst_alert(), expected);
 }
@@ -74,9 +75,9 @@
 fn failures_are_counted_across_a_restart() {
     let mut store = store::Store::default();
     for (minute, done, unknown) in [(0, 0, 0), (1, 90, 10), (2, 45, 5), (3, 135, 15)] {
-        store.add("suva-1", minute * SCRAPE_SECONDS, &requests(done, unknown)).unwrap();
+        store.add("suva-1", minute * SECONDS_PER_MINUTE, &requests(done, unknown)).unwrap();
     }
-    let report = report::Report::new(&[answers_section(0.9)], &store, 3 * SCRAPE_SECONDS);
+    let report = report::Report::new(&[answers_section(0.9)], &store, 3 * SECONDS_PER_MINUTE);
     let objective = &report.objectives[0];
     assert_eq!(objective.events, 250.0);
     assert!((objective.good_share.unwrap() - 0.9).abs() < 1e-9);
@@ -90,8 +91,8 @@
 fn a_host_without_scrapes_is_reported() {
     let mut store = store(60, 0..60, 1);
     store.add("suva-2", 0, &requests(0, 0)).unwrap();
-    store.add("suva-2", SCRAPE_SECONDS, &requests(10, 0)).unwrap();
-    let report = report::Report::new(&[answers_section(0.9)], &store, 60 * SCRAPE_SECONDS);
+    store.add("suva-2", SECONDS_PER_MINUTE, &requests(10, 0)).unwrap();
+    let report = report::Report::new(&[answers_section(0.9)], &store, 60 * SECONDS_PER_MINUTE);
     assert_eq!(report.missing, ["suva-2: nothing since 60"]);
     let hour = report.objectives[0].burns.iter().find(|burn| burn.window == "1h").unwrap();
     // suva-1 has scrapes of all 60 minutes, suva-2 of one.
@@ -109,8 +110,8 @@
         )
     };
     store.add("a", 0, &scrape(0)).unwrap();
-    store.add("a", SCRAPE_SECONDS, &scrape(10)).unwrap();
-    let report = report::Report::new(&[answers_section(0.9)], &store, SCRAPE_SECONDS);
+    store.add("a", SECONDS_PER_MINUTE, &scrape(10)).unwrap();
+    let report = report::Report::new(&[answers_section(0.9)], &store, SECONDS_PER_MINUTE);
     assert_eq!((report.objectives[0].events, report.objectives[0].good_share), (10.0, Some(1.0)));
 }
 
@@ -127,10 +128,10 @@
         )
     };
     store.add("a", 0, &scrape(0, 0)).unwrap();
-    store.add("a", SCRAPE_SECONDS, &scrape(80, 100)).unwrap();
+    store.add("a", SECONDS_PER_MINUTE, &scrape(80, 100)).unwrap();
     let objective = r#"{"name": "quick", "indicator": "first_token", "class": "short",
                        "bound": 375, "target": 0.95}"#;
-    let report = report::Report::new(&[section(objective)], &store, SCRAPE_SECONDS);
+    let report = report::Report::new(&[section(objective)], &store, SECONDS_PER_MINUTE);
     // Half of the 20 events between 0.25 s and 0.5 s are assumed to lie below 0.375 s.
     assert!((report.objectives[0].good_share.unwrap() - 0.9).abs() < 1e-9);
 }
@@ -139,8 +140,11 @@
 /// and equal ones stay in the order model, zone, customer.
 #[test]
 fn the_worst_offender_comes_first() {
-    let report =
-        report::Report::new(&[answers_section(0.99)], &store(60, 0..60, 10), 60 * SCRAPE_SECONDS);
+    let report = report::Report::new(
+        &[answers_section(0.99)],
+        &store(60, 0..60, 10),
+        60 * SECONDS_PER_MINUTE,
+    );
     let offender = &report.objectives[0].offenders[0];
     assert_eq!((offender.bad, offender.kind), (600.0, "model"));
     assert_eq!(report.objectives[0].offenders[1].name, "nausori");
@@ -151,9 +155,9 @@
     let report = report::Report::new(
         &[answers_section(0.99)],
         &store(1_440, 1_380..1_440, 20),
-        1_440 * SCRAPE_SECONDS,
+        1_440 * SECONDS_PER_MINUTE,
     );
-    let (text, page) = (text::write(&report), page::write(&report));
+    let (text, page) = (text::render(&report), page::render(&report));
     assert!(text.contains("PAGE: burn at or above 14.4 over 1h and 5m"), "{text}");
     assert!(page.contains("burn at or above 14.4 over both 1h and 5m"));
     assert!(page.contains("<svg"));
@@ -165,8 +169,11 @@
 fn names_are_escaped_in_html() {
     let objective = r#"{"name": "<script>", "indicator": "within_deadline", "target": 0.99}"#;
     let store = store(1_440, 1_380..1_440, 20);
-    let page =
-        page::write(&report::Report::new(&[section(objective)], &store, 1_440 * SCRAPE_SECONDS));
+    let page = page::render(&report::Report::new(
+        &[section(objective)],
+        &store,
+        1_440 * SECONDS_PER_MINUTE,
+    ));
     assert!(!page.contains("<script"), "{page}");
     assert!(page.matches("labels/&lt;script&gt;").count() >= 3, "{page}");
 }
@@ -183,7 +190,7 @@
         document::Section::parse(id::Team::from(name), id::Version(1), &text).unwrap()
     };
     let sections = [team("labels", "m"), team("audits", "other")];
-    let report = report::Report::new(&sections, &store(60, 0..60, 50), 60 * SCRAPE_SECONDS);
+    let report = report::Report::new(&sections, &store(60, 0..60, 50), 60 * SECONDS_PER_MINUTE);
     let shares: Vec<_> = report.objectives.iter().map(|objective| objective.good_share).collect();
     assert_eq!(shares, [Some(0.5), None]);
 }
--- a/crates/lagoon-entry/src/main.rs
+++ b/crates/lagoon-entry/src/main.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Runs the entry host until its drain has ended. A thread waits for termination signals: the first
+/// Runs the data path until its drain has ended. A thread waits for termination signals: the first
 /// starts the drain, the second cuts it short, as does the time limit of the drain.
 fn run(settings: entry::Settings) -> io::Result<entry::Ending> {
     logs::start(&settings.logs, PROGRAM)?;
--- a/crates/lagoon-entry/tests/cli.rs
+++ b/crates/lagoon-entry/tests/cli.rs
@@ -22,6 +22,8 @@
     command
 }
 
+/// Valid settings. With `unready_ms` 0, a drain refuses new requests at once instead of reporting
+/// the host as unready for a while first.
 const VALID_SETTINGS: &str =
     r#"{"listen": "127.0.0.1:0", "host": "a", "zone": "b", "unready_ms": 0}"#;
 
@@ -45,9 +47,9 @@
     assert_eq!(missing.status.code(), Some(2));
 }
 
-/// SIGTERM starts a drain. An idle host ends it at once and exits with 0.
+/// SIGTERM starts a drain. A process without requests ends it at once and exits with 0.
 #[test]
-fn sigterm_drains_an_idle_host() {
+fn sigterm_drains_an_idle_process() {
     let good = write_file("signal.json", VALID_SETTINGS);
     let mut child = command(&good, false).stderr(process::Stdio::piped()).spawn().unwrap();
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
--- a/crates/lagoon-steward/src/main.rs
+++ b/crates/lagoon-steward/src/main.rs
@@ -1,4 +1,6 @@
-//! `lagoon-steward`: the control process that runs beside `lagoon-entry` on an entry host.
+//! `lagoon-steward`: the control process that runs beside `lagoon-entry` on an entry host. It
+//! maintains the membership of the fleet, replicates the document of all teams' sections,
+//! distributes the loads of upstreams, sends commands to engines, and serves operators.
 //!
 //! Exit codes: 0 success, 1 failure, 2 invalid arguments or settings.
 
--- a/crates/lagoonctl/src/date.rs
+++ b/crates/lagoonctl/src/date.rs
@@ -1,7 +1,8 @@
 //! Conversion between `YYYY-MM-DD` dates in UTC and days since the Unix epoch.
 
-/// Parses `YYYY-MM-DD` to days since the Unix epoch. `None` if the format is wrong, the year is not
-/// within 1970 to 9999, or the day does not exist.
+/// Parses `YYYY-MM-DD` to days since the Unix epoch. `None` if the text is not three numbers
+/// separated by `-`, the year is not within 1970 to 9999, or the day does not exist. A number may
+/// have any count of digits and a leading `+`.
 pub(crate) fn parse(text: &str) -> Option<u64> {
     let mut parts = text.splitn(3, '-').map(str::parse::<u64>);
     let (year, month, day) = (parts.next()?.ok()?, parts.next()?.ok()?, parts.next()?.ok()?);
@@ -9,6 +10,8 @@
         return None;
     }
     let days = days_to_month(year, month) + day - 1;
+    // A day that its month does not have, such as 30 February, is formatted as a day of the next
+    // month.
     (format(days) == format!("{year:04}-{month:02}-{day:02}")).then_some(days)
 }
 
--- a/crates/lagoonctl/src/print.rs
+++ b/crates/lagoonctl/src/print.rs
@@ -56,6 +56,7 @@
     eprintln!("{error}");
 }
 
+/// Prints the changes that the details of a `raced` error list. Other errors have no changes.
 fn print_conflict(details: &serde_json::Value) {
     if details["changes"].is_array() {
         eprintln!("changed since the version that was edited:");
@@ -69,8 +70,8 @@
 const HOUR_MS: f64 = 3_600_000.0;
 
 /// Prints the usage of accelerators as a table, in accelerator-hours: working time, idle time of
-/// engines with and without a team that claims them, and time in which no steward observed the
-/// engine.
+/// engines that are assigned to a team's claim (its reservation of engines for a model), idle time
+/// of other engines, and time in which no steward observed the engine.
 pub(crate) fn usage(value: &serde_json::Value, json: bool) {
     if json {
         return println!("{value}");
@@ -81,8 +82,9 @@
         "work", "claimed idle", "unclaimed idle", "unobserved"
     );
     for (name, sum) in value["accelerator_ms"].as_object().into_iter().flatten() {
-        let day = name.parse().ok().filter(|_| by == "day").map(date::format);
-        let name = day.as_ref().unwrap_or(name);
+        // Usage by day is keyed by days since the Unix epoch.
+        let date_text = name.parse().ok().filter(|_| by == "day").map(date::format);
+        let name = date_text.as_ref().unwrap_or(name);
         let hours = |field: &str| sum[field].as_f64().unwrap_or_default() / HOUR_MS;
         let (work, claimed) = (hours("work_ms"), hours("claimed_idle_ms"));
         let (unclaimed, unobserved) = (hours("unclaimed_idle_ms"), hours("unobserved_ms"));
@@ -91,7 +93,11 @@
 }
 
 /// Prints one line for each engine, which is an upstream: its model, the decision on it, the number
-/// of commands it was sent, and how many of them undid a late command of another lease holder.
+/// of commands it was sent, and how many of them were repairs. Operators know these commands as
+/// orders. The decision says whether the engine is in the desired state and, if not, what its
+/// steward waits for or how the last command ended. A repair is sent to an engine that ignores
+/// fencing numbers and is no longer in the desired state, as after a late command of an earlier
+/// lease holder.
 pub(crate) fn orders(value: &serde_json::Value, json: bool) {
     if json {
         return println!("{value}");
--- a/crates/lagoonctl/tests/exit_codes.rs
+++ b/crates/lagoonctl/tests/exit_codes.rs
@@ -1,4 +1,5 @@
-//! Output and exit codes of `lagoonctl` against one steward and the stand-in of the platform.
+//! Output and exit codes of `lagoonctl` against one steward and the platform stand-in, whose table
+//! holds the stored sections and usage records.
 
 use std::env;
 use std::fs;
@@ -90,10 +91,10 @@
 }
 
 #[test]
-fn sections_are_stored_read_and_rejected() {
-    // An invalid section is rejected with the JSON path of the fault. A valid one is stored, but
-    // since no `lagoon-entry` runs, it is in force nowhere: the wait ends with exit code 1. A
-    // second put from the same version is rejected and prints what changed.
+fn sections_are_stored_read_and_refused() {
+    // An invalid section of the team `labels` is refused with the JSON path of the fault. A valid
+    // one is stored, but since no `lagoon-entry` runs, it is in force nowhere: the wait ends with
+    // exit code 1. A second put from the same version is refused and prints what changed.
     let fleet = Fleet::start("sections");
     let bad = fleet.file("bad.json", r#"{"model": {}}"#);
     let (code, text) = fleet.run("operators", &["section", "put", "labels", &bad, "--from", "0"]);
@@ -135,7 +136,8 @@
 }
 
 /// Stores the usage record of one interval of an upstream. Intervals are numbered in minutes since
-/// the Unix epoch.
+/// the Unix epoch. `owner` is the team that owns the upstream, `claimant` the team whose claim its
+/// engine is assigned to.
 fn store_interval(fleet: &Fleet, upstream: &str, interval: u64, work_ms: u64) {
     let row = serde_json::json!({
         "interval": interval, "owner": "owners", "model": "m", "accelerators": 2,
@@ -152,11 +154,16 @@
     // the 2nd and 3rd, sums those days only. Days that do not exist, unknown groupings and days in
     // the wrong order are bad usage.
     let fleet = Fleet::start("usage");
-    // 1 March 2024 is day 19 783 since the Unix epoch.
-    let day = 19_783 * 1_440;
+    // 1 March 2024 is day 19 783 since the Unix epoch. A day has 1 440 intervals of one minute.
+    let first_interval = 19_783 * 1_440;
     for (index, upstream) in ["e1", "e2"].into_iter().enumerate() {
-        for days in 0..3 {
-            store_interval(&fleet, upstream, day + days * 1_440 + 5, 10_000 * (index as u64 + 1));
+        for day in 0..3 {
+            store_interval(
+                &fleet,
+                upstream,
+                first_interval + day * 1_440 + 5,
+                10_000 * (index as u64 + 1),
+            );
         }
     }
     let json = |args: &[&str]| -> serde_json::Value {
@@ -172,8 +179,8 @@
     let two = json(&["--by", "customer", "--from", "2024-03-02", "--to", "2024-03-03"]);
     assert_eq!(two["rows"], 4);
     assert_eq!(two["accelerator_ms"]["clerk"]["work_ms"], 120_000);
-    let day = ["usage", "--by", "day", "--from", "2024-03-01", "--to", "2024-03-03"];
-    let (code, text) = fleet.run("operators", &day);
+    let by_day = ["usage", "--by", "day", "--from", "2024-03-01", "--to", "2024-03-03"];
+    let (code, text) = fleet.run("operators", &by_day);
     assert_eq!(code, Some(0), "{text}");
     for date in ["2024-03-01", "2024-03-02", "2024-03-03"] {
         assert!(text.contains(date), "{text}");
