--- a/crates/lagoon-standin/src/engine/cache.rs
+++ b/crates/lagoon-standin/src/engine/cache.rs
@@ -1,4 +1,7 @@
-//! Prefix cache: prompt blocks by hash with LRU eviction, and the log of cache events.
+//! Prefix cache: prompt blocks with LRU eviction, and the log of cache events.
+//!
+//! The key of a block is its prefix hash: the hash of the prompt from its start to the end of the
+//! block, see `prompt::Prompt::prefixes`.
 
 use std::cmp;
 use std::collections;
@@ -15,7 +18,7 @@
     tokens: u64,
     /// Index of the block in its prompt.
     depth: usize,
-    /// Hash of the block before it; `None` for the first one.
+    /// Prefix hash of the block before it; `None` for the first one.
     parent: Option<u64>,
     last_use: u64,
 }
@@ -26,9 +29,10 @@
     block_tokens: u64,
     /// Probability that an event is lost, from the setting `cache_loss`.
     event_loss: f64,
+    /// Blocks by prefix hash.
     blocks: collections::HashMap<u64, Block>,
-    /// Eviction order by (last use, depth, hash): the oldest use first, and the deepest block first
-    /// among those of the same lookup or insert.
+    /// Eviction order by (last use, depth, prefix hash): the oldest use first, and the deepest block
+    /// first among those of the same lookup or insert.
     lru: collections::BTreeSet<(u64, cmp::Reverse<usize>, u64)>,
     use_count: u64,
     sequence: u64,
@@ -58,11 +62,11 @@
     pub(crate) fn lookup(&mut self, prefixes: &[u64]) -> u64 {
         self.use_count += 1;
         let mut tokens = 0;
-        for hash in prefixes {
-            let Some(block) = self.blocks.get_mut(hash) else { break };
-            self.lru.remove(&(block.last_use, cmp::Reverse(block.depth), *hash));
+        for prefix in prefixes {
+            let Some(block) = self.blocks.get_mut(prefix) else { break };
+            self.lru.remove(&(block.last_use, cmp::Reverse(block.depth), *prefix));
             block.last_use = self.use_count;
-            self.lru.insert((block.last_use, cmp::Reverse(block.depth), *hash));
+            self.lru.insert((block.last_use, cmp::Reverse(block.depth), *prefix));
             tokens += block.tokens;
         }
         tokens
@@ -74,28 +78,29 @@
         self.use_count += 1;
         let mut parent = None;
         let max_blocks = usize::try_from(capacity / self.block_tokens).unwrap_or(usize::MAX);
-        for (depth, &hash) in prefixes.iter().take(max_blocks).enumerate() {
-            if !self.blocks.contains_key(&hash) {
+        for (depth, &prefix) in prefixes.iter().take(max_blocks).enumerate() {
+            if !self.blocks.contains_key(&prefix) {
                 while self.tokens() + self.block_tokens > capacity && self.evict(now) {}
                 let block =
                     Block { tokens: self.block_tokens, depth, parent, last_use: self.use_count };
-                self.blocks.insert(hash, block);
-                self.lru.insert((self.use_count, cmp::Reverse(depth), hash));
-                self.record_event(hash, depth, true, now);
+                self.blocks.insert(prefix, block);
+                self.lru.insert((self.use_count, cmp::Reverse(depth), prefix));
+                self.record_event(prefix, depth, true, now);
             }
-            parent = Some(hash);
+            parent = Some(prefix);
         }
     }
 
     /// Evicts the least recently used block. Returns false when the cache is empty.
     pub(crate) fn evict(&mut self, now: time::Instant) -> bool {
-        let Some((_, cmp::Reverse(depth), hash)) = self.lru.pop_first() else { return false };
-        self.blocks.remove(&hash);
-        self.record_event(hash, depth, false, now);
+        let Some((_, cmp::Reverse(depth), prefix)) = self.lru.pop_first() else { return false };
+        self.blocks.remove(&prefix);
+        self.record_event(prefix, depth, false, now);
         true
     }
 
-    /// Returns the hashes from the first block to `prefix`, or `None` when one is not cached.
+    /// Returns the prefix hashes of the blocks from the first one to `prefix`, or `None` when one of
+    /// the blocks is not cached.
     pub(crate) fn chain(&self, prefix: u64) -> Option<Vec<u64>> {
         let mut chain = vec![prefix];
         let mut block = self.blocks.get(&prefix)?;
--- a/crates/lagoon-standin/src/engine/commands.rs
+++ b/crates/lagoon-standin/src/engine/commands.rs
@@ -11,8 +11,8 @@
 
 use super::settings;
 
-/// Bytes requested from the weight store in one call. The store grants bytes of its rate limit; no
-/// weights are transferred.
+/// Bytes requested from the weight store in one call. The store only grants permission to transfer
+/// them, within its rate limit; no weights are transferred.
 const WEIGHT_REQUEST_BYTES: u64 = 256 << 20;
 /// Delay before the next request after the weight store refused one or did not respond.
 const WEIGHT_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
@@ -21,7 +21,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct State {
     pub(crate) model: String,
+    /// Name of the model adapter; empty if there is none.
     pub(crate) adapter: String,
+    /// Version of the model; empty until a load command gives one.
     pub(crate) version: String,
     pub(crate) role: engine::Role,
     /// Highest fencing number seen.
@@ -128,7 +130,9 @@
     engine.lock().commands.finish_load(number);
 }
 
-/// Requests `bytes` of weights. Returns whether the store granted them.
+/// Requests permission to transfer `bytes` of weights. Returns whether the store granted it.
+///
+/// `holder` is the name of this engine; the weight store of the platform stand-in ignores it.
 async fn request_weights(
     client: &ntex::client::Client,
     store: net::SocketAddr,
--- a/crates/lagoon-standin/src/engine/faults.rs
+++ b/crates/lagoon-standin/src/engine/faults.rs
@@ -29,7 +29,9 @@
     pub delay_ms: u64,
     /// Probability that a request is dropped before it is handled, 0 to 1.
     pub loss: f64,
-    /// Zones that are cut off: requests whose `Lagoon-Zone` header names one get no response.
+    /// Zones that are cut off: requests whose `Lagoon-Zone` header names one are held until the cut
+    /// ends. After 30 s their connection is closed without a response. A stream that has already
+    /// started pauses for as long as the cut lasts.
     pub cut: Vec<String>,
 }
 
@@ -52,7 +54,8 @@
 }
 
 impl Faults {
-    /// Returns the faults that are applied before a request reaches the engine.
+    /// Returns the faults that are applied before a request reaches the engine. Of these, `cut` and
+    /// `down` also apply to a started stream, see `Delivery::next_part`.
     pub(crate) fn transport(&self) -> fault::Transport {
         let Faults { down, delay_ms, loss, .. } = *self;
         fault::Transport { down, delay_ms, loss, cut: self.cut.clone() }
--- a/crates/lagoon-standin/src/engine/http.rs
+++ b/crates/lagoon-standin/src/engine/http.rs
@@ -314,7 +314,7 @@
     transport::json(200, &json!({"bytes": bytes}))
 }
 
-/// Exported cache blocks. The stand-in transfers only block hashes, no cache contents.
+/// Exported cache blocks. The stand-in transfers only their prefix hashes, no cache contents.
 #[derive(Debug, Deserialize, Serialize)]
 struct Exported {
     prefixes: Vec<u64>,
--- a/crates/lagoon-standin/src/engine/kv.rs
+++ b/crates/lagoon-standin/src/engine/kv.rs
@@ -1,4 +1,4 @@
-//! KV memory holdings with owner and expiry, and the totals of tokens reserved and returned.
+//! KV memory holdings with owner and expiry, and the totals of tokens allocated and returned.
 
 use std::collections;
 use std::time;
@@ -13,7 +13,7 @@
     pub(crate) kind: engine::Kind,
     pub(crate) tokens: u64,
     pub(crate) expires: time::Instant,
-    /// Block hashes of an export; empty for other kinds.
+    /// Prefix hashes of the blocks of an export; empty for other kinds.
     pub(crate) prefixes: Vec<u64>,
 }
 
@@ -22,7 +22,7 @@
 pub(crate) struct Kv {
     holdings: collections::BTreeMap<String, Holding>,
     tokens: u64,
-    reserved_total: u64,
+    allocated_total: u64,
     returned_total: u64,
 }
 
@@ -32,9 +32,9 @@
         self.tokens
     }
 
-    /// Returns the total tokens ever reserved and ever returned.
+    /// Returns the total tokens ever allocated and ever returned, over holdings of all kinds.
     pub(crate) fn totals(&self) -> (u64, u64) {
-        (self.reserved_total, self.returned_total)
+        (self.allocated_total, self.returned_total)
     }
 
     pub(crate) fn get(&self, id: &str) -> Option<&Holding> {
@@ -49,7 +49,7 @@
     /// releases a holding of the same id first; a replaced one counts as returned.
     pub(crate) fn add(&mut self, id: String, holding: Holding) {
         self.tokens += holding.tokens;
-        self.reserved_total += holding.tokens;
+        self.allocated_total += holding.tokens;
         if let Some(replaced) = self.holdings.insert(id, holding) {
             self.record_returned(&replaced);
         }
--- a/crates/lagoon-standin/src/engine/state.rs
+++ b/crates/lagoon-standin/src/engine/state.rs
@@ -1,4 +1,8 @@
 //! State of one engine and its progress over time.
+//!
+//! An attempt is one dispatch of a request to this engine by an entry host. The caller chooses its
+//! id and gives it again to resume or cancel the attempt; a cancel may arrive before the request
+//! does. An accepted attempt has a [`Stream`], the progress of its prompt and answer.
 
 use std::cmp;
 use std::collections;
@@ -47,7 +51,7 @@
     pub incarnation: u64,
     /// All accepted attempts, also of earlier incarnations.
     pub attempts: Vec<AttemptRecord>,
-    /// Total KV memory reserved since the start, in bytes.
+    /// Total KV memory allocated since the start, for holdings of all kinds, in bytes.
     pub bytes_reserved: u64,
     /// Total KV memory returned since the start, in bytes.
     pub bytes_returned: u64,
@@ -101,8 +105,8 @@
     pub(crate) reservation: Option<String>,
 }
 
-/// State of an accepted attempt, kept until it is cancelled or expires. Each chunk of the answer is
-/// one token.
+/// State of an accepted attempt, kept until the attempt is cancelled or expires. Each chunk of the
+/// answer is one token.
 #[derive(Debug)]
 pub(crate) struct Stream {
     priority: u8,
@@ -236,8 +240,12 @@
         self.faults = faults;
     }
 
-    /// Simulates a crash of the process: drops all streams, KV memory and cache, and starts the
-    /// next incarnation.
+    /// Simulates a crash of the process and starts the next incarnation.
+    ///
+    /// Drops all streams, holdings, tombstones and cached blocks. The model, role and highest
+    /// fencing number return to their initial values, and `leaving` ends. The settings, the
+    /// fault switches, the records of attempts, the totals of KV memory and the number of stale
+    /// commands survive.
     fn crash(&mut self) {
         let attempts: Vec<_> = self.streams.keys().copied().collect();
         for attempt in attempts {
@@ -567,7 +575,7 @@
 
     /// Returns the record of accepted attempts and KV memory totals.
     pub(crate) fn record(&self) -> Record {
-        let (reserved, returned) = self.kv.totals();
+        let (allocated, returned) = self.kv.totals();
         let bytes_per_token = self.settings.kv_bytes_per_token;
         let attempts = self.history.iter().map(|(attempt, record)| {
             let next = self.streams.get(attempt).map(|stream| stream.progress.borrow().next);
@@ -576,7 +584,7 @@
         Record {
             incarnation: self.incarnation,
             attempts: attempts.collect(),
-            bytes_reserved: reserved * bytes_per_token,
+            bytes_reserved: allocated * bytes_per_token,
             bytes_returned: returned * bytes_per_token,
             stale_orders: self.commands.stale,
         }
--- a/crates/lagoon-standin/src/fault.rs
+++ b/crates/lagoon-standin/src/fault.rs
@@ -3,7 +3,9 @@
 use serde::{Serialize, de};
 use serde_json::Value;
 
-/// Faults of the transport, which are applied to a request before the stand-in handles it.
+/// Faults of the transport, which are applied to a request before the stand-in handles it. A
+/// service checks `cut` and `down` again before it sends a response, an engine between the parts of
+/// a stream.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Transport {
     /// Connections are closed without a response. Never set by the platform, which answers 503.
@@ -12,7 +14,8 @@
     pub delay_ms: u64,
     /// Probability that a request is dropped before it is handled, 0 to 1.
     pub loss: f64,
-    /// Zones that are cut off: requests whose `Lagoon-Zone` header names one get no response.
+    /// Zones that are cut off: requests whose `Lagoon-Zone` header names one are held until the cut
+    /// ends. After 30 s their connection is closed without a response.
     pub cut: Vec<String>,
 }
 
--- a/crates/lagoon-standin/src/fleet.rs
+++ b/crates/lagoon-standin/src/fleet.rs
@@ -38,8 +38,8 @@
     /// use lagoon_standin::fleet::Settings;
     /// let text = r#"{"engines": [{"address": "127.0.0.1:0"}], "services": []}"#;
     /// assert_eq!(Settings::parse(text).unwrap().engines.len(), 1);
-    /// let faults = Settings::parse(r#"{"engines": [{"slots": 0}], "x": 1}"#).unwrap_err();
-    /// assert_eq!(faults.0.len(), 3);
+    /// let mistakes = Settings::parse(r#"{"engines": [{"slots": 0}], "x": 1}"#).unwrap_err();
+    /// assert_eq!(mistakes.0.len(), 3);
     /// ```
     pub fn parse(text: &str) -> Result<Self, check::Faults> {
         check::parse(text, |reader| Settings {
@@ -96,18 +96,18 @@
     let services: io::Result<Vec<_>> = settings.services.into_iter().map(service::bind).collect();
     let (engines, services) = (engines?, services?);
     let mut nodes = Vec::with_capacity(engines.len() + services.len() + 1);
-    let platform = platform.map(|(node, address, platform)| {
-        nodes.push(node);
+    let platform = platform.map(|(listening_node, address, platform)| {
+        nodes.push(listening_node);
         (address, platform)
     });
     let mut bound_engines = Vec::with_capacity(engines.len());
-    for (node, address, engine) in engines {
-        nodes.push(node);
+    for (listening_node, address, engine) in engines {
+        nodes.push(listening_node);
         bound_engines.push((address, engine));
     }
     let mut bound_services = Vec::with_capacity(services.len());
-    for (node, address, service) in services {
-        nodes.push(node);
+    for (listening_node, address, service) in services {
+        nodes.push(listening_node);
         bound_services.push((address, service));
     }
     if let Some(address) = settings.control {
@@ -121,14 +121,14 @@
     let server = sync::Arc::new(server::serve(nodes)?);
     Ok(Fleet {
         platform: platform
-            .map(|(address, node)| server::Running::new(address, node, server.clone())),
+            .map(|(address, platform)| server::Running::new(address, platform, server.clone())),
         engines: bound_engines
             .into_iter()
-            .map(|(address, node)| server::Running::new(address, node, server.clone()))
+            .map(|(address, engine)| server::Running::new(address, engine, server.clone()))
             .collect(),
         services: bound_services
             .into_iter()
-            .map(|(address, node)| server::Running::new(address, node, server.clone()))
+            .map(|(address, service)| server::Running::new(address, service, server.clone()))
             .collect(),
     })
 }
--- a/crates/lagoon-standin/src/platform/http.rs
+++ b/crates/lagoon-standin/src/platform/http.rs
@@ -150,6 +150,7 @@
         Ok(commit) => commit,
         Err(error) => return transport::malformed(&error),
     };
+    // A commit without writes, which only checks versions, counts as one write.
     let count = (commit.puts.len() + commit.deletes.len()).max(1);
     write(platform, request, count, |state| {
         let versions = state.table.commit(&commit)?;
@@ -195,7 +196,8 @@
     visible.map_or(&[], |(_, hosts)| hosts)
 }
 
-/// Request for bytes of the weight store's rate limit. No weights are transferred.
+/// Request for permission to transfer this many bytes from the weight store, within its rate limit.
+/// No weights are transferred. Other fields, such as the `holder` that engines send, are ignored.
 #[derive(Debug, Deserialize)]
 struct TakeWeights {
     bytes: u64,
--- a/crates/lagoon-standin/src/platform/mod.rs
+++ b/crates/lagoon-standin/src/platform/mod.rs
@@ -36,11 +36,12 @@
     pub lose_answer: bool,
     /// Limit of reads per second.
     pub reads_per_second: f64,
-    /// Limit of rows and objects written per second.
+    /// Limit of rows and objects written per second. A commit without writes counts as one.
     pub writes_per_second: f64,
     /// Delay after which a change of the host list becomes visible, in milliseconds.
     pub hosts_lag_ms: u64,
-    /// Zones that are cut off: requests whose `Lagoon-Zone` header names one get no response.
+    /// Zones that are cut off: requests whose `Lagoon-Zone` header names one are held until the cut
+    /// ends. After 30 s their connection is closed without a response.
     pub cut: Vec<String>,
 }
 
@@ -76,7 +77,7 @@
 pub struct Record {
     /// Number of reads answered.
     pub reads: u64,
-    /// Number of rows and objects written.
+    /// Number of rows and objects written. A commit without writes counts as one.
     pub writes: u64,
     /// Number of calls refused by a rate limit, a failed precondition or an outage.
     pub refused: u64,
--- a/crates/lagoon-standin/src/service/http.rs
+++ b/crates/lagoon-standin/src/service/http.rs
@@ -99,8 +99,8 @@
         return transport::refuse(400, "half_a_body");
     };
     (call.body_sha256, call.ran) = (hash, true);
-    // The call takes effect when it is recorded. A response that is lost during the delay is thus
-    // that of a call that ran.
+    // The call takes effect when it is recorded, before the wait of `work_ms`. A response that is
+    // lost during that wait is thus that of a call that ran.
     service.record_call(call.clone());
     tokio::time::sleep(time::Duration::from_millis(service.settings.work_ms)).await;
     http::Response::build(http::StatusCode::OK).header("Lagoon-Attempt", call.attempt.clone()).json(
--- a/crates/lagoon-standin/src/service/mod.rs
+++ b/crates/lagoon-standin/src/service/mod.rs
@@ -1,5 +1,5 @@
 //! Stand-in for a replica of a plain service, one that is not a model engine: answers any call and
-//! records the calls that ran.
+//! records the calls that it accepted.
 
 mod http;
 mod settings;
@@ -31,7 +31,9 @@
     pub lose_answer: bool,
     /// Probability that a request is dropped before it runs, 0 to 1.
     pub loss: f64,
-    /// Zones that are cut off: requests whose `Lagoon-Zone` header names one get no response.
+    /// Zones that are cut off: requests whose `Lagoon-Zone` header names one are held until the cut
+    /// ends, before they run and again before their response is sent. After 30 s of either wait the
+    /// connection is closed without a response.
     pub cut: Vec<String>,
 }
 
--- a/crates/lagoon-standin/src/transport.rs
+++ b/crates/lagoon-standin/src/transport.rs
@@ -53,11 +53,11 @@
     Ok(serde_json::from_slice(&body)?)
 }
 
-/// Reads and discards the body of a call that does not use it.
+/// Reads and discards the body of a call that does not use it, before the response is sent.
 ///
-/// Failure mode: a handler responds without reading the body, and the connection is closed while
-/// the body is still arriving. Symptom: the sender sees a broken connection instead of the
-/// response, and cannot tell that nothing was done.
+/// Failure mode: without this read, a handler responds and the connection is closed while the body
+/// is still arriving. Symptom: the sender sees a broken connection instead of the response, and
+/// cannot tell that nothing was done.
 pub(crate) async fn discard(request: &mut http::Request) {
     // An incomplete body is no error, because the call does not use it.
     let _incomplete = read(request).await;
--- a/crates/lagoon-standin/tests/common/mod.rs
+++ b/crates/lagoon-standin/tests/common/mod.rs
@@ -40,20 +40,20 @@
 }
 
 async fn read_json<E: std::fmt::Debug>(sent: Result<client::ClientResponse, E>) -> (u16, Value) {
-    let Ok(answer) = sent.inspect_err(|error| eprintln!("no answer: {error:?}")) else {
+    let Ok(response) = sent.inspect_err(|error| eprintln!("no response: {error:?}")) else {
         return (0, Value::Null);
     };
-    let status = answer.status().as_u16();
-    (status, answer.json().limit(64 << 20).await.unwrap_or(Value::Null))
+    let status = response.status().as_u16();
+    (status, response.json().limit(64 << 20).await.unwrap_or(Value::Null))
 }
 
 /// The response to a generate or resume call, whose body is not read yet.
 pub struct Reader {
     pub status: u16,
-    answer: Option<client::ClientResponse>,
+    response: Option<client::ClientResponse>,
 }
 
-/// The events of a response body.
+/// A generated answer, as parsed from the events of a response body.
 #[derive(Debug, Default)]
 pub struct Answer {
     pub status: u16,
@@ -89,7 +89,7 @@
         request = request.set_header(*name, *value);
     }
     let sent = request.send_json(&serde_json::json!({"prompt": prompt})).await;
-    start_reading(sent.inspect_err(|error| eprintln!("no answer: {error:?}")).ok())
+    start_reading(sent.inspect_err(|error| eprintln!("no response: {error:?}")).ok())
 }
 
 /// Resumes a stream from chunk `from`.
@@ -99,16 +99,16 @@
     start_reading(client.get(uri).send().await.ok())
 }
 
-fn start_reading(answer: Option<client::ClientResponse>) -> Reader {
-    Reader { status: answer.as_ref().map_or(0, |answer| answer.status().as_u16()), answer }
+fn start_reading(response: Option<client::ClientResponse>) -> Reader {
+    Reader { status: response.as_ref().map_or(0, |response| response.status().as_u16()), response }
 }
 
 impl Reader {
     /// Reads the body to its end, or until the connection breaks.
     pub async fn all(self) -> Answer {
         let mut result = Answer { status: self.status, ..Answer::default() };
-        let Some(answer) = self.answer else { return result };
-        let mut payload = answer.take_payload();
+        let Some(response) = self.response else { return result };
+        let mut payload = response.take_payload();
         let mut buffer = String::new();
         while let Some(piece) = payload.recv().await {
             let Ok(piece) = piece else {
--- a/crates/lagoon-standin/tests/engine.rs
+++ b/crates/lagoon-standin/tests/engine.rs
@@ -103,13 +103,13 @@
     #[case] headers: &'static [(&'static str, &'static str)],
     #[case] bytes: usize,
     #[case] status: u16,
-    #[case] code: &'static str,
+    #[case] reason: &'static str,
 ) {
     run(async move {
         let engine = engine::start(fast_settings()).unwrap();
         let prompt = "x".repeat(bytes);
         let reader = generate(engine.address(), &attempt(1), &prompt, headers).await;
-        assert_eq!(reader.status, status, "{code}");
+        assert_eq!(reader.status, status, "{reason}");
         assert!(engine.node().record().attempts.is_empty());
     });
 }
@@ -207,6 +207,7 @@
         let prefix = prompt::Prompt::new(&prompt).hash;
         let body = json!({"id": "e", "owner": "a/1", "prefix": prefix, "ttl_ms": 60_000});
         assert_eq!(post(one, "/kv/export", body).await.1["bytes"], 2 * 1_024 * 1_024);
+        // An import reads only `id` and `from`; the other fields have no effect.
         let body = json!({"id": "e", "owner": "a/1", "from": one, "ttl_ms": 60_000});
         assert_eq!(post(two, "/kv/import", body).await.1["tokens"], 2 * 1_024);
         let missing = json!({"id": "x", "owner": "a/1", "from": one, "ttl_ms": 60_000});
--- a/crates/lagoon-standin/tests/service.rs
+++ b/crates/lagoon-standin/tests/service.rs
@@ -29,9 +29,9 @@
 fn every_method_runs_and_is_recorded(#[case] method: &'static str) {
     run(async move {
         let service = service::start(service::Settings::default()).unwrap();
-        let answer = call(service.address(), method).await.unwrap();
-        assert_eq!(answer.status().as_u16(), 200);
-        assert_eq!(answer.headers().get("Lagoon-Attempt").unwrap(), "abc");
+        let response = call(service.address(), method).await.unwrap();
+        assert_eq!(response.status().as_u16(), 200);
+        assert_eq!(response.headers().get("Lagoon-Attempt").unwrap(), "abc");
         let record = service.node().record();
         assert_eq!(record.calls.len(), 1);
         let call = &record.calls[0];
@@ -86,16 +86,16 @@
         let service = service::start(settings).unwrap();
         let client = client::Client::new().await;
         let request = client.post(format!("http://{}/bookings/7", service.address()));
-        let answer = ntex::rt::spawn(request.set_header("Lagoon-Zone", "suva").send_body("tin"));
+        let response = ntex::rt::spawn(request.set_header("Lagoon-Zone", "suva").send_body("tin"));
         while service.node().record().calls.is_empty() {
             tokio::time::sleep(time::Duration::from_millis(2)).await;
         }
         let cut = vec!["suva".to_owned()];
         service.node().set_faults(service::Faults { cut, ..service::Faults::default() });
         tokio::time::sleep(time::Duration::from_millis(300)).await;
-        assert!(!answer.is_finished());
+        assert!(!response.is_finished());
         service.node().set_faults(service::Faults::default());
-        assert_eq!(answer.await.unwrap().unwrap().status().as_u16(), 200);
+        assert_eq!(response.await.unwrap().unwrap().status().as_u16(), 200);
     });
 }
 
@@ -104,9 +104,9 @@
     run(async {
         let service = service::start(service::Settings::default()).unwrap();
         assert_eq!(post(service.address(), "/leave", json!({})).await.0, 200);
-        let answer = call(service.address(), "POST").await.unwrap();
-        assert_eq!(answer.status().as_u16(), 503);
-        assert_eq!(answer.headers().get("Lagoon-Not-Run").unwrap(), "1");
+        let response = call(service.address(), "POST").await.unwrap();
+        assert_eq!(response.status().as_u16(), 503);
+        assert_eq!(response.headers().get("Lagoon-Not-Run").unwrap(), "1");
         assert!(service.node().record().calls.is_empty());
     });
 }
@@ -129,7 +129,7 @@
         for _ in 0..8 {
             let stop = stop.clone();
             thread::spawn(move || {
-                // The newest connections stay open for a while, so that closing the port ends some.
+                // The 15 newest connections stay open, so that closing the port ends some.
                 let mut open = std::collections::VecDeque::new();
                 while !stop.load(atomic::Ordering::Relaxed) {
                     open.extend(net::TcpStream::connect(address));
