--- a/crates/lagoon-load/src/bench/engine.rs
+++ b/crates/lagoon-load/src/bench/engine.rs
@@ -10,7 +10,8 @@
 pub const MAX_STEP_TOKENS: u64 = 1_024;
 /// Maximum length of an engine's queue; beyond it the engine rejects requests as full.
 const MAX_WAITING: usize = 64;
-/// Maximum number of prefixes in an engine's prefix cache; the oldest are evicted first.
+/// Maximum number of prefixes in an engine's prefix cache; the oldest are evicted first. The
+/// present scenarios have eight prefixes at most, so that none is evicted in them.
 const MAX_CACHED_PREFIXES: usize = 2_000;
 
 /// An attempt of a request inside an engine. Ordered by priority, then first come, first served.
--- a/crates/lagoon-load/src/bench/plot.rs
+++ b/crates/lagoon-load/src/bench/plot.rs
@@ -1,4 +1,4 @@
-//! Bar chart of one figure by scenario and policy.
+//! Bar chart of one named result by scenario and policy.
 
 use std::path;
 
@@ -6,7 +6,8 @@
 
 use super::report;
 
-/// Draws one figure to an SVG file, with a group of bars per scenario and a bar per policy.
+/// Draws a bar chart of the medians of `figure`, a name in [`report::Tally::figures`], to an SVG
+/// file, with a group of bars per scenario and a bar per policy.
 ///
 /// # Errors
 ///
--- a/crates/lagoon-load/src/bench/report.rs
+++ b/crates/lagoon-load/src/bench/report.rs
@@ -1,5 +1,5 @@
-//! Results of a run, what callers got, the work of the engines, and leaks, and their summary over
-//! seeds.
+//! Results of a run, and their summary over the runs of all seeds. Results are what callers got,
+//! how much the engines did, and whether KV memory or tickets leaked.
 
 use std::collections;
 
--- a/crates/lagoon-load/src/bench/scenario.rs
+++ b/crates/lagoon-load/src/bench/scenario.rs
@@ -42,7 +42,8 @@
     /// Token rate limit of every customer, as a multiple of its equal share of the short load; 0
     /// disables limits.
     pub limit_factor: f64,
-    /// Fraction of short prompts that start with one of eight shared prefixes of 1,536 tokens.
+    /// Fraction of the short prompts longer than 1,536 tokens that start with one of eight shared
+    /// prefixes of this length.
     pub shared_prefixes: f64,
     /// The injected fault.
     pub fault: Fault,
@@ -93,9 +94,12 @@
         Scenario { name, short, medium, long, ..base }
     };
     vec![
+        // "alone": short prompts only.
         base,
         Scenario { name: "long-among-short", long: 0.1, ..base },
         Scenario { name: "burst", short: 0.4, burst_factor: 5.0, ..mixed },
+        // Of the ten customers, one sends ten times the share of each other in "few-customers", and
+        // all send equal shares in "even-customers".
         Scenario { name: "even-customers", short: 0.5, ..base },
         Scenario { name: "few-customers", short: 0.5, heavy_factor: 10.0, ..base },
         Scenario { name: "even-customers-limited", short: 0.5, limit_factor: 2.0, ..base },
@@ -106,7 +110,9 @@
             limit_factor: 2.0,
             ..base
         },
+        // Few distinct prefixes, and many prompts with each.
         Scenario { name: "few-prefixes", short: 0.9, shared_prefixes: 0.8, ..base },
+        // "no-slow-upstream" is the reference for "slow-upstream": the same load without the fault.
         Scenario { name: "slow-upstream", short: 0.55, fault: Fault::Slow(5.0), ..base },
         Scenario { name: "no-slow-upstream", short: 0.55, ..base },
         Scenario { name: "engine-death", short: 0.6, fault: Fault::Crash, ..mixed },
@@ -119,6 +125,7 @@
             fault: Fault::Partition,
             ..mixed
         },
+        // All prompt lengths; the number is the load as a fraction of the prefill capacity.
         saturated("saturation-0.8", 0.8),
         saturated("saturation-1.0", 1.0),
         saturated("saturation-1.2", 1.2),
--- a/crates/lagoon-load/src/bin/lagoon-load.rs
+++ b/crates/lagoon-load/src/bin/lagoon-load.rs
@@ -349,6 +349,8 @@
 fn weights(name: &str) -> Result<load::Weights, UnknownName> {
     match name {
         "even" => Ok(load::Weights::default()),
+        // The teams of the example fleet lakeshore value the time to first token most, those of
+        // vatuwaqa the slowdown of short requests. The other objective has the default weight, 1.
         "lakeshore" => Ok(load::Weights { first_token: [4.0; 4], short_slowdown: 1.0 }),
         "vatuwaqa" => Ok(load::Weights { first_token: [1.0; 4], short_slowdown: 4.0 }),
         _ => Err(UnknownName { kind: "weights", name: name.to_owned() }),
--- a/crates/lagoon-load/src/direct/call.rs
+++ b/crates/lagoon-load/src/direct/call.rs
@@ -100,9 +100,11 @@
                 let request = self.client.post(format!("http://{address}/generate"));
                 let request = request.header("Content-Type", "application/json");
                 let request = request.header("Lagoon-Attempt", attempt);
+                // A made-up owner, `HOST/INCARNATION`.
                 let request = request.header("Lagoon-Owner", "load/1");
                 let request = request.header("Lagoon-Zone", "load");
                 let request = request.header("Lagoon-Deadline-Ms", DEADLINE_MS);
+                // The middle of the range, 0 to 255.
                 let request = request.header("Lagoon-Priority", 128);
                 let request = request.header("Lagoon-Model", &*self.model);
                 request.header("Lagoon-Answer-Tokens", answer_tokens).send_body(body).await
--- a/crates/lagoon-load/src/direct/mod.rs
+++ b/crates/lagoon-load/src/direct/mod.rs
@@ -29,7 +29,8 @@
     pub key: String,
     /// Model of the single calls.
     pub model: String,
-    /// Model of the streams, served by other engines at the target time between tokens.
+    /// Model of the streams, served by other engines. Their settings must give the time between
+    /// tokens for which the overhead is to be measured.
     pub stream_model: String,
     /// Number of concurrent streams.
     pub streams: usize,
@@ -43,7 +44,8 @@
 const CALL_ROWS: [(usize, usize, usize); 3] =
     [(4 << 10, 1, 50), (4 << 10, 16, 50), (8 << 20, 2, 2)];
 /// Answer tokens of a stream: more than it receives in a minute, but few enough that all streams
-/// fit in the engines' memory.
+/// fit in the engines' memory. Warm-up and measurement together must take less than a minute, so
+/// that no stream ends during them; this is not checked.
 const STREAM_TOKENS: u64 = 2_000;
 /// Time for all streams to start before the measurement.
 const STREAM_WARM_UP: time::Duration = time::Duration::from_secs(3);
--- a/crates/lagoon-load/src/http/mod.rs
+++ b/crates/lagoon-load/src/http/mod.rs
@@ -48,7 +48,10 @@
     pub seconds: f64,
 }
 
-/// Returns the scenarios that run in one zone on one machine.
+/// Returns the scenarios that can run over HTTP, all of them in one zone. Those with shared
+/// prefixes, rate limits, a crash or a partition run only in the simulation: here every prompt
+/// starts differently, the customers' limits are fixed, and the only fault that is injected is a
+/// slow engine.
 ///
 /// ```
 /// let names = lagoon_load::http::scenarios();
--- a/crates/lagoon-load/src/soak/remote.rs
+++ b/crates/lagoon-load/src/soak/remote.rs
@@ -65,7 +65,7 @@
 }
 
 /// Waits at most `timeout` until the engines have freed all KV memory, then reads the stand-ins'
-/// records. Memory that is not freed by then is in the result's `bytes_left`.
+/// records. Memory that is not freed by then is in the result's `unfreed_bytes`.
 ///
 /// # Errors
 ///
@@ -88,7 +88,7 @@
         thread::sleep(time::Duration::from_secs(1));
     };
     let mut record =
-        fleet::Record { bytes_left: unfreed_bytes(&engines), ..fleet::Record::default() };
+        fleet::Record { unfreed_bytes: unfreed_bytes(&engines), ..fleet::Record::default() };
     for engine in &engines {
         record.prompts.extend(engine.attempts.iter().map(|attempt| attempt.prompt_hash));
     }
--- a/crates/lagoon-load/src/soak/report.rs
+++ b/crates/lagoon-load/src/soak/report.rs
@@ -14,18 +14,19 @@
 use crate::trial::plan;
 use crate::trial::verdict;
 
-/// A kill or pause of an entry host, and the calls that got no outcome or a late one because of it.
+/// A kill or pause of an entry host, and the attempts that got no outcome or a late one because of
+/// it. A retried call has two attempts.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Disruption {
     /// Address of the entry host.
     pub host: String,
     /// The action and its time.
     pub word: String,
-    /// Calls at the host that got no outcome.
+    /// Attempts at the host that got no outcome.
     pub told_nothing: u64,
-    /// Calls at the host that ended after their deadline.
+    /// Attempts at the host that ended after the deadline of their call.
     pub late: u64,
-    /// Ends of these calls as the callers saw them, with counts.
+    /// Ends of these attempts as the callers saw them, with counts.
     pub seen: collections::BTreeMap<String, u64>,
 }
 
@@ -38,9 +39,10 @@
     pub seconds: f64,
     /// Counts of outcomes and of violated checks.
     pub verdict: verdict::Verdict,
-    /// Calls that got no outcome without a kill or pause of their entry host.
+    /// Attempts that got no outcome without a kill or pause of their entry host. Here and in the
+    /// next count, the first attempt of a retried call counts as well as the retry.
     pub unexplained_nothing: u64,
-    /// Calls past their deadline without a kill or pause of their entry host.
+    /// Attempts that ended after the deadline without a kill or pause of their entry host.
     pub unexplained_late: u64,
     /// Calls with the outcome `unknown`, by code, kind of call, whether an upstream ran it, and the
     /// faults active meanwhile.
@@ -53,7 +55,7 @@
     pub asked_again: u64,
     /// Ends of these retries, with counts.
     pub told_again: collections::BTreeMap<String, u64>,
-    /// Each kill and pause with the calls that it affected.
+    /// Kills and pauses that affected attempts; one without effect is not listed.
     pub losses: Vec<Disruption>,
     /// The first calls that violated a check or are unexplained, at most 40.
     pub cases: Vec<String>,
@@ -100,16 +102,16 @@
             if result.outcome.as_deref() == Some("unknown") {
                 report.add_unknown(result, verdict::count_runs(&result.call, record), host_notes);
             }
-            if let Some(fault) = verdict::violated_check(result, record) {
-                report.add_case(fault, result);
+            if let Some(check) = verdict::violated_check(result, record) {
+                report.add_case(check, result);
             }
         }
         report.holds = report.all_checks_pass();
         report
     }
 
-    /// Counts a call that got no outcome or a late one, under the kill or pause that explains it or
-    /// as unexplained.
+    /// Counts an attempt that got no outcome or a late one, under the kill or pause that explains
+    /// it or as unexplained.
     fn attribute_failure(&mut self, result: &caller::CallResult, host_notes: &[notes::Note]) {
         let no_outcome = result.outcome.is_none();
         let late = verdict::is_late(result);
@@ -119,10 +121,10 @@
         let started = result.started.duration_since(time::UNIX_EPOCH).unwrap_or_default();
         match notes::find_cause(host_notes, result.host, (started, started + result.elapsed)) {
             Some(note) => {
-                let loss = self.disruption_entry(&note);
-                loss.told_nothing += u64::from(no_outcome);
-                loss.late += u64::from(late);
-                *loss.seen.entry(end_label(result)).or_insert(0) += 1;
+                let disruption = self.disruption_entry(&note);
+                disruption.told_nothing += u64::from(no_outcome);
+                disruption.late += u64::from(late);
+                *disruption.seen.entry(end_label(result)).or_insert(0) += 1;
             }
             None => {
                 self.unexplained_nothing += u64::from(no_outcome);
@@ -166,13 +168,14 @@
         *self.unknown.entry(line).or_insert(0) += 1;
     }
 
-    /// Adds a call to the list of example calls, unless the list is full.
-    fn add_case(&mut self, fault: &str, result: &caller::CallResult) {
+    /// Adds a call to the list of example calls, with the violated check or other reason, unless
+    /// the list is full.
+    fn add_case(&mut self, reason: &str, result: &caller::CallResult) {
         if self.cases.len() < MAX_CASES {
             let caller::CallResult { call, host, elapsed, content, .. } = result;
             let at = call.at + *elapsed;
             self.cases.push(format!(
-                "{fault}: call {} at {host}, from {:.2} s to {:.2} s: {:?}, {}, {content:?}",
+                "{reason}: call {} at {host}, from {:.2} s to {:.2} s: {:?}, {}, {content:?}",
                 call.number,
                 call.at.as_secs_f64(),
                 at.as_secs_f64(),
@@ -185,7 +188,7 @@
     /// Returns the entry of a kill or pause, created on first use.
     fn disruption_entry(&mut self, note: &notes::Note) -> &mut Disruption {
         let (host, word) = (note.host.to_string(), format!("{:?} at {:?}", note.action, note.at));
-        let found = self.losses.iter().position(|loss| loss.host == host && loss.word == word);
+        let found = self.losses.iter().position(|entry| entry.host == host && entry.word == word);
         let index = found.unwrap_or_else(|| {
             let seen = collections::BTreeMap::new();
             self.losses.push(Disruption { host, word, told_nothing: 0, late: 0, seen });
@@ -248,8 +251,8 @@
         for (line, count) in &self.unknown {
             writeln!(f, "  {count:>6} {line}")?;
         }
-        for loss in &self.losses {
-            let Disruption { host, word, told_nothing, late, seen } = loss;
+        for disruption in &self.losses {
+            let Disruption { host, word, told_nothing, late, seen } = disruption;
             writeln!(f, "{word} of {host}: told nothing {told_nothing}, late {late}: {seen:?}")?;
         }
         writeln!(f, "asked again elsewhere {}: {:?}", self.asked_again, self.told_again)?;
--- a/crates/lagoon-load/src/soak/settings.rs
+++ b/crates/lagoon-load/src/soak/settings.rs
@@ -23,7 +23,8 @@
     pub keys: Vec<String>,
     /// Model of the model calls.
     pub model: String,
-    /// Plain service of the service calls, which must not run twice.
+    /// Name of the plain service, one that is not a model, of the service calls. These must not run
+    /// twice.
     pub service: String,
     /// Duration of the arrivals, in seconds.
     pub seconds: f64,
--- a/crates/lagoon-load/src/trial/caller.rs
+++ b/crates/lagoon-load/src/trial/caller.rs
@@ -114,7 +114,8 @@
     pub(crate) elapsed: time::Duration,
 }
 
-/// Makes `calls`, each at its time after `start_time`; returns when all have ended.
+/// Makes `calls`, each at its time after `start_time`, the start of the run; returns when all have
+/// ended.
 pub(crate) fn run(
     start_time: time::Instant,
     balancer: &Balancer,
@@ -212,7 +213,7 @@
     address: net::SocketAddr,
     call: plan::Call,
 ) -> CallResult {
-    let start_time = time::Instant::now();
+    let attempt_start = time::Instant::now();
     let mut result = CallResult {
         host: address,
         started: time::SystemTime::now(),
@@ -227,11 +228,12 @@
     };
     let timeout = result.call.deadline + DEADLINE_GRACE;
     let ended =
-        tokio::time::timeout(timeout, send_and_read(client, target, &mut result, start_time)).await;
+        tokio::time::timeout(timeout, send_and_read(client, target, &mut result, attempt_start))
+            .await;
     if let Ok(Err(failure)) = ended {
         result.code = failure;
     }
-    result.elapsed = start_time.elapsed();
+    result.elapsed = attempt_start.elapsed();
     result
 }
 
@@ -278,7 +280,7 @@
     client: &client::Client,
     target: &Target,
     result: &mut CallResult,
-    start_time: time::Instant,
+    attempt_start: time::Instant,
 ) -> Result<(), String> {
     let prompt = result.call.prompt();
     let prompt_hash = prompt::Prompt::new(&prompt).hash;
@@ -291,7 +293,7 @@
     let is_success = response.status().is_success();
     let stream = matches!(result.call.request, plan::Request::Model { stream: true, .. });
     if is_success && stream {
-        return read_stream(response, result, prompt_hash, start_time).await;
+        return read_stream(response, result, prompt_hash, attempt_start).await;
     }
     let body = response.body().limit(MAX_RESPONSE_BYTES).await;
     let body = body.map_err(|error| format!("broken_answer: {error}"))?;
@@ -374,7 +376,7 @@
     mut response: client::ClientResponse,
     result: &mut CallResult,
     prompt_hash: u64,
-    start_time: time::Instant,
+    attempt_start: time::Instant,
 ) -> Result<(), String> {
     use futures_util::StreamExt as _;
     let mut stream = Stream::default();
@@ -387,7 +389,7 @@
         }
         let now = time::Instant::now();
         match last_token.replace(now) {
-            None => result.first_token = Some(now - start_time),
+            None => result.first_token = Some(now - attempt_start),
             Some(last_token) => {
                 let each = (now - last_token) / tokens;
                 result.token_intervals.extend(std::iter::repeat_n(each, tokens as usize));
--- a/crates/lagoon-load/src/trial/fault.rs
+++ b/crates/lagoon-load/src/trial/fault.rs
@@ -44,7 +44,8 @@
 }
 
 /// Applies each event at its time; returns when the arrivals end. Keeps the balancer's readiness
-/// view up to date in between.
+/// view up to date in between. The phase with faults lasts from `from` to `to`, in seconds from the
+/// start of the run.
 pub(super) fn run(
     fleet: &fleet::Fleet,
     balancer: &caller::Balancer,
--- a/crates/lagoon-load/src/trial/fleet.rs
+++ b/crates/lagoon-load/src/trial/fleet.rs
@@ -86,7 +86,7 @@
     /// Number of runs at the booking service by hash of the body.
     pub(crate) bookings: collections::BTreeMap<String, u64>,
     /// KV memory that the engines have not freed, in bytes.
-    pub(crate) bytes_left: u64,
+    pub(crate) unfreed_bytes: u64,
 }
 
 /// Returns the SHA-256 hash of a text in hexadecimal.
@@ -253,6 +253,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let status = runtime.block_on(async {
             client.call(&request).await?;
+            // The first put of a section creates version 1.
             client.wait_accepted(TEAM, 1, READY_TIMEOUT).await
         });
         match status {
@@ -285,7 +286,7 @@
     pub(crate) fn wait_until_freed(&self, timeout: time::Duration) -> (u64, time::Duration) {
         let start_time = time::Instant::now();
         loop {
-            let unfreed = self.bytes_left();
+            let unfreed = self.unfreed_bytes();
             if unfreed == 0 || start_time.elapsed() > timeout {
                 return (unfreed, start_time.elapsed());
             }
@@ -293,14 +294,14 @@
         }
     }
 
-    fn bytes_left(&self) -> u64 {
+    fn unfreed_bytes(&self) -> u64 {
         let records = self.stand_ins.engines.iter().map(|engine| engine.node().record());
         records.map(|record| record.bytes_reserved - record.bytes_returned).sum()
     }
 
     /// Reads the records of the stand-ins.
-    pub(crate) fn record(&self, bytes_left: u64) -> Record {
-        let mut record = Record { bytes_left, ..Record::default() };
+    pub(crate) fn record(&self, unfreed_bytes: u64) -> Record {
+        let mut record = Record { unfreed_bytes, ..Record::default() };
         for engine in &self.stand_ins.engines {
             let attempts = engine.node().record().attempts;
             record.prompts.extend(attempts.iter().map(|attempt| attempt.prompt_hash));
--- a/crates/lagoon-load/src/trial/mod.rs
+++ b/crates/lagoon-load/src/trial/mod.rs
@@ -55,7 +55,7 @@
     let plan = plan::draw(settings);
     let start_time = time::Instant::now();
     let balancer = sync::Arc::new(caller::Balancer::new(fleet.entry_hosts(), fleet::target()));
-    let faults = (settings.seconds * plan::FAULTS_START, settings.seconds);
+    let fault_period = (settings.seconds * plan::FAULTS_START, settings.seconds);
     let mut results = Vec::new();
     thread::scope(|scope| {
         let callers: Vec<_> = plan
@@ -66,19 +66,19 @@
                 scope.spawn(move || caller::run(start_time, &balancer, share))
             })
             .collect();
-        fault::run(&fleet, &balancer, start_time, faults);
+        fault::run(&fleet, &balancer, start_time, fault_period);
         for caller in callers {
             let share = caller.join().map_err(|_| io::Error::other("a caller thread panicked"))?;
             results.extend(share);
         }
         Ok::<_, io::Error>(())
     })?;
-    let (bytes_left, settled) = fleet.wait_until_freed(SETTLE_TIMEOUT);
+    let (unfreed_bytes, settled) = fleet.wait_until_freed(SETTLE_TIMEOUT);
     log::info!("memory settled in {} ms", settled.as_millis());
     for result in results.iter().filter(|result| result.outcome.as_deref() != Some("done")) {
         log::info!("{result:?}");
     }
-    let record = fleet.record(bytes_left);
+    let record = fleet.record(unfreed_bytes);
     fleet.stop()?;
     Ok(report::Report::new(settings, &results, &verdict::evaluate(&results, &record), settled))
 }
--- a/crates/lagoon-load/src/trial/plan.rs
+++ b/crates/lagoon-load/src/trial/plan.rs
@@ -97,7 +97,7 @@
     /// Phase of the run in which it is made.
     pub(crate) phase: Phase,
     /// Selects the customer, by the remainder modulo the number of customers, and the entry host,
-    /// by the quotient. Random, but computed from the arrival in runs over HTTP.
+    /// by the quotient. Random, but computed from the arrival in runs of [`crate::http`].
     pub(crate) selector: u32,
 }
 
--- a/crates/lagoon-load/src/trial/verdict.rs
+++ b/crates/lagoon-load/src/trial/verdict.rs
@@ -77,7 +77,7 @@
 
 /// Evaluates all results of a run against the stand-ins' records.
 pub(crate) fn evaluate(results: &[caller::CallResult], record: &fleet::Record) -> Verdict {
-    let mut verdict = Verdict { bytes_left: record.bytes_left, ..Verdict::default() };
+    let mut verdict = Verdict { bytes_left: record.unfreed_bytes, ..Verdict::default() };
     for result in results {
         count_call(&mut verdict, result, count_runs(&result.call, record));
     }
--- a/crates/lagoon-load/tests/examples.rs
+++ b/crates/lagoon-load/tests/examples.rs
@@ -83,6 +83,8 @@
     assert!(addresses.iter().all(|address| address.ip().is_loopback()));
 }
 
+// Guards against example sections that an operator cannot put one after another: a section is
+// checked against those already stored, so that the names it refers to must be in an earlier one.
 #[rstest]
 #[case("lakeshore", &["assessment", "register", "planning"])]
 #[case("vatuwaqa", &["labels", "pickup", "audits"])]
--- a/crates/lagoon-load/tests/patterns.rs
+++ b/crates/lagoon-load/tests/patterns.rs
@@ -23,6 +23,7 @@
     simulate(name, &load::Settings::default())
 }
 
+// The baseline has first-come queues.
 fn baseline(name: &str) -> report::Tally {
     let policy = load::Policy::LeastOutstanding;
     simulate(name, &load::Settings { policy, ..load::Settings::default() })
@@ -41,10 +42,10 @@
 // without long prompts.
 #[test]
 fn long_prompts_do_not_delay_short_ones() {
-    let (alone, mixed, first_come) =
+    let (alone, mixed, least_outstanding) =
         (full("alone"), full("long-among-short"), baseline("long-among-short"));
     assert!(short_p95(&mixed) * 10 <= short_p95(&alone) * 14);
-    assert!(short_p95(&mixed) * 3 <= short_p95(&first_come));
+    assert!(short_p95(&mixed) * 3 <= short_p95(&least_outstanding));
     assert_eq!(mixed.late, 0, "an admitted request missed its deadline");
 }
 
@@ -70,8 +71,8 @@
     assert!(p95(&unlimited) * 2 <= short_p95(&unlimited));
 }
 
-// Most short prompts start with one of eight prefixes. Guards against placement that ignores the
-// prefix caches, and against overloading the engines that hold a popular prefix.
+// Most short prompts over 1,536 tokens start with one of eight prefixes. Guards against placement
+// that ignores the prefix caches, and against overloading the engines that hold a popular prefix.
 #[test]
 fn shared_prefixes_use_the_caches() {
     let tally = full("few-prefixes");
@@ -95,7 +96,8 @@
 
 // The load is twice the capacity. Guards against a collapse of throughput under overload: nearly as
 // many requests must be answered in time as at capacity, 95 % of the refusals must come within
-// 50 ms, and few attempts may be wasted on retries.
+// 50 ms, few attempts may be wasted on retries, and at most one late answer is allowed for every
+// 500 in time.
 #[test]
 fn overload_keeps_throughput() {
     let (at, twice) = (full("saturation-1.0"), full("saturation-2.0"));
@@ -106,8 +108,8 @@
 }
 
 // An engine crashes with all its requests, or a zone is partitioned. Guards against lost requests
-// and retry storms: affected requests must be retried elsewhere within the retry budget, and the
-// others must not be affected.
+// and retry storms: affected requests must be retried elsewhere within the retry budget, and at
+// least 99 % of all requests must be answered in time.
 #[rstest]
 #[case::engine("engine-death")]
 #[case::zone("zone-cut")]
