--- a/crates/lagoon-net/src/logs.rs
+++ b/crates/lagoon-net/src/logs.rs
@@ -1,4 +1,6 @@
 //! Logging setup of a program: level and target come from its settings.
+//!
+//! Programs log changes of state, with one line for each.
 
 use std::fmt;
 use std::io;
--- a/crates/lagoon-net/tests/engine_events.rs
+++ b/crates/lagoon-net/tests/engine_events.rs
@@ -52,7 +52,8 @@
     }
 
     /// One byte of a response is corrupted in transit. Whether reading stops with an error or not,
-    /// it never yields more chunks than were sent.
+    /// it never yields more chunks than were sent. A damaged byte within a text may go unnoticed:
+    /// the caller then gets a text that differs by that byte.
     #[test]
     fn a_corrupted_byte_adds_no_chunk(count in 1_usize..10, position in any::<prop::sample::Index>(), byte in any::<u8>()) {
         let batch: String = (0..count).map(|number| chunk(number as u64, "tin")).collect();
--- a/crates/lagoon-net/tests/wire.rs
+++ b/crates/lagoon-net/tests/wire.rs
@@ -62,8 +62,8 @@
     assert!(matches!(again, Err(wire::Error::Replayed)), "{again:?}");
 }
 
-/// The same recording is sent on a new connection, whose accepting side has chosen another nonce.
-/// The frame is rejected.
+/// The same recording is sent on a new connection, where its sequence number would fit. The
+/// accepting side has chosen another nonce there, so the frame is rejected.
 #[test]
 fn a_frame_replayed_on_another_connection_is_rejected() {
     let (_, mut connecting) = connected();
--- a/crates/lagoon-standin/tests/engine.rs
+++ b/crates/lagoon-standin/tests/engine.rs
@@ -160,7 +160,8 @@
 }
 
 // A prompt needs more KV memory than one engine has. Two engines reserve memory, and the first one
-// runs the prompt. While a reservation of the group is missing, the call is refused.
+// runs the prompt. While a reservation of the group is missing, the call is refused
+// and nothing runs.
 #[test]
 fn group_of_engines_runs_a_prompt_too_long_for_one() {
     run(async {
