--- a/crates/lagoon-net/tests/entry/leaving.rs
+++ b/crates/lagoon-net/tests/entry/leaving.rs
@@ -18,7 +18,7 @@
 
 const HOSTS: [&str; 2] = ["suva-1", "suva-2"];
 /// Time after which no call may be sent to the leaving engine: twice the 2 s that the hosts may
-/// take.
+/// take. By then the calls that were already on their way have arrived.
 const SETTLE_TIME: time::Duration = time::Duration::from_secs(4);
 /// Pause between two calls, long enough to stay below the customer's default rate limit.
 const CALL_PAUSE: time::Duration = time::Duration::from_millis(40);
--- a/crates/lagoon-net/tests/memory_sweep.rs
+++ b/crates/lagoon-net/tests/memory_sweep.rs
@@ -173,9 +173,9 @@
 
 /// An entry host dies while it owns a stream and a reservation of a group. The engine would keep
 /// their memory for ten minutes. The steward that observes the engine establishes that the owner is
-/// dead and releases the memory. A stream of a live host is kept, although nothing about it changes.
-/// For an owner in another zone the steward asks that zone; if it does not reply, nothing is
-/// released, and the memory is left to the engine's own expiry.
+/// dead and releases the memory. A stream of a live host is kept, although nothing about it
+/// changes. For an owner in another zone the steward asks that zone; if it does not reply, nothing
+/// is released, and the memory is left to the engine's own expiry.
 #[rstest]
 #[case("suva-2", 1, Death::Process, true)]
 #[case("suva-2", 1, Death::Restart, true)]
