--- a/crates/lagoonline/src/lifecycle/claim/sweep.rs
+++ b/crates/lagoonline/src/lifecycle/claim/sweep.rs
@@ -30,7 +30,7 @@
 /// Rows per read and commit.
 const BATCH: usize = 200;
 /// With [`BATCH`] rows per step, scans rows at twice the rate at which 90 keyed requests per second
-/// add them. One read in 2,000 is then made by the sweep.
+/// add them. This takes one of the 2,000 reads per second that the platform supports.
 const INTERVAL: clock::Span = clock::Span::from_secs(1);
 
 impl Default for SweepSettings {
--- a/crates/lagoonline/src/lifecycle/reap.rs
+++ b/crates/lagoonline/src/lifecycle/reap.rs
@@ -243,8 +243,9 @@
         }
     }
 
-    /// Records that the steward of the owner's zone reports the process as gone. It counts as dead
-    /// only after the usual timeout, because the process may merely have lost its steward.
+    /// Records that the steward of the owner's zone reports the process as gone, or that it is not
+    /// known there. It counts as dead only after the usual timeout, because the process may merely
+    /// have lost its steward.
     pub fn record_gone(&mut self, owner: &id::Owner, now: clock::Moment) {
         let known = self.owners.get(&owner.host);
         if known.is_none_or(|known| known.incarnation < owner.incarnation) {
--- a/crates/lagoonline/src/routing/source.rs
+++ b/crates/lagoonline/src/routing/source.rs
@@ -21,8 +21,8 @@
     /// the saved calls are worth less than the second for which an unresponsive reader holds up the
     /// others.
     pub min_hosts: u64,
-    /// How long a host that did not answer is skipped. A killed host is restarted and has read the
-    /// whole state within this time.
+    /// How long a host that gave no answer, or no usable one, is skipped. A killed host is
+    /// restarted and has read the whole state within this time.
     pub skip_failed: clock::Span,
     /// How long a host that is not reading is skipped. Short, because when a reader stops all
     /// others notice it at about the same time, and the next one in order then starts to read.
@@ -136,7 +136,7 @@
         self.skipped_until.insert(host.clone(), now + self.settings.skip_idle);
     }
 
-    /// Records that a host did not answer.
+    /// Records that a host gave no answer, or no usable one.
     pub fn record_failure(&mut self, host: &id::Host, now: clock::Moment) {
         self.skipped_until.insert(host.clone(), now + self.settings.skip_failed);
     }
--- a/crates/lagoonline/tests/life_fuzz/platform.rs
+++ b/crates/lagoonline/tests/life_fuzz/platform.rs
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Drops delayed transactions and fails pending calls, for when so much time passes that they
-    /// have either been applied or never will be.
+    /// Drops delayed transactions and fails pending calls, for when more than an hour passes: what
+    /// was sent before has been applied by then or never will be.
     pub fn drop_delayed(&self) {
         let mut state = self.0.borrow_mut();
         state.delayed.clear();
--- a/crates/lagoonline/tests/routing_roster.rs
+++ b/crates/lagoonline/tests/routing_roster.rs
@@ -234,7 +234,8 @@
 }
 
 /// A zone is cut off and returns. Its own first host must keep polling its engines about once a
-/// second; afterwards they are polled as before.
+/// second; afterwards they are polled as before. Meanwhile one host of the other zones, which
+/// receive nothing from its hosts, also polls these engines, in vain; its polls are not counted.
 #[rstest]
 fn a_cut_off_zone_polls_its_own_engines() {
     let mut fleet = Fleet::new(195, 5);
