--- a/crates/lagoon-gateway/src/admit.rs
+++ b/crates/lagoon-gateway/src/admit.rs
@@ -98,9 +98,9 @@
 
 /// Returns the retry time for a caller that is refused because this host cannot reach the platform.
 ///
-/// The platform may be unreachable for some hosts only. A caller that waits here before it tries
-/// another host, which could have answered at once, misses its deadline. So the retry time is short
-/// while another host reports that it can trust keys.
+/// The platform may refuse some hosts, or be unreachable for them, and serve the others. A caller
+/// that waits here before it tries another host, which could have answered at once, misses its
+/// deadline. So the retry time is short while another host reports that it can trust keys.
 fn retry_time(state: &state::State) -> clock::Span {
     if state.peer_trusts_keys() { forward::RETRY_ELSEWHERE_AFTER } else { forward::RETRY_AFTER }
 }
--- a/crates/lagoon-gateway/src/quarantine/rows.rs
+++ b/crates/lagoon-gateway/src/quarantine/rows.rs
@@ -74,8 +74,8 @@
 }
 
 /// Sleeps longer after each consecutive failure, up to the longest pause that the roster sets for
-/// this host. The pause is randomized so that hosts which lost the platform together do not
-/// call it together.
+/// this host, which limits how often all hosts together call a failing platform. The pause is
+/// randomized so that hosts which lost the platform together do not call it together.
 async fn pause(state: &state::State, failures: u32) {
     let max_pause = state::lock(&state.peers).roster.max_retry_pause(state.clock.now());
     let span = WRITE_INTERVAL.saturating_mul(1_u32.checked_shl(failures).unwrap_or(u32::MAX));
--- a/crates/lagoon-gateway/src/relay/follow.rs
+++ b/crates/lagoon-gateway/src/relay/follow.rs
@@ -110,10 +110,10 @@
 /// Whether this host's knowledge of the tables is no older than `span`, so that there is time to
 /// ask other hosts.
 ///
-/// When the host that reads for forty others ends, the platform would get a hundred calls at once
-/// if each of them read the platform itself until it had found the next reader. Beyond this age a
-/// host does read it, whatever the others report: the platform may be refusing just the hosts that
-/// it asks.
+/// When the host that reads for forty others ends, the platform would get a hundred calls in place
+/// of one if each of them read the platform itself until it had found the next reader. Beyond this
+/// age a host does read it, whatever the others report: the platform may be refusing just the hosts
+/// that it asks.
 fn is_fresh(state: &state::State, span: clock::Span) -> bool {
     let ages =
         [state.confirmation_age(), tables::age(state, state.tables.upstreams_confirmed_at())];
--- a/crates/lagoon-gateway/src/reserve.rs
+++ b/crates/lagoon-gateway/src/reserve.rs
@@ -1,10 +1,10 @@
 //! Reservations of engine memory for long prompts.
 //!
-//! Reservations of one prompt are made all or nothing, in the order of the upstreams' names, so
-//! that two long prompts cannot each hold half of what they need. A reservation is short and is
-//! renewed while its request runs, so if the host dies, it expires within the bound on unused
-//! memory. When the request ends, the reservation is released; an unanswered release is retried
-//! until the reservation has expired by itself.
+//! A prompt that is larger than one engine needs memory on several. Its reservations are made all
+//! or nothing, in the order of the upstreams' names, so that two long prompts cannot each hold half
+//! of what they need. A reservation is short and is renewed while its request runs, so if the host
+//! dies, it expires within the bound on unused memory. When the request ends, the reservation is
+//! released; an unanswered release is retried until the reservation has expired by itself.
 //!
 //! A request may be over at the engine that answers it without the host knowing: the engine is
 //! unreachable, or its answer is lost. If the host renewed until its own timeout, the helping
--- a/crates/lagoon-gateway/src/store.rs
+++ b/crates/lagoon-gateway/src/store.rs
@@ -9,7 +9,7 @@
 
 /// Timeout for connecting to the store: three round trips between zones and a lost packet.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
-/// Maximum size of an answer in bytes: 1 MB of rows in their JSON form.
+/// Maximum size of an answer in bytes: 1 MB of rows, plus what their JSON form adds.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 
 /// Why a call failed.
--- a/crates/lagoon-gateway/src/watch.rs
+++ b/crates/lagoon-gateway/src/watch.rs
@@ -166,8 +166,9 @@
         Changes { rows, at, recovered: self.failures > 0 }
     }
 
-    /// Updates the longest pause between failing calls, which depends on this host's rank in its
-    /// zone, as [`crate::mesh`] explains.
+    /// Updates the longest pause between failing calls, so that this host calls a failing platform
+    /// no more often than it should. That depends on the host's rank in its zone, see
+    /// [`lagoonline::routing::Roster::max_retry_pause`]; [`crate::mesh`] explains the rank.
     pub(crate) fn update_max_pause(&mut self, state: &state::State) {
         self.max_pause = max_pause(state);
     }
