--- a/crates/lagoonline/benches/decision.rs
+++ b/crates/lagoonline/benches/decision.rs
@@ -1,5 +1,5 @@
-//! Cost of one admission, one routing decision, one limit check and one fingerprint, for a small
-//! and a large fleet.
+//! Cost of one admission, one routing decision, one limit check and one fingerprint, for a fleet of
+//! today's size and for one of the target size.
 
 #![allow(missing_docs, reason = "the macro of the library makes a public function")]
 
--- a/crates/lagoonline/src/load/group/mod.rs
+++ b/crates/lagoonline/src/load/group/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Load pattern: several prompts of twice an engine's memory at once. If memory were taken engine
 //! by engine, each prompt could hold half of what it needs and none could start. Members are
-//! therefore chosen all or nothing while the caller holds its lock, and are listed in the order in
-//! which the caller numbers the engines.
+//! therefore chosen all or nothing while the caller holds its lock, and are listed in one order for
+//! all groups, that in which the caller numbers the engines.
 
 pub mod arbiter;
 
--- a/crates/lagoonline/tests/load_cold.rs
+++ b/crates/lagoonline/tests/load_cold.rs
@@ -38,7 +38,7 @@
 
 // Guards against refusing the first call on an idle engine with "cannot meet the deadline" because
 // every token that it allows was predicted at a usual speed. Then no answer would ever correct the
-// prediction.
+// prediction. Most callers allow a long answer although they expect a short one.
 #[test]
 fn a_first_call_is_not_refused_for_the_tokens_it_allows() {
     let mut scheduler = scheduler();
--- a/crates/lagoonline/tests/load_placement.rs
+++ b/crates/lagoonline/tests/load_placement.rs
@@ -477,8 +477,8 @@
 }
 
 /// Guards against an unbounded prefill backlog in a burst of long prompts. A large prompt waits at
-/// its host while a smaller one, with more value for its time, is dispatched; the bound on the
-/// large one grows while it waits.
+/// its host while a smaller one, with more value for its time, is dispatched. After 1.5 s the
+/// engines have reduced the backlog enough for a prompt like those that filled it.
 #[rstest]
 fn a_backlog_lets_small_prompts_pass_large_ones() {
     let mut sim = Simulation::new(18);
