--- a/crates/lagoon-net/tests/wire.rs
+++ b/crates/lagoon-net/tests/wire.rs
@@ -62,8 +62,11 @@
     assert!(matches!(again, Err(wire::Error::Replayed)), "{again:?}");
 }
 
-/// The same recording is sent on a new connection, where its sequence number would fit. The
-/// accepting side has chosen another nonce there, so the frame is rejected.
+/// A frame is recorded on the network and sent on a new connection, whose key is the same, so that
+/// its tag is valid. Without the checks of the codec an operator's put would take effect twice. The
+/// frame is rejected. Two things are wrong with it: it carries the nonce of the first connection,
+/// and its sequence number is 2 (the hello was 1) where the new connection expects 1. Either is
+/// enough for the rejection, so this test alone does not prove that the nonce is checked.
 #[test]
 fn a_frame_replayed_on_another_connection_is_rejected() {
     let (_, mut connecting) = connected();
