--- a/crates/lagoonline/src/load/ramp.rs
+++ b/crates/lagoonline/src/load/ramp.rs
@@ -4,9 +4,6 @@
 //! looks idle, so every host of the zone would send its whole queue to it at once, and those
 //! requests would wait together. Its usable slots grow from an eighth to all within ten seconds,
 //! about the time in which the zone's most used prefixes occur again.
-//!
-//! No load scenario has an engine that joins under heavy load, so the effect of the slow start is
-//! not measured.
 
 use crate::clock;
 
--- a/crates/lagoonline/src/load/retry.rs
+++ b/crates/lagoonline/src/load/retry.rs
@@ -6,7 +6,7 @@
 //! with all its work; the burst of ten allows retries at a host with little traffic.
 //!
 //! The load scenarios of `lagoon-load` do not exhaust the budget, because failing upstreams are
-//! avoided at once, so its effect is not measured.
+//! avoided at once.
 
 /// Retries added per first attempt unless [`Budget::set_ratio`] changes it.
 const DEFAULT_RATIO: f64 = 0.1;
